--- a/gateway/src/main/java/org/whinhead/gateway/Gateway.java
+++ b/gateway/src/main/java/org/whinhead/gateway/Gateway.java
@@ -36,13 +36,13 @@
 import org.whinhead.serving.configuration.CallerLimits;
 import org.whinhead.serving.configuration.ServingConfiguration;
 import org.whinhead.serving.duty.DutyLease;
-import org.whinhead.serving.duty.UsagePlan;
+import org.whinhead.serving.duty.UsageDecider;
 import org.whinhead.serving.limit.RetryBudget;
 import org.whinhead.serving.member.Member;
 import org.whinhead.serving.member.MemberTable;
+import org.whinhead.serving.quota.ClockReading;
 import org.whinhead.serving.quota.CustomerQuotas;
 import org.whinhead.serving.quota.HeldShares;
-import org.whinhead.serving.quota.Moment;
 import org.whinhead.serving.rollout.RolloutLimits;
 import org.whinhead.serving.usage.UsageLedger;
 import org.whinhead.serving.usage.UsageWindows;
@@ -156,7 +156,7 @@
                         ports.cloud(),
                         new DutyHolder.Duties(
                                 new DutyLease(settings.self().incarnation(), settings.leaseTerm()),
-                                new UsagePlan(
+                                new UsageDecider(
                                         mState.usageWindows(), mState.usage(), timeOfDay.instant()),
                                 new CapacityPlanner(settings.capacity())));
         mShareTable =
@@ -182,7 +182,7 @@
                 new HeldShares(
                         self.peerAddress(),
                         settings.quotaTolerance(),
-                        new Moment(clock.instant(), timeOfDay.instant()));
+                        new ClockReading(clock.instant(), timeOfDay.instant()));
         return ServingState.builder()
                 .clocks(clock, timeOfDay)
                 .chooser(new EndpointChooser(self.domain(), new Random()))
@@ -294,7 +294,7 @@
                         && mState.configuration().current().isPresent()
                         && mState.quotas().isReady()
                         && mEndpointWatch.isLoaded();
-        mMembers.selfReady(ready);
+        mMembers.setSelfReady(ready);
         return ready;
     }
 
@@ -328,7 +328,7 @@
         }
         mStopping = true;
         LOG.info("stopping");
-        mMembers.selfReady(false);
+        mMembers.setSelfReady(false);
         mPeers.leave();
         mDuties.stop();
         final Instant start = mState.clock().instant();
--- a/gateway/src/main/java/org/whinhead/gateway/duty/CapacityDuty.java
+++ b/gateway/src/main/java/org/whinhead/gateway/duty/CapacityDuty.java
@@ -127,8 +127,8 @@
     /** Notes what callers have asked so far; to be called at each tick of every daemon. */
     void meterDemand() {
         mDemand.total(
-                mState.quotas().offered().byAll(),
-                mState.quotas().offered().usualTokens(),
+                mState.quotas().offeredLoad().fleetTokens(),
+                mState.quotas().offeredLoad().meanRequestTokens(),
                 mState.clock().instant());
     }
 
--- a/gateway/src/main/java/org/whinhead/gateway/duty/DutyHolder.java
+++ b/gateway/src/main/java/org/whinhead/gateway/duty/DutyHolder.java
@@ -21,8 +21,8 @@
 import org.whinhead.serving.duty.DutyLease;
 import org.whinhead.serving.duty.LeaseRecord;
 import org.whinhead.serving.duty.StoredLease;
+import org.whinhead.serving.duty.UsageDecider;
 import org.whinhead.serving.duty.UsageDecision;
-import org.whinhead.serving.duty.UsagePlan;
 import org.whinhead.serving.member.MemberTable;
 
 /**
@@ -49,7 +49,7 @@
     private final CloudDuties mCloud;
     private final CapacityDuty mCapacity;
     private final DutyLease mLease;
-    private final UsagePlan mUsagePlan;
+    private final UsageDecider mUsagePlan;
     private final Set<Long> mDelivered = new HashSet<>();
     private LeaseRecord mClaim;
     private Instant mClaimSteady;
@@ -91,7 +91,7 @@
      * @param usagePlan which windows are reported
      * @param planner which endpoints are ordered
      */
-    public record Duties(DutyLease lease, UsagePlan usagePlan, CapacityPlanner planner) {}
+    public record Duties(DutyLease lease, UsageDecider usagePlan, CapacityPlanner planner) {}
 
     /**
      * Returns the duty that orders endpoints under the lease.
@@ -111,9 +111,13 @@
     public void stop() {
         mStopped = true;
         if (mLease.isHeld()) {
-            final LeaseRecord release = mLease.release();
-            mLease.lost();
-            mStore.appendAt(StoreTopic.DUTIES, LEASE_KEY, DutyRecords.encode(release), mLease.end())
+            final LeaseRecord release = mLease.releaseRecord();
+            mLease.recordLost();
+            mStore.appendAt(
+                            StoreTopic.DUTIES,
+                            LEASE_KEY,
+                            DutyRecords.encode(release),
+                            mLease.endOffset())
                     .whenComplete(
                             (end, failure) ->
                                     LOG.atInfo()
@@ -158,8 +162,8 @@
             LOG.error("lease not understood, no duty is done", e);
             return;
         }
-        mLease.seen(new StoredLease(record, page.end()), steady);
-        if (mLease.isFree(mState.clock().instant()) && !mStopped) {
+        mLease.recordRead(new StoredLease(record, page.end()), steady);
+        if (mLease.canClaim(mState.clock().instant()) && !mStopped) {
             claim();
         }
     }
@@ -180,10 +184,14 @@
         final Instant timeOfDay = mState.timeOfDay().instant();
         final List<UsageDecision> decisions =
                 mUsagePlan.decide(markDelivered(mLease.decisions()), mState.usageClock().instant());
-        mClaim = mLease.claim(decisions);
+        mClaim = mLease.claimRecord(decisions);
         mClaimSteady = mState.clock().instant();
         mClaimTimeOfDay = timeOfDay;
-        mStore.appendAt(StoreTopic.DUTIES, LEASE_KEY, DutyRecords.encode(mClaim), mLease.end())
+        mStore.appendAt(
+                        StoreTopic.DUTIES,
+                        LEASE_KEY,
+                        DutyRecords.encode(mClaim),
+                        mLease.endOffset())
                 .whenComplete(
                         (end, failure) -> {
                             mBusy = false;
@@ -203,7 +211,7 @@
         if (failure != null) {
             notAnswered(failure);
         } else if (end.isEmpty()) {
-            mLease.lost();
+            mLease.recordLost();
             LOG.info("lease belongs to another daemon");
         } else {
             if (!renewal) {
@@ -223,7 +231,7 @@
     private void notAnswered(final Throwable failure) {
         final boolean stillHeld = token().isPresent();
         if (!stillHeld) {
-            mLease.lost();
+            mLease.recordLost();
         }
         LOG.atWarn()
                 .addKeyValue("token", mClaim.token())
@@ -234,7 +242,7 @@
     }
 
     private void granted(final long end) {
-        mLease.granted(mClaim, end, mClaimSteady, mClaimTimeOfDay);
+        mLease.recordGranted(mClaim, end, mClaimSteady, mClaimTimeOfDay);
         act();
     }
 
@@ -253,7 +261,7 @@
      * @return the fencing token to act with, if it may
      */
     public Optional<Long> token() {
-        return mLease.tokenToAct(mState.clock().instant(), mState.timeOfDay().instant());
+        return mLease.fencingToken(mState.clock().instant(), mState.timeOfDay().instant());
     }
 
     private void report(final long token, final UsageDecision decision) {
--- a/gateway/src/main/java/org/whinhead/gateway/exchange/Admission.java
+++ b/gateway/src/main/java/org/whinhead/gateway/exchange/Admission.java
@@ -5,7 +5,7 @@
 import java.util.Optional;
 import org.whinhead.gateway.caller.CallerRequest;
 import org.whinhead.serving.configuration.CustomerAccount;
-import org.whinhead.serving.quota.TokenSpend;
+import org.whinhead.serving.quota.TokenGrant;
 import org.whinhead.serving.route.Route;
 
 /**
@@ -21,7 +21,7 @@
         CallerRequest request,
         Route route,
         Optional<CustomerAccount> customer,
-        Optional<TokenSpend> spend,
+        Optional<TokenGrant> spend,
         Instant arrivedAt) {
 
     /** Tells when the caller or the operator no longer wants an answer. */
--- a/gateway/src/main/java/org/whinhead/gateway/exchange/Exchange.java
+++ b/gateway/src/main/java/org/whinhead/gateway/exchange/Exchange.java
@@ -89,7 +89,7 @@
     }
 
     void start() {
-        mExchanges.state().retryBudget().request(mService, now());
+        mExchanges.state().retryBudget().recordRequest(mService, now());
         mTimers.startDeadline(timeLeft(), this::deadlinePassed);
         if (timeLeft().compareTo(LEAST_TIME_LEFT) < 0) {
             refuse(TOO_LATE, mEnding.givenUp(TOO_LATE));
--- a/gateway/src/main/java/org/whinhead/gateway/exchange/Exchanges.java
+++ b/gateway/src/main/java/org/whinhead/gateway/exchange/Exchanges.java
@@ -109,7 +109,7 @@
         }
         final Optional<CustomerAccount> customer =
                 request.key().flatMap(configuration::customerOfKey);
-        final boolean needsKey = configuration.needsKeys() && !route.get().isKeyless();
+        final boolean needsKey = configuration.isKeyRequired() && !route.get().isKeyless();
         if (needsKey && customer.isEmpty()) {
             return refuse(
                     request,
--- a/gateway/src/main/java/org/whinhead/gateway/exchange/PendingAdmission.java
+++ b/gateway/src/main/java/org/whinhead/gateway/exchange/PendingAdmission.java
@@ -10,7 +10,7 @@
 import org.whinhead.gateway.caller.Refusal;
 import org.whinhead.serving.configuration.CustomerAccount;
 import org.whinhead.serving.quota.TokenClaimListener;
-import org.whinhead.serving.quota.TokenSpend;
+import org.whinhead.serving.quota.TokenGrant;
 import org.whinhead.serving.route.Route;
 
 /** A request whose customer's tokens are being claimed, and what it becomes. */
@@ -67,7 +67,7 @@
             CallerRequest request, Route route, CustomerAccount customer, Instant arrivedAt) {}
 
     @Override
-    public void granted(final TokenSpend spend) {
+    public void granted(final TokenGrant spend) {
         mExchanges.journal().admitted(mCandidate.customer(), mTokens);
         final Admission admission =
                 new Admission(
@@ -88,7 +88,7 @@
     }
 
     @Override
-    public void unknown(final Duration comeBackAfter) {
+    public void unavailable(final Duration comeBackAfter) {
         refuse(Refusal.notRun("allowance not known", comeBackAfter));
     }
 
--- a/gateway/src/main/java/org/whinhead/gateway/exchange/ServingState.java
+++ b/gateway/src/main/java/org/whinhead/gateway/exchange/ServingState.java
@@ -11,8 +11,8 @@
 import org.whinhead.serving.endpoint.EndpointRegistry;
 import org.whinhead.serving.endpoint.ReclaimedEndpoints;
 import org.whinhead.serving.limit.RetryBudget;
+import org.whinhead.serving.quota.ClockReading;
 import org.whinhead.serving.quota.CustomerQuotas;
-import org.whinhead.serving.quota.Moment;
 import org.whinhead.serving.rollout.Rollouts;
 import org.whinhead.serving.usage.FleetClock;
 import org.whinhead.serving.usage.UsageLedger;
@@ -74,8 +74,8 @@
      *
      * @return the moment
      */
-    public Moment moment() {
-        return new Moment(mClock.instant(), mTimeOfDay.instant());
+    public ClockReading moment() {
+        return new ClockReading(mClock.instant(), mTimeOfDay.instant());
     }
 
     /**
--- a/gateway/src/main/java/org/whinhead/gateway/exchange/UsageMark.java
+++ b/gateway/src/main/java/org/whinhead/gateway/exchange/UsageMark.java
@@ -35,6 +35,8 @@
                 .customerName()
                 .ifPresent(
                         customer ->
-                                mState.usage().began(mState.usageWindows().at(began), customer));
+                                mState.usage()
+                                        .recordStart(
+                                                mState.usageWindows().windowAt(began), customer));
     }
 }
--- a/gateway/src/main/java/org/whinhead/gateway/peers/PeerReports.java
+++ b/gateway/src/main/java/org/whinhead/gateway/peers/PeerReports.java
@@ -130,12 +130,12 @@
     private void tick() {
         final Instant now = now();
         mMembers.expire(now);
-        mMembers.silent(now).forEach(mState.chooser()::forgetPeer);
-        mState.usageClock().compare();
+        mMembers.silentMemberNames(now).forEach(mState.chooser()::forgetPeer);
+        mState.usageClock().syncWithPeers();
         mState.retryBudget()
-                .daemons(
+                .setDaemonCount(
                         mMembers.knownCount(),
-                        mState.quotas().held().table().map(ShareTable::daemons).orElse(0));
+                        mState.quotas().heldShares().table().map(ShareTable::daemons).orElse(0));
         sendToNext();
         mLoop.schedule(this::tick, TICK_MILLIS, TimeUnit.MILLISECONDS);
     }
@@ -159,7 +159,7 @@
 
     /** Orders the others, once for each set of them: sorting spells every address many times. */
     private List<InetSocketAddress> receiversInOrder() {
-        final long changes = mMembers.addressChanges() + mContacts.size();
+        final long changes = mMembers.addressChangeCount() + mContacts.size();
         if (changes != mReceiversAsOf) {
             mReceiversAsOf = changes;
             final Set<InetSocketAddress> receivers = new HashSet<>(mContacts);
--- a/gateway/src/main/java/org/whinhead/gateway/peers/ReportContent.java
+++ b/gateway/src/main/java/org/whinhead/gateway/peers/ReportContent.java
@@ -61,9 +61,9 @@
         mState.configuration()
                 .current()
                 .ifPresent(current -> report.setConfigurationVersion(current.version()));
-        report.setOfferedTokens(mState.quotas().offered().own());
+        report.setOfferedTokens(mState.quotas().offeredLoad().ownTokens());
         mState.quotas()
-                .held()
+                .heldShares()
                 .table()
                 .ifPresent(table -> report.setShareTableVersion(table.version()));
         for (final Map.Entry<String, EndpointLoad> load : mState.chooser().loads().entrySet()) {
@@ -75,7 +75,7 @@
                                 .setPromptTokens(load.getValue().ownPromptTokens()));
             }
         }
-        for (final UsageCount count : mState.usage().own()) {
+        for (final UsageCount count : mState.usage().ownCounts()) {
             report.addUsage(
                     UsageEntry.newBuilder()
                             .setWindow(count.window())
@@ -101,7 +101,7 @@
                         report.getDomain(),
                         Addresses.parse(report.getCallerAddress()),
                         Addresses.parse(report.getPeerAddress()));
-        mMembers.heard(member, report.getReady(), report.getLeaving(), now)
+        mMembers.recordReport(member, report.getReady(), report.getLeaving(), now)
                 .ifPresent(
                         before ->
                                 LOG.atInfo()
@@ -110,10 +110,13 @@
                                         .log("daemon was restarted"));
         if (report.getTimeOfDayMillis() > 0) {
             mState.usageClock()
-                    .heard(report.getName(), Instant.ofEpochMilli(report.getTimeOfDayMillis()));
+                    .recordPeerTime(
+                            report.getName(), Instant.ofEpochMilli(report.getTimeOfDayMillis()));
         }
         report.getContactsList().forEach(contact -> mOnContact.accept(Addresses.parse(contact)));
-        mState.quotas().offered().peer(report.getIncarnation(), report.getOfferedTokens());
+        mState.quotas()
+                .offeredLoad()
+                .updatePeer(report.getIncarnation(), report.getOfferedTokens());
         mOnShareTable.accept(report.getShareTableVersion());
         mState.chooser().forgetPeer(report.getName());
         for (final EndpointShare share : report.getSharesList()) {
@@ -126,7 +129,7 @@
         }
         for (final UsageEntry entry : report.getUsageList()) {
             mState.usage()
-                    .peerCount(
+                    .mergePeerCount(
                             report.getIncarnation(),
                             new UsageCount(
                                     entry.getWindow(), entry.getCustomer(), entry.getRequests()));
--- a/gateway/src/main/java/org/whinhead/gateway/quota/QuotaMessages.java
+++ b/gateway/src/main/java/org/whinhead/gateway/quota/QuotaMessages.java
@@ -10,15 +10,15 @@
 import org.whinhead.gateway.generated.GatewayProto.TokenOutcomeRecord;
 import org.whinhead.gateway.peers.Addresses;
 import org.whinhead.serving.quota.ShareTable;
-import org.whinhead.serving.quota.TokenAnswer;
-import org.whinhead.serving.quota.TokenAsk;
+import org.whinhead.serving.quota.TokenRequest;
+import org.whinhead.serving.quota.TokenResponse;
 
 /** Spells claims of tokens and the table of shares as bytes. */
 final class QuotaMessages {
 
     private QuotaMessages() {}
 
-    static TokenAskRecord encode(final String claimant, final TokenAsk ask) {
+    static TokenAskRecord encode(final String claimant, final TokenRequest ask) {
         return TokenAskRecord.newBuilder()
                 .setClaimant(claimant)
                 .setId(ask.id())
@@ -30,8 +30,8 @@
                 .build();
     }
 
-    static TokenAsk decode(final TokenAskRecord record) {
-        return new TokenAsk(
+    static TokenRequest decode(final TokenAskRecord record) {
+        return new TokenRequest(
                 record.getId(),
                 record.getCustomer(),
                 record.getSlot(),
@@ -40,7 +40,7 @@
                 record.getLight());
     }
 
-    static TokenAnswerRecord encode(final String claimant, final TokenAnswer answer) {
+    static TokenAnswerRecord encode(final String claimant, final TokenResponse answer) {
         return TokenAnswerRecord.newBuilder()
                 .setClaimant(claimant)
                 .setId(answer.id())
@@ -51,7 +51,7 @@
                 .build();
     }
 
-    private static TokenOutcomeRecord encode(final TokenAnswer.Outcome outcome) {
+    private static TokenOutcomeRecord encode(final TokenResponse.Outcome outcome) {
         return switch (outcome) {
             case ISSUED -> TokenOutcomeRecord.ISSUED;
             case TOO_FEW -> TokenOutcomeRecord.TOO_FEW;
@@ -59,8 +59,8 @@
         };
     }
 
-    static TokenAnswer decode(final TokenAnswerRecord record) {
-        return new TokenAnswer(
+    static TokenResponse decode(final TokenAnswerRecord record) {
+        return new TokenResponse(
                 record.getId(),
                 record.getCustomer(),
                 record.getSlot(),
@@ -69,11 +69,11 @@
     }
 
     /** An outcome that a later version may send issues nothing that this one could spend. */
-    private static TokenAnswer.Outcome decode(final TokenOutcomeRecord record) {
+    private static TokenResponse.Outcome decode(final TokenOutcomeRecord record) {
         return switch (record) {
-            case ISSUED -> TokenAnswer.Outcome.ISSUED;
-            case TOO_FEW -> TokenAnswer.Outcome.TOO_FEW;
-            case NOT_HELD, UNRECOGNIZED -> TokenAnswer.Outcome.NOT_HELD;
+            case ISSUED -> TokenResponse.Outcome.ISSUED;
+            case TOO_FEW -> TokenResponse.Outcome.TOO_FEW;
+            case NOT_HELD, UNRECOGNIZED -> TokenResponse.Outcome.NOT_HELD;
         };
     }
 
--- a/gateway/src/main/java/org/whinhead/gateway/quota/ShareTableKeeper.java
+++ b/gateway/src/main/java/org/whinhead/gateway/quota/ShareTableKeeper.java
@@ -26,8 +26,8 @@
 import org.whinhead.gateway.store.StoreTopic;
 import org.whinhead.serving.member.Member;
 import org.whinhead.serving.member.MemberTable;
+import org.whinhead.serving.quota.ClockReading;
 import org.whinhead.serving.quota.HeldShares;
-import org.whinhead.serving.quota.Moment;
 import org.whinhead.serving.quota.ShareHolders;
 import org.whinhead.serving.quota.ShareTable;
 
@@ -120,7 +120,7 @@
     }
 
     private Optional<ShareTable> table() {
-        return mState.quotas().held().table();
+        return mState.quotas().heldShares().table();
     }
 
     /** Reads after a time, unless a read is due before. */
@@ -141,7 +141,7 @@
             return;
         }
         mBusy = true;
-        final Moment before = mState.moment();
+        final ClockReading before = mState.moment();
         mStore.newest(StoreTopic.SHARES)
                 .whenComplete(
                         (page, failure) -> {
@@ -153,12 +153,12 @@
                         });
     }
 
-    private void take(final StorePage page, final Moment readAt) {
+    private void take(final StorePage page, final ClockReading readAt) {
         mEnd = OptionalLong.of(page.end());
         final Optional<ShareTable> stored = stored(page);
         mStoredVersion = stored.map(ShareTable::version).orElse(0L);
         final long known = knownVersion();
-        stored.ifPresent(table -> mState.quotas().held().tableRead(table, readAt));
+        stored.ifPresent(table -> mState.quotas().heldShares().updateTable(table, readAt));
         if (stored.isPresent() && stored.get().version() > known) {
             LOG.atInfo()
                     .addKeyValue("version", stored.get().version())
@@ -183,8 +183,8 @@
     /** Writes the table if it is missing or names daemons that are gone; to be called often. */
     public void tick() {
         final Instant now = mState.clock().instant();
-        if (mMembers.addressChanges() != mMembersAsOf) {
-            mMembersAsOf = mMembers.addressChanges();
+        if (mMembers.addressChangeCount() != mMembersAsOf) {
+            mMembersAsOf = mMembers.addressChangeCount();
             mMembersSince = now;
         }
         if (mEnd.isEmpty() || mBusy || !mHoldsDuties.getAsBoolean()) {
@@ -199,7 +199,7 @@
         if (table.isEmpty()) {
             return Duration.between(mMembersSince, now).compareTo(SETTLED_AFTER) < 0
                     ? Optional.empty()
-                    : Optional.of(ShareTable.first(ShareHolders.inOrder(members())));
+                    : Optional.of(ShareTable.initial(ShareHolders.interleaveDomains(members())));
         }
         if (mStoredVersion < table.get().version()) {
             // The store came back from an older copy; what is in force is written again.
@@ -220,13 +220,13 @@
         members().forEach(member -> present.add(member.peerAddress()));
         present.forEach(address -> mHeardAt.put(address, now));
         final List<InetSocketAddress> successors =
-                ShareHolders.inOrder(members()).stream()
-                        .filter(address -> !table.names(address))
+                ShareHolders.interleaveDomains(members()).stream()
+                        .filter(address -> !table.hasHolder(address))
                         .toList();
-        return table.replace(
+        return table.reassign(
                 holder -> isGone(holder, now),
-                successors.isEmpty() ? ShareHolders.inOrder(members()) : successors,
-                mState.timeOfDay().instant().plus(HeldShares.TABLE_VALID_FOR).plus(CLOCK_MARGIN));
+                successors.isEmpty() ? ShareHolders.interleaveDomains(members()) : successors,
+                mState.timeOfDay().instant().plus(HeldShares.TABLE_VALIDITY).plus(CLOCK_MARGIN));
     }
 
     private boolean isGone(final InetSocketAddress holder, final Instant now) {
--- a/gateway/src/main/java/org/whinhead/gateway/quota/TokenMessenger.java
+++ b/gateway/src/main/java/org/whinhead/gateway/quota/TokenMessenger.java
@@ -10,7 +10,7 @@
 import org.whinhead.gateway.generated.GatewayProto.TokenAnswerRecord;
 import org.whinhead.gateway.generated.GatewayProto.TokenAskRecord;
 import org.whinhead.serving.quota.QuotaTransport;
-import org.whinhead.serving.quota.TokenAsk;
+import org.whinhead.serving.quota.TokenRequest;
 
 /** Carries asks for tokens as datagrams, and answers those of the other daemons. */
 public final class TokenMessenger implements QuotaTransport {
@@ -44,14 +44,14 @@
     }
 
     @Override
-    public void ask(final InetSocketAddress holder, final TokenAsk ask) {
+    public void sendRequest(final InetSocketAddress holder, final TokenRequest ask) {
         mSender.accept(
                 holder,
                 Datagram.newBuilder().setTokenAsk(QuotaMessages.encode(mIncarnation, ask)).build());
     }
 
     @Override
-    public void giveBack(final InetSocketAddress holder, final TokenAsk ask) {
+    public void sendReturn(final InetSocketAddress holder, final TokenRequest ask) {
         mSender.accept(
                 holder,
                 Datagram.newBuilder()
@@ -60,9 +60,9 @@
     }
 
     @Override
-    public void checkAfter(final Duration delay) {
+    public void scheduleTimeoutCheck(final Duration delay) {
         mLoop.schedule(
-                () -> mState.quotas().checkAnswers(mState.moment()),
+                () -> mState.quotas().checkTimeouts(mState.moment()),
                 delay.toMillis(),
                 TimeUnit.MILLISECONDS);
     }
@@ -80,8 +80,9 @@
         if (datagram.hasTokenReturn()) {
             final TokenAskRecord record = datagram.getTokenReturn();
             mState.quotas()
-                    .held()
-                    .giveBack(record.getClaimant(), QuotaMessages.decode(record), mState.moment());
+                    .heldShares()
+                    .returnTokens(
+                            record.getClaimant(), QuotaMessages.decode(record), mState.moment());
         }
         if (datagram.hasTokenAnswer()) {
             answered(datagram.getTokenAnswer());
@@ -93,8 +94,8 @@
                 QuotaMessages.encode(
                         record.getClaimant(),
                         mState.quotas()
-                                .held()
-                                .answer(
+                                .heldShares()
+                                .handleRequest(
                                         record.getClaimant(),
                                         QuotaMessages.decode(record),
                                         mState.moment()));
@@ -104,7 +105,7 @@
     /** An answer to the process that was here before has a number that may be in use again. */
     private void answered(final TokenAnswerRecord record) {
         if (record.getClaimant().equals(mIncarnation)) {
-            mState.quotas().answered(QuotaMessages.decode(record), mState.moment());
+            mState.quotas().handleResponse(QuotaMessages.decode(record), mState.moment());
         }
     }
 }
--- a/gateway/src/test/java/org/whinhead/gateway/duty/DutyHolderTest.java
+++ b/gateway/src/test/java/org/whinhead/gateway/duty/DutyHolderTest.java
@@ -28,8 +28,8 @@
 import org.whinhead.serving.configuration.ServiceSpec;
 import org.whinhead.serving.configuration.ServingConfiguration;
 import org.whinhead.serving.duty.DutyLease;
+import org.whinhead.serving.duty.UsageDecider;
 import org.whinhead.serving.duty.UsageDecision;
-import org.whinhead.serving.duty.UsagePlan;
 import org.whinhead.serving.endpoint.EndpointEntry;
 import org.whinhead.serving.member.Member;
 import org.whinhead.serving.member.MemberTable;
@@ -123,7 +123,7 @@
                         mCloud,
                         new DutyHolder.Duties(
                                 new DutyLease("self", TERM),
-                                new UsagePlan(mState.usageWindows(), mState.usage(), mNow),
+                                new UsageDecider(mState.usageWindows(), mState.usage(), mNow),
                                 new CapacityPlanner(
                                         CapacitySettings.builder()
                                                 .loadPart(1)
--- a/gateway/src/test/java/org/whinhead/gateway/exchange/TestServing.java
+++ b/gateway/src/test/java/org/whinhead/gateway/exchange/TestServing.java
@@ -10,9 +10,9 @@
 import org.whinhead.serving.balance.EndpointChooser;
 import org.whinhead.serving.endpoint.EndpointEntry;
 import org.whinhead.serving.limit.RetryBudget;
+import org.whinhead.serving.quota.ClockReading;
 import org.whinhead.serving.quota.CustomerQuotas;
 import org.whinhead.serving.quota.HeldShares;
-import org.whinhead.serving.quota.Moment;
 import org.whinhead.serving.quota.QuotaTolerance;
 import org.whinhead.serving.usage.UsageLedger;
 import org.whinhead.serving.usage.UsageWindows;
@@ -41,7 +41,7 @@
                 new HeldShares(
                         self,
                         new QuotaTolerance(WINDOW, 0.1, 1_000),
-                        new Moment(clock.instant(), clock.instant())),
+                        new ClockReading(clock.instant(), clock.instant())),
                 new TokenMessenger(new DefaultEventLoop(), "self"),
                 new Random(1));
     }
--- a/gateway/src/test/java/org/whinhead/gateway/peers/StoreDigestsTest.java
+++ b/gateway/src/test/java/org/whinhead/gateway/peers/StoreDigestsTest.java
@@ -34,8 +34,8 @@
 
     private StoreDigests follower(final ServingState state) {
         final MemberTable members = new MemberTable(member("z"));
-        members.heard(member("a"), true, false, mNow);
-        members.heard(member("b"), true, false, mNow);
+        members.recordReport(member("a"), true, false, mNow);
+        members.recordReport(member("b"), true, false, mNow);
         final StoreDigests digests = new StoreDigests(state, members);
         digests.onNews(mWoken::add);
         digests.onSameEndpoints(mSkipped::add);
--- a/gateway/src/test/java/org/whinhead/gateway/quota/QuotaMessagesTest.java
+++ b/gateway/src/test/java/org/whinhead/gateway/quota/QuotaMessagesTest.java
@@ -9,8 +9,8 @@
 import java.util.List;
 import org.junit.jupiter.api.Test;
 import org.whinhead.serving.quota.ShareTable;
-import org.whinhead.serving.quota.TokenAnswer;
-import org.whinhead.serving.quota.TokenAsk;
+import org.whinhead.serving.quota.TokenRequest;
+import org.whinhead.serving.quota.TokenResponse;
 
 class QuotaMessagesTest {
 
@@ -19,12 +19,12 @@
 
     @Test
     void asksAndAnswersAreReadAsTheyWereWritten() {
-        final TokenAsk ask = new TokenAsk(7, "clinic", 12, 4_000, true);
+        final TokenRequest ask = new TokenRequest(7, "clinic", 12, 4_000, true);
         assertThat(QuotaMessages.decode(QuotaMessages.encode("i-1", ask))).isEqualTo(ask);
-        final TokenAsk part = new TokenAsk(8, "clinic", 12, 4_000, 9_000, false);
+        final TokenRequest part = new TokenRequest(8, "clinic", 12, 4_000, 9_000, false);
         assertThat(QuotaMessages.decode(QuotaMessages.encode("i-1", part))).isEqualTo(part);
-        for (final TokenAnswer.Outcome outcome : TokenAnswer.Outcome.values()) {
-            final TokenAnswer answer = new TokenAnswer(7, "clinic", 12, outcome, -350);
+        for (final TokenResponse.Outcome outcome : TokenResponse.Outcome.values()) {
+            final TokenResponse answer = new TokenResponse(7, "clinic", 12, outcome, -350);
             assertThat(QuotaMessages.decode(QuotaMessages.encode("i-1", answer))).isEqualTo(answer);
         }
     }
@@ -32,8 +32,8 @@
     @Test
     void tableIsReadAsItWasWritten() throws InvalidProtocolBufferException {
         final ShareTable table =
-                ShareTable.first(List.of(FIRST, SECOND))
-                        .replace(
+                ShareTable.initial(List.of(FIRST, SECOND))
+                        .reassign(
                                 FIRST::equals,
                                 List.of(SECOND),
                                 Instant.parse("2026-01-01T01:31:00Z"));
--- a/gateway/src/test/java/org/whinhead/gateway/quota/ShareTableKeeperTest.java
+++ b/gateway/src/test/java/org/whinhead/gateway/quota/ShareTableKeeperTest.java
@@ -106,7 +106,7 @@
             mChannel.advanceTimeBy(200, TimeUnit.MILLISECONDS);
             mChannel.runScheduledPendingTasks();
             for (final int number : heard) {
-                mMembers.heard(member(number), true, false, mNow);
+                mMembers.recordReport(member(number), true, false, mNow);
             }
             mMembers.expire(mNow);
             mKeeper.tick();
@@ -114,7 +114,7 @@
     }
 
     private Optional<ShareTable> table() {
-        return mState.quotas().held().table();
+        return mState.quotas().heldShares().table();
     }
 
     @Test
@@ -125,7 +125,7 @@
         pass(Duration.ofSeconds(4), 2, 3);
         assertThat(table().orElseThrow().version()).isEqualTo(1);
         assertThat(table().orElseThrow().daemons()).isEqualTo(3);
-        assertThat(table().orElseThrow().names(member(3).peerAddress())).isTrue();
+        assertThat(table().orElseThrow().hasHolder(member(3).peerAddress())).isTrue();
     }
 
     @Test
@@ -155,10 +155,10 @@
         pass(Duration.ofMillis(600));
         mStore.mValue =
                 Optional.of(
-                        QuotaMessages.encode(ShareTable.first(List.of(member(9).peerAddress()))));
+                        QuotaMessages.encode(ShareTable.initial(List.of(member(9).peerAddress()))));
         mStore.mEnd = 1;
         pass(Duration.ofSeconds(5), 2);
-        assertThat(table().orElseThrow().names(member(9).peerAddress())).isTrue();
+        assertThat(table().orElseThrow().hasHolder(member(9).peerAddress())).isTrue();
         assertThat(mStore.mEnd).isEqualTo(1);
     }
 
@@ -168,7 +168,7 @@
         mKeeper.start();
         mStore.mValue =
                 Optional.of(
-                        QuotaMessages.encode(ShareTable.first(List.of(member(2).peerAddress()))));
+                        QuotaMessages.encode(ShareTable.initial(List.of(member(2).peerAddress()))));
         mStore.mEnd = 1;
         mKeeper.heardVersion(1);
         pass(Duration.ofMillis(600));
@@ -195,8 +195,8 @@
         pass(Duration.ofMinutes(7), 2);
         final ShareTable table = table().orElseThrow();
         assertThat(table.version()).isEqualTo(2);
-        assertThat(table.names(member(3).peerAddress())).isFalse();
-        final Instant later = START.plus(HeldShares.TABLE_VALID_FOR);
+        assertThat(table.hasHolder(member(3).peerAddress())).isFalse();
+        final Instant later = START.plus(HeldShares.TABLE_VALIDITY);
         assertThat(table.slots().stream().filter(slot -> slot.activeFrom().isAfter(later)))
                 .isNotEmpty();
     }
--- a/gateway/src/test/java/org/whinhead/gateway/quota/TokenMessengerTest.java
+++ b/gateway/src/test/java/org/whinhead/gateway/quota/TokenMessengerTest.java
@@ -12,8 +12,8 @@
 import org.whinhead.gateway.exchange.ServingState;
 import org.whinhead.gateway.exchange.TestServing;
 import org.whinhead.gateway.generated.GatewayProto.Datagram;
-import org.whinhead.serving.quota.TokenAnswer;
-import org.whinhead.serving.quota.TokenAsk;
+import org.whinhead.serving.quota.TokenRequest;
+import org.whinhead.serving.quota.TokenResponse;
 
 class TokenMessengerTest {
 
@@ -37,21 +37,21 @@
 
     @Test
     void askIsAnsweredToItsSender() {
-        final TokenAsk ask = new TokenAsk(3, "clinic", 5, 100, false);
+        final TokenRequest ask = new TokenRequest(3, "clinic", 5, 100, false);
         mMessenger.take(
                 Datagram.newBuilder().setTokenAsk(QuotaMessages.encode("other", ask)).build(),
                 OTHER);
         assertThat(mSent).hasSize(1);
         assertThat(mSent.get(0).getTokenAnswer().getClaimant()).isEqualTo("other");
         assertThat(QuotaMessages.decode(mSent.get(0).getTokenAnswer()).outcome())
-                .isEqualTo(TokenAnswer.Outcome.NOT_HELD);
+                .isEqualTo(TokenResponse.Outcome.NOT_HELD);
     }
 
     @Test
     void asksAndReturnsNameTheClaimant() {
-        final TokenAsk ask = new TokenAsk(3, "clinic", 5, 100, false);
-        mMessenger.ask(OTHER, ask);
-        mMessenger.giveBack(OTHER, ask);
+        final TokenRequest ask = new TokenRequest(3, "clinic", 5, 100, false);
+        mMessenger.sendRequest(OTHER, ask);
+        mMessenger.sendReturn(OTHER, ask);
         assertThat(mSent.get(0).getTokenAsk().getClaimant()).isEqualTo("self");
         assertThat(mSent.get(1).getTokenReturn()).isEqualTo(mSent.get(0).getTokenAsk());
     }
--- a/serving/src/main/java/org/whinhead/serving/configuration/ServingConfiguration.java
+++ b/serving/src/main/java/org/whinhead/serving/configuration/ServingConfiguration.java
@@ -89,7 +89,7 @@
      *
      * @return whether this version has customers
      */
-    public boolean needsKeys() {
+    public boolean isKeyRequired() {
         return !mCustomers.isEmpty();
     }
 }
--- a/serving/src/main/java/org/whinhead/serving/duty/DutyLease.java
+++ b/serving/src/main/java/org/whinhead/serving/duty/DutyLease.java
@@ -23,12 +23,12 @@
     private static final Duration TAKEOVER_MARGIN = Duration.ofMillis(1_000);
 
     /** Decisions that are kept: more windows than can be due at a time. */
-    private static final int KEPT_DECISIONS = 6;
+    private static final int MAX_DECISIONS = 6;
 
     private final String mSelf;
     private final Duration mTerm;
     private List<UsageDecision> mDecisions = List.of();
-    private long mEnd = -1;
+    private long mEndOffset = -1;
     private Instant mUnchangedSince;
     private boolean mReleased;
     private boolean mOwnRecord;
@@ -36,8 +36,8 @@
     private long mBeat;
     private boolean mHeld;
     private long mToken;
-    private Instant mHeldSteady;
-    private Instant mHeldTimeOfDay;
+    private Instant mRenewedSteady;
+    private Instant mRenewedTimeOfDay;
 
     /**
      * Makes the view of a daemon that holds nothing.
@@ -56,12 +56,12 @@
      * @param stored the lease in the store
      * @param steady the steady time at which the read was sent
      */
-    public void seen(final StoredLease stored, final Instant steady) {
-        if (stored.end() < mEnd) {
+    public void recordRead(final StoredLease stored, final Instant steady) {
+        if (stored.endOffset() < mEndOffset) {
             return;
         }
-        if (stored.end() != mEnd || mUnchangedSince == null) {
-            mEnd = stored.end();
+        if (stored.endOffset() != mEndOffset || mUnchangedSince == null) {
+            mEndOffset = stored.endOffset();
             mUnchangedSince = steady;
         }
         if (stored.record().isEmpty()) {
@@ -88,7 +88,7 @@
      * @param steady the steady time
      * @return whether it is free, is this daemon's, or was not renewed for its time to live
      */
-    public boolean isFree(final Instant steady) {
+    public boolean canClaim(final Instant steady) {
         if (mHeld || mUnchangedSince == null) {
             return false;
         }
@@ -103,8 +103,8 @@
      * @param decisions the decisions that it carries
      * @return the record, to be appended at {@link #end()}
      */
-    public LeaseRecord claim(final List<UsageDecision> decisions) {
-        final long token = mHeld ? mToken : Math.max(mHighestToken, mEnd) + 1;
+    public LeaseRecord claimRecord(final List<UsageDecision> decisions) {
+        final long token = mHeld ? mToken : Math.max(mHighestToken, mEndOffset) + 1;
         return new LeaseRecord(mSelf, token, mBeat + 1, newest(decisions));
     }
 
@@ -113,12 +113,12 @@
      *
      * @return the record, to be appended at {@link #end()}
      */
-    public LeaseRecord release() {
+    public LeaseRecord releaseRecord() {
         return new LeaseRecord("", mToken, mBeat + 1, mDecisions);
     }
 
     private static List<UsageDecision> newest(final List<UsageDecision> decisions) {
-        final int surplus = Math.max(decisions.size() - KEPT_DECISIONS, 0);
+        final int surplus = Math.max(decisions.size() - MAX_DECISIONS, 0);
         return new ArrayList<>(decisions.subList(surplus, decisions.size()));
     }
 
@@ -130,7 +130,7 @@
      * @param sentSteady the steady time at which it was sent
      * @param sentTimeOfDay the time of day at which it was sent
      */
-    public void granted(
+    public void recordGranted(
             final LeaseRecord claim,
             final long end,
             final Instant sentSteady,
@@ -140,15 +140,15 @@
         mHighestToken = Math.max(mHighestToken, mToken);
         mBeat = claim.beat();
         mDecisions = claim.decisions();
-        mEnd = end;
+        mEndOffset = end;
         mUnchangedSince = sentSteady;
         mReleased = false;
-        mHeldSteady = sentSteady;
-        mHeldTimeOfDay = sentTimeOfDay;
+        mRenewedSteady = sentSteady;
+        mRenewedTimeOfDay = sentTimeOfDay;
     }
 
     /** Notes that another daemon wrote first, or that this one gave the lease up. */
-    public void lost() {
+    public void recordLost() {
         mHeld = false;
     }
 
@@ -163,19 +163,19 @@
      * @param timeOfDay the time of day
      * @return the fencing token to act with, if the lease is surely held
      */
-    public Optional<Long> tokenToAct(final Instant steady, final Instant timeOfDay) {
+    public Optional<Long> fencingToken(final Instant steady, final Instant timeOfDay) {
         if (!mHeld) {
             return Optional.empty();
         }
         final Duration most = mTerm.minus(ACTING_MARGIN);
         final boolean stale =
-                Duration.between(mHeldSteady, steady).compareTo(most) > 0
-                        || Duration.between(mHeldTimeOfDay, timeOfDay).abs().compareTo(most) > 0;
+                Duration.between(mRenewedSteady, steady).compareTo(most) > 0
+                        || Duration.between(mRenewedTimeOfDay, timeOfDay).abs().compareTo(most) > 0;
         return stale ? Optional.empty() : Optional.of(mToken);
     }
 
-    public long end() {
-        return Math.max(mEnd, 0);
+    public long endOffset() {
+        return Math.max(mEndOffset, 0);
     }
 
     public List<UsageDecision> decisions() {
--- a/serving/src/main/java/org/whinhead/serving/duty/StoredLease.java
+++ b/serving/src/main/java/org/whinhead/serving/duty/StoredLease.java
@@ -8,4 +8,4 @@
  * @param record the newest record, if there is one
  * @param end the offset that the next record gets
  */
-public record StoredLease(Optional<LeaseRecord> record, long end) {}
+public record StoredLease(Optional<LeaseRecord> record, long endOffset) {}
--- a/serving/src/main/java/org/whinhead/serving/duty/UsagePlan.java
+++ b/serving/src/main/java/org/whinhead/serving/duty/UsageDecider.java
@@ -8,13 +8,13 @@
 import org.whinhead.serving.usage.UsageWindows;
 
 /** Decides which windows are due, and what is reported of them. */
-public final class UsagePlan {
+public final class UsageDecider {
 
     /** How long after a window's end its counts have arrived from all daemons. */
-    private static final Duration SETTLED_AFTER = Duration.ofMillis(2_000);
+    private static final Duration SETTLING_TIME = Duration.ofMillis(2_000);
 
     /** How many windows back a report is still made up for. */
-    private static final int WINDOWS_BACK = 3;
+    private static final int MAX_LATE_WINDOWS = 3;
 
     private final UsageWindows mWindows;
     private final UsageLedger mLedger;
@@ -27,11 +27,11 @@
      * @param ledger the counts
      * @param startedAt when this daemon started; it knows nothing of windows before
      */
-    public UsagePlan(
+    public UsageDecider(
             final UsageWindows windows, final UsageLedger ledger, final Instant startedAt) {
         mWindows = windows;
         mLedger = ledger;
-        mFirstWindow = windows.at(startedAt);
+        mFirstWindow = windows.windowAt(startedAt);
     }
 
     /**
@@ -42,8 +42,8 @@
      * @return all decisions; the same list if nothing is due
      */
     public List<UsageDecision> decide(final List<UsageDecision> decided, final Instant timeOfDay) {
-        final long newest = mWindows.at(timeOfDay.minus(SETTLED_AFTER)) - 1;
-        long next = Math.max(newest - WINDOWS_BACK, mFirstWindow);
+        final long newest = mWindows.windowAt(timeOfDay.minus(SETTLING_TIME)) - 1;
+        long next = Math.max(newest - MAX_LATE_WINDOWS, mFirstWindow);
         for (final UsageDecision decision : decided) {
             next = Math.max(next, decision.window() + 1);
         }
@@ -52,7 +52,7 @@
         }
         final List<UsageDecision> all = new ArrayList<>(decided);
         for (long window = next; window <= newest; window++) {
-            all.add(new UsageDecision(window, mLedger.total(window), false));
+            all.add(new UsageDecision(window, mLedger.totals(window), false));
         }
         return all;
     }
--- a/serving/src/main/java/org/whinhead/serving/limit/RetryBudget.java
+++ b/serving/src/main/java/org/whinhead/serving/limit/RetryBudget.java
@@ -16,13 +16,13 @@
 public final class RetryBudget {
 
     /** The part of the budget that is used; the rest covers daemons that count in other windows. */
-    private static final double USED_PART = 0.8;
+    private static final double USED_FRACTION = 0.8;
 
-    private final double mShare;
-    private final int mFixed;
+    private final double mRetryShare;
+    private final int mFixedRetries;
     private final Duration mWindow;
-    private final Map<String, Service> mServices = new HashMap<>();
-    private int mDaemons;
+    private final Map<String, ServiceCounts> mCounts = new HashMap<>();
+    private int mDaemonCount;
 
     /**
      * Makes a budget.
@@ -32,8 +32,8 @@
      * @param window the window
      */
     public RetryBudget(final double share, final int fixed, final Duration window) {
-        mShare = share;
-        mFixed = fixed;
+        mRetryShare = share;
+        mFixedRetries = fixed;
         mWindow = window;
     }
 
@@ -47,12 +47,12 @@
      * @param heardOf the daemons that this one has heard of, itself included
      * @param expected the daemons that the deployment is known to have had; 0 if that is not known
      */
-    public void daemons(final int heardOf, final int expected) {
-        mDaemons = expected == 0 ? 0 : Math.max(heardOf, expected);
+    public void setDaemonCount(final int heardOf, final int expected) {
+        mDaemonCount = expected == 0 ? 0 : Math.max(heardOf, expected);
     }
 
-    private double fixedPart() {
-        return mDaemons == 0 ? 0 : (double) mFixed / mDaemons;
+    private double fixedRetriesPerDaemon() {
+        return mDaemonCount == 0 ? 0 : (double) mFixedRetries / mDaemonCount;
     }
 
     /**
@@ -61,7 +61,7 @@
      * @param service the service that it goes to
      * @param now the time
      */
-    public void request(final String service, final Instant now) {
+    public void recordRequest(final String service, final Instant now) {
         counts(service).mRequests.add(now, 1);
     }
 
@@ -73,8 +73,10 @@
      * @return whether there was one left
      */
     public boolean tryRetry(final String service, final Instant now) {
-        final Service counts = counts(service);
-        final double allowed = USED_PART * (mShare * counts.mRequests.total(now) + fixedPart());
+        final ServiceCounts counts = counts(service);
+        final double allowed =
+                USED_FRACTION
+                        * (mRetryShare * counts.mRequests.total(now) + fixedRetriesPerDaemon());
         if (counts.mRetries.total(now) + 1 > allowed) {
             return false;
         }
@@ -82,17 +84,17 @@
         return true;
     }
 
-    private Service counts(final String service) {
-        return mServices.computeIfAbsent(service, name -> new Service(mWindow));
+    private ServiceCounts counts(final String service) {
+        return mCounts.computeIfAbsent(service, name -> new ServiceCounts(mWindow));
     }
 
-    private static final class Service {
-        private final SlidingCount mRequests;
-        private final SlidingCount mRetries;
+    private static final class ServiceCounts {
+        private final SlidingWindowSum mRequests;
+        private final SlidingWindowSum mRetries;
 
-        private Service(final Duration window) {
-            mRequests = new SlidingCount(window);
-            mRetries = new SlidingCount(window);
+        private ServiceCounts(final Duration window) {
+            mRequests = new SlidingWindowSum(window);
+            mRetries = new SlidingWindowSum(window);
         }
     }
 }
--- a/serving/src/main/java/org/whinhead/serving/limit/SlidingCount.java
+++ b/serving/src/main/java/org/whinhead/serving/limit/SlidingWindowSum.java
@@ -5,7 +5,7 @@
 import java.util.Arrays;
 
 /** Sums amounts of the last while, in slots of a twentieth of the window. */
-final class SlidingCount {
+final class SlidingWindowSum {
 
     private static final int SLOTS = 20;
 
@@ -13,7 +13,7 @@
     private final double[] mSums = new double[SLOTS + 1];
     private long mNewestSlot = Long.MIN_VALUE;
 
-    SlidingCount(final Duration window) {
+    SlidingWindowSum(final Duration window) {
         mSlotMillis = Math.max(window.toMillis() / SLOTS, 1);
     }
 
--- a/serving/src/main/java/org/whinhead/serving/member/MemberTable.java
+++ b/serving/src/main/java/org/whinhead/serving/member/MemberTable.java
@@ -15,30 +15,30 @@
 public final class MemberTable {
 
     /** The shortest interval of the reports of one daemon to another. */
-    private static final Duration LEAST_INTERVAL = Duration.ofMillis(200);
+    private static final Duration MIN_REPORT_INTERVAL = Duration.ofMillis(200);
 
     /** What each daemon adds to the interval: about 45 reports a second arrive at each. */
-    private static final Duration INTERVAL_PER_DAEMON = Duration.ofMillis(22);
+    private static final Duration REPORT_INTERVAL_PER_DAEMON = Duration.ofMillis(22);
 
     /** Reports that are missed before a daemon counts as silent. */
-    private static final int MISSED_REPORTS = 3;
+    private static final int MAX_MISSED_REPORTS = 3;
 
     /** The least time before a daemon counts as silent, which gets no new callers then. */
-    static final Duration QUIET_AFTER = Duration.ofMillis(900);
+    static final Duration MIN_SILENCE_TIMEOUT = Duration.ofMillis(900);
 
     /** A daemon that was not heard for this long is forgotten. */
-    static final Duration FORGOTTEN_AFTER = Duration.ofSeconds(30);
+    static final Duration EXPIRY_TIME = Duration.ofSeconds(30);
 
     /** Fewer daemons than this in a failure domain are joined by those of other ones. */
-    private static final int LEAST_ANSWERS = 2;
+    private static final int MIN_DOMAIN_ADDRESSES = 2;
 
     /** The most addresses that a caller is given; callers use no more. */
-    private static final int MOST_ANSWERS = 64;
+    private static final int MAX_ADDRESSES = 64;
 
     private final Member mSelf;
-    private final Map<String, Seen> mPeers = new HashMap<>();
-    private Duration mReportInterval = LEAST_INTERVAL;
-    private Duration mQuietAfter = QUIET_AFTER;
+    private final Map<String, PeerState> mPeers = new HashMap<>();
+    private Duration mReportInterval = MIN_REPORT_INTERVAL;
+    private Duration mSilenceTimeout = MIN_SILENCE_TIMEOUT;
     private long mAddressChanges;
     private boolean mSelfReady;
 
@@ -60,7 +60,7 @@
      *
      * @param ready whether it does
      */
-    public void selfReady(final boolean ready) {
+    public void setSelfReady(final boolean ready) {
         mSelfReady = ready;
     }
 
@@ -77,15 +77,15 @@
      * @param now the time
      * @return the incarnation that this one replaces, if the daemon was restarted
      */
-    public Optional<String> heard(
+    public Optional<String> recordReport(
             final Member member, final boolean ready, final boolean leaving, final Instant now) {
         if (member.name().equals(mSelf.name())) {
             return Optional.empty();
         }
-        final Seen before =
-                mPeers.put(member.name(), new Seen(member, ready && !leaving, leaving, now));
+        final PeerState before =
+                mPeers.put(member.name(), new PeerState(member, ready && !leaving, leaving, now));
         if (before == null || !before.mMember.peerAddress().equals(member.peerAddress())) {
-            countedAnew();
+            recordPeersChanged();
         }
         if (before == null || before.mMember.incarnation().equals(member.incarnation())) {
             return Optional.empty();
@@ -99,8 +99,8 @@
      * @param now the time
      */
     public void expire(final Instant now) {
-        if (mPeers.values().removeIf(seen -> now.isAfter(seen.mAt.plus(FORGOTTEN_AFTER)))) {
-            countedAnew();
+        if (mPeers.values().removeIf(seen -> now.isAfter(seen.mReportedAt.plus(EXPIRY_TIME)))) {
+            recordPeersChanged();
         }
     }
 
@@ -108,12 +108,12 @@
      * Works out what depends on the number of daemons only. It is asked for each daemon many times
      * a second: at 85 daemons that took a twentieth of a daemon's time.
      */
-    private void countedAnew() {
+    private void recordPeersChanged() {
         mAddressChanges++;
-        final Duration grown = INTERVAL_PER_DAEMON.multipliedBy(knownCount());
-        mReportInterval = grown.compareTo(LEAST_INTERVAL) > 0 ? grown : LEAST_INTERVAL;
-        final Duration missed = mReportInterval.multipliedBy(MISSED_REPORTS);
-        mQuietAfter = missed.compareTo(QUIET_AFTER) > 0 ? missed : QUIET_AFTER;
+        final Duration grown = REPORT_INTERVAL_PER_DAEMON.multipliedBy(knownCount());
+        mReportInterval = grown.compareTo(MIN_REPORT_INTERVAL) > 0 ? grown : MIN_REPORT_INTERVAL;
+        final Duration missed = mReportInterval.multipliedBy(MAX_MISSED_REPORTS);
+        mSilenceTimeout = missed.compareTo(MIN_SILENCE_TIMEOUT) > 0 ? missed : MIN_SILENCE_TIMEOUT;
     }
 
     /**
@@ -121,7 +121,7 @@
      *
      * @return a number that grows with each change
      */
-    public long addressChanges() {
+    public long addressChangeCount() {
         return mAddressChanges;
     }
 
@@ -140,9 +140,9 @@
      * @param now the time
      * @return their names
      */
-    public List<String> silent(final Instant now) {
+    public List<String> silentMemberNames(final Instant now) {
         return mPeers.values().stream()
-                .filter(seen -> !isFresh(seen, now))
+                .filter(seen -> !isUp(seen, now))
                 .map(seen -> seen.mMember.name())
                 .toList();
     }
@@ -157,8 +157,8 @@
      */
     public int rank(final Instant now) {
         int before = 0;
-        for (final Seen seen : mPeers.values()) {
-            if (seen.mMember.name().compareTo(mSelf.name()) < 0 && isFresh(seen, now)) {
+        for (final PeerState seen : mPeers.values()) {
+            if (seen.mMember.name().compareTo(mSelf.name()) < 0 && isUp(seen, now)) {
                 before++;
             }
         }
@@ -172,7 +172,7 @@
      * @return the number, this daemon included
      */
     public int upCount(final Instant now) {
-        return 1 + (int) mPeers.values().stream().filter(seen -> isFresh(seen, now)).count();
+        return 1 + (int) mPeers.values().stream().filter(seen -> isUp(seen, now)).count();
     }
 
     /**
@@ -184,8 +184,8 @@
         return mReportInterval;
     }
 
-    private boolean isFresh(final Seen seen, final Instant now) {
-        return !seen.mLeaving && !now.isAfter(seen.mAt.plus(mQuietAfter));
+    private boolean isUp(final PeerState seen, final Instant now) {
+        return !seen.mLeaving && !now.isAfter(seen.mReportedAt.plus(mSilenceTimeout));
     }
 
     /**
@@ -209,30 +209,30 @@
         if (mSelfReady) {
             ready.add(mSelf);
         }
-        for (final Seen seen : mPeers.values()) {
-            if (seen.mReady && isFresh(seen, now)) {
+        for (final PeerState seen : mPeers.values()) {
+            if (seen.mReady && isUp(seen, now)) {
                 ready.add(seen.mMember);
             }
         }
         ready.sort(Comparator.comparing(Member::name));
         final List<Member> near =
                 ready.stream().filter(member -> member.domain().equals(domain)).toList();
-        final List<Member> chosen = near.size() >= LEAST_ANSWERS ? near : ready;
-        return chosen.stream().limit(MOST_ANSWERS).map(Member::callerAddress).toList();
+        final List<Member> chosen = near.size() >= MIN_DOMAIN_ADDRESSES ? near : ready;
+        return chosen.stream().limit(MAX_ADDRESSES).map(Member::callerAddress).toList();
     }
 
-    private static final class Seen {
+    private static final class PeerState {
         private final Member mMember;
         private final boolean mReady;
         private final boolean mLeaving;
-        private final Instant mAt;
+        private final Instant mReportedAt;
 
-        private Seen(
+        private PeerState(
                 final Member member, final boolean ready, final boolean leaving, final Instant at) {
             mMember = member;
             mReady = ready;
             mLeaving = leaving;
-            mAt = at;
+            mReportedAt = at;
         }
     }
 }
--- a/serving/src/main/java/org/whinhead/serving/quota/Moment.java
+++ b/serving/src/main/java/org/whinhead/serving/quota/ClockReading.java
@@ -11,10 +11,10 @@
  * @param steady the steady time
  * @param timeOfDay the time of day
  */
-public record Moment(Instant steady, Instant timeOfDay) {
+public record ClockReading(Instant steady, Instant timeOfDay) {
 
     /** Checks the parts. */
-    public Moment {
+    public ClockReading {
         Objects.requireNonNull(steady, "steady");
         Objects.requireNonNull(timeOfDay, "timeOfDay");
     }
@@ -25,7 +25,7 @@
      * @param earlier the earlier moment
      * @return the time by the clock that shows more
      */
-    public Duration since(final Moment earlier) {
+    public Duration elapsedSince(final ClockReading earlier) {
         final Duration bySteady = Duration.between(earlier.steady, steady);
         final Duration byTimeOfDay = Duration.between(earlier.timeOfDay, timeOfDay);
         return bySteady.compareTo(byTimeOfDay) > 0 ? bySteady : byTimeOfDay;
--- a/serving/src/main/java/org/whinhead/serving/quota/CustomerQuotas.java
+++ b/serving/src/main/java/org/whinhead/serving/quota/CustomerQuotas.java
@@ -27,7 +27,7 @@
 public final class CustomerQuotas {
 
     /** How long an answer is waited for before another holder is asked. */
-    static final Duration ANSWER_TIMEOUT = Duration.ofMillis(80);
+    static final Duration RESPONSE_TIMEOUT = Duration.ofMillis(80);
 
     /**
      * How long a claim may take in all. Just after a restart of all daemons each is slow to answer;
@@ -36,16 +36,16 @@
     static final Duration CLAIM_TIMEOUT = Duration.ofMillis(1_000);
 
     /** When a caller comes back whose customer's tokens could not be asked for. */
-    private static final Duration UNKNOWN_RETRY = Duration.ofMillis(100);
+    private static final Duration UNAVAILABLE_RETRY_DELAY = Duration.ofMillis(100);
 
-    private final HeldShares mHeld;
+    private final HeldShares mHeldShares;
     private final QuotaTransport mTransport;
-    private final ShareViews mViews;
+    private final ShareEstimates mEstimates;
     private final String mSelf;
-    private final OfferedTokens mOffered = new OfferedTokens();
+    private final OfferedLoad mOfferedLoad = new OfferedLoad();
     private final Map<String, TokenAllowance> mAllowances = new HashMap<>();
-    private final Map<String, TokenStock> mStocks = new HashMap<>();
-    private final Map<Long, OpenAsk> mAsks = new LinkedHashMap<>();
+    private final Map<String, TokenPool> mPools = new HashMap<>();
+    private final Map<Long, OpenRequest> mOpenRequests = new LinkedHashMap<>();
     private long mNextId;
     private boolean mCheckScheduled;
 
@@ -63,9 +63,9 @@
             final QuotaTransport transport,
             final Random random) {
         mSelf = self;
-        mHeld = held;
+        mHeldShares = held;
         mTransport = transport;
-        mViews = new ShareViews(held, random);
+        mEstimates = new ShareEstimates(held, random);
     }
 
     /**
@@ -74,12 +74,12 @@
      * @param customers the customers
      * @param now the moment
      */
-    public void configure(final Collection<CustomerAccount> customers, final Moment now) {
+    public void configure(final Collection<CustomerAccount> customers, final ClockReading now) {
         mAllowances.clear();
         customers.forEach(customer -> mAllowances.put(customer.name(), customer.allowance()));
-        mStocks.keySet().retainAll(mAllowances.keySet());
-        mViews.retain(mAllowances.keySet());
-        mHeld.configure(customers, now.steady());
+        mPools.keySet().retainAll(mAllowances.keySet());
+        mEstimates.retainCustomers(mAllowances.keySet());
+        mHeldShares.configure(customers, now.steady());
     }
 
     /**
@@ -88,16 +88,16 @@
      * @return whether they can
      */
     public boolean isReady() {
-        return mHeld.table().isPresent()
+        return mHeldShares.table().isPresent()
                 || mAllowances.values().stream().allMatch(TokenAllowance::isUnlimited);
     }
 
-    public HeldShares held() {
-        return mHeld;
+    public HeldShares heldShares() {
+        return mHeldShares;
     }
 
-    public OfferedTokens offered() {
-        return mOffered;
+    public OfferedLoad offeredLoad() {
+        return mOfferedLoad;
     }
 
     /**
@@ -112,7 +112,7 @@
     public Runnable claim(
             final String customer,
             final long tokens,
-            final Moment now,
+            final ClockReading now,
             final TokenClaimListener outcome) {
         final TokenAllowance allowance = mAllowances.get(customer);
         final boolean light = allowance != null && tokens <= allowance.plainTokens();
@@ -121,19 +121,19 @@
             grant(claim, now);
             return () -> {};
         }
-        final Optional<Moment> stocked = stock(customer).take(tokens, now);
+        final Optional<ClockReading> stocked = pool(customer).take(tokens, now);
         if (stocked.isPresent()) {
             grant(claim, stocked.get());
-        } else if (mHeld.table().isEmpty()) {
-            outcome.unknown(UNKNOWN_RETRY);
+        } else if (mHeldShares.table().isEmpty()) {
+            outcome.unavailable(UNAVAILABLE_RETRY_DELAY);
         } else {
-            proceed(claim, now);
+            advance(claim, now);
         }
         return () -> cancel(claim, now);
     }
 
-    private void cancel(final TokenClaim claim, final Moment claimedAt) {
-        if (!claim.isDone()) {
+    private void cancel(final TokenClaim claim, final ClockReading claimedAt) {
+        if (!claim.isFinished()) {
             abandon(claim, claimedAt);
         }
     }
@@ -143,10 +143,10 @@
      *
      * @param spend its tokens
      */
-    public void refund(final TokenSpend spend) {
-        mOffered.refunded(spend.tokens());
+    public void refund(final TokenGrant spend) {
+        mOfferedLoad.recordRefunded(spend.tokens());
         if (mAllowances.containsKey(spend.customer())) {
-            stock(spend.customer()).add(spend.tokens(), spend.issuedAfter());
+            pool(spend.customer()).add(spend.tokens(), spend.issuedAfter());
         }
     }
 
@@ -156,76 +156,76 @@
      * @param answer the answer
      * @param now the moment
      */
-    public void answered(final TokenAnswer answer, final Moment now) {
-        final OpenAsk open = mAsks.remove(answer.id());
+    public void handleResponse(final TokenResponse answer, final ClockReading now) {
+        final OpenRequest open = mOpenRequests.remove(answer.id());
         if (open == null) {
             return;
         }
         final TokenClaim claim = open.claim();
-        final TokenAsk ask = open.ask();
+        final TokenRequest ask = open.request();
         switch (answer.outcome()) {
-            case ISSUED -> issued(open, answer.level(), now.steady());
+            case ISSUED -> handleIssued(open, answer.level(), now.steady());
             case TOO_FEW -> {
-                mViews.heard(ask, answer.level(), now.steady());
-                claim.denied(ask);
+                mEstimates.recordLevel(ask, answer.level(), now.steady());
+                claim.recordDenied(ask);
             }
             case NOT_HELD -> {
-                mViews.silent(ask, now.steady());
-                claim.notKnown(ask);
+                mEstimates.recordFailure(ask, now.steady());
+                claim.recordNotHeld(ask);
             }
             default -> throw new IllegalStateException(answer.toString());
         }
-        proceed(claim, now);
+        advance(claim, now);
     }
 
-    private void issued(final OpenAsk open, final long level, final Instant now) {
-        mViews.heard(open.ask(), level, now);
-        if (open.claim().isDone()) {
-            stock(open.claim().customer()).add(open.ask().tokens(), open.sentAt());
+    private void handleIssued(final OpenRequest open, final long level, final Instant now) {
+        mEstimates.recordLevel(open.request(), level, now);
+        if (open.claim().isFinished()) {
+            pool(open.claim().customer()).add(open.request().tokens(), open.sentAt());
         } else {
-            open.claim().issued(open.ask(), open.sentAt());
+            open.claim().issued(open.request(), open.sentAt());
         }
     }
 
     /** Does the next step of a claim: it is whole, more is asked for, or it can't be met. */
-    private void proceed(final TokenClaim claim, final Moment now) {
-        if (claim.isDone()) {
+    private void advance(final TokenClaim claim, final ClockReading now) {
+        if (claim.isFinished()) {
             return;
         }
-        claim.dropLapsed(now);
-        if (mHeld.limits(claim.customer()).isEmpty()) {
-            endUnlimited(claim, now);
-        } else if (claim.isWhole()) {
+        claim.dropExpired(now);
+        if (mHeldShares.limits(claim.customer()).isEmpty()) {
+            finishWithoutShares(claim, now);
+        } else if (claim.isComplete()) {
             complete(claim);
-        } else if (now.since(claim.startedAt()).compareTo(CLAIM_TIMEOUT) > 0) {
-            refuse(claim, now);
-        } else if (claim.missing() > 0) {
-            ask(claim, now);
+        } else if (now.elapsedSince(claim.startedAt()).compareTo(CLAIM_TIMEOUT) > 0) {
+            reject(claim, now);
+        } else if (claim.missingTokens() > 0) {
+            requestTokens(claim, now);
         }
     }
 
     /** The customer has no shares any more: its limit was lifted, or it was taken out. */
-    private void endUnlimited(final TokenClaim claim, final Moment now) {
+    private void finishWithoutShares(final TokenClaim claim, final ClockReading now) {
         abandon(claim, now);
         if (mAllowances.containsKey(claim.customer())) {
             grant(claim, now);
         } else {
-            claim.outcome().unknown(UNKNOWN_RETRY);
+            claim.listener().unavailable(UNAVAILABLE_RETRY_DELAY);
         }
     }
 
     private void complete(final TokenClaim claim) {
-        final Moment issuedAfter = claim.issuedAfter();
-        if (claim.surplus() > 0) {
-            stock(claim.customer()).add(claim.surplus(), issuedAfter);
+        final ClockReading issuedAfter = claim.issuedAfter();
+        if (claim.surplusTokens() > 0) {
+            pool(claim.customer()).add(claim.surplusTokens(), issuedAfter);
         }
         grant(claim, issuedAfter);
     }
 
-    private void grant(final TokenClaim claim, final Moment issuedAfter) {
-        claim.done();
-        mOffered.admitted(claim.tokens());
-        claim.outcome().granted(new TokenSpend(claim.customer(), claim.tokens(), issuedAfter));
+    private void grant(final TokenClaim claim, final ClockReading issuedAfter) {
+        claim.finish();
+        mOfferedLoad.recordAdmitted(claim.tokens());
+        claim.listener().granted(new TokenGrant(claim.customer(), claim.tokens(), issuedAfter));
     }
 
     /**
@@ -233,20 +233,20 @@
      *
      * @param now the moment
      */
-    public void checkAnswers(final Moment now) {
+    public void checkTimeouts(final ClockReading now) {
         mCheckScheduled = false;
         final Set<TokenClaim> claims = new LinkedHashSet<>();
-        mAsks.values().forEach(open -> claims.add(open.claim()));
-        mAsks.values().removeIf(open -> TokenStock.isLapsed(open.sentAt(), now));
+        mOpenRequests.values().forEach(open -> claims.add(open.claim()));
+        mOpenRequests.values().removeIf(open -> TokenPool.isExpired(open.sentAt(), now));
         for (final TokenClaim claim : claims) {
-            Optional<TokenAsk> overdue = claim.overdue(now.steady());
+            Optional<TokenRequest> overdue = claim.takeOverdue(now.steady());
             while (overdue.isPresent()) {
-                mViews.silent(overdue.get(), now.steady());
-                overdue = claim.overdue(now.steady());
+                mEstimates.recordFailure(overdue.get(), now.steady());
+                overdue = claim.takeOverdue(now.steady());
             }
-            proceed(claim, now);
+            advance(claim, now);
         }
-        if (!mAsks.isEmpty()) {
+        if (!mOpenRequests.isEmpty()) {
             scheduleCheck();
         }
     }
@@ -254,83 +254,83 @@
     private void scheduleCheck() {
         if (!mCheckScheduled) {
             mCheckScheduled = true;
-            mTransport.checkAfter(ANSWER_TIMEOUT);
+            mTransport.scheduleTimeoutCheck(RESPONSE_TIMEOUT);
         }
     }
 
     /** Asks for what is missing, split over as many shares as it takes. */
-    private void ask(final TokenClaim claim, final Moment now) {
-        final ShareLimits limits = mHeld.limits(claim.customer()).orElseThrow();
-        final List<Integer> slots = mViews.slotsToAsk(claim, limits, now);
-        if (slots.isEmpty() && !claim.awaitsAnswers()) {
-            refuse(claim, now);
+    private void requestTokens(final TokenClaim claim, final ClockReading now) {
+        final ShareLimits limits = mHeldShares.limits(claim.customer()).orElseThrow();
+        final List<Integer> slots = mEstimates.candidateSlots(claim, limits, now);
+        if (slots.isEmpty() && !claim.hasOpenRequests()) {
+            reject(claim, now);
             return;
         }
-        long missing = claim.missing();
-        final int parts = Math.min(limits.partsOf(missing), slots.size());
-        final List<TokenAsk> asks = new ArrayList<>();
+        long missing = claim.missingTokens();
+        final int parts = Math.min(limits.partCount(missing), slots.size());
+        final List<TokenRequest> asks = new ArrayList<>();
         for (int part = parts; part > 0; part--) {
             final long tokens = missing / part;
             missing -= tokens;
-            asks.add(open(claim, slots.get(parts - part), tokens, now));
+            asks.add(createRequest(claim, slots.get(parts - part), tokens, now));
         }
         asks.forEach(ask -> send(claim, ask, now));
     }
 
-    private TokenAsk open(
-            final TokenClaim claim, final int slot, final long tokens, final Moment now) {
-        final TokenAsk ask =
-                new TokenAsk(
+    private TokenRequest createRequest(
+            final TokenClaim claim, final int slot, final long tokens, final ClockReading now) {
+        final TokenRequest ask =
+                new TokenRequest(
                         mNextId++, claim.customer(), slot, tokens, claim.tokens(), claim.isLight());
-        claim.sent(ask, now, ANSWER_TIMEOUT);
-        mAsks.put(ask.id(), new OpenAsk(claim, ask, now));
+        claim.recordSent(ask, now, RESPONSE_TIMEOUT);
+        mOpenRequests.put(ask.id(), new OpenRequest(claim, ask, now));
         return ask;
     }
 
-    private void send(final TokenClaim claim, final TokenAsk ask, final Moment now) {
-        if (claim.isDone()) {
+    private void send(final TokenClaim claim, final TokenRequest ask, final ClockReading now) {
+        if (claim.isFinished()) {
             // The answer of an own share has ended the claim before this part was sent.
-            mAsks.remove(ask.id());
-        } else if (mHeld.isOwn(ask.slot())) {
-            answered(mHeld.answer(mSelf, ask, now), now);
+            mOpenRequests.remove(ask.id());
+        } else if (mHeldShares.isOwn(ask.slot())) {
+            handleResponse(mHeldShares.handleRequest(mSelf, ask, now), now);
         } else {
-            mTransport.ask(holder(ask.slot()), ask);
+            mTransport.sendRequest(holder(ask.slot()), ask);
             scheduleCheck();
         }
     }
 
     /** Ends a claim that can't be met, as soon as that is sure. */
-    private void refuse(final TokenClaim claim, final Moment now) {
+    private void reject(final TokenClaim claim, final ClockReading now) {
         abandon(claim, now);
-        if (claim.isUnanswered()) {
-            claim.outcome().unknown(UNKNOWN_RETRY);
+        if (claim.hasUnansweredRequest()) {
+            claim.listener().unavailable(UNAVAILABLE_RETRY_DELAY);
         } else {
-            final ShareLimits limits = mHeld.limits(claim.customer()).orElseThrow();
-            claim.outcome().overAllowance(mViews.comeBackAfter(claim, limits, now.steady()));
+            final ShareLimits limits = mHeldShares.limits(claim.customer()).orElseThrow();
+            claim.listener().overAllowance(mEstimates.retryAfter(claim, limits, now.steady()));
         }
     }
 
     /** Ends a claim whose tokens nobody wants any more, and gives back what was issued. */
-    private void abandon(final TokenClaim claim, final Moment now) {
-        claim.done();
-        claim.issued().forEach(ask -> giveBack(ask, now));
+    private void abandon(final TokenClaim claim, final ClockReading now) {
+        claim.finish();
+        claim.issued().forEach(ask -> returnTokens(ask, now));
     }
 
-    private void giveBack(final TokenAsk ask, final Moment now) {
-        if (mHeld.isOwn(ask.slot())) {
-            mHeld.giveBack(mSelf, ask, now);
+    private void returnTokens(final TokenRequest ask, final ClockReading now) {
+        if (mHeldShares.isOwn(ask.slot())) {
+            mHeldShares.returnTokens(mSelf, ask, now);
         } else {
-            mTransport.giveBack(holder(ask.slot()), ask);
+            mTransport.sendReturn(holder(ask.slot()), ask);
         }
     }
 
     private InetSocketAddress holder(final int slot) {
-        return mHeld.table().orElseThrow().slots().get(slot).holder();
+        return mHeldShares.table().orElseThrow().slots().get(slot).holder();
     }
 
-    private TokenStock stock(final String customer) {
-        return mStocks.computeIfAbsent(customer, name -> new TokenStock());
+    private TokenPool pool(final String customer) {
+        return mPools.computeIfAbsent(customer, name -> new TokenPool());
     }
 
-    private record OpenAsk(TokenClaim claim, TokenAsk ask, Moment sentAt) {}
+    private record OpenRequest(TokenClaim claim, TokenRequest request, ClockReading sentAt) {}
 }
--- a/serving/src/main/java/org/whinhead/serving/quota/HeldShares.java
+++ b/serving/src/main/java/org/whinhead/serving/quota/HeldShares.java
@@ -20,15 +20,15 @@
      * place waits: a holder that is cut off from the store can't know that it was replaced. Regions
      * lose each other for an hour.
      */
-    public static final Duration TABLE_VALID_FOR = Duration.ofMinutes(90);
+    public static final Duration TABLE_VALIDITY = Duration.ofMinutes(90);
 
     private final InetSocketAddress mSelf;
     private final QuotaTolerance mTolerance;
-    private final Moment mStartedAt;
+    private final ClockReading mStartedAt;
     private final Map<String, ShareLimits> mLimits = new HashMap<>();
     private final Map<BucketKey, ShareBucket> mBuckets = new HashMap<>();
     private Optional<ShareTable> mTable = Optional.empty();
-    private Optional<Moment> mReadAt = Optional.empty();
+    private Optional<ClockReading> mTableReadAt = Optional.empty();
     private boolean mConfigured;
 
     /**
@@ -39,7 +39,9 @@
      * @param startedAt a moment at which no earlier process was left at this address
      */
     public HeldShares(
-            final InetSocketAddress self, final QuotaTolerance tolerance, final Moment startedAt) {
+            final InetSocketAddress self,
+            final QuotaTolerance tolerance,
+            final ClockReading startedAt) {
         mSelf = self;
         mTolerance = tolerance;
         mStartedAt = startedAt;
@@ -59,26 +61,27 @@
                                 Collectors.toMap(
                                         CustomerAccount::name, CustomerAccount::allowance));
         mLimits.keySet().retainAll(limited.keySet());
-        mBuckets.entrySet().removeIf(entry -> isForgotten(entry.getKey(), entry.getValue(), now));
-        limited.forEach((customer, allowance) -> limit(customer, allowance, now));
+        mBuckets.entrySet().removeIf(entry -> isExpired(entry.getKey(), entry.getValue(), now));
+        limited.forEach((customer, allowance) -> setLimits(customer, allowance, now));
         // Whoever comes later than the first configuration was not served by the process before.
-        limited.keySet().forEach(customer -> fill(customer, mConfigured));
+        limited.keySet().forEach(customer -> createBuckets(customer, mConfigured));
         mConfigured = true;
     }
 
     /** A customer that is removed and comes back finds its shares as they were. */
-    private boolean isForgotten(final BucketKey key, final ShareBucket bucket, final Instant now) {
+    private boolean isExpired(final BucketKey key, final ShareBucket bucket, final Instant now) {
         return !mLimits.containsKey(key.customer())
                 && bucket.isUnusedSince(now.minus(mTolerance.window()));
     }
 
-    private void limit(final String customer, final TokenAllowance allowance, final Instant now) {
+    private void setLimits(
+            final String customer, final TokenAllowance allowance, final Instant now) {
         final ShareLimits limits = ShareLimits.of(allowance, mTolerance);
         mLimits.put(customer, limits);
         mBuckets.forEach(
                 (key, bucket) -> {
                     if (key.customer().equals(customer)) {
-                        bucket.limits(limits, now);
+                        bucket.setLimits(limits, now);
                     }
                 });
     }
@@ -89,17 +92,17 @@
      * @param table the table
      * @param readAt a moment before it was read
      */
-    public void tableRead(final ShareTable table, final Moment readAt) {
+    public void updateTable(final ShareTable table, final ClockReading readAt) {
         if (mTable.isPresent() && mTable.get().version() > table.version()) {
             return;
         }
         mTable = Optional.of(table);
-        mReadAt = Optional.of(readAt);
+        mTableReadAt = Optional.of(readAt);
         final Set<String> customers = Set.copyOf(mLimits.keySet());
-        customers.forEach(customer -> fill(customer, false));
+        customers.forEach(customer -> createBuckets(customer, false));
     }
 
-    private void fill(final String customer, final boolean full) {
+    private void createBuckets(final String customer, final boolean full) {
         if (mTable.isEmpty()) {
             return;
         }
@@ -108,7 +111,7 @@
             final int slot = mTable.get().slotOf(customer, share);
             final ShareTable.Slot place = mTable.get().slots().get(slot);
             if (place.holder().equals(mSelf)) {
-                final Instant from = emptyAt(place);
+                final Instant from = exclusiveSince(place);
                 mBuckets.computeIfAbsent(
                         new BucketKey(customer, slot),
                         key ->
@@ -120,7 +123,7 @@
     }
 
     /** The steady time from which nobody else has issued tokens of a slot. */
-    private Instant emptyAt(final ShareTable.Slot place) {
+    private Instant exclusiveSince(final ShareTable.Slot place) {
         final Duration later = Duration.between(mStartedAt.timeOfDay(), place.activeFrom());
         return later.isNegative() ? mStartedAt.steady() : mStartedAt.steady().plus(later);
     }
@@ -151,14 +154,14 @@
      * @param now the moment
      * @return whether it holds it
      */
-    boolean holds(final int slot, final Moment now) {
+    boolean canIssue(final int slot, final ClockReading now) {
         if (mTable.isEmpty() || slot < 0 || slot >= mTable.get().slots().size()) {
             return false;
         }
         final ShareTable.Slot place = mTable.get().slots().get(slot);
         return place.holder().equals(mSelf)
                 && !now.timeOfDay().isBefore(place.activeFrom())
-                && now.since(mReadAt.orElseThrow()).compareTo(TABLE_VALID_FOR) < 0;
+                && now.elapsedSince(mTableReadAt.orElseThrow()).compareTo(TABLE_VALIDITY) < 0;
     }
 
     /** Tells whether the table names this daemon as the holder of a slot, active or not. */
@@ -167,9 +170,9 @@
     }
 
     /** The tokens of an own share; none at all where this daemon may not issue any. */
-    double level(final String customer, final int slot, final Moment now) {
+    double level(final String customer, final int slot, final ClockReading now) {
         final ShareBucket bucket = mBuckets.get(new BucketKey(customer, slot));
-        return bucket == null || !holds(slot, now)
+        return bucket == null || !canIssue(slot, now)
                 ? Double.NEGATIVE_INFINITY
                 : bucket.level(now.steady());
     }
@@ -182,23 +185,24 @@
      * @param now the moment
      * @return the answer
      */
-    public TokenAnswer answer(final String claimant, final TokenAsk ask, final Moment now) {
+    public TokenResponse handleRequest(
+            final String claimant, final TokenRequest ask, final ClockReading now) {
         final ShareBucket bucket = mBuckets.get(new BucketKey(ask.customer(), ask.slot()));
-        if (bucket == null || !holds(ask.slot(), now)) {
-            return new TokenAnswer(
-                    ask.id(), ask.customer(), ask.slot(), TokenAnswer.Outcome.NOT_HELD, 0);
+        if (bucket == null || !canIssue(ask.slot(), now)) {
+            return new TokenResponse(
+                    ask.id(), ask.customer(), ask.slot(), TokenResponse.Outcome.NOT_HELD, 0);
         }
         final boolean issued =
                 bucket.issue(
                         new ShareBucket.IssueKey(claimant, ask.id()),
-                        new ShareBucket.Part(ask.tokens(), ask.claimTokens()),
+                        new ShareBucket.ClaimPart(ask.tokens(), ask.claimTokens()),
                         ask.light(),
                         now.steady());
-        return new TokenAnswer(
+        return new TokenResponse(
                 ask.id(),
                 ask.customer(),
                 ask.slot(),
-                issued ? TokenAnswer.Outcome.ISSUED : TokenAnswer.Outcome.TOO_FEW,
+                issued ? TokenResponse.Outcome.ISSUED : TokenResponse.Outcome.TOO_FEW,
                 Math.round(bucket.level(now.steady())));
     }
 
@@ -209,10 +213,11 @@
      * @param ask what it asked
      * @param now the moment
      */
-    public void giveBack(final String claimant, final TokenAsk ask, final Moment now) {
+    public void returnTokens(
+            final String claimant, final TokenRequest ask, final ClockReading now) {
         final ShareBucket bucket = mBuckets.get(new BucketKey(ask.customer(), ask.slot()));
         if (bucket != null) {
-            bucket.giveBack(new ShareBucket.IssueKey(claimant, ask.id()), now.steady());
+            bucket.returnTokens(new ShareBucket.IssueKey(claimant, ask.id()), now.steady());
         }
     }
 
--- a/serving/src/main/java/org/whinhead/serving/quota/OfferedTokens.java
+++ b/serving/src/main/java/org/whinhead/serving/quota/OfferedLoad.java
@@ -10,25 +10,25 @@
  * <p>What this daemon admitted and could not serve counts, though it was given back: a demand that
  * fell as endpoints are lost would order no others.
  */
-public final class OfferedTokens {
+public final class OfferedLoad {
 
-    private final Map<String, Long> mPeers = new HashMap<>();
-    private long mByAll;
-    private long mOwn;
-    private double mOwnOffered;
-    private double mOwnSquares;
+    private final Map<String, Long> mPeerTokens = new HashMap<>();
+    private long mFleetTokens;
+    private long mOwnTokens;
+    private double mOwnOfferedTokens;
+    private double mOwnSquaredTokens;
 
     /** Counts a request that this daemon has admitted. */
-    void admitted(final long tokens) {
-        mByAll += tokens;
-        mOwn += tokens;
-        mOwnOffered += tokens;
-        mOwnSquares += (double) tokens * tokens;
+    void recordAdmitted(final long tokens) {
+        mFleetTokens += tokens;
+        mOwnTokens += tokens;
+        mOwnOfferedTokens += tokens;
+        mOwnSquaredTokens += (double) tokens * tokens;
     }
 
     /** Counts a request that did not run; the other daemons are told less. */
-    void refunded(final long tokens) {
-        mOwn -= tokens;
+    void recordRefunded(final long tokens) {
+        mOwnTokens -= tokens;
     }
 
     /**
@@ -37,10 +37,10 @@
      * @param daemon its incarnation
      * @param tokens what it has admitted since it started, less what did not run
      */
-    public void peer(final String daemon, final long tokens) {
-        final Long before = mPeers.put(daemon, tokens);
+    public void updatePeer(final String daemon, final long tokens) {
+        final Long before = mPeerTokens.put(daemon, tokens);
         if (before != null) {
-            mByAll += Math.max(tokens - before, 0);
+            mFleetTokens += Math.max(tokens - before, 0);
         }
     }
 
@@ -49,8 +49,8 @@
      *
      * @return tokens admitted since it started, less what did not run
      */
-    public long own() {
-        return mOwn;
+    public long ownTokens() {
+        return mOwnTokens;
     }
 
     /**
@@ -58,8 +58,8 @@
      *
      * @return tokens since this daemon started
      */
-    public long byAll() {
-        return mByAll;
+    public long fleetTokens() {
+        return mFleetTokens;
     }
 
     /**
@@ -68,7 +68,7 @@
      *
      * @return tokens; 0 as long as this daemon has admitted none
      */
-    public double usualTokens() {
-        return mOwnOffered == 0 ? 0 : mOwnSquares / mOwnOffered;
+    public double meanRequestTokens() {
+        return mOwnOfferedTokens == 0 ? 0 : mOwnSquaredTokens / mOwnOfferedTokens;
     }
 }
--- a/serving/src/main/java/org/whinhead/serving/quota/QuotaTolerance.java
+++ b/serving/src/main/java/org/whinhead/serving/quota/QuotaTolerance.java
@@ -10,7 +10,7 @@
  * @param overPart what may be spent beyond the allowance, as a part of it
  * @param slackTokens what may be spent beyond that
  */
-public record QuotaTolerance(Duration window, double overPart, long slackTokens) {
+public record QuotaTolerance(Duration window, double overshootFraction, long slackTokens) {
 
     /** Checks the parts. */
     public QuotaTolerance {
--- a/serving/src/main/java/org/whinhead/serving/quota/QuotaTransport.java
+++ b/serving/src/main/java/org/whinhead/serving/quota/QuotaTransport.java
@@ -7,12 +7,12 @@
 public interface QuotaTransport {
 
     /**
-     * Sends an ask; the answer comes through {@link CustomerQuotas#answered}.
+     * Sends an ask; the answer comes through {@link CustomerQuotas#handleResponse}.
      *
      * @param holder where the holder listens
      * @param ask what is asked
      */
-    void ask(InetSocketAddress holder, TokenAsk ask);
+    void sendRequest(InetSocketAddress holder, TokenRequest ask);
 
     /**
      * Sends the tokens of an ask back.
@@ -20,12 +20,12 @@
      * @param holder where the holder listens
      * @param ask what was asked
      */
-    void giveBack(InetSocketAddress holder, TokenAsk ask);
+    void sendReturn(InetSocketAddress holder, TokenRequest ask);
 
     /**
-     * Calls {@link CustomerQuotas#checkAnswers} once.
+     * Calls {@link CustomerQuotas#checkTimeouts} once.
      *
      * @param delay after this time
      */
-    void checkAfter(Duration delay);
+    void scheduleTimeoutCheck(Duration delay);
 }
--- a/serving/src/main/java/org/whinhead/serving/quota/ShareBucket.java
+++ b/serving/src/main/java/org/whinhead/serving/quota/ShareBucket.java
@@ -15,22 +15,22 @@
 final class ShareBucket {
 
     /** How long issued tokens may be spent; until then they take up room in the bucket. */
-    static final Duration VALID_FOR = Duration.ofMillis(500);
+    static final Duration TOKEN_VALIDITY = Duration.ofMillis(500);
 
     /** How long a claim that was turned down holds smaller ones back. */
-    private static final Duration WAITING_FOR = Duration.ofMillis(500);
+    private static final Duration RESERVATION_TIME = Duration.ofMillis(500);
 
     /** A claim that is larger than this part of a full share is not waited for. */
-    private static final double MOST_WAITING_PART = 3.0 / 4;
+    private static final double MAX_RESERVED_FRACTION = 3.0 / 4;
 
     private final Map<IssueKey, Issue> mIssued = new LinkedHashMap<>();
     private ShareLimits mLimits;
     private double mLevel;
     private double mOutstanding;
     private Instant mRefilledAt;
-    private long mWaitingClaim;
-    private double mWaitingTokens;
-    private Instant mWaitingUntil = Instant.EPOCH;
+    private long mReservedClaimTokens;
+    private double mReservedTokens;
+    private Instant mReservedUntil = Instant.EPOCH;
 
     private ShareBucket(final ShareLimits limits, final double level, final Instant at) {
         mLimits = limits;
@@ -47,51 +47,53 @@
      * The credit serves the callers that have waited for the restart.
      */
     static ShareBucket restarted(final ShareLimits limits, final Instant at) {
-        return new ShareBucket(limits, limits.restartCredit() - limits.mostDebt(), at);
+        return new ShareBucket(limits, limits.restartCredit() - limits.maxDebt(), at);
     }
 
     /** Makes the bucket of a customer that was not served before. */
     static ShareBucket full(final ShareLimits limits, final Instant at) {
-        return new ShareBucket(limits, limits.fullTokens(), at);
+        return new ShareBucket(limits, limits.capacityTokens(), at);
     }
 
     boolean isUnusedSince(final Instant time) {
         return mRefilledAt.isBefore(time);
     }
 
-    void limits(final ShareLimits limits, final Instant now) {
+    void setLimits(final ShareLimits limits, final Instant now) {
         refill(now);
         mLimits = limits;
-        mLevel = Math.min(mLevel, limits.fullTokens() - mOutstanding);
+        mLevel = Math.min(mLevel, limits.capacityTokens() - mOutstanding);
     }
 
     /** Issues all tokens of a claim if the share has them. */
     boolean issue(final IssueKey key, final long tokens, final boolean light, final Instant now) {
-        return issue(key, new Part(tokens, tokens), light, now);
+        return issue(key, new ClaimPart(tokens, tokens), light, now);
     }
 
     /** Issues tokens if the share has them; a repeated claim is not issued again. */
-    boolean issue(final IssueKey key, final Part part, final boolean light, final Instant now) {
+    boolean issue(
+            final IssueKey key, final ClaimPart part, final boolean light, final Instant now) {
         refill(now);
         final long tokens = part.tokens();
-        if (!has(light ? tokens : tokensToHave(part, now), light)) {
-            noteWaiting(part, light, now);
+        if (!hasTokens(light ? tokens : requiredTokens(part, now), light)) {
+            reserve(part, light, now);
             return false;
         }
         if (mIssued.containsKey(key)) {
             return false;
         }
-        if (part.claimTokens() >= mWaitingClaim) {
-            mWaitingClaim = 0;
+        if (part.claimTokens() >= mReservedClaimTokens) {
+            mReservedClaimTokens = 0;
         }
-        mIssued.put(key, new Issue(tokens, now.plus(VALID_FOR)));
+        mIssued.put(key, new Issue(tokens, now.plus(TOKEN_VALIDITY)));
         mLevel -= tokens;
         mOutstanding += tokens;
         return true;
     }
 
-    private boolean has(final double tokens, final boolean light) {
-        return mLevel >= mLimits.leastBefore(light) && mLevel - tokens >= mLimits.leastAfter(light);
+    private boolean hasTokens(final double tokens, final boolean light) {
+        return mLevel >= mLimits.minLevelBefore(light)
+                && mLevel - tokens >= mLimits.minLevelAfter(light);
     }
 
     /**
@@ -99,19 +101,19 @@
      * moment finds what it asks of this one left behind by smaller claims; one that needs no other
      * share comes first as soon as there is enough for it.
      */
-    private double tokensToHave(final Part part, final Instant now) {
-        final long waiting = waitingClaim(now);
+    private double requiredTokens(final ClaimPart part, final Instant now) {
+        final long waiting = reservedClaimTokens(now);
         if (part.claimTokens() >= waiting) {
             return part.tokens();
         }
-        return waiting > mWaitingTokens
-                ? part.tokens() + mWaitingTokens
-                : Math.max(part.tokens(), mWaitingTokens);
+        return waiting > mReservedTokens
+                ? part.tokens() + mReservedTokens
+                : Math.max(part.tokens(), mReservedTokens);
     }
 
     /** The largest claim that was turned down a moment ago. */
-    private long waitingClaim(final Instant now) {
-        return now.isBefore(mWaitingUntil) ? mWaitingClaim : 0;
+    private long reservedClaimTokens(final Instant now) {
+        return now.isBefore(mReservedUntil) ? mReservedClaimTokens : 0;
     }
 
     /**
@@ -120,16 +122,17 @@
      * so smaller claims wait. Claims are compared as wholes: a large one is split over several
      * shares, and its parts are no larger than others.
      */
-    private void noteWaiting(final Part part, final boolean light, final Instant now) {
-        if (!light && part.claimTokens() >= waitingClaim(now)) {
-            mWaitingClaim = part.claimTokens();
-            mWaitingTokens = Math.min(part.tokens(), MOST_WAITING_PART * mLimits.fullTokens());
-            mWaitingUntil = now.plus(WAITING_FOR);
+    private void reserve(final ClaimPart part, final boolean light, final Instant now) {
+        if (!light && part.claimTokens() >= reservedClaimTokens(now)) {
+            mReservedClaimTokens = part.claimTokens();
+            mReservedTokens =
+                    Math.min(part.tokens(), MAX_RESERVED_FRACTION * mLimits.capacityTokens());
+            mReservedUntil = now.plus(RESERVATION_TIME);
         }
     }
 
     /** Takes back tokens that were issued and surely not spent. */
-    void giveBack(final IssueKey key, final Instant now) {
+    void returnTokens(final IssueKey key, final Instant now) {
         refill(now);
         final Issue issue = mIssued.remove(key);
         if (issue != null) {
@@ -147,24 +150,24 @@
         final Iterator<Issue> oldestFirst = mIssued.values().iterator();
         while (oldestFirst.hasNext()) {
             final Issue issue = oldestFirst.next();
-            if (!issue.mSpentBy.isBefore(now)) {
+            if (!issue.mExpiresAt.isBefore(now)) {
                 break;
             }
-            flowInUntil(issue.mSpentBy);
+            refillUntil(issue.mExpiresAt);
             mOutstanding -= issue.mTokens;
             oldestFirst.remove();
         }
-        flowInUntil(now);
+        refillUntil(now);
     }
 
     /** Lets tokens flow in, as far as there is room beside those that may still be spent. */
-    private void flowInUntil(final Instant time) {
+    private void refillUntil(final Instant time) {
         final Duration passed = Duration.between(mRefilledAt, time);
         if (passed.isNegative() || passed.isZero()) {
             return;
         }
         mRefilledAt = time;
-        final double most = Math.max(mLimits.fullTokens() - mOutstanding, mLevel);
+        final double most = Math.max(mLimits.capacityTokens() - mOutstanding, mLevel);
         mLevel = Math.min(mLevel + mLimits.inflow(passed), most);
     }
 
@@ -174,18 +177,18 @@
      * @param tokens how many it asks here
      * @param claimTokens how many it needs of all shares
      */
-    record Part(long tokens, long claimTokens) {}
+    record ClaimPart(long tokens, long claimTokens) {}
 
     /** Who claimed, and under which number. */
-    record IssueKey(String claimant, long claim) {}
+    record IssueKey(String claimant, long requestId) {}
 
     private static final class Issue {
         private final long mTokens;
-        private final Instant mSpentBy;
+        private final Instant mExpiresAt;
 
         private Issue(final long tokens, final Instant spentBy) {
             mTokens = tokens;
-            mSpentBy = spentBy;
+            mExpiresAt = spentBy;
         }
     }
 }
--- a/serving/src/main/java/org/whinhead/serving/quota/ShareHolders.java
+++ b/serving/src/main/java/org/whinhead/serving/quota/ShareHolders.java
@@ -22,7 +22,7 @@
      * @param members the daemons
      * @return their addresses
      */
-    public static List<InetSocketAddress> inOrder(final Collection<Member> members) {
+    public static List<InetSocketAddress> interleaveDomains(final Collection<Member> members) {
         final Map<String, List<Member>> byDomain = new TreeMap<>();
         members.stream()
                 .sorted(
--- a/serving/src/main/java/org/whinhead/serving/quota/ShareLimits.java
+++ b/serving/src/main/java/org/whinhead/serving/quota/ShareLimits.java
@@ -19,8 +19,8 @@
  */
 record ShareLimits(
         double tokensPerSecond,
-        double fullTokens,
-        double mostDebt,
+        double capacityTokens,
+        double maxDebt,
         double restartCredit,
         double lightReserve) {
 
@@ -28,73 +28,73 @@
     static final int SHARES = 8;
 
     /** The part of what is accepted that is used; the rest covers clocks that differ in rate. */
-    private static final double USED_PART = 0.98;
+    private static final double USED_FRACTION = 0.98;
 
     /** The part of what is accepted beyond the rate that flows in; the rest is kept for bursts. */
-    private static final double FLOWING_PART = 1.0 / 5;
+    private static final double REFILL_FRACTION = 1.0 / 5;
 
     /** The least part of what is accepted that is not lasting rate: a request comes all at once. */
-    private static final double LEAST_BEYOND_RATE = 1.0 / 8;
+    private static final double MIN_BURST_FRACTION = 1.0 / 8;
 
     /** The part of the room for bursts by which a share may be overdrawn. */
-    private static final double DEBT_PART = 1.0 / 12;
+    private static final double DEBT_FRACTION = 1.0 / 12;
 
     /** The part of the room for bursts that is kept for a restart of the holder. */
-    private static final double RESTART_PART = 1.0 / 4;
+    private static final double RESTART_FRACTION = 1.0 / 4;
 
     /**
      * The least time, in seconds, for which a restart keeps a holder from issuing tokens. It bounds
      * what several restarts within one window add; the first one has its part of the burst.
      */
-    private static final double RESTART_SECONDS = 1;
+    private static final double RESTART_PAUSE_SECONDS = 1;
 
     /**
      * The part of a full share that only light requests may use. A plain call costs some 200 tokens
      * and a prompt thousands, so a customer that floods with prompts keeps its plain calls.
      */
-    private static final double LIGHT_PART = 1.0 / 16;
+    private static final double LIGHT_FRACTION = 1.0 / 16;
 
     /** The part of a full share that one claim asks of it at most, if others are left. */
-    private static final double CLAIM_PART = 1.0 / 3;
+    private static final double MAX_CLAIM_FRACTION = 1.0 / 3;
 
     private static final double MILLIS_PER_SECOND = 1_000;
 
     static ShareLimits of(final TokenAllowance allowance, final QuotaTolerance tolerance) {
         final double seconds = tolerance.window().toMillis() / MILLIS_PER_SECOND;
-        final double accepted = USED_PART * accepted(allowance, tolerance);
+        final double accepted = USED_FRACTION * acceptedTokens(allowance, tolerance);
         final double beyondRate =
                 Math.max(
                         accepted - seconds * allowance.tokensPerSecond(),
-                        LEAST_BEYOND_RATE * accepted);
-        final double flowing = (accepted - beyondRate + FLOWING_PART * beyondRate) / seconds;
-        final double burst = (1 - FLOWING_PART) * beyondRate / SHARES;
+                        MIN_BURST_FRACTION * accepted);
+        final double flowing = (accepted - beyondRate + REFILL_FRACTION * beyondRate) / seconds;
+        final double burst = (1 - REFILL_FRACTION) * beyondRate / SHARES;
         final double rate = flowing / SHARES;
-        final double debt = DEBT_PART * burst;
-        final double credit = Math.min(RESTART_PART * burst, RESTART_SECONDS * rate);
+        final double debt = DEBT_FRACTION * burst;
+        final double credit = Math.min(RESTART_FRACTION * burst, RESTART_PAUSE_SECONDS * rate);
         final double full = burst - debt - credit;
-        return new ShareLimits(rate, full, debt, credit, LIGHT_PART * full);
+        return new ShareLimits(rate, full, debt, credit, LIGHT_FRACTION * full);
     }
 
     /** The most that the deployment accepts in a window. */
-    static double accepted(final TokenAllowance allowance, final QuotaTolerance tolerance) {
+    static double acceptedTokens(final TokenAllowance allowance, final QuotaTolerance tolerance) {
         final double seconds = tolerance.window().toMillis() / MILLIS_PER_SECOND;
         final double allowed = seconds * allowance.tokensPerSecond() + allowance.burstTokens();
-        return allowed * (1 + tolerance.overPart()) + tolerance.slackTokens();
+        return allowed * (1 + tolerance.overshootFraction()) + tolerance.slackTokens();
     }
 
     /** The least level at which a request is given tokens. */
-    double leastBefore(final boolean light) {
-        return light ? -mostDebt : lightReserve;
+    double minLevelBefore(final boolean light) {
+        return light ? -maxDebt : lightReserve;
     }
 
     /** The least level that a request leaves behind. */
-    double leastAfter(final boolean light) {
-        return light ? -mostDebt : lightReserve - mostDebt;
+    double minLevelAfter(final boolean light) {
+        return light ? -maxDebt : lightReserve - maxDebt;
     }
 
     /** The level that a share must have to give so much. */
-    double levelFor(final double tokens, final boolean light) {
-        return Math.max(leastBefore(light), leastAfter(light) + tokens);
+    double requiredLevel(final double tokens, final boolean light) {
+        return Math.max(minLevelBefore(light), minLevelAfter(light) + tokens);
     }
 
     double inflow(final Duration time) {
@@ -102,8 +102,8 @@
     }
 
     /** Into how many parts a claim is split, for as many shares. */
-    int partsOf(final long tokens) {
-        final double part = Math.max(CLAIM_PART * fullTokens, mostDebt);
+    int partCount(final long tokens) {
+        final double part = Math.max(MAX_CLAIM_FRACTION * capacityTokens, maxDebt);
         return (int) Math.min(Math.max(Math.ceil(tokens / part), 1), SHARES);
     }
 }
--- a/serving/src/main/java/org/whinhead/serving/quota/ShareTable.java
+++ b/serving/src/main/java/org/whinhead/serving/quota/ShareTable.java
@@ -52,7 +52,7 @@
      * @param holders the daemons, ordered so that neighbours should not fail together
      * @return the table
      */
-    public static ShareTable first(final List<InetSocketAddress> holders) {
+    public static ShareTable initial(final List<InetSocketAddress> holders) {
         final List<Slot> slots = new ArrayList<>();
         for (int index = 0; index < SLOTS; index++) {
             slots.add(new Slot(holders.get(index % holders.size()), Instant.EPOCH));
@@ -68,7 +68,7 @@
      * @param activeFrom when the daemons that are gone have surely stopped issuing tokens
      * @return the next table; this one if nothing changes
      */
-    public ShareTable replace(
+    public ShareTable reassign(
             final Predicate<InetSocketAddress> isGone,
             final List<InetSocketAddress> successors,
             final Instant activeFrom) {
@@ -91,7 +91,7 @@
      * @param holder the daemon's address
      * @return whether it is named
      */
-    public boolean names(final InetSocketAddress holder) {
+    public boolean hasHolder(final InetSocketAddress holder) {
         return slots.stream().anyMatch(slot -> slot.holder().equals(holder));
     }
 
--- a/serving/src/main/java/org/whinhead/serving/quota/TokenClaim.java
+++ b/serving/src/main/java/org/whinhead/serving/quota/TokenClaim.java
@@ -17,13 +17,13 @@
     private final String mCustomer;
     private final long mTokens;
     private final boolean mLight;
-    private final Moment mStartedAt;
-    private final TokenClaimListener mOutcome;
-    private final Map<Long, SentAsk> mOpen = new HashMap<>();
+    private final ClockReading mStartedAt;
+    private final TokenClaimListener mListener;
+    private final Map<Long, SentRequest> mOpenRequests = new HashMap<>();
     private final List<IssuedTokens> mIssued = new ArrayList<>();
-    private final Set<Integer> mFailed = new HashSet<>();
+    private final Set<Integer> mFailedSlots = new HashSet<>();
     private boolean mUnanswered;
-    private boolean mDone;
+    private boolean mFinished;
 
     /**
      * Starts a claim.
@@ -38,13 +38,13 @@
             final String customer,
             final long tokens,
             final boolean light,
-            final Moment startedAt,
+            final ClockReading startedAt,
             final TokenClaimListener outcome) {
         mCustomer = customer;
         mTokens = tokens;
         mLight = light;
         mStartedAt = startedAt;
-        mOutcome = outcome;
+        mListener = outcome;
     }
 
     String customer() {
@@ -59,120 +59,120 @@
         return mLight;
     }
 
-    Moment startedAt() {
+    ClockReading startedAt() {
         return mStartedAt;
     }
 
-    TokenClaimListener outcome() {
-        return mOutcome;
+    TokenClaimListener listener() {
+        return mListener;
     }
 
-    void sent(final TokenAsk ask, final Moment at, final Duration timeout) {
-        mOpen.put(ask.id(), new SentAsk(ask, at, at.steady().plus(timeout)));
+    void recordSent(final TokenRequest ask, final ClockReading at, final Duration timeout) {
+        mOpenRequests.put(ask.id(), new SentRequest(ask, at, at.steady().plus(timeout)));
     }
 
-    void issued(final TokenAsk ask, final Moment issuedAfter) {
-        mOpen.remove(ask.id());
+    void issued(final TokenRequest ask, final ClockReading issuedAfter) {
+        mOpenRequests.remove(ask.id());
         mIssued.add(new IssuedTokens(ask, issuedAfter));
     }
 
     /** Forgets tokens that may no longer be spent: another answer took too long to come. */
-    void dropLapsed(final Moment now) {
-        mIssued.removeIf(tokens -> TokenStock.isLapsed(tokens.issuedAfter(), now));
-        mOpen.values().removeIf(sent -> TokenStock.isLapsed(sent.mAt, now));
+    void dropExpired(final ClockReading now) {
+        mIssued.removeIf(tokens -> TokenPool.isExpired(tokens.issuedAfter(), now));
+        mOpenRequests.values().removeIf(sent -> TokenPool.isExpired(sent.mSentAt, now));
     }
 
     /** No token of this claim was issued earlier. */
-    Moment issuedAfter() {
+    ClockReading issuedAfter() {
         return mIssued.stream()
                 .map(IssuedTokens::issuedAfter)
-                .min(Comparator.comparing(Moment::steady))
+                .min(Comparator.comparing(ClockReading::steady))
                 .orElse(mStartedAt);
     }
 
     /** Notes that a share has too few tokens; it is not asked again. */
-    void denied(final TokenAsk ask) {
-        mOpen.remove(ask.id());
-        mFailed.add(ask.slot());
+    void recordDenied(final TokenRequest ask) {
+        mOpenRequests.remove(ask.id());
+        mFailedSlots.add(ask.slot());
     }
 
     /** Notes that a holder can't say what a share has; it is not asked again. */
-    void notKnown(final TokenAsk ask) {
-        denied(ask);
+    void recordNotHeld(final TokenRequest ask) {
+        recordDenied(ask);
         mUnanswered = true;
     }
 
     /** Finds an ask whose answer is overdue, once; the answer is still taken if it comes. */
-    Optional<TokenAsk> overdue(final Instant now) {
-        for (final SentAsk sent : mOpen.values()) {
-            if (!sent.mOverdue && !now.isBefore(sent.mAnswerBy)) {
+    Optional<TokenRequest> takeOverdue(final Instant now) {
+        for (final SentRequest sent : mOpenRequests.values()) {
+            if (!sent.mOverdue && !now.isBefore(sent.mDeadline)) {
                 sent.mOverdue = true;
-                mFailed.add(sent.mAsk.slot());
+                mFailedSlots.add(sent.mRequest.slot());
                 mUnanswered = true;
-                return Optional.of(sent.mAsk);
+                return Optional.of(sent.mRequest);
             }
         }
         return Optional.empty();
     }
 
-    boolean mayAsk(final int slot) {
-        return !mFailed.contains(slot);
+    boolean canAsk(final int slot) {
+        return !mFailedSlots.contains(slot);
     }
 
     /** What is still to be asked for: neither issued nor expected in time. */
-    long missing() {
+    long missingTokens() {
         long missing = mTokens - issuedTokens();
-        for (final SentAsk sent : mOpen.values()) {
-            missing -= sent.mOverdue ? 0 : sent.mAsk.tokens();
+        for (final SentRequest sent : mOpenRequests.values()) {
+            missing -= sent.mOverdue ? 0 : sent.mRequest.tokens();
         }
         return Math.max(missing, 0);
     }
 
-    boolean isWhole() {
+    boolean isComplete() {
         return issuedTokens() >= mTokens;
     }
 
     /** Tokens that were issued beyond what the request costs. */
-    long surplus() {
+    long surplusTokens() {
         return issuedTokens() - mTokens;
     }
 
     private long issuedTokens() {
-        return mIssued.stream().mapToLong(tokens -> tokens.ask().tokens()).sum();
+        return mIssued.stream().mapToLong(tokens -> tokens.request().tokens()).sum();
     }
 
-    boolean awaitsAnswers() {
-        return !mOpen.isEmpty();
+    boolean hasOpenRequests() {
+        return !mOpenRequests.isEmpty();
     }
 
-    boolean isUnanswered() {
+    boolean hasUnansweredRequest() {
         return mUnanswered;
     }
 
-    List<TokenAsk> issued() {
-        return mIssued.stream().map(IssuedTokens::ask).toList();
+    List<TokenRequest> issued() {
+        return mIssued.stream().map(IssuedTokens::request).toList();
     }
 
-    boolean isDone() {
-        return mDone;
+    boolean isFinished() {
+        return mFinished;
     }
 
-    void done() {
-        mDone = true;
+    void finish() {
+        mFinished = true;
     }
 
-    private record IssuedTokens(TokenAsk ask, Moment issuedAfter) {}
+    private record IssuedTokens(TokenRequest request, ClockReading issuedAfter) {}
 
-    private static final class SentAsk {
-        private final TokenAsk mAsk;
-        private final Moment mAt;
-        private final Instant mAnswerBy;
+    private static final class SentRequest {
+        private final TokenRequest mRequest;
+        private final ClockReading mSentAt;
+        private final Instant mDeadline;
         private boolean mOverdue;
 
-        private SentAsk(final TokenAsk ask, final Moment at, final Instant answerBy) {
-            mAsk = ask;
-            mAt = at;
-            mAnswerBy = answerBy;
+        private SentRequest(final TokenRequest ask, final ClockReading at, final Instant answerBy) {
+            mRequest = ask;
+            mSentAt = at;
+            mDeadline = answerBy;
         }
     }
 }
--- a/serving/src/main/java/org/whinhead/serving/quota/TokenClaimListener.java
+++ b/serving/src/main/java/org/whinhead/serving/quota/TokenClaimListener.java
@@ -10,7 +10,7 @@
      *
      * @param spend the tokens, to be spent at once
      */
-    void granted(TokenSpend spend);
+    void granted(TokenGrant spend);
 
     /**
      * The customer has spent what it may.
@@ -24,5 +24,5 @@
      *
      * @param comeBackAfter when another try is worth it
      */
-    void unknown(Duration comeBackAfter);
+    void unavailable(Duration comeBackAfter);
 }
--- a/serving/src/main/java/org/whinhead/serving/quota/TokenSpend.java
+++ b/serving/src/main/java/org/whinhead/serving/quota/TokenGrant.java
@@ -9,10 +9,10 @@
  * @param tokens how many
  * @param issuedAfter the tokens were issued no earlier
  */
-public record TokenSpend(String customer, long tokens, Moment issuedAfter) {
+public record TokenGrant(String customer, long tokens, ClockReading issuedAfter) {
 
     /** Checks the parts. */
-    public TokenSpend {
+    public TokenGrant {
         Objects.requireNonNull(customer, "customer");
         Objects.requireNonNull(issuedAfter, "issuedAfter");
     }
--- a/serving/src/main/java/org/whinhead/serving/quota/TokenStock.java
+++ b/serving/src/main/java/org/whinhead/serving/quota/TokenPool.java
@@ -9,59 +9,59 @@
  * Tokens of a customer that this daemon was issued and has no request for: an answer came too late,
  * or a request did not run. They are spent by the next requests, or lapse.
  */
-final class TokenStock {
+final class TokenPool {
 
-    private final Deque<Lot> mLots = new ArrayDeque<>();
+    private final Deque<Batch> mBatches = new ArrayDeque<>();
     private long mTokens;
 
-    void add(final long tokens, final Moment issuedAfter) {
-        mLots.addLast(new Lot(tokens, issuedAfter));
+    void add(final long tokens, final ClockReading issuedAfter) {
+        mBatches.addLast(new Batch(tokens, issuedAfter));
         mTokens += tokens;
     }
 
     /** Takes tokens if there are enough that may still be spent. */
-    Optional<Moment> take(final long tokens, final Moment now) {
-        dropLapsed(now);
+    Optional<ClockReading> take(final long tokens, final ClockReading now) {
+        dropExpired(now);
         if (mTokens < tokens) {
             return Optional.empty();
         }
         mTokens -= tokens;
-        Moment oldest = now;
+        ClockReading oldest = now;
         long missing = tokens;
         while (missing > 0) {
-            final Lot lot = mLots.removeFirst();
+            final Batch lot = mBatches.removeFirst();
             oldest =
-                    now.since(lot.mIssuedAfter).compareTo(now.since(oldest)) > 0
+                    now.elapsedSince(lot.mIssuedAfter).compareTo(now.elapsedSince(oldest)) > 0
                             ? lot.mIssuedAfter
                             : oldest;
             if (lot.mTokens > missing) {
-                mLots.addFirst(new Lot(lot.mTokens - missing, lot.mIssuedAfter));
+                mBatches.addFirst(new Batch(lot.mTokens - missing, lot.mIssuedAfter));
             }
             missing -= Math.min(lot.mTokens, missing);
         }
         return Optional.of(oldest);
     }
 
-    private void dropLapsed(final Moment now) {
-        mLots.removeIf(
+    private void dropExpired(final ClockReading now) {
+        mBatches.removeIf(
                 lot -> {
-                    final boolean lapsed = isLapsed(lot.mIssuedAfter, now);
+                    final boolean lapsed = isExpired(lot.mIssuedAfter, now);
                     mTokens -= lapsed ? lot.mTokens : 0;
                     return lapsed;
                 });
     }
 
     /** Tells whether tokens that were issued no earlier than this may no longer be spent. */
-    static boolean isLapsed(final Moment issuedAfter, final Moment now) {
-        final Duration age = now.since(issuedAfter);
-        return age.compareTo(ShareBucket.VALID_FOR) > 0;
+    static boolean isExpired(final ClockReading issuedAfter, final ClockReading now) {
+        final Duration age = now.elapsedSince(issuedAfter);
+        return age.compareTo(ShareBucket.TOKEN_VALIDITY) > 0;
     }
 
-    private static final class Lot {
+    private static final class Batch {
         private final long mTokens;
-        private final Moment mIssuedAfter;
+        private final ClockReading mIssuedAfter;
 
-        private Lot(final long tokens, final Moment issuedAfter) {
+        private Batch(final long tokens, final ClockReading issuedAfter) {
             mTokens = tokens;
             mIssuedAfter = issuedAfter;
         }
--- a/serving/src/main/java/org/whinhead/serving/quota/TokenAsk.java
+++ b/serving/src/main/java/org/whinhead/serving/quota/TokenRequest.java
@@ -10,7 +10,7 @@
  * @param claimTokens how many the whole claim needs, of all shares that it asks
  * @param light whether the request may use what is kept for light ones
  */
-public record TokenAsk(
+public record TokenRequest(
         long id, String customer, int slot, long tokens, long claimTokens, boolean light) {
 
     /**
@@ -22,7 +22,7 @@
      * @param tokens how many
      * @param light whether the request may use what is kept for light ones
      */
-    public TokenAsk(
+    public TokenRequest(
             final long id,
             final String customer,
             final int slot,
--- a/serving/src/main/java/org/whinhead/serving/quota/TokenAnswer.java
+++ b/serving/src/main/java/org/whinhead/serving/quota/TokenResponse.java
@@ -11,10 +11,10 @@
  * @param outcome what became of it
  * @param level the tokens left in the share; negative if it is overdrawn
  */
-public record TokenAnswer(long id, String customer, int slot, Outcome outcome, long level) {
+public record TokenResponse(long id, String customer, int slot, Outcome outcome, long level) {
 
     /** Checks the parts. */
-    public TokenAnswer {
+    public TokenResponse {
         Objects.requireNonNull(outcome, "outcome");
     }
 
--- a/serving/src/main/java/org/whinhead/serving/usage/FleetClock.java
+++ b/serving/src/main/java/org/whinhead/serving/usage/FleetClock.java
@@ -21,19 +21,19 @@
 public final class FleetClock implements InstantSource {
 
     /** Differences that are drift, and not a jump; machines differ by some tens of milliseconds. */
-    private static final Duration DRIFT = Duration.ofMillis(400);
+    private static final Duration MAX_DRIFT = Duration.ofMillis(400);
 
     /**
      * How long a daemon's clock counts after it was heard: two intervals of 90 daemons' reports.
      */
-    private static final Duration HEARD_FOR = Duration.ofSeconds(4);
+    private static final Duration PEER_TIME_VALIDITY = Duration.ofSeconds(4);
 
     /** Fewer others only confirm: of two clocks that differ neither is known to be right. */
-    private static final int LEAST_OTHERS = 2;
+    private static final int MIN_PEERS = 2;
 
     private final InstantSource mSteady;
     private final InstantSource mTimeOfDay;
-    private final Map<String, Heard> mOthers = new HashMap<>();
+    private final Map<String, PeerTime> mPeerTimes = new HashMap<>();
     private Duration mOffset;
 
     /**
@@ -45,17 +45,17 @@
     public FleetClock(final InstantSource steady, final InstantSource timeOfDay) {
         mSteady = Objects.requireNonNull(steady, "steady");
         mTimeOfDay = Objects.requireNonNull(timeOfDay, "timeOfDay");
-        mOffset = ownOffset();
+        mOffset = machineOffset();
     }
 
-    private Duration ownOffset() {
+    private Duration machineOffset() {
         return Duration.between(mSteady.instant(), mTimeOfDay.instant());
     }
 
     @Override
     public Instant instant() {
-        final Duration own = ownOffset();
-        if (isDrift(own) || mOthers.isEmpty()) {
+        final Duration own = machineOffset();
+        if (isDrift(own) || mPeerTimes.isEmpty()) {
             mOffset = own;
         }
         return mSteady.instant().plus(mOffset);
@@ -66,7 +66,7 @@
     }
 
     private static boolean isClose(final Duration one, final Duration other) {
-        return one.minus(other).abs().compareTo(DRIFT) <= 0;
+        return one.minus(other).abs().compareTo(MAX_DRIFT) <= 0;
     }
 
     /**
@@ -75,21 +75,21 @@
      * @param daemon the daemon
      * @param shown the time when it was sent
      */
-    public void heard(final String daemon, final Instant shown) {
+    public void recordPeerTime(final String daemon, final Instant shown) {
         final Instant now = mSteady.instant();
-        mOthers.put(daemon, new Heard(Duration.between(now, shown), now));
+        mPeerTimes.put(daemon, new PeerTime(Duration.between(now, shown), now));
     }
 
     /** Goes by the others if this clock differs from most of them; to be called often. */
-    public void compare() {
-        final Instant oldest = mSteady.instant().minus(HEARD_FOR);
-        mOthers.values().removeIf(heard -> heard.at().isBefore(oldest));
-        if (mOthers.size() < LEAST_OTHERS) {
-            confirm();
+    public void syncWithPeers() {
+        final Instant oldest = mSteady.instant().minus(PEER_TIME_VALIDITY);
+        mPeerTimes.values().removeIf(heard -> heard.receivedAt().isBefore(oldest));
+        if (mPeerTimes.size() < MIN_PEERS) {
+            followConfirmedJump();
             return;
         }
         final List<Duration> offsets =
-                mOthers.values().stream().map(Heard::offset).sorted().toList();
+                mPeerTimes.values().stream().map(PeerTime::offset).sorted().toList();
         final Duration median = offsets.get(offsets.size() / 2);
         if (!isDrift(median)) {
             mOffset = median;
@@ -97,12 +97,12 @@
     }
 
     /** Follows the machine's time of day after a jump if the only other daemon shows the same. */
-    private void confirm() {
-        final Duration own = ownOffset();
-        if (mOthers.values().stream().allMatch(heard -> isClose(heard.offset(), own))) {
+    private void followConfirmedJump() {
+        final Duration own = machineOffset();
+        if (mPeerTimes.values().stream().allMatch(heard -> isClose(heard.offset(), own))) {
             mOffset = own;
         }
     }
 
-    private record Heard(Duration offset, Instant at) {}
+    private record PeerTime(Duration offset, Instant receivedAt) {}
 }
--- a/serving/src/main/java/org/whinhead/serving/usage/UsageLedger.java
+++ b/serving/src/main/java/org/whinhead/serving/usage/UsageLedger.java
@@ -38,7 +38,7 @@
      * @param window the window in which it began
      * @param customer its customer
      */
-    public void began(final long window, final String customer) {
+    public void recordStart(final long window, final String customer) {
         counts(window, mOwnIncarnation).merge(customer, 1L, Long::sum);
     }
 
@@ -48,7 +48,7 @@
      * @param incarnation the other daemon's process
      * @param count its count so far
      */
-    public void peerCount(final String incarnation, final UsageCount count) {
+    public void mergePeerCount(final String incarnation, final UsageCount count) {
         counts(count.window(), incarnation).merge(count.customer(), count.requests(), Math::max);
     }
 
@@ -58,7 +58,7 @@
      * @param window the window
      * @return requests by customer; customers without any are left out
      */
-    public Map<String, Long> total(final long window) {
+    public Map<String, Long> totals(final long window) {
         final Map<String, Long> total = new TreeMap<>();
         for (final Map<String, Long> counts : mWindows.getOrDefault(window, Map.of()).values()) {
             counts.forEach((customer, requests) -> total.merge(customer, requests, Long::sum));
@@ -71,7 +71,7 @@
      *
      * @return the counts
      */
-    public List<UsageCount> own() {
+    public List<UsageCount> ownCounts() {
         final List<UsageCount> own = new ArrayList<>();
         if (mWindows.isEmpty()) {
             return own;
--- a/serving/src/main/java/org/whinhead/serving/usage/UsageWindows.java
+++ b/serving/src/main/java/org/whinhead/serving/usage/UsageWindows.java
@@ -22,7 +22,7 @@
      * @param time the time of day
      * @return the window's number
      */
-    public long at(final Instant time) {
+    public long windowAt(final Instant time) {
         return Math.floorDiv(time.toEpochMilli(), length.toMillis());
     }
 
@@ -32,7 +32,7 @@
      * @param window its number
      * @return the end, which is the beginning of the next one
      */
-    public Instant end(final long window) {
+    public Instant endOf(final long window) {
         return Instant.ofEpochMilli((window + 1) * length.toMillis());
     }
 }
--- a/serving/src/test/java/org/whinhead/serving/configuration/ConfigurationHolderTest.java
+++ b/serving/src/test/java/org/whinhead/serving/configuration/ConfigurationHolderTest.java
@@ -15,7 +15,7 @@
     // A key that was taken away works again for some seconds. The newest version was read, then a
     // copy of the store that lags answered the next read with the version before.
     @Test
-    void olderVersionNeverComesBack() {
+    void olderVersionIsRejected() {
         final ConfigurationHolder holder = new ConfigurationHolder();
         assertThat(holder.offer(version(7))).isTrue();
         assertThat(holder.offer(version(4))).isFalse();
--- a/serving/src/test/java/org/whinhead/serving/configuration/EngineLinkTest.java
+++ b/serving/src/test/java/org/whinhead/serving/configuration/EngineLinkTest.java
@@ -9,13 +9,13 @@
 class EngineLinkTest {
 
     @Test
-    void speedFollowsFromTheLinkAndTheSizeOfTokens() {
+    void copyRateFollowsFromLinkSpeedAndTokenSize() {
         final EngineLink link = new EngineLink(131_072, 260_000);
         assertThat(link.tokensPerMillisecond()).isCloseTo(247.96, within(0.01));
     }
 
     @Test
-    void linkWithoutSpeedIsRefused() {
+    void zeroLinkSpeedIsRejected() {
         assertThatThrownBy(() -> new EngineLink(1, 0)).isInstanceOf(IllegalArgumentException.class);
     }
 }
--- a/serving/src/test/java/org/whinhead/serving/duty/DutyLeaseTest.java
+++ b/serving/src/test/java/org/whinhead/serving/duty/DutyLeaseTest.java
@@ -20,76 +20,77 @@
         return new StoredLease(Optional.of(new LeaseRecord(holder, token, end, List.of())), end);
     }
 
-    private void take(final Instant at) {
-        mLease.seen(new StoredLease(Optional.empty(), 0), at);
-        mLease.granted(mLease.claim(List.of()), 1, at, at);
+    private void acquire(final Instant at) {
+        mLease.recordRead(new StoredLease(Optional.empty(), 0), at);
+        mLease.recordGranted(mLease.claimRecord(List.of()), 1, at, at);
     }
 
     @Test
-    void emptyLeaseIsFree() {
-        mLease.seen(new StoredLease(Optional.empty(), 0), START);
-        assertThat(mLease.isFree(START)).isTrue();
+    void leaseWithoutRecordCanBeClaimed() {
+        mLease.recordRead(new StoredLease(Optional.empty(), 0), START);
+        assertThat(mLease.canClaim(START)).isTrue();
     }
 
     @Test
-    void leaseOfAnotherIsFreeOnlyAfterItsTerm() {
-        mLease.seen(held("other", 5, 10), START);
-        mLease.seen(held("other", 5, 11), START.plusSeconds(2));
-        assertThat(mLease.isFree(START.plusSeconds(5))).isFalse();
-        assertThat(mLease.isFree(START.plusSeconds(7))).isTrue();
-        assertThat(mLease.claim(List.of()).token()).isGreaterThan(5);
+    void leaseOfAnotherHolderCanBeClaimedAfterItsTerm() {
+        mLease.recordRead(held("other", 5, 10), START);
+        mLease.recordRead(held("other", 5, 11), START.plusSeconds(2));
+        assertThat(mLease.canClaim(START.plusSeconds(5))).isFalse();
+        assertThat(mLease.canClaim(START.plusSeconds(7))).isTrue();
+        assertThat(mLease.claimRecord(List.of()).token()).isGreaterThan(5);
     }
 
     // Two daemons order servers by turns. The holder was suspended past its lease; its steady clock
     // stood still meanwhile, so that it took the lease for fresh when it woke.
     @Test
-    void holderThatWasSuspendedDoesNotAct() {
-        take(START);
+    void suspendedHolderHasNoFencingToken() {
+        acquire(START);
         final Instant steady = START.plusMillis(500);
-        assertThat(mLease.tokenToAct(steady, START.plusMillis(500))).isPresent();
-        assertThat(mLease.tokenToAct(steady, START.plusSeconds(20))).isEmpty();
+        assertThat(mLease.fencingToken(steady, START.plusMillis(500))).isPresent();
+        assertThat(mLease.fencingToken(steady, START.plusSeconds(20))).isEmpty();
     }
 
     @Test
-    void holderThatCannotRenewStopsBeforeItsTermEnds() {
-        take(START);
-        assertThat(mLease.tokenToAct(START.plusMillis(2_200), START.plusMillis(2_200))).isPresent();
-        assertThat(mLease.tokenToAct(START.plusMillis(2_400), START.plusMillis(2_400))).isEmpty();
+    void fencingTokenExpiresBeforeTermWithoutRenewal() {
+        acquire(START);
+        assertThat(mLease.fencingToken(START.plusMillis(2_200), START.plusMillis(2_200)))
+                .isPresent();
+        assertThat(mLease.fencingToken(START.plusMillis(2_400), START.plusMillis(2_400))).isEmpty();
     }
 
     // No duty is done for seconds after the answer to a claim was lost: the claim had landed, and
     // its own daemon waited for the lease of a stranger to run out.
     @Test
-    void ownRecordIsClaimedAgainAtOnce() {
-        take(START);
-        mLease.lost();
-        mLease.seen(held("self", 1, 2), START.plusSeconds(1));
-        assertThat(mLease.isFree(START.plusSeconds(1))).isTrue();
-        assertThat(mLease.claim(List.of()).token()).isGreaterThan(1);
+    void ownRecordCanBeClaimedAtOnce() {
+        acquire(START);
+        mLease.recordLost();
+        mLease.recordRead(held("self", 1, 2), START.plusSeconds(1));
+        assertThat(mLease.canClaim(START.plusSeconds(1))).isTrue();
+        assertThat(mLease.claimRecord(List.of()).token()).isGreaterThan(1);
     }
 
     @Test
-    void releasedLeaseIsFreeAtOnce() {
-        mLease.seen(held("other", 5, 10), START);
-        mLease.seen(held("", 5, 11), START.plusSeconds(1));
-        assertThat(mLease.isFree(START.plusSeconds(1))).isTrue();
+    void releasedLeaseCanBeClaimedAtOnce() {
+        mLease.recordRead(held("other", 5, 10), START);
+        mLease.recordRead(held("", 5, 11), START.plusSeconds(1));
+        assertThat(mLease.canClaim(START.plusSeconds(1))).isTrue();
     }
 
     // A usage window is reported twice with different counts. The first holder had reported it and
     // died; the next one counted the window anew. It finds the decision with the lease instead.
     @Test
-    void decisionsComeWithTheLease() {
+    void decisionsAreReadWithLease() {
         final UsageDecision decision = new UsageDecision(7, Map.of("clinic", 3L), false);
-        mLease.seen(
+        mLease.recordRead(
                 new StoredLease(Optional.of(new LeaseRecord("other", 5, 9, List.of(decision))), 10),
                 START);
         assertThat(mLease.decisions()).containsExactly(decision);
     }
 
     @Test
-    void olderReadChangesNothing() {
-        mLease.seen(held("other", 6, 12), START);
-        mLease.seen(held("self", 5, 10), START.plusSeconds(1));
-        assertThat(mLease.isFree(START.plusSeconds(1))).isFalse();
+    void olderReadIsIgnored() {
+        mLease.recordRead(held("other", 6, 12), START);
+        mLease.recordRead(held("self", 5, 10), START.plusSeconds(1));
+        assertThat(mLease.canClaim(START.plusSeconds(1))).isFalse();
     }
 }
--- a/serving/src/test/java/org/whinhead/serving/duty/UsagePlanTest.java
+++ b/serving/src/test/java/org/whinhead/serving/duty/UsageDeciderTest.java
@@ -10,29 +10,29 @@
 import org.whinhead.serving.usage.UsageLedger;
 import org.whinhead.serving.usage.UsageWindows;
 
-class UsagePlanTest {
+class UsageDeciderTest {
 
     private static final Instant START = Instant.ofEpochSecond(1_000);
 
     private final UsageLedger mLedger = new UsageLedger("self");
-    private final UsagePlan mPlan =
-            new UsagePlan(new UsageWindows(Duration.ofSeconds(5)), mLedger, START);
+    private final UsageDecider mDecider =
+            new UsageDecider(new UsageWindows(Duration.ofSeconds(5)), mLedger, START);
 
     @Test
     void windowIsDecidedOnceItsCountsHaveArrived() {
-        mLedger.began(200, "clinic");
-        assertThat(mPlan.decide(List.of(), START.plusMillis(6_000))).isEmpty();
-        assertThat(mPlan.decide(List.of(), START.plusMillis(7_100)))
+        mLedger.recordStart(200, "clinic");
+        assertThat(mDecider.decide(List.of(), START.plusMillis(6_000))).isEmpty();
+        assertThat(mDecider.decide(List.of(), START.plusMillis(7_100)))
                 .containsExactly(new UsageDecision(200, Map.of("clinic", 1L), false));
     }
 
     @Test
-    void decidedWindowStaysAsItWasDecided() {
+    void decidedWindowIsUnchanged() {
         final List<UsageDecision> decided =
                 List.of(new UsageDecision(200, Map.of("clinic", 1L), false));
-        mLedger.began(200, "clinic");
-        mLedger.began(200, "clinic");
-        final List<UsageDecision> all = mPlan.decide(decided, START.plusSeconds(13));
+        mLedger.recordStart(200, "clinic");
+        mLedger.recordStart(200, "clinic");
+        final List<UsageDecision> all = mDecider.decide(decided, START.plusSeconds(13));
         assertThat(all).startsWith(decided.get(0)).hasSize(2);
     }
 }
--- a/serving/src/test/java/org/whinhead/serving/limit/RetryBudgetTest.java
+++ b/serving/src/test/java/org/whinhead/serving/limit/RetryBudgetTest.java
@@ -17,10 +17,10 @@
         int retries = 0;
         for (int daemon = 0; daemon < 8; daemon++) {
             final RetryBudget budget = new RetryBudget(0.2, 56, Duration.ofSeconds(10));
-            budget.daemons(8, 8);
+            budget.setDaemonCount(8, 8);
             for (int request = 0; request < 100; request++) {
                 final Instant now = START.plusMillis(request * 50L);
-                budget.request("pool", now);
+                budget.recordRequest("pool", now);
                 retries += budget.tryRetry("pool", now) ? 1 : 0;
             }
         }
@@ -31,14 +31,14 @@
     // one, takes the whole fixed number of retries for its own, and the service gets up to 95
     // times as many.
     @Test
-    void daemonsThatHaveJustStartedTakeTheirPartOnly() {
+    void startingDaemonsUseOnlyTheirPartOfFixedRetries() {
         int retries = 0;
         for (int daemon = 0; daemon < 95; daemon++) {
             final RetryBudget budget = new RetryBudget(0.2, 230, Duration.ofSeconds(10));
-            budget.daemons(1, daemon % 2 == 0 ? 0 : 95);
+            budget.setDaemonCount(1, daemon % 2 == 0 ? 0 : 95);
             for (int request = 0; request < 20; request++) {
                 final Instant now = START.plusMillis(request * 50L);
-                budget.request("pool", now);
+                budget.recordRequest("pool", now);
                 retries += budget.tryRetry("pool", now) ? 1 : 0;
             }
         }
@@ -46,9 +46,9 @@
     }
 
     @Test
-    void budgetComesBackWithTime() {
+    void budgetRecoversAfterWindow() {
         final RetryBudget budget = new RetryBudget(0, 2, Duration.ofSeconds(10));
-        budget.daemons(1, 1);
+        budget.setDaemonCount(1, 1);
         assertThat(budget.tryRetry("pool", START)).isTrue();
         assertThat(budget.tryRetry("pool", START)).isFalse();
         assertThat(budget.tryRetry("pool", START.plusSeconds(12))).isTrue();
--- a/serving/src/test/java/org/whinhead/serving/member/MemberTableTest.java
+++ b/serving/src/test/java/org/whinhead/serving/member/MemberTableTest.java
@@ -27,9 +27,9 @@
 
     @Test
     void callersGetDaemonsOfTheirOwnDomain() {
-        mTable.selfReady(true);
-        mTable.heard(member("a2", "domain-a", 2), true, false, START);
-        mTable.heard(member("b1", "domain-b", 3), true, false, START);
+        mTable.setSelfReady(true);
+        mTable.recordReport(member("a2", "domain-a", 2), true, false, START);
+        mTable.recordReport(member("b1", "domain-b", 3), true, false, START);
         assertThat(mTable.addressesFor("domain-a", START)).containsExactly(address(1), address(2));
         assertThat(mTable.addressesFor("domain-b", START)).hasSize(3);
     }
@@ -38,20 +38,20 @@
     // daemon
     // said so, but its own answers and those of others still named it.
     @Test
-    void leavingDaemonIsNamedNoMore() {
-        mTable.selfReady(true);
-        mTable.heard(member("a2", "domain-a", 2), true, false, START);
-        mTable.heard(member("a2", "domain-a", 2), true, true, START);
+    void leavingDaemonIsNotReturned() {
+        mTable.setSelfReady(true);
+        mTable.recordReport(member("a2", "domain-a", 2), true, false, START);
+        mTable.recordReport(member("a2", "domain-a", 2), true, true, START);
         assertThat(mTable.addressesFor("domain-a", START)).containsExactly(address(1));
     }
 
     @Test
-    void silentDaemonIsNamedNoMore() {
-        mTable.selfReady(true);
-        mTable.heard(member("a2", "domain-a", 2), true, false, START);
+    void silentDaemonIsNotReturned() {
+        mTable.setSelfReady(true);
+        mTable.recordReport(member("a2", "domain-a", 2), true, false, START);
         final Instant later = START.plusSeconds(2);
         assertThat(mTable.addressesFor("domain-a", later)).containsExactly(address(1));
-        assertThat(mTable.silent(later)).containsExactly("a2");
+        assertThat(mTable.silentMemberNames(later)).containsExactly("a2");
         assertThat(mTable.upCount(later)).isEqualTo(1);
         assertThat(mTable.knownCount()).isEqualTo(2);
     }
@@ -60,28 +60,28 @@
     // and
     // name no address but their own. Reports come less often there than silence was waited for.
     @Test
-    void largeDeploymentWaitsLongerForReports() {
+    void silenceTimeoutGrowsWithFleetSize() {
         for (int peer = 0; peer < 60; peer++) {
-            mTable.heard(member("p" + peer, "domain-b", 100 + peer), true, false, START);
+            mTable.recordReport(member("p" + peer, "domain-b", 100 + peer), true, false, START);
         }
         assertThat(mTable.reportInterval().toMillis()).isBetween(1_000L, 2_000L);
-        assertThat(mTable.silent(START.plusSeconds(2))).isEmpty();
-        assertThat(mTable.silent(START.plusSeconds(5))).hasSize(60);
+        assertThat(mTable.silentMemberNames(START.plusSeconds(2))).isEmpty();
+        assertThat(mTable.silentMemberNames(START.plusSeconds(5))).hasSize(60);
     }
 
     @Test
-    void rankCountsDaemonsThatAreUpAndComeFirst() {
-        mTable.heard(member("a0", "domain-a", 2), true, false, START);
-        mTable.heard(member("b1", "domain-b", 3), true, false, START);
+    void rankCountsUpDaemonsWithSmallerNames() {
+        mTable.recordReport(member("a0", "domain-a", 2), true, false, START);
+        mTable.recordReport(member("b1", "domain-b", 3), true, false, START);
         assertThat(mTable.rank(START)).isEqualTo(1);
         assertThat(mTable.rank(START.plusSeconds(2))).isZero();
     }
 
     @Test
-    void restartIsNoticed() {
-        mTable.heard(member("a2", "domain-a", 2), true, false, START);
+    void restartIsDetected() {
+        mTable.recordReport(member("a2", "domain-a", 2), true, false, START);
         final Member restarted =
                 new Member("a2", "a2-second", "domain-a", address(2), address(1_002));
-        assertThat(mTable.heard(restarted, true, false, START)).contains("a2-first");
+        assertThat(mTable.recordReport(restarted, true, false, START)).contains("a2-first");
     }
 }
--- a/serving/src/test/java/org/whinhead/serving/quota/CustomerQuotasColdStartTest.java
+++ b/serving/src/test/java/org/whinhead/serving/quota/CustomerQuotasColdStartTest.java
@@ -11,8 +11,8 @@
 
     private static final long RATE = 600_000;
     private static final int TRAFFIC_AT = 19_000;
-    private static final int HOT_AT = TRAFFIC_AT + 500;
-    private static final double HOT_FACTOR = 6;
+    private static final int SPIKE_AT = TRAFFIC_AT + 500;
+    private static final double SPIKE_FACTOR = 6;
     private static final int SEED = 1;
     private static final Duration START_TIME = Duration.ofMillis(500);
 
@@ -48,26 +48,27 @@
             final int silentMillis,
             final int restartMillis,
             final int cutMillis) {
-        final QuotaDay day =
-                new QuotaDay(daemons, RATE, SEED).asks(millis -> millis < HOT_AT ? 1 : HOT_FACTOR);
-        final QuotaFleet fleet = day.fleet();
-        fleet.delay(delayMillis);
-        fleet.lose(lost);
+        final QuotaScenario day =
+                new QuotaScenario(daemons, RATE, SEED)
+                        .demand(millis -> millis < SPIKE_AT ? 1 : SPIKE_FACTOR);
+        final SimulatedFleet fleet = day.fleet();
+        fleet.setDelay(delayMillis);
+        fleet.setLossRate(lost);
         if (silentMillis > 0) {
-            fleet.silence(true);
-            fleet.at(TRAFFIC_AT + silentMillis, () -> fleet.silence(false));
+            fleet.setAllMessagesLost(true);
+            fleet.at(TRAFFIC_AT + silentMillis, () -> fleet.setAllMessagesLost(false));
         }
         if (restartMillis > 0) {
             fleet.at(TRAFFIC_AT + restartMillis, () -> restartThird(fleet));
         }
         if (cutMillis > 0) {
-            fleet.at(TRAFFIC_AT + cutMillis, () -> fleet.cutThird(true));
+            fleet.at(TRAFFIC_AT + cutMillis, () -> fleet.setPartitioned(true));
         }
-        day.play(TRAFFIC_AT, TRAFFIC_AT + 20_000);
-        assertThat(day.worstWindow()).isLessThanOrEqualTo(1.0);
+        day.run(TRAFFIC_AT, TRAFFIC_AT + 20_000);
+        assertThat(day.worstWindowFraction()).isLessThanOrEqualTo(1.0);
     }
 
-    private static void restartThird(final QuotaFleet fleet) {
+    private static void restartThird(final SimulatedFleet fleet) {
         for (int index = 0; index < fleet.size(); index += 3) {
             fleet.restart(index, START_TIME);
         }
--- a/serving/src/test/java/org/whinhead/serving/quota/CustomerQuotasTest.java
+++ b/serving/src/test/java/org/whinhead/serving/quota/CustomerQuotasTest.java
@@ -23,52 +23,52 @@
     private static final long REQUEST = 2_000;
     private static final long LIGHT = 200;
 
-    private final List<TokenAsk> mAsks = new ArrayList<>();
-    private final List<TokenAsk> mReturns = new ArrayList<>();
-    private final List<TokenSpend> mGranted = new ArrayList<>();
-    private final List<Duration> mOver = new ArrayList<>();
-    private final List<Duration> mUnknown = new ArrayList<>();
-    private final HeldShares mHeld = new HeldShares(SELF, QuotaFleet.TOLERANCE, at(0));
+    private final List<TokenRequest> mRequests = new ArrayList<>();
+    private final List<TokenRequest> mReturns = new ArrayList<>();
+    private final List<TokenGrant> mGranted = new ArrayList<>();
+    private final List<Duration> mOverAllowance = new ArrayList<>();
+    private final List<Duration> mUnavailable = new ArrayList<>();
+    private final HeldShares mHeldShares = new HeldShares(SELF, SimulatedFleet.TOLERANCE, at(0));
     private final CustomerQuotas mQuotas =
-            new CustomerQuotas("d-1", mHeld, new RecordingTransport(), new Random(1));
+            new CustomerQuotas("d-1", mHeldShares, new RecordingTransport(), new Random(1));
 
     private final class RecordingTransport implements QuotaTransport {
         @Override
-        public void ask(final InetSocketAddress holder, final TokenAsk ask) {
+        public void sendRequest(final InetSocketAddress holder, final TokenRequest ask) {
             assertThat(holder).isEqualTo(OTHER);
-            mAsks.add(ask);
+            mRequests.add(ask);
         }
 
         @Override
-        public void giveBack(final InetSocketAddress holder, final TokenAsk ask) {
+        public void sendReturn(final InetSocketAddress holder, final TokenRequest ask) {
             mReturns.add(ask);
         }
 
         @Override
-        public void checkAfter(final Duration delay) {
+        public void scheduleTimeoutCheck(final Duration delay) {
             // The tests look for answers themselves.
         }
     }
 
     private final class RecordingListener implements TokenClaimListener {
         @Override
-        public void granted(final TokenSpend spend) {
+        public void granted(final TokenGrant spend) {
             mGranted.add(spend);
         }
 
         @Override
         public void overAllowance(final Duration comeBackAfter) {
-            mOver.add(comeBackAfter);
+            mOverAllowance.add(comeBackAfter);
         }
 
         @Override
-        public void unknown(final Duration comeBackAfter) {
-            mUnknown.add(comeBackAfter);
+        public void unavailable(final Duration comeBackAfter) {
+            mUnavailable.add(comeBackAfter);
         }
     }
 
-    private static Moment at(final long millis) {
-        return new Moment(START.plusMillis(millis), START.plusMillis(millis));
+    private static ClockReading at(final long millis) {
+        return new ClockReading(START.plusMillis(millis), START.plusMillis(millis));
     }
 
     private static List<CustomerAccount> customers(final long rate) {
@@ -80,39 +80,40 @@
                         new TokenAllowance(rate, rate, LIGHT)));
     }
 
-    private void heldBy(final InetSocketAddress holder) {
+    private void setHolder(final InetSocketAddress holder) {
         mQuotas.configure(customers(RATE), at(0));
-        mHeld.tableRead(ShareTable.first(List.of(holder)), at(0));
+        mHeldShares.updateTable(ShareTable.initial(List.of(holder)), at(0));
     }
 
     private Runnable claim(final long tokens, final long millis) {
         return mQuotas.claim("clinic", tokens, at(millis), new RecordingListener());
     }
 
-    private void answer(
-            final TokenAsk ask,
-            final TokenAnswer.Outcome outcome,
+    private void respond(
+            final TokenRequest ask,
+            final TokenResponse.Outcome outcome,
             final long level,
             final long millis) {
-        mQuotas.answered(
-                new TokenAnswer(ask.id(), ask.customer(), ask.slot(), outcome, level), at(millis));
+        mQuotas.handleResponse(
+                new TokenResponse(ask.id(), ask.customer(), ask.slot(), outcome, level),
+                at(millis));
     }
 
     @Test
-    void nothingBelowTheAllowanceIsRefused() {
-        heldBy(SELF);
+    void requestsWithinAllowanceAreAdmitted() {
+        setHolder(SELF);
         for (int request = 0; request < 500; request++) {
             claim(REQUEST, 10_000 + request * 41L);
         }
         assertThat(mGranted).hasSize(500);
-        assertThat(mAsks).isEmpty();
+        assertThat(mRequests).isEmpty();
     }
 
     // A customer floods the service with prompts, some hundred times its allowance. Its plain calls
     // cost next to nothing, yet they were refused like the prompts: the shares were always empty.
     @Test
-    void plainCallsOfCustomerOverItsAllowanceAreAdmitted() {
-        heldBy(SELF);
+    void lightRequestsOfCustomerOverItsAllowanceAreAdmitted() {
+        setHolder(SELF);
         int lightGranted = 0;
         for (int step = 0; step < 1_000; step++) {
             final long millis = 10_000 + step * 10L;
@@ -126,16 +127,16 @@
             }
         }
         assertThat(lightGranted).isEqualTo(50);
-        assertThat(mOver.size()).isGreaterThan(4_000);
+        assertThat(mOverAllowance.size()).isGreaterThan(4_000);
     }
 
     @Test
-    void refusalSaysWhenToComeBack() {
-        heldBy(SELF);
-        while (mOver.isEmpty()) {
+    void rejectionIncludesRetryDelay() {
+        setHolder(SELF);
+        while (mOverAllowance.isEmpty()) {
             claim(REQUEST, 10_000);
         }
-        assertThat(mOver.get(0)).isBetween(Duration.ofMillis(20), Duration.ofSeconds(1));
+        assertThat(mOverAllowance.get(0)).isBetween(Duration.ofMillis(20), Duration.ofSeconds(1));
     }
 
     @Test
@@ -151,138 +152,139 @@
         mQuotas.configure(customers(RATE), at(0));
         claim(REQUEST, 1);
         assertThat(mQuotas.isReady()).isFalse();
-        assertThat(mUnknown).hasSize(1);
+        assertThat(mUnavailable).hasSize(1);
     }
 
     @Test
-    void requestIsAdmittedOnceTheHolderHasIssued() {
-        heldBy(OTHER);
+    void requestIsAdmittedOnceHolderHasIssuedTokens() {
+        setHolder(OTHER);
         claim(REQUEST, 10_000);
         assertThat(mGranted).isEmpty();
-        answer(mAsks.get(0), TokenAnswer.Outcome.ISSUED, 5_000, 10_002);
+        respond(mRequests.get(0), TokenResponse.Outcome.ISSUED, 5_000, 10_002);
         assertThat(mGranted).hasSize(1);
-        answer(mAsks.get(0), TokenAnswer.Outcome.ISSUED, 5_000, 10_003);
+        respond(mRequests.get(0), TokenResponse.Outcome.ISSUED, 5_000, 10_003);
         assertThat(mGranted).hasSize(1);
     }
 
     @Test
-    void shareThatHasTooFewIsReplacedByAnother() {
-        heldBy(OTHER);
+    void claimGoesToAnotherShareIfOneHasTooFewTokens() {
+        setHolder(OTHER);
         claim(REQUEST, 10_000);
-        answer(mAsks.get(0), TokenAnswer.Outcome.TOO_FEW, -100, 10_002);
-        assertThat(mAsks).hasSize(2);
-        assertThat(mAsks.get(1).slot()).isNotEqualTo(mAsks.get(0).slot());
+        respond(mRequests.get(0), TokenResponse.Outcome.TOO_FEW, -100, 10_002);
+        assertThat(mRequests).hasSize(2);
+        assertThat(mRequests.get(1).slot()).isNotEqualTo(mRequests.get(0).slot());
     }
 
     // Once all shares have said that they are empty, the next request is refused at once: asking
     // again would keep its caller waiting for nothing.
     @Test
-    void requestThatCannotBeMetIsRefusedWithoutAsking() {
-        heldBy(OTHER);
+    void claimIsRejectedWithoutRequestIfAllSharesAreEmpty() {
+        setHolder(OTHER);
         claim(REQUEST, 10_000);
         for (int share = 0; share < ShareLimits.SHARES; share++) {
-            answer(mAsks.get(share), TokenAnswer.Outcome.TOO_FEW, -10_000, 10_001);
+            respond(mRequests.get(share), TokenResponse.Outcome.TOO_FEW, -10_000, 10_001);
         }
-        assertThat(mOver).hasSize(1);
+        assertThat(mOverAllowance).hasSize(1);
         claim(REQUEST, 10_002);
-        assertThat(mOver).hasSize(2);
-        assertThat(mAsks).hasSize(ShareLimits.SHARES);
+        assertThat(mOverAllowance).hasSize(2);
+        assertThat(mRequests).hasSize(ShareLimits.SHARES);
     }
 
     // A holder is dead. The caller must not wait for it until its time is up, and the tokens of an
     // answer that comes after all are not lost.
     @Test
-    void holderThatDoesNotAnswerIsReplaced() {
-        heldBy(OTHER);
+    void claimGoesToAnotherHolderAfterTimeout() {
+        setHolder(OTHER);
         claim(REQUEST, 10_000);
-        mQuotas.checkAnswers(at(10_080));
-        assertThat(mAsks).hasSize(2);
-        answer(mAsks.get(1), TokenAnswer.Outcome.ISSUED, 5_000, 10_082);
+        mQuotas.checkTimeouts(at(10_080));
+        assertThat(mRequests).hasSize(2);
+        respond(mRequests.get(1), TokenResponse.Outcome.ISSUED, 5_000, 10_082);
         assertThat(mGranted).hasSize(1);
-        answer(mAsks.get(0), TokenAnswer.Outcome.ISSUED, 5_000, 10_090);
+        respond(mRequests.get(0), TokenResponse.Outcome.ISSUED, 5_000, 10_090);
         claim(REQUEST, 10_091);
         assertThat(mGranted).hasSize(2);
-        assertThat(mAsks).hasSize(2);
+        assertThat(mRequests).hasSize(2);
     }
 
     @Test
-    void callerIsRefusedWhenNobodyAnswers() {
-        heldBy(OTHER);
+    void claimIsUnavailableIfNoHolderResponds() {
+        setHolder(OTHER);
         claim(REQUEST, 10_000);
         for (int millis = 80; millis <= 1_040; millis += 80) {
-            mQuotas.checkAnswers(at(10_000 + millis));
+            mQuotas.checkTimeouts(at(10_000 + millis));
         }
-        assertThat(mUnknown).hasSize(1);
+        assertThat(mUnavailable).hasSize(1);
     }
 
     // The VM is suspended between a holder's answer and the request's sending. Seconds later its
     // tokens belong to another window, in which the holder has issued as many again.
     @Test
-    void tokensOfAnswerThatWaitedWhileSuspendedAreNotSpent() {
-        heldBy(OTHER);
+    void tokensReceivedAfterSuspensionAreNotSpent() {
+        setHolder(OTHER);
         claim(REQUEST, 10_000);
-        final Moment woken = new Moment(START.plusMillis(10_010), START.plusMillis(15_010));
-        mQuotas.answered(
-                new TokenAnswer(
-                        mAsks.get(0).id(),
+        final ClockReading woken =
+                new ClockReading(START.plusMillis(10_010), START.plusMillis(15_010));
+        mQuotas.handleResponse(
+                new TokenResponse(
+                        mRequests.get(0).id(),
                         "clinic",
-                        mAsks.get(0).slot(),
-                        TokenAnswer.Outcome.ISSUED,
+                        mRequests.get(0).slot(),
+                        TokenResponse.Outcome.ISSUED,
                         5_000),
                 woken);
         assertThat(mGranted).isEmpty();
-        assertThat(mUnknown.size() + mOver.size()).isEqualTo(1);
+        assertThat(mUnavailable.size() + mOverAllowance.size()).isEqualTo(1);
     }
 
     // An operator takes a customer out, or lifts its limit, while one of its requests waits for
     // tokens. The request would never be answered.
     @Test
-    void claimOfCustomerThatIsTakenOutIsRefused() {
-        heldBy(OTHER);
+    void claimOfRemovedCustomerIsRejected() {
+        setHolder(OTHER);
         claim(REQUEST, 10_000);
         mQuotas.configure(List.of(), at(10_001));
-        answer(mAsks.get(0), TokenAnswer.Outcome.TOO_FEW, 0, 10_002);
-        assertThat(mUnknown).hasSize(1);
+        respond(mRequests.get(0), TokenResponse.Outcome.TOO_FEW, 0, 10_002);
+        assertThat(mUnavailable).hasSize(1);
     }
 
     @Test
     void claimOfCustomerWhoseLimitIsLiftedIsGranted() {
-        heldBy(OTHER);
+        setHolder(OTHER);
         claim(REQUEST, 10_000);
         mQuotas.configure(customers(0), at(10_001));
-        mQuotas.checkAnswers(at(10_080));
+        mQuotas.checkTimeouts(at(10_080));
         assertThat(mGranted).hasSize(1);
     }
 
     @Test
-    void callerThatLeavesGivesItsTokensBack() {
-        heldBy(OTHER);
+    void canceledClaimReturnsItsTokens() {
+        setHolder(OTHER);
         final Runnable cancel = claim(100_000, 10_000);
-        answer(mAsks.get(0), TokenAnswer.Outcome.ISSUED, 5_000, 10_001);
+        respond(mRequests.get(0), TokenResponse.Outcome.ISSUED, 5_000, 10_001);
         cancel.run();
-        assertThat(mReturns).containsExactly(mAsks.get(0));
+        assertThat(mReturns).containsExactly(mRequests.get(0));
         assertThat(mGranted).isEmpty();
-        assertThat(mOver).isEmpty();
+        assertThat(mOverAllowance).isEmpty();
     }
 
     @Test
     void refundIsSpentAgain() {
-        heldBy(OTHER);
+        setHolder(OTHER);
         claim(REQUEST, 10_000);
-        answer(mAsks.get(0), TokenAnswer.Outcome.ISSUED, 5_000, 10_002);
+        respond(mRequests.get(0), TokenResponse.Outcome.ISSUED, 5_000, 10_002);
         mQuotas.refund(mGranted.get(0));
         claim(REQUEST, 10_100);
         assertThat(mGranted).hasSize(2);
-        assertThat(mAsks).hasSize(1);
+        assertThat(mRequests).hasSize(1);
     }
 
     @Test
-    void refundThatComesLateIsNotSpent() {
-        heldBy(OTHER);
+    void expiredRefundIsNotSpent() {
+        setHolder(OTHER);
         claim(REQUEST, 10_000);
-        answer(mAsks.get(0), TokenAnswer.Outcome.ISSUED, 5_000, 10_002);
+        respond(mRequests.get(0), TokenResponse.Outcome.ISSUED, 5_000, 10_002);
         mQuotas.refund(mGranted.get(0));
         claim(REQUEST, 10_600);
-        assertThat(mAsks).hasSize(2);
+        assertThat(mRequests).hasSize(2);
     }
 }
--- a/serving/src/test/java/org/whinhead/serving/quota/HeldSharesTest.java
+++ b/serving/src/test/java/org/whinhead/serving/quota/HeldSharesTest.java
@@ -15,23 +15,23 @@
     private static final InetSocketAddress SELF = InetSocketAddress.createUnresolved("self", 7600);
     private static final InetSocketAddress OTHER =
             InetSocketAddress.createUnresolved("other", 7600);
-    private static final Duration WARM = Duration.ofSeconds(20);
+    private static final Duration WARM_UP = Duration.ofSeconds(20);
     private static final long RATE = 100_000;
 
     private final HeldShares mShares =
-            new HeldShares(SELF, QuotaFleet.TOLERANCE, new Moment(START, START));
+            new HeldShares(SELF, SimulatedFleet.TOLERANCE, new ClockReading(START, START));
 
-    private static Moment at(final Duration time) {
-        return new Moment(START.plus(time), START.plus(time));
+    private static ClockReading at(final Duration time) {
+        return new ClockReading(START.plus(time), START.plus(time));
     }
 
-    private static TokenAsk ask(final long id, final int slot) {
-        return new TokenAsk(id, QuotaDay.CUSTOMER, slot, 100, false);
+    private static TokenRequest request(final long id, final int slot) {
+        return new TokenRequest(id, QuotaScenario.CUSTOMER, slot, 100, false);
     }
 
     private static int ownSlot(final ShareTable table) {
         for (int share = 0; share < ShareLimits.SHARES; share++) {
-            final int slot = table.slotOf(QuotaDay.CUSTOMER, share);
+            final int slot = table.slotOf(QuotaScenario.CUSTOMER, share);
             if (table.slots().get(slot).holder().equals(SELF)) {
                 return slot;
             }
@@ -39,112 +39,114 @@
         throw new IllegalStateException("no own slot");
     }
 
-    private TokenAnswer.Outcome answer(final int slot, final Duration time) {
-        return mShares.answer("d-1", ask(time.toMillis(), slot), at(time)).outcome();
+    private TokenResponse.Outcome outcome(final int slot, final Duration time) {
+        return mShares.handleRequest("d-1", request(time.toMillis(), slot), at(time)).outcome();
     }
 
     @Test
-    void daemonWithoutTableIssuesNothing() {
-        mShares.configure(QuotaDay.customers(RATE), START);
-        assertThat(answer(0, WARM)).isEqualTo(TokenAnswer.Outcome.NOT_HELD);
+    void daemonWithoutTableIssuesNoTokens() {
+        mShares.configure(QuotaScenario.customers(RATE), START);
+        assertThat(outcome(0, WARM_UP)).isEqualTo(TokenResponse.Outcome.NOT_HELD);
     }
 
     @Test
     void onlyOwnSharesAreIssued() {
-        final ShareTable table = ShareTable.first(List.of(SELF, OTHER));
-        mShares.configure(QuotaDay.customers(RATE), START);
-        mShares.tableRead(table, at(Duration.ZERO));
+        final ShareTable table = ShareTable.initial(List.of(SELF, OTHER));
+        mShares.configure(QuotaScenario.customers(RATE), START);
+        mShares.updateTable(table, at(Duration.ZERO));
         final int own = ownSlot(table);
-        assertThat(answer(own, WARM)).isEqualTo(TokenAnswer.Outcome.ISSUED);
-        assertThat(answer((own + 1) % ShareTable.SLOTS, WARM.plusMillis(1)))
-                .isEqualTo(TokenAnswer.Outcome.NOT_HELD);
-        assertThat(answer(-1, WARM.plusMillis(2))).isEqualTo(TokenAnswer.Outcome.NOT_HELD);
-        assertThat(answer(ShareTable.SLOTS, WARM.plusMillis(3)))
-                .isEqualTo(TokenAnswer.Outcome.NOT_HELD);
+        assertThat(outcome(own, WARM_UP)).isEqualTo(TokenResponse.Outcome.ISSUED);
+        assertThat(outcome((own + 1) % ShareTable.SLOTS, WARM_UP.plusMillis(1)))
+                .isEqualTo(TokenResponse.Outcome.NOT_HELD);
+        assertThat(outcome(-1, WARM_UP.plusMillis(2))).isEqualTo(TokenResponse.Outcome.NOT_HELD);
+        assertThat(outcome(ShareTable.SLOTS, WARM_UP.plusMillis(3)))
+                .isEqualTo(TokenResponse.Outcome.NOT_HELD);
     }
 
     // A holder is cut off from the store for hours, and its shares were given to another daemon.
     // Both would issue the same shares; the one that can't read the table stops first.
     @Test
-    void holderThatCannotReadTheTableStops() {
-        final ShareTable table = ShareTable.first(List.of(SELF));
-        mShares.configure(QuotaDay.customers(RATE), START);
-        mShares.tableRead(table, at(Duration.ZERO));
+    void holderStopsIssuingWhenItsTableExpires() {
+        final ShareTable table = ShareTable.initial(List.of(SELF));
+        mShares.configure(QuotaScenario.customers(RATE), START);
+        mShares.updateTable(table, at(Duration.ZERO));
         final int own = ownSlot(table);
-        assertThat(answer(own, HeldShares.TABLE_VALID_FOR.minusSeconds(1)))
-                .isEqualTo(TokenAnswer.Outcome.ISSUED);
-        assertThat(answer(own, HeldShares.TABLE_VALID_FOR)).isEqualTo(TokenAnswer.Outcome.NOT_HELD);
-        mShares.tableRead(table, at(HeldShares.TABLE_VALID_FOR));
-        assertThat(answer(own, HeldShares.TABLE_VALID_FOR.plusSeconds(1)))
-                .isEqualTo(TokenAnswer.Outcome.ISSUED);
+        assertThat(outcome(own, HeldShares.TABLE_VALIDITY.minusSeconds(1)))
+                .isEqualTo(TokenResponse.Outcome.ISSUED);
+        assertThat(outcome(own, HeldShares.TABLE_VALIDITY))
+                .isEqualTo(TokenResponse.Outcome.NOT_HELD);
+        mShares.updateTable(table, at(HeldShares.TABLE_VALIDITY));
+        assertThat(outcome(own, HeldShares.TABLE_VALIDITY.plusSeconds(1)))
+                .isEqualTo(TokenResponse.Outcome.ISSUED);
     }
 
     // A VM is suspended for hours. Its steady clock stands still meanwhile, so by that clock the
     // table was read a moment ago.
     @Test
-    void suspensionCountsAsTime() {
-        final ShareTable table = ShareTable.first(List.of(SELF));
-        mShares.configure(QuotaDay.customers(RATE), START);
-        mShares.tableRead(table, at(Duration.ZERO));
-        final Moment woken = new Moment(START.plus(WARM), START.plus(HeldShares.TABLE_VALID_FOR));
-        assertThat(mShares.answer("d-1", ask(1, ownSlot(table)), woken).outcome())
-                .isEqualTo(TokenAnswer.Outcome.NOT_HELD);
+    void tableExpiresDuringSuspension() {
+        final ShareTable table = ShareTable.initial(List.of(SELF));
+        mShares.configure(QuotaScenario.customers(RATE), START);
+        mShares.updateTable(table, at(Duration.ZERO));
+        final ClockReading woken =
+                new ClockReading(START.plus(WARM_UP), START.plus(HeldShares.TABLE_VALIDITY));
+        assertThat(mShares.handleRequest("d-1", request(1, ownSlot(table)), woken).outcome())
+                .isEqualTo(TokenResponse.Outcome.NOT_HELD);
     }
 
     @Test
-    void successorWaitsUntilTheHolderBeforeHasStopped() {
-        final Duration wait = HeldShares.TABLE_VALID_FOR.plusMinutes(1);
+    void successorWaitsUntilPreviousHolderHasStopped() {
+        final Duration wait = HeldShares.TABLE_VALIDITY.plusMinutes(1);
         final ShareTable table =
-                ShareTable.first(List.of(OTHER))
-                        .replace(OTHER::equals, List.of(SELF), START.plus(wait));
-        mShares.configure(QuotaDay.customers(RATE), START);
-        mShares.tableRead(table, at(Duration.ZERO));
+                ShareTable.initial(List.of(OTHER))
+                        .reassign(OTHER::equals, List.of(SELF), START.plus(wait));
+        mShares.configure(QuotaScenario.customers(RATE), START);
+        mShares.updateTable(table, at(Duration.ZERO));
         final int own = ownSlot(table);
-        assertThat(answer(own, wait.minusSeconds(1))).isEqualTo(TokenAnswer.Outcome.NOT_HELD);
-        mShares.tableRead(table, at(wait));
+        assertThat(outcome(own, wait.minusSeconds(1))).isEqualTo(TokenResponse.Outcome.NOT_HELD);
+        mShares.updateTable(table, at(wait));
         // The holder before may have issued a full share a moment ago.
-        final TokenAsk large = new TokenAsk(1, QuotaDay.CUSTOMER, own, 9_000, false);
-        assertThat(mShares.answer("d-1", large, at(wait)).outcome())
-                .isEqualTo(TokenAnswer.Outcome.TOO_FEW);
-        assertThat(mShares.answer("d-1", large, at(wait.plus(WARM))).outcome())
-                .isEqualTo(TokenAnswer.Outcome.ISSUED);
+        final TokenRequest large = new TokenRequest(1, QuotaScenario.CUSTOMER, own, 9_000, false);
+        assertThat(mShares.handleRequest("d-1", large, at(wait)).outcome())
+                .isEqualTo(TokenResponse.Outcome.TOO_FEW);
+        assertThat(mShares.handleRequest("d-1", large, at(wait.plus(WARM_UP))).outcome())
+                .isEqualTo(TokenResponse.Outcome.ISSUED);
     }
 
     @Test
-    void olderTableChangesNothing() {
-        final ShareTable first = ShareTable.first(List.of(OTHER));
-        final ShareTable second = first.replace(OTHER::equals, List.of(SELF), START);
-        mShares.tableRead(second, at(Duration.ZERO));
-        mShares.tableRead(first, at(WARM));
+    void olderTableIsIgnored() {
+        final ShareTable first = ShareTable.initial(List.of(OTHER));
+        final ShareTable second = first.reassign(OTHER::equals, List.of(SELF), START);
+        mShares.updateTable(second, at(Duration.ZERO));
+        mShares.updateTable(first, at(WARM_UP));
         assertThat(mShares.table()).contains(second);
     }
 
     // An operator adds a customer. Nobody has spent anything of its allowance, so its first
     // requests must not be refused.
     @Test
-    void customerThatIsAddedLaterIsServedAtOnce() {
-        final ShareTable table = ShareTable.first(List.of(SELF));
+    void addedCustomerIsServedAtOnce() {
+        final ShareTable table = ShareTable.initial(List.of(SELF));
         mShares.configure(List.of(), START);
-        mShares.tableRead(table, at(Duration.ZERO));
-        mShares.configure(QuotaDay.customers(RATE), START.plus(WARM));
-        assertThat(answer(ownSlot(table), WARM)).isEqualTo(TokenAnswer.Outcome.ISSUED);
+        mShares.updateTable(table, at(Duration.ZERO));
+        mShares.configure(QuotaScenario.customers(RATE), START.plus(WARM_UP));
+        assertThat(outcome(ownSlot(table), WARM_UP)).isEqualTo(TokenResponse.Outcome.ISSUED);
     }
 
     // An operator takes a customer out and puts it back a second later. Its shares would be full
     // again, though it had just spent them.
     @Test
-    void customerThatComesBackFindsItsSharesAsTheyWere() {
-        final ShareTable table = ShareTable.first(List.of(SELF));
-        mShares.configure(QuotaDay.customers(RATE), START);
-        mShares.tableRead(table, at(Duration.ZERO));
+    void restoredCustomerKeepsItsShareLevels() {
+        final ShareTable table = ShareTable.initial(List.of(SELF));
+        mShares.configure(QuotaScenario.customers(RATE), START);
+        mShares.updateTable(table, at(Duration.ZERO));
         final int own = ownSlot(table);
-        final List<TokenAnswer.Outcome> outcomes = new ArrayList<>();
+        final List<TokenResponse.Outcome> outcomes = new ArrayList<>();
         for (int claim = 0; claim < 2_000; claim++) {
-            outcomes.add(mShares.answer("d-1", ask(claim, own), at(WARM)).outcome());
+            outcomes.add(mShares.handleRequest("d-1", request(claim, own), at(WARM_UP)).outcome());
         }
-        assertThat(outcomes).contains(TokenAnswer.Outcome.TOO_FEW);
-        mShares.configure(List.of(), START.plus(WARM).plusMillis(1));
-        mShares.configure(QuotaDay.customers(RATE), START.plus(WARM).plusMillis(2));
-        assertThat(answer(own, WARM.plusMillis(3))).isEqualTo(TokenAnswer.Outcome.TOO_FEW);
+        assertThat(outcomes).contains(TokenResponse.Outcome.TOO_FEW);
+        mShares.configure(List.of(), START.plus(WARM_UP).plusMillis(1));
+        mShares.configure(QuotaScenario.customers(RATE), START.plus(WARM_UP).plusMillis(2));
+        assertThat(outcome(own, WARM_UP.plusMillis(3))).isEqualTo(TokenResponse.Outcome.TOO_FEW);
     }
 }
--- a/serving/src/test/java/org/whinhead/serving/quota/QuotaDay.java
+++ b/serving/src/test/java/org/whinhead/serving/quota/QuotaScenario.java
@@ -10,36 +10,36 @@
 import org.whinhead.serving.configuration.TokenAllowance;
 
 /** A day of one customer's requests at a fleet, and what it was given. */
-final class QuotaDay {
+final class QuotaScenario {
 
     static final String CUSTOMER = "clinic";
-    static final double USUAL_PART = 1 / 1.8;
+    static final double USUAL_FRACTION = 1 / 1.8;
     static final int PLAIN_TOKENS = 200;
 
-    private static final int MOST_GIVEN_BACK_AFTER = 1_000;
+    private static final int MAX_REFUND_DELAY_MILLIS = 1_000;
     private static final int STEP_MILLIS = 10;
-    private static final int REQUEST_TOKENS = 4_000;
-    private static final int LARGE_TOKENS = 6_800;
-    private static final int WINDOW_MILLIS = (int) QuotaFleet.TOLERANCE.window().toMillis();
+    private static final int MEAN_REQUEST_TOKENS = 4_000;
+    private static final int LARGE_REQUEST_TOKENS = 6_800;
+    private static final int WINDOW_MILLIS = (int) SimulatedFleet.TOLERANCE.window().toMillis();
 
-    private final QuotaFleet mFleet;
+    private final SimulatedFleet mFleet;
     private final long mRate;
     private final List<Long> mAdmittedAt = new ArrayList<>();
     private final List<Long> mAdmittedTokens = new ArrayList<>();
-    private LongToDoubleFunction mUsualTimes = millis -> 1;
-    private double mNearPart;
-    private double mGivenBackPart;
+    private LongToDoubleFunction mDemandFactor = millis -> 1;
+    private double mFirstDaemonFraction;
+    private double mRefundFraction;
     private long mCountedUntil = Long.MAX_VALUE;
-    private long mOffered;
-    private long mAdmitted;
+    private long mCountedOffered;
+    private long mCountedAdmitted;
     private int mOfferedLarge;
     private int mAdmittedLarge;
     private int mOfferedRequests;
     private int mAdmittedRequests;
 
-    QuotaDay(final int daemons, final long rate, final long seed) {
+    QuotaScenario(final int daemons, final long rate, final long seed) {
         mRate = rate;
-        mFleet = new QuotaFleet(daemons, customers(rate), seed);
+        mFleet = new SimulatedFleet(daemons, customers(rate), seed);
     }
 
     static List<CustomerAccount> customers(final long rate) {
@@ -51,58 +51,63 @@
                         new TokenAllowance(rate, rate, PLAIN_TOKENS)));
     }
 
-    QuotaFleet fleet() {
+    SimulatedFleet fleet() {
         return mFleet;
     }
 
     /** Sets how many times its usual the customer asks. */
-    QuotaDay asks(final LongToDoubleFunction usualTimes) {
-        mUsualTimes = usualTimes;
+    QuotaScenario demand(final LongToDoubleFunction usualTimes) {
+        mDemandFactor = usualTimes;
         return this;
     }
 
     /** Sends a part of all requests to a single daemon, besides its share of the rest. */
-    QuotaDay toOneDaemon(final double part) {
-        mNearPart = part;
+    QuotaScenario concentrate(final double part) {
+        mFirstDaemonFraction = part;
         return this;
     }
 
     /** Gives the tokens of a part of all requests back: they did not run. */
-    QuotaDay givesBack(final double part) {
-        mGivenBackPart = part;
+    QuotaScenario refundFraction(final double part) {
+        mRefundFraction = part;
         return this;
     }
 
     /** Counts what is refused up to a time only. */
-    QuotaDay countsUntil(final long millis) {
+    QuotaScenario countUntil(final long millis) {
         mCountedUntil = millis;
         return this;
     }
 
-    QuotaDay play(final long fromMillis, final long toMillis) {
+    QuotaScenario run(final long fromMillis, final long toMillis) {
         final Random random = mFleet.random();
         for (long millis = fromMillis; millis < toMillis; millis += STEP_MILLIS) {
-            mFleet.runTo(millis);
+            mFleet.runUntil(millis);
             double left =
-                    mRate * USUAL_PART * mUsualTimes.applyAsDouble(millis) * STEP_MILLIS / 1_000;
-            while (random.nextDouble() < left / REQUEST_TOKENS) {
-                left -= REQUEST_TOKENS;
-                request(500 + random.nextInt(2 * REQUEST_TOKENS - 1_000));
+                    mRate
+                            * USUAL_FRACTION
+                            * mDemandFactor.applyAsDouble(millis)
+                            * STEP_MILLIS
+                            / 1_000;
+            while (random.nextDouble() < left / MEAN_REQUEST_TOKENS) {
+                left -= MEAN_REQUEST_TOKENS;
+                request(500 + random.nextInt(2 * MEAN_REQUEST_TOKENS - 1_000));
             }
         }
-        mFleet.runTo(toMillis + 1_000);
+        mFleet.runUntil(toMillis + 1_000);
         return this;
     }
 
     private void request(final long tokens) {
         final Random random = mFleet.random();
-        final int index = random.nextDouble() < mNearPart ? 0 : random.nextInt(mFleet.size());
+        final int index =
+                random.nextDouble() < mFirstDaemonFraction ? 0 : random.nextInt(mFleet.size());
         if (!mFleet.isUp(index)) {
             return;
         }
         final boolean counted = mFleet.millis() < mCountedUntil;
-        final boolean large = tokens >= LARGE_TOKENS;
-        mOffered += counted ? tokens : 0;
+        final boolean large = tokens >= LARGE_REQUEST_TOKENS;
+        mCountedOffered += counted ? tokens : 0;
         mOfferedRequests++;
         mOfferedLarge += large ? 1 : 0;
         mFleet.claim(
@@ -111,10 +116,10 @@
                 tokens,
                 new TokenClaimListener() {
                     @Override
-                    public void granted(final TokenSpend spend) {
-                        if (mGivenBackPart > 0 && random.nextDouble() < mGivenBackPart) {
+                    public void granted(final TokenGrant spend) {
+                        if (mRefundFraction > 0 && random.nextDouble() < mRefundFraction) {
                             mFleet.at(
-                                    mFleet.millis() + random.nextInt(MOST_GIVEN_BACK_AFTER),
+                                    mFleet.millis() + random.nextInt(MAX_REFUND_DELAY_MILLIS),
                                     () -> mFleet.refund(index, spend));
                             return;
                         }
@@ -122,7 +127,7 @@
                         mAdmittedLarge += large ? 1 : 0;
                         mAdmittedAt.add(mFleet.millis());
                         mAdmittedTokens.add(tokens);
-                        mAdmitted += counted ? tokens : 0;
+                        mCountedAdmitted += counted ? tokens : 0;
                     }
 
                     @Override
@@ -131,25 +136,25 @@
                     }
 
                     @Override
-                    public void unknown(final Duration comeBackAfter) {
+                    public void unavailable(final Duration comeBackAfter) {
                         // Not admitted.
                     }
                 });
     }
 
     /** The part of the offered tokens that was admitted. */
-    double admittedPart() {
-        return (double) mAdmitted / mOffered;
+    double admittedFraction() {
+        return (double) mCountedAdmitted / mCountedOffered;
     }
 
     /** How often large requests were admitted, as a part of how often all were. */
-    double largeAgainstAll() {
+    double largeRequestRatio() {
         final double all = (double) mAdmittedRequests / mOfferedRequests;
         return (double) mAdmittedLarge / mOfferedLarge / all;
     }
 
     /** The most that was admitted in any window, as a part of what is accepted. */
-    double worstWindow() {
+    double worstWindowFraction() {
         long sum = 0;
         long worst = 0;
         int first = 0;
@@ -162,7 +167,7 @@
             worst = Math.max(worst, sum);
         }
         return worst
-                / ShareLimits.accepted(
-                        new TokenAllowance(mRate, mRate, PLAIN_TOKENS), QuotaFleet.TOLERANCE);
+                / ShareLimits.acceptedTokens(
+                        new TokenAllowance(mRate, mRate, PLAIN_TOKENS), SimulatedFleet.TOLERANCE);
     }
 }
--- a/serving/src/test/java/org/whinhead/serving/quota/ShareLimitsTest.java
+++ b/serving/src/test/java/org/whinhead/serving/quota/ShareLimitsTest.java
@@ -18,7 +18,7 @@
     // What all shares may give out in a window by their own rules is the bound on which everything
     // else rests: it must never be more than what is accepted.
     @Property(tries = 1_000, seed = "17")
-    void sharesTogetherStayWithinWhatIsAccepted(
+    void sharesTogetherStayWithinAcceptedTokens(
             @ForAll @IntRange(min = 0, max = 5_000_000) final int rate,
             @ForAll @IntRange(min = 0, max = 5_000_000) final int burst) {
         final TokenAllowance allowance = new TokenAllowance(rate, burst, 200);
@@ -26,32 +26,32 @@
         final double most =
                 ShareLimits.SHARES
                         * (WINDOW_SECONDS * share.tokensPerSecond()
-                                + share.fullTokens()
-                                + share.mostDebt()
+                                + share.capacityTokens()
+                                + share.maxDebt()
                                 + share.restartCredit());
-        assertThat(most).isLessThanOrEqualTo(ShareLimits.accepted(allowance, TOLERANCE));
+        assertThat(most).isLessThanOrEqualTo(ShareLimits.acceptedTokens(allowance, TOLERANCE));
     }
 
     @Test
-    void rateOfAllowanceFlowsIn() {
+    void sharesRefillAtRateOfAllowance() {
         final ShareLimits share =
                 ShareLimits.of(new TokenAllowance(100_000, 100_000, 200), TOLERANCE);
         assertThat(ShareLimits.SHARES * share.tokensPerSecond()).isGreaterThan(100_000);
     }
 
     @Test
-    void allowanceWithoutBurstOrToleranceStillServes() {
+    void allowanceWithoutBurstOrToleranceHasCapacity() {
         final QuotaTolerance none = new QuotaTolerance(Duration.ofSeconds(8), 0, 0);
         final ShareLimits share = ShareLimits.of(new TokenAllowance(8_000, 0, 200), none);
-        assertThat(share.fullTokens()).isPositive();
-        assertThat(share.partsOf(10)).isEqualTo(1);
+        assertThat(share.capacityTokens()).isPositive();
+        assertThat(share.partCount(10)).isEqualTo(1);
     }
 
     @Test
     void largeClaimIsSplit() {
         final ShareLimits share = new ShareLimits(1_000, 900, 300, 0, 150);
-        assertThat(share.partsOf(300)).isEqualTo(1);
-        assertThat(share.partsOf(301)).isEqualTo(2);
-        assertThat(share.partsOf(1_000_000)).isEqualTo(ShareLimits.SHARES);
+        assertThat(share.partCount(300)).isEqualTo(1);
+        assertThat(share.partCount(301)).isEqualTo(2);
+        assertThat(share.partCount(1_000_000)).isEqualTo(ShareLimits.SHARES);
     }
 }
--- a/serving/src/test/java/org/whinhead/serving/quota/ShareTableTest.java
+++ b/serving/src/test/java/org/whinhead/serving/quota/ShareTableTest.java
@@ -46,7 +46,8 @@
     @ParameterizedTest
     @ValueSource(ints = {8, 9, 18, 61, 66, 95, 330})
     void sharesOfCustomerAreAtDifferentDaemons(final int count) {
-        final ShareTable table = ShareTable.first(ShareHolders.inOrder(members(count, 5)));
+        final ShareTable table =
+                ShareTable.initial(ShareHolders.interleaveDomains(members(count, 5)));
         for (int customer = 0; customer < 40; customer++) {
             assertThat(holders(table, "customer-" + customer)).hasSize(ShareLimits.SHARES);
         }
@@ -54,16 +55,17 @@
 
     @ParameterizedTest
     @ValueSource(ints = {1, 3, 6})
-    void allOfFewDaemonsHoldShares(final int count) {
-        final ShareTable table = ShareTable.first(ShareHolders.inOrder(members(count, 3)));
+    void allDaemonsOfSmallFleetHoldShares(final int count) {
+        final ShareTable table =
+                ShareTable.initial(ShareHolders.interleaveDomains(members(count, 3)));
         assertThat(holders(table, "clinic")).hasSize(count);
     }
 
     // A failure domain is lost. With it go no more of a customer's shares than its part of them.
     @Test
-    void domainHoldsItsPartOfSharesOnly() {
+    void domainHoldsItsProportionOfShares() {
         final List<Member> members = members(60, 3);
-        final ShareTable table = ShareTable.first(ShareHolders.inOrder(members));
+        final ShareTable table = ShareTable.initial(ShareHolders.interleaveDomains(members));
         final Set<InetSocketAddress> lost = new HashSet<>();
         members.stream()
                 .filter(member -> member.domain().equals("domain-0"))
@@ -76,26 +78,26 @@
     }
 
     @Test
-    void slotsOfDaemonThatIsGoneGoToOthersLater() {
-        final ShareTable table = ShareTable.first(List.of(daemon(1), daemon(2)));
+    void slotsOfLostDaemonAreReassigned() {
+        final ShareTable table = ShareTable.initial(List.of(daemon(1), daemon(2)));
         final ShareTable next =
-                table.replace(daemon(1)::equals, List.of(daemon(3), daemon(4)), LATER);
+                table.reassign(daemon(1)::equals, List.of(daemon(3), daemon(4)), LATER);
         assertThat(next.version()).isEqualTo(2);
-        assertThat(next.names(daemon(1))).isFalse();
+        assertThat(next.hasHolder(daemon(1))).isFalse();
         assertThat(next.slots().get(0)).isEqualTo(new ShareTable.Slot(daemon(3), LATER));
         assertThat(next.slots().get(1)).isEqualTo(table.slots().get(1));
         assertThat(next.slots().get(2)).isEqualTo(new ShareTable.Slot(daemon(4), LATER));
     }
 
     @Test
-    void nothingChangesWhileAllAreThere() {
-        final ShareTable table = ShareTable.first(List.of(daemon(1), daemon(2)));
-        assertThat(table.replace(holder -> false, List.of(daemon(3)), LATER)).isSameAs(table);
-        assertThat(table.replace(holder -> true, List.of(), LATER)).isSameAs(table);
+    void tableIsUnchangedWithoutLossOrSuccessors() {
+        final ShareTable table = ShareTable.initial(List.of(daemon(1), daemon(2)));
+        assertThat(table.reassign(holder -> false, List.of(daemon(3)), LATER)).isSameAs(table);
+        assertThat(table.reassign(holder -> true, List.of(), LATER)).isSameAs(table);
     }
 
     @Test
-    void tableWithTooFewSlotsIsRefused() {
+    void tableWithTooFewSlotsIsRejected() {
         assertThatThrownBy(() -> new ShareTable(1, 1, List.of()))
                 .isInstanceOf(IllegalArgumentException.class);
     }
--- a/serving/src/test/java/org/whinhead/serving/quota/QuotaFleet.java
+++ b/serving/src/test/java/org/whinhead/serving/quota/SimulatedFleet.java
@@ -12,7 +12,7 @@
 import org.whinhead.serving.member.Member;
 
 /** Daemons that ask each other for tokens over a network that delays, loses and cuts. */
-final class QuotaFleet {
+final class SimulatedFleet {
 
     static final Instant START = Instant.parse("2026-01-01T00:00:00Z");
     static final QuotaTolerance TOLERANCE = new QuotaTolerance(Duration.ofSeconds(8), 0.1, 72_000);
@@ -35,11 +35,11 @@
     private long mNextNumber;
     private long mMessages;
     private int mDelayMillis = 1;
-    private double mLost;
-    private boolean mSilent;
-    private boolean mCut;
+    private double mLossRate;
+    private boolean mAllMessagesLost;
+    private boolean mPartitioned;
 
-    QuotaFleet(final int daemons, final List<CustomerAccount> customers, final long seed) {
+    SimulatedFleet(final int daemons, final List<CustomerAccount> customers, final long seed) {
         mRandom = new Random(seed);
         mCustomers = customers;
         final List<Member> members = new ArrayList<>();
@@ -49,25 +49,25 @@
             final String domain = "domain-" + index * DOMAINS / daemons;
             members.add(new Member("edge-" + index, "1", domain, address, address));
         }
-        mTable = ShareTable.first(ShareHolders.inOrder(members));
+        mTable = ShareTable.initial(ShareHolders.interleaveDomains(members));
         members.forEach(member -> mDaemons.add(new Daemon(member.peerAddress(), 0)));
     }
 
-    void delay(final int millis) {
+    void setDelay(final int millis) {
         mDelayMillis = millis;
     }
 
-    void lose(final double part) {
-        mLost = part;
+    void setLossRate(final double part) {
+        mLossRate = part;
     }
 
-    void silence(final boolean silent) {
-        mSilent = silent;
+    void setAllMessagesLost(final boolean silent) {
+        mAllMessagesLost = silent;
     }
 
     /** Cuts every third daemon off from the others; they still reach each other. */
-    void cutThird(final boolean cut) {
-        mCut = cut;
+    void setPartitioned(final boolean cut) {
+        mPartitioned = cut;
     }
 
     void configure(final List<CustomerAccount> customers) {
@@ -81,7 +81,7 @@
     void restart(final int index, final Duration after) {
         final Daemon before = mDaemons.get(index);
         before.mUp = false;
-        later(
+        scheduleIn(
                 after.toNanos() / 1_000,
                 () -> start(index, new Daemon(before.mAddress, before.mIncarnation + 1)));
     }
@@ -89,7 +89,7 @@
     private void start(final int index, final Daemon daemon) {
         daemon.mUp = false;
         mDaemons.set(index, daemon);
-        later(START_TIME.toNanos() / 1_000, () -> daemon.mUp = daemon == mDaemons.get(index));
+        scheduleIn(START_TIME.toNanos() / 1_000, () -> daemon.mUp = daemon == mDaemons.get(index));
     }
 
     /** Suspends a VM: its steady clock stands still and its messages wait. */
@@ -125,7 +125,7 @@
         return daemon.mQuotas.claim(customer, tokens, daemon.now(), outcome);
     }
 
-    void refund(final int index, final TokenSpend spend) {
+    void refund(final int index, final TokenGrant spend) {
         mDaemons.get(index).mQuotas.refund(spend);
     }
 
@@ -133,21 +133,21 @@
         return mNowMicros / 1_000;
     }
 
-    private Moment now() {
+    private ClockReading now() {
         final Instant instant = START.plusNanos(mNowMicros * 1_000);
-        return new Moment(instant, instant);
+        return new ClockReading(instant, instant);
     }
 
     void at(final long millis, final Runnable step) {
-        later(millis * 1_000 - mNowMicros, step);
+        scheduleIn(millis * 1_000 - mNowMicros, step);
     }
 
-    private void later(final long micros, final Runnable step) {
+    private void scheduleIn(final long micros, final Runnable step) {
         mEvents.add(new Event(mNowMicros + micros, mNextNumber++, step));
     }
 
     /** Lets everything happen that is due up to a time. */
-    void runTo(final long millis) {
+    void runUntil(final long millis) {
         while (!mEvents.isEmpty() && mEvents.peek().mAtMicros <= millis * 1_000) {
             final Event event = mEvents.poll();
             mNowMicros = event.mAtMicros;
@@ -158,17 +158,17 @@
 
     private void send(final Daemon from, final Daemon to, final Runnable arrival) {
         mMessages++;
-        final boolean severed = mCut && from.isCutOff() != to.isCutOff();
-        if (mSilent || severed || mRandom.nextDouble() < mLost) {
+        final boolean severed = mPartitioned && from.isInMinority() != to.isInMinority();
+        if (mAllMessagesLost || severed || mRandom.nextDouble() < mLossRate) {
             return;
         }
         final long micros = mDelayMillis * 500L + mRandom.nextInt(mDelayMillis * 1_000);
-        later(micros, () -> arrive(to, arrival));
+        scheduleIn(micros, () -> deliver(to, arrival));
     }
 
-    private void arrive(final Daemon to, final Runnable arrival) {
+    private void deliver(final Daemon to, final Runnable arrival) {
         if (to.mSuspendedUntil > mNowMicros) {
-            later(to.mSuspendedUntil - mNowMicros, () -> arrive(to, arrival));
+            scheduleIn(to.mSuspendedUntil - mNowMicros, () -> deliver(to, arrival));
         } else if (to.mUp) {
             arrival.run();
         }
@@ -204,43 +204,46 @@
             final HeldShares held = new HeldShares(address, TOLERANCE, now());
             mQuotas = new CustomerQuotas(name(), held, this, new Random(mRandom.nextLong()));
             mQuotas.configure(mCustomers, now());
-            held.tableRead(mTable, now());
+            held.updateTable(mTable, now());
         }
 
         private String name() {
             return mAddress.getPort() + "." + mIncarnation;
         }
 
-        private boolean isCutOff() {
+        private boolean isInMinority() {
             return mAddress.getPort() % 3 == 0;
         }
 
-        private Moment now() {
+        private ClockReading now() {
             final Instant instant = START.plusNanos(mNowMicros * 1_000);
-            return new Moment(instant.minusNanos(mSuspendedMicros * 1_000), instant);
+            return new ClockReading(instant.minusNanos(mSuspendedMicros * 1_000), instant);
         }
 
         @Override
-        public void ask(final InetSocketAddress holder, final TokenAsk ask) {
+        public void sendRequest(final InetSocketAddress holder, final TokenRequest ask) {
             final Daemon to = at(holder);
             send(
                     this,
                     to,
                     () -> {
-                        final TokenAnswer answer = to.mQuotas.held().answer(name(), ask, to.now());
-                        send(to, this, () -> mQuotas.answered(answer, now()));
+                        final TokenResponse answer =
+                                to.mQuotas.heldShares().handleRequest(name(), ask, to.now());
+                        send(to, this, () -> mQuotas.handleResponse(answer, now()));
                     });
         }
 
         @Override
-        public void giveBack(final InetSocketAddress holder, final TokenAsk ask) {
+        public void sendReturn(final InetSocketAddress holder, final TokenRequest ask) {
             final Daemon to = at(holder);
-            send(this, to, () -> to.mQuotas.held().giveBack(name(), ask, to.now()));
+            send(this, to, () -> to.mQuotas.heldShares().returnTokens(name(), ask, to.now()));
         }
 
         @Override
-        public void checkAfter(final Duration delay) {
-            later(delay.toNanos() / 1_000, () -> arrive(this, () -> mQuotas.checkAnswers(now())));
+        public void scheduleTimeoutCheck(final Duration delay) {
+            scheduleIn(
+                    delay.toNanos() / 1_000,
+                    () -> deliver(this, () -> mQuotas.checkTimeouts(now())));
         }
     }
 }
