--- a/gateway/src/main/java/org/whinhead/gateway/duty/CapacityDuty.java
+++ b/gateway/src/main/java/org/whinhead/gateway/duty/CapacityDuty.java
@@ -69,7 +69,7 @@
                         .current()
                         .flatMap(configuration -> configuration.service(order.service()));
         if (service.isPresent() && mToken.get().isEmpty()) {
-            mPlanner.orderedElsewhere(service.get(), order, mState.clock().instant());
+            mPlanner.recordPeerOrder(service.get(), order, mState.clock().instant());
         }
     }
 
@@ -102,7 +102,7 @@
     }
 
     private List<EndpointEntry> capacity(final String service) {
-        return mState.rollouts().capacity(service, mState.endpoints().usable(service));
+        return mState.rollouts().capacityEndpoints(service, mState.endpoints().usable(service));
     }
 
     /**
@@ -126,7 +126,7 @@
 
     /** Notes what callers have asked so far; to be called at each tick of every daemon. */
     void meterDemand() {
-        mDemand.total(
+        mDemand.addTotal(
                 mState.quotas().offered().byAll(),
                 mState.quotas().offered().usualTokens(),
                 mState.clock().instant());
@@ -135,8 +135,8 @@
     private CapacityPlanner.Load load(final String service) {
         return new CapacityPlanner.Load(
                 mDemand.tokensPerSecond(),
-                mDemand.atLeast(),
-                mState.chooser().speed(service).tokensPerMillisecond() * MILLIS_PER_SECOND);
+                mDemand.minimumTokensPerSecond(),
+                mState.chooser().prefillRate(service).tokensPerMillisecond() * MILLIS_PER_SECOND);
     }
 
     /**
@@ -162,7 +162,7 @@
                 .whenComplete(
                         (taken, failure) -> {
                             if (failure == null) {
-                                mPlanner.answered(order, taken);
+                                mPlanner.recordAnswer(order, taken);
                             }
                             if (failure == null && taken) {
                                 mOnOrdered.accept(order);
--- a/gateway/src/main/java/org/whinhead/gateway/exchange/Exchange.java
+++ b/gateway/src/main/java/org/whinhead/gateway/exchange/Exchange.java
@@ -75,7 +75,7 @@
         mAdmission = admission;
         mBody = body;
         mAnswer = answer;
-        mService = admission.route().service(admission.request().id().hashCode());
+        mService = admission.route().selectService(admission.request().id().hashCode());
         mRelay =
                 new AnswerRelay(
                         answer,
@@ -171,7 +171,7 @@
 
     private void watchPatience() {
         final Route route = mAdmission.route();
-        if (!route.mayRunAgain() || route.kind().isStream() || mSends >= route.maxAttempts()) {
+        if (!route.canRunAgain() || route.kind().isStream() || mSends >= route.maxAttempts()) {
             return;
         }
         final int dispatch = mDispatch;
@@ -182,7 +182,7 @@
         if (mDone || dispatch != mDispatch || mRelay.head() != null || !mayRetry()) {
             return;
         }
-        mPlacement.load().outcome(true);
+        mPlacement.load().recordOutcome(true);
         mTrial.outOfPatience();
         mEnding.mayHaveRun();
         leaveEndpoint();
@@ -193,8 +193,8 @@
         if (mDone || dispatch != mDispatch) {
             return;
         }
-        mPlacement.load().unreachable(now());
-        mPlacement.ended();
+        mPlacement.load().recordUnreachable(now());
+        mPlacement.release();
         mConnectFailures++;
         if (mConnectFailures >= MOST_CONNECT_FAILURES) {
             giveUp("endpoints not reachable");
@@ -206,18 +206,18 @@
     @Override
     public void head(final EndpointAnswer answer) {
         if (answer.otherEndpoint()) {
-            mExchanges.state().endpoints().replacedAtAddress(mPlacement.endpoint().id());
+            mExchanges.state().endpoints().markReplaced(mPlacement.endpoint().id());
         }
         final Optional<AnswerFault> fault =
                 AnswerFault.of(answer, mAdmission.request().id(), mRelay.isStarted());
         if (fault.isPresent()) {
             mTrial.spoiled(fault.get().verdict());
             attemptFailed(fault.get().verdict(), fault.get().reason());
-        } else if (answer.isServerError() && mAdmission.route().mayRunAgain() && mayRetry()) {
+        } else if (answer.isServerError() && mAdmission.route().canRunAgain() && mayRetry()) {
             mUsage.ran(mSentAt);
             mTrial.answered(true);
             mEnding.mayHaveRun();
-            mPlacement.load().outcome(true);
+            mPlacement.load().recordOutcome(true);
             leaveEndpoint();
             dispatch();
         } else {
@@ -232,7 +232,7 @@
 
     @Override
     public void generating() {
-        mPlacement.firstToken(now());
+        mPlacement.recordFirstToken(now());
         mTrial.firstToken();
         mUsage.ran(mSentAt);
     }
@@ -260,7 +260,7 @@
         dropMove();
         mUsage.ran(mSentAt);
         mRelay.passRest();
-        mPlacement.load().outcome(head.isServerError());
+        mPlacement.load().recordOutcome(head.isServerError());
         mTrial.answered(head.isServerError());
         done(head.isSuccess() ? "answered" : "answered with a failure", head.status().code());
         mAnswer.finish();
@@ -278,14 +278,14 @@
     }
 
     private void attemptFailed(final Verdict verdict, final String reason) {
-        mPlacement.load().outcome(true);
+        mPlacement.load().recordOutcome(true);
         if (verdict != Verdict.NOT_RUN) {
             mEnding.mayHaveRun();
         }
         mExchanges.journal().attemptFailed(mAdmission, mPlacement.endpoint(), verdict, reason);
         leaveEndpoint();
         final boolean begun = mRelay.isStarted() || verdict != Verdict.NOT_RUN;
-        final boolean allowed = !begun || mAdmission.route().mayRunAgain();
+        final boolean allowed = !begun || mAdmission.route().canRunAgain();
         if (allowed && mayRetry()) {
             dispatch();
         } else {
@@ -325,7 +325,7 @@
         final boolean otherLeft =
                 mExchanges.state().candidatesAgain(mService, mAdmission.request().id()).stream()
                         .anyMatch(candidate -> !mTried.contains(candidate.id()));
-        if (otherLeft && mAdmission.route().mayRunAgain() && mayRetry()) {
+        if (otherLeft && mAdmission.route().canRunAgain() && mayRetry()) {
             mEnding.mayHaveRun();
             leaveEndpoint();
             dispatch();
@@ -337,7 +337,7 @@
         mMove = null;
         leaveEndpoint();
         mPlacement = at;
-        at.promptHeld();
+        at.skipPrefill();
         mTried.add(at.endpoint().id());
         mContinued = run;
         open();
@@ -372,7 +372,7 @@
             mConnection = null;
         }
         if (mPlacement != null) {
-            mPlacement.ended();
+            mPlacement.release();
         }
         mTrial.left();
         mDispatch++;
--- a/gateway/src/main/java/org/whinhead/gateway/exchange/RunMove.java
+++ b/gateway/src/main/java/org/whinhead/gateway/exchange/RunMove.java
@@ -74,7 +74,7 @@
             return Optional.empty();
         }
         if (!state.retryBudget().tryRetry(service, now)) {
-            target.get().ended();
+            target.get().release();
             return Optional.empty();
         }
         final RunMove move = new RunMove(exchanges, admission, source, target.get(), owner);
@@ -125,6 +125,6 @@
     /** Gives the move up. */
     void cancel() {
         mOver = true;
-        mTarget.ended();
+        mTarget.release();
     }
 }
--- a/gateway/src/main/java/org/whinhead/gateway/exchange/TrialMark.java
+++ b/gateway/src/main/java/org/whinhead/gateway/exchange/TrialMark.java
@@ -6,7 +6,7 @@
 import org.whinhead.api.verdict.Verdict;
 import org.whinhead.gateway.endpoint.EndpointFailure;
 import org.whinhead.serving.balance.Placement;
-import org.whinhead.serving.rollout.Trial;
+import org.whinhead.serving.rollout.RolloutAttempt;
 import org.whinhead.serving.route.Route;
 
 /** Tells a roll-out what became of one request's sends, as far as that speaks of a version. */
@@ -14,7 +14,7 @@
 
     private final ServingState mState;
     private final Route mRoute;
-    private Optional<Trial> mTrial = Optional.empty();
+    private Optional<RolloutAttempt> mTrial = Optional.empty();
     private Instant mSentAt;
     private Duration mReading = Duration.ZERO;
 
@@ -25,8 +25,8 @@
 
     void sent(final Placement placement) {
         mSentAt = mState.clock().instant();
-        mTrial = mState.rollouts().sent(mRoute.name(), placement.endpoint());
-        mReading = placement.expectedReading();
+        mTrial = mState.rollouts().startAttempt(mRoute.name(), placement.endpoint());
+        mReading = placement.expectedPrefill();
     }
 
     /**
@@ -40,7 +40,7 @@
     /** Notes a whole answer. */
     void answered(final boolean failure) {
         if (failure) {
-            mTrial.ifPresent(Trial::failed);
+            mTrial.ifPresent(RolloutAttempt::recordFailure);
         } else {
             answeredIn(elapsed());
         }
@@ -49,14 +49,14 @@
     /** Notes an answer that can't go to the caller. */
     void spoiled(final Verdict verdict) {
         if (verdict != Verdict.NOT_RUN) {
-            mTrial.ifPresent(Trial::failed);
+            mTrial.ifPresent(RolloutAttempt::recordFailure);
         }
     }
 
     /** Notes the end of a connection; only bytes that are no answer speak of the version. */
     void connectionFailed(final EndpointFailure failure) {
         if (failure == EndpointFailure.NOT_HTTP) {
-            mTrial.ifPresent(Trial::failed);
+            mTrial.ifPresent(RolloutAttempt::recordFailure);
         }
     }
 
@@ -73,7 +73,7 @@
     }
 
     private void answeredIn(final Duration taken) {
-        mTrial.ifPresent(trial -> trial.answered(taken.isNegative() ? Duration.ZERO : taken));
+        mTrial.ifPresent(trial -> trial.recordAnswer(taken.isNegative() ? Duration.ZERO : taken));
     }
 
     private Duration elapsed() {
--- a/gateway/src/main/java/org/whinhead/gateway/peers/ReportContent.java
+++ b/gateway/src/main/java/org/whinhead/gateway/peers/ReportContent.java
@@ -118,7 +118,7 @@
         mState.chooser().forgetPeer(report.getName());
         for (final EndpointShare share : report.getSharesList()) {
             mState.chooser()
-                    .peerLoad(
+                    .updatePeerLoad(
                             report.getName(),
                             share.getEndpoint(),
                             share.getRunning(),
--- a/gateway/src/main/java/org/whinhead/gateway/peers/RolloutMessages.java
+++ b/gateway/src/main/java/org/whinhead/gateway/peers/RolloutMessages.java
@@ -62,7 +62,7 @@
             record.addOutcomes(
                     RouteOutcomesRecord.newBuilder()
                             .setRoute(outcomes.route())
-                            .setOnTrial(outcomes.onTrial())
+                            .setOnTrial(outcomes.canary())
                             .setSent(outcomes.sent())
                             .setFailed(outcomes.failed())
                             .addAllTimes(outcomes.times()));
--- a/gateway/src/main/java/org/whinhead/gateway/peers/StoreDigests.java
+++ b/gateway/src/main/java/org/whinhead/gateway/peers/StoreDigests.java
@@ -104,13 +104,13 @@
             case CONFIGURATION ->
                     digest.getConfigurationFresh()
                             && digest.getConfigurationVersion() <= version()
-                            && digest.getRolloutOffset() <= mState.rollouts().newestOffset();
+                            && digest.getRolloutOffset() <= mState.rollouts().newestOrderOffset();
             default -> false;
         };
     }
 
     private boolean sameEndpoints(final StoreDigest digest) {
-        return digest.getEndpointsHash() == mState.endpoints().summary();
+        return digest.getEndpointsHash() == mState.endpoints().digest();
     }
 
     private long version() {
@@ -128,10 +128,10 @@
      */
     StoreDigest digest() {
         return StoreDigest.newBuilder()
-                .setEndpointsHash(mState.endpoints().summary())
+                .setEndpointsHash(mState.endpoints().digest())
                 .setEndpointsEnd(mEndpointsEnd)
                 .setConfigurationVersion(version())
-                .setRolloutOffset(mState.rollouts().newestOffset())
+                .setRolloutOffset(mState.rollouts().newestOrderOffset())
                 .setConfigurationFresh(
                         mConfigurationReadAt.isAfter(now().minus(CONFIGURATION_FRESH_FOR)))
                 .build();
@@ -152,7 +152,7 @@
             mSkip.accept(mEndpointsEnd);
         }
         if (digest.getConfigurationVersion() > version()
-                || digest.getRolloutOffset() > mState.rollouts().newestOffset()) {
+                || digest.getRolloutOffset() > mState.rollouts().newestOrderOffset()) {
             mWake.accept(StoreTopic.CONFIGURATION);
         }
     }
--- a/gateway/src/main/java/org/whinhead/gateway/rollout/RolloutDuty.java
+++ b/gateway/src/main/java/org/whinhead/gateway/rollout/RolloutDuty.java
@@ -106,7 +106,7 @@
 
     /** Does what is due; to be called some times a second. */
     public void tick() {
-        final List<RolloutOrder> open = mState.rollouts().open();
+        final List<RolloutOrder> open = mState.rollouts().openOrders();
         if (open.isEmpty() && !mHolder.isBusy()) {
             return;
         }
@@ -157,17 +157,17 @@
     }
 
     private void recorded(final RolloutRecord record) {
-        mState.rollouts().recorded(record);
+        mState.rollouts().applyRecord(record);
     }
 
     private void tellHolder(final boolean isHolder, final Instant now) {
         final String self = mMembers.self().incarnation();
-        final List<RolloutEvidence> all = mState.rollouts().evidence(self);
+        final List<RolloutEvidence> all = mState.rollouts().collectEvidence(self);
         if (isHolder) {
             all.forEach(mHolder::evidence);
             return;
         }
-        final long bad = all.stream().mapToLong(RolloutEvidence::failedOnTrial).sum();
+        final long bad = all.stream().mapToLong(RolloutEvidence::canaryFailures).sum();
         if (mHolderAddress.isEmpty() || (now.isBefore(mNextEvidence) && bad == mBadTold)) {
             return;
         }
@@ -193,7 +193,7 @@
     }
 
     private void follow(final RolloutStep step) {
-        mState.rollouts().step(step, mState.clock().instant());
+        mState.rollouts().applyStep(step, mState.clock().instant());
         mTakesOver = !step.oldStopsIn().isZero();
         if (!step.oldStopsIn().isZero() && mMoved.add(step.order())) {
             moveRuns(step);
@@ -203,7 +203,7 @@
     /** Has the runs at old endpoints moved: those stop without waiting for what they work on. */
     private void moveRuns(final RolloutStep step) {
         mState.rollouts()
-                .replaced(step.service(), mState.endpoints().usable(step.service()))
+                .replacedEndpoints(step.service(), mState.endpoints().usable(step.service()))
                 .forEach(entry -> mMoveRuns.accept(entry.id(), Optional.of(step.oldStopsIn())));
     }
 
--- a/gateway/src/main/java/org/whinhead/gateway/rollout/RolloutHolder.java
+++ b/gateway/src/main/java/org/whinhead/gateway/rollout/RolloutHolder.java
@@ -62,7 +62,7 @@
 
     void evidence(final RolloutEvidence evidence) {
         Optional.ofNullable(mHeld.get(evidence.service()))
-                .ifPresent(held -> held.controller().evidence(evidence));
+                .ifPresent(held -> held.controller().addEvidence(evidence));
     }
 
     /** Tells whether there is something left to decide or to tell. */
@@ -89,7 +89,7 @@
             return;
         }
         final Instant now = now();
-        mState.rollouts().open().forEach(order -> hold(order, now));
+        mState.rollouts().openOrders().forEach(order -> hold(order, now));
         for (final HeldRollout held : mHeld.values()) {
             decide(held, now);
             write(held, now);
@@ -117,7 +117,7 @@
     private void resume(final Map<String, RolloutRecord> records) {
         mRead = true;
         final Instant now = now();
-        for (final RolloutOrder order : mState.rollouts().open()) {
+        for (final RolloutOrder order : mState.rollouts().openOrders()) {
             final RolloutRecord record = records.get(order.service());
             if (record != null && record.order() == order.offset()) {
                 resume(order, record, now);
@@ -133,8 +133,8 @@
         final HeldRollout held = new HeldRollout(controller, record);
         held.recorded(record);
         if (record.state().isFinal()) {
-            controller.ended(record.state());
-            mState.rollouts().recorded(record);
+            controller.adoptFinalState(record.state());
+            mState.rollouts().applyRecord(record);
         }
         mHeld.put(order.service(), held);
         LOG.atInfo()
@@ -219,7 +219,7 @@
         mBusy = false;
         if (failure == null && newest) {
             held.recorded(record);
-            mState.rollouts().recorded(record);
+            mState.rollouts().applyRecord(record);
             mNextStep = Instant.EPOCH;
             write(held, now());
         } else {
@@ -269,8 +269,8 @@
             if (record != null && record.order() == held.wanted().order()) {
                 held.recorded(record);
                 if (record.state().isFinal()) {
-                    held.controller().ended(record.state());
-                    mState.rollouts().recorded(record);
+                    held.controller().adoptFinalState(record.state());
+                    mState.rollouts().applyRecord(record);
                 }
             }
         }
--- a/gateway/src/main/java/org/whinhead/gateway/store/ConfigurationWatch.java
+++ b/gateway/src/main/java/org/whinhead/gateway/store/ConfigurationWatch.java
@@ -85,7 +85,7 @@
         try {
             mRollouts
                     .order(record)
-                    .filter(mState.rollouts()::ordered)
+                    .filter(mState.rollouts()::addOrder)
                     .ifPresent(
                             order -> {
                                 LOG.atInfo()
--- a/gateway/src/main/java/org/whinhead/gateway/store/EndpointWatch.java
+++ b/gateway/src/main/java/org/whinhead/gateway/store/EndpointWatch.java
@@ -178,7 +178,7 @@
 
     private boolean takeUnreadable(
             final StoreRecord record, final UnreadableRecordException cause) {
-        final boolean wasUsable = registry().unreadable(record.key(), record.offset());
+        final boolean wasUsable = registry().markUnreadable(record.key(), record.offset());
         if (wasUsable || mUnreadable.add(record.key())) {
             LOG.atWarn()
                     .addKeyValue("endpoint", record.key())
@@ -215,7 +215,7 @@
                     .addKeyValue("offset", change.offset())
                     .log("endpoint changed");
             if (entry.leaving()) {
-                mState.leaving().noticed(entry, now());
+                mState.leaving().addNotice(entry, now());
                 mOnLeaving.accept(entry);
             }
         }
@@ -229,11 +229,11 @@
 
     private boolean removedForOthers(final EndpointChange change) {
         final Optional<EndpointEntry> before = registry().find(change.id());
-        return registry().removedForOthers(change.id(), change.offset()) && removed(change, before);
+        return registry().removeConfirmed(change.id(), change.offset()) && removed(change, before);
     }
 
     private boolean removed(final EndpointChange change, final Optional<EndpointEntry> before) {
-        mState.leaving().gone(change.id());
+        mState.leaving().remove(change.id());
         before.ifPresent(mOnLeaving);
         LOG.atInfo()
                 .addKeyValue("endpoint", change.id())
@@ -248,7 +248,7 @@
                 registry().all().stream().map(EndpointEntry::id).collect(Collectors.toSet());
         mState.chooser().retain(known);
         mConnections.retain(known);
-        mState.rollouts().listed(registry().all(), now());
+        mState.rollouts().observeEndpoints(registry().all(), now());
     }
 
     /**
@@ -263,7 +263,7 @@
 
     @Override
     public void unreachable(final Throwable cause) {
-        registry().storeUnreachable(now());
+        registry().recordOutage(now());
     }
 
     private EndpointRegistry registry() {
--- a/gateway/src/test/java/org/whinhead/gateway/rollout/RolloutHolderTest.java
+++ b/gateway/src/test/java/org/whinhead/gateway/rollout/RolloutHolderTest.java
@@ -121,7 +121,7 @@
 
     @BeforeEach
     void order() {
-        mState.rollouts().ordered(ORDER);
+        mState.rollouts().addOrder(ORDER);
     }
 
     private void tickUntil(final RolloutHolder holder, final long token, final long millis) {
@@ -183,7 +183,7 @@
     void pausedHolderTakesTheEndThatIsRecorded() {
         tickUntil(mHolder, 1, 5_000);
         final ServingState otherState = TestServing.state(() -> mNow);
-        otherState.rollouts().ordered(ORDER);
+        otherState.rollouts().addOrder(ORDER);
         final List<RolloutStep> otherSteps = new ArrayList<>();
         final RolloutHolder other = holder(otherState, otherSteps);
         tickUntil(other, 2, 13_000);
@@ -193,7 +193,7 @@
         tickUntil(mHolder, 1, 14_000);
 
         assertThat(mStore.records(StoreTopic.ROLLOUTS)).hasSize(2);
-        assertThat(mState.rollouts().open()).isEmpty();
+        assertThat(mState.rollouts().openOrders()).isEmpty();
     }
 
     /** The next holder counts the time budget from the order, not from its own start. */
@@ -201,7 +201,7 @@
     void nextHolderKeepsTheTimeBudget() {
         tickUntil(mHolder, 1, 8_000);
         final ServingState otherState = TestServing.state(() -> mNow);
-        otherState.rollouts().ordered(ORDER);
+        otherState.rollouts().addOrder(ORDER);
         final RolloutHolder other = holder(otherState, new ArrayList<>());
         tickUntil(other, 2, 12_400);
 
--- a/gateway/src/test/java/org/whinhead/gateway/store/EndpointWatchTest.java
+++ b/gateway/src/test/java/org/whinhead/gateway/store/EndpointWatchTest.java
@@ -92,7 +92,7 @@
         other.mWatch.passedOn(changes);
         other.mWatch.passedOn(changes);
         assertThat(other.mLeaving).containsExactly("e1");
-        assertThat(other.mState.endpoints().summary()).isEqualTo(mState.endpoints().summary());
+        assertThat(other.mState.endpoints().digest()).isEqualTo(mState.endpoints().digest());
     }
 
     // A server is back under its old entry although it was removed: a daemon learned of the removal
--- a/serving/src/main/java/org/whinhead/serving/balance/CandidateSampler.java
+++ b/serving/src/main/java/org/whinhead/serving/balance/CandidateSampler.java
@@ -21,10 +21,10 @@
 final class CandidateSampler {
 
     /** How many endpoints are compared; the only number that was tried against all. */
-    private static final int SAMPLE = 4;
+    private static final int SAMPLE_SIZE = 4;
 
     /** How many of them are of other failure domains, if the request has no home. */
-    private static final int OTHER_DOMAINS = 1;
+    private static final int OTHER_DOMAIN_CANDIDATES = 1;
 
     /** An odd constant with evenly spread bits: 2 to the 64 over the golden ratio. */
     private static final long SPREAD_FACTOR = 0x9E3779B97F4A7C15L;
@@ -45,11 +45,12 @@
      * @param session names the session
      * @return the picked ones, the session's home first
      */
-    List<EndpointEntry> ofSession(final List<EndpointEntry> candidates, final String session) {
+    List<EndpointEntry> sampleForSession(
+            final List<EndpointEntry> candidates, final String session) {
         return candidates.stream()
                 .map(candidate -> new Ranked(candidate, hash(candidate.id() + '/' + session)))
                 .sorted(Comparator.comparingLong(Ranked::hash).reversed())
-                .limit(SAMPLE)
+                .limit(SAMPLE_SIZE)
                 .map(Ranked::endpoint)
                 .toList();
     }
@@ -60,15 +61,15 @@
      * @param candidates the endpoints to pick from
      * @return the picked ones, in no order
      */
-    List<EndpointEntry> ofAny(final List<EndpointEntry> candidates) {
+    List<EndpointEntry> sampleAny(final List<EndpointEntry> candidates) {
         final List<EndpointEntry> near = new ArrayList<>();
         final List<EndpointEntry> far = new ArrayList<>();
         for (final EndpointEntry candidate : candidates) {
             (candidate.domain().equals(mOwnDomain) ? near : far).add(candidate);
         }
-        final List<EndpointEntry> sample = new ArrayList<>(SAMPLE);
-        draw(far, Math.max(OTHER_DOMAINS, SAMPLE - near.size()), sample);
-        draw(near, SAMPLE - sample.size(), sample);
+        final List<EndpointEntry> sample = new ArrayList<>(SAMPLE_SIZE);
+        draw(far, Math.max(OTHER_DOMAIN_CANDIDATES, SAMPLE_SIZE - near.size()), sample);
+        draw(near, SAMPLE_SIZE - sample.size(), sample);
         return sample;
     }
 
--- a/serving/src/main/java/org/whinhead/serving/balance/EndpointChooser.java
+++ b/serving/src/main/java/org/whinhead/serving/balance/EndpointChooser.java
@@ -24,38 +24,38 @@
 public final class EndpointChooser {
 
     /** What a request that runs beside another one delays it by; from the engines' data sheet. */
-    private static final double RUNNING_MILLISECONDS = 2.0;
+    private static final double RUNNING_REQUEST_MILLIS = 2.0;
 
     /** What a plain service's request waits for each other one, relative to its places. */
-    private static final double PLACE_MILLISECONDS = 60.0;
+    private static final double SLOT_MILLIS = 60.0;
 
     /** What a call to another failure domain costs: its way, and bytes that are billed. */
-    private static final double OTHER_DOMAIN_MILLISECONDS = 6.0;
+    private static final double OTHER_DOMAIN_MILLIS = 6.0;
 
     /** What an endpoint that fails all its requests is put behind. */
-    private static final double FAILURE_MILLISECONDS = 2_000.0;
+    private static final double FAILURE_MILLIS = 2_000.0;
 
     /**
      * Share of shared tokens taken as cached at a session's home, though nothing was sent there.
      */
-    private static final double HOME_CONFIDENCE = 0.9;
+    private static final double HOME_CACHED_SHARE = 0.9;
 
     /** Tokens of prompts that an engine keeps beside the running requests. */
-    private static final long PREFIX_CAPACITY = 200_000;
+    private static final long PREFIX_CACHE_TOKENS = 200_000;
 
     /** Shared tokens from which it pays to go to the session's home: 26 ms of reading. */
-    private static final int LEAST_SHARED_TOKENS = 1_000;
+    private static final int MIN_SHARED_TOKENS = 1_000;
 
     /**
      * Shared tokens from which a copy pays. A copy has a fixed cost of some milliseconds at the
      * engine, in which it reads 150 to 200 tokens.
      */
-    private static final int LEAST_COPIED_TOKENS = 200;
+    private static final int MIN_COPIED_TOKENS = 200;
 
     private final String mOwnDomain;
     private final CandidateSampler mSampler;
     private final Map<String, EndpointLoad> mLoads = new HashMap<>();
-    private final Map<String, ReadingSpeed> mSpeeds = new HashMap<>();
+    private final Map<String, PrefillRate> mPrefillRates = new HashMap<>();
 
     /**
      * Makes a chooser that knows no load.
@@ -87,8 +87,10 @@
         final List<EndpointEntry> untried =
                 candidates.stream().filter(candidate -> !tried.contains(candidate.id())).toList();
         final List<EndpointEntry> open =
-                untried.stream().filter(candidate -> load(candidate.id()).isOpen(now)).toList();
-        final EndpointEntry best = best(open.isEmpty() ? untried : open, work);
+                untried.stream()
+                        .filter(candidate -> load(candidate.id()).isAvailable(now))
+                        .toList();
+        final EndpointEntry best = findBest(open.isEmpty() ? untried : open, work);
         if (best == null) {
             return Optional.empty();
         }
@@ -100,10 +102,10 @@
                         load.cachedTokens(work),
                         source.map(endpoint -> load(endpoint.id()).cachedTokens(work)).orElse(0));
         final int unread = Math.max(work.promptTokens() - cached, 0);
-        load.started(work, unread);
+        load.recordStart(work, unread);
         final Duration reading =
                 Duration.ofMillis(
-                        Math.round(unread / speed(best.service()).tokensPerMillisecond()));
+                        Math.round(unread / prefillRate(best.service()).tokensPerMillisecond()));
         return Optional.of(
                 new Placement(
                         best,
@@ -111,7 +113,7 @@
                         unread,
                         source,
                         reading,
-                        speedSample(best.service(), work, now)));
+                        prefillSampler(best.service(), work, now)));
     }
 
     /**
@@ -121,11 +123,11 @@
      */
     private Optional<EndpointEntry> promptSource(
             final List<EndpointEntry> open, final EndpointEntry chosen, final Work work) {
-        if (open.isEmpty() || work.sharedTokens() < LEAST_COPIED_TOKENS) {
+        if (open.isEmpty() || work.sharedTokens() < MIN_COPIED_TOKENS) {
             return Optional.empty();
         }
         EndpointEntry source = null;
-        int most = load(chosen.id()).cachedTokens(work) + LEAST_COPIED_TOKENS - 1;
+        int most = load(chosen.id()).cachedTokens(work) + MIN_COPIED_TOKENS - 1;
         for (final EndpointEntry candidate : open) {
             final int cached = load(candidate.id()).cachedTokens(work);
             if (cached > most) {
@@ -134,16 +136,16 @@
             }
         }
         if (source == null && most < work.sharedTokens()) {
-            source = mSampler.ofSession(open, work.session()).get(0);
+            source = mSampler.sampleForSession(open, work.session()).get(0);
         }
         return Optional.ofNullable(source).filter(endpoint -> endpoint != chosen);
     }
 
-    private Consumer<Instant> speedSample(
+    private Consumer<Instant> prefillSampler(
             final String service, final Work work, final Instant sentAt) {
         final int unshared = work.promptTokens() - work.sharedTokens();
         return firstTokenAt ->
-                speed(service).sample(unshared, Duration.between(sentAt, firstTokenAt));
+                prefillRate(service).addSample(unshared, Duration.between(sentAt, firstTokenAt));
     }
 
     /**
@@ -152,16 +154,16 @@
      * @param service the service
      * @return how fast one of them reads prompts
      */
-    public ReadingSpeed speed(final String service) {
-        return mSpeeds.computeIfAbsent(service, name -> new ReadingSpeed());
+    public PrefillRate prefillRate(final String service) {
+        return mPrefillRates.computeIfAbsent(service, name -> new PrefillRate());
     }
 
-    private EndpointEntry best(final List<EndpointEntry> candidates, final Work work) {
-        final boolean hasHome = work.sharedTokens() >= LEAST_SHARED_TOKENS;
+    private EndpointEntry findBest(final List<EndpointEntry> candidates, final Work work) {
+        final boolean hasHome = work.sharedTokens() >= MIN_SHARED_TOKENS;
         final List<EndpointEntry> sample =
                 hasHome
-                        ? mSampler.ofSession(candidates, work.session())
-                        : mSampler.ofAny(candidates);
+                        ? mSampler.sampleForSession(candidates, work.session())
+                        : mSampler.sampleAny(candidates);
         EndpointEntry best = null;
         double least = Double.MAX_VALUE;
         for (final EndpointEntry candidate : sample) {
@@ -177,22 +179,22 @@
 
     private double expectedWait(final EndpointEntry endpoint, final Work work, final boolean home) {
         final EndpointLoad load = load(endpoint.id());
-        double wait = load.failureShare() * load.failureShare() * FAILURE_MILLISECONDS;
+        double wait = load.failureShare() * load.failureShare() * FAILURE_MILLIS;
         if (!endpoint.domain().equals(mOwnDomain)) {
-            wait += OTHER_DOMAIN_MILLISECONDS;
+            wait += OTHER_DOMAIN_MILLIS;
         }
         wait += Math.min(endpoint.coldFor().toMillis(), 200);
         if (work.promptTokens() == 0) {
-            return wait + PLACE_MILLISECONDS * load.running() / Math.max(endpoint.slots(), 1);
+            return wait + SLOT_MILLIS * load.running() / Math.max(endpoint.slots(), 1);
         }
         double cached = load.cachedTokens(work);
         if (home) {
-            cached = Math.max(cached, HOME_CONFIDENCE * work.sharedTokens());
+            cached = Math.max(cached, HOME_CACHED_SHARE * work.sharedTokens());
         }
         wait +=
                 (load.promptTokens() + work.promptTokens() - cached)
-                        / speed(endpoint.service()).tokensPerMillisecond();
-        return wait + RUNNING_MILLISECONDS * load.running();
+                        / prefillRate(endpoint.service()).tokensPerMillisecond();
+        return wait + RUNNING_REQUEST_MILLIS * load.running();
     }
 
     /**
@@ -202,7 +204,7 @@
      * @return its load, empty at first
      */
     public EndpointLoad load(final String endpoint) {
-        return mLoads.computeIfAbsent(endpoint, id -> new EndpointLoad(PREFIX_CAPACITY));
+        return mLoads.computeIfAbsent(endpoint, id -> new EndpointLoad(PREFIX_CACHE_TOKENS));
     }
 
     /**
@@ -213,12 +215,12 @@
      * @param running its requests there
      * @param promptTokens their prompt tokens that are still to be read
      */
-    public void peerLoad(
+    public void updatePeerLoad(
             final String daemon,
             final String endpoint,
             final int running,
             final long promptTokens) {
-        load(endpoint).peer(daemon, running, promptTokens);
+        load(endpoint).updatePeer(daemon, running, promptTokens);
     }
 
     /**
--- a/serving/src/main/java/org/whinhead/serving/balance/EndpointLoad.java
+++ b/serving/src/main/java/org/whinhead/serving/balance/EndpointLoad.java
@@ -17,34 +17,34 @@
     /** The longest time without new work: an endpoint that is back is found within it. */
     private static final Duration LONGEST_BACKOFF = Duration.ofSeconds(2);
 
-    private final PrefixMemory mPrefixes;
-    private final Map<String, Share> mPeers = new HashMap<>();
+    private final PrefixCacheModel mPrefixCache;
+    private final Map<String, PeerLoad> mPeers = new HashMap<>();
     private int mRunning;
     private long mPromptTokens;
     private double mFailureShare;
     private int mUnreachableCount;
-    private Instant mOpenAgainAt = Instant.EPOCH;
+    private Instant mAvailableAt = Instant.EPOCH;
 
     EndpointLoad(final long prefixCapacity) {
-        mPrefixes = new PrefixMemory(prefixCapacity);
+        mPrefixCache = new PrefixCacheModel(prefixCapacity);
     }
 
-    void started(final Work work, final int unreadTokens) {
+    void recordStart(final Work work, final int unreadTokens) {
         mRunning++;
         mPromptTokens += unreadTokens;
-        mPrefixes.add(work);
+        mPrefixCache.add(work);
     }
 
-    void promptRead(final int unreadTokens) {
+    void recordPrefill(final int unreadTokens) {
         mPromptTokens -= unreadTokens;
     }
 
-    void ended() {
+    void recordEnd() {
         mRunning--;
     }
 
-    void peer(final String daemon, final int running, final long promptTokens) {
-        mPeers.put(daemon, new Share(running, promptTokens));
+    void updatePeer(final String daemon, final int running, final long promptTokens) {
+        mPeers.put(daemon, new PeerLoad(running, promptTokens));
     }
 
     void forgetPeer(final String daemon) {
@@ -56,11 +56,11 @@
      *
      * @param failed whether the endpoint failed the request
      */
-    public void outcome(final boolean failed) {
+    public void recordOutcome(final boolean failed) {
         mFailureShare += FAILURE_WEIGHT * ((failed ? 1 : 0) - mFailureShare);
         if (!failed) {
             mUnreachableCount = 0;
-            mOpenAgainAt = Instant.EPOCH;
+            mAvailableAt = Instant.EPOCH;
         }
     }
 
@@ -69,15 +69,15 @@
      *
      * @param now the time
      */
-    public void unreachable(final Instant now) {
+    public void recordUnreachable(final Instant now) {
         final long doubled = FIRST_BACKOFF.toMillis() << Math.min(mUnreachableCount, 3);
         mUnreachableCount++;
-        mOpenAgainAt = now.plusMillis(Math.min(doubled, LONGEST_BACKOFF.toMillis()));
-        outcome(true);
+        mAvailableAt = now.plusMillis(Math.min(doubled, LONGEST_BACKOFF.toMillis()));
+        recordOutcome(true);
     }
 
-    boolean isOpen(final Instant now) {
-        return !now.isBefore(mOpenAgainAt);
+    boolean isAvailable(final Instant now) {
+        return !now.isBefore(mAvailableAt);
     }
 
     public int ownRunning() {
@@ -89,11 +89,11 @@
     }
 
     int running() {
-        return mRunning + mPeers.values().stream().mapToInt(Share::running).sum();
+        return mRunning + mPeers.values().stream().mapToInt(PeerLoad::running).sum();
     }
 
     long promptTokens() {
-        return mPromptTokens + mPeers.values().stream().mapToLong(Share::promptTokens).sum();
+        return mPromptTokens + mPeers.values().stream().mapToLong(PeerLoad::promptTokens).sum();
     }
 
     double failureShare() {
@@ -101,8 +101,8 @@
     }
 
     int cachedTokens(final Work work) {
-        return mPrefixes.cachedTokens(work);
+        return mPrefixCache.cachedTokens(work);
     }
 
-    private record Share(int running, long promptTokens) {}
+    private record PeerLoad(int running, long promptTokens) {}
 }
--- a/serving/src/main/java/org/whinhead/serving/balance/Placement.java
+++ b/serving/src/main/java/org/whinhead/serving/balance/Placement.java
@@ -11,13 +11,13 @@
 
     private final EndpointEntry mEndpoint;
     private final EndpointLoad mLoad;
-    private final int mUnreadTokens;
+    private final int mPrefillTokens;
     private final Optional<EndpointEntry> mPromptSource;
-    private final Duration mExpectedReading;
+    private final Duration mExpectedPrefill;
     private final Consumer<Instant> mOnFirstToken;
-    private boolean mPromptHeld;
-    private boolean mRead;
-    private boolean mEnded;
+    private boolean mPrefillSkipped;
+    private boolean mPrefilled;
+    private boolean mReleased;
 
     Placement(
             final EndpointEntry endpoint,
@@ -28,9 +28,9 @@
             final Consumer<Instant> onFirstToken) {
         mEndpoint = endpoint;
         mLoad = load;
-        mUnreadTokens = unreadTokens;
+        mPrefillTokens = unreadTokens;
         mPromptSource = promptSource;
-        mExpectedReading = expectedReading;
+        mExpectedPrefill = expectedReading;
         mOnFirstToken = onFirstToken;
     }
 
@@ -52,8 +52,8 @@
      *
      * @return the time without waiting for others
      */
-    public Duration expectedReading() {
-        return mExpectedReading;
+    public Duration expectedPrefill() {
+        return mExpectedPrefill;
     }
 
     public EndpointLoad load() {
@@ -61,8 +61,8 @@
     }
 
     /** Notes that the endpoint got the prompt with a moved run, and need not read it. */
-    public void promptHeld() {
-        mPromptHeld = true;
+    public void skipPrefill() {
+        mPrefillSkipped = true;
     }
 
     /**
@@ -70,26 +70,26 @@
      *
      * @param now the time
      */
-    public void firstToken(final Instant now) {
-        if (!mRead && !mEnded && !mPromptHeld) {
+    public void recordFirstToken(final Instant now) {
+        if (!mPrefilled && !mReleased && !mPrefillSkipped) {
             mOnFirstToken.accept(now);
         }
-        promptRead();
+        finishPrefill();
     }
 
-    private void promptRead() {
-        if (!mRead) {
-            mRead = true;
-            mLoad.promptRead(mUnreadTokens);
+    private void finishPrefill() {
+        if (!mPrefilled) {
+            mPrefilled = true;
+            mLoad.recordPrefill(mPrefillTokens);
         }
     }
 
     /** Notes that the endpoint no longer works on the request. */
-    public void ended() {
-        if (!mEnded) {
-            mEnded = true;
-            promptRead();
-            mLoad.ended();
+    public void release() {
+        if (!mReleased) {
+            mReleased = true;
+            finishPrefill();
+            mLoad.recordEnd();
         }
     }
 }
--- a/serving/src/main/java/org/whinhead/serving/balance/ReadingSpeed.java
+++ b/serving/src/main/java/org/whinhead/serving/balance/PrefillRate.java
@@ -10,10 +10,10 @@
  * ever makes a sample too small; so a high quantile of them is followed. Under load the samples
  * shrink for everybody, and the same demand then needs more endpoints.
  */
-public final class ReadingSpeed {
+public final class PrefillRate {
 
     /** What is taken before anything was seen: tokens in a millisecond, by an engine's sheet. */
-    static final double INITIAL = 38.4;
+    static final double INITIAL_TOKENS_PER_MILLI = 38.4;
 
     /** The quantile that is followed; one sample in ten may be larger. */
     private static final double QUANTILE = 0.9;
@@ -22,14 +22,14 @@
     private static final double STEP = 0.04;
 
     /** Prompts that are shorter tell more of the fixed time to a first token than of the speed. */
-    private static final int LEAST_TOKENS = 2_000;
+    private static final int MIN_SAMPLE_TOKENS = 2_000;
 
     /** Bounds, so that no wrong sample makes one engine stand for many, or many for none. */
-    private static final double LEAST = INITIAL / 2;
+    private static final double MIN_TOKENS_PER_MILLI = INITIAL_TOKENS_PER_MILLI / 2;
 
-    private static final double MOST = INITIAL * 4;
+    private static final double MAX_TOKENS_PER_MILLI = INITIAL_TOKENS_PER_MILLI * 4;
 
-    private double mTokensPerMillisecond = INITIAL;
+    private double mTokensPerMillisecond = INITIAL_TOKENS_PER_MILLI;
 
     /**
      * Takes what a request took.
@@ -37,14 +37,15 @@
      * @param unsharedTokens the tokens of its prompt that surely had to be read
      * @param untilFirstToken the time from its dispatch to its first token
      */
-    void sample(final int unsharedTokens, final Duration untilFirstToken) {
-        if (unsharedTokens < LEAST_TOKENS) {
+    void addSample(final int unsharedTokens, final Duration untilFirstToken) {
+        if (unsharedTokens < MIN_SAMPLE_TOKENS) {
             return;
         }
         final double seen = (double) unsharedTokens / Math.max(untilFirstToken.toMillis(), 1);
         final double direction = seen > mTokensPerMillisecond ? QUANTILE : QUANTILE - 1;
         final double moved = mTokensPerMillisecond * (1 + STEP * direction);
-        mTokensPerMillisecond = Math.min(Math.max(moved, LEAST), MOST);
+        mTokensPerMillisecond =
+                Math.min(Math.max(moved, MIN_TOKENS_PER_MILLI), MAX_TOKENS_PER_MILLI);
     }
 
     /**
--- a/serving/src/main/java/org/whinhead/serving/balance/PrefixMemory.java
+++ b/serving/src/main/java/org/whinhead/serving/balance/PrefixCacheModel.java
@@ -5,14 +5,14 @@
 import java.util.Map;
 
 /** The prompt parts that an endpoint likely still has in memory, by what was sent to it. */
-final class PrefixMemory {
+final class PrefixCacheModel {
 
     private final LinkedHashMap<String, Integer> mParts = new LinkedHashMap<>(64, 0.75f, true);
-    private final long mCapacity;
+    private final long mCapacityTokens;
     private long mTokens;
 
-    PrefixMemory(final long capacity) {
-        mCapacity = capacity;
+    PrefixCacheModel(final long capacity) {
+        mCapacityTokens = capacity;
     }
 
     int cachedTokens(final Work work) {
@@ -34,7 +34,7 @@
             }
         }
         final Iterator<Map.Entry<String, Integer>> eldest = mParts.entrySet().iterator();
-        while (mTokens > mCapacity && eldest.hasNext()) {
+        while (mTokens > mCapacityTokens && eldest.hasNext()) {
             mTokens -= eldest.next().getValue();
             eldest.remove();
         }
--- a/serving/src/main/java/org/whinhead/serving/capacity/CapacityPlanner.java
+++ b/serving/src/main/java/org/whinhead/serving/capacity/CapacityPlanner.java
@@ -33,7 +33,7 @@
 public final class CapacityPlanner {
 
     /** How long an order that was refused rests before it is repeated. */
-    private static final Duration REPEAT_REFUSED = Duration.ofSeconds(3);
+    private static final Duration REFUSED_RETRY_DELAY = Duration.ofSeconds(3);
 
     /** What is added to the time that an endpoint takes to start, before its order is repeated. */
     private static final Duration BOOT_MARGIN = Duration.ofSeconds(2);
@@ -43,17 +43,17 @@
      * soon as others have replaced them: a deployment of 25 paid for all of its own until second 1
      * of traffic, a tenth of a calm day's worth.
      */
-    private static final Duration SURPLUS_FOR = Duration.ofSeconds(4);
+    private static final Duration SURPLUS_DELAY = Duration.ofSeconds(4);
 
     /** How far the need must fall before fewer endpoints are kept; they come and go in seconds. */
     private static final double NEED_SLACK = 1.3;
 
     /** Part of the endpoints present at the start that are taken as needed until traffic comes. */
-    private static final double INITIAL_NEED = 2.0 / 3;
+    private static final double INITIAL_NEED_SHARE = 2.0 / 3;
 
     private final CapacitySettings mSettings;
     private final Map<String, Map<String, DomainCapacity>> mServices = new HashMap<>();
-    private final Map<String, InitialList> mInitial = new HashMap<>();
+    private final Map<String, InitialEndpoints> mInitial = new HashMap<>();
     private final Map<String, Integer> mNeeds = new HashMap<>();
     private final Map<CapacityOrder, Instant> mSent = new HashMap<>();
     private final Set<CapacityOrder> mRefused = new HashSet<>();
@@ -75,11 +75,11 @@
      * @param atLeast tokens a second that they surely ask for; 0 if nothing was seen yet
      * @param tokensPerEndpoint tokens a second that one endpoint reads, as far as was learned
      */
-    public record Load(OptionalDouble demand, double atLeast, double tokensPerEndpoint) {
+    public record Load(OptionalDouble demand, double minimumDemand, double tokensPerEndpoint) {
 
         /** Tells whether callers were seen at all. */
         boolean isSeen() {
-            return demand.isPresent() || atLeast > 0;
+            return demand.isPresent() || minimumDemand > 0;
         }
     }
 
@@ -105,8 +105,8 @@
         if (domains.isEmpty()) {
             return List.of();
         }
-        final InitialList initial = initial(service.name(), limits, now);
-        initial.note(domains, now);
+        final InitialEndpoints initial = initial(service.name(), limits, now);
+        initial.update(domains, now);
         if (!load.isSeen() && !initial.isSettled(now)) {
             return List.of();
         }
@@ -117,13 +117,13 @@
                 Math.max(
                         (int) Math.ceil(need * mSettings.reserve() / domains.size()),
                         limits.least());
-        domains.forEach(domain -> domain.wantReclaimable(reclaimable));
-        final Duration surplusFor = load.isSeen() ? SURPLUS_FOR : Duration.ZERO;
+        domains.forEach(domain -> domain.setReclaimableTarget(reclaimable));
+        final Duration surplusFor = load.isSeen() ? SURPLUS_DELAY : Duration.ZERO;
         balanceOnDemand(service.name(), domains, limits, need, surplusFor, now);
         final List<CapacityOrder> orders = new ArrayList<>();
         for (final DomainCapacity domain : domains) {
-            add(orders, service, domain, true, domain.reclaimableGoal(), now);
-            add(orders, service, domain, false, domain.onDemandGoal(), now);
+            addOrder(orders, service, domain, true, domain.reclaimableTarget(), now);
+            addOrder(orders, service, domain, false, domain.onDemandTarget(), now);
         }
         return orders;
     }
@@ -143,10 +143,10 @@
             final ScalingLimits limits = service.scaling().get();
             final Collection<DomainCapacity> domains =
                     domains(service.name(), limits, endpoints, now);
-            initial(service.name(), limits, now).note(domains, now);
-            domains.forEach(domain -> domain.keepOnDemand(now));
+            initial(service.name(), limits, now).update(domains, now);
+            domains.forEach(domain -> domain.keepAllOnDemand(now));
             // What the holder has ordered is wanted: where all of it goes, it was reclaimed.
-            domains.forEach(domain -> domain.wantReclaimable(domain.now(true)));
+            domains.forEach(domain -> domain.setReclaimableTarget(domain.currentCount(true)));
         }
     }
 
@@ -159,7 +159,7 @@
      * @param order an order that the platform has taken
      * @param now the time
      */
-    public void orderedElsewhere(
+    public void recordPeerOrder(
             final ServiceSpec service, final CapacityOrder order, final Instant now) {
         if (service.scaling().isEmpty() || order.reclaimable()) {
             return;
@@ -169,13 +169,14 @@
         final ScalingLimits limits = service.scaling().get();
         addDomain(domains, order.domain(), limits);
         final Instant listedAt = now.plus(limits.bootTime()).plus(BOOT_MARGIN);
-        domains.get(order.domain()).onDemandOrderedElsewhere(order.count(), listedAt);
-        domains.get(order.domain()).keepOnDemand(now);
+        domains.get(order.domain()).recordPeerOrder(order.count(), listedAt);
+        domains.get(order.domain()).keepAllOnDemand(now);
     }
 
-    private InitialList initial(
+    private InitialEndpoints initial(
             final String service, final ScalingLimits limits, final Instant now) {
-        return mInitial.computeIfAbsent(service, name -> new InitialList(now, limits.bootTime()));
+        return mInitial.computeIfAbsent(
+                service, name -> new InitialEndpoints(now, limits.bootTime()));
     }
 
     private Collection<DomainCapacity> domains(
@@ -188,7 +189,7 @@
         limits.domainPrices().keySet().forEach(name -> addDomain(domains, name, limits));
         endpoints.forEach(endpoint -> addDomain(domains, endpoint.domain(), limits));
         domains.values().stream()
-                .filter(domain -> domain.listed(endpoints, now))
+                .filter(domain -> domain.updateCounts(endpoints, now))
                 .forEach(domain -> forgetOrders(service, domain.domain()));
         return domains.values();
     }
@@ -217,7 +218,7 @@
      * them away as they came up, and the service stood without endpoints for another start.
      */
     private static void adoptNeeded(final Collection<DomainCapacity> domains, final int need) {
-        int missing = need - domains.stream().mapToInt(DomainCapacity::kept).sum();
+        int missing = need - domains.stream().mapToInt(DomainCapacity::keptCount).sum();
         for (final DomainCapacity domain : domains) {
             missing -= domain.adoptOnDemand(missing);
         }
@@ -226,18 +227,18 @@
     private int need(final String service, final Load load, final int initial) {
         final int held = mNeeds.getOrDefault(service, 0);
         if (load.demand().isEmpty()) {
-            final int seen = (int) Math.ceil(needed(load.atLeast(), load));
-            final int assumed = (int) Math.ceil(initial * INITIAL_NEED);
+            final int seen = (int) Math.ceil(endpointsFor(load.minimumDemand(), load));
+            final int assumed = (int) Math.ceil(initial * INITIAL_NEED_SHARE);
             return Math.max(Math.max(held, seen), assumed);
         }
-        final double need = needed(load.demand().getAsDouble(), load);
+        final double need = endpointsFor(load.demand().getAsDouble(), load);
         if (need > held || need + NEED_SLACK < held) {
             mNeeds.put(service, (int) Math.max(Math.ceil(need), 1));
         }
         return mNeeds.get(service);
     }
 
-    private double needed(final double tokensPerSecond, final Load load) {
+    private double endpointsFor(final double tokensPerSecond, final Load load) {
         return tokensPerSecond / (mSettings.loadPart() * load.tokensPerEndpoint());
     }
 
@@ -250,11 +251,12 @@
      * reclaimable ones go. In a wave two more failure domains may go before anything that is
      * ordered at the next notice has started.
      */
-    private int kept(final Collection<DomainCapacity> domains, final int need, final Instant now) {
+    private int endpointsToKeep(
+            final Collection<DomainCapacity> domains, final int need, final Instant now) {
         final boolean wave = isWave(domains, now);
         final int atRisk =
                 domains.stream()
-                        .map(domain -> domain.now(true))
+                        .map(domain -> domain.currentCount(true))
                         .sorted(Comparator.reverseOrder())
                         .limit(wave ? mSettings.lossesInWave() : 1)
                         .mapToInt(Integer::intValue)
@@ -273,8 +275,8 @@
             final int need,
             final Duration surplusFor,
             final Instant now) {
-        final int kept = kept(domains, need, now);
-        final int expected = domains.stream().mapToInt(DomainCapacity::expected).sum();
+        final int kept = endpointsToKeep(domains, need, now);
+        final int expected = domains.stream().mapToInt(DomainCapacity::expectedCount).sum();
         final Comparator<DomainCapacity> byPrice =
                 Comparator.comparing(
                         domain -> limits.domainPrices().getOrDefault(domain.domain(), 1.0));
@@ -288,8 +290,8 @@
             return;
         }
         // Only what serves already replaces an endpoint, not what is on its way.
-        final int here = domains.stream().mapToInt(DomainCapacity::kept).sum();
-        giveUpOnDemand(domains, limits.least(), here - kept, byPrice);
+        final int here = domains.stream().mapToInt(DomainCapacity::keptCount).sum();
+        removeOnDemand(domains, limits.least(), here - kept, byPrice);
         mSurplusSince.remove(service);
     }
 
@@ -300,41 +302,43 @@
         for (int missing = count; missing > 0; missing--) {
             domains.stream()
                     .filter(DomainCapacity::hasRoom)
-                    .min(Comparator.comparingInt(DomainCapacity::expected).thenComparing(byPrice))
+                    .min(
+                            Comparator.comparingInt(DomainCapacity::expectedCount)
+                                    .thenComparing(byPrice))
                     .ifPresent(DomainCapacity::addOnDemand);
         }
     }
 
-    private static void giveUpOnDemand(
+    private static void removeOnDemand(
             final Collection<DomainCapacity> domains,
             final int least,
             final int count,
             final Comparator<DomainCapacity> byPrice) {
         for (int left = count; left > 0; left--) {
             domains.stream()
-                    .filter(domain -> domain.mayGiveUpOnDemand(least))
+                    .filter(domain -> domain.canRemoveOnDemand(least))
                     .max(
-                            Comparator.comparingInt(DomainCapacity::onDemandGoal)
+                            Comparator.comparingInt(DomainCapacity::onDemandTarget)
                                     .thenComparing(byPrice))
                     .ifPresent(DomainCapacity::removeOnDemand);
         }
     }
 
-    private void add(
+    private void addOrder(
             final List<CapacityOrder> orders,
             final ServiceSpec service,
             final DomainCapacity domain,
             final boolean reclaimable,
             final int goal,
             final Instant now) {
-        if (goal == domain.now(reclaimable)) {
+        if (goal == domain.currentCount(reclaimable)) {
             return;
         }
         final CapacityOrder order =
                 new CapacityOrder(service.name(), domain.domain(), reclaimable, goal);
         final Duration rest =
                 mRefused.contains(order)
-                        ? REPEAT_REFUSED
+                        ? REFUSED_RETRY_DELAY
                         : service.scaling().orElseThrow().bootTime().plus(BOOT_MARGIN);
         final Instant sent = mSent.get(order);
         if (sent == null || !now.isBefore(sent.plus(rest))) {
@@ -349,9 +353,9 @@
      * @param order the order
      * @param taken whether it was accepted; if not, none of that kind are to be had there
      */
-    public void answered(final CapacityOrder order, final boolean taken) {
+    public void recordAnswer(final CapacityOrder order, final boolean taken) {
         if (order.reclaimable()) {
-            mServices.get(order.service()).get(order.domain()).reclaimableAnswered(taken);
+            mServices.get(order.service()).get(order.domain()).recordReclaimableAnswer(taken);
         }
         if (taken) {
             mRefused.remove(order);
--- a/serving/src/main/java/org/whinhead/serving/capacity/DemandMeter.java
+++ b/serving/src/main/java/org/whinhead/serving/capacity/DemandMeter.java
@@ -19,16 +19,16 @@
      * The least such time while traffic is new, if enough requests came in it. What is assumed
      * before traffic comes may be far too little, and endpoints take seconds to start.
      */
-    private static final Duration LEAST_SPAN = Duration.ofMillis(500);
+    private static final Duration MIN_SPAN = Duration.ofMillis(500);
 
     /** Requests in a span from which chance moves its rate by a tenth at most. */
-    private static final double ENOUGH_REQUESTS = 100;
+    private static final double MIN_EARLY_REQUESTS = 100;
 
     /** How fast a peak is forgotten. */
-    private static final Duration HALF_LIFE = Duration.ofSeconds(20);
+    private static final Duration PEAK_HALF_LIFE = Duration.ofSeconds(20);
 
     /** Below this rate there is no traffic to judge by. */
-    private static final double LEAST_RATE = 1_000;
+    private static final double MIN_TOKENS_PER_SECOND = 1_000;
 
     /** How long traffic must have lasted: the first span is partly without, and far too low. */
     private static final Duration SETTLED_AFTER = Duration.ofSeconds(6);
@@ -49,7 +49,7 @@
      * @param requestTokens the tokens of a usual request; 0 if none is known
      * @param now the time
      */
-    public void total(final long tokensInAll, final double requestTokens, final Instant now) {
+    public void addTotal(final long tokensInAll, final double requestTokens, final Instant now) {
         if (mStart == null) {
             mStart = now;
             mDecayedAt = now;
@@ -57,26 +57,26 @@
             return;
         }
         final double millis = Duration.between(mDecayedAt, now).toMillis();
-        mRate *= Math.pow(0.5, millis / HALF_LIFE.toMillis());
+        mRate *= Math.pow(0.5, millis / PEAK_HALF_LIFE.toMillis());
         mDecayedAt = now;
         final Duration span = Duration.between(mStart, now);
         final long tokens = tokensInAll - mTokensAtStart;
         final boolean early =
                 !mSettled
                         && requestTokens > 0
-                        && tokens >= ENOUGH_REQUESTS * requestTokens
-                        && span.compareTo(LEAST_SPAN) >= 0;
+                        && tokens >= MIN_EARLY_REQUESTS * requestTokens
+                        && span.compareTo(MIN_SPAN) >= 0;
         if (early || span.compareTo(SPAN) >= 0) {
             final double rate = tokens * MILLIS_PER_SECOND / span.toMillis();
             mRate = Math.max(mRate, rate);
             mStart = now;
             mTokensAtStart = tokensInAll;
-            settle(now);
+            updateSettled(now);
         }
     }
 
-    private void settle(final Instant now) {
-        if (mRate < LEAST_RATE) {
+    private void updateSettled(final Instant now) {
+        if (mRate < MIN_TOKENS_PER_SECOND) {
             mTrafficSince = null;
             mSettled = false;
         } else if (mTrafficSince == null) {
@@ -101,7 +101,7 @@
      *
      * @return tokens a second; 0 if none were seen
      */
-    public double atLeast() {
+    public double minimumTokensPerSecond() {
         return mRate;
     }
 }
--- a/serving/src/main/java/org/whinhead/serving/capacity/DomainCapacity.java
+++ b/serving/src/main/java/org/whinhead/serving/capacity/DomainCapacity.java
@@ -9,34 +9,34 @@
 final class DomainCapacity {
 
     /** How long after one reclaim another is expected; those of a wave came 2 to 6 s apart. */
-    private static final Duration WAVE = Duration.ofSeconds(8);
+    private static final Duration WAVE_DURATION = Duration.ofSeconds(8);
 
     /** How long the notices of one reclaim take to be read. */
-    private static final Duration RECLAIM_WITHIN = Duration.ofMillis(2_000);
+    private static final Duration RECLAIM_WINDOW = Duration.ofMillis(2_000);
 
     /** Part of the endpoints that may still be listed when a reclaim is taken for one. */
-    private static final double LEFT_BY_RECLAIM = 0.25;
+    private static final double MAX_REMAINING_SHARE = 0.25;
 
     private final String mDomain;
-    private final int mMost;
+    private final int mMaxEndpoints;
     private int mOnDemandNow;
     private int mReclaimableNow;
-    private int mOnDemandGoal;
-    private int mReclaimableWanted;
+    private int mOnDemandTarget;
+    private int mReclaimableTarget;
     private boolean mOutOfStock;
     private Instant mReclaimedAt = Instant.EPOCH;
-    private int mOnDemandUnderWay;
-    private Instant mUnderWayUntil = Instant.EPOCH;
+    private int mOnDemandPending;
+    private Instant mPendingUntil = Instant.EPOCH;
     private int mPeak;
     private Instant mPeakAt = Instant.EPOCH;
 
     DomainCapacity(final String domain, final int most) {
         mDomain = domain;
-        mMost = most;
+        mMaxEndpoints = most;
     }
 
     /** Counts what is listed now, and tells whether that is fewer of a kind than before. */
-    boolean listed(final Collection<EndpointEntry> endpoints, final Instant now) {
+    boolean updateCounts(final Collection<EndpointEntry> endpoints, final Instant now) {
         final int onDemandBefore = mOnDemandNow;
         final int reclaimableBefore = mReclaimableNow;
         mOnDemandNow = 0;
@@ -51,7 +51,7 @@
                 mOnDemandNow++;
             }
         }
-        noteReclaim(now);
+        detectReclaim(now);
         return mOnDemandNow < onDemandBefore || mReclaimableNow < reclaimableBefore;
     }
 
@@ -60,13 +60,13 @@
      * wanted. Not all, since the list is read in parts, and entries of other starts may stay a
      * while.
      */
-    private void noteReclaim(final Instant now) {
-        if (mReclaimableNow >= mPeak || now.isAfter(mPeakAt.plus(RECLAIM_WITHIN))) {
+    private void detectReclaim(final Instant now) {
+        if (mReclaimableNow >= mPeak || now.isAfter(mPeakAt.plus(RECLAIM_WINDOW))) {
             mPeak = mReclaimableNow;
             mPeakAt = now;
         }
-        final boolean mostGone = mReclaimableNow <= mPeak * LEFT_BY_RECLAIM;
-        if (mPeak > 0 && mostGone && mReclaimableWanted > mReclaimableNow) {
+        final boolean mostGone = mReclaimableNow <= mPeak * MAX_REMAINING_SHARE;
+        if (mPeak > 0 && mostGone && mReclaimableTarget > mReclaimableNow) {
             mReclaimedAt = now;
         }
     }
@@ -75,20 +75,20 @@
      * Takes all endpoints on demand that are here, or on their way, as wanted: while the list still
      * grows, and while another daemon orders.
      */
-    void keepOnDemand(final Instant now) {
-        final boolean underWay = now.isBefore(mUnderWayUntil);
-        mOnDemandGoal = underWay ? Math.max(mOnDemandNow, mOnDemandUnderWay) : mOnDemandNow;
+    void keepAllOnDemand(final Instant now) {
+        final boolean underWay = now.isBefore(mPendingUntil);
+        mOnDemandTarget = underWay ? Math.max(mOnDemandNow, mOnDemandPending) : mOnDemandNow;
     }
 
     /** Notes how many endpoints on demand another daemon has ordered, and when they are listed. */
-    void onDemandOrderedElsewhere(final int count, final Instant listedAt) {
-        mOnDemandUnderWay = count;
-        mUnderWayUntil = listedAt;
+    void recordPeerOrder(final int count, final Instant listedAt) {
+        mOnDemandPending = count;
+        mPendingUntil = listedAt;
     }
 
     /** Tells whether all reclaimable endpoints were taken back here within the last while. */
     boolean wasReclaimed(final Instant now) {
-        return now.isBefore(mReclaimedAt.plus(WAVE));
+        return now.isBefore(mReclaimedAt.plus(WAVE_DURATION));
     }
 
     /**
@@ -98,67 +98,67 @@
      * @return how many
      */
     int adoptOnDemand(final int most) {
-        final int adopted = Math.max(Math.min(mOnDemandNow - mOnDemandGoal, most), 0);
-        mOnDemandGoal += adopted;
+        final int adopted = Math.max(Math.min(mOnDemandNow - mOnDemandTarget, most), 0);
+        mOnDemandTarget += adopted;
         return adopted;
     }
 
     /** Counts endpoints that are here and wanted. */
-    int kept() {
-        return Math.min(mOnDemandNow, mOnDemandGoal) + mReclaimableNow;
+    int keptCount() {
+        return Math.min(mOnDemandNow, mOnDemandTarget) + mReclaimableNow;
     }
 
     String domain() {
         return mDomain;
     }
 
-    int now(final boolean reclaimable) {
+    int currentCount(final boolean reclaimable) {
         return reclaimable ? mReclaimableNow : mOnDemandNow;
     }
 
-    int onDemandGoal() {
-        return mOnDemandGoal;
+    int onDemandTarget() {
+        return mOnDemandTarget;
     }
 
     /** Sets how many reclaimable endpoints there should be, as far as there is room. */
-    void wantReclaimable(final int wanted) {
-        mReclaimableWanted = wanted;
+    void setReclaimableTarget(final int wanted) {
+        mReclaimableTarget = wanted;
     }
 
-    int reclaimableGoal() {
-        final int onDemand = Math.max(mOnDemandNow, mOnDemandGoal);
-        return Math.min(mReclaimableWanted, Math.max(mMost - onDemand, 0));
+    int reclaimableTarget() {
+        final int onDemand = Math.max(mOnDemandNow, mOnDemandTarget);
+        return Math.min(mReclaimableTarget, Math.max(mMaxEndpoints - onDemand, 0));
     }
 
     /** Notes whether the platform had reclaimable endpoints when they were ordered last. */
-    void reclaimableAnswered(final boolean taken) {
+    void recordReclaimableAnswer(final boolean taken) {
         mOutOfStock = !taken;
     }
 
     /** Counts reclaimable endpoints that serve or are on their way. */
-    int reclaimableExpected() {
-        return mOutOfStock ? mReclaimableNow : Math.max(mReclaimableNow, reclaimableGoal());
+    int expectedReclaimable() {
+        return mOutOfStock ? mReclaimableNow : Math.max(mReclaimableNow, reclaimableTarget());
     }
 
     /** Counts endpoints that serve or are on their way. */
-    int expected() {
-        return Math.max(mOnDemandNow, mOnDemandGoal) + reclaimableExpected();
+    int expectedCount() {
+        return Math.max(mOnDemandNow, mOnDemandTarget) + expectedReclaimable();
     }
 
     boolean hasRoom() {
-        return mOnDemandGoal + mReclaimableNow < mMost;
+        return mOnDemandTarget + mReclaimableNow < mMaxEndpoints;
     }
 
     /** Tells whether an endpoint on demand can go without leaving fewer than the least here. */
-    boolean mayGiveUpOnDemand(final int least) {
-        return mOnDemandGoal > 0 && mOnDemandGoal + mReclaimableNow > least;
+    boolean canRemoveOnDemand(final int least) {
+        return mOnDemandTarget > 0 && mOnDemandTarget + mReclaimableNow > least;
     }
 
     void addOnDemand() {
-        mOnDemandGoal++;
+        mOnDemandTarget++;
     }
 
     void removeOnDemand() {
-        mOnDemandGoal--;
+        mOnDemandTarget--;
     }
 }
--- a/serving/src/main/java/org/whinhead/serving/endpoint/EndpointRegistry.java
+++ b/serving/src/main/java/org/whinhead/serving/endpoint/EndpointRegistry.java
@@ -32,13 +32,13 @@
     static final Duration LAPSE_GRACE = Duration.ofMillis(2_500);
 
     /** Removals that are remembered: all that the largest deployment sees in some minutes. */
-    private static final int KEPT_REMOVALS = 2_000;
+    private static final int MAX_REMOVALS = 2_000;
 
     /** Spreads the hashes of single entries, so that their sum tells sets apart. */
     private static final long SPREAD_FACTOR = 0x9E3779B97F4A7C15L;
 
     private final Map<String, Record> mRecords = new HashMap<>();
-    private final Set<String> mOnceLeaving = new HashSet<>();
+    private final Set<String> mLeavingIds = new HashSet<>();
     private final Map<String, Long> mRemovals = new LinkedHashMap<>();
     private Instant mLastOutage = Instant.EPOCH;
     private long mNewestOffset = -1;
@@ -58,11 +58,11 @@
         }
         final boolean restarted = before != null && entry.startedAfter(before.mEntry);
         if (restarted) {
-            mOnceLeaving.remove(entry.id());
+            mLeavingIds.remove(entry.id());
         }
-        final boolean leaving = entry.leaving() || mOnceLeaving.contains(entry.id());
+        final boolean leaving = entry.leaving() || mLeavingIds.contains(entry.id());
         if (leaving) {
-            mOnceLeaving.add(entry.id());
+            mLeavingIds.add(entry.id());
         }
         mRecords.put(entry.id(), new Record(entry, offset, leaving, Doubt.NONE));
         if (restarted) {
@@ -93,7 +93,7 @@
      * @param offset its offset in the store
      * @return whether an endpoint was usable until now
      */
-    public boolean unreadable(final String id, final long offset) {
+    public boolean markUnreadable(final String id, final long offset) {
         mNewestOffset = Math.max(mNewestOffset, offset);
         final Record before = mRecords.get(id);
         if (before == null || before.mOffset >= offset) {
@@ -117,7 +117,7 @@
         if (before != null && before.mOffset >= offset) {
             return false;
         }
-        noteRemoval(id, offset);
+        rememberRemoval(id, offset);
         if (before == null) {
             return false;
         }
@@ -132,13 +132,13 @@
      * @param offset the removal's offset
      * @return whether the entry was listed, and the removal is newer
      */
-    public boolean removedForOthers(final String id, final long offset) {
+    public boolean removeConfirmed(final String id, final long offset) {
         mNewestOffset = Math.max(mNewestOffset, offset);
         final Record before = mRecords.get(id);
         if (before != null && before.mOffset >= offset) {
             return false;
         }
-        noteRemoval(id, offset);
+        rememberRemoval(id, offset);
         return mRecords.remove(id) != null;
     }
 
@@ -146,9 +146,9 @@
      * Remembers a removal. What other daemons have read overtakes this daemon's own reads, and an
      * older record that is read afterwards must not bring the endpoint back.
      */
-    private void noteRemoval(final String id, final long offset) {
+    private void rememberRemoval(final String id, final long offset) {
         mRemovals.put(id, offset);
-        if (mRemovals.size() > KEPT_REMOVALS) {
+        if (mRemovals.size() > MAX_REMOVALS) {
             mRemovals.remove(mRemovals.keySet().iterator().next());
         }
     }
@@ -188,7 +188,7 @@
      *
      * @param now the time
      */
-    public void storeUnreachable(final Instant now) {
+    public void recordOutage(final Instant now) {
         mLastOutage = now;
     }
 
@@ -241,7 +241,7 @@
      *
      * @return a number that two daemons with the same view share
      */
-    public long summary() {
+    public long digest() {
         long summary = 0;
         for (final Record record : mRecords.values()) {
             if (record.mDoubt == Doubt.NONE) {
@@ -261,8 +261,8 @@
      *
      * @param id the endpoint that is no longer there
      */
-    public void replacedAtAddress(final String id) {
-        mOnceLeaving.add(id);
+    public void markReplaced(final String id) {
+        mLeavingIds.add(id);
         mRecords.computeIfPresent(
                 id, (key, record) -> new Record(record.mEntry, record.mOffset, true, Doubt.NONE));
     }
--- a/serving/src/main/java/org/whinhead/serving/endpoint/ReclaimedEndpoints.java
+++ b/serving/src/main/java/org/whinhead/serving/endpoint/ReclaimedEndpoints.java
@@ -23,10 +23,10 @@
      * late, 1.2 s where the news of it was lost, and no work may arrive later than two seconds
      * after it.
      */
-    private static final Duration AFTER_NOTICE = Duration.ofMillis(700);
+    private static final Duration MAX_USE_AFTER_NOTICE = Duration.ofMillis(700);
 
     /** What is left of a notice at least: a plain call, or the start of a stream and its move. */
-    private static final Duration LEAST_LEFT = Duration.ofMillis(800);
+    private static final Duration MIN_REMAINING = Duration.ofMillis(800);
 
     private final Map<String, Notice> mNotices = new HashMap<>();
 
@@ -36,7 +36,7 @@
      * @param entry its entry; one that doesn't say how much longer it serves is not used
      * @param now the time
      */
-    public void noticed(final EndpointEntry entry, final Instant now) {
+    public void addNotice(final EndpointEntry entry, final Instant now) {
         if (entry.leaving() && entry.leavesIn().isPresent()) {
             mNotices.putIfAbsent(entry.id(), new Notice(entry, now));
         }
@@ -47,7 +47,7 @@
      *
      * @param id its id
      */
-    public void gone(final String id) {
+    public void remove(final String id) {
         mNotices.remove(id);
     }
 
@@ -68,8 +68,9 @@
 
     private record Notice(EndpointEntry entry, Instant at) {
         private Instant usableUntil() {
-            final Duration served = entry.leavesIn().orElseThrow().minus(LEAST_LEFT);
-            return at.plus(served.compareTo(AFTER_NOTICE) < 0 ? served : AFTER_NOTICE);
+            final Duration served = entry.leavesIn().orElseThrow().minus(MIN_REMAINING);
+            return at.plus(
+                    served.compareTo(MAX_USE_AFTER_NOTICE) < 0 ? served : MAX_USE_AFTER_NOTICE);
         }
     }
 }
--- a/serving/src/main/java/org/whinhead/serving/rollout/AnswerSample.java
+++ b/serving/src/main/java/org/whinhead/serving/rollout/AnswerSample.java
@@ -11,25 +11,25 @@
  * @param usual the share of the old version's answers that were bad
  * @param oldAnswers how many answers of the old version that share was seen on
  */
-record AnswerSample(int answers, int bad, double usual, long oldAnswers) {
+record AnswerSample(int answers, int bad, double baselineShare, long baselineAnswers) {
 
     /** Standard errors on either side of the old version's share that are reckoned with. */
-    private static final double MOST_ERRORS = 2;
+    private static final double MAX_STANDARD_ERRORS = 2;
 
     /** The distance between two shares that are reckoned with, in standard errors. */
-    private static final double ERROR_STEP = 0.5;
+    private static final double STANDARD_ERROR_STEP = 0.5;
 
     /** The most further answers that are ever asked for. */
-    private static final int MOST_NEEDED = 128;
+    private static final int MAX_REQUIRED_ANSWERS = 128;
 
     /** Standard deviations more bad answers than usual that a good version must be able to give. */
-    private static final double UNLUCKY_DEVIATIONS = 1.5;
+    private static final double TOLERATED_DEVIATIONS = 1.5;
 
     /** Checks the parts. */
     AnswerSample {
         Arguments.requireAtLeast(answers, 0, "answers");
         Arguments.requireAtLeast(bad, 0, "bad");
-        Arguments.requireAtLeast(oldAnswers, 0, "oldAnswers");
+        Arguments.requireAtLeast(baselineAnswers, 0, "oldAnswers");
     }
 
     /**
@@ -39,8 +39,8 @@
      * @param hitPart the part of the answers that the fault hits
      * @return 0 to 1
      */
-    static double chanceOfSoFew(final List<AnswerSample> samples, final double hitPart) {
-        return sum(counts(samples, hitPart), 0, allBad(samples));
+    static double probabilityOfAtMost(final List<AnswerSample> samples, final double hitPart) {
+        return sum(totalDistribution(samples, hitPart), 0, totalBad(samples));
     }
 
     /**
@@ -50,20 +50,21 @@
      * @param samples the samples, one for each route
      * @return 0 to 1
      */
-    static double chanceOfSoMany(final List<AnswerSample> samples) {
-        final double[] counts = counts(samples, 0);
-        return sum(counts, allBad(samples), counts.length - 1);
+    static double probabilityOfAtLeast(final List<AnswerSample> samples) {
+        final double[] counts = totalDistribution(samples, 0);
+        return sum(counts, totalBad(samples), counts.length - 1);
     }
 
-    private static int allBad(final List<AnswerSample> samples) {
+    private static int totalBad(final List<AnswerSample> samples) {
         return samples.stream().mapToInt(AnswerSample::bad).sum();
     }
 
     /** Returns the chance of each count of bad answers in all samples. */
-    private static double[] counts(final List<AnswerSample> samples, final double hitPart) {
+    private static double[] totalDistribution(
+            final List<AnswerSample> samples, final double hitPart) {
         double[] counts = {1};
         for (final AnswerSample sample : samples) {
-            counts = sums(counts, sample.chances(hitPart));
+            counts = convolve(counts, sample.distribution(hitPart));
         }
         return counts;
     }
@@ -84,12 +85,12 @@
      * @param mostChance the chance of overlooking the fault that is accepted
      * @return 0 if it is ruled out already
      */
-    int needed(final double hitPart, final double mostChance) {
+    int requiredAnswers(final double hitPart, final double mostChance) {
         int low = 0;
-        int high = MOST_NEEDED;
+        int high = MAX_REQUIRED_ANSWERS;
         while (low < high) {
             final int middle = (low + high) / 2;
-            if (chanceOfSoFew(List.of(grownBy(middle)), hitPart) <= mostChance) {
+            if (probabilityOfAtMost(List.of(extendedBy(middle)), hitPart) <= mostChance) {
                 high = middle;
             } else {
                 low = middle + 1;
@@ -98,22 +99,26 @@
         return low;
     }
 
-    private AnswerSample grownBy(final int more) {
-        final double expected = more * usual;
-        final double deviation = Math.sqrt(expected * (1 - usual));
-        final long moreBad = Math.round(expected + UNLUCKY_DEVIATIONS * deviation);
-        return new AnswerSample(answers + more, (int) (bad + moreBad), usual, oldAnswers);
+    private AnswerSample extendedBy(final int more) {
+        final double expected = more * baselineShare;
+        final double deviation = Math.sqrt(expected * (1 - baselineShare));
+        final long moreBad = Math.round(expected + TOLERATED_DEVIATIONS * deviation);
+        return new AnswerSample(
+                answers + more, (int) (bad + moreBad), baselineShare, baselineAnswers);
     }
 
     /** Returns the chance of each count of bad answers, over what the old share may really be. */
-    private double[] chances(final double hitPart) {
-        final double error = Math.sqrt(usual * (1 - usual) / Math.max(oldAnswers, 1));
+    private double[] distribution(final double hitPart) {
+        final double error =
+                Math.sqrt(baselineShare * (1 - baselineShare) / Math.max(baselineAnswers, 1));
         final double[] chances = new double[answers + 1];
         double weights = 0;
-        for (double errors = -MOST_ERRORS; errors <= MOST_ERRORS; errors += ERROR_STEP) {
+        for (double errors = -MAX_STANDARD_ERRORS;
+                errors <= MAX_STANDARD_ERRORS;
+                errors += STANDARD_ERROR_STEP) {
             final double weight = Math.exp(-errors * errors / 2);
-            final double share = FaultLikelihood.bounded(usual + errors * error);
-            addBinomial(chances, FaultLikelihood.withFault(share, hitPart), weight);
+            final double share = FaultLikelihood.clampBaselineShare(baselineShare + errors * error);
+            addBinomial(chances, FaultLikelihood.shareWithFault(share, hitPart), weight);
             weights += weight;
         }
         for (int count = 0; count <= answers; count++) {
@@ -132,7 +137,7 @@
         }
     }
 
-    private static double[] sums(final double[] first, final double[] second) {
+    private static double[] convolve(final double[] first, final double[] second) {
         final double[] sums = new double[first.length + second.length - 1];
         for (int one = 0; one < first.length; one++) {
             for (int two = 0; two < second.length; two++) {
--- a/serving/src/main/java/org/whinhead/serving/rollout/VersionJudge.java
+++ b/serving/src/main/java/org/whinhead/serving/rollout/CanaryAnalysis.java
@@ -20,54 +20,54 @@
  * answers in the same seconds are what the new one is held against: a fault that hits both is not
  * the version's.
  */
-final class VersionJudge {
+final class CanaryAnalysis {
 
     /** The part of a route's answers that a fault hits which must not be overlooked. */
-    private static final double ROUTE_HIT_PART = 0.4;
+    private static final double ROUTE_AFFECTED_SHARE = 0.4;
 
     /** The same of all routes' answers that were given under load. */
-    private static final double OVERALL_HIT_PART = 0.3;
+    private static final double OVERALL_AFFECTED_SHARE = 0.3;
 
     /** The chance of overlooking such a fault that is accepted. */
-    private static final double MOST_CHANCE = 0.002;
+    private static final double MAX_MISS_PROBABILITY = 0.002;
 
     /** The chance that the trial is to bring it down to, where it may get enough requests. */
-    private static final double AIMED_CHANCE = MOST_CHANCE / 10;
+    private static final double TARGET_MISS_PROBABILITY = MAX_MISS_PROBABILITY / 10;
 
     /** The chance of so many bad answers below which a version is worse than the old one. */
-    private static final double LEAST_CHANCE = 0.0005;
+    private static final double MIN_TAIL_PROBABILITY = 0.0005;
 
     /** The log likelihood ratio of a fault up to which the version may get everything. */
-    private static final double PROMISING_AT = 4;
+    private static final double MAX_PROMISING_LOG_RATIO = 4;
 
     /** Answers without which the version may not get everything. */
-    private static final int LEAST_SHOWN = 10;
+    private static final int MIN_PROMISING_ANSWERS = 10;
 
     /** Routes with a smaller part of the service's answers need not be shown to be good. */
-    private static final double MINOR_PART = 0.1;
+    private static final double MINOR_TRAFFIC_SHARE = 0.1;
 
     private final Map<String, RolloutEvidence> mEvidence = new HashMap<>();
-    private final Set<String> mHeard = new HashSet<>();
+    private final Set<String> mUpdatedDaemons = new HashSet<>();
     private final RequestRate mRate = new RequestRate();
     private final Map<String, RouteComparison> mRoutes = new HashMap<>();
-    private final BadAnswerTest mOverall = new BadAnswerTest();
-    private long mFound;
+    private final CusumDetector mOverall = new CusumDetector();
+    private long mInitialAnswers;
 
     /** Takes a daemon's counts; older ones than those that are known change nothing. */
-    void take(final RolloutEvidence evidence) {
+    void addEvidence(final RolloutEvidence evidence) {
         final RolloutEvidence known = mEvidence.get(evidence.daemon());
         if (known == null) {
-            mFound += answersOnTrial(evidence);
+            mInitialAnswers += canaryAnswers(evidence);
         }
         if (known == null || sent(evidence.outcomes()) >= sent(known.outcomes())) {
             mEvidence.put(evidence.daemon(), evidence);
-            mHeard.add(evidence.daemon());
+            mUpdatedDaemons.add(evidence.daemon());
         }
     }
 
-    private static long answersOnTrial(final RolloutEvidence evidence) {
+    private static long canaryAnswers(final RolloutEvidence evidence) {
         return evidence.outcomes().stream()
-                .filter(RouteOutcomes::onTrial)
+                .filter(RouteOutcomes::canary)
                 .mapToLong(RouteOutcomes::answers)
                 .sum();
     }
@@ -81,15 +81,16 @@
      *
      * @param now the time
      */
-    void judge(final Instant now) {
-        mHeard.forEach(daemon -> mRate.count(daemon, sent(mEvidence.get(daemon).outcomes()), now));
-        mHeard.clear();
-        final Map<String, RouteComparison.Sums> old = new HashMap<>();
-        final Map<String, RouteComparison.Sums> trial = new HashMap<>();
+    void evaluate(final Instant now) {
+        mUpdatedDaemons.forEach(
+                daemon -> mRate.addReport(daemon, sent(mEvidence.get(daemon).outcomes()), now));
+        mUpdatedDaemons.clear();
+        final Map<String, RouteComparison.Totals> old = new HashMap<>();
+        final Map<String, RouteComparison.Totals> trial = new HashMap<>();
         for (final RolloutEvidence evidence : mEvidence.values()) {
             for (final RouteOutcomes outcomes : evidence.outcomes()) {
-                (outcomes.onTrial() ? trial : old)
-                        .computeIfAbsent(outcomes.route(), route -> new RouteComparison.Sums())
+                (outcomes.canary() ? trial : old)
+                        .computeIfAbsent(outcomes.route(), route -> new RouteComparison.Totals())
                         .add(outcomes);
             }
         }
@@ -98,14 +99,14 @@
         for (final String route : routes) {
             mRoutes.computeIfAbsent(route, name -> new RouteComparison())
                     .compare(
-                            old.getOrDefault(route, new RouteComparison.Sums()),
-                            trial.getOrDefault(route, new RouteComparison.Sums()),
+                            old.getOrDefault(route, new RouteComparison.Totals()),
+                            trial.getOrDefault(route, new RouteComparison.Totals()),
                             mOverall);
         }
     }
 
     /** Names what is bad: a route, or all of them together. */
-    Optional<String> bad() {
+    Optional<String> findFault() {
         for (final Map.Entry<String, RouteComparison> route : mRoutes.entrySet()) {
             if (route.getValue().isBad()) {
                 return Optional.of("route " + route.getKey());
@@ -117,11 +118,17 @@
     /** Tells whether the version may get more requests, though it isn't known to be good yet. */
     boolean isPromising() {
         final Collection<RouteComparison> routes = mRoutes.values();
-        return bad().isEmpty()
-                && tally().answers() >= LEAST_SHOWN
-                && routes.stream().allMatch(route -> route.logRatio(ROUTE_HIT_PART) <= PROMISING_AT)
-                && routes.stream().mapToDouble(route -> route.logRatio(OVERALL_HIT_PART)).sum()
-                        <= PROMISING_AT;
+        return findFault().isEmpty()
+                && tally().answers() >= MIN_PROMISING_ANSWERS
+                && routes.stream()
+                        .allMatch(
+                                route ->
+                                        route.logRatio(ROUTE_AFFECTED_SHARE)
+                                                <= MAX_PROMISING_LOG_RATIO)
+                && routes.stream()
+                                .mapToDouble(route -> route.logRatio(OVERALL_AFFECTED_SHARE))
+                                .sum()
+                        <= MAX_PROMISING_LOG_RATIO;
     }
 
     /**
@@ -131,8 +138,8 @@
      *     shows in no others
      * @return a route, or all of them together; empty if the version is good
      */
-    Optional<String> unproven(final double loadedPart) {
-        final Optional<String> bad = bad();
+    Optional<String> findUnproven(final double loadedPart) {
+        final Optional<String> bad = findFault();
         if (bad.isPresent()) {
             return bad;
         }
@@ -141,7 +148,7 @@
                 return Optional.of("route " + route.getKey());
             }
         }
-        final double hitPart = OVERALL_HIT_PART * loadedPart;
+        final double hitPart = OVERALL_AFFECTED_SHARE * loadedPart;
         return isRuledOut(samples(RouteComparison::failures), hitPart)
                         && isRuledOut(samples(RouteComparison::delays), hitPart)
                 ? Optional.empty()
@@ -155,19 +162,19 @@
     /** A route that few requests take can't be shown to be good; it must not be suspected. */
     private boolean isGood(final RouteComparison route) {
         if (isMinor(route)) {
-            return route.logRatio(ROUTE_HIT_PART) <= 0;
+            return route.logRatio(ROUTE_AFFECTED_SHARE) <= 0;
         }
-        return isRuledOut(List.of(route.failures()), ROUTE_HIT_PART)
-                && isRuledOut(List.of(route.delays()), ROUTE_HIT_PART);
+        return isRuledOut(List.of(route.failures()), ROUTE_AFFECTED_SHARE)
+                && isRuledOut(List.of(route.delays()), ROUTE_AFFECTED_SHARE);
     }
 
     private static boolean isRuledOut(final List<AnswerSample> samples, final double hitPart) {
-        return AnswerSample.chanceOfSoFew(samples, hitPart) <= MOST_CHANCE
-                && AnswerSample.chanceOfSoMany(samples) >= LEAST_CHANCE;
+        return AnswerSample.probabilityOfAtMost(samples, hitPart) <= MAX_MISS_PROBABILITY
+                && AnswerSample.probabilityOfAtLeast(samples) >= MIN_TAIL_PROBABILITY;
     }
 
     private boolean isMinor(final RouteComparison route) {
-        return route.oldAnswers() < MINOR_PART * oldAnswers();
+        return route.oldAnswers() < MINOR_TRAFFIC_SHARE * oldAnswers();
     }
 
     private long oldAnswers() {
@@ -179,21 +186,23 @@
      *
      * @return the needs of all routes but those that few requests take
      */
-    List<RouteNeed> needs() {
+    List<RouteSampleNeed> sampleNeeds() {
         return mRoutes.entrySet().stream()
                 .filter(route -> route.getValue().oldAnswers() > 0 && !isMinor(route.getValue()))
-                .map(route -> need(route.getKey(), route.getValue()))
+                .map(route -> sampleNeed(route.getKey(), route.getValue()))
                 .toList();
     }
 
-    private RouteNeed need(final String name, final RouteComparison route) {
+    private RouteSampleNeed sampleNeed(final String name, final RouteComparison route) {
         final int needed =
                 Math.max(
-                        route.failures().needed(ROUTE_HIT_PART, AIMED_CHANCE),
-                        route.delays().needed(ROUTE_HIT_PART, AIMED_CHANCE));
-        final long unanswered = exposed(name) - route.answers();
+                        route.failures()
+                                .requiredAnswers(ROUTE_AFFECTED_SHARE, TARGET_MISS_PROBABILITY),
+                        route.delays()
+                                .requiredAnswers(ROUTE_AFFECTED_SHARE, TARGET_MISS_PROBABILITY));
+        final long unanswered = canaryRequests(name) - route.answers();
         final double trafficPart = (double) route.oldAnswers() / oldAnswers();
-        return new RouteNeed(name, trafficPart, Math.max(needed - unanswered, 0));
+        return new RouteSampleNeed(name, trafficPart, Math.max(needed - unanswered, 0));
     }
 
     /** Tells whether the old version fails so often now that the new one can't be judged. */
@@ -207,13 +216,13 @@
     }
 
     /** Returns how old the daemons' counts are in the mean. */
-    Duration countedBefore(final Instant now) {
-        return mRate.meanAge(now);
+    Duration meanReportAge(final Instant now) {
+        return mRate.meanReportAge(now);
     }
 
     /** Counts answers of the new version that daemons already had when they were first heard. */
-    long found() {
-        return mFound;
+    long initialAnswers() {
+        return mInitialAnswers;
     }
 
     /** Counts requests that reached the service since the order. */
@@ -222,18 +231,18 @@
     }
 
     /** Counts requests that reached the new version. */
-    long exposed() {
+    long canaryRequests() {
         return mEvidence.values().stream()
                 .flatMap(evidence -> evidence.outcomes().stream())
-                .filter(RouteOutcomes::onTrial)
+                .filter(RouteOutcomes::canary)
                 .mapToLong(RouteOutcomes::sent)
                 .sum();
     }
 
-    private long exposed(final String route) {
+    private long canaryRequests(final String route) {
         return mEvidence.values().stream()
                 .flatMap(evidence -> evidence.outcomes().stream())
-                .filter(outcomes -> outcomes.onTrial() && outcomes.route().equals(route))
+                .filter(outcomes -> outcomes.canary() && outcomes.route().equals(route))
                 .mapToLong(RouteOutcomes::sent)
                 .sum();
     }
@@ -244,7 +253,7 @@
         return new Tally(
                 routes.stream().mapToLong(RouteComparison::answers).sum(),
                 routes.stream().mapToLong(RouteComparison::bad).sum(),
-                mOverall.evidence());
+                mOverall.sum());
     }
 
     /**
--- a/serving/src/main/java/org/whinhead/serving/rollout/BadAnswerTest.java
+++ b/serving/src/main/java/org/whinhead/serving/rollout/CusumDetector.java
@@ -7,15 +7,15 @@
  * version that turns bad after many good answers is found as fast as one that was bad from the
  * start (Page, Continuous Inspection Schemes, Biometrika 1954).
  */
-final class BadAnswerTest {
+final class CusumDetector {
 
     /** The least part of the answers that a fault hits. */
-    private static final double HIT_PART = 0.25;
+    private static final double AFFECTED_SHARE = 0.25;
 
     /** The sum at which a version is bad; a good one reaches it once in exp(12) answers or less. */
-    private static final double BAD_AT = 12;
+    private static final double BAD_THRESHOLD = 12;
 
-    private double mSinceGood;
+    private double mSum;
 
     /**
      * Takes answers.
@@ -24,17 +24,17 @@
      * @param bad how many were failures, or far too slow
      * @param usual the share of such answers that the old version gives
      */
-    void answers(final long good, final long bad, final double usual) {
-        final double change = FaultLikelihood.logRatio(good + bad, bad, usual, HIT_PART);
-        mSinceGood = Math.max(mSinceGood + change, 0);
+    void addAnswers(final long good, final long bad, final double usual) {
+        final double change = FaultLikelihood.logRatio(good + bad, bad, usual, AFFECTED_SHARE);
+        mSum = Math.max(mSum + change, 0);
     }
 
     boolean isBad() {
-        return mSinceGood >= BAD_AT;
+        return mSum >= BAD_THRESHOLD;
     }
 
     /** Returns how much speaks against the version; it is bad from {@link #BAD_AT} on. */
-    double evidence() {
-        return mSinceGood;
+    double sum() {
+        return mSum;
     }
 }
--- a/serving/src/main/java/org/whinhead/serving/rollout/FaultLikelihood.java
+++ b/serving/src/main/java/org/whinhead/serving/rollout/FaultLikelihood.java
@@ -4,10 +4,10 @@
 final class FaultLikelihood {
 
     /** The least share of bad answers that the old version is taken to have: chance has some. */
-    static final double LEAST_USUAL = 0.02;
+    static final double MIN_BASELINE_SHARE = 0.02;
 
     /** The highest one: beyond it a bad version can't be told from the old one at all. */
-    static final double MOST_USUAL = 0.3;
+    static final double MAX_BASELINE_SHARE = 0.3;
 
     private FaultLikelihood() {}
 
@@ -22,21 +22,21 @@
      */
     static double logRatio(
             final long answers, final long bad, final double usual, final double hitPart) {
-        final double expected = bounded(usual);
-        final double ifFault = withFault(expected, hitPart);
+        final double expected = clampBaselineShare(usual);
+        final double ifFault = shareWithFault(expected, hitPart);
         return (answers - bad) * Math.log((1 - ifFault) / (1 - expected))
                 + bad * Math.log(ifFault / expected);
     }
 
     /** Returns the share of bad answers that is reckoned with. */
-    static double bounded(final double usual) {
-        return Math.min(Math.max(usual, LEAST_USUAL), MOST_USUAL);
+    static double clampBaselineShare(final double usual) {
+        return Math.min(Math.max(usual, MIN_BASELINE_SHARE), MAX_BASELINE_SHARE);
     }
 
     /**
      * Returns the share of bad answers if a fault hits a part of those that are good without it.
      */
-    static double withFault(final double usual, final double hitPart) {
+    static double shareWithFault(final double usual, final double hitPart) {
         return usual + (1 - usual) * hitPart;
     }
 }
--- a/serving/src/main/java/org/whinhead/serving/rollout/LatencyCounts.java
+++ b/serving/src/main/java/org/whinhead/serving/rollout/LatencyHistogram.java
@@ -10,22 +10,22 @@
  * <p>Three times as long is told from once as long by at least two buckets, which is all that the
  * comparison of two versions needs; a whole route fits into a few bytes of a report.
  */
-final class LatencyCounts {
+final class LatencyHistogram {
 
     /** Buckets: from under 2 ms to over 27 s. */
-    static final int BUCKETS = 25;
+    static final int BUCKET_COUNT = 25;
 
-    private static final double FIRST_MILLIS = 2;
+    private static final double FIRST_BOUND_MILLIS = 2;
     private static final double GROWTH = 1.5;
 
-    private final long[] mCounts = new long[BUCKETS];
+    private final long[] mCounts = new long[BUCKET_COUNT];
 
     /** Makes empty counts. */
-    LatencyCounts() {}
+    LatencyHistogram() {}
 
     /** Makes counts of their list; buckets that are missing are empty. */
-    LatencyCounts(final List<Long> counts) {
-        for (int bucket = 0; bucket < Math.min(counts.size(), BUCKETS); bucket++) {
+    LatencyHistogram(final List<Long> counts) {
+        for (int bucket = 0; bucket < Math.min(counts.size(), BUCKET_COUNT); bucket++) {
             mCounts[bucket] = counts.get(bucket);
         }
     }
@@ -34,15 +34,15 @@
         mCounts[bucket(time)]++;
     }
 
-    void addAll(final LatencyCounts other) {
-        for (int bucket = 0; bucket < BUCKETS; bucket++) {
+    void addAll(final LatencyHistogram other) {
+        for (int bucket = 0; bucket < BUCKET_COUNT; bucket++) {
             mCounts[bucket] += other.mCounts[bucket];
         }
     }
 
     /** Takes counts off that were added before. */
-    void removeAll(final LatencyCounts other) {
-        for (int bucket = 0; bucket < BUCKETS; bucket++) {
+    void subtractAll(final LatencyHistogram other) {
+        for (int bucket = 0; bucket < BUCKET_COUNT; bucket++) {
             mCounts[bucket] -= other.mCounts[bucket];
         }
     }
@@ -52,26 +52,26 @@
     }
 
     /** Counts what took longer than the bucket. */
-    long above(final int bucket) {
-        return Arrays.stream(mCounts, Math.min(bucket + 1, BUCKETS), BUCKETS).sum();
+    long countAbove(final int bucket) {
+        return Arrays.stream(mCounts, Math.min(bucket + 1, BUCKET_COUNT), BUCKET_COUNT).sum();
     }
 
     /** Finds the bucket below which a part of the counts lies. */
-    int quantile(final double part) {
+    int quantileBucket(final double part) {
         final double wanted = part * total();
         long seen = 0;
-        for (int bucket = 0; bucket < BUCKETS; bucket++) {
+        for (int bucket = 0; bucket < BUCKET_COUNT; bucket++) {
             seen += mCounts[bucket];
             if (seen >= wanted && seen > 0) {
                 return bucket;
             }
         }
-        return BUCKETS - 1;
+        return BUCKET_COUNT - 1;
     }
 
     /** Returns the upper end of a bucket. */
-    static Duration upperEnd(final int bucket) {
-        return Duration.ofMillis(Math.round(FIRST_MILLIS * Math.pow(GROWTH, bucket)));
+    static Duration upperBound(final int bucket) {
+        return Duration.ofMillis(Math.round(FIRST_BOUND_MILLIS * Math.pow(GROWTH, bucket)));
     }
 
     List<Long> toList() {
@@ -79,9 +79,9 @@
     }
 
     private static int bucket(final Duration time) {
-        double end = FIRST_MILLIS;
+        double end = FIRST_BOUND_MILLIS;
         int bucket = 0;
-        while (time.toMillis() >= end && bucket < BUCKETS - 1) {
+        while (time.toMillis() >= end && bucket < BUCKET_COUNT - 1) {
             end *= GROWTH;
             bucket++;
         }
--- a/serving/src/main/java/org/whinhead/serving/rollout/LoadedAnswers.java
+++ b/serving/src/main/java/org/whinhead/serving/rollout/LoadedAnswerCounter.java
@@ -7,12 +7,12 @@
  * Counts which part of the new version's answers its endpoints gave under load. A fault that needs
  * load shows in no others.
  */
-final class LoadedAnswers {
+final class LoadedAnswerCounter {
 
     /** How long endpoints that begin to get requests are not under load yet. */
-    private static final Duration LOADED_AFTER = Duration.ofMillis(1_000);
+    private static final Duration RAMP_UP_TIME = Duration.ofMillis(1_000);
 
-    private Instant mTrialSince;
+    private Instant mCanarySince;
     private long mAnswers;
     private long mUnloaded;
 
@@ -23,11 +23,12 @@
      * @param share the share of requests that the new version gets
      * @param now the time
      */
-    void count(final long answers, final double share, final Instant now) {
-        if (mTrialSince == null && share > 0) {
-            mTrialSince = now;
+    void update(final long answers, final double share, final Instant now) {
+        if (mCanarySince == null && share > 0) {
+            mCanarySince = now;
         }
-        final boolean starts = mTrialSince != null && now.isBefore(mTrialSince.plus(LOADED_AFTER));
+        final boolean starts =
+                mCanarySince != null && now.isBefore(mCanarySince.plus(RAMP_UP_TIME));
         if (starts || share == 1) {
             mUnloaded += answers - mAnswers;
         }
@@ -40,7 +41,7 @@
      * @param answers all answers, those from before this daemon held the duties included
      * @return 0 to 1; 0 without answers
      */
-    double part(final long answers) {
+    double loadedShare(final long answers) {
         return answers == 0 ? 0 : Math.max(1 - (double) mUnloaded / answers, 0);
     }
 }
--- a/serving/src/main/java/org/whinhead/serving/rollout/TrialCounts.java
+++ b/serving/src/main/java/org/whinhead/serving/rollout/OutcomeCounter.java
@@ -7,19 +7,19 @@
 import java.util.Map;
 
 /** Counts what becomes of a service's requests during a roll-out, at one daemon. */
-final class TrialCounts {
+final class OutcomeCounter {
 
-    private final Map<Side, Counts> mCounts = new HashMap<>();
+    private final Map<VersionKey, Counts> mCounts = new HashMap<>();
 
-    void sent(final String route, final boolean onTrial) {
+    void recordSend(final String route, final boolean onTrial) {
         counts(route, onTrial).mSent++;
     }
 
-    void answered(final String route, final boolean onTrial, final Duration taken) {
+    void recordAnswer(final String route, final boolean onTrial, final Duration taken) {
         counts(route, onTrial).mTimes.add(taken);
     }
 
-    void failed(final String route, final boolean onTrial) {
+    void recordFailure(final String route, final boolean onTrial) {
         counts(route, onTrial).mFailed++;
     }
 
@@ -30,7 +30,7 @@
                         outcomes.add(
                                 new RouteOutcomes(
                                         side.route(),
-                                        side.onTrial(),
+                                        side.canary(),
                                         counts.mSent,
                                         counts.mFailed,
                                         counts.mTimes.toList())));
@@ -38,13 +38,13 @@
     }
 
     private Counts counts(final String route, final boolean onTrial) {
-        return mCounts.computeIfAbsent(new Side(route, onTrial), side -> new Counts());
+        return mCounts.computeIfAbsent(new VersionKey(route, onTrial), side -> new Counts());
     }
 
-    private record Side(String route, boolean onTrial) {}
+    private record VersionKey(String route, boolean canary) {}
 
     private static final class Counts {
-        private final LatencyCounts mTimes = new LatencyCounts();
+        private final LatencyHistogram mTimes = new LatencyHistogram();
         private long mSent;
         private long mFailed;
     }
--- a/serving/src/main/java/org/whinhead/serving/rollout/RequestRate.java
+++ b/serving/src/main/java/org/whinhead/serving/rollout/RequestRate.java
@@ -17,10 +17,10 @@
 final class RequestRate {
 
     /** The time over which the rate is taken. */
-    private static final Duration SPAN = Duration.ofMillis(2_000);
+    private static final Duration WINDOW = Duration.ofMillis(2_000);
 
     /** The time over which a daemon's rate is taken at least. */
-    private static final Duration LEAST_SPAN = Duration.ofMillis(500);
+    private static final Duration MIN_SPAN = Duration.ofMillis(500);
 
     private static final double MILLIS_PER_SECOND = 1_000;
 
@@ -33,13 +33,13 @@
      * @param requests its requests so far
      * @param now the time
      */
-    void count(final String daemon, final long requests, final Instant now) {
+    void addReport(final String daemon, final long requests, final Instant now) {
         final Deque<Sample> samples = mDaemons.computeIfAbsent(daemon, name -> new ArrayDeque<>());
-        if (!isHeard(samples, now)) {
+        if (!isReporting(samples, now)) {
             samples.clear();
         }
         samples.addLast(new Sample(now, requests));
-        while (samples.peekFirst().at().isBefore(now.minus(SPAN))) {
+        while (samples.peekFirst().at().isBefore(now.minus(WINDOW))) {
             samples.removeFirst();
         }
     }
@@ -55,12 +55,12 @@
         int known = 0;
         int heard = 0;
         for (final Deque<Sample> samples : mDaemons.values()) {
-            if (isHeard(samples, now)) {
+            if (isReporting(samples, now)) {
                 heard++;
                 final Sample first = samples.peekFirst();
                 final Sample last = samples.peekLast();
                 final Duration span = Duration.between(first.at(), last.at());
-                if (span.compareTo(LEAST_SPAN) >= 0) {
+                if (span.compareTo(MIN_SPAN) >= 0) {
                     known++;
                     sum +=
                             (last.requests() - first.requests())
@@ -78,10 +78,10 @@
      * @param now the time
      * @return zero if none was heard lately
      */
-    Duration meanAge(final Instant now) {
+    Duration meanReportAge(final Instant now) {
         final double millis =
                 mDaemons.values().stream()
-                        .filter(samples -> isHeard(samples, now))
+                        .filter(samples -> isReporting(samples, now))
                         .mapToLong(
                                 samples ->
                                         Duration.between(samples.peekLast().at(), now).toMillis())
@@ -90,8 +90,8 @@
         return Duration.ofMillis(Math.round(millis));
     }
 
-    private static boolean isHeard(final Deque<Sample> samples, final Instant now) {
-        return !samples.isEmpty() && !samples.peekLast().at().isBefore(now.minus(SPAN));
+    private static boolean isReporting(final Deque<Sample> samples, final Instant now) {
+        return !samples.isEmpty() && !samples.peekLast().at().isBefore(now.minus(WINDOW));
     }
 
     private record Sample(Instant at, long requests) {}
--- a/serving/src/main/java/org/whinhead/serving/rollout/Trial.java
+++ b/serving/src/main/java/org/whinhead/serving/rollout/RolloutAttempt.java
@@ -3,19 +3,19 @@
 import java.time.Duration;
 
 /** One send of a request to an endpoint of a service that a roll-out is under way for. */
-public final class Trial {
+public final class RolloutAttempt {
 
-    private final TrialCounts mCounts;
+    private final OutcomeCounter mCounts;
     private final String mRoute;
-    private final boolean mOnTrial;
+    private final boolean mCanary;
     private boolean mAnswered;
     private boolean mFailed;
 
-    Trial(final TrialCounts counts, final String route, final boolean onTrial) {
+    RolloutAttempt(final OutcomeCounter counts, final String route, final boolean onTrial) {
         mCounts = counts;
         mRoute = route;
-        mOnTrial = onTrial;
-        counts.sent(route, onTrial);
+        mCanary = onTrial;
+        counts.recordSend(route, onTrial);
     }
 
     /**
@@ -23,10 +23,10 @@
      *
      * @param taken the time from the send to the whole answer, or to a stream's first token
      */
-    public void answered(final Duration taken) {
+    public void recordAnswer(final Duration taken) {
         if (!mAnswered) {
             mAnswered = true;
-            mCounts.answered(mRoute, mOnTrial, taken);
+            mCounts.recordAnswer(mRoute, mCanary, taken);
         }
     }
 
@@ -35,10 +35,10 @@
      * first token. A connection that is lost says nothing of the version: VMs are reclaimed and
      * crash at any version.
      */
-    public void failed() {
+    public void recordFailure() {
         if (!mFailed) {
             mFailed = true;
-            mCounts.failed(mRoute, mOnTrial);
+            mCounts.recordFailure(mRoute, mCanary);
         }
     }
 }
--- a/serving/src/main/java/org/whinhead/serving/rollout/RolloutController.java
+++ b/serving/src/main/java/org/whinhead/serving/rollout/RolloutController.java
@@ -18,52 +18,52 @@
 public final class RolloutController {
 
     /** What is kept of the time budget for writing the decision: a second write if one is lost. */
-    private static final Duration LEAST_MARGIN = Duration.ofMillis(350);
+    private static final Duration MIN_DECISION_MARGIN = Duration.ofMillis(350);
 
     /** The same as a part of the time budget. */
-    private static final double MARGIN_PART = 0.03;
+    private static final double DECISION_MARGIN_SHARE = 0.03;
 
     /** The last moment is at least so long: each daemon must hear of it, and move what runs. */
-    private static final Duration LEAST_TAKEOVER = Duration.ofMillis(500);
+    private static final Duration MIN_TAKEOVER = Duration.ofMillis(500);
 
     /** Part of the requests that a bad version may get which the takeover spends at least. */
-    private static final double TAKEOVER_PART = 0.2;
+    private static final double TAKEOVER_REQUEST_SHARE = 0.2;
 
     /** Part of the time budget that the takeover lasts at most. */
-    private static final double MOST_TAKEOVER_PART = 0.25;
+    private static final double MAX_TAKEOVER_SHARE = 0.25;
 
     /** How much later than it is due a decision may be taken and heard. */
-    private static final Duration DECIDED_LATE = Duration.ofMillis(150);
+    private static final Duration MAX_DECISION_DELAY = Duration.ofMillis(150);
 
     /** The largest share of a trial: endpoints that all start at once must not get a flood. */
-    private static final double MOST_TRIAL_SHARE = 0.6;
+    private static final double MAX_CANARY_SHARE = 0.6;
 
     /** How long requests are on their way to a count, beside the pause between two reports. */
-    private static final Duration COUNTED_LATE = Duration.ofMillis(100);
+    private static final Duration COUNT_DELAY = Duration.ofMillis(100);
 
     /** The last part of the trial is not spread over less. */
-    private static final double LEAST_TRIAL_SECONDS = 0.3;
+    private static final double MIN_CANARY_SECONDS = 0.3;
 
     /** Part of the requests that a bad version may get which is kept for what is counted late. */
-    private static final double RESERVE_PART = 0.05;
+    private static final double RESERVE_SHARE = 0.05;
 
     /** Requests that are kept for that at least. */
-    private static final double LEAST_RESERVE = 5;
+    private static final double MIN_RESERVE_REQUESTS = 5;
 
     /**
      * The time within which an endpoint of the new version gets its full load for a part. A share
      * that is less than one endpoint's is given by turns: the endpoint's full load, then nothing.
      */
-    private static final Duration TURN = Duration.ofMillis(2_000);
+    private static final Duration DUTY_CYCLE = Duration.ofMillis(2_000);
 
     /** Part of the old endpoints' number that the new ones need to take over. */
-    private static final double ENOUGH_ENDPOINTS = 0.5;
+    private static final double MIN_ENDPOINT_SHARE = 0.5;
 
     /** What a reported request counts where it is not sure how many there were. */
-    private static final double REPORTED_SURELY = 0.8;
+    private static final double REPORTED_WEIGHT = 0.8;
 
     /** Requests a second that are reckoned with where hardly any come. */
-    private static final double LEAST_RATE = 1;
+    private static final double MIN_REQUESTS_PER_SECOND = 1;
 
     private static final double MILLIS_PER_SECOND = 1_000;
 
@@ -71,11 +71,11 @@
     private final RolloutLimits mLimits;
     private final Instant mStartedAt;
     private final Duration mElapsedBefore;
-    private final VersionJudge mJudge = new VersionJudge();
-    private final LoadedAnswers mLoaded = new LoadedAnswers();
+    private final CanaryAnalysis mAnalysis = new CanaryAnalysis();
+    private final LoadedAnswerCounter mLoadedAnswers = new LoadedAnswerCounter();
     private Endpoints mEndpoints = new Endpoints(0, 0);
     private double mShare;
-    private boolean mTakesOver;
+    private boolean mTakingOver;
     private RolloutState mState = RolloutState.RUNNING;
     private String mReason = "";
 
@@ -104,7 +104,7 @@
      * @param old usable ones of other versions than the new one
      * @param trial usable ones of the new version
      */
-    public record Endpoints(int old, int trial) {}
+    public record Endpoints(int old, int canary) {}
 
     /**
      * What the controller wants done, and why.
@@ -131,9 +131,9 @@
      *
      * @param evidence its counts
      */
-    public void evidence(final RolloutEvidence evidence) {
+    public void addEvidence(final RolloutEvidence evidence) {
         if (evidence.order() == mOrder.offset()) {
-            mJudge.take(evidence);
+            mAnalysis.addEvidence(evidence);
         }
     }
 
@@ -142,13 +142,13 @@
      *
      * @param state the end
      */
-    public void ended(final RolloutState state) {
+    public void adoptFinalState(final RolloutState state) {
         if (!state.isFinal()) {
             throw new IllegalArgumentException("no end: " + state);
         }
         mState = state;
         mShare = state == RolloutState.COMPLETED ? 1 : 0;
-        mTakesOver = false;
+        mTakingOver = false;
         mReason = "recorded before";
     }
 
@@ -161,13 +161,14 @@
      */
     public Decision decide(final Endpoints endpoints, final Instant now) {
         mEndpoints = endpoints;
-        mJudge.judge(now);
-        mLoaded.count(mJudge.tally().answers() - mJudge.found(), mShare, now);
+        mAnalysis.evaluate(now);
+        mLoadedAnswers.update(
+                mAnalysis.tally().answers() - mAnalysis.initialAnswers(), mShare, now);
         if (!mState.isFinal()) {
-            next(now);
+            updateRunning(now);
         }
         final Duration left = remaining(now);
-        final Duration stopsIn = mTakesOver && !left.isNegative() ? left : Duration.ZERO;
+        final Duration stopsIn = mTakingOver && !left.isNegative() ? left : Duration.ZERO;
         return new Decision(mShare, routes(now), mState, stopsIn, mReason);
     }
 
@@ -177,10 +178,10 @@
      * @return counts, for the log
      */
     public Basis basis() {
-        final VersionJudge.Tally tally = mJudge.tally();
+        final CanaryAnalysis.Tally tally = mAnalysis.tally();
         return new Basis(
-                mJudge.requests(),
-                mJudge.exposed(),
+                mAnalysis.requests(),
+                mAnalysis.canaryRequests(),
                 tally.answers(),
                 tally.bad(),
                 tally.evidence());
@@ -202,58 +203,62 @@
         if (mShare == 0 || mShare == 1) {
             return List.of();
         }
-        final double shownMillis = takeover(now).minus(DECIDED_LATE).toMillis();
-        return RouteNeed.split(mJudge.needs(), mShare, rate(now) * shownMillis / MILLIS_PER_SECOND);
+        final double shownMillis = takeoverDuration(now).minus(MAX_DECISION_DELAY).toMillis();
+        return RouteSampleNeed.split(
+                mAnalysis.sampleNeeds(),
+                mShare,
+                requestsPerSecond(now) * shownMillis / MILLIS_PER_SECOND);
     }
 
-    private void next(final Instant now) {
-        final Optional<String> bad = mJudge.bad();
+    private void updateRunning(final Instant now) {
+        final Optional<String> bad = mAnalysis.findFault();
         if (bad.isPresent()) {
             end(RolloutState.ROLLED_BACK, "bad answers on " + bad.get());
             return;
         }
         if (remaining(now).isNegative() || remaining(now).isZero()) {
-            endInTime();
+            decideAtDeadline();
             return;
         }
-        if (mEndpoints.trial() == 0) {
+        if (mEndpoints.canary() == 0) {
             mShare = 0;
             mReason = "no endpoint of the new version";
             return;
         }
-        if (mJudge.isOldFailing()) {
+        if (mAnalysis.isOldFailing()) {
             mShare = 0;
-            mTakesOver = false;
+            mTakingOver = false;
             mReason = "old version fails as well, nothing can be told";
             return;
         }
-        if (exposed(now) >= spendable(now)) {
+        if (exposedRequests(now) >= spendableRequests(now)) {
             mShare = 0;
-            mTakesOver = false;
+            mTakingOver = false;
             mReason = "gets no more than a bad version may get";
             return;
         }
-        mTakesOver = mayTakeOver(now);
-        if (mTakesOver) {
+        mTakingOver = canTakeOver(now);
+        if (mTakingOver) {
             mShare = 1;
             mReason = "takes over";
         } else {
-            mShare = inTurns(trialShare(now), now);
+            mShare = applyDutyCycle(canaryShare(now), now);
             mReason = "on trial";
         }
     }
 
-    private void endInTime() {
-        final Optional<String> unproven = mJudge.unproven(mLoaded.part(mJudge.tally().answers()));
-        if (!isEnough()) {
+    private void decideAtDeadline() {
+        final Optional<String> unproven =
+                mAnalysis.findUnproven(mLoadedAnswers.loadedShare(mAnalysis.tally().answers()));
+        if (!hasEnoughEndpoints()) {
             end(RolloutState.ROLLED_BACK, "too few endpoints of the new version");
-        } else if (mJudge.isOldFailing()) {
+        } else if (mAnalysis.isOldFailing()) {
             end(RolloutState.ROLLED_BACK, "old version fails as well, nothing can be told");
         } else if (unproven.isPresent()) {
             end(
                     RolloutState.ROLLED_BACK,
                     "too little shown within the time budget on " + unproven.get());
-        } else if (!mTakesOver) {
+        } else if (!mTakingOver) {
             // Old endpoints stop at once, so what runs there must have moved before.
             end(RolloutState.ROLLED_BACK, "good, but no time left to take over");
         } else {
@@ -266,12 +271,13 @@
     private void end(final RolloutState state, final String reason) {
         mState = state;
         mShare = 0;
-        mTakesOver = false;
+        mTakingOver = false;
         mReason = reason;
     }
 
-    private boolean isEnough() {
-        return mEndpoints.trial() > 0 && mEndpoints.trial() >= ENOUGH_ENDPOINTS * mEndpoints.old();
+    private boolean hasEnoughEndpoints() {
+        return mEndpoints.canary() > 0
+                && mEndpoints.canary() >= MIN_ENDPOINT_SHARE * mEndpoints.old();
     }
 
     /** Returns the time until the decision has to be written. */
@@ -281,20 +287,21 @@
 
     private Duration margin() {
         final Duration part =
-                Duration.ofMillis(Math.round(mOrder.timeBudget().toMillis() * MARGIN_PART));
-        return part.compareTo(LEAST_MARGIN) > 0 ? part : LEAST_MARGIN;
+                Duration.ofMillis(
+                        Math.round(mOrder.timeBudget().toMillis() * DECISION_MARGIN_SHARE));
+        return part.compareTo(MIN_DECISION_MARGIN) > 0 ? part : MIN_DECISION_MARGIN;
     }
 
     /** Returns the requests a second that reach the service. */
-    private double rate(final Instant now) {
-        final double known = mJudge.requestsPerSecond(now);
-        return Math.max(known > 0 ? known : meanRate(now), LEAST_RATE);
+    private double requestsPerSecond(final Instant now) {
+        final double known = mAnalysis.requestsPerSecond(now);
+        return Math.max(known > 0 ? known : meanRequestsPerSecond(now), MIN_REQUESTS_PER_SECOND);
     }
 
     /** Returns the rate since the order, by what the daemons have reported so far. */
-    private double meanRate(final Instant now) {
+    private double meanRequestsPerSecond(final Instant now) {
         final long millis = Math.max(Duration.between(mStartedAt, now).toMillis(), 1);
-        return mJudge.requests() * MILLIS_PER_SECOND / millis;
+        return mAnalysis.requests() * MILLIS_PER_SECOND / millis;
     }
 
     /**
@@ -302,87 +309,96 @@
      * forgotten theirs; the trial's part of what they served before this daemon took over is
      * assumed.
      */
-    private double exposed(final Instant now) {
+    private double exposedRequests(final Instant now) {
         final double before = (double) mElapsedBefore.toMillis() / mOrder.timeBudget().toMillis();
-        return mJudge.exposed() + before * forgottenPart(now) * trialBudget(now);
+        return mAnalysis.canaryRequests() + before * unreportedShare(now) * canaryBudget(now);
     }
 
     /** Returns the part of the requests since the order that no daemon has reported. */
-    private double forgottenPart(final Instant now) {
+    private double unreportedShare(final Instant now) {
         final double elapsed = Duration.between(mStartedAt, now).toMillis() / MILLIS_PER_SECOND;
-        final double reported = mJudge.requests() / (rate(now) * elapsed);
-        return Math.min(Math.max(1 - REPORTED_SURELY * reported, 0), 1);
+        final double reported = mAnalysis.requests() / (requestsPerSecond(now) * elapsed);
+        return Math.min(Math.max(1 - REPORTED_WEIGHT * reported, 0), 1);
     }
 
     /** Returns the requests that a bad version may get until the end of the time budget. */
-    private double allowed(final Instant now) {
+    private double allowedRequests(final Instant now) {
         final Duration left = Duration.between(now, mStartedAt.plus(mOrder.timeBudget()));
-        final double coming = rate(now) * left.toMillis() / MILLIS_PER_SECOND;
-        return mLimits.allowed(mJudge.requests() + coming);
+        final double coming = requestsPerSecond(now) * left.toMillis() / MILLIS_PER_SECOND;
+        return mLimits.maxExposedRequests(mAnalysis.requests() + coming);
     }
 
     /** Tells whether the new version may get all that comes until the decision. */
-    private boolean mayTakeOver(final Instant now) {
-        if (!isEnough() || !mJudge.isPromising()) {
+    private boolean canTakeOver(final Instant now) {
+        if (!hasEnoughEndpoints() || !mAnalysis.isPromising()) {
             return false;
         }
-        return mTakesOver || (isTakeoverDue(now) && isTakeoverAllowed(now));
+        return mTakingOver || (isTakeoverDue(now) && isTakeoverAllowed(now));
     }
 
     private boolean isTakeoverDue(final Instant now) {
-        return remaining(now).compareTo(takeover(now)) <= 0;
+        return remaining(now).compareTo(takeoverDuration(now)) <= 0;
     }
 
     private boolean isTakeoverAllowed(final Instant now) {
         final double coming =
-                rate(now) * remaining(now).plus(DECIDED_LATE).toMillis() / MILLIS_PER_SECOND;
-        return exposed(now) + uncounted(now) + coming <= allowed(now);
+                requestsPerSecond(now)
+                        * remaining(now).plus(MAX_DECISION_DELAY).toMillis()
+                        / MILLIS_PER_SECOND;
+        return exposedRequests(now) + uncountedRequests(now) + coming <= allowedRequests(now);
     }
 
     /** Returns how long before the decision the takeover begins. */
-    private Duration takeover(final Instant now) {
+    private Duration takeoverDuration(final Instant now) {
         final double mostSeconds =
-                MOST_TAKEOVER_PART * mOrder.timeBudget().toMillis() / MILLIS_PER_SECOND;
-        final double seconds = Math.min(spendable(now) * TAKEOVER_PART / rate(now), mostSeconds);
+                MAX_TAKEOVER_SHARE * mOrder.timeBudget().toMillis() / MILLIS_PER_SECOND;
+        final double seconds =
+                Math.min(
+                        spendableRequests(now) * TAKEOVER_REQUEST_SHARE / requestsPerSecond(now),
+                        mostSeconds);
         final Duration takeover = Duration.ofMillis(Math.round(seconds * MILLIS_PER_SECOND));
-        return takeover.compareTo(LEAST_TAKEOVER) > 0 ? takeover : LEAST_TAKEOVER;
+        return takeover.compareTo(MIN_TAKEOVER) > 0 ? takeover : MIN_TAKEOVER;
     }
 
     /** Returns the requests that the new version may get until it is decided. */
-    private double spendable(final Instant now) {
-        final double allowed = allowed(now);
-        return allowed - Math.max(RESERVE_PART * allowed, LEAST_RESERVE);
+    private double spendableRequests(final Instant now) {
+        final double allowed = allowedRequests(now);
+        return allowed - Math.max(RESERVE_SHARE * allowed, MIN_RESERVE_REQUESTS);
     }
 
     /** Returns the requests that the trial may spend: what the takeover leaves. */
-    private double trialBudget(final Instant now) {
-        final double takeoverMillis = takeover(now).plus(DECIDED_LATE).toMillis();
-        return Math.max(spendable(now) - rate(now) * takeoverMillis / MILLIS_PER_SECOND, 0);
+    private double canaryBudget(final Instant now) {
+        final double takeoverMillis = takeoverDuration(now).plus(MAX_DECISION_DELAY).toMillis();
+        return Math.max(
+                spendableRequests(now)
+                        - requestsPerSecond(now) * takeoverMillis / MILLIS_PER_SECOND,
+                0);
     }
 
     /** Gives a share that is less than one endpoint's by turns. */
-    private double inTurns(final double share, final Instant now) {
-        final double one = 1.0 / mEndpoints.trial();
+    private double applyDutyCycle(final double share, final Instant now) {
+        final double one = 1.0 / mEndpoints.canary();
         if (share >= one) {
             return share;
         }
-        final long into = Duration.between(mStartedAt, now).toMillis() % TURN.toMillis();
-        return into < share / one * TURN.toMillis() ? one : 0;
+        final long into = Duration.between(mStartedAt, now).toMillis() % DUTY_CYCLE.toMillis();
+        return into < share / one * DUTY_CYCLE.toMillis() ? one : 0;
     }
 
     /** Returns the requests to the new version that no count holds yet. */
-    private double uncounted(final Instant now) {
-        final Duration late = mJudge.countedBefore(now).plus(COUNTED_LATE);
-        return rate(now) * mShare * late.toMillis() / MILLIS_PER_SECOND;
+    private double uncountedRequests(final Instant now) {
+        final Duration late = mAnalysis.meanReportAge(now).plus(COUNT_DELAY);
+        return requestsPerSecond(now) * mShare * late.toMillis() / MILLIS_PER_SECOND;
     }
 
-    private double trialShare(final Instant now) {
-        final double left = trialBudget(now) - exposed(now) - uncounted(now);
+    private double canaryShare(final Instant now) {
+        final double left = canaryBudget(now) - exposedRequests(now) - uncountedRequests(now);
         final double trialSeconds =
                 Math.max(
-                        (remaining(now).toMillis() - takeover(now).toMillis()) / MILLIS_PER_SECOND,
-                        LEAST_TRIAL_SECONDS);
-        final double share = left / (rate(now) * trialSeconds);
-        return Math.min(Math.max(share, 0), MOST_TRIAL_SHARE);
+                        (remaining(now).toMillis() - takeoverDuration(now).toMillis())
+                                / MILLIS_PER_SECOND,
+                        MIN_CANARY_SECONDS);
+        final double share = left / (requestsPerSecond(now) * trialSeconds);
+        return Math.min(Math.max(share, 0), MAX_CANARY_SHARE);
     }
 }
--- a/serving/src/main/java/org/whinhead/serving/rollout/RolloutEvidence.java
+++ b/serving/src/main/java/org/whinhead/serving/rollout/RolloutEvidence.java
@@ -27,9 +27,9 @@
      *
      * @return the failures on all routes
      */
-    public long failedOnTrial() {
+    public long canaryFailures() {
         return outcomes.stream()
-                .filter(RouteOutcomes::onTrial)
+                .filter(RouteOutcomes::canary)
                 .mapToLong(RouteOutcomes::failed)
                 .sum();
     }
--- a/serving/src/main/java/org/whinhead/serving/rollout/RolloutLimits.java
+++ b/serving/src/main/java/org/whinhead/serving/rollout/RolloutLimits.java
@@ -19,7 +19,7 @@
     }
 
     /** Counts the requests that a bad version may get out of some. */
-    double allowed(final double requests) {
+    double maxExposedRequests(final double requests) {
         return exposureShare * requests + exposureSlack;
     }
 }
--- a/serving/src/main/java/org/whinhead/serving/rollout/RolloutStep.java
+++ b/serving/src/main/java/org/whinhead/serving/rollout/RolloutStep.java
@@ -63,7 +63,7 @@
     }
 
     /** Tells whether this step is newer than another one: by order, holder and number. */
-    boolean isAfter(final RolloutStep other) {
+    boolean isNewerThan(final RolloutStep other) {
         if (order != other.order) {
             return order > other.order;
         }
--- a/serving/src/main/java/org/whinhead/serving/rollout/Rollouts.java
+++ b/serving/src/main/java/org/whinhead/serving/rollout/Rollouts.java
@@ -27,7 +27,7 @@
     /** Spreads the hashes of ids that differ in few characters. */
     private static final int SPREAD_FACTOR = 0x9E3779B9;
 
-    private final boolean mInForce;
+    private final boolean mEnabled;
     private final VersionHold mHold = new VersionHold();
     private final Map<String, ServiceRollout> mServices = new HashMap<>();
 
@@ -38,7 +38,7 @@
      *     every request
      */
     public Rollouts(final boolean inForce) {
-        mInForce = inForce;
+        mEnabled = inForce;
     }
 
     /**
@@ -47,7 +47,7 @@
      * @param order the order; an older one than that which is known changes nothing
      * @return whether it is new
      */
-    public boolean ordered(final RolloutOrder order) {
+    public boolean addOrder(final RolloutOrder order) {
         final ServiceRollout known = mServices.get(order.service());
         if (known != null && known.order().offset() >= order.offset()) {
             return false;
@@ -62,8 +62,8 @@
      * @param step the step
      * @param now the time
      */
-    public void step(final RolloutStep step, final Instant now) {
-        find(step.service()).ifPresent(rollout -> rollout.step(step, now));
+    public void applyStep(final RolloutStep step, final Instant now) {
+        find(step.service()).ifPresent(rollout -> rollout.applyStep(step, now));
     }
 
     /**
@@ -71,10 +71,10 @@
      *
      * @param record the record
      */
-    public void recorded(final RolloutRecord record) {
+    public void applyRecord(final RolloutRecord record) {
         find(record.service())
                 .filter(rollout -> rollout.order().offset() == record.order())
-                .ifPresent(rollout -> rollout.decided(record.state()));
+                .ifPresent(rollout -> rollout.applyRecordedState(record.state()));
     }
 
     /**
@@ -83,9 +83,9 @@
      * @param endpoints the endpoints of all services
      * @param now the time
      */
-    public void listed(final Collection<EndpointEntry> endpoints, final Instant now) {
-        if (mInForce) {
-            mHold.listed(endpoints, now);
+    public void observeEndpoints(final Collection<EndpointEntry> endpoints, final Instant now) {
+        if (mEnabled) {
+            mHold.observe(endpoints, now);
         }
     }
 
@@ -96,7 +96,8 @@
      * @param usable its endpoints that are not leaving
      * @return all while a roll-out is under way, and then those of the version that serves
      */
-    public List<EndpointEntry> capacity(final String service, final List<EndpointEntry> usable) {
+    public List<EndpointEntry> capacityEndpoints(
+            final String service, final List<EndpointEntry> usable) {
         return find(service)
                 .filter(rollout -> rollout.state().isFinal())
                 .map(rollout -> rollout.candidates(usable, ANY_ROUTE, 0, Instant.MAX))
@@ -147,7 +148,7 @@
             final double draw = repeated ? Math.nextDown(1.0) : draw(requestId);
             return rollout.get().candidates(usable, route, draw, now);
         }
-        if (!mInForce) {
+        if (!mEnabled) {
             return usable;
         }
         final List<EndpointEntry> known =
@@ -163,10 +164,13 @@
      * @param endpoint where to
      * @return counts what becomes of it; empty if no roll-out of the service is under way
      */
-    public Optional<Trial> sent(final String route, final EndpointEntry endpoint) {
+    public Optional<RolloutAttempt> startAttempt(final String route, final EndpointEntry endpoint) {
         return find(endpoint.service())
                 .filter(rollout -> !rollout.state().isFinal())
-                .map(rollout -> new Trial(rollout.counts(), route, rollout.isNew(endpoint)));
+                .map(
+                        rollout ->
+                                new RolloutAttempt(
+                                        rollout.counts(), route, rollout.isNew(endpoint)));
     }
 
     /**
@@ -174,7 +178,7 @@
      *
      * @return the orders
      */
-    public List<RolloutOrder> open() {
+    public List<RolloutOrder> openOrders() {
         return mServices.values().stream()
                 .filter(rollout -> !rollout.state().isFinal())
                 .map(ServiceRollout::order)
@@ -197,7 +201,7 @@
      * @param daemon names this daemon's process
      * @return the evidence of each
      */
-    public List<RolloutEvidence> evidence(final String daemon) {
+    public List<RolloutEvidence> collectEvidence(final String daemon) {
         final List<RolloutEvidence> all = new ArrayList<>();
         for (final ServiceRollout rollout : mServices.values()) {
             if (!rollout.state().isFinal()) {
@@ -219,7 +223,8 @@
      * @param endpoints its endpoints
      * @return those of other versions than the new one; none without a roll-out
      */
-    public List<EndpointEntry> replaced(final String service, final List<EndpointEntry> endpoints) {
+    public List<EndpointEntry> replacedEndpoints(
+            final String service, final List<EndpointEntry> endpoints) {
         return find(service)
                 .map(
                         rollout ->
@@ -234,7 +239,7 @@
      *
      * @return its offset; 0 without an order
      */
-    public long newestOffset() {
+    public long newestOrderOffset() {
         return mServices.values().stream()
                 .mapToLong(rollout -> rollout.order().offset())
                 .max()
--- a/serving/src/main/java/org/whinhead/serving/rollout/RouteComparison.java
+++ b/serving/src/main/java/org/whinhead/serving/rollout/RouteComparison.java
@@ -9,13 +9,13 @@
      * Buckets above the old version's median from which an answer is too slow: 2.3 to 3.4 times as
      * long. Of answers that vary by half, one in thirty takes that long anyway.
      */
-    private static final int SLOW_BUCKETS = 2;
+    private static final int SLOW_BUCKET_DISTANCE = 2;
 
     /** Answers that are faster than this are never too slow; a busy daemon alone delays as much. */
-    private static final Duration LEAST_SLOW = Duration.ofMillis(60);
+    private static final Duration MIN_SLOW_LATENCY = Duration.ofMillis(60);
 
     /** Answers of the old version without which nothing is compared with them. */
-    private static final double LEAST_ANSWERS = 10;
+    private static final double MIN_BASELINE_ANSWERS = 10;
 
     /** Answers that are added to the old version's, so that its first few don't count for all. */
     private static final double PRIOR_ANSWERS = 10;
@@ -26,11 +26,11 @@
     /**
      * What a call keeps of the old version's recent answers: at five calls a second half a second.
      */
-    private static final double RECENT_KEPT = 0.75;
+    private static final double RECENT_DECAY = 0.75;
 
-    private final BadAnswerTest mTest = new BadAnswerTest();
-    private Sums mJudged = new Sums();
-    private Sums mJudgedOld = new Sums();
+    private final CusumDetector mDetector = new CusumDetector();
+    private Totals mProcessedCanary = new Totals();
+    private Totals mProcessedOld = new Totals();
     private long mOldAnswers;
     private long mOldFailed;
     private long mOldSlow;
@@ -52,36 +52,36 @@
      * @param trial the new version's sums
      * @param overall also gets the answers that are new since the last call
      */
-    void compare(final Sums old, final Sums trial, final BadAnswerTest overall) {
+    void compare(final Totals old, final Totals trial, final CusumDetector overall) {
         final int slowBucket = slowBucket(old);
-        final Sums freshOld = old.since(mJudgedOld);
-        mJudgedOld = old.copy();
-        mRecentAnswers = RECENT_KEPT * mRecentAnswers + freshOld.answers();
-        mRecentBad = RECENT_KEPT * mRecentBad + freshOld.bad(slowBucket);
+        final Totals freshOld = old.since(mProcessedOld);
+        mProcessedOld = old.copy();
+        mRecentAnswers = RECENT_DECAY * mRecentAnswers + freshOld.answers();
+        mRecentBad = RECENT_DECAY * mRecentBad + freshOld.bad(slowBucket);
         mAllOldAnswers += freshOld.answers();
         mAllOldBad += freshOld.bad(slowBucket);
         if (isOldFailing()) {
-            mJudged = trial.copy();
+            mProcessedCanary = trial.copy();
             return;
         }
         mOldAnswers += freshOld.answers();
         mOldFailed += freshOld.mFailed;
-        mOldSlow += freshOld.mTimes.above(slowBucket);
-        if (mOldAnswers >= LEAST_ANSWERS) {
-            judge(trial.since(mJudged), slowBucket, overall);
-            mJudged = trial.copy();
+        mOldSlow += freshOld.mTimes.countAbove(slowBucket);
+        if (mOldAnswers >= MIN_BASELINE_ANSWERS) {
+            evaluate(trial.since(mProcessedCanary), slowBucket, overall);
+            mProcessedCanary = trial.copy();
         }
     }
 
-    private void judge(final Sums fresh, final int slowBucket, final BadAnswerTest overall) {
+    private void evaluate(final Totals fresh, final int slowBucket, final CusumDetector overall) {
         final long bad = fresh.bad(slowBucket);
         final long good = fresh.answers() - bad;
-        final double usual = isWorseRecently() ? recentShare() : usual();
-        mTest.answers(good, bad, usual);
-        overall.answers(good, bad, usual);
+        final double usual = isWorseRecently() ? recentShare() : baselineShare();
+        mDetector.addAnswers(good, bad, usual);
+        overall.addAnswers(good, bad, usual);
         mAnswers += fresh.answers();
         mFailed += fresh.mFailed;
-        mSlow += fresh.mTimes.above(slowBucket);
+        mSlow += fresh.mTimes.countAbove(slowBucket);
     }
 
     private static double share(final double bad, final double answers) {
@@ -89,7 +89,7 @@
     }
 
     /** Returns the share of the old version's answers that are bad. */
-    double usual() {
+    double baselineShare() {
         return share(mOldFailed + mOldSlow, mOldAnswers);
     }
 
@@ -98,32 +98,32 @@
     }
 
     private boolean isWorseRecently() {
-        return leastShare(mRecentBad, mRecentAnswers) > usual();
+        return lowerBound(mRecentBad, mRecentAnswers) > baselineShare();
     }
 
     /** Returns a share less its standard error: what it is at least, but for chance. */
-    private static double leastShare(final double bad, final double answers) {
+    private static double lowerBound(final double bad, final double answers) {
         final double share = share(bad, answers);
         return share - Math.sqrt(share * (1 - share) / (answers + PRIOR_ANSWERS));
     }
 
     /** Tells whether the old version fails so often now that nothing can be told of the new one. */
     boolean isOldFailing() {
-        return leastShare(mRecentBad, mRecentAnswers) > FaultLikelihood.MOST_USUAL
-                || leastShare(mAllOldBad, mAllOldAnswers) > FaultLikelihood.MOST_USUAL;
+        return lowerBound(mRecentBad, mRecentAnswers) > FaultLikelihood.MAX_BASELINE_SHARE
+                || lowerBound(mAllOldBad, mAllOldAnswers) > FaultLikelihood.MAX_BASELINE_SHARE;
     }
 
-    private static int slowBucket(final Sums old) {
-        int bucket = old.mTimes.quantile(0.5) + SLOW_BUCKETS;
-        while (bucket < LatencyCounts.BUCKETS
-                && LatencyCounts.upperEnd(bucket).compareTo(LEAST_SLOW) < 0) {
+    private static int slowBucket(final Totals old) {
+        int bucket = old.mTimes.quantileBucket(0.5) + SLOW_BUCKET_DISTANCE;
+        while (bucket < LatencyHistogram.BUCKET_COUNT
+                && LatencyHistogram.upperBound(bucket).compareTo(MIN_SLOW_LATENCY) < 0) {
             bucket++;
         }
         return bucket;
     }
 
     boolean isBad() {
-        return mTest.isBad();
+        return mDetector.isBad();
     }
 
     /** Returns what the new version has shown of failures. */
@@ -141,7 +141,7 @@
 
     /** Returns how much speaks for a fault that hits a part, as a log likelihood ratio. */
     double logRatio(final double hitPart) {
-        return FaultLikelihood.logRatio(mAnswers, bad(), usual(), hitPart);
+        return FaultLikelihood.logRatio(mAnswers, bad(), baselineShare(), hitPart);
     }
 
     /** Counts the old version's answers that the new one's are compared with. */
@@ -158,12 +158,12 @@
     }
 
     /** What all daemons together have seen of a route at one version. */
-    static final class Sums {
-        private final LatencyCounts mTimes = new LatencyCounts();
+    static final class Totals {
+        private final LatencyHistogram mTimes = new LatencyHistogram();
         private long mFailed;
 
         void add(final RouteOutcomes outcomes) {
-            mTimes.addAll(new LatencyCounts(outcomes.times()));
+            mTimes.addAll(new LatencyHistogram(outcomes.times()));
             mFailed += outcomes.failed();
         }
 
@@ -172,17 +172,17 @@
         }
 
         private long bad(final int slowBucket) {
-            return mFailed + mTimes.above(slowBucket);
+            return mFailed + mTimes.countAbove(slowBucket);
         }
 
-        private Sums copy() {
-            return since(new Sums());
+        private Totals copy() {
+            return since(new Totals());
         }
 
-        private Sums since(final Sums earlier) {
-            final Sums since = new Sums();
+        private Totals since(final Totals earlier) {
+            final Totals since = new Totals();
             since.mTimes.addAll(mTimes);
-            since.mTimes.removeAll(earlier.mTimes);
+            since.mTimes.subtractAll(earlier.mTimes);
             since.mFailed = mFailed - earlier.mFailed;
             return since;
         }
--- a/serving/src/main/java/org/whinhead/serving/rollout/RouteOutcomes.java
+++ b/serving/src/main/java/org/whinhead/serving/rollout/RouteOutcomes.java
@@ -11,10 +11,10 @@
  * @param onTrial whether the new version is meant, or all others
  * @param sent requests that were sent there
  * @param failed answers that the version failed
- * @param times the other answers by time, see {@link LatencyCounts}
+ * @param times the other answers by time, see {@link LatencyHistogram}
  */
 public record RouteOutcomes(
-        String route, boolean onTrial, long sent, long failed, List<Long> times) {
+        String route, boolean canary, long sent, long failed, List<Long> times) {
 
     /** Checks the parts. */
     public RouteOutcomes {
--- a/serving/src/main/java/org/whinhead/serving/rollout/RouteNeed.java
+++ b/serving/src/main/java/org/whinhead/serving/rollout/RouteSampleNeed.java
@@ -10,19 +10,19 @@
  * @param trafficPart the part of the service's requests that take it
  * @param answers the answers that it needs beside those that it has or waits for
  */
-record RouteNeed(String route, double trafficPart, double answers) {
+record RouteSampleNeed(String route, double trafficShare, double answers) {
 
     /** Requests that are split evenly at least: each route goes on to be watched. */
-    private static final double LEAST_SPLIT = 10;
+    private static final double MIN_SPLIT_REQUESTS = 10;
 
     /** The largest share of a route's requests that is put on trial. */
-    private static final double MOST_SHARE = 0.6;
+    private static final double MAX_ROUTE_SHARE = 0.6;
 
     /** Checks the parts. */
-    RouteNeed {
+    RouteSampleNeed {
         Arguments.requireText(route, "route");
-        if (!(trafficPart > 0 && trafficPart <= 1)) {
-            throw new IllegalArgumentException("traffic of " + route + " no part: " + trafficPart);
+        if (!(trafficShare > 0 && trafficShare <= 1)) {
+            throw new IllegalArgumentException("traffic of " + route + " no part: " + trafficShare);
         }
     }
 
@@ -35,19 +35,26 @@
      * @return a share for each of the routes
      */
     static List<RouteShare> split(
-            final List<RouteNeed> needs, final double share, final double unsplit) {
-        final double all = needs.stream().mapToDouble(need -> need.wanted(unsplit)).sum();
-        final double traffic = needs.stream().mapToDouble(RouteNeed::trafficPart).sum();
+            final List<RouteSampleNeed> needs, final double share, final double unsplit) {
+        final double all =
+                needs.stream().mapToDouble(need -> need.requestsBeforeTakeover(unsplit)).sum();
+        final double traffic = needs.stream().mapToDouble(RouteSampleNeed::trafficShare).sum();
         return needs.stream()
-                .map(need -> need.share(share * traffic * need.wanted(unsplit) / all))
+                .map(
+                        need ->
+                                need.share(
+                                        share
+                                                * traffic
+                                                * need.requestsBeforeTakeover(unsplit)
+                                                / all))
                 .toList();
     }
 
-    private double wanted(final double unsplit) {
-        return Math.max(answers - unsplit * trafficPart, LEAST_SPLIT * trafficPart);
+    private double requestsBeforeTakeover(final double unsplit) {
+        return Math.max(answers - unsplit * trafficShare, MIN_SPLIT_REQUESTS * trafficShare);
     }
 
     private RouteShare share(final double partOfAll) {
-        return new RouteShare(route, Math.min(partOfAll / trafficPart, MOST_SHARE));
+        return new RouteShare(route, Math.min(partOfAll / trafficShare, MAX_ROUTE_SHARE));
     }
 }
--- a/serving/src/main/java/org/whinhead/serving/rollout/VersionHold.java
+++ b/serving/src/main/java/org/whinhead/serving/rollout/VersionHold.java
@@ -19,15 +19,15 @@
 final class VersionHold {
 
     /** How long an order may be read later than the entries of endpoints that it starts. */
-    static final Duration HOLD = Duration.ofMillis(2_000);
+    static final Duration HOLD_TIME = Duration.ofMillis(2_000);
 
     private final Map<String, Map<String, Instant>> mReleasedAt = new HashMap<>();
 
     /** Notes which versions there are; those that come first of a service are not held back. */
-    void listed(final Collection<EndpointEntry> endpoints, final Instant now) {
+    void observe(final Collection<EndpointEntry> endpoints, final Instant now) {
         final Set<String> known = Set.copyOf(mReleasedAt.keySet());
         for (final EndpointEntry endpoint : endpoints) {
-            final Instant release = known.contains(endpoint.service()) ? now.plus(HOLD) : now;
+            final Instant release = known.contains(endpoint.service()) ? now.plus(HOLD_TIME) : now;
             mReleasedAt
                     .computeIfAbsent(endpoint.service(), name -> new HashMap<>())
                     .putIfAbsent(endpoint.version(), release);
--- a/serving/src/main/java/org/whinhead/serving/route/Route.java
+++ b/serving/src/main/java/org/whinhead/serving/route/Route.java
@@ -90,8 +90,8 @@
      *
      * @return whether it can
      */
-    public boolean mayRunAgain() {
-        return mKind.mayRunAgain(mResumable);
+    public boolean canRunAgain() {
+        return mKind.canRunAgain(mResumable);
     }
 
     /**
@@ -100,7 +100,7 @@
      * @param draw any number that is spread evenly over requests
      * @return the service's name
      */
-    public String service(final int draw) {
+    public String selectService(final int draw) {
         final int total = mServices.stream().mapToInt(WeightedService::weight).sum();
         if (total == 0) {
             return mServices.get(0).service();
--- a/serving/src/main/java/org/whinhead/serving/route/RouteKind.java
+++ b/serving/src/main/java/org/whinhead/serving/route/RouteKind.java
@@ -5,21 +5,21 @@
     /** A request may run more than once. */
     IDEMPOTENT {
         @Override
-        public boolean mayRunAgain(final boolean resumable) {
+        public boolean canRunAgain(final boolean resumable) {
             return true;
         }
     },
     /** A request runs once at most. */
     NON_IDEMPOTENT {
         @Override
-        public boolean mayRunAgain(final boolean resumable) {
+        public boolean canRunAgain(final boolean resumable) {
             return false;
         }
     },
     /** The answer is a series of numbered events; it runs again only where it can be resumed. */
     STREAMING {
         @Override
-        public boolean mayRunAgain(final boolean resumable) {
+        public boolean canRunAgain(final boolean resumable) {
             return resumable;
         }
 
@@ -35,7 +35,7 @@
      * @param resumable whether the route's streams can go on from an event
      * @return whether running it twice is allowed
      */
-    public abstract boolean mayRunAgain(boolean resumable);
+    public abstract boolean canRunAgain(boolean resumable);
 
     /**
      * Tells whether answers are event streams.
--- a/serving/src/main/java/org/whinhead/serving/route/RouteTable.java
+++ b/serving/src/main/java/org/whinhead/serving/route/RouteTable.java
@@ -34,7 +34,7 @@
      * @return the route with the longest prefix, if any
      */
     public Optional<Route> find(final String host, final String path) {
-        final Map<String, Route> routes = mRoutes.get(bareHost(host));
+        final Map<String, Route> routes = mRoutes.get(normalizeHost(host));
         if (routes == null) {
             return Optional.empty();
         }
@@ -47,7 +47,7 @@
         return Optional.empty();
     }
 
-    private static String bareHost(final String host) {
+    private static String normalizeHost(final String host) {
         final int port = host.indexOf(':');
         final String bare = port < 0 ? host : host.substring(0, port);
         return bare.toLowerCase(Locale.ROOT);
--- a/serving/src/test/java/org/whinhead/serving/balance/EndpointChooserTest.java
+++ b/serving/src/test/java/org/whinhead/serving/balance/EndpointChooserTest.java
@@ -48,7 +48,7 @@
     private String place(final List<EndpointEntry> endpoints, final Work work) {
         final Placement placement =
                 mChooser.place(endpoints, work, Set.of(), false, NOW).orElseThrow();
-        placement.ended();
+        placement.release();
         return placement.endpoint().id();
     }
 
@@ -87,7 +87,7 @@
     void loadOfOtherDaemonsSendsRequestsElsewhere() {
         final List<EndpointEntry> endpoints = endpoints(2);
         final String home = place(endpoints, work("s1"));
-        mChooser.peerLoad("other", home, 40, 60_000);
+        mChooser.updatePeerLoad("other", home, 40, 60_000);
         assertThat(place(endpoints, work("s1"))).isNotEqualTo(home);
     }
 
@@ -95,7 +95,7 @@
     void loadOfDaemonThatFellSilentNoLongerCounts() {
         final List<EndpointEntry> endpoints = endpoints(2);
         final String home = place(endpoints, work("s1"));
-        mChooser.peerLoad("other", home, 40, 60_000);
+        mChooser.updatePeerLoad("other", home, 40, 60_000);
         mChooser.forgetPeer("other");
         assertThat(place(endpoints, work("s1"))).isEqualTo(home);
     }
@@ -106,7 +106,7 @@
     void promptIsCopiedFromItsHomeIfTheRequestGoesElsewhere() {
         final List<EndpointEntry> endpoints = endpoints(2);
         final String home = place(endpoints, work("s1"));
-        mChooser.peerLoad("other", home, 40, 60_000);
+        mChooser.updatePeerLoad("other", home, 40, 60_000);
         final Placement away = copying(endpoints, work("s1"));
         assertThat(away.endpoint().id()).isNotEqualTo(home);
         assertThat(away.promptSource()).map(EndpointEntry::id).contains(home);
@@ -117,7 +117,7 @@
         final List<EndpointEntry> endpoints = endpoints(2);
         final String home = place(endpoints, work("s1"));
         final EndpointChooser other = chooser(2);
-        other.peerLoad("busy", home, 40, 60_000);
+        other.updatePeerLoad("busy", home, 40, 60_000);
         final Placement away =
                 other.place(endpoints, work("s1"), Set.of(), true, NOW).orElseThrow();
         assertThat(away.promptSource()).map(EndpointEntry::id).contains(home);
@@ -134,7 +134,7 @@
     void promptIsNotCopiedFromAnUnreachableEndpoint() {
         final List<EndpointEntry> endpoints = endpoints(2);
         final String home = place(endpoints, work("s1"));
-        mChooser.load(home).unreachable(NOW);
+        mChooser.load(home).recordUnreachable(NOW);
         assertThat(copying(endpoints, work("s1")).promptSource()).isEmpty();
     }
 
@@ -156,14 +156,14 @@
     void unreachableEndpointRests() {
         final List<EndpointEntry> endpoints = endpoints(2);
         final String home = place(endpoints, work("s1"));
-        mChooser.load(home).unreachable(NOW);
+        mChooser.load(home).recordUnreachable(NOW);
         assertThat(place(endpoints, work("s1"))).isNotEqualTo(home);
     }
 
     @Test
     void unreachableEndpointIsUsedIfThereIsNoOther() {
         final List<EndpointEntry> endpoints = endpoints(1);
-        mChooser.load("e0").unreachable(NOW);
+        mChooser.load("e0").recordUnreachable(NOW);
         assertThat(place(endpoints, work("s1"))).isEqualTo("e0");
     }
 
@@ -183,7 +183,7 @@
             final EndpointChooser chooser = chooser(daemon);
             endpoints.stream()
                     .skip(1)
-                    .forEach(endpoint -> chooser.peerLoad("peer", endpoint.id(), 12, 8_000));
+                    .forEach(endpoint -> chooser.updatePeerLoad("peer", endpoint.id(), 12, 8_000));
             for (int request = 0; request < 5; request++) {
                 final Work work = new Work(List.of(new PromptPart("short", 170)), 700, 50);
                 final Placement placement =
--- a/serving/src/test/java/org/whinhead/serving/balance/ReadingSpeedTest.java
+++ b/serving/src/test/java/org/whinhead/serving/balance/PrefillRateTest.java
@@ -7,9 +7,9 @@
 import java.util.Random;
 import org.junit.jupiter.api.Test;
 
-class ReadingSpeedTest {
+class PrefillRateTest {
 
-    private final ReadingSpeed mSpeed = new ReadingSpeed();
+    private final PrefillRate mSpeed = new PrefillRate();
     private final Random mRandom = new Random(7);
 
     /** Plays requests of mixed length, whose waiting adds up to twice the time of reading. */
@@ -18,7 +18,7 @@
             final int tokens = 2_000 + mRandom.nextInt(8_000);
             final double reading = tokens / tokensPerMillisecond;
             final double waiting = reading * mostWait * mRandom.nextDouble();
-            mSpeed.sample(tokens, Duration.ofMillis(Math.round(reading + waiting)));
+            mSpeed.addSample(tokens, Duration.ofMillis(Math.round(reading + waiting)));
         }
     }
 
@@ -46,19 +46,21 @@
 
     @Test
     void shortPromptsTellNothing() {
-        mSpeed.sample(600, Duration.ofMillis(400));
-        assertThat(mSpeed.tokensPerMillisecond()).isEqualTo(ReadingSpeed.INITIAL);
+        mSpeed.addSample(600, Duration.ofMillis(400));
+        assertThat(mSpeed.tokensPerMillisecond()).isEqualTo(PrefillRate.INITIAL_TOKENS_PER_MILLI);
     }
 
     @Test
     void wrongSamplesStayWithinBounds() {
         for (int sample = 0; sample < 1_000; sample++) {
-            mSpeed.sample(50_000, Duration.ZERO);
+            mSpeed.addSample(50_000, Duration.ZERO);
         }
-        assertThat(mSpeed.tokensPerMillisecond()).isEqualTo(4 * ReadingSpeed.INITIAL);
+        assertThat(mSpeed.tokensPerMillisecond())
+                .isEqualTo(4 * PrefillRate.INITIAL_TOKENS_PER_MILLI);
         for (int sample = 0; sample < 5_000; sample++) {
-            mSpeed.sample(2_000, Duration.ofSeconds(9));
+            mSpeed.addSample(2_000, Duration.ofSeconds(9));
         }
-        assertThat(mSpeed.tokensPerMillisecond()).isEqualTo(ReadingSpeed.INITIAL / 2);
+        assertThat(mSpeed.tokensPerMillisecond())
+                .isEqualTo(PrefillRate.INITIAL_TOKENS_PER_MILLI / 2);
     }
 }
--- a/serving/src/test/java/org/whinhead/serving/capacity/CapacityPlannerTest.java
+++ b/serving/src/test/java/org/whinhead/serving/capacity/CapacityPlannerTest.java
@@ -77,7 +77,7 @@
             for (final CapacityOrder order :
                     mPlanner.plan(SERVICE, mEndpoints, load(demand), now)) {
                 final boolean taken = !(mDry && order.reclaimable());
-                mPlanner.answered(order, taken);
+                mPlanner.recordAnswer(order, taken);
                 if (taken) {
                     set(order.domain(), order.reclaimable(), order.count());
                 }
@@ -122,14 +122,14 @@
         set("a", true, 0);
         final Instant reclaimed = START.plusSeconds(10);
         mPlanner.observe(SERVICE, mEndpoints, reclaimed);
-        mPlanner.orderedElsewhere(SERVICE, new CapacityOrder("pool", "a", false, 4), reclaimed);
+        mPlanner.recordPeerOrder(SERVICE, new CapacityOrder("pool", "a", false, 4), reclaimed);
         mPlanner.observe(SERVICE, mEndpoints, reclaimed.plusSeconds(1));
         final List<CapacityOrder> orders = new ArrayList<>();
         for (int round = 0; round < 3; round++) {
             final Instant now = reclaimed.plusSeconds(2).plusMillis(30 * round);
             for (final CapacityOrder order :
                     mPlanner.plan(SERVICE, mEndpoints, load(OptionalDouble.of(140_000)), now)) {
-                mPlanner.answered(order, !order.reclaimable());
+                mPlanner.recordAnswer(order, !order.reclaimable());
                 orders.add(order);
             }
         }
@@ -236,7 +236,7 @@
         mEndpoints.clear();
         final CapacityPlanner.Load load = load(OptionalDouble.of(100_000));
         mPlanner.plan(SERVICE, mEndpoints, load, START)
-                .forEach(order -> mPlanner.answered(order, true));
+                .forEach(order -> mPlanner.recordAnswer(order, true));
         set("a", false, 2);
         set("b", false, 1);
         for (int second = 1; second < 8; second++) {
@@ -338,7 +338,7 @@
                 new CapacityPlanner.Load(OptionalDouble.empty(), 120_000, 25_000);
         for (final CapacityOrder order : mPlanner.plan(SERVICE, mEndpoints, load, START)) {
             final boolean taken = !order.reclaimable();
-            mPlanner.answered(order, taken);
+            mPlanner.recordAnswer(order, taken);
         }
         final int onDemand =
                 mPlanner.plan(SERVICE, mEndpoints, load, START.plusMillis(30)).stream()
--- a/serving/src/test/java/org/whinhead/serving/capacity/CapacityRecoveryTest.java
+++ b/serving/src/test/java/org/whinhead/serving/capacity/CapacityRecoveryTest.java
@@ -129,7 +129,7 @@
                         cloud.mListed,
                         new CapacityPlanner.Load(demand, 0, 25_000),
                         START.plusSeconds(second))) {
-            planner.answered(order, cloud.take(order, second));
+            planner.recordAnswer(order, cloud.take(order, second));
         }
     }
 
--- a/serving/src/test/java/org/whinhead/serving/capacity/DemandMeterTest.java
+++ b/serving/src/test/java/org/whinhead/serving/capacity/DemandMeterTest.java
@@ -15,7 +15,7 @@
     private void run(final int fromSecond, final int toSecond, final long tokensPerSecond) {
         for (int second = fromSecond; second <= toSecond; second++) {
             mTokens += tokensPerSecond;
-            mMeter.total(mTokens, 0, START.plusSeconds(second));
+            mMeter.addTotal(mTokens, 0, START.plusSeconds(second));
         }
     }
 
@@ -33,7 +33,7 @@
     void firstMomentsOfTrafficAreNotJudged() {
         run(0, 10, 0);
         mTokens += 8_000;
-        mMeter.total(mTokens, 0, START.plusMillis(10_400));
+        mMeter.addTotal(mTokens, 0, START.plusMillis(10_400));
         run(11, 14, 80_000);
         assertThat(mMeter.tokensPerSecond()).isEmpty();
         run(15, 25, 80_000);
@@ -68,10 +68,11 @@
         final double requestTokens = 4_000;
         for (int tenth = 0; tenth <= 20; tenth++) {
             mTokens += 160_000;
-            mMeter.total(mTokens, requestTokens, START.plusMillis(tenth * 100L));
+            mMeter.addTotal(mTokens, requestTokens, START.plusMillis(tenth * 100L));
         }
         assertThat(mMeter.tokensPerSecond()).isEmpty();
-        assertThat(mMeter.atLeast()).isCloseTo(1_600_000, Percentage.withPercentage(10));
+        assertThat(mMeter.minimumTokensPerSecond())
+                .isCloseTo(1_600_000, Percentage.withPercentage(10));
     }
 
     // A small service orders for twice its demand, since two large requests came within a second.
@@ -79,9 +80,9 @@
     void fewRequestsAreNotJudgedEarly() {
         for (int tenth = 0; tenth <= 20; tenth++) {
             mTokens += 10_000;
-            mMeter.total(mTokens, 5_000, START.plusMillis(tenth * 100L));
+            mMeter.addTotal(mTokens, 5_000, START.plusMillis(tenth * 100L));
         }
-        assertThat(mMeter.atLeast()).isZero();
+        assertThat(mMeter.minimumTokensPerSecond()).isZero();
     }
 
     // Six daemons of eighteen were cut off for twelve seconds, and what they had spent comes within
@@ -90,7 +91,7 @@
     void lumpOfLateReportsIsSpreadOverTheLongSpan() {
         run(0, 15, 100_000);
         mTokens += 400_000;
-        mMeter.total(mTokens, 1_000, START.plusMillis(15_500));
-        assertThat(mMeter.atLeast()).isLessThan(110_000);
+        mMeter.addTotal(mTokens, 1_000, START.plusMillis(15_500));
+        assertThat(mMeter.minimumTokensPerSecond()).isLessThan(110_000);
     }
 }
--- a/serving/src/test/java/org/whinhead/serving/endpoint/EndpointRegistryTest.java
+++ b/serving/src/test/java/org/whinhead/serving/endpoint/EndpointRegistryTest.java
@@ -62,9 +62,9 @@
     void unreadableRecordStopsNewWorkUntilTheEndpointWritesAgain() {
         mRegistry.put(entry("e1", false), 1);
         mRegistry.put(entry("e2", false), 2);
-        assertThat(mRegistry.unreadable("e1", 3)).isTrue();
-        assertThat(mRegistry.unreadable("e1", 4)).isFalse();
-        assertThat(mRegistry.unreadable("other", 5)).isFalse();
+        assertThat(mRegistry.markUnreadable("e1", 3)).isTrue();
+        assertThat(mRegistry.markUnreadable("e1", 4)).isFalse();
+        assertThat(mRegistry.markUnreadable("other", 5)).isFalse();
         assertThat(mRegistry.usable("pool")).extracting(EndpointEntry::id).containsExactly("e2");
         assertThat(mRegistry.put(entry("e1", false), 6)).isEqualTo(EntryEffect.CHANGED);
         assertThat(mRegistry.usable("pool")).hasSize(2);
@@ -73,7 +73,7 @@
     @Test
     void unreadableRecordThatIsOlderChangesNothing() {
         mRegistry.put(entry("e1", false), 5);
-        assertThat(mRegistry.unreadable("e1", 3)).isFalse();
+        assertThat(mRegistry.markUnreadable("e1", 3)).isFalse();
         assertThat(mRegistry.usable("pool")).hasSize(1);
     }
 
@@ -109,7 +109,7 @@
     @Test
     void entryThatLapsedAroundAnOutageStaysInUseUntilItIsDue() {
         mRegistry.put(entry("e1", false), 1);
-        mRegistry.storeUnreachable(START);
+        mRegistry.recordOutage(START);
         mRegistry.retain(Set.of(), 3, START.plusMillis(400));
         assertThat(mRegistry.usable("pool")).hasSize(1);
         assertThat(mRegistry.expire(START.plusMillis(2_000))).isEmpty();
@@ -123,7 +123,7 @@
     @Test
     void removalSoonAfterAnOutageTakesEffectInTime() {
         mRegistry.put(entry("e1", false), 1);
-        mRegistry.storeUnreachable(START);
+        mRegistry.recordOutage(START);
         mRegistry.remove("e1", 2, START.plusMillis(1_200));
         assertThat(mRegistry.usable("pool")).hasSize(1);
         assertThat(mRegistry.expire(START.plusMillis(2_600))).containsExactly("e1");
@@ -132,7 +132,7 @@
     @Test
     void lapsedEntryThatComesBackStays() {
         mRegistry.put(entry("e1", false), 1);
-        mRegistry.storeUnreachable(START);
+        mRegistry.recordOutage(START);
         mRegistry.retain(Set.of(), 3, START.plusMillis(400));
         mRegistry.put(entry("e1", false), 4);
         assertThat(mRegistry.expire(START.plusSeconds(5))).isEmpty();
@@ -149,7 +149,7 @@
     @Test
     void endpointWhoseAddressAnswersForAnotherIsNotUsedAgain() {
         mRegistry.put(entry("e1", false), 1);
-        mRegistry.replacedAtAddress("e1");
+        mRegistry.markReplaced("e1");
         mRegistry.put(entry("e1", false), 2);
         assertThat(mRegistry.usable("pool")).isEmpty();
     }
--- a/serving/src/test/java/org/whinhead/serving/endpoint/ReclaimedEndpointsTest.java
+++ b/serving/src/test/java/org/whinhead/serving/endpoint/ReclaimedEndpointsTest.java
@@ -28,7 +28,7 @@
 
     @Test
     void endpointServesShortlyAfterItsNotice() {
-        mLeaving.noticed(leaving(Optional.of(Duration.ofMillis(2_400))), NOW);
+        mLeaving.addNotice(leaving(Optional.of(Duration.ofMillis(2_400))), NOW);
 
         assertThat(mLeaving.lastResort("pool", NOW.plusMillis(700))).hasSize(1);
         assertThat(mLeaving.lastResort("pool", NOW.plusMillis(701))).isEmpty();
@@ -36,7 +36,7 @@
 
     @Test
     void endpointThatIsGoneSoonIsNotUsed() {
-        mLeaving.noticed(leaving(Optional.of(Duration.ofMillis(1_000))), NOW);
+        mLeaving.addNotice(leaving(Optional.of(Duration.ofMillis(1_000))), NOW);
 
         assertThat(mLeaving.lastResort("pool", NOW.plusMillis(200))).hasSize(1);
         assertThat(mLeaving.lastResort("pool", NOW.plusMillis(201))).isEmpty();
@@ -44,7 +44,7 @@
 
     @Test
     void endpointThatDoesNotSayWhenItGoesIsNotUsed() {
-        mLeaving.noticed(leaving(Optional.empty()), NOW);
+        mLeaving.addNotice(leaving(Optional.empty()), NOW);
 
         assertThat(mLeaving.lastResort("pool", NOW)).isEmpty();
     }
@@ -52,16 +52,16 @@
     @Test
     void repeatedNoticeExtendsNothing() {
         final EndpointEntry entry = leaving(Optional.of(Duration.ofMillis(2_400)));
-        mLeaving.noticed(entry, NOW);
-        mLeaving.noticed(entry, NOW.plusMillis(600));
+        mLeaving.addNotice(entry, NOW);
+        mLeaving.addNotice(entry, NOW.plusMillis(600));
 
         assertThat(mLeaving.lastResort("pool", NOW.plusMillis(800))).isEmpty();
     }
 
     @Test
     void endpointThatIsGoneIsNotUsed() {
-        mLeaving.noticed(leaving(Optional.of(Duration.ofMillis(2_400))), NOW);
-        mLeaving.gone("a");
+        mLeaving.addNotice(leaving(Optional.of(Duration.ofMillis(2_400))), NOW);
+        mLeaving.remove("a");
 
         assertThat(mLeaving.lastResort("pool", NOW)).isEmpty();
     }
--- a/serving/src/test/java/org/whinhead/serving/rollout/AnswerSampleTest.java
+++ b/serving/src/test/java/org/whinhead/serving/rollout/AnswerSampleTest.java
@@ -17,7 +17,7 @@
     }
 
     private static double chance(final AnswerSample... samples) {
-        return AnswerSample.chanceOfSoFew(List.of(samples), HIT_PART);
+        return AnswerSample.probabilityOfAtMost(List.of(samples), HIT_PART);
     }
 
     /** With a usual share of 0.05 a fault leaves 0.57 of the answers good. */
@@ -50,23 +50,25 @@
 
     @Test
     void neededAnswersRuleFaultOut() {
-        final int needed = sample(5, 0, 0.02).needed(HIT_PART, MOST_CHANCE);
+        final int needed = sample(5, 0, 0.02).requiredAnswers(HIT_PART, MOST_CHANCE);
 
         assertThat(needed).isPositive();
-        assertThat(sample(60, 0, 0.02).needed(HIT_PART, MOST_CHANCE)).isZero();
+        assertThat(sample(60, 0, 0.02).requiredAnswers(HIT_PART, MOST_CHANCE)).isZero();
     }
 
     /** A route that fails often anyway has to show more before a fault is told from that. */
     @Test
     void routeThatFailsOftenNeedsMore() {
-        assertThat(sample(0, 0, 0.14).needed(HIT_PART, MOST_CHANCE))
-                .isGreaterThan(sample(0, 0, 0.02).needed(HIT_PART, MOST_CHANCE));
+        assertThat(sample(0, 0, 0.14).requiredAnswers(HIT_PART, MOST_CHANCE))
+                .isGreaterThan(sample(0, 0, 0.02).requiredAnswers(HIT_PART, MOST_CHANCE));
     }
 
     @Test
     void moreBadAnswersThanUsualAreUnlikely() {
-        assertThat(AnswerSample.chanceOfSoMany(List.of(sample(400, 20, 0.05)))).isGreaterThan(0.4);
-        assertThat(AnswerSample.chanceOfSoMany(List.of(sample(400, 60, 0.05)))).isLessThan(1e-6);
-        assertThat(AnswerSample.chanceOfSoMany(List.of(sample(400, 0, 0.05)))).isEqualTo(1);
+        assertThat(AnswerSample.probabilityOfAtLeast(List.of(sample(400, 20, 0.05))))
+                .isGreaterThan(0.4);
+        assertThat(AnswerSample.probabilityOfAtLeast(List.of(sample(400, 60, 0.05))))
+                .isLessThan(1e-6);
+        assertThat(AnswerSample.probabilityOfAtLeast(List.of(sample(400, 0, 0.05)))).isEqualTo(1);
     }
 }
--- a/serving/src/test/java/org/whinhead/serving/rollout/BadAnswerTestTest.java
+++ b/serving/src/test/java/org/whinhead/serving/rollout/CusumDetectorTest.java
@@ -4,25 +4,25 @@
 
 import org.junit.jupiter.api.Test;
 
-class BadAnswerTestTest {
+class CusumDetectorTest {
 
     private static final double USUAL = 0.02;
 
-    private final BadAnswerTest mTest = new BadAnswerTest();
+    private final CusumDetector mTest = new CusumDetector();
 
     @Test
     void fewGoodAnswersShowNothing() {
-        mTest.answers(10, 0, USUAL);
+        mTest.addAnswers(10, 0, USUAL);
 
         assertThat(mTest.isBad()).isFalse();
-        assertThat(mTest.evidence()).isZero();
+        assertThat(mTest.sum()).isZero();
     }
 
     /** A version that turns bad late must be found as fast as one that was bad from the start. */
     @Test
     void goodPastHidesNothing() {
-        mTest.answers(1_000, 0, USUAL);
-        mTest.answers(0, 5, USUAL);
+        mTest.addAnswers(1_000, 0, USUAL);
+        mTest.addAnswers(0, 5, USUAL);
 
         assertThat(mTest.isBad()).isTrue();
     }
@@ -31,7 +31,7 @@
     @Test
     void usualFailuresAreNotTheVersions() {
         for (int round = 0; round < 20; round++) {
-            mTest.answers(6, 1, 0.14);
+            mTest.addAnswers(6, 1, 0.14);
         }
 
         assertThat(mTest.isBad()).isFalse();
--- a/serving/src/test/java/org/whinhead/serving/rollout/RequestRateTest.java
+++ b/serving/src/test/java/org/whinhead/serving/rollout/RequestRateTest.java
@@ -18,7 +18,7 @@
     private void report(final long fromMillis, final long untilMillis, final int daemons) {
         for (long millis = fromMillis; millis <= untilMillis; millis += 200) {
             for (int daemon = 0; daemon < daemons; daemon++) {
-                mRate.count("daemon-" + daemon, millis / 100, START.plusMillis(millis));
+                mRate.addReport("daemon-" + daemon, millis / 100, START.plusMillis(millis));
             }
         }
     }
@@ -59,6 +59,6 @@
     void ageIsThatOfLastReports() {
         report(0, 1_000, DAEMONS);
 
-        assertThat(mRate.meanAge(START.plusMillis(1_150))).isEqualTo(Duration.ofMillis(150));
+        assertThat(mRate.meanReportAge(START.plusMillis(1_150))).isEqualTo(Duration.ofMillis(150));
     }
 }
--- a/serving/src/test/java/org/whinhead/serving/rollout/RolloutControllerTest.java
+++ b/serving/src/test/java/org/whinhead/serving/rollout/RolloutControllerTest.java
@@ -27,14 +27,15 @@
     private long mTrialFailed;
 
     private static List<Long> times(final long fast, final long slow) {
-        final List<Long> times = new ArrayList<>(Collections.nCopies(LatencyCounts.BUCKETS, 0L));
+        final List<Long> times =
+                new ArrayList<>(Collections.nCopies(LatencyHistogram.BUCKET_COUNT, 0L));
         times.set(FAST, fast);
         times.set(SLOW, slow);
         return times;
     }
 
     private RolloutController.Decision after(final long millis) {
-        mController.evidence(
+        mController.addEvidence(
                 new RolloutEvidence(
                         "service",
                         7,
@@ -145,7 +146,7 @@
     @Test
     void routeThatIsNotShownYetGetsMore() {
         for (long at = 200; at <= 6_000; at += 200) {
-            mController.evidence(
+            mController.addEvidence(
                     new RolloutEvidence(
                             "service",
                             7,
@@ -173,7 +174,7 @@
     /** Another holder's recorded end stays, whatever is seen afterwards. */
     @Test
     void recordedEndStays() {
-        mController.ended(RolloutState.ROLLED_BACK);
+        mController.adoptFinalState(RolloutState.ROLLED_BACK);
         goodUntil(11_400);
 
         assertThat(after(11_800).state()).isEqualTo(RolloutState.ROLLED_BACK);
--- a/serving/src/test/java/org/whinhead/serving/rollout/RolloutsTest.java
+++ b/serving/src/test/java/org/whinhead/serving/rollout/RolloutsTest.java
@@ -52,7 +52,7 @@
      */
     @Test
     void orderAloneGivesTheNewVersionNothing() {
-        mRollouts.ordered(ORDER);
+        mRollouts.addOrder(ORDER);
 
         assertThat(versions("request", START)).containsExactly("v1");
     }
@@ -63,8 +63,8 @@
      */
     @Test
     void endpointsOfUnseenVersionWaitForTheirOrder() {
-        mRollouts.listed(mBoth.subList(0, 2), START);
-        mRollouts.listed(mBoth, START);
+        mRollouts.observeEndpoints(mBoth.subList(0, 2), START);
+        mRollouts.observeEndpoints(mBoth, START);
 
         assertThat(versions("request", START.plusMillis(1_900))).containsExactly("v1");
         assertThat(versions("request", START.plusMillis(2_001))).contains("v1", "v2");
@@ -73,8 +73,8 @@
     @Test
     void withoutRolloutsNothingWaits() {
         final Rollouts none = new Rollouts(false);
-        none.listed(mBoth.subList(0, 2), START);
-        none.listed(mBoth, START);
+        none.observeEndpoints(mBoth.subList(0, 2), START);
+        none.observeEndpoints(mBoth, START);
 
         assertThat(none.candidates(SERVICE, mBoth, "request", false, START)).isEqualTo(mBoth);
     }
@@ -85,8 +85,8 @@
      */
     @Test
     void stepLapsesWithoutNews() {
-        mRollouts.ordered(ORDER);
-        mRollouts.step(step(1, 1, RolloutState.RUNNING, 1), START);
+        mRollouts.addOrder(ORDER);
+        mRollouts.applyStep(step(1, 1, RolloutState.RUNNING, 1), START);
 
         assertThat(versions("request", START.plusMillis(1_500))).containsExactly("v2");
         assertThat(versions("request", START.plusMillis(1_501))).containsExactly("v1");
@@ -95,12 +95,12 @@
     /** A step of the holder before, delayed on its way, must not bring a bad version back. */
     @Test
     void stepOfEarlierHolderChangesNothing() {
-        mRollouts.ordered(ORDER);
-        mRollouts.step(step(2, 1, RolloutState.ROLLED_BACK, 0), START);
-        mRollouts.step(step(1, 9, RolloutState.RUNNING, 1), START);
+        mRollouts.addOrder(ORDER);
+        mRollouts.applyStep(step(2, 1, RolloutState.ROLLED_BACK, 0), START);
+        mRollouts.applyStep(step(1, 9, RolloutState.RUNNING, 1), START);
 
         assertThat(versions("request", START)).containsExactly("v1");
-        assertThat(mRollouts.open()).isEmpty();
+        assertThat(mRollouts.openOrders()).isEmpty();
     }
 
     /**
@@ -109,11 +109,11 @@
      */
     @Test
     void recordOfTheStoreOpensTheNewVersion() {
-        mRollouts.ordered(ORDER);
+        mRollouts.addOrder(ORDER);
         final List<EndpointEntry> onlyNew = mBoth.subList(2, 4);
         assertThat(mRollouts.candidates(SERVICE, onlyNew, "request", false, START)).isEmpty();
 
-        mRollouts.recorded(new RolloutRecord(SERVICE, "v2", 7, START, RolloutState.COMPLETED));
+        mRollouts.applyRecord(new RolloutRecord(SERVICE, "v2", 7, START, RolloutState.COMPLETED));
 
         assertThat(mRollouts.candidates(SERVICE, onlyNew, "request", false, START))
                 .isEqualTo(onlyNew);
@@ -122,16 +122,16 @@
     /** A record of an earlier order of the same version says nothing of the one under way. */
     @Test
     void recordOfEarlierOrderChangesNothing() {
-        mRollouts.ordered(ORDER);
-        mRollouts.recorded(new RolloutRecord(SERVICE, "v2", 6, START, RolloutState.COMPLETED));
+        mRollouts.addOrder(ORDER);
+        mRollouts.applyRecord(new RolloutRecord(SERVICE, "v2", 6, START, RolloutState.COMPLETED));
 
         assertThat(mRollouts.isOpen(SERVICE)).isTrue();
     }
 
     @Test
     void repeatedRequestGoesToTheOldVersion() {
-        mRollouts.ordered(ORDER);
-        mRollouts.step(step(1, 1, RolloutState.RUNNING, 0.9), START);
+        mRollouts.addOrder(ORDER);
+        mRollouts.applyStep(step(1, 1, RolloutState.RUNNING, 0.9), START);
 
         assertThat(mRollouts.candidates(SERVICE, mBoth, "request", true, START))
                 .isEqualTo(mBoth.subList(0, 2));
@@ -140,12 +140,12 @@
     /** A version that was rolled back stays out of the capacity that is kept for the service. */
     @Test
     void capacityIsThatOfTheVersionThatServes() {
-        mRollouts.ordered(ORDER);
-        assertThat(mRollouts.capacity(SERVICE, mBoth)).isEqualTo(mBoth);
+        mRollouts.addOrder(ORDER);
+        assertThat(mRollouts.capacityEndpoints(SERVICE, mBoth)).isEqualTo(mBoth);
 
-        mRollouts.step(step(1, 1, RolloutState.ROLLED_BACK, 0), START);
+        mRollouts.applyStep(step(1, 1, RolloutState.ROLLED_BACK, 0), START);
 
-        assertThat(mRollouts.capacity(SERVICE, mBoth)).isEqualTo(mBoth.subList(0, 2));
+        assertThat(mRollouts.capacityEndpoints(SERVICE, mBoth)).isEqualTo(mBoth.subList(0, 2));
     }
 
     /**
@@ -164,9 +164,9 @@
         for (int daemon = 0; daemon < daemons; daemon++) {
             final Rollouts rollouts = new Rollouts(true);
             all.add(rollouts);
-            rollouts.ordered(ORDER);
+            rollouts.addOrder(ORDER);
             for (int heard = random.nextInt(5); heard > 0; heard--) {
-                rollouts.step(
+                rollouts.applyStep(
                         step(
                                 random.nextInt(3),
                                 random.nextInt(9),
--- a/serving/src/test/java/org/whinhead/serving/route/RouteTableTest.java
+++ b/serving/src/test/java/org/whinhead/serving/route/RouteTableTest.java
@@ -58,7 +58,7 @@
                         .build();
         int onNew = 0;
         for (int draw = -50; draw < 50; draw++) {
-            onNew += split.service(draw).equals("new") ? 1 : 0;
+            onNew += split.selectService(draw).equals("new") ? 1 : 0;
         }
         assertThat(onNew).isEqualTo(10);
     }
--- a/simulation/src/main/java/org/whinhead/simulation/capacity/CapacitySimulation.java
+++ b/simulation/src/main/java/org/whinhead/simulation/capacity/CapacitySimulation.java
@@ -143,7 +143,8 @@
         final Instant instant = instant(now);
         final boolean round = Math.floorMod(step, STEPS_PER_ROUND) == 0;
         if (round) {
-            mMeter.total(Math.round(mReports.getFirst()), mDay.demand().requestTokens(), instant);
+            mMeter.addTotal(
+                    Math.round(mReports.getFirst()), mDay.demand().requestTokens(), instant);
         }
         final var listed = mCloud.listed(now);
         final boolean changed = listed.size() != mListedBefore;
@@ -153,9 +154,11 @@
         }
         final CapacityPlanner.Load load =
                 new CapacityPlanner.Load(
-                        mMeter.tokensPerSecond(), mMeter.atLeast(), mDay.learnedTokens());
+                        mMeter.tokensPerSecond(),
+                        mMeter.minimumTokensPerSecond(),
+                        mDay.learnedTokens());
         for (final CapacityOrder order : mPlanner.plan(mService, listed, load, instant)) {
-            mPlanner.answered(order, mCloud.take(order, now));
+            mPlanner.recordAnswer(order, mCloud.take(order, now));
         }
     }
 
--- a/simulation/src/main/java/org/whinhead/simulation/rollout/RolloutDaemon.java
+++ b/simulation/src/main/java/org/whinhead/simulation/rollout/RolloutDaemon.java
@@ -4,12 +4,12 @@
 import java.util.List;
 import java.util.Optional;
 import org.whinhead.serving.endpoint.EndpointEntry;
+import org.whinhead.serving.rollout.RolloutAttempt;
 import org.whinhead.serving.rollout.RolloutEvidence;
 import org.whinhead.serving.rollout.RolloutOrder;
 import org.whinhead.serving.rollout.RolloutRecord;
 import org.whinhead.serving.rollout.RolloutStep;
 import org.whinhead.serving.rollout.Rollouts;
-import org.whinhead.serving.rollout.Trial;
 
 /** One daemon, which forgets everything when it is killed. */
 final class RolloutDaemon {
@@ -35,16 +35,16 @@
     void restart(final RolloutOrder order, final Optional<RolloutRecord> record) {
         mStarts++;
         mRollouts = new Rollouts(true);
-        mRollouts.ordered(order);
-        record.ifPresent(mRollouts::recorded);
+        mRollouts.addOrder(order);
+        record.ifPresent(mRollouts::applyRecord);
     }
 
     void ordered(final RolloutOrder order) {
-        mRollouts.ordered(order);
+        mRollouts.addOrder(order);
     }
 
     void step(final RolloutStep step, final Instant now) {
-        mRollouts.step(step, now);
+        mRollouts.applyStep(step, now);
     }
 
     List<EndpointEntry> candidates(
@@ -56,11 +56,11 @@
                 RolloutSimulation.SERVICE, usable, route, requestId, false, now);
     }
 
-    Optional<Trial> sent(final String route, final EndpointEntry endpoint) {
-        return mRollouts.sent(route, endpoint);
+    Optional<RolloutAttempt> sent(final String route, final EndpointEntry endpoint) {
+        return mRollouts.startAttempt(route, endpoint);
     }
 
     List<RolloutEvidence> evidence() {
-        return mRollouts.evidence(mNumber + "-" + mStarts);
+        return mRollouts.collectEvidence(mNumber + "-" + mStarts);
     }
 }
--- a/simulation/src/main/java/org/whinhead/simulation/rollout/RolloutSimulation.java
+++ b/simulation/src/main/java/org/whinhead/simulation/rollout/RolloutSimulation.java
@@ -10,6 +10,7 @@
 import java.util.Optional;
 import java.util.SplittableRandom;
 import org.whinhead.serving.endpoint.EndpointEntry;
+import org.whinhead.serving.rollout.RolloutAttempt;
 import org.whinhead.serving.rollout.RolloutController;
 import org.whinhead.serving.rollout.RolloutEvidence;
 import org.whinhead.serving.rollout.RolloutLimits;
@@ -17,7 +18,6 @@
 import org.whinhead.serving.rollout.RolloutRecord;
 import org.whinhead.serving.rollout.RolloutState;
 import org.whinhead.serving.rollout.RolloutStep;
-import org.whinhead.serving.rollout.Trial;
 
 /**
  * Plays one roll-out: callers, daemons, endpoints of two versions, and a holder that decides.
@@ -181,7 +181,8 @@
                 .ifPresent(trial -> run(trial, route, onTrial, load));
     }
 
-    private void run(final Trial trial, final int route, final boolean onTrial, final double load) {
+    private void run(
+            final RolloutAttempt trial, final int route, final boolean onTrial, final double load) {
         final double tail = mRandom.nextDouble() < TAIL_PART ? TAIL_FACTOR : 1;
         final double usual = USUAL_MILLIS * tail * Math.exp(SPREAD * gaussian());
         final VersionConduct.Fault fault = fault(route, onTrial, load);
@@ -201,9 +202,9 @@
                 taken,
                 () -> {
                     if (fails) {
-                        trial.failed();
+                        trial.recordFailure();
                     } else {
-                        trial.answered(taken);
+                        trial.recordAnswer(taken);
                     }
                 });
     }
@@ -245,7 +246,7 @@
         }
         for (final RolloutEvidence evidence : daemon.evidence()) {
             if (mRandom.nextDouble() >= LOST_PART) {
-                later(3, () -> mHolder.ifPresent(holder -> holder.evidence(evidence)));
+                later(3, () -> mHolder.ifPresent(holder -> holder.addEvidence(evidence)));
             }
         }
     }
@@ -341,7 +342,7 @@
         mSequence = 0;
         final RolloutController next = controller();
         mRecord.filter(record -> record.state().isFinal())
-                .ifPresent(record -> next.ended(record.state()));
+                .ifPresent(record -> next.adoptFinalState(record.state()));
         mHolder = Optional.of(next);
     }
 
