--- a/gateway/src/main/java/org/whinhead/gateway/Gateway.java
+++ b/gateway/src/main/java/org/whinhead/gateway/Gateway.java
@@ -10,14 +10,14 @@
 import java.util.concurrent.TimeUnit;
 import org.slf4j.Logger;
 import org.slf4j.LoggerFactory;
-import org.whinhead.gateway.caller.CallerListener;
+import org.whinhead.gateway.caller.CallerHttpServer;
 import org.whinhead.gateway.duty.DutyHolder;
 import org.whinhead.gateway.endpoint.EndpointConnections;
 import org.whinhead.gateway.exchange.Exchanges;
-import org.whinhead.gateway.exchange.RequestJournal;
+import org.whinhead.gateway.exchange.RequestLogger;
 import org.whinhead.gateway.exchange.ServingState;
 import org.whinhead.gateway.http.HttpReply;
-import org.whinhead.gateway.http.SmallHttpServer;
+import org.whinhead.gateway.http.SimpleHttpServer;
 import org.whinhead.gateway.metrics.RequestCounts;
 import org.whinhead.gateway.peers.Addresses;
 import org.whinhead.gateway.peers.MemberAnnouncement;
@@ -57,11 +57,11 @@
 
     private static final Logger LOG = LoggerFactory.getLogger(Gateway.class);
 
-    private static final int READY = 200;
-    private static final int NOT_READY = 503;
+    private static final int HTTP_OK = 200;
+    private static final int HTTP_SERVICE_UNAVAILABLE = 503;
 
     /** How long callers keep an answer of the directory; some keep it three times as long. */
-    private static final Duration DIRECTORY_KEEP = Duration.ofSeconds(1);
+    private static final Duration DIRECTORY_CACHE_TIME = Duration.ofSeconds(1);
 
     /** Wait and pause of the configuration's reads: a read that hangs is given up in time. */
     private static final TopicFollower.Pace CONFIGURATION_PACE =
@@ -80,18 +80,18 @@
     /**
      * From the signal on: when callers have learnt not to connect here, and an idle daemon ends.
      */
-    private static final Duration LEAST_STOP = Duration.ofMillis(4_000);
+    private static final Duration MIN_STOP_TIME = Duration.ofMillis(4_000);
 
     /** What is left of the grace when the daemon ends with requests under way. */
     private static final Duration STOP_MARGIN = Duration.ofMillis(500);
 
-    private static final int STOP_CHECK_MILLIS = 100;
+    private static final int STOP_CHECK_INTERVAL_MILLIS = 100;
 
     private final EventLoop mLoop;
     private final GatewaySettings mSettings;
     private final ServingState mState;
     private final MemberTable mMembers;
-    private final CallerListener mCallers;
+    private final CallerHttpServer mCallerServer;
     private final Exchanges mExchanges;
     private final EndpointWatch mEndpointWatch;
     private final ConfigurationWatch mConfigurationWatch;
@@ -124,7 +124,7 @@
         mSettings = settings;
         mPorts = ports;
         final TokenMessenger tokens = new TokenMessenger(loop, settings.self().incarnation());
-        mState = state(settings, tokens, clock, timeOfDay);
+        mState = createState(settings, tokens, clock, timeOfDay);
         mMembers = new MemberTable(settings.self());
         final EndpointConnections connections =
                 new EndpointConnections(loop, clock, ports.endpoints());
@@ -134,9 +134,9 @@
                         mState,
                         connections,
                         ports.endpoints(),
-                        new RequestJournal(clock, mCounts),
+                        new RequestLogger(clock, mCounts),
                         ports.mover());
-        mCallers = new CallerListener(loop, ports.callers(), mExchanges, this::limits);
+        mCallerServer = new CallerHttpServer(loop, ports.callers(), mExchanges, this::limits);
         mConfigurationWatch =
                 new ConfigurationWatch(
                         mState, ports.configurations(), ports.configurationKey(), ports.rollouts());
@@ -163,16 +163,16 @@
                 new ShareTableKeeper(
                         loop, mState, mMembers, ports.store(), () -> mDuties.token().isPresent());
         mPeers.onShareTable(mShareTable::heardVersion);
-        mRollouts = settings.rollouts().map(limits -> rolloutDuty(limits, ports));
+        mRollouts = settings.rollouts().map(limits -> createRolloutDuty(limits, ports));
         mRollouts.ifPresent(mPeers::onRolloutNews);
         mRollouts.ifPresent(duty -> mConfigurationWatch.onEarlierOrder(duty::earlierOrder));
-        mEndpointWatch.onLeaving(entry -> mExchanges.endpointLeaves(entry.id(), entry.leavesIn()));
+        mEndpointWatch.onLeaving(entry -> mExchanges.endpointLeaving(entry.id(), entry.leavesIn()));
         mEndpointWatch.onChange(mDuties.capacity()::orderEndpoints);
         mDuties.capacity().onOrdered(mPeers::sendOrder);
         mPeers.onOrder(mDuties.capacity()::orderedElsewhere);
     }
 
-    private static ServingState state(
+    private static ServingState createState(
             final GatewaySettings settings,
             final TokenMessenger tokens,
             final InstantSource clock,
@@ -199,7 +199,7 @@
                 .build();
     }
 
-    private RolloutDuty rolloutDuty(final RolloutLimits limits, final GatewayPorts ports) {
+    private RolloutDuty createRolloutDuty(final RolloutLimits limits, final GatewayPorts ports) {
         return new RolloutDuty(
                 mState,
                 mMembers,
@@ -207,7 +207,7 @@
                 new RolloutDuty.Ports(ports.store(), ports.rollouts()),
                 limits,
                 mDuties::token,
-                mExchanges::endpointLeaves);
+                mExchanges::endpointLeaving);
     }
 
     private CallerLimits limits() {
@@ -219,11 +219,11 @@
 
     /** Starts to listen and to follow the store; to be called on the event loop. */
     public void start() {
-        final SmallHttpServer small = new SmallHttpServer(mLoop);
+        final SimpleHttpServer small = new SimpleHttpServer(mLoop);
         small.listen(mSettings.readinessAddress(), "text/plain", target -> readiness());
         small.listen(mSettings.directoryAddress(), "application/json", this::addresses);
         small.listen(mSettings.metricsAddress(), "text/plain", target -> metrics());
-        mCallers.listen(mSettings.self().callerAddress());
+        mCallerServer.listen(mSettings.self().callerAddress());
         mSettings.contacts().forEach(mPeers::addContact);
         mPeers.start();
         followStore();
@@ -244,7 +244,7 @@
                 follower(StoreTopic.ENDPOINTS, mEndpointWatch, ENDPOINT_PACE);
         mConfigurationWatch.onRead(mDigests::configurationRead);
         mConfigurationWatch.onChange(mPeers::sendDigest);
-        mEndpointWatch.onRead(this::passOnEndpoints);
+        mEndpointWatch.onRead(this::publishEndpointChanges);
         mPeers.onEndpointNews(mEndpointWatch::passedOn);
         mDigests.onSameEndpoints(endpoints::skipTo);
         mDigests.onNews(
@@ -257,19 +257,19 @@
                 });
         configuration.start();
         endpoints.start();
-        final long pace = Exchanges.LAG_MEASURED_EACH.toMillis();
-        mLoop.scheduleWithFixedDelay(this::check, pace, pace, TimeUnit.MILLISECONDS);
+        final long pace = Exchanges.LAG_MEASUREMENT_INTERVAL.toMillis();
+        mLoop.scheduleWithFixedDelay(this::runPeriodicTasks, pace, pace, TimeUnit.MILLISECONDS);
     }
 
     /** What must be looked at some times a second; one timer serves all of it. */
-    private void check() {
+    private void runPeriodicTasks() {
         mExchanges.measureLag();
         mEndpointWatch.dropLapsed();
         mShareTable.tick();
         mRollouts.ifPresent(RolloutDuty::tick);
     }
 
-    private void passOnEndpoints() {
+    private void publishEndpointChanges() {
         mDigests.endpointsRead(mEndpointWatch.end());
         mPeers.sendEndpoints(mEndpointWatch.takeChanges());
     }
@@ -280,15 +280,15 @@
     }
 
     private HttpReply readiness() {
-        final boolean ready = isReady();
-        return new HttpReply(ready ? READY : NOT_READY, new byte[0]);
+        final boolean ready = updateReadiness();
+        return new HttpReply(ready ? HTTP_OK : HTTP_SERVICE_UNAVAILABLE, new byte[0]);
     }
 
     private HttpReply metrics() {
-        return new HttpReply(READY, mCounts.page().getBytes(StandardCharsets.UTF_8));
+        return new HttpReply(HTTP_OK, mCounts.page().getBytes(StandardCharsets.UTF_8));
     }
 
-    private boolean isReady() {
+    private boolean updateReadiness() {
         final boolean ready =
                 !mStopping
                         && mState.configuration().current().isPresent()
@@ -299,12 +299,12 @@
     }
 
     private HttpReply addresses(final String target) {
-        isReady();
+        updateReadiness();
         return mPorts.directory()
                 .answer(
                         target,
                         domain -> mMembers.addressesFor(domain, mState.clock().instant()),
-                        DIRECTORY_KEEP);
+                        DIRECTORY_CACHE_TIME);
     }
 
     /**
@@ -332,23 +332,23 @@
         mPeers.leave();
         mDuties.stop();
         final Instant start = mState.clock().instant();
-        later(CLOSE_IDLE_AFTER, mCallers::stopGently);
-        later(REFUSE_STREAMS_AFTER, mExchanges::closeForStreams);
+        schedule(CLOSE_IDLE_AFTER, mCallerServer::drain);
+        schedule(REFUSE_STREAMS_AFTER, mExchanges::refuseStreams);
         mLoop.scheduleWithFixedDelay(
                 () -> checkStopped(start, ended),
-                LEAST_STOP.toMillis(),
-                STOP_CHECK_MILLIS,
+                MIN_STOP_TIME.toMillis(),
+                STOP_CHECK_INTERVAL_MILLIS,
                 TimeUnit.MILLISECONDS);
     }
 
-    private void later(final Duration delay, final Runnable step) {
+    private void schedule(final Duration delay, final Runnable step) {
         mLoop.schedule(step, delay.toMillis(), TimeUnit.MILLISECONDS);
     }
 
     private void checkStopped(final Instant start, final Runnable ended) {
-        mCallers.stopAccepting();
+        mCallerServer.stopAccepting();
         final Duration spent = Duration.between(start, mState.clock().instant());
-        final int busy = mCallers.busyConnections();
+        final int busy = mCallerServer.busyConnectionCount();
         if (busy == 0 || spent.compareTo(mSettings.stopGrace().minus(STOP_MARGIN)) > 0) {
             LOG.atInfo().addKeyValue("requestsCut", busy).log("stopped");
             ended.run();
--- a/gateway/src/main/java/org/whinhead/gateway/GatewaySettings.java
+++ b/gateway/src/main/java/org/whinhead/gateway/GatewaySettings.java
@@ -154,7 +154,7 @@
          * @param metricsAddress where metrics are read
          * @return this builder
          */
-        public Builder smallCalls(
+        public Builder statusAddresses(
                 final InetSocketAddress readinessAddress,
                 final InetSocketAddress directoryAddress,
                 final InetSocketAddress metricsAddress) {
--- a/gateway/src/main/java/org/whinhead/gateway/caller/CallerConnection.java
+++ b/gateway/src/main/java/org/whinhead/gateway/caller/CallerConnection.java
@@ -27,7 +27,7 @@
 import java.time.Duration;
 import java.util.ArrayDeque;
 import java.util.Deque;
-import org.whinhead.gateway.endpoint.EndpointAnswer;
+import org.whinhead.gateway.endpoint.EndpointResponse;
 
 /**
  * One connection of a caller: reads a request whole, has it served, answers, reads the next.
@@ -35,33 +35,33 @@
  * <p>The connection is read all the time, since a caller that leaves shows only there. Requests
  * that are sent ahead wait; a caller that sends many ahead is no longer read.
  */
-final class CallerConnection extends ChannelInboundHandlerAdapter implements CallerAnswer {
+final class CallerConnection extends ChannelInboundHandlerAdapter implements CallerResponse {
 
-    private static final int MOST_WAITING_MESSAGES = 64;
+    private static final int MAX_QUEUED_MESSAGES = 64;
 
     /** Decimal digits of a second that are told: milliseconds. */
-    private static final int MILLIS_DIGITS = 3;
+    private static final int RETRY_AFTER_DECIMALS = 3;
 
-    private final CallerListener mListener;
-    private final Deque<Object> mWaiting = new ArrayDeque<>();
+    private final CallerHttpServer mServer;
+    private final Deque<Object> mQueued = new ArrayDeque<>();
     private ChannelHandlerContext mContext;
     private CallerRequest mRequest;
     private CompositeByteBuf mBody;
-    private CallerRequestHandler.Running mRunning;
+    private CallerRequestHandler.ActiveRequest mRunning;
     private boolean mServing;
     private boolean mKeepAlive = true;
     private boolean mChunked;
     private boolean mDiscarding;
     private boolean mSeenRequest;
 
-    CallerConnection(final CallerListener listener) {
-        mListener = listener;
+    CallerConnection(final CallerHttpServer listener) {
+        mServer = listener;
     }
 
     @Override
     public void handlerAdded(final ChannelHandlerContext context) {
         mContext = context;
-        mListener.opened(this);
+        mServer.connectionOpened(this);
     }
 
     boolean isIdle() {
@@ -80,9 +80,9 @@
     public void channelRead(final ChannelHandlerContext context, final Object message) {
         if (mDiscarding) {
             ReferenceCountUtil.release(message);
-        } else if (mServing || !mWaiting.isEmpty()) {
-            mWaiting.add(message);
-            if (mWaiting.size() > MOST_WAITING_MESSAGES) {
+        } else if (mServing || !mQueued.isEmpty()) {
+            mQueued.add(message);
+            if (mQueued.size() > MAX_QUEUED_MESSAGES) {
                 context.channel().config().setAutoRead(false);
             }
         } else {
@@ -93,17 +93,17 @@
     private void read(final Object message) {
         try {
             if (message instanceof HttpRequest head) {
-                head(head);
+                readHead(head);
             }
             if (message instanceof HttpContent content && mRequest != null) {
-                content(content);
+                readContent(content);
             }
         } finally {
             ReferenceCountUtil.release(message);
         }
     }
 
-    private void head(final HttpRequest head) {
+    private void readHead(final HttpRequest head) {
         mSeenRequest = true;
         if (head.decoderResult().isFailure()) {
             refuseUnread(refusalOf(head.decoderResult().cause()));
@@ -111,12 +111,12 @@
         }
         mKeepAlive = HttpUtil.isKeepAlive(head);
         try {
-            mRequest = mListener.protocol().decode(head);
+            mRequest = mServer.protocol().decode(head);
         } catch (BadRequestException e) {
             refuseUnread(Refusal.invalid(HttpResponseStatus.BAD_REQUEST, e.getMessage()));
             return;
         }
-        if (HttpUtil.getContentLength(head, 0L) > mListener.limits().maxBodyBytes()) {
+        if (HttpUtil.getContentLength(head, 0L) > mServer.limits().maxBodyBytes()) {
             refuseUnread(tooLarge());
             return;
         }
@@ -139,7 +139,7 @@
         return Refusal.invalid(HttpResponseStatus.REQUEST_ENTITY_TOO_LARGE, "body too long");
     }
 
-    private void content(final HttpContent content) {
+    private void readContent(final HttpContent content) {
         if (content.decoderResult().isFailure()) {
             refuseUnread(Refusal.invalid(HttpResponseStatus.BAD_REQUEST, "unreadable body"));
             return;
@@ -147,7 +147,7 @@
         if (content.content().isReadable()) {
             mBody.addComponent(true, content.content().retain());
         }
-        if (mBody.readableBytes() > mListener.limits().maxBodyBytes()) {
+        if (mBody.readableBytes() > mServer.limits().maxBodyBytes()) {
             refuseUnread(tooLarge());
             return;
         }
@@ -160,8 +160,8 @@
         mServing = true;
         final ByteBuf body = mBody;
         mBody = null;
-        final CallerRequestHandler.Running running =
-                mListener.handler().serve(mRequest, body, this);
+        final CallerRequestHandler.ActiveRequest running =
+                mServer.handler().serve(mRequest, body, this);
         mRunning = mServing ? running : null;
     }
 
@@ -170,24 +170,25 @@
         mDiscarding = true;
         mKeepAlive = false;
         mServing = true;
-        mListener.refusedUnread(refusal);
+        mServer.logUnreadRefusal(refusal);
         refuse(refusal);
     }
 
     @Override
-    public void start(final EndpointAnswer answer) {
+    public void start(final EndpointResponse answer) {
         final HttpResponse response =
-                new DefaultHttpResponse(HttpVersion.HTTP_1_1, answer.status(), answer.passed());
+                new DefaultHttpResponse(
+                        HttpVersion.HTTP_1_1, answer.status(), answer.forwardedHeaders());
         mChunked = !HttpUtil.isContentLengthSet(response);
         if (mChunked) {
             HttpUtil.setTransferEncodingChunked(response, true);
         }
-        setConnection(response);
+        setConnectionHeader(response);
         mContext.write(response);
     }
 
-    private void setConnection(final HttpResponse response) {
-        if (!mKeepAlive || mListener.isStopping()) {
+    private void setConnectionHeader(final HttpResponse response) {
+        if (!mKeepAlive || mServer.isStopping()) {
             mKeepAlive = false;
             response.headers().set(HttpHeaderNames.CONNECTION, HttpHeaderValues.CLOSE);
         }
@@ -205,7 +206,7 @@
         if (!mKeepAlive) {
             written.addListener(ChannelFutureListener.CLOSE);
         }
-        next();
+        finishRequest();
     }
 
     @Override
@@ -225,38 +226,39 @@
         response.headers().set(HttpHeaderNames.CONTENT_TYPE, "text/plain; charset=utf-8");
         refusal.retryAfter().ifPresent(after -> setRetryAfter(response, after));
         HttpUtil.setContentLength(response, response.content().readableBytes());
-        setConnection(response);
+        setConnectionHeader(response);
         final var written = mContext.writeAndFlush(response);
         if (!mKeepAlive) {
             written.addListener(ChannelFutureListener.CLOSE);
         }
-        next();
+        finishRequest();
     }
 
     private static void setRetryAfter(final HttpResponse response, final Duration after) {
-        final String seconds = BigDecimal.valueOf(after.toMillis(), MILLIS_DIGITS).toPlainString();
+        final String seconds =
+                BigDecimal.valueOf(after.toMillis(), RETRY_AFTER_DECIMALS).toPlainString();
         response.headers().set(HttpHeaderNames.RETRY_AFTER, seconds);
     }
 
-    private void next() {
+    private void finishRequest() {
         mServing = false;
         mRunning = null;
         mRequest = null;
         if (!mKeepAlive) {
             mDiscarding = true;
-            releaseWaiting();
+            releaseQueued();
             return;
         }
-        if (!mWaiting.isEmpty()) {
-            mContext.executor().execute(this::readWaiting);
+        if (!mQueued.isEmpty()) {
+            mContext.executor().execute(this::readQueued);
         }
     }
 
-    private void readWaiting() {
-        while (!mServing && !mDiscarding && !mWaiting.isEmpty()) {
-            read(mWaiting.poll());
+    private void readQueued() {
+        while (!mServing && !mDiscarding && !mQueued.isEmpty()) {
+            read(mQueued.poll());
         }
-        if (mWaiting.size() <= MOST_WAITING_MESSAGES) {
+        if (mQueued.size() <= MAX_QUEUED_MESSAGES) {
             mContext.channel().config().setAutoRead(true);
         }
     }
@@ -264,29 +266,29 @@
     @Override
     public void channelWritabilityChanged(final ChannelHandlerContext context) {
         if (mRunning != null && context.channel().isWritable()) {
-            mRunning.callerKeepsUp();
+            mRunning.callerCaughtUp();
         }
     }
 
     @Override
     public void channelInactive(final ChannelHandlerContext context) {
-        mListener.closed(this);
-        releaseWaiting();
+        mServer.connectionClosed(this);
+        releaseQueued();
         if (mBody != null) {
             mBody.release();
             mBody = null;
         }
-        final CallerRequestHandler.Running running = mRunning;
+        final CallerRequestHandler.ActiveRequest running = mRunning;
         mRunning = null;
         mServing = false;
         if (running != null) {
-            running.callerLeft();
+            running.callerDisconnected();
         }
     }
 
-    private void releaseWaiting() {
-        mWaiting.forEach(ReferenceCountUtil::release);
-        mWaiting.clear();
+    private void releaseQueued() {
+        mQueued.forEach(ReferenceCountUtil::release);
+        mQueued.clear();
     }
 
     @Override
--- a/gateway/src/main/java/org/whinhead/gateway/caller/CallerListener.java
+++ b/gateway/src/main/java/org/whinhead/gateway/caller/CallerHttpServer.java
@@ -20,9 +20,9 @@
 import org.whinhead.serving.configuration.CallerLimits;
 
 /** Listens for callers and keeps their connections. */
-public final class CallerListener {
+public final class CallerHttpServer {
 
-    private static final Logger LOG = LoggerFactory.getLogger(CallerListener.class);
+    private static final Logger LOG = LoggerFactory.getLogger(CallerHttpServer.class);
     private static final int BACKLOG = 1_024;
 
     private final EventLoop mLoop;
@@ -41,7 +41,7 @@
      * @param handler serves requests
      * @param limits gives the limits in force
      */
-    public CallerListener(
+    public CallerHttpServer(
             final EventLoop loop,
             final CallerProtocol protocol,
             final CallerRequestHandler handler,
@@ -64,13 +64,13 @@
                         .channel(NioServerSocketChannel.class)
                         .option(ChannelOption.SO_BACKLOG, BACKLOG)
                         .childOption(ChannelOption.TCP_NODELAY, true)
-                        .childHandler(new Setup())
+                        .childHandler(new PipelineInitializer())
                         .bind(address)
                         .channel();
     }
 
     /** Has every answer from now on close its connection, and closes those without a request. */
-    public void stopGently() {
+    public void drain() {
         mStopping = true;
         for (final CallerConnection connection : List.copyOf(mConnections)) {
             if (connection.isIdle()) {
@@ -89,7 +89,7 @@
      *
      * @return their number
      */
-    public int busyConnections() {
+    public int busyConnectionCount() {
         return (int) mConnections.stream().filter(connection -> !connection.isIdle()).count();
     }
 
@@ -109,32 +109,32 @@
         return mLimits.get();
     }
 
-    void opened(final CallerConnection connection) {
+    void connectionOpened(final CallerConnection connection) {
         mConnections.add(connection);
     }
 
-    void closed(final CallerConnection connection) {
+    void connectionClosed(final CallerConnection connection) {
         mConnections.remove(connection);
     }
 
-    void refusedUnread(final Refusal refusal) {
+    void logUnreadRefusal(final Refusal refusal) {
         LOG.atInfo()
                 .addKeyValue("status", refusal.status().code())
                 .addKeyValue("reason", refusal.reason())
                 .log("request refused before it was read");
     }
 
-    private final class Setup extends ChannelInitializer<SocketChannel> {
+    private final class PipelineInitializer extends ChannelInitializer<SocketChannel> {
         @Override
         protected void initChannel(final SocketChannel channel) {
             final CallerLimits limits = limits();
             final long idleMillis = limits.idleTimeout().toMillis();
             channel.pipeline()
                     .addLast(new IdleStateHandler(0, 0, idleMillis, TimeUnit.MILLISECONDS))
-                    .addLast(new SlowHeadGuard(limits.headerTimeout()))
+                    .addLast(new HeaderTimeoutHandler(limits.headerTimeout()))
                     .addLast(new StrictRequestDecoder(limits.maxHeaderBytes()))
                     .addLast(new HttpResponseEncoder())
-                    .addLast(new CallerConnection(CallerListener.this));
+                    .addLast(new CallerConnection(CallerHttpServer.this));
         }
     }
 }
--- a/gateway/src/main/java/org/whinhead/gateway/caller/CallerRequest.java
+++ b/gateway/src/main/java/org/whinhead/gateway/caller/CallerRequest.java
@@ -21,7 +21,7 @@
     private final Work mWork;
     private final OptionalLong mTokens;
     private final Optional<String> mResumeAfter;
-    private final HttpHeaders mForwarded;
+    private final HttpHeaders mForwardedHeaders;
 
     private CallerRequest(final Builder builder) {
         mId = Arguments.requireText(builder.mId, "id");
@@ -33,7 +33,7 @@
         mWork = builder.mWork;
         mTokens = builder.mTokens;
         mResumeAfter = builder.mResumeAfter;
-        mForwarded = Objects.requireNonNull(builder.mForwarded, "forwarded");
+        mForwardedHeaders = Objects.requireNonNull(builder.mForwardedHeaders, "forwarded");
     }
 
     /**
@@ -116,8 +116,8 @@
      *
      * @return the headers, not to be changed
      */
-    public HttpHeaders forwarded() {
-        return mForwarded;
+    public HttpHeaders forwardedHeaders() {
+        return mForwardedHeaders;
     }
 
     /** Collects the parts of a request. */
@@ -132,7 +132,7 @@
         private Work mWork = Work.PLAIN;
         private OptionalLong mTokens = OptionalLong.empty();
         private Optional<String> mResumeAfter = Optional.empty();
-        private HttpHeaders mForwarded;
+        private HttpHeaders mForwardedHeaders;
 
         private Builder() {}
 
@@ -214,8 +214,8 @@
          * @param forwarded the headers
          * @return this builder
          */
-        public Builder forwarded(final HttpHeaders forwarded) {
-            mForwarded = forwarded;
+        public Builder forwardedHeaders(final HttpHeaders forwarded) {
+            mForwardedHeaders = forwarded;
             return this;
         }
 
--- a/gateway/src/main/java/org/whinhead/gateway/caller/CallerRequestHandler.java
+++ b/gateway/src/main/java/org/whinhead/gateway/caller/CallerRequestHandler.java
@@ -13,15 +13,15 @@
      * @param answer takes the answer
      * @return the request under way
      */
-    Running serve(CallerRequest request, ByteBuf body, CallerAnswer answer);
+    ActiveRequest serve(CallerRequest request, ByteBuf body, CallerResponse answer);
 
     /** A request under way. */
-    interface Running {
+    interface ActiveRequest {
 
         /** The caller has closed its connection. */
-        void callerLeft();
+        void callerDisconnected();
 
         /** The caller has read what was written to it. */
-        void callerKeepsUp();
+        void callerCaughtUp();
     }
 }
--- a/gateway/src/main/java/org/whinhead/gateway/caller/CallerAnswer.java
+++ b/gateway/src/main/java/org/whinhead/gateway/caller/CallerResponse.java
@@ -1,23 +1,23 @@
 package org.whinhead.gateway.caller;
 
 import io.netty.buffer.ByteBuf;
-import org.whinhead.gateway.endpoint.EndpointAnswer;
+import org.whinhead.gateway.endpoint.EndpointResponse;
 
 /** The answer to one request of a caller; always on the event loop. */
-public interface CallerAnswer {
+public interface CallerResponse {
 
     /**
      * Sends the head of an endpoint's answer.
      *
      * @param answer the head
      */
-    void start(EndpointAnswer answer);
+    void start(EndpointResponse answer);
 
     /**
      * Sends a part of the body.
      *
      * @param bytes the part, which this call releases
-     * @return whether the caller keeps up; if not, {@link CallerRequestHandler#callerKeepsUp}
+     * @return whether the caller keeps up; if not, {@link CallerRequestHandler#callerCaughtUp}
      *     follows
      */
     boolean write(ByteBuf bytes);
--- a/gateway/src/main/java/org/whinhead/gateway/caller/SlowHeadGuard.java
+++ b/gateway/src/main/java/org/whinhead/gateway/caller/HeaderTimeoutHandler.java
@@ -12,12 +12,12 @@
  * <p>Callers that trickle a head hold a descriptor each; a few thousand of them would leave none
  * for others. The guard leaves the pipeline once a head was decoded.
  */
-final class SlowHeadGuard extends ChannelInboundHandlerAdapter {
+final class HeaderTimeoutHandler extends ChannelInboundHandlerAdapter {
 
     private final Duration mTimeout;
     private Future<?> mTimer;
 
-    SlowHeadGuard(final Duration timeout) {
+    HeaderTimeoutHandler(final Duration timeout) {
         mTimeout = timeout;
     }
 
@@ -27,14 +27,14 @@
             mTimer =
                     context.executor()
                             .schedule(
-                                    () -> check(context),
+                                    () -> closeWithoutRequest(context),
                                     mTimeout.toMillis(),
                                     TimeUnit.MILLISECONDS);
         }
         context.fireChannelRead(message);
     }
 
-    private void check(final ChannelHandlerContext context) {
+    private void closeWithoutRequest(final ChannelHandlerContext context) {
         final CallerConnection connection = context.pipeline().get(CallerConnection.class);
         if (connection != null && connection.hasSeenRequest()) {
             context.pipeline().remove(this);
--- a/gateway/src/main/java/org/whinhead/gateway/caller/StrictRequestDecoder.java
+++ b/gateway/src/main/java/org/whinhead/gateway/caller/StrictRequestDecoder.java
@@ -12,12 +12,12 @@
  */
 final class StrictRequestDecoder extends HttpRequestDecoder {
 
-    private static final int MOST_LINE_BYTES = 8_192;
+    private static final int MAX_REQUEST_LINE_BYTES = 8_192;
 
     StrictRequestDecoder(final int mostHeaderBytes) {
         super(
                 new HttpDecoderConfig()
-                        .setMaxInitialLineLength(MOST_LINE_BYTES)
+                        .setMaxInitialLineLength(MAX_REQUEST_LINE_BYTES)
                         .setMaxHeaderSize(mostHeaderBytes)
                         .setAllowDuplicateContentLengths(false));
     }
--- a/gateway/src/main/java/org/whinhead/gateway/endpoint/EndpointOrder.java
+++ b/gateway/src/main/java/org/whinhead/gateway/endpoint/AttemptContext.java
@@ -16,22 +16,22 @@
  * @param promptSource the endpoint from which to copy shared parts of the prompt
  * @param continued the stopped run whose memory the endpoint has, if it goes on with one
  */
-public record EndpointOrder(
+public record AttemptContext(
         EndpointEntry endpoint,
         Optional<String> customer,
         Duration timeLeft,
         int priority,
         Optional<String> resumeAfter,
         Optional<EndpointEntry> promptSource,
-        Optional<MovedRun> continued) {
+        Optional<MovedRun> continuedRun) {
 
     /** Checks the parts. */
-    public EndpointOrder {
+    public AttemptContext {
         Objects.requireNonNull(endpoint, "endpoint");
         Objects.requireNonNull(customer, "customer");
         Objects.requireNonNull(timeLeft, "timeLeft");
         Objects.requireNonNull(resumeAfter, "resumeAfter");
         Objects.requireNonNull(promptSource, "promptSource");
-        Objects.requireNonNull(continued, "continued");
+        Objects.requireNonNull(continuedRun, "continued");
     }
 }
--- a/gateway/src/main/java/org/whinhead/gateway/endpoint/EndpointConnection.java
+++ b/gateway/src/main/java/org/whinhead/gateway/endpoint/EndpointConnection.java
@@ -26,19 +26,19 @@
     private final EndpointProtocol mProtocol;
     private final EndpointConnections.Pool mPool;
     private Channel mChannel;
-    private AnswerListener mListener;
+    private EndpointResponseListener mListener;
     private ChannelFuture mWritten;
-    private EndpointAnswer mAnswer;
+    private EndpointResponse mResponse;
     private Duration mIdleTimeout;
     private boolean mReusable = true;
 
     EndpointConnection(final EndpointProtocol protocol, final EndpointConnections.Pool pool) {
         mProtocol = protocol;
         mPool = pool;
-        mIdleTimeout = EndpointConnections.USUAL_IDLE_TIMEOUT;
+        mIdleTimeout = EndpointConnections.DEFAULT_IDLE_TIMEOUT;
     }
 
-    void opened(final Channel channel) {
+    void setChannel(final Channel channel) {
         mChannel = channel;
     }
 
@@ -57,16 +57,17 @@
      * @param body its body, which this call releases
      * @param listener hears the answer
      */
-    public void send(final HttpRequest head, final ByteBuf body, final AnswerListener listener) {
+    public void send(
+            final HttpRequest head, final ByteBuf body, final EndpointResponseListener listener) {
         mListener = listener;
-        mAnswer = null;
+        mResponse = null;
         mChannel.write(head);
         mWritten = mChannel.writeAndFlush(new DefaultLastHttpContent(body));
     }
 
     /** Gives the connection back without having sent anything. */
-    public void unused() {
-        mPool.giveBack(this);
+    public void release() {
+        mPool.release(this);
     }
 
     /** Stops listening and closes the connection, at which endpoints drop the request. */
@@ -81,7 +82,7 @@
      *
      * @param reading whether to read
      */
-    public void reading(final boolean reading) {
+    public void setReading(final boolean reading) {
         mChannel.config().setAutoRead(reading);
     }
 
@@ -94,57 +95,57 @@
                 return;
             }
             if (message instanceof HttpResponse response) {
-                head(response);
+                readHead(response);
             }
             if (message instanceof HttpContent content && mListener != null) {
-                content(content);
+                readContent(content);
             }
         } finally {
             ReferenceCountUtil.release(message);
         }
     }
 
-    private void head(final HttpResponse response) {
-        if (response.decoderResult().isFailure() || mAnswer != null) {
+    private void readHead(final HttpResponse response) {
+        if (response.decoderResult().isFailure() || mResponse != null) {
             fail(EndpointFailure.NOT_HTTP);
             return;
         }
-        mAnswer = mProtocol.decode(response);
-        mIdleTimeout = mAnswer.idleTimeout().orElse(EndpointConnections.USUAL_IDLE_TIMEOUT);
-        if (mAnswer.closes()) {
+        mResponse = mProtocol.decode(response);
+        mIdleTimeout = mResponse.idleTimeout().orElse(EndpointConnections.DEFAULT_IDLE_TIMEOUT);
+        if (mResponse.closesConnection()) {
             mReusable = false;
         }
-        mListener.head(mAnswer);
+        mListener.headReceived(mResponse);
     }
 
-    private void content(final HttpContent content) {
-        if (content.decoderResult().isFailure() || mAnswer == null) {
+    private void readContent(final HttpContent content) {
+        if (content.decoderResult().isFailure() || mResponse == null) {
             fail(EndpointFailure.NOT_HTTP);
             return;
         }
         if (content.content().isReadable()) {
-            mListener.body(content.content());
+            mListener.bodyReceived(content.content());
         }
         if (content instanceof LastHttpContent && mListener != null) {
-            end();
+            complete();
         }
     }
 
-    private void end() {
-        final AnswerListener listener = mListener;
+    private void complete() {
+        final EndpointResponseListener listener = mListener;
         mListener = null;
         if (mWritten.isDone() && mReusable) {
             mChannel.config().setAutoRead(true);
-            mChannel.eventLoop().execute(() -> mPool.giveBack(this));
+            mChannel.eventLoop().execute(() -> mPool.release(this));
         } else {
             mReusable = false;
             mChannel.close();
         }
-        listener.end();
+        listener.completed();
     }
 
     private void fail(final EndpointFailure failure) {
-        final AnswerListener listener = mListener;
+        final EndpointResponseListener listener = mListener;
         mListener = null;
         mReusable = false;
         mChannel.close();
@@ -171,7 +172,7 @@
 
     @Override
     public void channelInactive(final ChannelHandlerContext context) {
-        mPool.closed(this);
+        mPool.remove(this);
         fail(EndpointFailure.CONNECTION_LOST);
     }
 
--- a/gateway/src/main/java/org/whinhead/gateway/endpoint/EndpointConnections.java
+++ b/gateway/src/main/java/org/whinhead/gateway/endpoint/EndpointConnections.java
@@ -26,7 +26,7 @@
 public final class EndpointConnections {
 
     /** How long an idle connection is kept if its endpoint doesn't say. */
-    static final Duration USUAL_IDLE_TIMEOUT = Duration.ofSeconds(5);
+    static final Duration DEFAULT_IDLE_TIMEOUT = Duration.ofSeconds(5);
 
     /** A connection is not used for this long before its endpoint would close it. */
     private static final Duration IDLE_MARGIN = Duration.ofMillis(700);
@@ -60,12 +60,12 @@
      * @param opened gets the connection
      * @param failed is called if none can be made
      */
-    public void open(
+    public void acquire(
             final EndpointEntry endpoint,
             final Consumer<EndpointConnection> opened,
             final Runnable failed) {
         final Pool pool = mPools.computeIfAbsent(endpoint.id(), id -> new Pool());
-        final EndpointConnection idle = pool.take(mClock.instant());
+        final EndpointConnection idle = pool.acquireIdle(mClock.instant());
         if (idle == null) {
             connect(endpoint, pool, opened, failed);
         } else {
@@ -85,16 +85,16 @@
                         .channel(NioSocketChannel.class)
                         .option(ChannelOption.TCP_NODELAY, true)
                         .option(ChannelOption.CONNECT_TIMEOUT_MILLIS, CONNECT_TIMEOUT_MILLIS)
-                        .handler(new Setup(connection))
+                        .handler(new PipelineInitializer(connection))
                         .connect(endpoint.address());
-        connection.opened(future.channel());
+        connection.setChannel(future.channel());
         pool.mOpen.add(connection);
         future.addListener(
                 done -> {
                     if (done.isSuccess()) {
                         opened.accept(connection);
                     } else {
-                        pool.closed(connection);
+                        pool.remove(connection);
                         failed.run();
                     }
                 });
@@ -105,7 +105,7 @@
      *
      * @param known the ids of all endpoints
      */
-    public void retain(final Collection<String> known) {
+    public void retainEndpoints(final Collection<String> known) {
         mPools.entrySet()
                 .removeIf(
                         entry -> {
@@ -123,7 +123,7 @@
      *
      * @param endpoint its id
      */
-    public void restarted(final String endpoint) {
+    public void endpointRestarted(final String endpoint) {
         final Pool pool = mPools.remove(endpoint);
         if (pool != null) {
             pool.closeIdle();
@@ -131,10 +131,10 @@
         }
     }
 
-    private static final class Setup extends ChannelInitializer<SocketChannel> {
+    private static final class PipelineInitializer extends ChannelInitializer<SocketChannel> {
         private final EndpointConnection mConnection;
 
-        private Setup(final EndpointConnection connection) {
+        private PipelineInitializer(final EndpointConnection connection) {
             mConnection = connection;
         }
 
@@ -148,13 +148,13 @@
 
     /** The connections to one endpoint. */
     final class Pool {
-        private final Deque<Idle> mIdle = new ArrayDeque<>();
+        private final Deque<IdleConnection> mIdle = new ArrayDeque<>();
         private final Set<EndpointConnection> mOpen = new HashSet<>();
 
-        private EndpointConnection take(final Instant now) {
-            Idle idle = mIdle.pollFirst();
+        private EndpointConnection acquireIdle(final Instant now) {
+            IdleConnection idle = mIdle.pollFirst();
             while (idle != null) {
-                if (idle.mConnection.isUsable() && now.isBefore(idle.mUntil)) {
+                if (idle.mConnection.isUsable() && now.isBefore(idle.mUsableUntil)) {
                     return idle.mConnection;
                 }
                 idle.mConnection.cancel();
@@ -163,34 +163,34 @@
             return null;
         }
 
-        void giveBack(final EndpointConnection connection) {
+        void release(final EndpointConnection connection) {
             if (!connection.isUsable()) {
                 return;
             }
             final Duration kept = connection.idleTimeout().minus(IDLE_MARGIN);
-            mIdle.addFirst(new Idle(connection, mClock.instant().plus(kept)));
+            mIdle.addFirst(new IdleConnection(connection, mClock.instant().plus(kept)));
         }
 
-        void closed(final EndpointConnection connection) {
+        void remove(final EndpointConnection connection) {
             mOpen.remove(connection);
             mIdle.removeIf(idle -> idle.mConnection == connection);
         }
 
         private void closeIdle() {
-            for (final Idle idle : java.util.List.copyOf(mIdle)) {
+            for (final IdleConnection idle : java.util.List.copyOf(mIdle)) {
                 idle.mConnection.cancel();
             }
             mIdle.clear();
         }
     }
 
-    private static final class Idle {
+    private static final class IdleConnection {
         private final EndpointConnection mConnection;
-        private final Instant mUntil;
+        private final Instant mUsableUntil;
 
-        private Idle(final EndpointConnection connection, final Instant until) {
+        private IdleConnection(final EndpointConnection connection, final Instant until) {
             mConnection = connection;
-            mUntil = until;
+            mUsableUntil = until;
         }
     }
 }
--- a/gateway/src/main/java/org/whinhead/gateway/endpoint/EndpointProtocol.java
+++ b/gateway/src/main/java/org/whinhead/gateway/endpoint/EndpointProtocol.java
@@ -15,7 +15,7 @@
      * @param bodyBytes the length of the body
      * @return the head; its body follows with a length
      */
-    HttpRequest encode(CallerRequest request, EndpointOrder order, int bodyBytes);
+    HttpRequest encode(CallerRequest request, AttemptContext order, int bodyBytes);
 
     /**
      * Reads the head of an answer.
@@ -23,5 +23,5 @@
      * @param response the head
      * @return what it says
      */
-    EndpointAnswer decode(HttpResponse response);
+    EndpointResponse decode(HttpResponse response);
 }
--- a/gateway/src/main/java/org/whinhead/gateway/endpoint/EndpointAnswer.java
+++ b/gateway/src/main/java/org/whinhead/gateway/endpoint/EndpointResponse.java
@@ -18,24 +18,24 @@
  * @param idleTimeout how long the endpoint keeps an idle connection, if it says so
  * @param closes whether the endpoint closes the connection behind this answer
  */
-public record EndpointAnswer(
+public record EndpointResponse(
         HttpResponseStatus status,
-        HttpHeaders passed,
+        HttpHeaders forwardedHeaders,
         Optional<String> requestId,
-        boolean notRun,
-        boolean otherEndpoint,
-        boolean genuine,
+        boolean statesNotRun,
+        boolean isFromOtherEndpoint,
+        boolean isAuthentic,
         Optional<Duration> idleTimeout,
-        boolean closes) {
+        boolean closesConnection) {
 
     private static final int FIRST_SUCCESS = 200;
     private static final int FIRST_REDIRECT = 300;
     private static final int FIRST_SERVER_ERROR = 500;
 
     /** Checks the parts. */
-    public EndpointAnswer {
+    public EndpointResponse {
         Objects.requireNonNull(status, "status");
-        Objects.requireNonNull(passed, "passed");
+        Objects.requireNonNull(forwardedHeaders, "passed");
     }
 
     public boolean isSuccess() {
--- a/gateway/src/main/java/org/whinhead/gateway/exchange/AnswerFault.java
+++ b/gateway/src/main/java/org/whinhead/gateway/exchange/EndpointResponseFault.java
@@ -2,7 +2,7 @@
 
 import java.util.Optional;
 import org.whinhead.api.verdict.Verdict;
-import org.whinhead.gateway.endpoint.EndpointAnswer;
+import org.whinhead.gateway.endpoint.EndpointResponse;
 
 /**
  * Why an endpoint's answer can't go to the caller.
@@ -10,7 +10,7 @@
  * @param verdict whether the request may have run at that endpoint
  * @param reason what is logged
  */
-record AnswerFault(Verdict verdict, String reason) {
+record EndpointResponseFault(Verdict verdict, String reason) {
 
     /**
      * Judges an answer by its head.
@@ -20,18 +20,18 @@
      * @param streamStarted whether the caller has part of the answer already
      * @return the fault, if it has one
      */
-    static Optional<AnswerFault> of(
-            final EndpointAnswer answer, final String requestId, final boolean streamStarted) {
-        if (answer.otherEndpoint()) {
+    static Optional<EndpointResponseFault> of(
+            final EndpointResponse answer, final String requestId, final boolean streamStarted) {
+        if (answer.isFromOtherEndpoint()) {
             return fault(Verdict.NOT_RUN, "address belongs to another endpoint");
         }
-        if (answer.notRun()) {
+        if (answer.statesNotRun()) {
             return fault(Verdict.NOT_RUN, "endpoint refused");
         }
         if (!answer.requestId().equals(Optional.of(requestId))) {
             return fault(Verdict.MAY_HAVE_RUN, "answer of another request");
         }
-        if (!answer.genuine()) {
+        if (!answer.isAuthentic()) {
             return fault(Verdict.MAY_HAVE_RUN, "answer not signed by its endpoint");
         }
         if (streamStarted && !answer.isSuccess()) {
@@ -42,7 +42,8 @@
         return Optional.empty();
     }
 
-    private static Optional<AnswerFault> fault(final Verdict verdict, final String reason) {
-        return Optional.of(new AnswerFault(verdict, reason));
+    private static Optional<EndpointResponseFault> fault(
+            final Verdict verdict, final String reason) {
+        return Optional.of(new EndpointResponseFault(verdict, reason));
     }
 }
--- a/gateway/src/main/java/org/whinhead/gateway/exchange/Exchange.java
+++ b/gateway/src/main/java/org/whinhead/gateway/exchange/Exchange.java
@@ -8,15 +8,15 @@
 import java.util.Set;
 import java.util.concurrent.TimeUnit;
 import org.whinhead.api.verdict.Verdict;
-import org.whinhead.gateway.caller.CallerAnswer;
 import org.whinhead.gateway.caller.CallerRequest;
 import org.whinhead.gateway.caller.CallerRequestHandler;
+import org.whinhead.gateway.caller.CallerResponse;
 import org.whinhead.gateway.caller.Refusal;
-import org.whinhead.gateway.endpoint.AnswerListener;
-import org.whinhead.gateway.endpoint.EndpointAnswer;
+import org.whinhead.gateway.endpoint.AttemptContext;
 import org.whinhead.gateway.endpoint.EndpointConnection;
 import org.whinhead.gateway.endpoint.EndpointFailure;
-import org.whinhead.gateway.endpoint.EndpointOrder;
+import org.whinhead.gateway.endpoint.EndpointResponse;
+import org.whinhead.gateway.endpoint.EndpointResponseListener;
 import org.whinhead.gateway.endpoint.MovedRun;
 import org.whinhead.serving.balance.Placement;
 import org.whinhead.serving.route.Route;
@@ -29,18 +29,18 @@
  * allow it.
  */
 final class Exchange
-        implements AnswerListener,
-                AnswerRelay.Progress,
-                RunMove.Owner,
-                CallerRequestHandler.Running {
+        implements EndpointResponseListener,
+                ResponseRelay.ProgressListener,
+                RunMove.Listener,
+                CallerRequestHandler.ActiveRequest {
 
     /**
      * Endpoints that are tried in vain, with nothing sent, before the caller is told to come back.
      */
-    private static final int MOST_CONNECT_FAILURES = 4;
+    private static final int MAX_CONNECT_FAILURES = 4;
 
     /** Least time left for another attempt to be worth its cost. */
-    private static final Duration LEAST_TIME_LEFT = Duration.ofMillis(30);
+    private static final Duration MIN_TIME_LEFT = Duration.ofMillis(30);
 
     private static final String TIMED_OUT = "timed out";
     private static final String TOO_LATE = "read too late";
@@ -48,51 +48,51 @@
     private final Exchanges mExchanges;
     private final Admission mAdmission;
     private final ByteBuf mBody;
-    private final CallerAnswer mAnswer;
+    private final CallerResponse mResponse;
     private final String mService;
-    private final Set<String> mTried = new HashSet<>();
-    private final AnswerRelay mRelay;
-    private final UsageMark mUsage;
-    private final TrialMark mTrial;
-    private final CallerEnding mEnding;
+    private final Set<String> mTriedEndpoints = new HashSet<>();
+    private final ResponseRelay mRelay;
+    private final UsageRecorder mUsage;
+    private final TrialRecorder mTrial;
+    private final RefusalFactory mRefusals;
     private final ExchangeTimers mTimers;
     private Placement mPlacement;
     private EndpointConnection mConnection;
     private Instant mSentAt;
     private int mSends;
     private int mConnectFailures;
-    private int mDispatch;
+    private int mAttemptId;
     private RunMove mMove;
-    private MovedRun mContinued;
-    private boolean mDone;
+    private MovedRun mContinuedRun;
+    private boolean mFinished;
 
     Exchange(
             final Exchanges exchanges,
             final Admission admission,
             final ByteBuf body,
-            final CallerAnswer answer) {
+            final CallerResponse answer) {
         mExchanges = exchanges;
         mAdmission = admission;
         mBody = body;
-        mAnswer = answer;
+        mResponse = answer;
         mService = admission.route().service(admission.request().id().hashCode());
         mRelay =
-                new AnswerRelay(
+                new ResponseRelay(
                         answer,
                         admission.route().kind().isStream(),
                         admission.request().resumeAfter(),
                         this);
-        mUsage = new UsageMark(exchanges.state(), admission);
-        mTrial = new TrialMark(exchanges.state(), admission.route());
-        mEnding = new CallerEnding(exchanges.state(), admission);
+        mUsage = new UsageRecorder(exchanges.state(), admission);
+        mTrial = new TrialRecorder(exchanges.state(), admission.route());
+        mRefusals = new RefusalFactory(exchanges.state(), admission);
         mTimers = new ExchangeTimers(exchanges.loop());
     }
 
     void start() {
         mExchanges.state().retryBudget().request(mService, now());
         mTimers.startDeadline(timeLeft(), this::deadlinePassed);
-        if (timeLeft().compareTo(LEAST_TIME_LEFT) < 0) {
-            refuse(TOO_LATE, mEnding.givenUp(TOO_LATE));
+        if (timeLeft().compareTo(MIN_TIME_LEFT) < 0) {
+            refuse(TOO_LATE, mRefusals.givenUpRefusal(TOO_LATE));
         } else {
             dispatch();
         }
@@ -115,88 +115,88 @@
                                         mService,
                                         mAdmission.route().name(),
                                         mAdmission.request().id(),
-                                        !mTried.isEmpty()),
+                                        !mTriedEndpoints.isEmpty()),
                                 mAdmission.request().work(),
-                                mTried,
-                                state.copiesPrompts(mService),
+                                mTriedEndpoints,
+                                state.canCopyPrompts(mService),
                                 now());
         if (place.isEmpty()) {
             giveUp("no endpoint left");
             return;
         }
         mPlacement = place.get();
-        mTried.add(mPlacement.endpoint().id());
-        open();
+        mTriedEndpoints.add(mPlacement.endpoint().id());
+        connect();
     }
 
-    private void open() {
-        mDispatch++;
-        final int dispatch = mDispatch;
+    private void connect() {
+        mAttemptId++;
+        final int dispatch = mAttemptId;
         mExchanges
                 .connections()
-                .open(
+                .acquire(
                         mPlacement.endpoint(),
-                        connection -> opened(connection, dispatch),
-                        () -> notConnected(dispatch));
+                        connection -> connected(connection, dispatch),
+                        () -> connectFailed(dispatch));
     }
 
-    private void opened(final EndpointConnection connection, final int dispatch) {
-        if (mDone || dispatch != mDispatch) {
-            connection.unused();
+    private void connected(final EndpointConnection connection, final int dispatch) {
+        if (mFinished || dispatch != mAttemptId) {
+            connection.release();
             return;
         }
         mConnection = connection;
-        if (mContinued == null) {
+        if (mContinuedRun == null) {
             mSends++;
         }
         mSentAt = now();
-        mTrial.sent(mPlacement);
+        mTrial.attemptSent(mPlacement);
         mRelay.startAttempt();
-        final EndpointOrder order =
-                new EndpointOrder(
+        final AttemptContext order =
+                new AttemptContext(
                         mPlacement.endpoint(),
                         mAdmission.customerName(),
                         timeLeft(),
                         mAdmission.priority(),
-                        mRelay.lastEvent(),
-                        mContinued == null ? mPlacement.promptSource() : Optional.empty(),
-                        Optional.ofNullable(mContinued));
-        mContinued = null;
+                        mRelay.lastEventId(),
+                        mContinuedRun == null ? mPlacement.promptSource() : Optional.empty(),
+                        Optional.ofNullable(mContinuedRun));
+        mContinuedRun = null;
         connection.send(
                 mExchanges.protocol().encode(mAdmission.request(), order, mBody.readableBytes()),
                 mBody.retainedDuplicate(),
                 this);
-        watchPatience();
+        startAttemptTimeout();
     }
 
-    private void watchPatience() {
+    private void startAttemptTimeout() {
         final Route route = mAdmission.route();
         if (!route.mayRunAgain() || route.kind().isStream() || mSends >= route.maxAttempts()) {
             return;
         }
-        final int dispatch = mDispatch;
-        mTimers.startPatience(route, () -> outOfPatience(dispatch));
+        final int dispatch = mAttemptId;
+        mTimers.startAttemptTimeout(route, () -> attemptTimedOut(dispatch));
     }
 
-    private void outOfPatience(final int dispatch) {
-        if (mDone || dispatch != mDispatch || mRelay.head() != null || !mayRetry()) {
+    private void attemptTimedOut(final int dispatch) {
+        if (mFinished || dispatch != mAttemptId || mRelay.head() != null || !acquireRetry()) {
             return;
         }
         mPlacement.load().outcome(true);
-        mTrial.outOfPatience();
-        mEnding.mayHaveRun();
-        leaveEndpoint();
+        mTrial.attemptAbandoned();
+        mRefusals.markMayHaveRun();
+        endAttempt();
         dispatch();
     }
 
-    private void notConnected(final int dispatch) {
-        if (mDone || dispatch != mDispatch) {
+    private void connectFailed(final int dispatch) {
+        if (mFinished || dispatch != mAttemptId) {
             return;
         }
         mPlacement.load().unreachable(now());
         mPlacement.ended();
         mConnectFailures++;
-        if (mConnectFailures >= MOST_CONNECT_FAILURES) {
+        if (mConnectFailures >= MAX_CONNECT_FAILURES) {
             giveUp("endpoints not reachable");
         } else {
             dispatch();
@@ -204,21 +204,21 @@
     }
 
     @Override
-    public void head(final EndpointAnswer answer) {
-        if (answer.otherEndpoint()) {
+    public void headReceived(final EndpointResponse answer) {
+        if (answer.isFromOtherEndpoint()) {
             mExchanges.state().endpoints().replacedAtAddress(mPlacement.endpoint().id());
         }
-        final Optional<AnswerFault> fault =
-                AnswerFault.of(answer, mAdmission.request().id(), mRelay.isStarted());
+        final Optional<EndpointResponseFault> fault =
+                EndpointResponseFault.of(answer, mAdmission.request().id(), mRelay.isStarted());
         if (fault.isPresent()) {
-            mTrial.spoiled(fault.get().verdict());
+            mTrial.responseRejected(fault.get().verdict());
             attemptFailed(fault.get().verdict(), fault.get().reason());
-        } else if (answer.isServerError() && mAdmission.route().mayRunAgain() && mayRetry()) {
-            mUsage.ran(mSentAt);
+        } else if (answer.isServerError() && mAdmission.route().mayRunAgain() && acquireRetry()) {
+            mUsage.recordRun(mSentAt);
             mTrial.answered(true);
-            mEnding.mayHaveRun();
+            mRefusals.markMayHaveRun();
             mPlacement.load().outcome(true);
-            leaveEndpoint();
+            endAttempt();
             dispatch();
         } else {
             mRelay.head(answer);
@@ -226,44 +226,44 @@
     }
 
     @Override
-    public void body(final ByteBuf bytes) {
-        mRelay.body(bytes);
+    public void bodyReceived(final ByteBuf bytes) {
+        mRelay.forwardBody(bytes);
     }
 
     @Override
-    public void generating() {
+    public void generationStarted() {
         mPlacement.firstToken(now());
         mTrial.firstToken();
-        mUsage.ran(mSentAt);
+        mUsage.recordRun(mSentAt);
     }
 
     @Override
-    public void callerLags() {
+    public void callerLagging() {
         if (mConnection != null) {
-            mConnection.reading(false);
+            mConnection.setReading(false);
         }
     }
 
     @Override
-    public void end() {
+    public void completed() {
         mConnection = null;
-        final EndpointAnswer head = mRelay.head();
+        final EndpointResponse head = mRelay.head();
         if (head == null) {
             return;
         }
         if (!mRelay.isWhole()) {
-            mTrial.spoiled(Verdict.MAY_HAVE_RUN);
+            mTrial.responseRejected(Verdict.MAY_HAVE_RUN);
             attemptFailed(Verdict.MAY_HAVE_RUN, "stream ended within an event");
             return;
         }
         // The run may have been over before its endpoint got the order to stop it.
-        dropMove();
-        mUsage.ran(mSentAt);
-        mRelay.passRest();
+        cancelMove();
+        mUsage.recordRun(mSentAt);
+        mRelay.flush();
         mPlacement.load().outcome(head.isServerError());
         mTrial.answered(head.isServerError());
-        done(head.isSuccess() ? "answered" : "answered with a failure", head.status().code());
-        mAnswer.finish();
+        finish(head.isSuccess() ? "answered" : "answered with a failure", head.status().code());
+        mResponse.finish();
     }
 
     @Override
@@ -280,13 +280,15 @@
     private void attemptFailed(final Verdict verdict, final String reason) {
         mPlacement.load().outcome(true);
         if (verdict != Verdict.NOT_RUN) {
-            mEnding.mayHaveRun();
+            mRefusals.markMayHaveRun();
         }
-        mExchanges.journal().attemptFailed(mAdmission, mPlacement.endpoint(), verdict, reason);
-        leaveEndpoint();
+        mExchanges
+                .requestLogger()
+                .attemptFailed(mAdmission, mPlacement.endpoint(), verdict, reason);
+        endAttempt();
         final boolean begun = mRelay.isStarted() || verdict != Verdict.NOT_RUN;
         final boolean allowed = !begun || mAdmission.route().mayRunAgain();
-        if (allowed && mayRetry()) {
+        if (allowed && acquireRetry()) {
             dispatch();
         } else {
             giveUp(reason);
@@ -294,23 +296,23 @@
     }
 
     /** Has the run moved in time, as its endpoint leaves before it may be over. */
-    void endpointLeaves(final String endpoint, final Duration moveAfter) {
-        final boolean running = !mDone && mPlacement != null && mConnection != null;
+    void endpointLeaving(final String endpoint, final Duration moveAfter) {
+        final boolean running = !mFinished && mPlacement != null && mConnection != null;
         if (!running || !mPlacement.endpoint().id().equals(endpoint)) {
             return;
         }
-        final int dispatch = mDispatch;
+        final int dispatch = mAttemptId;
         mExchanges
                 .loop()
                 .schedule(() -> move(dispatch), moveAfter.toMillis(), TimeUnit.MILLISECONDS);
     }
 
     private void move(final int dispatch) {
-        if (mDone || dispatch != mDispatch || mConnection == null || mMove != null) {
+        if (mFinished || dispatch != mAttemptId || mConnection == null || mMove != null) {
             return;
         }
         if (!mRelay.isStarted()) {
-            sendElsewhere();
+            redispatch();
         } else if (mRelay.isStream()) {
             mMove = RunMove.start(mExchanges, mAdmission, mService, mPlacement, this).orElse(null);
         }
@@ -321,52 +323,52 @@
      * if it may run again. Its connection would stay silent: the caller would hear nothing until
      * its deadline, as those did that waited at the last endpoints of a wave of reclaims.
      */
-    private void sendElsewhere() {
+    private void redispatch() {
         final boolean otherLeft =
-                mExchanges.state().candidatesAgain(mService, mAdmission.request().id()).stream()
-                        .anyMatch(candidate -> !mTried.contains(candidate.id()));
-        if (otherLeft && mAdmission.route().mayRunAgain() && mayRetry()) {
-            mEnding.mayHaveRun();
-            leaveEndpoint();
+                mExchanges.state().retryCandidates(mService, mAdmission.request().id()).stream()
+                        .anyMatch(candidate -> !mTriedEndpoints.contains(candidate.id()));
+        if (otherLeft && mAdmission.route().mayRunAgain() && acquireRetry()) {
+            mRefusals.markMayHaveRun();
+            endAttempt();
             dispatch();
         }
     }
 
     @Override
-    public void goOn(final Placement at, final MovedRun run) {
+    public void runMoved(final Placement at, final MovedRun run) {
         mMove = null;
-        leaveEndpoint();
+        endAttempt();
         mPlacement = at;
         at.promptHeld();
-        mTried.add(at.endpoint().id());
-        mContinued = run;
-        open();
+        mTriedEndpoints.add(at.endpoint().id());
+        mContinuedRun = run;
+        connect();
     }
 
     @Override
-    public void notMoved(final boolean streamEnded) {
+    public void moveFailed(final boolean streamEnded) {
         mMove = null;
         if (streamEnded) {
             attemptFailed(Verdict.MAY_HAVE_RUN, "run was not moved");
         }
     }
 
-    private void dropMove() {
+    private void cancelMove() {
         if (mMove != null) {
             mMove.cancel();
             mMove = null;
         }
     }
 
-    private boolean mayRetry() {
+    private boolean acquireRetry() {
         return mSends < mAdmission.route().maxAttempts()
-                && timeLeft().compareTo(LEAST_TIME_LEFT) > 0
+                && timeLeft().compareTo(MIN_TIME_LEFT) > 0
                 && (!mRelay.isStarted() || mAdmission.route().kind().isStream())
                 && mExchanges.state().retryBudget().tryRetry(mService, now());
     }
 
-    private void leaveEndpoint() {
-        mTimers.cancelPatience();
+    private void endAttempt() {
+        mTimers.cancelAttemptTimeout();
         if (mConnection != null) {
             mConnection.cancel();
             mConnection = null;
@@ -374,63 +376,63 @@
         if (mPlacement != null) {
             mPlacement.ended();
         }
-        mTrial.left();
-        mDispatch++;
+        mTrial.attemptEnded();
+        mAttemptId++;
     }
 
     private void giveUp(final String reason) {
         if (mRelay.isStarted()) {
-            done("broken off: " + reason, 0);
-            mAnswer.abort();
+            finish("broken off: " + reason, 0);
+            mResponse.abort();
             return;
         }
-        refuse(reason, mEnding.givenUp(reason));
+        refuse(reason, mRefusals.givenUpRefusal(reason));
     }
 
     private void refuse(final String reason, final Refusal refusal) {
-        done(reason, refusal.status().code());
-        mAnswer.refuse(refusal);
+        finish(reason, refusal.status().code());
+        mResponse.refuse(refusal);
     }
 
     private void deadlinePassed() {
-        if (mDone) {
+        if (mFinished) {
             return;
         }
-        mTrial.outOfPatience();
+        mTrial.attemptAbandoned();
         if (mSends > 0) {
-            mEnding.mayHaveRun();
+            mRefusals.markMayHaveRun();
         }
         if (mRelay.isStarted()) {
             giveUp(TIMED_OUT);
             return;
         }
-        refuse(TIMED_OUT, mEnding.timedOut(TIMED_OUT));
+        refuse(TIMED_OUT, mRefusals.timeoutRefusal(TIMED_OUT));
     }
 
     @Override
-    public void callerLeft() {
-        if (!mDone) {
-            mTrial.outOfPatience();
-            done("caller left", 0);
+    public void callerDisconnected() {
+        if (!mFinished) {
+            mTrial.attemptAbandoned();
+            finish("caller left", 0);
         }
     }
 
     @Override
-    public void callerKeepsUp() {
+    public void callerCaughtUp() {
         if (mConnection != null) {
-            mConnection.reading(true);
+            mConnection.setReading(true);
         }
     }
 
-    private void done(final String outcome, final int status) {
-        mDone = true;
-        mExchanges.ended(this);
+    private void finish(final String outcome, final int status) {
+        mFinished = true;
+        mExchanges.exchangeEnded(this);
         mTimers.cancelDeadline();
-        dropMove();
-        leaveEndpoint();
+        cancelMove();
+        endAttempt();
         mBody.release();
         mRelay.release();
-        mExchanges.journal().finished(mAdmission, mPlacement, mSends, outcome, status);
+        mExchanges.requestLogger().finished(mAdmission, mPlacement, mSends, outcome, status);
     }
 
     CallerRequest request() {
--- a/gateway/src/main/java/org/whinhead/gateway/exchange/ExchangeTimers.java
+++ b/gateway/src/main/java/org/whinhead/gateway/exchange/ExchangeTimers.java
@@ -10,11 +10,11 @@
 final class ExchangeTimers {
 
     /** Part of the target latency after which an idempotent request is sent to another endpoint. */
-    private static final double PATIENCE_PART = 0.6;
+    private static final double ATTEMPT_TIMEOUT_SHARE = 0.6;
 
     private final EventLoop mLoop;
     private Future<?> mDeadline;
-    private Future<?> mPatience;
+    private Future<?> mAttemptTimeout;
 
     ExchangeTimers(final EventLoop loop) {
         mLoop = loop;
@@ -29,15 +29,15 @@
      * Starts the time that an attempt has to answer. An answer that was lost on its way shows as
      * silence only; a request that may repeat need not wait for its deadline then.
      */
-    void startPatience(final Route route, final Runnable over) {
-        final long millis = Math.round(route.targetLatency().toMillis() * PATIENCE_PART);
-        mPatience = mLoop.schedule(over, millis, TimeUnit.MILLISECONDS);
+    void startAttemptTimeout(final Route route, final Runnable over) {
+        final long millis = Math.round(route.targetLatency().toMillis() * ATTEMPT_TIMEOUT_SHARE);
+        mAttemptTimeout = mLoop.schedule(over, millis, TimeUnit.MILLISECONDS);
     }
 
     /** Drops the patience with an attempt that has ended. */
-    void cancelPatience() {
-        if (mPatience != null) {
-            mPatience.cancel(false);
+    void cancelAttemptTimeout() {
+        if (mAttemptTimeout != null) {
+            mAttemptTimeout.cancel(false);
         }
     }
 
--- a/gateway/src/main/java/org/whinhead/gateway/exchange/Exchanges.java
+++ b/gateway/src/main/java/org/whinhead/gateway/exchange/Exchanges.java
@@ -9,9 +9,9 @@
 import java.util.List;
 import java.util.Optional;
 import java.util.Set;
-import org.whinhead.gateway.caller.CallerAnswer;
 import org.whinhead.gateway.caller.CallerRequest;
 import org.whinhead.gateway.caller.CallerRequestHandler;
+import org.whinhead.gateway.caller.CallerResponse;
 import org.whinhead.gateway.caller.Refusal;
 import org.whinhead.gateway.endpoint.EndpointConnections;
 import org.whinhead.gateway.endpoint.EndpointProtocol;
@@ -25,29 +25,29 @@
 public final class Exchanges implements CallerRequestHandler {
 
     /** When a caller comes back that came before this daemon knew any configuration. */
-    private static final Duration NO_CONFIGURATION_RETRY = Duration.ofMillis(300);
+    private static final Duration NO_CONFIGURATION_RETRY_AFTER = Duration.ofMillis(300);
 
     /** How long an endpoint serves on that only says that it is leaving: the platform's least. */
-    private static final Duration USUAL_NOTICE = Duration.ofMillis(2_000);
+    private static final Duration DEFAULT_NOTICE = Duration.ofMillis(2_000);
 
     /**
      * What is kept of a notice for moving: it is read up to 0.8 s late, and the copies of a full
      * endpoint take some 0.3 s. Most runs are over before, and need no move.
      */
-    private static final Duration MOVE_TIME = Duration.ofMillis(1_400);
+    private static final Duration MOVE_LEAD_TIME = Duration.ofMillis(1_400);
 
     /** The pace at which {@link #measureLag()} must be called. */
-    public static final Duration LAG_MEASURED_EACH = Duration.ofMillis(200);
+    public static final Duration LAG_MEASUREMENT_INTERVAL = Duration.ofMillis(200);
 
     private final EventLoop mLoop;
     private final ServingState mState;
     private final EndpointConnections mConnections;
     private final EndpointProtocol mProtocol;
-    private final RequestJournal mJournal;
+    private final RequestLogger mRequestLogger;
     private final RunMover mMover;
     private final Set<Exchange> mRunning = new HashSet<>();
     private final LoopLag mLag;
-    private boolean mClosedForStreams;
+    private boolean mRefusesStreams;
 
     /**
      * Makes a handler without requests.
@@ -64,39 +64,39 @@
             final ServingState state,
             final EndpointConnections connections,
             final EndpointProtocol protocol,
-            final RequestJournal journal,
+            final RequestLogger journal,
             final RunMover mover) {
         mLoop = loop;
         mState = state;
         mConnections = connections;
         mProtocol = protocol;
-        mJournal = journal;
+        mRequestLogger = journal;
         mMover = mover;
-        mLag = new LoopLag(LAG_MEASURED_EACH, state.clock().instant());
+        mLag = new LoopLag(LAG_MEASUREMENT_INTERVAL, state.clock().instant());
     }
 
     /** Notes that the loop runs, so that the age of what it reads is known. */
     public void measureLag() {
-        mLag.ran(mState.clock().instant());
+        mLag.taskRan(mState.clock().instant());
     }
 
     /** Refuses streams from now on, as this daemon stops before they would end. */
-    public void closeForStreams() {
-        mClosedForStreams = true;
+    public void refuseStreams() {
+        mRefusesStreams = true;
     }
 
     @Override
-    public Running serve(
-            final CallerRequest request, final ByteBuf body, final CallerAnswer answer) {
+    public ActiveRequest serve(
+            final CallerRequest request, final ByteBuf body, final CallerResponse answer) {
         final Instant now = mState.clock().instant();
-        final Instant arrivedAt = now.minus(mLag.at(now));
+        final Instant arrivedAt = now.minus(mLag.lagAt(now));
         final Optional<ServingConfiguration> current = mState.configuration().current();
         if (current.isEmpty()) {
             return refuse(
                     request,
                     body,
                     answer,
-                    Refusal.notRun("no configuration yet", NO_CONFIGURATION_RETRY));
+                    Refusal.notRun("no configuration yet", NO_CONFIGURATION_RETRY_AFTER));
         }
         final ServingConfiguration configuration = current.get();
         final Optional<Route> route = configuration.routes().find(request.host(), request.path());
@@ -117,7 +117,7 @@
                     answer,
                     Refusal.invalid(HttpResponseStatus.UNAUTHORIZED, "unknown key"));
         }
-        if (mClosedForStreams && route.get().kind().isStream()) {
+        if (mRefusesStreams && route.get().kind().isStream()) {
             return refuse(request, body, answer, Refusal.notRun("stopping", Duration.ZERO));
         }
         if (customer.isEmpty()) {
@@ -134,7 +134,8 @@
     }
 
     /** Starts a request that is allowed. */
-    Running start(final Admission admission, final ByteBuf body, final CallerAnswer answer) {
+    ActiveRequest start(
+            final Admission admission, final ByteBuf body, final CallerResponse answer) {
         final Exchange exchange = new Exchange(this, admission, body, answer);
         mRunning.add(exchange);
         exchange.start();
@@ -147,25 +148,25 @@
      * @param endpoint the endpoint's id
      * @param leavesIn how much longer it serves, as far as it says
      */
-    public void endpointLeaves(final String endpoint, final Optional<Duration> leavesIn) {
-        final Duration moveAfter = leavesIn.orElse(USUAL_NOTICE).minus(MOVE_TIME);
+    public void endpointLeaving(final String endpoint, final Optional<Duration> leavesIn) {
+        final Duration moveAfter = leavesIn.orElse(DEFAULT_NOTICE).minus(MOVE_LEAD_TIME);
         final Duration delay = moveAfter.isNegative() ? Duration.ZERO : moveAfter;
-        List.copyOf(mRunning).forEach(exchange -> exchange.endpointLeaves(endpoint, delay));
+        List.copyOf(mRunning).forEach(exchange -> exchange.endpointLeaving(endpoint, delay));
     }
 
-    void ended(final Exchange exchange) {
+    void exchangeEnded(final Exchange exchange) {
         mRunning.remove(exchange);
     }
 
-    Running refuse(
+    ActiveRequest refuse(
             final CallerRequest request,
             final ByteBuf body,
-            final CallerAnswer answer,
+            final CallerResponse answer,
             final Refusal refusal) {
         body.release();
-        mJournal.refused(request, refusal);
+        mRequestLogger.refused(request, refusal);
         answer.refuse(refusal);
-        return new Refused();
+        return new RefusedRequest();
     }
 
     EventLoop loop() {
@@ -188,18 +189,18 @@
         return mMover;
     }
 
-    RequestJournal journal() {
-        return mJournal;
+    RequestLogger requestLogger() {
+        return mRequestLogger;
     }
 
-    private static final class Refused implements Running {
+    private static final class RefusedRequest implements ActiveRequest {
         @Override
-        public void callerLeft() {
+        public void callerDisconnected() {
             // Nothing is under way for a request that was refused.
         }
 
         @Override
-        public void callerKeepsUp() {
+        public void callerCaughtUp() {
             // The refusal was written whole.
         }
     }
--- a/gateway/src/main/java/org/whinhead/gateway/exchange/PendingAdmission.java
+++ b/gateway/src/main/java/org/whinhead/gateway/exchange/PendingAdmission.java
@@ -4,9 +4,9 @@
 import java.time.Duration;
 import java.time.Instant;
 import java.util.Optional;
-import org.whinhead.gateway.caller.CallerAnswer;
 import org.whinhead.gateway.caller.CallerRequest;
 import org.whinhead.gateway.caller.CallerRequestHandler;
+import org.whinhead.gateway.caller.CallerResponse;
 import org.whinhead.gateway.caller.Refusal;
 import org.whinhead.serving.configuration.CustomerAccount;
 import org.whinhead.serving.quota.TokenClaimListener;
@@ -14,16 +14,16 @@
 import org.whinhead.serving.route.Route;
 
 /** A request whose customer's tokens are being claimed, and what it becomes. */
-final class PendingAdmission implements CallerRequestHandler.Running, TokenClaimListener {
+final class PendingAdmission implements CallerRequestHandler.ActiveRequest, TokenClaimListener {
 
     private final Exchanges mExchanges;
     private final Candidate mCandidate;
     private final ByteBuf mBody;
-    private final CallerAnswer mAnswer;
+    private final CallerResponse mResponse;
     private final long mTokens;
     private final Runnable mCancel;
-    private Optional<CallerRequestHandler.Running> mNext = Optional.empty();
-    private boolean mCallerLeft;
+    private Optional<CallerRequestHandler.ActiveRequest> mSuccessor = Optional.empty();
+    private boolean mCallerDisconnected;
 
     /**
      * Claims the tokens of a request.
@@ -37,11 +37,11 @@
             final Exchanges exchanges,
             final Candidate candidate,
             final ByteBuf body,
-            final CallerAnswer answer) {
+            final CallerResponse answer) {
         mExchanges = exchanges;
         mCandidate = candidate;
         mBody = body;
-        mAnswer = answer;
+        mResponse = answer;
         mTokens =
                 candidate.request().tokens().orElse(candidate.customer().allowance().plainTokens());
         mCancel =
@@ -68,7 +68,7 @@
 
     @Override
     public void granted(final TokenSpend spend) {
-        mExchanges.journal().admitted(mCandidate.customer(), mTokens);
+        mExchanges.requestLogger().admitted(mCandidate.customer(), mTokens);
         final Admission admission =
                 new Admission(
                         mCandidate.request(),
@@ -76,13 +76,13 @@
                         Optional.of(mCandidate.customer()),
                         Optional.of(spend),
                         mCandidate.arrivedAt());
-        mNext = Optional.of(mExchanges.start(admission, mBody, mAnswer));
+        mSuccessor = Optional.of(mExchanges.start(admission, mBody, mResponse));
     }
 
     @Override
     public void overAllowance(final Duration comeBackAfter) {
         mExchanges
-                .journal()
+                .requestLogger()
                 .overAllowance(mCandidate.request(), mCandidate.customer(), mTokens, comeBackAfter);
         refuse(Refusal.overAllowance(comeBackAfter));
     }
@@ -93,22 +93,23 @@
     }
 
     private void refuse(final Refusal refusal) {
-        mNext = Optional.of(mExchanges.refuse(mCandidate.request(), mBody, mAnswer, refusal));
+        mSuccessor =
+                Optional.of(mExchanges.refuse(mCandidate.request(), mBody, mResponse, refusal));
     }
 
     @Override
-    public void callerLeft() {
-        if (mNext.isPresent()) {
-            mNext.get().callerLeft();
-        } else if (!mCallerLeft) {
-            mCallerLeft = true;
+    public void callerDisconnected() {
+        if (mSuccessor.isPresent()) {
+            mSuccessor.get().callerDisconnected();
+        } else if (!mCallerDisconnected) {
+            mCallerDisconnected = true;
             mCancel.run();
             mBody.release();
         }
     }
 
     @Override
-    public void callerKeepsUp() {
-        mNext.ifPresent(CallerRequestHandler.Running::callerKeepsUp);
+    public void callerCaughtUp() {
+        mSuccessor.ifPresent(CallerRequestHandler.ActiveRequest::callerCaughtUp);
     }
 }
--- a/gateway/src/main/java/org/whinhead/gateway/exchange/CallerEnding.java
+++ b/gateway/src/main/java/org/whinhead/gateway/exchange/RefusalFactory.java
@@ -4,10 +4,10 @@
 import org.whinhead.gateway.caller.Refusal;
 
 /** What a caller is told of a request that got no answer, by whether the request may have run. */
-final class CallerEnding {
+final class RefusalFactory {
 
     /** Longest time after which a caller with a request that did not run is asked to come back. */
-    private static final Duration LONGEST_RETRY_AFTER = Duration.ofMillis(300);
+    private static final Duration MAX_RETRY_AFTER = Duration.ofMillis(300);
 
     /** Part of the caller's remaining time that it should wait before it comes back. */
     private static final int RETRY_AFTER_DIVISOR = 12;
@@ -16,13 +16,13 @@
     private final Admission mAdmission;
     private boolean mMayHaveRun;
 
-    CallerEnding(final ServingState state, final Admission admission) {
+    RefusalFactory(final ServingState state, final Admission admission) {
         mState = state;
         mAdmission = admission;
     }
 
     /** Notes that the request may have run, or be running; that can't be taken back. */
-    void mayHaveRun() {
+    void markMayHaveRun() {
         mMayHaveRun = true;
     }
 
@@ -32,7 +32,7 @@
      *
      * @param reason what is logged and told
      */
-    Refusal givenUp(final String reason) {
+    Refusal givenUpRefusal(final String reason) {
         if (mMayHaveRun) {
             return Refusal.mayHaveRun(reason);
         }
@@ -45,8 +45,8 @@
      *
      * @param reason what is logged and told
      */
-    Refusal timedOut(final String reason) {
-        return mMayHaveRun ? Refusal.timedOut() : givenUp(reason);
+    Refusal timeoutRefusal(final String reason) {
+        return mMayHaveRun ? Refusal.timedOut() : givenUpRefusal(reason);
     }
 
     private Duration retryAfter() {
@@ -55,6 +55,6 @@
             return Duration.ZERO;
         }
         final Duration part = left.dividedBy(RETRY_AFTER_DIVISOR);
-        return part.compareTo(LONGEST_RETRY_AFTER) < 0 ? part : LONGEST_RETRY_AFTER;
+        return part.compareTo(MAX_RETRY_AFTER) < 0 ? part : MAX_RETRY_AFTER;
     }
 }
--- a/gateway/src/main/java/org/whinhead/gateway/exchange/RequestJournal.java
+++ b/gateway/src/main/java/org/whinhead/gateway/exchange/RequestLogger.java
@@ -14,9 +14,9 @@
 import org.whinhead.serving.endpoint.EndpointEntry;
 
 /** Logs one line for each decision about a request, with the request's id. */
-public final class RequestJournal {
+public final class RequestLogger {
 
-    private static final Logger LOG = LoggerFactory.getLogger(RequestJournal.class);
+    private static final Logger LOG = LoggerFactory.getLogger(RequestLogger.class);
 
     private final InstantSource mClock;
     private final RequestCounts mCounts;
@@ -27,7 +27,7 @@
      * @param clock the steady clock
      * @param counts counts what is logged
      */
-    public RequestJournal(final InstantSource clock, final RequestCounts counts) {
+    public RequestLogger(final InstantSource clock, final RequestCounts counts) {
         mClock = clock;
         mCounts = counts;
     }
--- a/gateway/src/main/java/org/whinhead/gateway/exchange/AnswerRelay.java
+++ b/gateway/src/main/java/org/whinhead/gateway/exchange/ResponseRelay.java
@@ -4,8 +4,8 @@
 import io.netty.buffer.ByteBufAllocator;
 import io.netty.handler.codec.http.HttpHeaderNames;
 import java.util.Optional;
-import org.whinhead.gateway.caller.CallerAnswer;
-import org.whinhead.gateway.endpoint.EndpointAnswer;
+import org.whinhead.gateway.caller.CallerResponse;
+import org.whinhead.gateway.endpoint.EndpointResponse;
 
 /**
  * Passes endpoints' answers on to the caller of one request.
@@ -14,55 +14,55 @@
  * Another answer is kept until it is whole, so that a broken one can still be replaced by a second
  * attempt.
  */
-final class AnswerRelay {
+final class ResponseRelay {
 
     /** Answers up to this size are kept until they are whole. */
-    private static final int KEPT_ANSWER_BYTES = 256 * 1024;
+    private static final int MAX_BUFFERED_BYTES = 256 * 1024;
 
-    private final CallerAnswer mAnswer;
+    private final CallerResponse mResponse;
     private final boolean mStreamRoute;
-    private final Progress mProgress;
+    private final ProgressListener mProgress;
     private final EventSplitter mEvents = new EventSplitter(ByteBufAllocator.DEFAULT);
-    private final ByteBuf mKept = ByteBufAllocator.DEFAULT.buffer(0);
-    private Optional<String> mLastEvent;
-    private EndpointAnswer mHead;
+    private final ByteBuf mBuffered = ByteBufAllocator.DEFAULT.buffer(0);
+    private Optional<String> mLastEventId;
+    private EndpointResponse mHead;
     private boolean mStarted;
     private boolean mReleased;
 
-    AnswerRelay(
-            final CallerAnswer answer,
+    ResponseRelay(
+            final CallerResponse answer,
             final boolean streamRoute,
             final Optional<String> lastEvent,
-            final Progress progress) {
-        mAnswer = answer;
+            final ProgressListener progress) {
+        mResponse = answer;
         mStreamRoute = streamRoute;
-        mLastEvent = lastEvent;
+        mLastEventId = lastEvent;
         mProgress = progress;
     }
 
     /** Hears how the answer gets on. */
-    interface Progress {
+    interface ProgressListener {
 
         /** An event is about to be passed: the endpoint has read the prompt and is generating. */
-        void generating();
+        void generationStarted();
 
         /** The caller doesn't keep up. */
-        void callerLags();
+        void callerLagging();
     }
 
     /** Forgets what was not passed on of an attempt's answer. */
     void startAttempt() {
         mHead = null;
-        mKept.clear();
+        mBuffered.clear();
         mEvents.clear();
     }
 
-    void head(final EndpointAnswer head) {
+    void head(final EndpointResponse head) {
         mHead = head;
     }
 
     /** The head of the attempt's answer; null before it has come. */
-    EndpointAnswer head() {
+    EndpointResponse head() {
         return mHead;
     }
 
@@ -74,48 +74,48 @@
         return mStarted;
     }
 
-    Optional<String> lastEvent() {
-        return mLastEvent;
+    Optional<String> lastEventId() {
+        return mLastEventId;
     }
 
-    void body(final ByteBuf bytes) {
+    void forwardBody(final ByteBuf bytes) {
         if (isStream()) {
             mEvents.add(bytes);
-            passEvents();
+            forwardEvents();
         } else if (mStarted) {
-            pass(bytes.retain());
+            forward(bytes.retain());
         } else {
-            mKept.writeBytes(bytes);
-            if (mKept.readableBytes() > KEPT_ANSWER_BYTES) {
-                passKept();
+            mBuffered.writeBytes(bytes);
+            if (mBuffered.readableBytes() > MAX_BUFFERED_BYTES) {
+                forwardBuffered();
             }
         }
     }
 
-    private void passEvents() {
+    private void forwardEvents() {
         Optional<ByteBuf> event = mEvents.next();
         while (event.isPresent()) {
-            passEvent(event.get());
+            forwardEvent(event.get());
             event = mReleased ? Optional.empty() : mEvents.next();
         }
     }
 
-    private void passEvent(final ByteBuf event) {
+    private void forwardEvent(final ByteBuf event) {
         final Optional<String> id = EventSplitter.id(event);
-        if (id.isPresent() && mLastEvent.isPresent() && !follows(id.get(), mLastEvent.get())) {
+        if (id.isPresent() && mLastEventId.isPresent() && !isAfter(id.get(), mLastEventId.get())) {
             event.release();
             return;
         }
-        mProgress.generating();
+        mProgress.generationStarted();
         start();
-        pass(event);
+        forward(event);
         if (id.isPresent()) {
-            mLastEvent = id;
+            mLastEventId = id;
         }
     }
 
     /** Tells whether an event comes behind another one; ids that are no numbers are taken to. */
-    private static boolean follows(final String id, final String last) {
+    private static boolean isAfter(final String id, final String last) {
         try {
             return Long.parseLong(id) > Long.parseLong(last);
         } catch (NumberFormatException e) {
@@ -127,22 +127,22 @@
         if (!mStarted) {
             mStarted = true;
             if (isStream()) {
-                mHead.passed().remove(HttpHeaderNames.CONTENT_LENGTH);
+                mHead.forwardedHeaders().remove(HttpHeaderNames.CONTENT_LENGTH);
             }
-            mAnswer.start(mHead);
+            mResponse.start(mHead);
         }
     }
 
-    private void pass(final ByteBuf bytes) {
-        if (!mAnswer.write(bytes)) {
-            mProgress.callerLags();
+    private void forward(final ByteBuf bytes) {
+        if (!mResponse.write(bytes)) {
+            mProgress.callerLagging();
         }
     }
 
-    private void passKept() {
+    private void forwardBuffered() {
         start();
-        if (mKept.isReadable()) {
-            pass(mKept.readRetainedSlice(mKept.readableBytes()));
+        if (mBuffered.isReadable()) {
+            forward(mBuffered.readRetainedSlice(mBuffered.readableBytes()));
         }
     }
 
@@ -152,13 +152,13 @@
     }
 
     /** Passes the rest of a whole answer. */
-    void passRest() {
-        passKept();
+    void flush() {
+        forwardBuffered();
     }
 
     void release() {
         mReleased = true;
-        mKept.release();
+        mBuffered.release();
         mEvents.release();
     }
 }
--- a/gateway/src/main/java/org/whinhead/gateway/exchange/RunMove.java
+++ b/gateway/src/main/java/org/whinhead/gateway/exchange/RunMove.java
@@ -18,39 +18,39 @@
 final class RunMove {
 
     /** How long the last events of a stopped run may take behind the answer that it was stopped. */
-    private static final Duration STREAM_END_PATIENCE = Duration.ofMillis(150);
+    private static final Duration STREAM_END_TIMEOUT = Duration.ofMillis(150);
 
     private final Exchanges mExchanges;
     private final Admission mAdmission;
     private final Placement mSource;
     private final Placement mTarget;
-    private final Owner mOwner;
-    private Placement mGoesOnAt;
+    private final Listener mListener;
+    private Placement mContinueAt;
     private MovedRun mRun;
     private boolean mStreamEnded;
-    private boolean mOver;
+    private boolean mFinished;
 
     private RunMove(
             final Exchanges exchanges,
             final Admission admission,
             final Placement source,
             final Placement target,
-            final Owner owner) {
+            final Listener owner) {
         mExchanges = exchanges;
         mAdmission = admission;
         mSource = source;
         mTarget = target;
-        mOwner = owner;
+        mListener = owner;
     }
 
     /** Whose run is moved. */
-    interface Owner {
+    interface Listener {
 
         /** The run was stopped and can go on. */
-        void goOn(Placement at, MovedRun run);
+        void runMoved(Placement at, MovedRun run);
 
         /** The run was not stopped, or nobody knows; its stream has ended or may still go on. */
-        void notMoved(boolean streamEnded);
+        void moveFailed(boolean streamEnded);
     }
 
     /** Starts to move a run, if there is another endpoint and a retry left for it. */
@@ -59,13 +59,13 @@
             final Admission admission,
             final String service,
             final Placement source,
-            final Owner owner) {
+            final Listener owner) {
         final ServingState state = exchanges.state();
         final Instant now = state.clock().instant();
         final Optional<Placement> target =
                 state.chooser()
                         .place(
-                                state.candidatesAgain(service, admission.request().id()),
+                                state.retryCandidates(service, admission.request().id()),
                                 admission.request().work(),
                                 Set.of(source.endpoint().id()),
                                 false,
@@ -81,29 +81,29 @@
         exchanges
                 .mover()
                 .move(source.endpoint(), admission.request().id(), target.get().endpoint())
-                .whenComplete(move::answered);
+                .whenComplete(move::sourceAnswered);
         return Optional.of(move);
     }
 
-    private void answered(final MoveOutcome outcome, final Throwable failure) {
-        if (mOver) {
+    private void sourceAnswered(final MoveOutcome outcome, final Throwable failure) {
+        if (mFinished) {
             return;
         }
-        mExchanges.journal().moved(mAdmission, mSource.endpoint(), mTarget, outcome, failure);
+        mExchanges.requestLogger().moved(mAdmission, mSource.endpoint(), mTarget, outcome, failure);
         if (failure != null || outcome.run().isEmpty()) {
             cancel();
-            mOwner.notMoved(mStreamEnded);
+            mListener.moveFailed(mStreamEnded);
             return;
         }
         mRun = outcome.run().get();
         // Without a copy only the source, which has stopped the run, can go on with it.
-        mGoesOnAt = outcome.copied() ? mTarget : mSource;
+        mContinueAt = outcome.copied() ? mTarget : mSource;
         if (mStreamEnded) {
-            goOn();
+            complete();
         } else {
             mExchanges
                     .loop()
-                    .schedule(this::goOn, STREAM_END_PATIENCE.toMillis(), TimeUnit.MILLISECONDS);
+                    .schedule(this::complete, STREAM_END_TIMEOUT.toMillis(), TimeUnit.MILLISECONDS);
         }
     }
 
@@ -111,20 +111,20 @@
     void streamEnded() {
         mStreamEnded = true;
         if (mRun != null) {
-            goOn();
+            complete();
         }
     }
 
-    private void goOn() {
-        if (!mOver) {
-            mOver = true;
-            mOwner.goOn(mGoesOnAt, mRun);
+    private void complete() {
+        if (!mFinished) {
+            mFinished = true;
+            mListener.runMoved(mContinueAt, mRun);
         }
     }
 
     /** Gives the move up. */
     void cancel() {
-        mOver = true;
+        mFinished = true;
         mTarget.ended();
     }
 }
--- a/gateway/src/main/java/org/whinhead/gateway/exchange/ServingState.java
+++ b/gateway/src/main/java/org/whinhead/gateway/exchange/ServingState.java
@@ -25,7 +25,7 @@
      * Tokens in a millisecond from which engines are taken to copy a prompt faster than they read
      * it: twice what the fastest known one reads.
      */
-    private static final double LEAST_COPY_SPEED = 100;
+    private static final double MIN_COPY_TOKENS_PER_MILLISECOND = 100;
 
     private final InstantSource mClock;
     private final InstantSource mTimeOfDay;
@@ -98,12 +98,12 @@
      * @param service the service
      * @return whether a request may name an endpoint to copy from
      */
-    boolean copiesPrompts(final String service) {
+    boolean canCopyPrompts(final String service) {
         return mConfiguration
                 .current()
                 .flatMap(current -> current.service(service))
                 .flatMap(ServiceSpec::engineLink)
-                .filter(link -> link.tokensPerMillisecond() > LEAST_COPY_SPEED)
+                .filter(link -> link.tokensPerMillisecond() > MIN_COPY_TOKENS_PER_MILLISECOND)
                 .isPresent();
     }
 
@@ -141,7 +141,7 @@
      * @param requestId its id
      * @return the endpoints
      */
-    List<EndpointEntry> candidatesAgain(final String service, final String requestId) {
+    List<EndpointEntry> retryCandidates(final String service, final String requestId) {
         final Instant now = mClock.instant();
         return mRollouts.candidates(service, serving(service, now), requestId, true, now);
     }
--- a/gateway/src/main/java/org/whinhead/gateway/exchange/TrialMark.java
+++ b/gateway/src/main/java/org/whinhead/gateway/exchange/TrialRecorder.java
@@ -10,23 +10,23 @@
 import org.whinhead.serving.route.Route;
 
 /** Tells a roll-out what became of one request's sends, as far as that speaks of a version. */
-final class TrialMark {
+final class TrialRecorder {
 
     private final ServingState mState;
     private final Route mRoute;
     private Optional<Trial> mTrial = Optional.empty();
     private Instant mSentAt;
-    private Duration mReading = Duration.ZERO;
+    private Duration mExpectedPromptTime = Duration.ZERO;
 
-    TrialMark(final ServingState state, final Route route) {
+    TrialRecorder(final ServingState state, final Route route) {
         mState = state;
         mRoute = route;
     }
 
-    void sent(final Placement placement) {
+    void attemptSent(final Placement placement) {
         mSentAt = mState.clock().instant();
         mTrial = mState.rollouts().sent(mRoute.name(), placement.endpoint());
-        mReading = placement.expectedReading();
+        mExpectedPromptTime = placement.expectedReading();
     }
 
     /**
@@ -34,7 +34,7 @@
      * that have just been started have no prompt cached, at any version.
      */
     void firstToken() {
-        answeredIn(elapsed().minus(mReading));
+        recordLatency(elapsed().minus(mExpectedPromptTime));
     }
 
     /** Notes a whole answer. */
@@ -42,12 +42,12 @@
         if (failure) {
             mTrial.ifPresent(Trial::failed);
         } else {
-            answeredIn(elapsed());
+            recordLatency(elapsed());
         }
     }
 
     /** Notes an answer that can't go to the caller. */
-    void spoiled(final Verdict verdict) {
+    void responseRejected(final Verdict verdict) {
         if (verdict != Verdict.NOT_RUN) {
             mTrial.ifPresent(Trial::failed);
         }
@@ -61,18 +61,18 @@
     }
 
     /** Notes that nobody waits any longer for an answer that should have come by now. */
-    void outOfPatience() {
+    void attemptAbandoned() {
         if (mSentAt != null && elapsed().compareTo(mRoute.targetLatency()) > 0) {
-            answeredIn(elapsed());
+            recordLatency(elapsed());
         }
     }
 
     /** Notes that the endpoint no longer works on the request; what comes later is not its own. */
-    void left() {
+    void attemptEnded() {
         mTrial = Optional.empty();
     }
 
-    private void answeredIn(final Duration taken) {
+    private void recordLatency(final Duration taken) {
         mTrial.ifPresent(trial -> trial.answered(taken.isNegative() ? Duration.ZERO : taken));
     }
 
--- a/gateway/src/main/java/org/whinhead/gateway/exchange/UsageMark.java
+++ b/gateway/src/main/java/org/whinhead/gateway/exchange/UsageRecorder.java
@@ -4,13 +4,13 @@
 import java.time.Instant;
 
 /** Counts one request as used, once, in the window in which it began to run. */
-final class UsageMark {
+final class UsageRecorder {
 
     private final ServingState mState;
     private final Admission mAdmission;
     private boolean mCounted;
 
-    UsageMark(final ServingState state, final Admission admission) {
+    UsageRecorder(final ServingState state, final Admission admission) {
         mState = state;
         mAdmission = admission;
     }
@@ -20,7 +20,7 @@
      *
      * @param sentAt when it was sent to the endpoint that shows it
      */
-    void ran(final Instant sentAt) {
+    void recordRun(final Instant sentAt) {
         if (mCounted) {
             return;
         }
--- a/gateway/src/main/java/org/whinhead/gateway/http/HttpCaller.java
+++ b/gateway/src/main/java/org/whinhead/gateway/http/EventLoopHttpClient.java
@@ -32,10 +32,10 @@
  * <p>A connection whose answer was lost never carries another one, so a call that fails or times
  * out closes its connection. All of it runs on one event loop, which also completes the futures.
  */
-public final class HttpCaller {
+public final class EventLoopHttpClient {
 
-    private static final int MOST_IDLE = 4;
-    private static final int MOST_ANSWER_BYTES = 16 * 1024 * 1024;
+    private static final int MAX_IDLE_CONNECTIONS = 4;
+    private static final int MAX_RESPONSE_BYTES = 16 * 1024 * 1024;
 
     private final EventLoop mLoop;
     private final InetSocketAddress mServer;
@@ -47,7 +47,7 @@
      * @param loop where everything runs
      * @param server the server's address
      */
-    public HttpCaller(final EventLoop loop, final InetSocketAddress server) {
+    public EventLoopHttpClient(final EventLoop loop, final InetSocketAddress server) {
         mLoop = loop;
         mServer = server;
     }
@@ -59,7 +59,7 @@
      * @return the answer, or a {@link CallFailedException}
      */
     public CompletableFuture<HttpReply> call(final HttpCall call) {
-        final Pending pending = new Pending(call);
+        final PendingCall pending = new PendingCall(call);
         final Future<?> timeout =
                 mLoop.schedule(
                         () -> pending.fail("no answer in " + call.timeout().toMillis() + " ms"),
@@ -83,13 +83,13 @@
         return channel;
     }
 
-    private void connect(final Pending pending) {
+    private void connect(final PendingCall pending) {
         final Bootstrap bootstrap =
                 new Bootstrap()
                         .group(mLoop)
                         .channel(NioSocketChannel.class)
                         .option(ChannelOption.TCP_NODELAY, true)
-                        .handler(new Setup());
+                        .handler(new PipelineInitializer());
         final ChannelFuture connected = bootstrap.connect(mServer);
         pending.mChannel = connected.channel();
         connected.addListener(
@@ -102,32 +102,32 @@
                 });
     }
 
-    private void send(final Channel channel, final Pending pending) {
+    private void send(final Channel channel, final PendingCall pending) {
         if (pending.mReply.isDone()) {
             channel.close();
             return;
         }
         pending.mChannel = channel;
-        channel.pipeline().get(Receiver.class).mPending = pending;
+        channel.pipeline().get(ResponseHandler.class).mPending = pending;
         channel.writeAndFlush(pending.request(mServer));
     }
 
-    private static final class Setup extends ChannelInitializer<SocketChannel> {
+    private static final class PipelineInitializer extends ChannelInitializer<SocketChannel> {
         @Override
         protected void initChannel(final SocketChannel channel) {
             channel.pipeline()
                     .addLast(new HttpClientCodec())
-                    .addLast(new HttpObjectAggregator(MOST_ANSWER_BYTES))
-                    .addLast(new Receiver());
+                    .addLast(new HttpObjectAggregator(MAX_RESPONSE_BYTES))
+                    .addLast(new ResponseHandler());
         }
     }
 
-    private final class Pending {
+    private final class PendingCall {
         private final HttpCall mCall;
         private final CompletableFuture<HttpReply> mReply = new CompletableFuture<>();
         private Channel mChannel;
 
-        private Pending(final HttpCall call) {
+        private PendingCall(final HttpCall call) {
             mCall = call;
         }
 
@@ -148,7 +148,7 @@
         }
 
         private void succeed(final HttpReply reply, final boolean keepAlive) {
-            if (keepAlive && mIdle.size() < MOST_IDLE) {
+            if (keepAlive && mIdle.size() < MAX_IDLE_CONNECTIONS) {
                 mIdle.addFirst(mChannel);
             } else {
                 mChannel.close();
@@ -167,8 +167,9 @@
         }
     }
 
-    private static final class Receiver extends SimpleChannelInboundHandler<FullHttpResponse> {
-        private Pending mPending;
+    private static final class ResponseHandler
+            extends SimpleChannelInboundHandler<FullHttpResponse> {
+        private PendingCall mPending;
 
         @Override
         protected void channelRead0(
@@ -179,7 +180,7 @@
             }
             final byte[] body = new byte[response.content().readableBytes()];
             response.content().readBytes(body);
-            final Pending pending = mPending;
+            final PendingCall pending = mPending;
             mPending = null;
             pending.succeed(
                     new HttpReply(response.status().code(), body), HttpUtil.isKeepAlive(response));
--- a/gateway/src/main/java/org/whinhead/gateway/http/SmallHttpServer.java
+++ b/gateway/src/main/java/org/whinhead/gateway/http/SimpleHttpServer.java
@@ -26,11 +26,11 @@
 import org.slf4j.LoggerFactory;
 
 /** Answers small calls from memory: readiness, addresses, metrics. */
-public final class SmallHttpServer {
+public final class SimpleHttpServer {
 
-    private static final Logger LOG = LoggerFactory.getLogger(SmallHttpServer.class);
+    private static final Logger LOG = LoggerFactory.getLogger(SimpleHttpServer.class);
 
-    private static final int MOST_REQUEST_BYTES = 64 * 1024;
+    private static final int MAX_REQUEST_BYTES = 64 * 1024;
 
     /** A connection without a call for this long is closed. */
     private static final int IDLE_SECONDS = 30;
@@ -42,7 +42,7 @@
      *
      * @param loop where everything runs
      */
-    public SmallHttpServer(final EventLoop loop) {
+    public SimpleHttpServer(final EventLoop loop) {
         mLoop = loop;
     }
 
@@ -68,8 +68,8 @@
                                 channel.pipeline()
                                         .addLast(new IdleStateHandler(0, 0, IDLE_SECONDS))
                                         .addLast(new HttpServerCodec())
-                                        .addLast(new HttpObjectAggregator(MOST_REQUEST_BYTES))
-                                        .addLast(new Answerer(type, answer));
+                                        .addLast(new HttpObjectAggregator(MAX_REQUEST_BYTES))
+                                        .addLast(new RequestHandler(type, answer));
                             }
                         })
                 .bind(address)
@@ -87,11 +87,11 @@
         }
     }
 
-    private static final class Answerer extends SimpleChannelInboundHandler<FullHttpRequest> {
+    private static final class RequestHandler extends SimpleChannelInboundHandler<FullHttpRequest> {
         private final String mType;
         private final Function<String, HttpReply> mAnswer;
 
-        private Answerer(final String type, final Function<String, HttpReply> answer) {
+        private RequestHandler(final String type, final Function<String, HttpReply> answer) {
             mType = type;
             mAnswer = answer;
         }
--- a/gateway/src/main/java/org/whinhead/gateway/store/EndpointWatch.java
+++ b/gateway/src/main/java/org/whinhead/gateway/store/EndpointWatch.java
@@ -201,7 +201,7 @@
         final EntryEffect effect = registry().put(entry, change.offset());
         if (effect == EntryEffect.RESTARTED) {
             mState.chooser().forgetEndpoint(entry.id());
-            mConnections.restarted(entry.id());
+            mConnections.endpointRestarted(entry.id());
         }
         if (effect.isChange()) {
             LOG.atInfo()
@@ -247,7 +247,7 @@
         final Set<String> known =
                 registry().all().stream().map(EndpointEntry::id).collect(Collectors.toSet());
         mState.chooser().retain(known);
-        mConnections.retain(known);
+        mConnections.retainEndpoints(known);
         mState.rollouts().listed(registry().all(), now());
     }
 
--- a/gateway/src/main/java/org/whinhead/gateway/time/LoopLag.java
+++ b/gateway/src/main/java/org/whinhead/gateway/time/LoopLag.java
@@ -13,7 +13,7 @@
 public final class LoopLag {
 
     private final Duration mInterval;
-    private Instant mExpected;
+    private Instant mNextDue;
     private Instant mMeasuredAt;
     private Duration mLag = Duration.ZERO;
 
@@ -26,7 +26,7 @@
     public LoopLag(final Duration interval, final Instant now) {
         mInterval = interval;
         mMeasuredAt = now;
-        mExpected = now.plus(interval);
+        mNextDue = now.plus(interval);
     }
 
     /**
@@ -34,10 +34,10 @@
      *
      * @param now the time
      */
-    public void ran(final Instant now) {
-        mLag = behind(now);
+    public void taskRan(final Instant now) {
+        mLag = lateness(now);
         mMeasuredAt = now;
-        mExpected = now.plus(mInterval);
+        mNextDue = now.plus(mInterval);
     }
 
     /**
@@ -46,13 +46,13 @@
      * @param now the time
      * @return how late the task is, or was if it has just run; zero while the loop is in time
      */
-    public Duration at(final Instant now) {
-        final Duration overdue = behind(now);
+    public Duration lagAt(final Instant now) {
+        final Duration overdue = lateness(now);
         final boolean justRan = now.isBefore(mMeasuredAt.plus(mInterval));
         return justRan && mLag.compareTo(overdue) > 0 ? mLag : overdue;
     }
 
-    private Duration behind(final Instant now) {
-        return now.isAfter(mExpected) ? Duration.between(mExpected, now) : Duration.ZERO;
+    private Duration lateness(final Instant now) {
+        return now.isAfter(mNextDue) ? Duration.between(mNextDue, now) : Duration.ZERO;
     }
 }
--- a/gateway/src/main/java/org/whinhead/gateway/time/SteadyClock.java
+++ b/gateway/src/main/java/org/whinhead/gateway/time/MonotonicClock.java
@@ -8,7 +8,7 @@
  *
  * <p>Timeouts and sliding windows use it, since the time of day may be set back or ahead on a VM.
  */
-public final class SteadyClock implements InstantSource {
+public final class MonotonicClock implements InstantSource {
 
     private final Instant mStart;
     private final long mStartNanos;
@@ -18,7 +18,7 @@
      *
      * @param timeOfDay the time of day, read once
      */
-    public SteadyClock(final InstantSource timeOfDay) {
+    public MonotonicClock(final InstantSource timeOfDay) {
         mStart = timeOfDay.instant();
         mStartNanos = System.nanoTime();
     }
--- a/gateway/src/test/java/org/whinhead/gateway/caller/CallerConnectionTest.java
+++ b/gateway/src/test/java/org/whinhead/gateway/caller/CallerConnectionTest.java
@@ -16,7 +16,7 @@
 import java.util.Optional;
 import org.junit.jupiter.api.BeforeEach;
 import org.junit.jupiter.api.Test;
-import org.whinhead.gateway.endpoint.EndpointAnswer;
+import org.whinhead.gateway.endpoint.EndpointResponse;
 import org.whinhead.serving.configuration.CallerLimits;
 
 class CallerConnectionTest {
@@ -25,15 +25,15 @@
             new CallerLimits(512, 64, Duration.ofSeconds(3), Duration.ofSeconds(15));
 
     private final List<String> mServed = new ArrayList<>();
-    private final List<CallerAnswer> mAnswers = new ArrayList<>();
+    private final List<CallerResponse> mAnswers = new ArrayList<>();
     private int mLeft;
-    private CallerListener mListener;
+    private CallerHttpServer mListener;
     private EmbeddedChannel mChannel;
 
     @BeforeEach
     void connect() {
         mListener =
-                new CallerListener(null, CallerConnectionTest::decode, this::serve, () -> LIMITS);
+                new CallerHttpServer(null, CallerConnectionTest::decode, this::serve, () -> LIMITS);
         mChannel =
                 new EmbeddedChannel(
                         new StrictRequestDecoder(LIMITS.maxHeaderBytes()),
@@ -48,23 +48,23 @@
         return CallerRequest.builder()
                 .id(head.headers().get("Id"))
                 .call(head.method(), head.headers().get("Host"), head.uri())
-                .forwarded(new DefaultHttpHeaders())
+                .forwardedHeaders(new DefaultHttpHeaders())
                 .build();
     }
 
-    private CallerRequestHandler.Running serve(
-            final CallerRequest request, final ByteBuf body, final CallerAnswer answer) {
+    private CallerRequestHandler.ActiveRequest serve(
+            final CallerRequest request, final ByteBuf body, final CallerResponse answer) {
         mServed.add(request.id() + ":" + body.toString(StandardCharsets.UTF_8));
         body.release();
         mAnswers.add(answer);
-        return new CallerRequestHandler.Running() {
+        return new CallerRequestHandler.ActiveRequest() {
             @Override
-            public void callerLeft() {
+            public void callerDisconnected() {
                 mLeft++;
             }
 
             @Override
-            public void callerKeepsUp() {
+            public void callerCaughtUp() {
                 throw new AssertionError("nothing was written");
             }
         };
@@ -87,8 +87,8 @@
         return text.toString();
     }
 
-    private static EndpointAnswer success() {
-        return new EndpointAnswer(
+    private static EndpointResponse success() {
+        return new EndpointResponse(
                 HttpResponseStatus.OK,
                 new DefaultHttpHeaders(),
                 Optional.empty(),
@@ -223,7 +223,7 @@
     @Test
     void stoppingDaemonClosesConnectionsBehindTheirAnswers() {
         send("GET /a HTTP/1.1\r\nHost: h\r\nId: 1\r\n\r\n");
-        mListener.stopGently();
+        mListener.drain();
         assertThat(mChannel.isOpen()).isTrue();
         mAnswers.get(0).start(success());
         mAnswers.get(0).finish();
@@ -233,7 +233,7 @@
 
     @Test
     void stoppingDaemonClosesIdleConnections() {
-        mListener.stopGently();
+        mListener.drain();
         assertThat(mChannel.isOpen()).isFalse();
     }
 }
--- a/gateway/src/test/java/org/whinhead/gateway/endpoint/EndpointConnectionTest.java
+++ b/gateway/src/test/java/org/whinhead/gateway/endpoint/EndpointConnectionTest.java
@@ -29,20 +29,20 @@
     private EndpointConnection mConnection;
     private EmbeddedChannel mChannel;
 
-    private final AnswerListener mListener =
-            new AnswerListener() {
+    private final EndpointResponseListener mListener =
+            new EndpointResponseListener() {
                 @Override
-                public void head(final EndpointAnswer answer) {
+                public void headReceived(final EndpointResponse answer) {
                     mHeard.add("head " + answer.status().code());
                 }
 
                 @Override
-                public void body(final ByteBuf bytes) {
+                public void bodyReceived(final ByteBuf bytes) {
                     mHeard.add("body " + bytes.toString(StandardCharsets.UTF_8));
                 }
 
                 @Override
-                public void end() {
+                public void completed() {
                     mHeard.add("end");
                 }
 
@@ -55,13 +55,13 @@
     private static final class PlainProtocol implements EndpointProtocol {
         @Override
         public HttpRequest encode(
-                final CallerRequest request, final EndpointOrder order, final int bodyBytes) {
+                final CallerRequest request, final AttemptContext order, final int bodyBytes) {
             throw new AssertionError("not used");
         }
 
         @Override
-        public EndpointAnswer decode(final HttpResponse response) {
-            return new EndpointAnswer(
+        public EndpointResponse decode(final HttpResponse response) {
+            return new EndpointResponse(
                     response.status(),
                     response.headers(),
                     Optional.empty(),
@@ -82,7 +82,7 @@
         mChannel =
                 new EmbeddedChannel(
                         new HttpClientCodec(new HttpDecoderConfig(), false, false), mConnection);
-        mConnection.opened(mChannel);
+        mConnection.setChannel(mChannel);
         mConnection.send(
                 new DefaultHttpRequest(HttpVersion.HTTP_1_1, HttpMethod.GET, "/a"),
                 Unpooled.EMPTY_BUFFER,
--- a/gateway/src/test/java/org/whinhead/gateway/exchange/AnswerFaultTest.java
+++ b/gateway/src/test/java/org/whinhead/gateway/exchange/EndpointResponseFaultTest.java
@@ -7,19 +7,19 @@
 import java.util.Optional;
 import org.junit.jupiter.api.Test;
 import org.whinhead.api.verdict.Verdict;
-import org.whinhead.gateway.endpoint.EndpointAnswer;
+import org.whinhead.gateway.endpoint.EndpointResponse;
 
-class AnswerFaultTest {
+class EndpointResponseFaultTest {
 
     private static final String ID = "r-1";
 
-    private static EndpointAnswer answer(
+    private static EndpointResponse answer(
             final HttpResponseStatus status,
             final String requestId,
             final boolean notRun,
             final boolean otherEndpoint,
             final boolean genuine) {
-        return new EndpointAnswer(
+        return new EndpointResponse(
                 status,
                 new DefaultHttpHeaders(),
                 Optional.of(requestId),
@@ -30,8 +30,10 @@
                 false);
     }
 
-    private static Verdict verdict(final EndpointAnswer answer, final boolean streamStarted) {
-        return AnswerFault.of(answer, ID, streamStarted).map(AnswerFault::verdict).orElse(null);
+    private static Verdict verdict(final EndpointResponse answer, final boolean streamStarted) {
+        return EndpointResponseFault.of(answer, ID, streamStarted)
+                .map(EndpointResponseFault::verdict)
+                .orElse(null);
     }
 
     @Test
--- a/gateway/src/test/java/org/whinhead/gateway/exchange/CallerEndingTest.java
+++ b/gateway/src/test/java/org/whinhead/gateway/exchange/RefusalFactoryTest.java
@@ -13,20 +13,20 @@
 import org.whinhead.serving.route.RouteKind;
 import org.whinhead.serving.route.WeightedService;
 
-class CallerEndingTest {
+class RefusalFactoryTest {
 
     private static final Instant START = Instant.parse("2026-01-01T00:00:00Z");
 
     private Instant mNow = START;
-    private final CallerEnding mEnding =
-            new CallerEnding(TestServing.state(() -> mNow), admission());
+    private final RefusalFactory mRefusals =
+            new RefusalFactory(TestServing.state(() -> mNow), admission());
 
     private static Admission admission() {
         final CallerRequest request =
                 CallerRequest.builder()
                         .id("r-1")
                         .call(HttpMethod.POST, "desk.example", "/posts/1")
-                        .forwarded(new DefaultHttpHeaders())
+                        .forwardedHeaders(new DefaultHttpHeaders())
                         .build();
         final Route route =
                 Route.builder()
@@ -42,16 +42,16 @@
 
     @Test
     void callerOfRequestThatDidNotRunIsAskedToComeBack() {
-        assertThat(mEnding.givenUp("none left").status().code()).isEqualTo(503);
-        assertThat(mEnding.givenUp("none left").retryAfter().orElseThrow())
+        assertThat(mRefusals.givenUpRefusal("none left").status().code()).isEqualTo(503);
+        assertThat(mRefusals.givenUpRefusal("none left").retryAfter().orElseThrow())
                 .isBetween(Duration.ofMillis(80), Duration.ofMillis(300));
     }
 
     @Test
     void nothingIsPromisedOfRequestThatMayHaveRun() {
-        mEnding.mayHaveRun();
-        assertThat(mEnding.givenUp("lost").status().code()).isEqualTo(502);
-        assertThat(mEnding.timedOut("late").status().code()).isEqualTo(504);
+        mRefusals.markMayHaveRun();
+        assertThat(mRefusals.givenUpRefusal("lost").status().code()).isEqualTo(502);
+        assertThat(mRefusals.timeoutRefusal("late").status().code()).isEqualTo(504);
     }
 
     // A caller is told to come back after minus one millisecond, and takes the answer for broken.
@@ -59,6 +59,6 @@
     @Test
     void timeToComeBackIsNeverNegative() {
         mNow = START.plusMillis(1_012);
-        assertThat(mEnding.timedOut("late").retryAfter()).contains(Duration.ZERO);
+        assertThat(mRefusals.timeoutRefusal("late").retryAfter()).contains(Duration.ZERO);
     }
 }
--- a/gateway/src/test/java/org/whinhead/gateway/time/LoopLagTest.java
+++ b/gateway/src/test/java/org/whinhead/gateway/time/LoopLagTest.java
@@ -16,8 +16,8 @@
     @Test
     void loopInTimeHasNone() {
         for (int step = 1; step < 10; step++) {
-            mLag.ran(START.plusMillis(step * 200L));
-            assertThat(mLag.at(START.plusMillis(step * 200L + 100))).isZero();
+            mLag.taskRan(START.plusMillis(step * 200L));
+            assertThat(mLag.lagAt(START.plusMillis(step * 200L + 100))).isZero();
         }
     }
 
@@ -26,16 +26,16 @@
     // the request waited in its socket all the while, and its second was counted from its reading.
     @Test
     void whatIsReadByLoopThatStoodStillIsAsOldAsItIsLate() {
-        mLag.ran(START.plusMillis(200));
-        assertThat(mLag.at(START.plusMillis(1_700))).isEqualTo(Duration.ofMillis(1_300));
-        mLag.ran(START.plusMillis(1_700));
-        assertThat(mLag.at(START.plusMillis(1_710))).isEqualTo(Duration.ofMillis(1_300));
+        mLag.taskRan(START.plusMillis(200));
+        assertThat(mLag.lagAt(START.plusMillis(1_700))).isEqualTo(Duration.ofMillis(1_300));
+        mLag.taskRan(START.plusMillis(1_700));
+        assertThat(mLag.lagAt(START.plusMillis(1_710))).isEqualTo(Duration.ofMillis(1_300));
     }
 
     @Test
     void lagIsForgottenOnceTheLoopHasCaughtUp() {
-        mLag.ran(START.plusMillis(1_700));
-        mLag.ran(START.plusMillis(1_900));
-        assertThat(mLag.at(START.plusMillis(1_950))).isZero();
+        mLag.taskRan(START.plusMillis(1_700));
+        mLag.taskRan(START.plusMillis(1_900));
+        assertThat(mLag.lagAt(START.plusMillis(1_950))).isZero();
     }
 }
