--- a/gateway/src/main/java/org/whinhead/gateway/Gateway.java
+++ b/gateway/src/main/java/org/whinhead/gateway/Gateway.java
@@ -11,23 +11,23 @@
 import org.slf4j.Logger;
 import org.slf4j.LoggerFactory;
 import org.whinhead.gateway.caller.CallerListener;
-import org.whinhead.gateway.duty.DutyHolder;
+import org.whinhead.gateway.duty.DutyLeaseManager;
 import org.whinhead.gateway.endpoint.EndpointConnections;
 import org.whinhead.gateway.exchange.Exchanges;
 import org.whinhead.gateway.exchange.RequestJournal;
 import org.whinhead.gateway.exchange.ServingState;
 import org.whinhead.gateway.http.HttpReply;
 import org.whinhead.gateway.http.SmallHttpServer;
-import org.whinhead.gateway.metrics.RequestCounts;
+import org.whinhead.gateway.metrics.RequestMetrics;
 import org.whinhead.gateway.peers.Addresses;
-import org.whinhead.gateway.peers.MemberAnnouncement;
-import org.whinhead.gateway.peers.PeerReports;
-import org.whinhead.gateway.peers.StoreDigests;
-import org.whinhead.gateway.quota.ShareTableKeeper;
-import org.whinhead.gateway.quota.TokenMessenger;
-import org.whinhead.gateway.rollout.RolloutDuty;
-import org.whinhead.gateway.store.ConfigurationWatch;
-import org.whinhead.gateway.store.EndpointWatch;
+import org.whinhead.gateway.peers.DigestReadCoordinator;
+import org.whinhead.gateway.peers.MemberDiscovery;
+import org.whinhead.gateway.peers.PeerDatagramChannel;
+import org.whinhead.gateway.quota.DatagramQuotaTransport;
+import org.whinhead.gateway.quota.ShareTableSynchronizer;
+import org.whinhead.gateway.rollout.RolloutParticipant;
+import org.whinhead.gateway.store.ConfigurationTopicListener;
+import org.whinhead.gateway.store.EndpointTopicListener;
 import org.whinhead.gateway.store.StoreTopic;
 import org.whinhead.gateway.store.TopicFollower;
 import org.whinhead.gateway.store.TopicListener;
@@ -64,12 +64,12 @@
     private static final Duration DIRECTORY_KEEP = Duration.ofSeconds(1);
 
     /** Wait and pause of the configuration's reads: a read that hangs is given up in time. */
-    private static final TopicFollower.Pace CONFIGURATION_PACE =
-            new TopicFollower.Pace(Duration.ofMillis(1_000), Duration.ofMillis(20));
+    private static final TopicFollower.PollSchedule CONFIGURATION_PACE =
+            new TopicFollower.PollSchedule(Duration.ofMillis(1_000), Duration.ofMillis(20));
 
     /** Endpoints write several times a second, so reads need not wait but must be paced. */
-    private static final TopicFollower.Pace ENDPOINT_PACE =
-            new TopicFollower.Pace(Duration.ZERO, Duration.ofMillis(400));
+    private static final TopicFollower.PollSchedule ENDPOINT_PACE =
+            new TopicFollower.PollSchedule(Duration.ZERO, Duration.ofMillis(400));
 
     /** From the signal on: when connections without a request are closed. */
     private static final Duration CLOSE_IDLE_AFTER = Duration.ofMillis(300);
@@ -93,16 +93,16 @@
     private final MemberTable mMembers;
     private final CallerListener mCallers;
     private final Exchanges mExchanges;
-    private final EndpointWatch mEndpointWatch;
-    private final ConfigurationWatch mConfigurationWatch;
-    private final StoreDigests mDigests;
-    private final PeerReports mPeers;
-    private final MemberAnnouncement mAnnouncement;
-    private final DutyHolder mDuties;
-    private final ShareTableKeeper mShareTable;
-    private final Optional<RolloutDuty> mRollouts;
+    private final EndpointTopicListener mEndpointWatch;
+    private final ConfigurationTopicListener mConfigurationWatch;
+    private final DigestReadCoordinator mDigests;
+    private final PeerDatagramChannel mPeers;
+    private final MemberDiscovery mAnnouncement;
+    private final DutyLeaseManager mDuties;
+    private final ShareTableSynchronizer mShareTable;
+    private final Optional<RolloutParticipant> mRollouts;
     private final GatewayPorts mPorts;
-    private final RequestCounts mCounts = new RequestCounts();
+    private final RequestMetrics mCounts = new RequestMetrics();
     private boolean mStopping;
 
     /**
@@ -123,7 +123,8 @@
         mLoop = loop;
         mSettings = settings;
         mPorts = ports;
-        final TokenMessenger tokens = new TokenMessenger(loop, settings.self().incarnation());
+        final DatagramQuotaTransport tokens =
+                new DatagramQuotaTransport(loop, settings.self().incarnation());
         mState = state(settings, tokens, clock, timeOfDay);
         mMembers = new MemberTable(settings.self());
         final EndpointConnections connections =
@@ -138,43 +139,47 @@
                         ports.mover());
         mCallers = new CallerListener(loop, ports.callers(), mExchanges, this::limits);
         mConfigurationWatch =
-                new ConfigurationWatch(
+                new ConfigurationTopicListener(
                         mState, ports.configurations(), ports.configurationKey(), ports.rollouts());
-        mEndpointWatch = new EndpointWatch(mState, connections, ports.entries());
-        mDigests = new StoreDigests(mState, mMembers);
-        mPeers = new PeerReports(loop, mState, mMembers, mDigests);
+        mEndpointWatch = new EndpointTopicListener(mState, connections, ports.entries());
+        mDigests = new DigestReadCoordinator(mState, mMembers);
+        mPeers = new PeerDatagramChannel(loop, mState, mMembers, mDigests);
         tokens.connect(mState, mPeers::send);
-        mPeers.onTokens(tokens::take);
+        mPeers.onTokenDatagram(tokens::receive);
         mAnnouncement =
-                new MemberAnnouncement(loop, ports.store(), settings.self(), mPeers::addContact);
+                new MemberDiscovery(loop, ports.store(), settings.self(), mPeers::addContact);
         mDuties =
-                new DutyHolder(
+                new DutyLeaseManager(
                         loop,
                         mState,
                         mMembers,
                         ports.store(),
                         ports.cloud(),
-                        new DutyHolder.Duties(
+                        new DutyLeaseManager.Duties(
                                 new DutyLease(settings.self().incarnation(), settings.leaseTerm()),
                                 new UsagePlan(
                                         mState.usageWindows(), mState.usage(), timeOfDay.instant()),
                                 new CapacityPlanner(settings.capacity())));
         mShareTable =
-                new ShareTableKeeper(
-                        loop, mState, mMembers, ports.store(), () -> mDuties.token().isPresent());
-        mPeers.onShareTable(mShareTable::heardVersion);
+                new ShareTableSynchronizer(
+                        loop,
+                        mState,
+                        mMembers,
+                        ports.store(),
+                        () -> mDuties.fencingToken().isPresent());
+        mPeers.onShareTableVersion(mShareTable::onPeerVersion);
         mRollouts = settings.rollouts().map(limits -> rolloutDuty(limits, ports));
-        mRollouts.ifPresent(mPeers::onRolloutNews);
-        mRollouts.ifPresent(duty -> mConfigurationWatch.onEarlierOrder(duty::earlierOrder));
+        mRollouts.ifPresent(mPeers::onRolloutMessages);
+        mRollouts.ifPresent(duty -> mConfigurationWatch.onEarlierOrder(duty::recordEarlierOrder));
         mEndpointWatch.onLeaving(entry -> mExchanges.endpointLeaves(entry.id(), entry.leavesIn()));
-        mEndpointWatch.onChange(mDuties.capacity()::orderEndpoints);
-        mDuties.capacity().onOrdered(mPeers::sendOrder);
-        mPeers.onOrder(mDuties.capacity()::orderedElsewhere);
+        mEndpointWatch.onChange(mDuties.autoscaler()::orderEndpoints);
+        mDuties.autoscaler().onOrdered(mPeers::sendCapacityOrder);
+        mPeers.onCapacityOrder(mDuties.autoscaler()::recordPeerOrder);
     }
 
     private static ServingState state(
             final GatewaySettings settings,
-            final TokenMessenger tokens,
+            final DatagramQuotaTransport tokens,
             final InstantSource clock,
             final InstantSource timeOfDay) {
         final Member self = settings.self();
@@ -199,14 +204,14 @@
                 .build();
     }
 
-    private RolloutDuty rolloutDuty(final RolloutLimits limits, final GatewayPorts ports) {
-        return new RolloutDuty(
+    private RolloutParticipant rolloutDuty(final RolloutLimits limits, final GatewayPorts ports) {
+        return new RolloutParticipant(
                 mState,
                 mMembers,
                 mPeers,
-                new RolloutDuty.Ports(ports.store(), ports.rollouts()),
+                new RolloutParticipant.Ports(ports.store(), ports.rollouts()),
                 limits,
-                mDuties::token,
+                mDuties::fencingToken,
                 mExchanges::endpointLeaves);
     }
 
@@ -242,17 +247,17 @@
                 follower(StoreTopic.CONFIGURATION, mConfigurationWatch, CONFIGURATION_PACE);
         final TopicFollower endpoints =
                 follower(StoreTopic.ENDPOINTS, mEndpointWatch, ENDPOINT_PACE);
-        mConfigurationWatch.onRead(mDigests::configurationRead);
+        mConfigurationWatch.onRead(mDigests::recordConfigurationRead);
         mConfigurationWatch.onChange(mPeers::sendDigest);
         mEndpointWatch.onRead(this::passOnEndpoints);
-        mPeers.onEndpointNews(mEndpointWatch::passedOn);
-        mDigests.onSameEndpoints(endpoints::skipTo);
-        mDigests.onNews(
+        mPeers.onEndpointChanges(mEndpointWatch::applyPeerChanges);
+        mDigests.onSkippableEndpoints(endpoints::skipTo);
+        mDigests.onNewRecords(
                 topic -> {
                     if (topic == StoreTopic.CONFIGURATION) {
-                        configuration.wake();
+                        configuration.readNow();
                     } else {
-                        endpoints.wake();
+                        endpoints.readNow();
                     }
                 });
         configuration.start();
@@ -264,18 +269,20 @@
     /** What must be looked at some times a second; one timer serves all of it. */
     private void check() {
         mExchanges.measureLag();
-        mEndpointWatch.dropLapsed();
+        mEndpointWatch.removeLapsedEntries();
         mShareTable.tick();
-        mRollouts.ifPresent(RolloutDuty::tick);
+        mRollouts.ifPresent(RolloutParticipant::tick);
     }
 
     private void passOnEndpoints() {
-        mDigests.endpointsRead(mEndpointWatch.end());
-        mPeers.sendEndpoints(mEndpointWatch.takeChanges());
+        mDigests.recordEndpointsRead(mEndpointWatch.end());
+        mPeers.sendEndpointChanges(mEndpointWatch.drainChanges());
     }
 
     private TopicFollower follower(
-            final StoreTopic topic, final TopicListener listener, final TopicFollower.Pace pace) {
+            final StoreTopic topic,
+            final TopicListener listener,
+            final TopicFollower.PollSchedule pace) {
         return new TopicFollower(mLoop, mPorts.store(), topic, listener, pace, mDigests);
     }
 
@@ -285,7 +292,7 @@
     }
 
     private HttpReply metrics() {
-        return new HttpReply(READY, mCounts.page().getBytes(StandardCharsets.UTF_8));
+        return new HttpReply(READY, mCounts.renderPage().getBytes(StandardCharsets.UTF_8));
     }
 
     private boolean isReady() {
@@ -329,7 +336,7 @@
         mStopping = true;
         LOG.info("stopping");
         mMembers.selfReady(false);
-        mPeers.leave();
+        mPeers.announceLeaving();
         mDuties.stop();
         final Instant start = mState.clock().instant();
         later(CLOSE_IDLE_AFTER, mCallers::stopGently);
--- a/gateway/src/main/java/org/whinhead/gateway/GatewayPorts.java
+++ b/gateway/src/main/java/org/whinhead/gateway/GatewayPorts.java
@@ -1,13 +1,13 @@
 package org.whinhead.gateway;
 
 import org.whinhead.gateway.caller.CallerProtocol;
-import org.whinhead.gateway.duty.CloudDuties;
+import org.whinhead.gateway.duty.FencedCloudClient;
 import org.whinhead.gateway.endpoint.EndpointProtocol;
 import org.whinhead.gateway.endpoint.RunMover;
 import org.whinhead.gateway.store.ConfigurationDecoder;
 import org.whinhead.gateway.store.EndpointDecoder;
 import org.whinhead.gateway.store.MetadataStore;
-import org.whinhead.gateway.store.RolloutProtocol;
+import org.whinhead.gateway.store.OperatorRolloutCodec;
 
 /**
  * What an adapter of a platform supplies.
@@ -29,8 +29,8 @@
         RunMover mover,
         DirectoryProtocol directory,
         MetadataStore store,
-        CloudDuties cloud,
+        FencedCloudClient cloud,
         ConfigurationDecoder configurations,
         String configurationKey,
         EndpointDecoder entries,
-        RolloutProtocol rollouts) {}
+        OperatorRolloutCodec rollouts) {}
--- a/gateway/src/main/java/org/whinhead/gateway/duty/DutyHolder.java
+++ b/gateway/src/main/java/org/whinhead/gateway/duty/DutyLeaseManager.java
@@ -31,30 +31,30 @@
  * <p>The two daemons whose names come first watch the lease for all; the others neither read nor
  * write it, so that its cost doesn't grow with the number of daemons.
  */
-public final class DutyHolder {
+public final class DutyLeaseManager {
 
-    private static final Logger LOG = LoggerFactory.getLogger(DutyHolder.class);
+    private static final Logger LOG = LoggerFactory.getLogger(DutyLeaseManager.class);
     private static final String LEASE_KEY = "lease";
 
     /** The pace of renewals, and of a candidate's reads; a third of the lease at most. */
-    private static final int TICK_MILLIS = 1_000;
+    private static final int RENEWAL_INTERVAL_MILLIS = 1_000;
 
     /** Daemons that watch the lease without holding it. */
-    private static final int CANDIDATES = 2;
+    private static final int CANDIDATE_COUNT = 2;
 
     private final EventLoop mLoop;
     private final ServingState mState;
     private final MemberTable mMembers;
     private final MetadataStore mStore;
-    private final CloudDuties mCloud;
-    private final CapacityDuty mCapacity;
+    private final FencedCloudClient mCloud;
+    private final EndpointAutoscaler mAutoscaler;
     private final DutyLease mLease;
     private final UsagePlan mUsagePlan;
-    private final Set<Long> mDelivered = new HashSet<>();
-    private LeaseRecord mClaim;
-    private Instant mClaimSteady;
-    private Instant mClaimTimeOfDay;
-    private boolean mBusy;
+    private final Set<Long> mDeliveredWindows = new HashSet<>();
+    private LeaseRecord mClaimedRecord;
+    private Instant mClaimedAt;
+    private Instant mClaimedAtTimeOfDay;
+    private boolean mCallPending;
     private boolean mStopped;
 
     /**
@@ -67,12 +67,12 @@
      * @param cloud takes reports and orders
      * @param duties the lease and the plans of its holder
      */
-    public DutyHolder(
+    public DutyLeaseManager(
             final EventLoop loop,
             final ServingState state,
             final MemberTable members,
             final MetadataStore store,
-            final CloudDuties cloud,
+            final FencedCloudClient cloud,
             final Duties duties) {
         mLoop = loop;
         mState = state;
@@ -81,7 +81,8 @@
         mCloud = cloud;
         mLease = duties.lease();
         mUsagePlan = duties.usagePlan();
-        mCapacity = new CapacityDuty(loop, state, cloud, duties.planner(), this::token);
+        mAutoscaler =
+                new EndpointAutoscaler(loop, state, cloud, duties.planner(), this::fencingToken);
     }
 
     /**
@@ -98,13 +99,17 @@
      *
      * @return the duty
      */
-    public CapacityDuty capacity() {
-        return mCapacity;
+    public EndpointAutoscaler autoscaler() {
+        return mAutoscaler;
     }
 
     /** Starts to watch the lease. */
     public void start() {
-        mLoop.scheduleWithFixedDelay(this::tick, TICK_MILLIS, TICK_MILLIS, TimeUnit.MILLISECONDS);
+        mLoop.scheduleWithFixedDelay(
+                this::tick,
+                RENEWAL_INTERVAL_MILLIS,
+                RENEWAL_INTERVAL_MILLIS,
+                TimeUnit.MILLISECONDS);
     }
 
     /** Gives the lease up, so that another daemon need not wait for it to run out. */
@@ -113,7 +118,11 @@
         if (mLease.isHeld()) {
             final LeaseRecord release = mLease.release();
             mLease.lost();
-            mStore.appendAt(StoreTopic.DUTIES, LEASE_KEY, DutyRecords.encode(release), mLease.end())
+            mStore.appendAt(
+                            StoreTopic.DUTIES,
+                            LEASE_KEY,
+                            LeaseRecordCodec.encode(release),
+                            mLease.end())
                     .whenComplete(
                             (end, failure) ->
                                     LOG.atInfo()
@@ -126,34 +135,34 @@
     private void tick() {
         // Every daemon meters the demand: one that takes the lease over a fleet that was just lost
         // would otherwise judge it by the few requests that are still served.
-        mCapacity.meterDemand();
-        if (mBusy || mStopped) {
+        mAutoscaler.recordDemand();
+        if (mCallPending || mStopped) {
             return;
         }
         if (mLease.isHeld()) {
             claim();
-        } else if (mMembers.rank(mState.clock().instant()) < CANDIDATES) {
-            look();
+        } else if (mMembers.rank(mState.clock().instant()) < CANDIDATE_COUNT) {
+            readLease();
         }
     }
 
-    private void look() {
-        mBusy = true;
+    private void readLease() {
+        mCallPending = true;
         final Instant steady = mState.clock().instant();
         mStore.newest(StoreTopic.DUTIES)
                 .whenComplete(
                         (page, failure) -> {
-                            mBusy = false;
+                            mCallPending = false;
                             if (failure == null) {
-                                looked(page, steady);
+                                handleLeaseRead(page, steady);
                             }
                         });
     }
 
-    private void looked(final StorePage page, final Instant steady) {
+    private void handleLeaseRead(final StorePage page, final Instant steady) {
         final Optional<LeaseRecord> record;
         try {
-            record = lease(page);
+            record = decodeLease(page);
         } catch (InvalidProtocolBufferException e) {
             LOG.error("lease not understood, no duty is done", e);
             return;
@@ -164,52 +173,60 @@
         }
     }
 
-    private static Optional<LeaseRecord> lease(final StorePage page)
+    private static Optional<LeaseRecord> decodeLease(final StorePage page)
             throws InvalidProtocolBufferException {
         for (final StoreRecord record : page.records()) {
             if (record.key().equals(LEASE_KEY) && record.value().isPresent()) {
-                return Optional.of(DutyRecords.decode(record.value().get()));
+                return Optional.of(LeaseRecordCodec.decode(record.value().get()));
             }
         }
         return Optional.empty();
     }
 
     private void claim() {
-        mBusy = true;
+        mCallPending = true;
         final boolean renewal = mLease.isHeld();
         final Instant timeOfDay = mState.timeOfDay().instant();
         final List<UsageDecision> decisions =
                 mUsagePlan.decide(markDelivered(mLease.decisions()), mState.usageClock().instant());
-        mClaim = mLease.claim(decisions);
-        mClaimSteady = mState.clock().instant();
-        mClaimTimeOfDay = timeOfDay;
-        mStore.appendAt(StoreTopic.DUTIES, LEASE_KEY, DutyRecords.encode(mClaim), mLease.end())
+        mClaimedRecord = mLease.claim(decisions);
+        mClaimedAt = mState.clock().instant();
+        mClaimedAtTimeOfDay = timeOfDay;
+        mStore.appendAt(
+                        StoreTopic.DUTIES,
+                        LEASE_KEY,
+                        LeaseRecordCodec.encode(mClaimedRecord),
+                        mLease.end())
                 .whenComplete(
                         (end, failure) -> {
-                            mBusy = false;
-                            claimed(renewal, end, failure);
+                            mCallPending = false;
+                            handleClaimResult(renewal, end, failure);
                         });
     }
 
     private List<UsageDecision> markDelivered(final List<UsageDecision> decisions) {
         final List<UsageDecision> marked = new ArrayList<>();
         for (final UsageDecision decision : decisions) {
-            marked.add(mDelivered.contains(decision.window()) ? decision.asDelivered() : decision);
+            marked.add(
+                    mDeliveredWindows.contains(decision.window())
+                            ? decision.asDelivered()
+                            : decision);
         }
         return marked;
     }
 
-    private void claimed(final boolean renewal, final OptionalLong end, final Throwable failure) {
+    private void handleClaimResult(
+            final boolean renewal, final OptionalLong end, final Throwable failure) {
         if (failure != null) {
-            notAnswered(failure);
+            handleUnansweredClaim(failure);
         } else if (end.isEmpty()) {
             mLease.lost();
             LOG.info("lease belongs to another daemon");
         } else {
             if (!renewal) {
-                LOG.atInfo().addKeyValue("token", mClaim.token()).log("lease taken");
+                LOG.atInfo().addKeyValue("token", mClaimedRecord.token()).log("lease taken");
             }
-            granted(end.getAsLong());
+            handleGranted(end.getAsLong());
         }
     }
 
@@ -220,31 +237,31 @@
      * takes the lease before its term has passed since the last record. The claim may have landed
      * all the same; then the next one finds another end of the store.
      */
-    private void notAnswered(final Throwable failure) {
-        final boolean stillHeld = token().isPresent();
+    private void handleUnansweredClaim(final Throwable failure) {
+        final boolean stillHeld = fencingToken().isPresent();
         if (!stillHeld) {
             mLease.lost();
         }
         LOG.atWarn()
-                .addKeyValue("token", mClaim.token())
+                .addKeyValue("token", mClaimedRecord.token())
                 .addKeyValue("cause", String.valueOf(failure.getMessage()))
                 .addKeyValue("stillHeld", stillHeld)
                 .log("claim of the lease not answered");
-        mCapacity.orderEndpoints();
+        mAutoscaler.orderEndpoints();
     }
 
-    private void granted(final long end) {
-        mLease.granted(mClaim, end, mClaimSteady, mClaimTimeOfDay);
-        act();
+    private void handleGranted(final long end) {
+        mLease.granted(mClaimedRecord, end, mClaimedAt, mClaimedAtTimeOfDay);
+        performDuties();
     }
 
-    private void act() {
+    private void performDuties() {
         for (final UsageDecision decision : mLease.decisions()) {
-            if (!decision.delivered() && !mDelivered.contains(decision.window())) {
-                token().ifPresent(token -> report(token, decision));
+            if (!decision.delivered() && !mDeliveredWindows.contains(decision.window())) {
+                fencingToken().ifPresent(token -> reportUsage(token, decision));
             }
         }
-        mCapacity.orderEndpoints();
+        mAutoscaler.orderEndpoints();
     }
 
     /**
@@ -252,16 +269,16 @@
      *
      * @return the fencing token to act with, if it may
      */
-    public Optional<Long> token() {
+    public Optional<Long> fencingToken() {
         return mLease.tokenToAct(mState.clock().instant(), mState.timeOfDay().instant());
     }
 
-    private void report(final long token, final UsageDecision decision) {
+    private void reportUsage(final long token, final UsageDecision decision) {
         mCloud.reportUsage(token, decision)
                 .whenComplete(
                         (taken, failure) -> {
                             if (failure == null && taken) {
-                                mDelivered.add(decision.window());
+                                mDeliveredWindows.add(decision.window());
                             }
                             LOG.atInfo()
                                     .addKeyValue("window", decision.window())
--- a/gateway/src/main/java/org/whinhead/gateway/duty/CapacityDuty.java
+++ b/gateway/src/main/java/org/whinhead/gateway/duty/EndpointAutoscaler.java
@@ -18,35 +18,35 @@
 import org.whinhead.serving.endpoint.EndpointEntry;
 
 /** Orders endpoints while this daemon holds the lease, and watches which there are otherwise. */
-public final class CapacityDuty {
+public final class EndpointAutoscaler {
 
-    private static final Logger LOG = LoggerFactory.getLogger(CapacityDuty.class);
+    private static final Logger LOG = LoggerFactory.getLogger(EndpointAutoscaler.class);
 
     private static final int MILLIS_PER_SECOND = 1_000;
 
     /** How long answers to the orders of one round are gathered; an answer takes some 4 ms. */
-    private static final int REFUSALS_GATHERED_MILLIS = 30;
+    private static final int REFUSAL_BATCH_MILLIS = 30;
 
     private final EventLoop mLoop;
     private final ServingState mState;
-    private final CloudDuties mCloud;
+    private final FencedCloudClient mCloud;
     private final CapacityPlanner mPlanner;
-    private final Supplier<Optional<Long>> mToken;
+    private final Supplier<Optional<Long>> mFencingToken;
     private final DemandMeter mDemand = new DemandMeter();
-    private boolean mOrdersSoon;
+    private boolean mReorderScheduled;
     private Consumer<CapacityOrder> mOnOrdered = order -> {};
 
-    CapacityDuty(
+    EndpointAutoscaler(
             final EventLoop loop,
             final ServingState state,
-            final CloudDuties cloud,
+            final FencedCloudClient cloud,
             final CapacityPlanner planner,
             final Supplier<Optional<Long>> token) {
         mLoop = loop;
         mState = state;
         mCloud = cloud;
         mPlanner = planner;
-        mToken = token;
+        mFencingToken = token;
     }
 
     /**
@@ -63,12 +63,12 @@
      *
      * @param order an order that the platform has taken
      */
-    public void orderedElsewhere(final CapacityOrder order) {
+    public void recordPeerOrder(final CapacityOrder order) {
         final Optional<ServiceSpec> service =
                 mState.configuration()
                         .current()
                         .flatMap(configuration -> configuration.service(order.service()));
-        if (service.isPresent() && mToken.get().isEmpty()) {
+        if (service.isPresent() && mFencingToken.get().isEmpty()) {
             mPlanner.orderedElsewhere(service.get(), order, mState.clock().instant());
         }
     }
@@ -83,25 +83,26 @@
             return;
         }
         final Instant now = mState.clock().instant();
-        if (mToken.get().isEmpty()) {
+        if (mFencingToken.get().isEmpty()) {
             observeEndpoints(configuration.get(), now);
             return;
         }
-        meterDemand();
+        recordDemand();
         for (final ServiceSpec service : configuration.get().services()) {
-            final List<EndpointEntry> endpoints = capacity(service.name());
+            final List<EndpointEntry> endpoints = countedEndpoints(service.name());
             final List<CapacityOrder> orders =
                     mPlanner.plan(service, endpoints, load(service.name()), now);
             for (final CapacityOrder order : orders) {
-                if (givesUp(order, endpoints) && mState.rollouts().isOpen(service.name())) {
+                if (reducesEndpoints(order, endpoints)
+                        && mState.rollouts().isOpen(service.name())) {
                     continue;
                 }
-                mToken.get().ifPresent(token -> order(token, order));
+                mFencingToken.get().ifPresent(token -> order(token, order));
             }
         }
     }
 
-    private List<EndpointEntry> capacity(final String service) {
+    private List<EndpointEntry> countedEndpoints(final String service) {
         return mState.rollouts().capacity(service, mState.endpoints().usable(service));
     }
 
@@ -109,7 +110,8 @@
      * Tells whether an order gives endpoints up. Between two versions a service has twice what it
      * needs, and which of them is given up would be the platform's choice.
      */
-    private static boolean givesUp(final CapacityOrder order, final List<EndpointEntry> endpoints) {
+    private static boolean reducesEndpoints(
+            final CapacityOrder order, final List<EndpointEntry> endpoints) {
         final long listed =
                 endpoints.stream()
                         .filter(endpoint -> endpoint.domain().equals(order.domain()))
@@ -120,12 +122,12 @@
 
     private void observeEndpoints(final ServingConfiguration configuration, final Instant now) {
         for (final ServiceSpec service : configuration.services()) {
-            mPlanner.observe(service, capacity(service.name()), now);
+            mPlanner.observe(service, countedEndpoints(service.name()), now);
         }
     }
 
     /** Notes what callers have asked so far; to be called at each tick of every daemon. */
-    void meterDemand() {
+    void recordDemand() {
         mDemand.total(
                 mState.quotas().offered().byAll(),
                 mState.quotas().offered().usualTokens(),
@@ -144,15 +146,15 @@
      * several domains run dry together; a holder that went on at its next round lost a second of
      * the two or three that a notice gives.
      */
-    private void orderOthersSoon() {
-        if (!mOrdersSoon) {
-            mOrdersSoon = true;
+    private void scheduleReplacementOrders() {
+        if (!mReorderScheduled) {
+            mReorderScheduled = true;
             mLoop.schedule(
                     () -> {
-                        mOrdersSoon = false;
+                        mReorderScheduled = false;
                         orderEndpoints();
                     },
-                    REFUSALS_GATHERED_MILLIS,
+                    REFUSAL_BATCH_MILLIS,
                     TimeUnit.MILLISECONDS);
         }
     }
@@ -168,7 +170,7 @@
                                 mOnOrdered.accept(order);
                             }
                             if (failure == null && !taken) {
-                                orderOthersSoon();
+                                scheduleReplacementOrders();
                             }
                             LOG.atInfo()
                                     .addKeyValue("service", order.service())
--- a/gateway/src/main/java/org/whinhead/gateway/duty/CloudDuties.java
+++ b/gateway/src/main/java/org/whinhead/gateway/duty/FencedCloudClient.java
@@ -5,7 +5,7 @@
 import org.whinhead.serving.duty.UsageDecision;
 
 /** The platform's calls that one daemon makes for all. A future that fails may have been taken. */
-public interface CloudDuties {
+public interface FencedCloudClient {
 
     /**
      * Reports the usage of a window.
--- a/gateway/src/main/java/org/whinhead/gateway/duty/DutyRecords.java
+++ b/gateway/src/main/java/org/whinhead/gateway/duty/LeaseRecordCodec.java
@@ -8,9 +8,9 @@
 import org.whinhead.serving.duty.UsageDecision;
 
 /** Spells the lease as bytes. */
-final class DutyRecords {
+final class LeaseRecordCodec {
 
-    private DutyRecords() {}
+    private LeaseRecordCodec() {}
 
     static byte[] encode(final LeaseRecord lease) {
         final DutyRecord.Builder record =
--- a/gateway/src/main/java/org/whinhead/gateway/exchange/RequestJournal.java
+++ b/gateway/src/main/java/org/whinhead/gateway/exchange/RequestJournal.java
@@ -8,7 +8,7 @@
 import org.whinhead.gateway.caller.CallerRequest;
 import org.whinhead.gateway.caller.Refusal;
 import org.whinhead.gateway.endpoint.MoveOutcome;
-import org.whinhead.gateway.metrics.RequestCounts;
+import org.whinhead.gateway.metrics.RequestMetrics;
 import org.whinhead.serving.balance.Placement;
 import org.whinhead.serving.configuration.CustomerAccount;
 import org.whinhead.serving.endpoint.EndpointEntry;
@@ -19,7 +19,7 @@
     private static final Logger LOG = LoggerFactory.getLogger(RequestJournal.class);
 
     private final InstantSource mClock;
-    private final RequestCounts mCounts;
+    private final RequestMetrics mCounts;
 
     /**
      * Makes a journal.
@@ -27,13 +27,13 @@
      * @param clock the steady clock
      * @param counts counts what is logged
      */
-    public RequestJournal(final InstantSource clock, final RequestCounts counts) {
+    public RequestJournal(final InstantSource clock, final RequestMetrics counts) {
         mClock = clock;
         mCounts = counts;
     }
 
     void refused(final CallerRequest request, final Refusal refusal) {
-        mCounts.refused(refusal.reason());
+        mCounts.recordRefused(refusal.reason());
         LOG.atInfo()
                 .addKeyValue("request", request.id())
                 .addKeyValue("status", refusal.status().code())
@@ -42,7 +42,7 @@
     }
 
     void admitted(final CustomerAccount customer, final long tokens) {
-        mCounts.admitted(customer.name(), tokens);
+        mCounts.recordAdmitted(customer.name(), tokens);
     }
 
     void overAllowance(
@@ -65,7 +65,7 @@
             final EndpointEntry endpoint,
             final Verdict verdict,
             final String reason) {
-        mCounts.attemptFailed(verdict, reason);
+        mCounts.recordFailedAttempt(verdict, reason);
         LOG.atInfo()
                 .addKeyValue("request", admission.request().id())
                 .addKeyValue("route", admission.route().name())
@@ -81,7 +81,7 @@
             final Placement target,
             final MoveOutcome outcome,
             final Throwable failure) {
-        mCounts.moved(failure == null);
+        mCounts.recordMoved(failure == null);
         LOG.atInfo()
                 .addKeyValue("request", admission.request().id())
                 .addKeyValue("source", source.id())
@@ -99,7 +99,7 @@
             final int status) {
         final String endpoint = placement == null ? "" : placement.endpoint().id();
         final Duration taken = Duration.between(admission.arrivedAt(), mClock.instant());
-        mCounts.finished(admission.route().kind(), outcome, taken);
+        mCounts.recordFinished(admission.route().kind(), outcome, taken);
         LOG.atInfo()
                 .addKeyValue("request", admission.request().id())
                 .addKeyValue("route", admission.route().name())
--- a/gateway/src/main/java/org/whinhead/gateway/metrics/CountName.java
+++ b/gateway/src/main/java/org/whinhead/gateway/metrics/CounterKey.java
@@ -10,17 +10,17 @@
  * @param first the value of the metric's first tag
  * @param second the value of its second tag; empty if it has none
  */
-record CountName(Metric metric, String first, String second) {
+record CounterKey(Metric metric, String firstTagValue, String secondTagValue) {
 
     /** Checks the parts. */
-    CountName {
+    CounterKey {
         Objects.requireNonNull(metric, "metric");
-        Objects.requireNonNull(first, "first");
-        Objects.requireNonNull(second, "second");
+        Objects.requireNonNull(firstTagValue, "first");
+        Objects.requireNonNull(secondTagValue, "second");
     }
 
     Tags tags() {
-        return metric.tags(first, second);
+        return metric.tags(firstTagValue, secondTagValue);
     }
 
     /** What is counted, with the names of its tags. */
--- a/gateway/src/main/java/org/whinhead/gateway/metrics/RequestCounts.java
+++ b/gateway/src/main/java/org/whinhead/gateway/metrics/RequestMetrics.java
@@ -6,7 +6,7 @@
 import java.util.HashMap;
 import java.util.Map;
 import org.whinhead.api.verdict.Verdict;
-import org.whinhead.gateway.metrics.CountName.Metric;
+import org.whinhead.gateway.metrics.CounterKey.Metric;
 import org.whinhead.serving.route.RouteKind;
 
 /**
@@ -15,16 +15,16 @@
  * <p>The registry that writes the page is made when the page is first read: setting it up is a
  * twentieth of a start, and a request looks its counters up without building their tags.
  */
-public final class RequestCounts {
+public final class RequestMetrics {
 
     /** Upper bounds of the histogram: from a plain call's work to the longest streams. */
-    private static final long[] BOUND_MILLIS = {
+    private static final long[] BUCKET_BOUNDS_MILLIS = {
         10, 20, 50, 100, 200, 500, 1_000, 2_000, 5_000, 10_000
     };
 
-    private static final String NO_BOUND = "+Inf";
+    private static final String INFINITE_BOUND = "+Inf";
 
-    private final Map<CountName, Count> mCounts = new HashMap<>();
+    private final Map<CounterKey, Counter> mCounters = new HashMap<>();
     private PrometheusMeterRegistry mRegistry;
 
     /**
@@ -32,8 +32,8 @@
      *
      * @param reason why
      */
-    public void refused(final String reason) {
-        count(Metric.REFUSED, reason, "").add(1);
+    public void recordRefused(final String reason) {
+        counter(Metric.REFUSED, reason, "").add(1);
     }
 
     /**
@@ -43,8 +43,8 @@
      * @param customer the customer's name
      * @param tokens what the request costs
      */
-    public void admitted(final String customer, final long tokens) {
-        count(Metric.TOKENS_ADMITTED, customer, "").add(tokens);
+    public void recordAdmitted(final String customer, final long tokens) {
+        counter(Metric.TOKENS_ADMITTED, customer, "").add(tokens);
     }
 
     /**
@@ -53,8 +53,8 @@
      * @param verdict whether it may have run
      * @param reason why there is no answer
      */
-    public void attemptFailed(final Verdict verdict, final String reason) {
-        count(Metric.ATTEMPT_FAILED, verdict.wireName(), reason).add(1);
+    public void recordFailedAttempt(final Verdict verdict, final String reason) {
+        counter(Metric.ATTEMPT_FAILED, verdict.wireName(), reason).add(1);
     }
 
     /**
@@ -62,8 +62,8 @@
      *
      * @param answered whether its endpoint answered
      */
-    public void moved(final boolean answered) {
-        count(Metric.MOVED, String.valueOf(answered), "").add(1);
+    public void recordMoved(final boolean answered) {
+        counter(Metric.MOVED, String.valueOf(answered), "").add(1);
     }
 
     /**
@@ -73,16 +73,16 @@
      * @param outcome how it ended
      * @param taken how long it took
      */
-    public void finished(final RouteKind kind, final String outcome, final Duration taken) {
+    public void recordFinished(final RouteKind kind, final String outcome, final Duration taken) {
         final String name = kind.name();
-        count(Metric.FINISHED, name, outcome).add(1);
-        count(Metric.TIME_MILLIS, name, "").add(taken.toMillis());
-        for (final long bound : BOUND_MILLIS) {
+        counter(Metric.FINISHED, name, outcome).add(1);
+        counter(Metric.TIME_MILLIS, name, "").add(taken.toMillis());
+        for (final long bound : BUCKET_BOUNDS_MILLIS) {
             if (taken.toMillis() <= bound) {
-                count(Metric.TIME_WITHIN, name, String.valueOf(bound)).add(1);
+                counter(Metric.TIME_WITHIN, name, String.valueOf(bound)).add(1);
             }
         }
-        count(Metric.TIME_WITHIN, name, NO_BOUND).add(1);
+        counter(Metric.TIME_WITHIN, name, INFINITE_BOUND).add(1);
     }
 
     /**
@@ -90,33 +90,33 @@
      *
      * @return the counts in Prometheus's text form
      */
-    public String page() {
+    public String renderPage() {
         if (mRegistry == null) {
             mRegistry = new PrometheusMeterRegistry(PrometheusConfig.DEFAULT);
-            mCounts.forEach(this::register);
+            mCounters.forEach(this::register);
         }
         return mRegistry.scrape();
     }
 
-    private Count count(final Metric metric, final String first, final String second) {
-        final CountName name = new CountName(metric, first, second);
-        final Count known = mCounts.get(name);
+    private Counter counter(final Metric metric, final String first, final String second) {
+        final CounterKey name = new CounterKey(metric, first, second);
+        final Counter known = mCounters.get(name);
         if (known != null) {
             return known;
         }
-        final Count added = new Count();
-        mCounts.put(name, added);
+        final Counter added = new Counter();
+        mCounters.put(name, added);
         if (mRegistry != null) {
             register(name, added);
         }
         return added;
     }
 
-    private void register(final CountName name, final Count count) {
-        mRegistry.more().counter(name.metric().metricName(), name.tags(), count, Count::total);
+    private void register(final CounterKey name, final Counter count) {
+        mRegistry.more().counter(name.metric().metricName(), name.tags(), count, Counter::total);
     }
 
-    private static final class Count {
+    private static final class Counter {
         private long mTotal;
 
         private void add(final long amount) {
--- a/gateway/src/main/java/org/whinhead/gateway/peers/StoreDigests.java
+++ b/gateway/src/main/java/org/whinhead/gateway/peers/DigestReadCoordinator.java
@@ -8,7 +8,7 @@
 import java.util.function.LongConsumer;
 import org.whinhead.gateway.exchange.ServingState;
 import org.whinhead.gateway.generated.GatewayProto.StoreDigest;
-import org.whinhead.gateway.store.ReadSharing;
+import org.whinhead.gateway.store.ReadCoordinator;
 import org.whinhead.gateway.store.StoreTopic;
 import org.whinhead.serving.configuration.ServingConfiguration;
 import org.whinhead.serving.member.MemberTable;
@@ -21,22 +21,22 @@
  * of what they see behind each read. The others read only if a digest that is not older than their
  * own view differs from it, or if none has come for a while.
  */
-public final class StoreDigests implements ReadSharing {
+public final class DigestReadCoordinator implements ReadCoordinator {
 
     /** Daemons that read for all: one may be cut off from the store without being noticed. */
-    private static final int READERS = 2;
+    private static final int READER_COUNT = 2;
 
     /** Two digests are missed; a leaving endpoint must be noticed within two seconds. */
-    private static final Duration FRESH_FOR = Duration.ofMillis(900);
+    private static final Duration DIGEST_MAX_AGE = Duration.ofMillis(900);
 
     /** A read of the configuration waits a second at the store. */
-    private static final Duration CONFIGURATION_FRESH_FOR = Duration.ofMillis(2_500);
+    private static final Duration CONFIGURATION_READ_MAX_AGE = Duration.ofMillis(2_500);
 
     private final ServingState mState;
     private final MemberTable mMembers;
-    private final Map<String, Seen> mSeen = new HashMap<>();
-    private Consumer<StoreTopic> mWake = topic -> {};
-    private LongConsumer mSkip = end -> {};
+    private final Map<String, ReceivedDigest> mReceivedDigests = new HashMap<>();
+    private Consumer<StoreTopic> mOnNewRecords = topic -> {};
+    private LongConsumer mOnSkippableEndpoints = end -> {};
     private long mEndpointsEnd;
     private Instant mConfigurationReadAt = Instant.EPOCH;
 
@@ -46,7 +46,7 @@
      * @param state what this daemon has seen
      * @param members the daemons
      */
-    public StoreDigests(final ServingState state, final MemberTable members) {
+    public DigestReadCoordinator(final ServingState state, final MemberTable members) {
         mState = state;
         mMembers = members;
     }
@@ -56,8 +56,8 @@
      *
      * @param wake takes the topic to be read
      */
-    public void onNews(final Consumer<StoreTopic> wake) {
-        mWake = wake;
+    public void onNewRecords(final Consumer<StoreTopic> wake) {
+        mOnNewRecords = wake;
     }
 
     /**
@@ -65,8 +65,8 @@
      *
      * @param skip takes the offset behind what it has read of the endpoints
      */
-    public void onSameEndpoints(final LongConsumer skip) {
-        mSkip = skip;
+    public void onSkippableEndpoints(final LongConsumer skip) {
+        mOnSkippableEndpoints = skip;
     }
 
     /**
@@ -74,18 +74,18 @@
      *
      * @param end the offset behind the last record
      */
-    public void endpointsRead(final long end) {
+    public void recordEndpointsRead(final long end) {
         mEndpointsEnd = Math.max(mEndpointsEnd, end);
     }
 
     /** Notes that the configuration was read. */
-    public void configurationRead() {
+    public void recordConfigurationRead() {
         mConfigurationReadAt = now();
     }
 
     @Override
     public boolean isReader() {
-        return mMembers.rank(now()) < READERS;
+        return mMembers.rank(now()) < READER_COUNT;
     }
 
     @Override
@@ -93,27 +93,30 @@
         if (isReader()) {
             return false;
         }
-        final Instant oldest = now().minus(FRESH_FOR);
-        return mSeen.values().stream()
-                .anyMatch(seen -> seen.mAt.isAfter(oldest) && matches(seen.mDigest, topic));
+        final Instant oldest = now().minus(DIGEST_MAX_AGE);
+        return mReceivedDigests.values().stream()
+                .anyMatch(
+                        seen ->
+                                seen.mReceivedAt.isAfter(oldest)
+                                        && hasNothingNew(seen.mDigest, topic));
     }
 
-    private boolean matches(final StoreDigest digest, final StoreTopic topic) {
+    private boolean hasNothingNew(final StoreDigest digest, final StoreTopic topic) {
         return switch (topic) {
-            case ENDPOINTS -> digest.getEndpointsEnd() < mEndpointsEnd || sameEndpoints(digest);
+            case ENDPOINTS -> digest.getEndpointsEnd() < mEndpointsEnd || hasSameEndpoints(digest);
             case CONFIGURATION ->
                     digest.getConfigurationFresh()
-                            && digest.getConfigurationVersion() <= version()
+                            && digest.getConfigurationVersion() <= configurationVersion()
                             && digest.getRolloutOffset() <= mState.rollouts().newestOffset();
             default -> false;
         };
     }
 
-    private boolean sameEndpoints(final StoreDigest digest) {
+    private boolean hasSameEndpoints(final StoreDigest digest) {
         return digest.getEndpointsHash() == mState.endpoints().summary();
     }
 
-    private long version() {
+    private long configurationVersion() {
         return mState.configuration().current().map(ServingConfiguration::version).orElse(-1L);
     }
 
@@ -126,14 +129,14 @@
      *
      * @return the digest
      */
-    StoreDigest digest() {
+    StoreDigest createDigest() {
         return StoreDigest.newBuilder()
                 .setEndpointsHash(mState.endpoints().summary())
                 .setEndpointsEnd(mEndpointsEnd)
-                .setConfigurationVersion(version())
+                .setConfigurationVersion(configurationVersion())
                 .setRolloutOffset(mState.rollouts().newestOffset())
                 .setConfigurationFresh(
-                        mConfigurationReadAt.isAfter(now().minus(CONFIGURATION_FRESH_FOR)))
+                        mConfigurationReadAt.isAfter(now().minus(CONFIGURATION_READ_MAX_AGE)))
                 .build();
     }
 
@@ -143,27 +146,27 @@
      * @param sender the address that it came from
      * @param digest the digest
      */
-    void take(final String sender, final StoreDigest digest) {
-        mSeen.put(sender, new Seen(digest, now()));
-        if (!matches(digest, StoreTopic.ENDPOINTS)) {
-            mWake.accept(StoreTopic.ENDPOINTS);
+    void receive(final String sender, final StoreDigest digest) {
+        mReceivedDigests.put(sender, new ReceivedDigest(digest, now()));
+        if (!hasNothingNew(digest, StoreTopic.ENDPOINTS)) {
+            mOnNewRecords.accept(StoreTopic.ENDPOINTS);
         } else if (digest.getEndpointsEnd() > mEndpointsEnd) {
             mEndpointsEnd = digest.getEndpointsEnd();
-            mSkip.accept(mEndpointsEnd);
+            mOnSkippableEndpoints.accept(mEndpointsEnd);
         }
-        if (digest.getConfigurationVersion() > version()
+        if (digest.getConfigurationVersion() > configurationVersion()
                 || digest.getRolloutOffset() > mState.rollouts().newestOffset()) {
-            mWake.accept(StoreTopic.CONFIGURATION);
+            mOnNewRecords.accept(StoreTopic.CONFIGURATION);
         }
     }
 
-    private static final class Seen {
+    private static final class ReceivedDigest {
         private final StoreDigest mDigest;
-        private final Instant mAt;
+        private final Instant mReceivedAt;
 
-        private Seen(final StoreDigest digest, final Instant at) {
+        private ReceivedDigest(final StoreDigest digest, final Instant at) {
             mDigest = digest;
-            mAt = at;
+            mReceivedAt = at;
         }
     }
 }
--- a/gateway/src/main/java/org/whinhead/gateway/peers/EndpointChanges.java
+++ b/gateway/src/main/java/org/whinhead/gateway/peers/EndpointChangeCodec.java
@@ -18,12 +18,12 @@
  * all entries of a failure domain at once, and each of the readers tells every daemon over a link
  * of 10 Mbit/s: whole entries filled it, and half of the news of each reclaim was lost.
  */
-final class EndpointChanges {
+final class EndpointChangeCodec {
 
     /** Bytes of changes in one datagram, so that it travels in one packet. */
-    private static final int MOST_BYTES = 1_150;
+    private static final int MAX_BYTES_PER_DATAGRAM = 1_150;
 
-    private EndpointChanges() {}
+    private EndpointChangeCodec() {}
 
     static List<EndpointNews> encode(final List<EndpointChange> changes) {
         final List<EndpointNews> all = new ArrayList<>();
@@ -31,7 +31,7 @@
         int bytes = 0;
         for (final EndpointChange change : changes) {
             final EndpointChangeRecord record = encode(change);
-            if (bytes > 0 && bytes + record.getSerializedSize() > MOST_BYTES) {
+            if (bytes > 0 && bytes + record.getSerializedSize() > MAX_BYTES_PER_DATAGRAM) {
                 all.add(news.build());
                 news = EndpointNews.newBuilder();
                 bytes = 0;
@@ -48,11 +48,11 @@
     private static EndpointChangeRecord encode(final EndpointChange change) {
         final EndpointChangeRecord.Builder record =
                 EndpointChangeRecord.newBuilder().setId(change.id()).setOffset(change.offset());
-        change.entry().ifPresent(entry -> describe(entry, record));
+        change.entry().ifPresent(entry -> setEntryFields(entry, record));
         return record.build();
     }
 
-    private static void describe(
+    private static void setEntryFields(
             final EndpointEntry entry, final EndpointChangeRecord.Builder record) {
         entry.leavesIn().ifPresent(left -> record.setLeavesInMillis(left.toMillis()));
         entry.startedAt().ifPresent(start -> record.setStartedMillis(start.toEpochMilli()));
@@ -82,7 +82,7 @@
         final List<EndpointChange> changes = new ArrayList<>();
         for (final EndpointChangeRecord record : news.getChangesList()) {
             final Optional<EndpointEntry> entry =
-                    record.getLeaving() ? leaving(record, known) : entry(record);
+                    record.getLeaving() ? decodeLeaving(record, known) : decodeEntry(record);
             if (entry.isPresent() || !record.getLeaving()) {
                 changes.add(new EndpointChange(record.getId(), record.getOffset(), entry));
             }
@@ -90,7 +90,7 @@
         return changes;
     }
 
-    private static Optional<EndpointEntry> leaving(
+    private static Optional<EndpointEntry> decodeLeaving(
             final EndpointChangeRecord record,
             final Function<String, Optional<EndpointEntry>> known) {
         return known.apply(record.getId())
@@ -98,7 +98,7 @@
                 .map(entry -> entry.asLeaving(leavesIn(record)));
     }
 
-    private static Optional<EndpointEntry> entry(final EndpointChangeRecord record) {
+    private static Optional<EndpointEntry> decodeEntry(final EndpointChangeRecord record) {
         if (record.getService().isEmpty()) {
             return Optional.empty();
         }
--- a/gateway/src/main/java/org/whinhead/gateway/peers/MemberAnnouncement.java
+++ b/gateway/src/main/java/org/whinhead/gateway/peers/MemberDiscovery.java
@@ -20,16 +20,16 @@
  * <p>The addresses in the settings may all be of daemons that are down. So each daemon writes its
  * own into the store once, and reads those of the others once.
  */
-public final class MemberAnnouncement {
+public final class MemberDiscovery {
 
-    private static final Logger LOG = LoggerFactory.getLogger(MemberAnnouncement.class);
+    private static final Logger LOG = LoggerFactory.getLogger(MemberDiscovery.class);
 
     private static final int RETRY_MILLIS = 1_000;
 
     private final EventLoop mLoop;
     private final MetadataStore mStore;
     private final Member mSelf;
-    private final Consumer<InetSocketAddress> mContacts;
+    private final Consumer<InetSocketAddress> mOnContact;
 
     /**
      * Makes an announcement that is not sent yet.
@@ -39,7 +39,7 @@
      * @param self this daemon
      * @param contacts takes the addresses of the others
      */
-    public MemberAnnouncement(
+    public MemberDiscovery(
             final EventLoop loop,
             final MetadataStore store,
             final Member self,
@@ -47,7 +47,7 @@
         mLoop = loop;
         mStore = store;
         mSelf = self;
-        mContacts = contacts;
+        mOnContact = contacts;
     }
 
     /** Announces this daemon, and then looks for others; repeats what fails. */
@@ -61,33 +61,36 @@
                 .whenComplete(
                         (end, failure) -> {
                             if (failure == null) {
-                                look();
+                                readAnnouncements();
                             } else {
                                 mLoop.schedule(this::start, RETRY_MILLIS, TimeUnit.MILLISECONDS);
                             }
                         });
     }
 
-    private void look() {
+    private void readAnnouncements() {
         mStore.newest(StoreTopic.MEMBERS)
                 .whenComplete(
                         (page, failure) -> {
                             if (failure == null) {
-                                take(page);
+                                addContacts(page);
                             } else {
-                                mLoop.schedule(this::look, RETRY_MILLIS, TimeUnit.MILLISECONDS);
+                                mLoop.schedule(
+                                        this::readAnnouncements,
+                                        RETRY_MILLIS,
+                                        TimeUnit.MILLISECONDS);
                             }
                         });
     }
 
-    private void take(final StorePage page) {
+    private void addContacts(final StorePage page) {
         for (final StoreRecord record : page.records()) {
             if (record.value().isEmpty()) {
                 continue;
             }
             try {
                 final MemberRecord member = MemberRecord.parseFrom(record.value().get());
-                mContacts.accept(Addresses.parse(member.getPeerAddress()));
+                mOnContact.accept(Addresses.parse(member.getPeerAddress()));
             } catch (InvalidProtocolBufferException | IllegalArgumentException e) {
                 LOG.atWarn()
                         .addKeyValue("daemon", record.key())
--- a/gateway/src/main/java/org/whinhead/gateway/peers/PeerReports.java
+++ b/gateway/src/main/java/org/whinhead/gateway/peers/PeerDatagramChannel.java
@@ -40,42 +40,42 @@
  * The interval grows with the number of daemons, so that each receives about as many reports a
  * second whatever the size of the deployment.
  */
-public final class PeerReports {
+public final class PeerDatagramChannel {
 
-    private static final Logger LOG = LoggerFactory.getLogger(PeerReports.class);
+    private static final Logger LOG = LoggerFactory.getLogger(PeerDatagramChannel.class);
 
     /**
      * The pace of sending: each time a part of the others is sent to, so that no link is filled.
      */
-    private static final int TICK_MILLIS = 200;
+    private static final int SEND_INTERVAL_MILLIS = 200;
 
     /**
      * The pause for each receiver between two datagrams that all of them get: what one of 1,200
      * bytes takes on a link of 10 Mbit/s. Sent at once, the second and later ones were lost.
      */
-    private static final long NEWS_MICROS_PER_RECEIVER = 1_000;
+    private static final long BROADCAST_PAUSE_MICROS_PER_RECEIVER = 1_000;
 
     /** Known addresses that a report passes on; a newcomer learns all within a few reports. */
-    private static final int CONTACTS = 12;
+    private static final int CONTACTS_PER_REPORT = 12;
 
     /** One report in so many passes addresses on: they are needed by newcomers only. */
-    private static final int REPORTS_PER_CONTACTS = 5;
+    private static final int REPORTS_PER_CONTACT_LIST = 5;
 
     private final EventLoop mLoop;
     private final ServingState mState;
     private final MemberTable mMembers;
-    private final StoreDigests mDigests;
-    private final ReportContent mContent;
+    private final DigestReadCoordinator mDigests;
+    private final PeerReportHandler mReportHandler;
     private final Set<InetSocketAddress> mContacts = new HashSet<>();
-    private Consumer<List<EndpointChange>> mOnEndpointNews = changes -> {};
-    private Consumer<CapacityOrder> mOnOrder = order -> {};
-    private RolloutNews mRolloutNews = new NoRolloutNews();
-    private BiConsumer<Datagram, InetSocketAddress> mOnTokens = (datagram, sender) -> {};
-    private long mReceiversAsOf = -1;
-    private List<InetSocketAddress> mReceiversInOrder = List.of();
+    private Consumer<List<EndpointChange>> mOnEndpointChanges = changes -> {};
+    private Consumer<CapacityOrder> mOnCapacityOrder = order -> {};
+    private RolloutMessageListener mRolloutListener = new UnexpectedRolloutListener();
+    private BiConsumer<Datagram, InetSocketAddress> mOnTokenDatagram = (datagram, sender) -> {};
+    private long mReceiversVersion = -1;
+    private List<InetSocketAddress> mSortedReceivers = List.of();
     private Channel mChannel;
-    private int mNextReceiver;
-    private long mReports;
+    private int mReceiverIndex;
+    private long mReportRounds;
     private boolean mLeaving;
 
     /**
@@ -86,16 +86,16 @@
      * @param members the daemons
      * @param digests what was read of the store
      */
-    public PeerReports(
+    public PeerDatagramChannel(
             final EventLoop loop,
             final ServingState state,
             final MemberTable members,
-            final StoreDigests digests) {
+            final DigestReadCoordinator digests) {
         mLoop = loop;
         mState = state;
         mMembers = members;
         mDigests = digests;
-        mContent = new ReportContent(state, members, this::addContact);
+        mReportHandler = new PeerReportHandler(state, members, this::addContact);
     }
 
     /** Starts to send and receive. */
@@ -104,7 +104,7 @@
                 new Bootstrap()
                         .group(mLoop)
                         .channel(NioDatagramChannel.class)
-                        .handler(new Receiver())
+                        .handler(new DatagramHandler())
                         .bind(mMembers.self().peerAddress())
                         .channel();
         tick();
@@ -122,9 +122,9 @@
     }
 
     /** Tells the others at once that this daemon is about to stop. */
-    public void leave() {
+    public void announceLeaving() {
         mLeaving = true;
-        sendToAll(Datagram.newBuilder().setReport(report()).build());
+        sendToAll(Datagram.newBuilder().setReport(createReport()).build());
     }
 
     private void tick() {
@@ -136,38 +136,38 @@
                 .daemons(
                         mMembers.knownCount(),
                         mState.quotas().held().table().map(ShareTable::daemons).orElse(0));
-        sendToNext();
-        mLoop.schedule(this::tick, TICK_MILLIS, TimeUnit.MILLISECONDS);
+        sendToNextReceivers();
+        mLoop.schedule(this::tick, SEND_INTERVAL_MILLIS, TimeUnit.MILLISECONDS);
     }
 
     /** Sends to the next part of the others; all get a report within the interval. */
-    private void sendToNext() {
-        final List<InetSocketAddress> receivers = receiversInOrder();
+    private void sendToNextReceivers() {
+        final List<InetSocketAddress> receivers = sortedReceivers();
         if (receivers.isEmpty()) {
             return;
         }
-        final double part = (double) TICK_MILLIS / mMembers.reportInterval().toMillis();
+        final double part = (double) SEND_INTERVAL_MILLIS / mMembers.reportInterval().toMillis();
         final int count = (int) Math.min(Math.ceil(receivers.size() * part), receivers.size());
-        mReports++;
-        final byte[] bytes = Datagram.newBuilder().setReport(report()).build().toByteArray();
+        mReportRounds++;
+        final byte[] bytes = Datagram.newBuilder().setReport(createReport()).build().toByteArray();
         for (int index = 0; index < count; index++) {
-            mNextReceiver = (mNextReceiver + 1) % receivers.size();
-            write(bytes, receivers.get(mNextReceiver));
+            mReceiverIndex = (mReceiverIndex + 1) % receivers.size();
+            write(bytes, receivers.get(mReceiverIndex));
         }
         mChannel.flush();
     }
 
     /** Orders the others, once for each set of them: sorting spells every address many times. */
-    private List<InetSocketAddress> receiversInOrder() {
+    private List<InetSocketAddress> sortedReceivers() {
         final long changes = mMembers.addressChanges() + mContacts.size();
-        if (changes != mReceiversAsOf) {
-            mReceiversAsOf = changes;
+        if (changes != mReceiversVersion) {
+            mReceiversVersion = changes;
             final Set<InetSocketAddress> receivers = new HashSet<>(mContacts);
             mMembers.peers().forEach(peer -> receivers.add(peer.peerAddress()));
-            mReceiversInOrder =
+            mSortedReceivers =
                     receivers.stream().sorted(Comparator.comparing(Addresses::format)).toList();
         }
-        return mReceiversInOrder;
+        return mSortedReceivers;
     }
 
     private void write(final byte[] bytes, final InetSocketAddress receiver) {
@@ -179,8 +179,8 @@
      *
      * @param onNews takes the changes in order
      */
-    public void onEndpointNews(final Consumer<List<EndpointChange>> onNews) {
-        mOnEndpointNews = onNews;
+    public void onEndpointChanges(final Consumer<List<EndpointChange>> onNews) {
+        mOnEndpointChanges = onNews;
     }
 
     /**
@@ -188,21 +188,21 @@
      *
      * @param changes what has changed
      */
-    public void sendEndpoints(final List<EndpointChange> changes) {
+    public void sendEndpointChanges(final List<EndpointChange> changes) {
         if (!mDigests.isReader()) {
             return;
         }
-        final List<EndpointNews> all = EndpointChanges.encode(changes);
-        final long pauseMicros = NEWS_MICROS_PER_RECEIVER * receiversInOrder().size();
+        final List<EndpointNews> all = EndpointChangeCodec.encode(changes);
+        final long pauseMicros = BROADCAST_PAUSE_MICROS_PER_RECEIVER * sortedReceivers().size();
         for (int index = 0; index < all.size(); index++) {
             final Datagram datagram = Datagram.newBuilder().setNews(all.get(index)).build();
-            afterMicros(index * pauseMicros, () -> sendToAll(datagram));
+            runAfterMicros(index * pauseMicros, () -> sendToAll(datagram));
         }
         // Behind all news: a daemon that has not heard them would read the store itself.
-        afterMicros(Math.max(all.size() - 1, 0) * pauseMicros, this::sendDigest);
+        runAfterMicros(Math.max(all.size() - 1, 0) * pauseMicros, this::sendDigest);
     }
 
-    private void afterMicros(final long micros, final Runnable send) {
+    private void runAfterMicros(final long micros, final Runnable send) {
         if (micros == 0) {
             send.run();
         } else {
@@ -215,8 +215,8 @@
      *
      * @param onOrder takes an order that the platform has taken
      */
-    public void onOrder(final Consumer<CapacityOrder> onOrder) {
-        mOnOrder = onOrder;
+    public void onCapacityOrder(final Consumer<CapacityOrder> onOrder) {
+        mOnCapacityOrder = onOrder;
     }
 
     /**
@@ -224,7 +224,7 @@
      *
      * @param order an order that the platform has taken
      */
-    public void sendOrder(final CapacityOrder order) {
+    public void sendCapacityOrder(final CapacityOrder order) {
         sendToAll(
                 Datagram.newBuilder()
                         .setCapacityOrder(
@@ -249,8 +249,8 @@
      *
      * @param news takes them
      */
-    public void onRolloutNews(final RolloutNews news) {
-        mRolloutNews = news;
+    public void onRolloutMessages(final RolloutMessageListener news) {
+        mRolloutListener = news;
     }
 
     /**
@@ -258,8 +258,8 @@
      *
      * @param step the step
      */
-    public void sendStep(final RolloutStep step) {
-        sendToAll(Datagram.newBuilder().setRolloutStep(RolloutMessages.encode(step)).build());
+    public void sendRolloutStep(final RolloutStep step) {
+        sendToAll(Datagram.newBuilder().setRolloutStep(RolloutCodec.encode(step)).build());
     }
 
     /**
@@ -268,9 +268,10 @@
      * @param evidence its counts
      * @param holder where the holder listens
      */
-    public void sendEvidence(final RolloutEvidence evidence, final InetSocketAddress holder) {
+    public void sendRolloutEvidence(
+            final RolloutEvidence evidence, final InetSocketAddress holder) {
         final Datagram datagram =
-                Datagram.newBuilder().setRolloutEvidence(RolloutMessages.encode(evidence)).build();
+                Datagram.newBuilder().setRolloutEvidence(RolloutCodec.encode(evidence)).build();
         send(holder, datagram);
     }
 
@@ -279,8 +280,8 @@
      *
      * @param onShareTable takes the version
      */
-    public void onShareTable(final LongConsumer onShareTable) {
-        mContent.onShareTable(onShareTable);
+    public void onShareTableVersion(final LongConsumer onShareTable) {
+        mReportHandler.onShareTableVersion(onShareTable);
     }
 
     /**
@@ -288,8 +289,8 @@
      *
      * @param onTokens takes a datagram that holds one of these, and its sender
      */
-    public void onTokens(final BiConsumer<Datagram, InetSocketAddress> onTokens) {
-        mOnTokens = onTokens;
+    public void onTokenDatagram(final BiConsumer<Datagram, InetSocketAddress> onTokens) {
+        mOnTokenDatagram = onTokens;
     }
 
     /**
@@ -306,18 +307,19 @@
     /** Tells the others what was read of the store, if this daemon reads for them. */
     public void sendDigest() {
         if (mDigests.isReader()) {
-            sendToAll(Datagram.newBuilder().setDigest(mDigests.digest()).build());
+            sendToAll(Datagram.newBuilder().setDigest(mDigests.createDigest()).build());
         }
     }
 
     private void sendToAll(final Datagram datagram) {
         final byte[] bytes = datagram.toByteArray();
-        receiversInOrder().forEach(receiver -> write(bytes, receiver));
+        sortedReceivers().forEach(receiver -> write(bytes, receiver));
         mChannel.flush();
     }
 
-    private PeerReport report() {
-        return mContent.report(mLeaving, mReports % REPORTS_PER_CONTACTS == 0 ? CONTACTS : 0);
+    private PeerReport createReport() {
+        return mReportHandler.createReport(
+                mLeaving, mReportRounds % REPORTS_PER_CONTACT_LIST == 0 ? CONTACTS_PER_REPORT : 0);
     }
 
     private Instant now() {
@@ -325,50 +327,51 @@
     }
 
     /** Where no roll-outs are in force, nobody sends news of them. */
-    private static final class NoRolloutNews implements RolloutNews {
+    private static final class UnexpectedRolloutListener implements RolloutMessageListener {
         @Override
-        public void step(final RolloutStep step, final InetSocketAddress holder) {
+        public void onStep(final RolloutStep step, final InetSocketAddress holder) {
             LOG.atWarn().addKeyValue("sender", holder).log("step of a roll-out not expected");
         }
 
         @Override
-        public void evidence(final RolloutEvidence evidence) {
+        public void onEvidence(final RolloutEvidence evidence) {
             LOG.atWarn()
                     .addKeyValue("daemon", evidence.daemon())
                     .log("evidence of a roll-out not expected");
         }
     }
 
-    private final class Receiver extends SimpleChannelInboundHandler<DatagramPacket> {
+    private final class DatagramHandler extends SimpleChannelInboundHandler<DatagramPacket> {
         @Override
         protected void channelRead0(
                 final ChannelHandlerContext context, final DatagramPacket packet) {
             try {
                 final Datagram datagram = Datagram.parseFrom(packet.content().nioBuffer());
                 if (datagram.hasReport()) {
-                    mContent.take(datagram.getReport());
+                    mReportHandler.applyReport(datagram.getReport());
                 }
                 if (datagram.hasNews()) {
-                    mOnEndpointNews.accept(
-                            EndpointChanges.decode(datagram.getNews(), mState.endpoints()::find));
+                    mOnEndpointChanges.accept(
+                            EndpointChangeCodec.decode(
+                                    datagram.getNews(), mState.endpoints()::find));
                 }
                 if (datagram.hasDigest()) {
-                    mDigests.take(Addresses.format(packet.sender()), datagram.getDigest());
+                    mDigests.receive(Addresses.format(packet.sender()), datagram.getDigest());
                 }
                 if (datagram.hasCapacityOrder()) {
-                    mOnOrder.accept(decode(datagram.getCapacityOrder()));
+                    mOnCapacityOrder.accept(decode(datagram.getCapacityOrder()));
                 }
                 if (datagram.hasTokenAsk()
                         || datagram.hasTokenAnswer()
                         || datagram.hasTokenReturn()) {
-                    mOnTokens.accept(datagram, packet.sender());
+                    mOnTokenDatagram.accept(datagram, packet.sender());
                 }
                 if (datagram.hasRolloutStep()) {
-                    mRolloutNews.step(
-                            RolloutMessages.decode(datagram.getRolloutStep()), packet.sender());
+                    mRolloutListener.onStep(
+                            RolloutCodec.decode(datagram.getRolloutStep()), packet.sender());
                 }
                 if (datagram.hasRolloutEvidence()) {
-                    mRolloutNews.evidence(RolloutMessages.decode(datagram.getRolloutEvidence()));
+                    mRolloutListener.onEvidence(RolloutCodec.decode(datagram.getRolloutEvidence()));
                 }
             } catch (InvalidProtocolBufferException | IllegalArgumentException e) {
                 LOG.atWarn()
--- a/gateway/src/main/java/org/whinhead/gateway/peers/ReportContent.java
+++ b/gateway/src/main/java/org/whinhead/gateway/peers/PeerReportHandler.java
@@ -17,16 +17,16 @@
 import org.whinhead.serving.usage.UsageCount;
 
 /** What a report between daemons holds, and what it changes where it arrives. */
-final class ReportContent {
+final class PeerReportHandler {
 
-    private static final Logger LOG = LoggerFactory.getLogger(ReportContent.class);
+    private static final Logger LOG = LoggerFactory.getLogger(PeerReportHandler.class);
 
     private final ServingState mState;
     private final MemberTable mMembers;
     private final Consumer<InetSocketAddress> mOnContact;
-    private LongConsumer mOnShareTable = version -> {};
+    private LongConsumer mOnShareTableVersion = version -> {};
 
-    ReportContent(
+    PeerReportHandler(
             final ServingState state,
             final MemberTable members,
             final Consumer<InetSocketAddress> onContact) {
@@ -36,8 +36,8 @@
     }
 
     /** Sets what is done with the version of the table of shares that another daemon goes by. */
-    void onShareTable(final LongConsumer onShareTable) {
-        mOnShareTable = onShareTable;
+    void onShareTableVersion(final LongConsumer onShareTable) {
+        mOnShareTableVersion = onShareTable;
     }
 
     /**
@@ -46,7 +46,7 @@
      * @param leaving whether it is about to stop
      * @param contacts how many addresses of other daemons are passed on
      */
-    PeerReport report(final boolean leaving, final int contacts) {
+    PeerReport createReport(final boolean leaving, final int contacts) {
         final Member self = mMembers.self();
         final PeerReport.Builder report =
                 PeerReport.newBuilder()
@@ -89,7 +89,7 @@
     }
 
     /** Takes what another daemon says. */
-    void take(final PeerReport report) {
+    void applyReport(final PeerReport report) {
         if (report.getName().equals(mMembers.self().name())) {
             return;
         }
@@ -114,7 +114,7 @@
         }
         report.getContactsList().forEach(contact -> mOnContact.accept(Addresses.parse(contact)));
         mState.quotas().offered().peer(report.getIncarnation(), report.getOfferedTokens());
-        mOnShareTable.accept(report.getShareTableVersion());
+        mOnShareTableVersion.accept(report.getShareTableVersion());
         mState.chooser().forgetPeer(report.getName());
         for (final EndpointShare share : report.getSharesList()) {
             mState.chooser()
--- a/gateway/src/main/java/org/whinhead/gateway/peers/RolloutMessages.java
+++ b/gateway/src/main/java/org/whinhead/gateway/peers/RolloutCodec.java
@@ -17,9 +17,9 @@
 import org.whinhead.serving.rollout.RouteShare;
 
 /** Spells what daemons tell each other of roll-outs, and what the store keeps of them. */
-public final class RolloutMessages {
+public final class RolloutCodec {
 
-    private RolloutMessages() {}
+    private RolloutCodec() {}
 
     static RolloutStepRecord encode(final RolloutStep step) {
         final RolloutStepRecord.Builder record =
@@ -75,7 +75,7 @@
                 record.getService(),
                 record.getOrder(),
                 record.getDaemon(),
-                record.getOutcomesList().stream().map(RolloutMessages::decode).toList());
+                record.getOutcomesList().stream().map(RolloutCodec::decode).toList());
     }
 
     private static RouteOutcomes decode(final RouteOutcomesRecord record) {
--- a/gateway/src/main/java/org/whinhead/gateway/peers/RolloutNews.java
+++ b/gateway/src/main/java/org/whinhead/gateway/peers/RolloutMessageListener.java
@@ -5,7 +5,7 @@
 import org.whinhead.serving.rollout.RolloutStep;
 
 /** Hears what other daemons say of roll-outs. */
-public interface RolloutNews {
+public interface RolloutMessageListener {
 
     /**
      * Takes a step.
@@ -13,12 +13,12 @@
      * @param step the step
      * @param holder where the daemon that sent it listens
      */
-    void step(RolloutStep step, InetSocketAddress holder);
+    void onStep(RolloutStep step, InetSocketAddress holder);
 
     /**
      * Takes what a daemon has seen.
      *
      * @param evidence its counts
      */
-    void evidence(RolloutEvidence evidence);
+    void onEvidence(RolloutEvidence evidence);
 }
--- a/gateway/src/main/java/org/whinhead/gateway/quota/TokenMessenger.java
+++ b/gateway/src/main/java/org/whinhead/gateway/quota/DatagramQuotaTransport.java
@@ -13,7 +13,7 @@
 import org.whinhead.serving.quota.TokenAsk;
 
 /** Carries asks for tokens as datagrams, and answers those of the other daemons. */
-public final class TokenMessenger implements QuotaTransport {
+public final class DatagramQuotaTransport implements QuotaTransport {
 
     private final EventLoop mLoop;
     private final String mIncarnation;
@@ -26,7 +26,7 @@
      * @param loop where everything runs
      * @param incarnation this daemon's incarnation
      */
-    public TokenMessenger(final EventLoop loop, final String incarnation) {
+    public DatagramQuotaTransport(final EventLoop loop, final String incarnation) {
         mLoop = loop;
         mIncarnation = incarnation;
     }
@@ -47,16 +47,14 @@
     public void ask(final InetSocketAddress holder, final TokenAsk ask) {
         mSender.accept(
                 holder,
-                Datagram.newBuilder().setTokenAsk(QuotaMessages.encode(mIncarnation, ask)).build());
+                Datagram.newBuilder().setTokenAsk(QuotaCodec.encode(mIncarnation, ask)).build());
     }
 
     @Override
     public void giveBack(final InetSocketAddress holder, final TokenAsk ask) {
         mSender.accept(
                 holder,
-                Datagram.newBuilder()
-                        .setTokenReturn(QuotaMessages.encode(mIncarnation, ask))
-                        .build());
+                Datagram.newBuilder().setTokenReturn(QuotaCodec.encode(mIncarnation, ask)).build());
     }
 
     @Override
@@ -73,38 +71,38 @@
      * @param datagram an ask, an answer, or tokens that are given back
      * @param sender where it came from
      */
-    public void take(final Datagram datagram, final InetSocketAddress sender) {
+    public void receive(final Datagram datagram, final InetSocketAddress sender) {
         if (datagram.hasTokenAsk()) {
-            answer(datagram.getTokenAsk(), sender);
+            sendAnswer(datagram.getTokenAsk(), sender);
         }
         if (datagram.hasTokenReturn()) {
             final TokenAskRecord record = datagram.getTokenReturn();
             mState.quotas()
                     .held()
-                    .giveBack(record.getClaimant(), QuotaMessages.decode(record), mState.moment());
+                    .giveBack(record.getClaimant(), QuotaCodec.decode(record), mState.moment());
         }
         if (datagram.hasTokenAnswer()) {
-            answered(datagram.getTokenAnswer());
+            applyAnswer(datagram.getTokenAnswer());
         }
     }
 
-    private void answer(final TokenAskRecord record, final InetSocketAddress claimant) {
+    private void sendAnswer(final TokenAskRecord record, final InetSocketAddress claimant) {
         final TokenAnswerRecord answer =
-                QuotaMessages.encode(
+                QuotaCodec.encode(
                         record.getClaimant(),
                         mState.quotas()
                                 .held()
                                 .answer(
                                         record.getClaimant(),
-                                        QuotaMessages.decode(record),
+                                        QuotaCodec.decode(record),
                                         mState.moment()));
         mSender.accept(claimant, Datagram.newBuilder().setTokenAnswer(answer).build());
     }
 
     /** An answer to the process that was here before has a number that may be in use again. */
-    private void answered(final TokenAnswerRecord record) {
+    private void applyAnswer(final TokenAnswerRecord record) {
         if (record.getClaimant().equals(mIncarnation)) {
-            mState.quotas().answered(QuotaMessages.decode(record), mState.moment());
+            mState.quotas().answered(QuotaCodec.decode(record), mState.moment());
         }
     }
 }
--- a/gateway/src/main/java/org/whinhead/gateway/quota/QuotaMessages.java
+++ b/gateway/src/main/java/org/whinhead/gateway/quota/QuotaCodec.java
@@ -14,9 +14,9 @@
 import org.whinhead.serving.quota.TokenAsk;
 
 /** Spells claims of tokens and the table of shares as bytes. */
-final class QuotaMessages {
+final class QuotaCodec {
 
-    private QuotaMessages() {}
+    private QuotaCodec() {}
 
     static TokenAskRecord encode(final String claimant, final TokenAsk ask) {
         return TokenAskRecord.newBuilder()
--- a/gateway/src/main/java/org/whinhead/gateway/quota/ShareTableKeeper.java
+++ b/gateway/src/main/java/org/whinhead/gateway/quota/ShareTableSynchronizer.java
@@ -38,26 +38,26 @@
  * holders is gone for long. So it costs a read at a start, and nothing depends on who holds the
  * duties or on whether the store is there.
  */
-public final class ShareTableKeeper {
+public final class ShareTableSynchronizer {
 
-    private static final Logger LOG = LoggerFactory.getLogger(ShareTableKeeper.class);
+    private static final Logger LOG = LoggerFactory.getLogger(ShareTableSynchronizer.class);
 
     private static final String TABLE_KEY = "shares";
 
     /** How often the table is read, so that a holder learns long before it must that it is one. */
-    private static final Duration READ_EACH = Duration.ofMinutes(5);
+    private static final Duration READ_INTERVAL = Duration.ofMinutes(5);
 
     /** The pause before a read that failed, or found no table, is repeated. */
-    private static final Duration READ_AGAIN = Duration.ofMillis(1_000);
+    private static final Duration RETRY_PAUSE = Duration.ofMillis(1_000);
 
     /** The reads of all daemons that hear of a new table are spread over this time. */
-    private static final Duration SPREAD = Duration.ofMillis(400);
+    private static final Duration MAX_READ_JITTER = Duration.ofMillis(400);
 
     /** How long no new daemon must have been heard of before the first table is written. */
-    private static final Duration SETTLED_AFTER = Duration.ofMillis(2_000);
+    private static final Duration SETTLE_TIME = Duration.ofMillis(2_000);
 
     /** How long a holder is silent before its shares are given to others. */
-    private static final Duration GONE_AFTER = Duration.ofMinutes(5);
+    private static final Duration HOLDER_TIMEOUT = Duration.ofMinutes(5);
 
     /** What the daemons' clocks may differ by at a change of holders. */
     private static final Duration CLOCK_MARGIN = Duration.ofMinutes(1);
@@ -68,12 +68,12 @@
     private final MetadataStore mStore;
     private final BooleanSupplier mHoldsDuties;
     private final Random mRandom = new Random();
-    private final Map<InetSocketAddress, Instant> mHeardAt = new HashMap<>();
-    private OptionalLong mEnd = OptionalLong.empty();
+    private final Map<InetSocketAddress, Instant> mLastHeardAt = new HashMap<>();
+    private OptionalLong mTopicEnd = OptionalLong.empty();
     private long mStoredVersion;
-    private long mMembersAsOf = -1;
-    private Instant mMembersSince;
-    private boolean mBusy;
+    private long mMembersVersion = -1;
+    private Instant mMembersChangedAt;
+    private boolean mCallPending;
     private ScheduledFuture<?> mNextRead;
 
     /**
@@ -85,7 +85,7 @@
      * @param store where the table is kept
      * @param holdsDuties tells whether this daemon may write it
      */
-    public ShareTableKeeper(
+    public ShareTableSynchronizer(
             final EventLoop loop,
             final ServingState state,
             final MemberTable members,
@@ -100,7 +100,7 @@
 
     /** Starts to read. */
     public void start() {
-        mMembersSince = mState.clock().instant();
+        mMembersChangedAt = mState.clock().instant();
         read();
     }
 
@@ -109,9 +109,9 @@
      *
      * @param version its version; 0 if it has none
      */
-    public void heardVersion(final long version) {
+    public void onPeerVersion(final long version) {
         if (version > knownVersion()) {
-            readAfter(Duration.ofMillis(mRandom.nextInt((int) SPREAD.toMillis())));
+            scheduleRead(Duration.ofMillis(mRandom.nextInt((int) MAX_READ_JITTER.toMillis())));
         }
     }
 
@@ -124,7 +124,7 @@
     }
 
     /** Reads after a time, unless a read is due before. */
-    private void readAfter(final Duration delay) {
+    private void scheduleRead(final Duration delay) {
         if (mNextRead != null) {
             if (mNextRead.getDelay(TimeUnit.MILLISECONDS) <= delay.toMillis()) {
                 return;
@@ -136,26 +136,26 @@
 
     private void read() {
         mNextRead = null;
-        if (mBusy) {
-            readAfter(READ_AGAIN);
+        if (mCallPending) {
+            scheduleRead(RETRY_PAUSE);
             return;
         }
-        mBusy = true;
+        mCallPending = true;
         final Moment before = mState.moment();
         mStore.newest(StoreTopic.SHARES)
                 .whenComplete(
                         (page, failure) -> {
-                            mBusy = false;
+                            mCallPending = false;
                             if (failure == null) {
-                                take(page, before);
+                                applyPage(page, before);
                             }
-                            readAfter(table().isPresent() ? READ_EACH : READ_AGAIN);
+                            scheduleRead(table().isPresent() ? READ_INTERVAL : RETRY_PAUSE);
                         });
     }
 
-    private void take(final StorePage page, final Moment readAt) {
-        mEnd = OptionalLong.of(page.end());
-        final Optional<ShareTable> stored = stored(page);
+    private void applyPage(final StorePage page, final Moment readAt) {
+        mTopicEnd = OptionalLong.of(page.end());
+        final Optional<ShareTable> stored = decodeStoredTable(page);
         mStoredVersion = stored.map(ShareTable::version).orElse(0L);
         final long known = knownVersion();
         stored.ifPresent(table -> mState.quotas().held().tableRead(table, readAt));
@@ -167,11 +167,11 @@
         }
     }
 
-    private static Optional<ShareTable> stored(final StorePage page) {
+    private static Optional<ShareTable> decodeStoredTable(final StorePage page) {
         for (final StoreRecord record : page.records()) {
             if (record.key().equals(TABLE_KEY) && record.value().isPresent()) {
                 try {
-                    return Optional.of(QuotaMessages.decodeTable(record.value().get()));
+                    return Optional.of(QuotaCodec.decodeTable(record.value().get()));
                 } catch (InvalidProtocolBufferException | IllegalArgumentException e) {
                     LOG.error("table of shares not understood, the one before stays in force", e);
                 }
@@ -183,21 +183,21 @@
     /** Writes the table if it is missing or names daemons that are gone; to be called often. */
     public void tick() {
         final Instant now = mState.clock().instant();
-        if (mMembers.addressChanges() != mMembersAsOf) {
-            mMembersAsOf = mMembers.addressChanges();
-            mMembersSince = now;
+        if (mMembers.addressChanges() != mMembersVersion) {
+            mMembersVersion = mMembers.addressChanges();
+            mMembersChangedAt = now;
         }
-        if (mEnd.isEmpty() || mBusy || !mHoldsDuties.getAsBoolean()) {
-            mHeardAt.clear();
+        if (mTopicEnd.isEmpty() || mCallPending || !mHoldsDuties.getAsBoolean()) {
+            mLastHeardAt.clear();
             return;
         }
-        next(now).ifPresent(this::write);
+        tableToWrite(now).ifPresent(this::write);
     }
 
-    private Optional<ShareTable> next(final Instant now) {
+    private Optional<ShareTable> tableToWrite(final Instant now) {
         final Optional<ShareTable> table = table();
         if (table.isEmpty()) {
-            return Duration.between(mMembersSince, now).compareTo(SETTLED_AFTER) < 0
+            return Duration.between(mMembersChangedAt, now).compareTo(SETTLE_TIME) < 0
                     ? Optional.empty()
                     : Optional.of(ShareTable.first(ShareHolders.inOrder(members())));
         }
@@ -205,7 +205,7 @@
             // The store came back from an older copy; what is in force is written again.
             return table;
         }
-        final ShareTable next = withoutGone(table.get(), now);
+        final ShareTable next = replaceGoneHolders(table.get(), now);
         return next.version() > table.get().version() ? Optional.of(next) : Optional.empty();
     }
 
@@ -215,10 +215,10 @@
         return members;
     }
 
-    private ShareTable withoutGone(final ShareTable table, final Instant now) {
+    private ShareTable replaceGoneHolders(final ShareTable table, final Instant now) {
         final Set<InetSocketAddress> present = new HashSet<>();
         members().forEach(member -> present.add(member.peerAddress()));
-        present.forEach(address -> mHeardAt.put(address, now));
+        present.forEach(address -> mLastHeardAt.put(address, now));
         final List<InetSocketAddress> successors =
                 ShareHolders.inOrder(members()).stream()
                         .filter(address -> !table.names(address))
@@ -230,24 +230,28 @@
     }
 
     private boolean isGone(final InetSocketAddress holder, final Instant now) {
-        final Instant heardAt = mHeardAt.computeIfAbsent(holder, address -> now);
-        return Duration.between(heardAt, now).compareTo(GONE_AFTER) > 0;
+        final Instant heardAt = mLastHeardAt.computeIfAbsent(holder, address -> now);
+        return Duration.between(heardAt, now).compareTo(HOLDER_TIMEOUT) > 0;
     }
 
     private void write(final ShareTable table) {
-        mBusy = true;
-        mStore.appendAt(StoreTopic.SHARES, TABLE_KEY, QuotaMessages.encode(table), mEnd.getAsLong())
+        mCallPending = true;
+        mStore.appendAt(
+                        StoreTopic.SHARES,
+                        TABLE_KEY,
+                        QuotaCodec.encode(table),
+                        mTopicEnd.getAsLong())
                 .whenComplete(
                         (end, failure) -> {
-                            mBusy = false;
-                            mEnd = OptionalLong.empty();
+                            mCallPending = false;
+                            mTopicEnd = OptionalLong.empty();
                             LOG.atInfo()
                                     .addKeyValue("version", table.version())
                                     .addKeyValue("written", failure == null && end.isPresent())
                                     .addKeyValue("failure", String.valueOf(failure))
                                     .log("table of shares written");
                             // Only what was read is in force: the answer may be lost.
-                            readAfter(Duration.ZERO);
+                            scheduleRead(Duration.ZERO);
                         });
     }
 }
--- a/gateway/src/main/java/org/whinhead/gateway/rollout/RolloutHolder.java
+++ b/gateway/src/main/java/org/whinhead/gateway/rollout/RolloutCoordinator.java
@@ -25,31 +25,31 @@
  * <p>A holder first reads what the one before has recorded. It records an end before it tells
  * anybody, so that no two holders end an order differently.
  */
-final class RolloutHolder {
+final class RolloutCoordinator {
 
-    private static final Logger LOG = LoggerFactory.getLogger(RolloutHolder.class);
+    private static final Logger LOG = LoggerFactory.getLogger(RolloutCoordinator.class);
 
     /** How long daemons are told of an end; those that miss all of it read the store. */
-    private static final Duration END_TOLD_FOR = Duration.ofSeconds(5);
+    private static final Duration END_ANNOUNCED_FOR = Duration.ofSeconds(5);
 
     /** The least pause between two steps; daemons that hear none for 1.5 s stop the trial. */
-    private static final Duration LEAST_PACE = Duration.ofMillis(200);
+    private static final Duration MIN_STEP_INTERVAL = Duration.ofMillis(200);
 
     /** What each daemon adds to the pause, so that the holder sends a thousand steps a second. */
-    private static final Duration PACE_PER_DAEMON = Duration.ofMillis(1);
+    private static final Duration STEP_INTERVAL_PER_DAEMON = Duration.ofMillis(1);
 
     private final ServingState mState;
     private final RolloutLimits mLimits;
     private final RolloutStore mStore;
-    private final Consumer<RolloutStep> mTell;
-    private final Map<String, HeldRollout> mHeld = new HashMap<>();
-    private long mToken = -1;
-    private boolean mRead;
-    private boolean mBusy;
+    private final Consumer<RolloutStep> mSendStep;
+    private final Map<String, TrackedRollout> mRollouts = new HashMap<>();
+    private long mFencingToken = -1;
+    private boolean mRecordsRead;
+    private boolean mCallPending;
     private long mSequence;
-    private Instant mNextStep = Instant.EPOCH;
+    private Instant mNextStepAt = Instant.EPOCH;
 
-    RolloutHolder(
+    RolloutCoordinator(
             final ServingState state,
             final RolloutLimits limits,
             final RolloutStore store,
@@ -57,65 +57,65 @@
         mState = state;
         mLimits = limits;
         mStore = store;
-        mTell = tell;
+        mSendStep = tell;
     }
 
-    void evidence(final RolloutEvidence evidence) {
-        Optional.ofNullable(mHeld.get(evidence.service()))
+    void addEvidence(final RolloutEvidence evidence) {
+        Optional.ofNullable(mRollouts.get(evidence.service()))
                 .ifPresent(held -> held.controller().evidence(evidence));
     }
 
     /** Tells whether there is something left to decide or to tell. */
-    boolean isBusy() {
-        return !mHeld.isEmpty();
+    boolean hasRollouts() {
+        return !mRollouts.isEmpty();
     }
 
     /** Forgets what was held: another daemon holds the duties. */
-    void lost() {
-        mHeld.clear();
-        mRead = false;
-        mToken = -1;
+    void reset() {
+        mRollouts.clear();
+        mRecordsRead = false;
+        mFencingToken = -1;
     }
 
     /** Does what is due; to be called some times a second while the duties are held. */
     void tick(final long token, final int daemons) {
-        if (token != mToken) {
-            lost();
-            mToken = token;
+        if (token != mFencingToken) {
+            reset();
+            mFencingToken = token;
             mSequence = 0;
         }
-        if (!mRead) {
-            read(token);
+        if (!mRecordsRead) {
+            readRecords(token);
             return;
         }
         final Instant now = now();
-        mState.rollouts().open().forEach(order -> hold(order, now));
-        for (final HeldRollout held : mHeld.values()) {
+        mState.rollouts().open().forEach(order -> track(order, now));
+        for (final TrackedRollout held : mRollouts.values()) {
             decide(held, now);
             write(held, now);
         }
-        tell(token, daemons, now);
-        mHeld.values().removeIf(held -> held.isOver(END_TOLD_FOR, now));
+        sendSteps(token, daemons, now);
+        mRollouts.values().removeIf(held -> held.isFinished(END_ANNOUNCED_FOR, now));
     }
 
-    private void read(final long token) {
-        if (mBusy) {
+    private void readRecords(final long token) {
+        if (mCallPending) {
             return;
         }
-        mBusy = true;
-        mStore.read()
+        mCallPending = true;
+        mStore.readRecords()
                 .thenCombine(mStore.readStatusEnd(), (records, none) -> records)
                 .whenComplete(
                         (records, failure) -> {
-                            mBusy = false;
-                            if (failure == null && token == mToken) {
+                            mCallPending = false;
+                            if (failure == null && token == mFencingToken) {
                                 resume(records);
                             }
                         });
     }
 
     private void resume(final Map<String, RolloutRecord> records) {
-        mRead = true;
+        mRecordsRead = true;
         final Instant now = now();
         for (final RolloutOrder order : mState.rollouts().open()) {
             final RolloutRecord record = records.get(order.service());
@@ -130,13 +130,13 @@
         final Duration elapsed = since.isNegative() ? Duration.ZERO : since;
         final RolloutController controller =
                 new RolloutController(order, mLimits, now.minus(elapsed), now);
-        final HeldRollout held = new HeldRollout(controller, record);
-        held.recorded(record);
+        final TrackedRollout held = new TrackedRollout(controller, record);
+        held.markRecorded(record);
         if (record.state().isFinal()) {
             controller.ended(record.state());
             mState.rollouts().recorded(record);
         }
-        mHeld.put(order.service(), held);
+        mRollouts.put(order.service(), held);
         LOG.atInfo()
                 .addKeyValue("service", order.service())
                 .addKeyValue("version", order.version())
@@ -145,14 +145,14 @@
                 .log("roll-out taken over");
     }
 
-    private void hold(final RolloutOrder order, final Instant now) {
-        final HeldRollout held = mHeld.get(order.service());
+    private void track(final RolloutOrder order, final Instant now) {
+        final TrackedRollout held = mRollouts.get(order.service());
         if (held != null && held.controller().order().offset() == order.offset()) {
             return;
         }
-        mHeld.put(
+        mRollouts.put(
                 order.service(),
-                new HeldRollout(
+                new TrackedRollout(
                         new RolloutController(order, mLimits, now, now),
                         new RolloutRecord(
                                 order.service(),
@@ -162,7 +162,7 @@
                                 RolloutState.RUNNING)));
     }
 
-    private void decide(final HeldRollout held, final Instant now) {
+    private void decide(final TrackedRollout held, final Instant now) {
         final RolloutOrder order = held.controller().order();
         final List<EndpointEntry> usable = mState.endpoints().usable(order.service());
         final int trial =
@@ -173,7 +173,7 @@
         final RolloutController.Decision decision =
                 held.controller()
                         .decide(new RolloutController.Endpoints(usable.size() - trial, trial), now);
-        if (held.decided(decision)) {
+        if (held.applyDecision(decision)) {
             final RolloutController.Basis basis = held.controller().basis();
             LOG.atInfo()
                     .addKeyValue("service", order.service())
@@ -190,53 +190,56 @@
                     .addKeyValue("bad", basis.bad())
                     .addKeyValue("evidence", basis.evidence())
                     .log("roll-out decided");
-            mNextStep = now;
+            mNextStepAt = now;
         }
     }
 
     /** Records a state first, and tells operators once it is recorded; one call at a time. */
-    private void write(final HeldRollout held, final Instant now) {
-        if (mBusy || (held.isRecorded() && held.isTold())) {
+    private void write(final TrackedRollout held, final Instant now) {
+        if (mCallPending || (held.isRecorded() && held.isPublished())) {
             return;
         }
-        mBusy = true;
-        final RolloutRecord record = held.wanted();
+        mCallPending = true;
+        final RolloutRecord record = held.pendingRecord();
         if (held.isRecorded()) {
-            mStore.status(record)
+            mStore.writeStatus(record)
                     .whenComplete(
-                            (newest, failure) -> toldOperators(held, record, newest, failure));
+                            (newest, failure) ->
+                                    handleStatusWritten(held, record, newest, failure));
         } else {
-            mStore.record(record)
-                    .whenComplete((newest, failure) -> recorded(held, record, newest, failure));
+            mStore.writeRecord(record)
+                    .whenComplete(
+                            (newest, failure) ->
+                                    handleRecordWritten(held, record, newest, failure));
         }
     }
 
-    private void recorded(
-            final HeldRollout held,
+    private void handleRecordWritten(
+            final TrackedRollout held,
             final RolloutRecord record,
             final Boolean newest,
             final Throwable failure) {
-        mBusy = false;
+        mCallPending = false;
         if (failure == null && newest) {
-            held.recorded(record);
+            held.markRecorded(record);
             mState.rollouts().recorded(record);
-            mNextStep = Instant.EPOCH;
+            mNextStepAt = Instant.EPOCH;
             write(held, now());
         } else {
-            readAgain("record of a roll-out not written", record, failure);
+            rereadAfterFailure("record of a roll-out not written", record, failure);
         }
     }
 
-    private void toldOperators(
-            final HeldRollout held,
+    private void handleStatusWritten(
+            final TrackedRollout held,
             final RolloutRecord record,
             final Boolean newest,
             final Throwable failure) {
-        mBusy = false;
+        mCallPending = false;
         if (failure == null && newest) {
-            held.told(record, now());
+            held.markPublished(record, now());
         } else {
-            readAgain("status of a roll-out not written", record, failure);
+            rereadAfterFailure("status of a roll-out not written", record, failure);
         }
     }
 
@@ -244,30 +247,31 @@
      * Reads both topics again before the next write. A write without an answer may have landed, and
      * another daemon may have written; either way their ends are not known any more.
      */
-    private void readAgain(final String what, final RolloutRecord record, final Throwable failure) {
+    private void rereadAfterFailure(
+            final String what, final RolloutRecord record, final Throwable failure) {
         LOG.atWarn()
                 .addKeyValue("service", record.service())
                 .addKeyValue("state", record.state())
                 .addKeyValue("cause", failure == null ? "another end" : failure.getMessage())
                 .log(what);
-        mBusy = true;
-        mStore.read()
+        mCallPending = true;
+        mStore.readRecords()
                 .thenCombine(mStore.readStatusEnd(), (records, none) -> records)
                 .whenComplete(
                         (records, again) -> {
-                            mBusy = false;
+                            mCallPending = false;
                             if (again == null) {
-                                compare(records);
+                                applyStoredRecords(records);
                             }
                         });
     }
 
     /** Takes what is recorded as it is: a decision of this daemon that landed, or another one's. */
-    private void compare(final Map<String, RolloutRecord> records) {
-        for (final HeldRollout held : mHeld.values()) {
-            final RolloutRecord record = records.get(held.wanted().service());
-            if (record != null && record.order() == held.wanted().order()) {
-                held.recorded(record);
+    private void applyStoredRecords(final Map<String, RolloutRecord> records) {
+        for (final TrackedRollout held : mRollouts.values()) {
+            final RolloutRecord record = records.get(held.pendingRecord().service());
+            if (record != null && record.order() == held.pendingRecord().order()) {
+                held.markRecorded(record);
                 if (record.state().isFinal()) {
                     held.controller().ended(record.state());
                     mState.rollouts().recorded(record);
@@ -276,22 +280,22 @@
         }
     }
 
-    private void tell(final long token, final int daemons, final Instant now) {
-        if (now.isBefore(mNextStep)) {
+    private void sendSteps(final long token, final int daemons, final Instant now) {
+        if (now.isBefore(mNextStepAt)) {
             return;
         }
-        final Duration grown = PACE_PER_DAEMON.multipliedBy(daemons);
-        mNextStep = now.plus(grown.compareTo(LEAST_PACE) > 0 ? grown : LEAST_PACE);
-        for (final HeldRollout held : mHeld.values()) {
+        final Duration grown = STEP_INTERVAL_PER_DAEMON.multipliedBy(daemons);
+        mNextStepAt = now.plus(grown.compareTo(MIN_STEP_INTERVAL) > 0 ? grown : MIN_STEP_INTERVAL);
+        for (final TrackedRollout held : mRollouts.values()) {
             mSequence++;
             final RolloutController.Decision decision = held.decision();
-            mTell.accept(
+            mSendStep.accept(
                     new RolloutStep(
-                            held.wanted().service(),
-                            held.wanted().order(),
+                            held.pendingRecord().service(),
+                            held.pendingRecord().order(),
                             token,
                             mSequence,
-                            held.tellable(),
+                            held.announcedState(),
                             decision.share(),
                             decision.routes(),
                             decision.oldStopsIn()));
--- a/gateway/src/main/java/org/whinhead/gateway/rollout/RolloutDuty.java
+++ b/gateway/src/main/java/org/whinhead/gateway/rollout/RolloutParticipant.java
@@ -12,10 +12,10 @@
 import org.slf4j.Logger;
 import org.slf4j.LoggerFactory;
 import org.whinhead.gateway.exchange.ServingState;
-import org.whinhead.gateway.peers.PeerReports;
-import org.whinhead.gateway.peers.RolloutNews;
+import org.whinhead.gateway.peers.PeerDatagramChannel;
+import org.whinhead.gateway.peers.RolloutMessageListener;
 import org.whinhead.gateway.store.MetadataStore;
-import org.whinhead.gateway.store.RolloutProtocol;
+import org.whinhead.gateway.store.OperatorRolloutCodec;
 import org.whinhead.serving.endpoint.EndpointEntry;
 import org.whinhead.serving.member.MemberTable;
 import org.whinhead.serving.rollout.RolloutEvidence;
@@ -28,36 +28,36 @@
  * A daemon's part in roll-outs: it follows the holder's steps, tells it what it sees, and decides
  * itself while it is the holder.
  */
-public final class RolloutDuty implements RolloutNews {
+public final class RolloutParticipant implements RolloutMessageListener {
 
-    private static final Logger LOG = LoggerFactory.getLogger(RolloutDuty.class);
+    private static final Logger LOG = LoggerFactory.getLogger(RolloutParticipant.class);
 
     /** The least pause between two reports of a daemon to the holder. */
-    private static final Duration LEAST_PACE = Duration.ofMillis(300);
+    private static final Duration MIN_EVIDENCE_INTERVAL = Duration.ofMillis(300);
 
     /** What each daemon adds to it, so that the holder gets 500 of them a second at most. */
-    private static final Duration PACE_PER_DAEMON = Duration.ofMillis(2);
+    private static final Duration EVIDENCE_INTERVAL_PER_DAEMON = Duration.ofMillis(2);
 
     /** The same while the new version takes over, which is decided within some 0.8 s. */
-    private static final Duration TAKEOVER_PACE = Duration.ofMillis(150);
+    private static final Duration TAKEOVER_EVIDENCE_INTERVAL = Duration.ofMillis(150);
 
     /** The pause between two reads of the store while it is not known what became of an order. */
-    private static final Duration READ_PACE = Duration.ofMillis(500);
+    private static final Duration STORE_READ_INTERVAL = Duration.ofMillis(500);
 
     private final ServingState mState;
     private final MemberTable mMembers;
-    private final PeerReports mPeers;
+    private final PeerDatagramChannel mPeers;
     private final RolloutStore mStore;
-    private final RolloutHolder mHolder;
-    private final Supplier<Optional<Long>> mToken;
+    private final RolloutCoordinator mCoordinator;
+    private final Supplier<Optional<Long>> mFencingToken;
     private final BiConsumer<String, Optional<Duration>> mMoveRuns;
-    private final Set<String> mUnsure = new HashSet<>();
-    private final Set<Long> mMoved = new HashSet<>();
+    private final Set<String> mUncertainServices = new HashSet<>();
+    private final Set<Long> mMovedOrders = new HashSet<>();
     private Optional<InetSocketAddress> mHolderAddress = Optional.empty();
-    private Instant mNextEvidence = Instant.EPOCH;
-    private Instant mNextRead = Instant.EPOCH;
-    private long mBadTold;
-    private boolean mTakesOver;
+    private Instant mNextEvidenceAt = Instant.EPOCH;
+    private Instant mNextReadAt = Instant.EPOCH;
+    private long mReportedFailures;
+    private boolean mTakeoverRunning;
 
     /**
      * Makes a duty that knows no order.
@@ -70,10 +70,10 @@
      * @param token the fencing token, while this daemon holds the duties
      * @param moveRuns has the runs at an endpoint moved before it stops
      */
-    public RolloutDuty(
+    public RolloutParticipant(
             final ServingState state,
             final MemberTable members,
-            final PeerReports peers,
+            final PeerDatagramChannel peers,
             final Ports ports,
             final RolloutLimits limits,
             final Supplier<Optional<Long>> token,
@@ -81,10 +81,10 @@
         mState = state;
         mMembers = members;
         mPeers = peers;
-        mStore = new RolloutStore(ports.store(), ports.protocol());
-        mToken = token;
+        mStore = new RolloutStore(ports.store(), ports.codec());
+        mFencingToken = token;
         mMoveRuns = moveRuns;
-        mHolder = new RolloutHolder(state, limits, mStore, this::tellAll);
+        mCoordinator = new RolloutCoordinator(state, limits, mStore, this::broadcastStep);
     }
 
     /**
@@ -93,61 +93,61 @@
      * @param store the store
      * @param protocol how operators spell orders
      */
-    public record Ports(MetadataStore store, RolloutProtocol protocol) {}
+    public record Ports(MetadataStore store, OperatorRolloutCodec codec) {}
 
     /**
      * Takes an order that may have been decided before this daemon read it.
      *
      * @param order the order
      */
-    public void earlierOrder(final RolloutOrder order) {
-        mUnsure.add(order.service());
+    public void recordEarlierOrder(final RolloutOrder order) {
+        mUncertainServices.add(order.service());
     }
 
     /** Does what is due; to be called some times a second. */
     public void tick() {
         final List<RolloutOrder> open = mState.rollouts().open();
-        if (open.isEmpty() && !mHolder.isBusy()) {
+        if (open.isEmpty() && !mCoordinator.hasRollouts()) {
             return;
         }
         final Instant now = mState.clock().instant();
-        final Optional<Long> token = mToken.get();
-        open.forEach(this::suspectEnd);
+        final Optional<Long> token = mFencingToken.get();
+        open.forEach(this::checkForMissedEnd);
         if (token.isPresent()) {
-            mHolder.tick(token.get(), mMembers.knownCount());
+            mCoordinator.tick(token.get(), mMembers.knownCount());
         } else {
-            mHolder.lost();
-            readIfUnsure(now);
+            mCoordinator.reset();
+            readUncertainOutcomes(now);
         }
-        tellHolder(token.isPresent(), now);
+        reportEvidence(token.isPresent(), now);
     }
 
     /**
      * Suspects that an order has ended unheard: a completed one stops all old endpoints at once,
      * and requests would be refused here though the new ones serve.
      */
-    private void suspectEnd(final RolloutOrder order) {
+    private void checkForMissedEnd(final RolloutOrder order) {
         final List<EndpointEntry> usable = mState.endpoints().usable(order.service());
         final boolean onlyNew =
                 !usable.isEmpty()
                         && usable.stream()
                                 .allMatch(entry -> entry.version().equals(order.version()));
         if (onlyNew) {
-            mUnsure.add(order.service());
+            mUncertainServices.add(order.service());
         }
     }
 
-    private void readIfUnsure(final Instant now) {
-        if (mUnsure.isEmpty() || now.isBefore(mNextRead)) {
+    private void readUncertainOutcomes(final Instant now) {
+        if (mUncertainServices.isEmpty() || now.isBefore(mNextReadAt)) {
             return;
         }
-        mNextRead = now.plus(READ_PACE);
-        mStore.read()
+        mNextReadAt = now.plus(STORE_READ_INTERVAL);
+        mStore.readRecords()
                 .whenComplete(
                         (records, failure) -> {
                             if (failure == null) {
-                                records.values().forEach(this::recorded);
-                                mUnsure.clear();
+                                records.values().forEach(this::applyRecord);
+                                mUncertainServices.clear();
                             } else {
                                 LOG.atWarn()
                                         .addKeyValue("cause", failure.getMessage())
@@ -156,46 +156,48 @@
                         });
     }
 
-    private void recorded(final RolloutRecord record) {
+    private void applyRecord(final RolloutRecord record) {
         mState.rollouts().recorded(record);
     }
 
-    private void tellHolder(final boolean isHolder, final Instant now) {
+    private void reportEvidence(final boolean isHolder, final Instant now) {
         final String self = mMembers.self().incarnation();
         final List<RolloutEvidence> all = mState.rollouts().evidence(self);
         if (isHolder) {
-            all.forEach(mHolder::evidence);
+            all.forEach(mCoordinator::addEvidence);
             return;
         }
         final long bad = all.stream().mapToLong(RolloutEvidence::failedOnTrial).sum();
-        if (mHolderAddress.isEmpty() || (now.isBefore(mNextEvidence) && bad == mBadTold)) {
+        if (mHolderAddress.isEmpty()
+                || (now.isBefore(mNextEvidenceAt) && bad == mReportedFailures)) {
             return;
         }
-        mBadTold = bad;
-        mNextEvidence = now.plus(mTakesOver ? TAKEOVER_PACE : pace());
-        all.forEach(evidence -> mPeers.sendEvidence(evidence, mHolderAddress.get()));
+        mReportedFailures = bad;
+        mNextEvidenceAt =
+                now.plus(mTakeoverRunning ? TAKEOVER_EVIDENCE_INTERVAL : evidenceInterval());
+        all.forEach(evidence -> mPeers.sendRolloutEvidence(evidence, mHolderAddress.get()));
     }
 
-    private Duration pace() {
-        final Duration grown = PACE_PER_DAEMON.multipliedBy(mMembers.knownCount());
-        return grown.compareTo(LEAST_PACE) > 0 ? grown : LEAST_PACE;
+    private Duration evidenceInterval() {
+        final Duration grown = EVIDENCE_INTERVAL_PER_DAEMON.multipliedBy(mMembers.knownCount());
+        return grown.compareTo(MIN_EVIDENCE_INTERVAL) > 0 ? grown : MIN_EVIDENCE_INTERVAL;
     }
 
-    private void tellAll(final RolloutStep step) {
-        mPeers.sendStep(step);
-        follow(step);
+    private void broadcastStep(final RolloutStep step) {
+        mPeers.sendRolloutStep(step);
+        applyStep(step);
     }
 
     @Override
-    public void step(final RolloutStep step, final InetSocketAddress holder) {
+    public void onStep(final RolloutStep step, final InetSocketAddress holder) {
         mHolderAddress = Optional.of(holder);
-        follow(step);
+        applyStep(step);
     }
 
-    private void follow(final RolloutStep step) {
+    private void applyStep(final RolloutStep step) {
         mState.rollouts().step(step, mState.clock().instant());
-        mTakesOver = !step.oldStopsIn().isZero();
-        if (!step.oldStopsIn().isZero() && mMoved.add(step.order())) {
+        mTakeoverRunning = !step.oldStopsIn().isZero();
+        if (!step.oldStopsIn().isZero() && mMovedOrders.add(step.order())) {
             moveRuns(step);
         }
     }
@@ -208,7 +210,7 @@
     }
 
     @Override
-    public void evidence(final RolloutEvidence evidence) {
-        mHolder.evidence(evidence);
+    public void onEvidence(final RolloutEvidence evidence) {
+        mCoordinator.addEvidence(evidence);
     }
 }
--- a/gateway/src/main/java/org/whinhead/gateway/rollout/RolloutStore.java
+++ b/gateway/src/main/java/org/whinhead/gateway/rollout/RolloutStore.java
@@ -6,9 +6,9 @@
 import java.util.concurrent.CompletableFuture;
 import org.slf4j.Logger;
 import org.slf4j.LoggerFactory;
-import org.whinhead.gateway.peers.RolloutMessages;
+import org.whinhead.gateway.peers.RolloutCodec;
 import org.whinhead.gateway.store.MetadataStore;
-import org.whinhead.gateway.store.RolloutProtocol;
+import org.whinhead.gateway.store.OperatorRolloutCodec;
 import org.whinhead.gateway.store.StorePage;
 import org.whinhead.gateway.store.StoreRecord;
 import org.whinhead.gateway.store.StoreTopic;
@@ -26,34 +26,35 @@
     private static final Logger LOG = LoggerFactory.getLogger(RolloutStore.class);
 
     private final MetadataStore mStore;
-    private final RolloutProtocol mProtocol;
+    private final OperatorRolloutCodec mCodec;
     private long mRecordsEnd;
     private long mStatusEnd;
 
-    RolloutStore(final MetadataStore store, final RolloutProtocol protocol) {
+    RolloutStore(final MetadataStore store, final OperatorRolloutCodec protocol) {
         mStore = store;
-        mProtocol = protocol;
+        mCodec = protocol;
     }
 
     /** Reads the newest record of each service. */
-    CompletableFuture<Map<String, RolloutRecord>> read() {
-        return mStore.newest(StoreTopic.ROLLOUTS).thenApply(this::records);
+    CompletableFuture<Map<String, RolloutRecord>> readRecords() {
+        return mStore.newest(StoreTopic.ROLLOUTS).thenApply(this::decodeRecords);
     }
 
-    private Map<String, RolloutRecord> records(final StorePage page) {
+    private Map<String, RolloutRecord> decodeRecords(final StorePage page) {
         mRecordsEnd = page.end();
         final Map<String, RolloutRecord> records = new HashMap<>();
         for (final StoreRecord record : page.records()) {
             if (record.value().isPresent()) {
-                put(record, records);
+                decodeInto(record, records);
             }
         }
         return records;
     }
 
-    private static void put(final StoreRecord record, final Map<String, RolloutRecord> into) {
+    private static void decodeInto(
+            final StoreRecord record, final Map<String, RolloutRecord> into) {
         try {
-            into.put(record.key(), RolloutMessages.stored(record.value().get()));
+            into.put(record.key(), RolloutCodec.stored(record.value().get()));
         } catch (InvalidProtocolBufferException | IllegalArgumentException e) {
             LOG.error("record of a roll-out not understood, it is written anew", e);
         }
@@ -65,11 +66,11 @@
     }
 
     /** Writes a record, and tells whether this daemon's view of the topic was the newest. */
-    CompletableFuture<Boolean> record(final RolloutRecord record) {
+    CompletableFuture<Boolean> writeRecord(final RolloutRecord record) {
         return mStore.appendAt(
                         StoreTopic.ROLLOUTS,
                         record.service(),
-                        RolloutMessages.stored(record),
+                        RolloutCodec.stored(record),
                         mRecordsEnd)
                 .thenApply(
                         end -> {
@@ -79,11 +80,11 @@
     }
 
     /** Tells operators, if this daemon's view of the topic is the newest. */
-    CompletableFuture<Boolean> status(final RolloutRecord record) {
+    CompletableFuture<Boolean> writeStatus(final RolloutRecord record) {
         return mStore.appendAt(
                         StoreTopic.STATUS,
-                        mProtocol.statusKey(record.service()),
-                        mProtocol.status(record),
+                        mCodec.statusKey(record.service()),
+                        mCodec.encodeStatus(record),
                         mStatusEnd)
                 .thenApply(
                         end -> {
--- a/gateway/src/main/java/org/whinhead/gateway/rollout/HeldRollout.java
+++ b/gateway/src/main/java/org/whinhead/gateway/rollout/TrackedRollout.java
@@ -8,18 +8,18 @@
 import org.whinhead.serving.rollout.RolloutState;
 
 /** One roll-out at the holder: what is recorded of it, and what operators were told. */
-final class HeldRollout {
+final class TrackedRollout {
 
     private final RolloutController mController;
-    private RolloutRecord mWanted;
-    private RolloutState mRecorded;
-    private RolloutState mTold;
+    private RolloutRecord mPendingRecord;
+    private RolloutState mRecordedState;
+    private RolloutState mPublishedState;
     private RolloutController.Decision mDecision;
-    private Instant mToldAt;
+    private Instant mPublishedAt;
 
-    HeldRollout(final RolloutController controller, final RolloutRecord first) {
+    TrackedRollout(final RolloutController controller, final RolloutRecord first) {
         mController = controller;
-        mWanted = first;
+        mPendingRecord = first;
     }
 
     RolloutController controller() {
@@ -27,19 +27,19 @@
     }
 
     /** Takes a decision, and tells whether it differs from the one before. */
-    boolean decided(final RolloutController.Decision decision) {
+    boolean applyDecision(final RolloutController.Decision decision) {
         final boolean changed =
                 mDecision == null
                         || mDecision.state() != decision.state()
                         || !mDecision.reason().equals(decision.reason());
         mDecision = decision;
-        if (decision.state() != mWanted.state()) {
-            mWanted =
+        if (decision.state() != mPendingRecord.state()) {
+            mPendingRecord =
                     new RolloutRecord(
-                            mWanted.service(),
-                            mWanted.version(),
-                            mWanted.order(),
-                            mWanted.startedAt(),
+                            mPendingRecord.service(),
+                            mPendingRecord.version(),
+                            mPendingRecord.order(),
+                            mPendingRecord.startedAt(),
                             decision.state());
         }
         return changed;
@@ -50,37 +50,37 @@
     }
 
     /** Returns what has to be recorded, or told operators, next. */
-    RolloutRecord wanted() {
-        return mWanted;
+    RolloutRecord pendingRecord() {
+        return mPendingRecord;
     }
 
     boolean isRecorded() {
-        return mWanted.state() == mRecorded;
+        return mPendingRecord.state() == mRecordedState;
     }
 
-    boolean isTold() {
-        return mWanted.state() == mTold;
+    boolean isPublished() {
+        return mPendingRecord.state() == mPublishedState;
     }
 
-    void recorded(final RolloutRecord record) {
-        mRecorded = record.state();
+    void markRecorded(final RolloutRecord record) {
+        mRecordedState = record.state();
     }
 
-    void told(final RolloutRecord record, final Instant now) {
-        mTold = record.state();
-        mToldAt = now;
+    void markPublished(final RolloutRecord record, final Instant now) {
+        mPublishedState = record.state();
+        mPublishedAt = now;
     }
 
     /** Returns the state that daemons may be told: an end only once it is recorded. */
-    RolloutState tellable() {
-        return isRecorded() ? mWanted.state() : RolloutState.RUNNING;
+    RolloutState announcedState() {
+        return isRecorded() ? mPendingRecord.state() : RolloutState.RUNNING;
     }
 
     /** Tells whether the end is recorded, and was told everybody for long enough. */
-    boolean isOver(final Duration toldFor, final Instant now) {
-        return mWanted.state().isFinal()
-                && isTold()
-                && Optional.ofNullable(mToldAt)
+    boolean isFinished(final Duration toldFor, final Instant now) {
+        return mPendingRecord.state().isFinal()
+                && isPublished()
+                && Optional.ofNullable(mPublishedAt)
                         .filter(at -> now.isAfter(at.plus(toldFor)))
                         .isPresent();
     }
--- a/gateway/src/main/java/org/whinhead/gateway/store/ConfigurationWatch.java
+++ b/gateway/src/main/java/org/whinhead/gateway/store/ConfigurationTopicListener.java
@@ -10,14 +10,14 @@
 import org.whinhead.serving.rollout.RolloutOrder;
 
 /** Puts the operator's configuration and orders in force as the store shows them. */
-public final class ConfigurationWatch implements TopicListener {
+public final class ConfigurationTopicListener implements TopicListener {
 
-    private static final Logger LOG = LoggerFactory.getLogger(ConfigurationWatch.class);
+    private static final Logger LOG = LoggerFactory.getLogger(ConfigurationTopicListener.class);
 
     private final ServingState mState;
     private final ConfigurationDecoder mDecoder;
-    private final String mKey;
-    private final RolloutProtocol mRollouts;
+    private final String mConfigurationKey;
+    private final OperatorRolloutCodec mRolloutCodec;
     private Runnable mOnRead = () -> {};
     private Consumer<RolloutOrder> mOnEarlierOrder = order -> {};
     private Runnable mOnChange = () -> {};
@@ -30,15 +30,15 @@
      * @param key the key of the record that holds it
      * @param rollouts reads orders of roll-outs
      */
-    public ConfigurationWatch(
+    public ConfigurationTopicListener(
             final ServingState state,
             final ConfigurationDecoder decoder,
             final String key,
-            final RolloutProtocol rollouts) {
+            final OperatorRolloutCodec rollouts) {
         mState = state;
         mDecoder = decoder;
-        mKey = key;
-        mRollouts = rollouts;
+        mConfigurationKey = key;
+        mRolloutCodec = rollouts;
     }
 
     /**
@@ -70,21 +70,21 @@
     }
 
     @Override
-    public void snapshot(final List<StoreRecord> records, final long end) {
-        records.forEach(record -> takeOrder(record, mOnEarlierOrder));
-        takeNewest(records);
+    public void onSnapshot(final List<StoreRecord> records, final long end) {
+        records.forEach(record -> applyOrder(record, mOnEarlierOrder));
+        applyNewestConfiguration(records);
     }
 
     @Override
-    public void appended(final List<StoreRecord> records) {
-        records.forEach(record -> takeOrder(record, order -> {}));
-        takeNewest(records);
+    public void onAppended(final List<StoreRecord> records) {
+        records.forEach(record -> applyOrder(record, order -> {}));
+        applyNewestConfiguration(records);
     }
 
-    private void takeOrder(final StoreRecord record, final Consumer<RolloutOrder> ifNew) {
+    private void applyOrder(final StoreRecord record, final Consumer<RolloutOrder> ifNew) {
         try {
-            mRollouts
-                    .order(record)
+            mRolloutCodec
+                    .decodeOrder(record)
                     .filter(mState.rollouts()::ordered)
                     .ifPresent(
                             order -> {
@@ -101,18 +101,18 @@
         }
     }
 
-    private void takeNewest(final List<StoreRecord> records) {
+    private void applyNewestConfiguration(final List<StoreRecord> records) {
         Optional<byte[]> newest = Optional.empty();
         for (final StoreRecord record : records) {
-            if (record.key().equals(mKey) && record.value().isPresent()) {
+            if (record.key().equals(mConfigurationKey) && record.value().isPresent()) {
                 newest = record.value();
             }
         }
-        newest.ifPresent(this::offer);
+        newest.ifPresent(this::applyConfiguration);
         mOnRead.run();
     }
 
-    private void offer(final byte[] value) {
+    private void applyConfiguration(final byte[] value) {
         final ServingConfiguration configuration;
         try {
             configuration = mDecoder.decode(value);
@@ -130,7 +130,7 @@
     }
 
     @Override
-    public void unreachable(final Throwable cause) {
+    public void onUnreachable(final Throwable cause) {
         // The configuration in force stays; the follower has logged the outage.
     }
 }
--- a/gateway/src/main/java/org/whinhead/gateway/store/EndpointWatch.java
+++ b/gateway/src/main/java/org/whinhead/gateway/store/EndpointTopicListener.java
@@ -18,14 +18,14 @@
 import org.whinhead.serving.endpoint.EntryEffect;
 
 /** Keeps the registry of endpoints as the store shows them. */
-public final class EndpointWatch implements TopicListener {
+public final class EndpointTopicListener implements TopicListener {
 
-    private static final Logger LOG = LoggerFactory.getLogger(EndpointWatch.class);
+    private static final Logger LOG = LoggerFactory.getLogger(EndpointTopicListener.class);
 
     /** Ids of unreadable entries that were logged; each is logged once, until there are many. */
-    private static final int MOST_UNREADABLE = 200;
+    private static final int MAX_LOGGED_UNREADABLE = 200;
 
-    private final Set<String> mUnreadable = new HashSet<>();
+    private final Set<String> mLoggedUnreadable = new HashSet<>();
     private final ServingState mState;
     private final EndpointConnections mConnections;
     private final EndpointDecoder mDecoder;
@@ -43,7 +43,7 @@
      * @param connections drops connections to endpoints that are gone
      * @param decoder reads their entries
      */
-    public EndpointWatch(
+    public EndpointTopicListener(
             final ServingState state,
             final EndpointConnections connections,
             final EndpointDecoder decoder) {
@@ -102,7 +102,7 @@
      *
      * @return the changes in order; a snapshot's are not among them
      */
-    public List<EndpointChange> takeChanges() {
+    public List<EndpointChange> drainChanges() {
         final List<EndpointChange> changes = List.copyOf(mChanges);
         mChanges.clear();
         return changes;
@@ -116,20 +116,20 @@
      *
      * @param changes the changes in order
      */
-    public void passedOn(final List<EndpointChange> changes) {
+    public void applyPeerChanges(final List<EndpointChange> changes) {
         boolean changed = false;
         for (final EndpointChange change : changes) {
-            changed |= change.entry().isPresent() ? take(change) : removedForOthers(change);
+            changed |= change.entry().isPresent() ? apply(change) : removeReadByPeer(change);
         }
         if (changed) {
-            tidy();
+            discardStaleState();
             mOnChange.run();
         }
     }
 
     @Override
-    public void snapshot(final List<StoreRecord> records, final long end) {
-        records.forEach(this::take);
+    public void onSnapshot(final List<StoreRecord> records, final long end) {
+        records.forEach(this::apply);
         final Set<String> listed =
                 records.stream()
                         .filter(record -> record.value().isPresent())
@@ -139,25 +139,25 @@
         mLoaded = true;
         mEnd = end;
         mChanges.clear();
-        tidy();
+        discardStaleState();
         mOnRead.run();
     }
 
     @Override
-    public void appended(final List<StoreRecord> records) {
+    public void onAppended(final List<StoreRecord> records) {
         boolean changed = false;
         for (final StoreRecord record : records) {
             mEnd = Math.max(mEnd, record.offset() + 1);
-            changed |= take(record);
+            changed |= apply(record);
         }
-        tidy();
+        discardStaleState();
         mOnRead.run();
         if (changed) {
             mOnChange.run();
         }
     }
 
-    private boolean take(final StoreRecord record) {
+    private boolean apply(final StoreRecord record) {
         final Optional<EndpointEntry> entry;
         try {
             entry =
@@ -165,10 +165,10 @@
                             ? Optional.empty()
                             : Optional.of(mDecoder.decode(record.key(), record.value().get()));
         } catch (UnreadableRecordException e) {
-            return takeUnreadable(record, e);
+            return applyUnreadable(record, e);
         }
         final EndpointChange change = new EndpointChange(record.key(), record.offset(), entry);
-        final boolean changed = take(change);
+        final boolean changed = apply(change);
         final boolean doubted = entry.isEmpty() && registry().find(record.key()).isPresent();
         if (changed && !doubted) {
             mChanges.add(change);
@@ -176,10 +176,10 @@
         return changed;
     }
 
-    private boolean takeUnreadable(
+    private boolean applyUnreadable(
             final StoreRecord record, final UnreadableRecordException cause) {
         final boolean wasUsable = registry().unreadable(record.key(), record.offset());
-        if (wasUsable || mUnreadable.add(record.key())) {
+        if (wasUsable || mLoggedUnreadable.add(record.key())) {
             LOG.atWarn()
                     .addKeyValue("endpoint", record.key())
                     .addKeyValue("offset", record.offset())
@@ -187,13 +187,13 @@
                     .addKeyValue("cause", String.valueOf(cause.getMessage()))
                     .log("entry of an endpoint not understood, it gets no work");
         }
-        if (mUnreadable.size() > MOST_UNREADABLE) {
-            mUnreadable.clear();
+        if (mLoggedUnreadable.size() > MAX_LOGGED_UNREADABLE) {
+            mLoggedUnreadable.clear();
         }
         return wasUsable;
     }
 
-    private boolean take(final EndpointChange change) {
+    private boolean apply(final EndpointChange change) {
         if (change.entry().isEmpty()) {
             return remove(change);
         }
@@ -224,15 +224,18 @@
 
     private boolean remove(final EndpointChange change) {
         final Optional<EndpointEntry> before = registry().find(change.id());
-        return registry().remove(change.id(), change.offset(), now()) && removed(change, before);
+        return registry().remove(change.id(), change.offset(), now())
+                && finishRemoval(change, before);
     }
 
-    private boolean removedForOthers(final EndpointChange change) {
+    private boolean removeReadByPeer(final EndpointChange change) {
         final Optional<EndpointEntry> before = registry().find(change.id());
-        return registry().removedForOthers(change.id(), change.offset()) && removed(change, before);
+        return registry().removedForOthers(change.id(), change.offset())
+                && finishRemoval(change, before);
     }
 
-    private boolean removed(final EndpointChange change, final Optional<EndpointEntry> before) {
+    private boolean finishRemoval(
+            final EndpointChange change, final Optional<EndpointEntry> before) {
         mState.leaving().gone(change.id());
         before.ifPresent(mOnLeaving);
         LOG.atInfo()
@@ -242,8 +245,8 @@
         return true;
     }
 
-    private void tidy() {
-        dropLapsed();
+    private void discardStaleState() {
+        removeLapsedEntries();
         final Set<String> known =
                 registry().all().stream().map(EndpointEntry::id).collect(Collectors.toSet());
         mState.chooser().retain(known);
@@ -255,14 +258,14 @@
      * Drops entries that stayed missing after an outage. It must run at a steady pace: while other
      * daemons read for this one, no read of its own comes by to do it.
      */
-    public void dropLapsed() {
+    public void removeLapsedEntries() {
         registry()
                 .expire(now())
                 .forEach(id -> LOG.atInfo().addKeyValue("endpoint", id).log("endpoint lapsed"));
     }
 
     @Override
-    public void unreachable(final Throwable cause) {
+    public void onUnreachable(final Throwable cause) {
         registry().storeUnreachable(now());
     }
 
--- a/gateway/src/main/java/org/whinhead/gateway/store/RolloutProtocol.java
+++ b/gateway/src/main/java/org/whinhead/gateway/store/OperatorRolloutCodec.java
@@ -5,7 +5,7 @@
 import org.whinhead.serving.rollout.RolloutRecord;
 
 /** How operators spell orders of roll-outs, and read what became of them. */
-public interface RolloutProtocol {
+public interface OperatorRolloutCodec {
 
     /**
      * Reads an order.
@@ -14,7 +14,7 @@
      * @return the order; empty if the record is another one
      * @throws UnreadableRecordException if it is an order that can't be understood
      */
-    Optional<RolloutOrder> order(StoreRecord record) throws UnreadableRecordException;
+    Optional<RolloutOrder> decodeOrder(StoreRecord record) throws UnreadableRecordException;
 
     /**
      * Names the record that tells operators of a service's roll-out.
@@ -30,5 +30,5 @@
      * @param record the roll-out
      * @return the record's value
      */
-    byte[] status(RolloutRecord record);
+    byte[] encodeStatus(RolloutRecord record);
 }
--- a/gateway/src/main/java/org/whinhead/gateway/store/ReadSharing.java
+++ b/gateway/src/main/java/org/whinhead/gateway/store/ReadCoordinator.java
@@ -1,7 +1,7 @@
 package org.whinhead.gateway.store;
 
 /** Tells a follower whether other daemons read the store for this one. */
-public interface ReadSharing {
+public interface ReadCoordinator {
 
     /**
      * Tells whether this daemon is one of those that read for all.
--- a/gateway/src/main/java/org/whinhead/gateway/store/TopicFollower.java
+++ b/gateway/src/main/java/org/whinhead/gateway/store/TopicFollower.java
@@ -19,23 +19,23 @@
     private static final Logger LOG = LoggerFactory.getLogger(TopicFollower.class);
 
     /** The pause after a failed call: a store that is back is noticed within it. */
-    private static final Duration RETRY_PAUSE = Duration.ofMillis(400);
+    private static final Duration READER_RETRY_PAUSE = Duration.ofMillis(400);
 
     /** The same for daemons that don't read for others: together they would flood the store. */
-    private static final Duration OTHERS_RETRY_PAUSE = Duration.ofMillis(1_000);
+    private static final Duration NON_READER_RETRY_PAUSE = Duration.ofMillis(1_000);
 
     /** How often a daemon for which others read checks that they still do. */
-    private static final Duration COVERED_PAUSE = Duration.ofMillis(200);
+    private static final Duration COVERAGE_CHECK_PAUSE = Duration.ofMillis(200);
 
     private final EventLoop mLoop;
     private final MetadataStore mStore;
     private final StoreTopic mTopic;
     private final TopicListener mListener;
-    private final Duration mWait;
+    private final Duration mMaxWait;
     private final Duration mPause;
-    private final ReadSharing mSharing;
+    private final ReadCoordinator mReadCoordinator;
     private Future<?> mTimer;
-    private long mNext = -1;
+    private long mNextOffset = -1;
     private boolean mReachable = true;
 
     /**
@@ -53,15 +53,15 @@
             final MetadataStore store,
             final StoreTopic topic,
             final TopicListener listener,
-            final Pace pace,
-            final ReadSharing sharing) {
+            final PollSchedule pace,
+            final ReadCoordinator sharing) {
         mLoop = loop;
         mStore = store;
         mTopic = topic;
         mListener = listener;
-        mWait = pace.longestWait();
+        mMaxWait = pace.maxWait();
         mPause = pace.pause();
-        mSharing = sharing;
+        mReadCoordinator = sharing;
     }
 
     /**
@@ -70,17 +70,17 @@
      * @param longestWait how long the store may wait for a record
      * @param pause the pause between two reads
      */
-    public record Pace(Duration longestWait, Duration pause) {}
+    public record PollSchedule(Duration maxWait, Duration pause) {}
 
     /** Starts to follow. */
     public void start() {
         mTimer = null;
-        if (mNext >= 0 && mReachable && mSharing.isCovered(mTopic)) {
-            again(COVERED_PAUSE);
-        } else if (mNext < 0) {
-            mStore.newest(mTopic).whenComplete(this::newestRead);
+        if (mNextOffset >= 0 && mReachable && mReadCoordinator.isCovered(mTopic)) {
+            scheduleNextRead(COVERAGE_CHECK_PAUSE);
+        } else if (mNextOffset < 0) {
+            mStore.newest(mTopic).whenComplete(this::handleSnapshot);
         } else {
-            mStore.read(mTopic, mNext, mWait).whenComplete(this::read);
+            mStore.read(mTopic, mNextOffset, mMaxWait).whenComplete(this::handleRead);
         }
     }
 
@@ -91,7 +91,7 @@
      * times a second, and each refused call is billed. Twenty daemons that were cut off for nine
      * seconds while keys were revoked made a thousand of them.
      */
-    public void wake() {
+    public void readNow() {
         if (mReachable && mTimer != null && mTimer.cancel(false)) {
             start();
         }
@@ -103,56 +103,56 @@
      * @param end the offset behind the last of them
      */
     public void skipTo(final long end) {
-        if (mNext >= 0) {
-            mNext = Math.max(mNext, end);
+        if (mNextOffset >= 0) {
+            mNextOffset = Math.max(mNextOffset, end);
         }
     }
 
-    private void newestRead(final StorePage page, final Throwable failure) {
+    private void handleSnapshot(final StorePage page, final Throwable failure) {
         if (failure != null) {
-            failed(failure);
+            handleFailure(failure);
             return;
         }
-        reachable();
-        mNext = page.end();
-        mListener.snapshot(page.records(), page.end());
-        again(mPause);
+        markReachable();
+        mNextOffset = page.end();
+        mListener.onSnapshot(page.records(), page.end());
+        scheduleNextRead(mPause);
     }
 
-    private void read(final StorePage page, final Throwable failure) {
+    private void handleRead(final StorePage page, final Throwable failure) {
         if (failure != null) {
-            failed(failure);
+            handleFailure(failure);
             return;
         }
-        reachable();
+        markReachable();
         if (page.truncated()) {
             LOG.atInfo().addKeyValue("topic", mTopic).log("records dropped, reading the newest");
-            mNext = -1;
+            mNextOffset = -1;
             start();
             return;
         }
         final List<StoreRecord> records = page.records();
         if (!records.isEmpty()) {
-            mNext = Math.max(mNext, records.get(records.size() - 1).offset() + 1);
+            mNextOffset = Math.max(mNextOffset, records.get(records.size() - 1).offset() + 1);
         }
-        mListener.appended(records);
-        again(mPause);
+        mListener.onAppended(records);
+        scheduleNextRead(mPause);
     }
 
-    private void again(final Duration pause) {
+    private void scheduleNextRead(final Duration pause) {
         mTimer = mLoop.schedule(this::start, pause.toMillis(), TimeUnit.MILLISECONDS);
     }
 
-    private void reachable() {
+    private void markReachable() {
         if (!mReachable) {
             mReachable = true;
             // Whatever was dropped while the store was away has no record that could be read.
-            mNext = -1;
+            mNextOffset = -1;
             LOG.atInfo().addKeyValue("topic", mTopic).log("store reachable again");
         }
     }
 
-    private void failed(final Throwable failure) {
+    private void handleFailure(final Throwable failure) {
         if (mReachable) {
             mReachable = false;
             LOG.atWarn()
@@ -160,7 +160,7 @@
                     .addKeyValue("cause", String.valueOf(failure.getMessage()))
                     .log("store not reachable");
         }
-        mListener.unreachable(failure);
-        again(mSharing.isReader() ? RETRY_PAUSE : OTHERS_RETRY_PAUSE);
+        mListener.onUnreachable(failure);
+        scheduleNextRead(mReadCoordinator.isReader() ? READER_RETRY_PAUSE : NON_READER_RETRY_PAUSE);
     }
 }
--- a/gateway/src/main/java/org/whinhead/gateway/store/TopicListener.java
+++ b/gateway/src/main/java/org/whinhead/gateway/store/TopicListener.java
@@ -11,19 +11,19 @@
      * @param records one record a key
      * @param end the topic's end
      */
-    void snapshot(List<StoreRecord> records, long end);
+    void onSnapshot(List<StoreRecord> records, long end);
 
     /**
      * New records were read.
      *
      * @param records the records in order; none if nothing was appended
      */
-    void appended(List<StoreRecord> records);
+    void onAppended(List<StoreRecord> records);
 
     /**
      * The store did not answer.
      *
      * @param cause why
      */
-    void unreachable(Throwable cause);
+    void onUnreachable(Throwable cause);
 }
--- a/gateway/src/test/java/org/whinhead/gateway/duty/DutyHolderTest.java
+++ b/gateway/src/test/java/org/whinhead/gateway/duty/DutyLeaseManagerTest.java
@@ -34,7 +34,7 @@
 import org.whinhead.serving.member.Member;
 import org.whinhead.serving.member.MemberTable;
 
-class DutyHolderTest {
+class DutyLeaseManagerTest {
 
     private static final Duration TERM = Duration.ofSeconds(3);
 
@@ -54,7 +54,7 @@
     private final FakeCloud mCloud = new FakeCloud();
     private Instant mNow = Instant.parse("2026-01-01T00:00:00Z");
     private final ServingState mState = TestServing.state(() -> mNow);
-    private DutyHolder mHolder;
+    private DutyLeaseManager mLeaseManager;
 
     /** A store that takes a record, refuses it, or says that another daemon has written. */
     private static final class FakeStore implements MetadataStore {
@@ -91,7 +91,7 @@
         }
     }
 
-    private static final class FakeCloud implements CloudDuties {
+    private static final class FakeCloud implements FencedCloudClient {
         private final List<CapacityOrder> mOrders = new ArrayList<>();
 
         @Override
@@ -108,20 +108,20 @@
     }
 
     @BeforeEach
-    void takeTheLease() {
+    void acquireLease() {
         mState.configuration()
                 .offer(
                         new ServingConfiguration(
                                 1, List.of(), List.of(POOL), CallerLimits.INITIAL, List.of()));
         final InetSocketAddress address = new InetSocketAddress("127.0.0.1", 9000);
-        mHolder =
-                new DutyHolder(
+        mLeaseManager =
+                new DutyLeaseManager(
                         mChannel.eventLoop(),
                         mState,
                         new MemberTable(new Member("a-1", "self", "domain-a", address, address)),
                         mStore,
                         mCloud,
-                        new DutyHolder.Duties(
+                        new DutyLeaseManager.Duties(
                                 new DutyLease("self", TERM),
                                 new UsagePlan(mState.usageWindows(), mState.usage(), mNow),
                                 new CapacityPlanner(
@@ -132,8 +132,8 @@
                                                 .build())));
         mChannel.freezeTime();
         mState.endpoints().put(endpoint(), 1);
-        mHolder.start();
-        seconds(12);
+        mLeaseManager.start();
+        advanceSeconds(12);
         mCloud.mOrders.clear();
     }
 
@@ -144,7 +144,7 @@
                 .build();
     }
 
-    private void seconds(final int count) {
+    private void advanceSeconds(final int count) {
         for (int second = 0; second < count; second++) {
             mNow = mNow.plusSeconds(1);
             mChannel.advanceTimeBy(1, TimeUnit.SECONDS);
@@ -152,38 +152,38 @@
         }
     }
 
-    private void loseTheEndpoint() {
+    private void removeEndpoint() {
         mState.endpoints().remove("e1", 2, mNow);
-        mHolder.capacity().orderEndpoints();
+        mLeaseManager.autoscaler().orderEndpoints();
     }
 
     // Nothing is served for eight seconds. The store turned the lease holder away, the last
     // endpoints were reclaimed half a second later, and nobody ordered others: the holder had given
     // its lease up at the first refusal, and its successor had to wait until it surely had.
     @Test
-    void holderThatTheStoreTurnsAwayOrdersOnWhileItsLeaseHolds() {
+    void refusedHolderOrdersWhileItsLeaseIsValid() {
         mStore.mRefuses = true;
-        seconds(1);
-        loseTheEndpoint();
+        advanceSeconds(1);
+        removeEndpoint();
         assertThat(mCloud.mOrders).isNotEmpty();
     }
 
     @Test
-    void holderThatCannotRenewStopsBeforeAnotherMayTakeOver() {
+    void holderWithoutRenewalStopsBeforeTakeover() {
         mStore.mRefuses = true;
-        seconds(3);
+        advanceSeconds(3);
         mCloud.mOrders.clear();
-        loseTheEndpoint();
+        removeEndpoint();
         assertThat(mCloud.mOrders).isEmpty();
     }
 
     // Two daemons order by turns. One was turned away by the store, another took the lease when its
     // term was over, and the first learned that from its next claim.
     @Test
-    void holderThatFindsAnotherRecordStopsAtOnce() {
+    void holderStopsAtOnceWhenAnotherDaemonWroteLease() {
         mStore.mWrittenByAnother = true;
-        seconds(1);
-        loseTheEndpoint();
+        advanceSeconds(1);
+        removeEndpoint();
         assertThat(mCloud.mOrders).isEmpty();
     }
 }
--- a/gateway/src/test/java/org/whinhead/gateway/exchange/TestServing.java
+++ b/gateway/src/test/java/org/whinhead/gateway/exchange/TestServing.java
@@ -6,7 +6,7 @@
 import java.time.InstantSource;
 import java.util.Optional;
 import java.util.Random;
-import org.whinhead.gateway.quota.TokenMessenger;
+import org.whinhead.gateway.quota.DatagramQuotaTransport;
 import org.whinhead.serving.balance.EndpointChooser;
 import org.whinhead.serving.endpoint.EndpointEntry;
 import org.whinhead.serving.limit.RetryBudget;
@@ -42,7 +42,7 @@
                         self,
                         new QuotaTolerance(WINDOW, 0.1, 1_000),
                         new Moment(clock.instant(), clock.instant())),
-                new TokenMessenger(new DefaultEventLoop(), "self"),
+                new DatagramQuotaTransport(new DefaultEventLoop(), "self"),
                 new Random(1));
     }
 
--- a/gateway/src/test/java/org/whinhead/gateway/metrics/RequestCountsTest.java
+++ b/gateway/src/test/java/org/whinhead/gateway/metrics/RequestMetricsTest.java
@@ -7,24 +7,24 @@
 import org.whinhead.api.verdict.Verdict;
 import org.whinhead.serving.route.RouteKind;
 
-class RequestCountsTest {
+class RequestMetricsTest {
 
-    private final RequestCounts mCounts = new RequestCounts();
+    private final RequestMetrics mMetrics = new RequestMetrics();
 
     @Test
-    void countsFromBeforeThePageWasFirstReadAreOnIt() {
-        mCounts.refused("stopping");
-        mCounts.refused("stopping");
-        assertThat(mCounts.page())
+    void countsBeforeFirstScrapeAreShown() {
+        mMetrics.recordRefused("stopping");
+        mMetrics.recordRefused("stopping");
+        assertThat(mMetrics.renderPage())
                 .contains("whinhead_requests_refused_total{reason=\"stopping\"} 2.0");
     }
 
     @Test
-    void countsThatAppearLaterAreOnTheNextPage() {
-        mCounts.page();
-        mCounts.attemptFailed(Verdict.NOT_RUN, "CONNECTION_LOST");
-        mCounts.moved(true);
-        assertThat(mCounts.page())
+    void countsAfterFirstScrapeAreShown() {
+        mMetrics.renderPage();
+        mMetrics.recordFailedAttempt(Verdict.NOT_RUN, "CONNECTION_LOST");
+        mMetrics.recordMoved(true);
+        assertThat(mMetrics.renderPage())
                 .contains(
                         "whinhead_attempts_failed_total{reason=\"CONNECTION_LOST\","
                                 + "verdict=\"not-run\"} 1.0")
@@ -33,19 +33,19 @@
 
     @Test
     void tokensAreSummedByCustomer() {
-        mCounts.admitted("clinic", 4_000);
-        mCounts.admitted("clinic", 200);
-        mCounts.admitted("court", 100);
-        assertThat(mCounts.page())
+        mMetrics.recordAdmitted("clinic", 4_000);
+        mMetrics.recordAdmitted("clinic", 200);
+        mMetrics.recordAdmitted("court", 100);
+        assertThat(mMetrics.renderPage())
                 .contains("whinhead_tokens_admitted_total{customer=\"clinic\"} 4200.0")
                 .contains("whinhead_tokens_admitted_total{customer=\"court\"} 100.0");
     }
 
     @Test
     void timesAreCountedCumulatively() {
-        mCounts.finished(RouteKind.IDEMPOTENT, "answered", Duration.ofMillis(30));
-        mCounts.finished(RouteKind.IDEMPOTENT, "answered", Duration.ofSeconds(20));
-        assertThat(mCounts.page())
+        mMetrics.recordFinished(RouteKind.IDEMPOTENT, "answered", Duration.ofMillis(30));
+        mMetrics.recordFinished(RouteKind.IDEMPOTENT, "answered", Duration.ofSeconds(20));
+        assertThat(mMetrics.renderPage())
                 .contains("whinhead_requests_within_total{kind=\"IDEMPOTENT\",millis=\"50\"} 1.0")
                 .contains("whinhead_requests_within_total{kind=\"IDEMPOTENT\",millis=\"+Inf\"} 2.0")
                 .doesNotContain("millis=\"20\"");
--- a/gateway/src/test/java/org/whinhead/gateway/peers/StoreDigestsTest.java
+++ b/gateway/src/test/java/org/whinhead/gateway/peers/DigestReadCoordinatorTest.java
@@ -13,11 +13,11 @@
 import org.whinhead.serving.member.Member;
 import org.whinhead.serving.member.MemberTable;
 
-class StoreDigestsTest {
+class DigestReadCoordinatorTest {
 
     private final Instant mNow = Instant.parse("2026-01-01T00:00:00Z");
-    private final List<StoreTopic> mWoken = new ArrayList<>();
-    private final List<Long> mSkipped = new ArrayList<>();
+    private final List<StoreTopic> mTopicsToRead = new ArrayList<>();
+    private final List<Long> mSkippedTo = new ArrayList<>();
 
     private ServingState state() {
         return TestServing.state(() -> mNow);
@@ -28,54 +28,55 @@
         return new Member(name, "i-" + name, "domain-a", address, address);
     }
 
-    private static void list(final ServingState state, final String id, final long offset) {
+    private static void putEndpoint(final ServingState state, final String id, final long offset) {
         state.endpoints().put(TestServing.endpoint(id, false), offset);
     }
 
-    private StoreDigests follower(final ServingState state) {
+    private DigestReadCoordinator nonReader(final ServingState state) {
         final MemberTable members = new MemberTable(member("z"));
         members.heard(member("a"), true, false, mNow);
         members.heard(member("b"), true, false, mNow);
-        final StoreDigests digests = new StoreDigests(state, members);
-        digests.onNews(mWoken::add);
-        digests.onSameEndpoints(mSkipped::add);
+        final DigestReadCoordinator digests = new DigestReadCoordinator(state, members);
+        digests.onNewRecords(mTopicsToRead::add);
+        digests.onSkippableEndpoints(mSkippedTo::add);
         return digests;
     }
 
-    private StoreDigests reader(final ServingState state, final long end) {
-        final StoreDigests digests = new StoreDigests(state, new MemberTable(member("a")));
-        digests.endpointsRead(end);
+    private DigestReadCoordinator reader(final ServingState state, final long end) {
+        final DigestReadCoordinator digests =
+                new DigestReadCoordinator(state, new MemberTable(member("a")));
+        digests.recordEndpointsRead(end);
         return digests;
     }
 
     // Every change of an endpoint cost each daemon two reads of the store: one as the first reader
     // told of it, and one more as the second reader, which had not seen it yet, told otherwise.
     @Test
-    void digestThatIsOlderThanOneselfIsNoNews() {
+    void olderDigestCausesNoRead() {
         final ServingState own = state();
-        list(own, "e-1", 4);
-        final StoreDigests digests = follower(own);
-        digests.endpointsRead(5);
-        digests.take("b", reader(state(), 3).digest());
-        assertThat(mWoken).isEmpty();
+        putEndpoint(own, "e-1", 4);
+        final DigestReadCoordinator digests = nonReader(own);
+        digests.recordEndpointsRead(5);
+        digests.receive("b", reader(state(), 3).createDigest());
+        assertThat(mTopicsToRead).isEmpty();
         assertThat(digests.isCovered(StoreTopic.ENDPOINTS)).isTrue();
     }
 
     @Test
-    void digestThatTellsMoreWakes() {
+    void newerDigestCausesRead() {
         final ServingState readers = state();
-        list(readers, "e-1", 4);
-        final StoreDigests digests = follower(state());
-        digests.take("a", reader(readers, 5).digest());
-        assertThat(mWoken).containsExactly(StoreTopic.ENDPOINTS);
+        putEndpoint(readers, "e-1", 4);
+        final DigestReadCoordinator digests = nonReader(state());
+        digests.receive("a", reader(readers, 5).createDigest());
+        assertThat(mTopicsToRead).containsExactly(StoreTopic.ENDPOINTS);
         assertThat(digests.isCovered(StoreTopic.ENDPOINTS)).isFalse();
     }
 
     @Test
     void recordsThatChangedNothingAreSkipped() {
-        final StoreDigests digests = follower(state());
-        digests.take("a", reader(state(), 90).digest());
-        assertThat(mWoken).isEmpty();
-        assertThat(mSkipped).containsExactly(90L);
+        final DigestReadCoordinator digests = nonReader(state());
+        digests.receive("a", reader(state(), 90).createDigest());
+        assertThat(mTopicsToRead).isEmpty();
+        assertThat(mSkippedTo).containsExactly(90L);
     }
 }
--- a/gateway/src/test/java/org/whinhead/gateway/peers/EndpointChangesTest.java
+++ b/gateway/src/test/java/org/whinhead/gateway/peers/EndpointChangeCodecTest.java
@@ -14,7 +14,7 @@
 import org.whinhead.serving.endpoint.EndpointChange;
 import org.whinhead.serving.endpoint.EndpointEntry;
 
-class EndpointChangesTest {
+class EndpointChangeCodecTest {
 
     private static EndpointChange change(final int number, final Optional<Duration> leavesIn) {
         final EndpointEntry entry =
@@ -34,7 +34,7 @@
     }
 
     /** Finds what a receiver knew of an endpoint before it left. */
-    private static Optional<EndpointEntry> listed(
+    private static Optional<EndpointEntry> findEntry(
             final String id, final List<EndpointChange> changes) {
         return changes.stream()
                 .filter(change -> change.id().equals(id))
@@ -42,68 +42,69 @@
                 .flatMap(EndpointChange::entry);
     }
 
-    private static List<EndpointChange> sent(final List<EndpointChange> changes)
+    private static List<EndpointChange> encodeAndDecode(final List<EndpointChange> changes)
             throws InvalidProtocolBufferException {
         final List<EndpointChange> received = new ArrayList<>();
-        for (final EndpointNews news : EndpointChanges.encode(changes)) {
+        for (final EndpointNews news : EndpointChangeCodec.encode(changes)) {
             received.addAll(
-                    EndpointChanges.decode(
-                            EndpointNews.parseFrom(news.toByteArray()), id -> listed(id, changes)));
+                    EndpointChangeCodec.decode(
+                            EndpointNews.parseFrom(news.toByteArray()),
+                            id -> findEntry(id, changes)));
         }
         return received;
     }
 
     @Test
-    void changesArriveAsTheyWere() throws InvalidProtocolBufferException {
+    void changesSurviveRoundTrip() throws InvalidProtocolBufferException {
         final List<EndpointChange> changes =
                 List.of(
                         change(1, Optional.empty()),
                         change(2, Optional.of(Duration.ZERO)),
                         change(3, Optional.of(Duration.ofMillis(2_300))),
                         new EndpointChange("gone", 9, Optional.empty()));
-        assertThat(sent(changes)).isEqualTo(changes);
+        assertThat(encodeAndDecode(changes)).isEqualTo(changes);
     }
 
     // A whole failure domain is reclaimed, and no daemon hears of it until it reads the store: the
     // news did not fit into one packet, and one of its pieces was lost.
     @Test
-    void newsFitIntoPackets() throws InvalidProtocolBufferException {
+    void eachDatagramOfLargeReclaimFitsIntoOnePacket() throws InvalidProtocolBufferException {
         final List<EndpointChange> changes = new ArrayList<>();
         for (int number = 0; number < 60; number++) {
             changes.add(change(number, Optional.of(Duration.ofMillis(1_300))));
         }
-        assertThat(EndpointChanges.encode(changes))
+        assertThat(EndpointChangeCodec.encode(changes))
                 .allMatch(news -> news.getSerializedSize() < 1_400);
-        assertThat(sent(changes)).isEqualTo(changes);
+        assertThat(encodeAndDecode(changes)).isEqualTo(changes);
     }
 
     // For two seconds after each reclaim most daemons sent requests to endpoints that were gone:
     // the
     // readers' news of it was more than their links took at once, and its second half was lost.
     @Test
-    void newsOfReclaimFitIntoOnePacket() {
+    void changesOfReclaimFitIntoOneDatagram() {
         final List<EndpointChange> changes = new ArrayList<>();
         for (int number = 0; number < 14; number++) {
             changes.add(change(number, Optional.of(Duration.ofMillis(2_400))));
             changes.add(new EndpointChange("i-7f3a91c2" + number, 90 + number, Optional.empty()));
         }
-        assertThat(EndpointChanges.encode(changes)).hasSize(1);
+        assertThat(EndpointChangeCodec.encode(changes)).hasSize(1);
     }
 
     @Test
-    void leavingEndpointThatIsNotKnownIsLeftOut() {
+    void unknownLeavingEndpointIsIgnored() {
         final List<EndpointChange> changes = List.of(change(1, Optional.of(Duration.ZERO)));
 
         assertThat(
-                        EndpointChanges.decode(
-                                EndpointChanges.encode(changes).get(0), id -> Optional.empty()))
+                        EndpointChangeCodec.decode(
+                                EndpointChangeCodec.encode(changes).get(0), id -> Optional.empty()))
                 .isEmpty();
     }
 
     // An endpoint that has started again gets no requests for good: the news that it left before
     // reaches a daemon that knows its next start.
     @Test
-    void earlierStartThatLeavesSaysNothingOfTheNextOne() {
+    void leavingNoticeOfEarlierStartIsIgnored() {
         final List<EndpointChange> changes = List.of(change(1, Optional.of(Duration.ZERO)));
         final EndpointEntry next =
                 EndpointEntry.builder(
@@ -117,8 +118,9 @@
                         .build();
 
         assertThat(
-                        EndpointChanges.decode(
-                                EndpointChanges.encode(changes).get(0), id -> Optional.of(next)))
+                        EndpointChangeCodec.decode(
+                                EndpointChangeCodec.encode(changes).get(0),
+                                id -> Optional.of(next)))
                 .isEmpty();
     }
 }
--- a/gateway/src/test/java/org/whinhead/gateway/quota/TokenMessengerTest.java
+++ b/gateway/src/test/java/org/whinhead/gateway/quota/DatagramQuotaTransportTest.java
@@ -15,19 +15,19 @@
 import org.whinhead.serving.quota.TokenAnswer;
 import org.whinhead.serving.quota.TokenAsk;
 
-class TokenMessengerTest {
+class DatagramQuotaTransportTest {
 
     private static final Instant START = Instant.parse("2026-01-01T00:00:00Z");
     private static final InetSocketAddress OTHER = new InetSocketAddress("127.0.0.2", 7600);
 
-    private final TokenMessenger mMessenger =
-            new TokenMessenger(new EmbeddedChannel().eventLoop(), "self");
+    private final DatagramQuotaTransport mTransport =
+            new DatagramQuotaTransport(new EmbeddedChannel().eventLoop(), "self");
     private final List<Datagram> mSent = new ArrayList<>();
     private final ServingState mState = TestServing.state(() -> START);
 
     @BeforeEach
     void connect() {
-        mMessenger.connect(
+        mTransport.connect(
                 mState,
                 (receiver, datagram) -> {
                     assertThat(receiver).isEqualTo(OTHER);
@@ -36,22 +36,21 @@
     }
 
     @Test
-    void askIsAnsweredToItsSender() {
+    void answerIsSentToClaimant() {
         final TokenAsk ask = new TokenAsk(3, "clinic", 5, 100, false);
-        mMessenger.take(
-                Datagram.newBuilder().setTokenAsk(QuotaMessages.encode("other", ask)).build(),
-                OTHER);
+        mTransport.receive(
+                Datagram.newBuilder().setTokenAsk(QuotaCodec.encode("other", ask)).build(), OTHER);
         assertThat(mSent).hasSize(1);
         assertThat(mSent.get(0).getTokenAnswer().getClaimant()).isEqualTo("other");
-        assertThat(QuotaMessages.decode(mSent.get(0).getTokenAnswer()).outcome())
+        assertThat(QuotaCodec.decode(mSent.get(0).getTokenAnswer()).outcome())
                 .isEqualTo(TokenAnswer.Outcome.NOT_HELD);
     }
 
     @Test
-    void asksAndReturnsNameTheClaimant() {
+    void asksAndReturnsCarryClaimant() {
         final TokenAsk ask = new TokenAsk(3, "clinic", 5, 100, false);
-        mMessenger.ask(OTHER, ask);
-        mMessenger.giveBack(OTHER, ask);
+        mTransport.ask(OTHER, ask);
+        mTransport.giveBack(OTHER, ask);
         assertThat(mSent.get(0).getTokenAsk().getClaimant()).isEqualTo("self");
         assertThat(mSent.get(1).getTokenReturn()).isEqualTo(mSent.get(0).getTokenAsk());
     }
--- a/gateway/src/test/java/org/whinhead/gateway/quota/QuotaMessagesTest.java
+++ b/gateway/src/test/java/org/whinhead/gateway/quota/QuotaCodecTest.java
@@ -12,37 +12,37 @@
 import org.whinhead.serving.quota.TokenAnswer;
 import org.whinhead.serving.quota.TokenAsk;
 
-class QuotaMessagesTest {
+class QuotaCodecTest {
 
     private static final InetSocketAddress FIRST = new InetSocketAddress("127.0.0.1", 7600);
     private static final InetSocketAddress SECOND = new InetSocketAddress("127.0.0.2", 7600);
 
     @Test
-    void asksAndAnswersAreReadAsTheyWereWritten() {
+    void asksAndAnswersSurviveRoundTrip() {
         final TokenAsk ask = new TokenAsk(7, "clinic", 12, 4_000, true);
-        assertThat(QuotaMessages.decode(QuotaMessages.encode("i-1", ask))).isEqualTo(ask);
+        assertThat(QuotaCodec.decode(QuotaCodec.encode("i-1", ask))).isEqualTo(ask);
         final TokenAsk part = new TokenAsk(8, "clinic", 12, 4_000, 9_000, false);
-        assertThat(QuotaMessages.decode(QuotaMessages.encode("i-1", part))).isEqualTo(part);
+        assertThat(QuotaCodec.decode(QuotaCodec.encode("i-1", part))).isEqualTo(part);
         for (final TokenAnswer.Outcome outcome : TokenAnswer.Outcome.values()) {
             final TokenAnswer answer = new TokenAnswer(7, "clinic", 12, outcome, -350);
-            assertThat(QuotaMessages.decode(QuotaMessages.encode("i-1", answer))).isEqualTo(answer);
+            assertThat(QuotaCodec.decode(QuotaCodec.encode("i-1", answer))).isEqualTo(answer);
         }
     }
 
     @Test
-    void tableIsReadAsItWasWritten() throws InvalidProtocolBufferException {
+    void shareTableSurvivesRoundTrip() throws InvalidProtocolBufferException {
         final ShareTable table =
                 ShareTable.first(List.of(FIRST, SECOND))
                         .replace(
                                 FIRST::equals,
                                 List.of(SECOND),
                                 Instant.parse("2026-01-01T01:31:00Z"));
-        assertThat(QuotaMessages.decodeTable(QuotaMessages.encode(table))).isEqualTo(table);
+        assertThat(QuotaCodec.decodeTable(QuotaCodec.encode(table))).isEqualTo(table);
     }
 
     @Test
-    void recordWithoutSlotsIsNoTable() {
-        assertThatThrownBy(() -> QuotaMessages.decodeTable(new byte[0]))
+    void recordWithoutSlotsIsRejected() {
+        assertThatThrownBy(() -> QuotaCodec.decodeTable(new byte[0]))
                 .isInstanceOf(IllegalArgumentException.class);
     }
 }
--- a/gateway/src/test/java/org/whinhead/gateway/quota/ShareTableKeeperTest.java
+++ b/gateway/src/test/java/org/whinhead/gateway/quota/ShareTableSynchronizerTest.java
@@ -24,7 +24,7 @@
 import org.whinhead.serving.quota.HeldShares;
 import org.whinhead.serving.quota.ShareTable;
 
-class ShareTableKeeperTest {
+class ShareTableSynchronizerTest {
 
     private static final Instant START = Instant.parse("2026-01-01T00:00:00Z");
 
@@ -34,20 +34,20 @@
     private Instant mNow = START;
     private final ServingState mState = TestServing.state(() -> mNow);
     private boolean mHoldsDuties = true;
-    private ShareTableKeeper mKeeper;
+    private ShareTableSynchronizer mSynchronizer;
 
     /** A store that keeps the table, and may be away. */
     private static final class FakeStore implements MetadataStore {
         private Optional<byte[]> mValue = Optional.empty();
         private long mEnd;
-        private boolean mAway;
+        private boolean mUnavailable;
         private boolean mLosesAnswers;
         private int mReads;
 
         @Override
         public CompletableFuture<StorePage> newest(final StoreTopic topic) {
             mReads++;
-            if (mAway) {
+            if (mUnavailable) {
                 return CompletableFuture.failedFuture(new IllegalStateException("away"));
             }
             final List<StoreRecord> records =
@@ -93,13 +93,13 @@
     @BeforeEach
     void start() {
         mChannel.freezeTime();
-        mKeeper =
-                new ShareTableKeeper(
+        mSynchronizer =
+                new ShareTableSynchronizer(
                         mChannel.eventLoop(), mState, mMembers, mStore, () -> mHoldsDuties);
     }
 
     /** Lets time pass; all daemons but those named are heard of. */
-    private void pass(final Duration time, final int... heard) {
+    private void advance(final Duration time, final int... heard) {
         final Instant end = mNow.plus(time);
         while (mNow.isBefore(end)) {
             mNow = mNow.plusMillis(200);
@@ -109,7 +109,7 @@
                 mMembers.heard(member(number), true, false, mNow);
             }
             mMembers.expire(mNow);
-            mKeeper.tick();
+            mSynchronizer.tick();
         }
     }
 
@@ -118,31 +118,31 @@
     }
 
     @Test
-    void tableIsWrittenOnceTheDaemonsHaveFoundEachOther() {
-        mKeeper.start();
-        pass(Duration.ofSeconds(1), 2);
+    void firstTableIsWrittenOnceMembersAreStable() {
+        mSynchronizer.start();
+        advance(Duration.ofSeconds(1), 2);
         assertThat(table()).isEmpty();
-        pass(Duration.ofSeconds(4), 2, 3);
+        advance(Duration.ofSeconds(4), 2, 3);
         assertThat(table().orElseThrow().version()).isEqualTo(1);
         assertThat(table().orElseThrow().daemons()).isEqualTo(3);
         assertThat(table().orElseThrow().names(member(3).peerAddress())).isTrue();
     }
 
     @Test
-    void daemonWithoutTheDutiesWritesNothing() {
+    void daemonWithoutLeaseWritesNothing() {
         mHoldsDuties = false;
-        mKeeper.start();
-        pass(Duration.ofSeconds(10), 2);
+        mSynchronizer.start();
+        advance(Duration.ofSeconds(10), 2);
         assertThat(mStore.mValue).isEmpty();
     }
 
     // The store takes the table and its answer is lost. A daemon that went by what it had meant to
     // write could issue shares that another one holds; what counts is what is read.
     @Test
-    void tableIsReadThoughTheAnswerToItsWritingWasLost() {
+    void tableIsReadAfterLostWriteAnswer() {
         mStore.mLosesAnswers = true;
-        mKeeper.start();
-        pass(Duration.ofSeconds(5), 2);
+        mSynchronizer.start();
+        advance(Duration.ofSeconds(5), 2);
         assertThat(table()).isPresent();
         assertThat(mStore.mEnd).isEqualTo(1);
     }
@@ -150,49 +150,47 @@
     // Two daemons take themselves for the holder of the duties and write a first table each. Both
     // would issue the same shares.
     @Test
-    void tableThatAnotherDaemonHasWrittenIsNotReplaced() {
-        mKeeper.start();
-        pass(Duration.ofMillis(600));
+    void tableOfAnotherDaemonIsNotReplaced() {
+        mSynchronizer.start();
+        advance(Duration.ofMillis(600));
         mStore.mValue =
-                Optional.of(
-                        QuotaMessages.encode(ShareTable.first(List.of(member(9).peerAddress()))));
+                Optional.of(QuotaCodec.encode(ShareTable.first(List.of(member(9).peerAddress()))));
         mStore.mEnd = 1;
-        pass(Duration.ofSeconds(5), 2);
+        advance(Duration.ofSeconds(5), 2);
         assertThat(table().orElseThrow().names(member(9).peerAddress())).isTrue();
         assertThat(mStore.mEnd).isEqualTo(1);
     }
 
     @Test
-    void daemonThatHearsOfNewerTableReadsIt() {
+    void newerPeerVersionCausesRead() {
         mHoldsDuties = false;
-        mKeeper.start();
+        mSynchronizer.start();
         mStore.mValue =
-                Optional.of(
-                        QuotaMessages.encode(ShareTable.first(List.of(member(2).peerAddress()))));
+                Optional.of(QuotaCodec.encode(ShareTable.first(List.of(member(2).peerAddress()))));
         mStore.mEnd = 1;
-        mKeeper.heardVersion(1);
-        pass(Duration.ofMillis(600));
+        mSynchronizer.onPeerVersion(1);
+        advance(Duration.ofMillis(600));
         assertThat(table()).isPresent();
     }
 
     @Test
-    void tableIsReadSeldomOnceItIsKnown() {
-        mKeeper.start();
-        pass(Duration.ofSeconds(5), 2);
+    void knownTableIsReadAtLongInterval() {
+        mSynchronizer.start();
+        advance(Duration.ofSeconds(5), 2);
         final int reads = mStore.mReads;
-        pass(Duration.ofMinutes(4), 2);
+        advance(Duration.ofMinutes(4), 2);
         assertThat(mStore.mReads).isEqualTo(reads);
-        pass(Duration.ofMinutes(2), 2);
+        advance(Duration.ofMinutes(2), 2);
         assertThat(mStore.mReads).isGreaterThan(reads);
     }
 
     // A VM is gone for good. Its shares of every allowance would be lost; others get them, but only
     // once the one that may merely be cut off has surely stopped.
     @Test
-    void sharesOfDaemonThatIsGoneAreGivenToOthersLater() {
-        mKeeper.start();
-        pass(Duration.ofSeconds(5), 2, 3);
-        pass(Duration.ofMinutes(7), 2);
+    void sharesOfGoneDaemonAreReassignedWithDelay() {
+        mSynchronizer.start();
+        advance(Duration.ofSeconds(5), 2, 3);
+        advance(Duration.ofMinutes(7), 2);
         final ShareTable table = table().orElseThrow();
         assertThat(table.version()).isEqualTo(2);
         assertThat(table.names(member(3).peerAddress())).isFalse();
@@ -203,33 +201,33 @@
 
     @Test
     void daemonThatIsSilentForOneMinuteKeepsItsShares() {
-        mKeeper.start();
-        pass(Duration.ofSeconds(5), 2, 3);
-        pass(Duration.ofMinutes(1), 2);
-        pass(Duration.ofMinutes(5), 2, 3);
+        mSynchronizer.start();
+        advance(Duration.ofSeconds(5), 2, 3);
+        advance(Duration.ofMinutes(1), 2);
+        advance(Duration.ofMinutes(5), 2, 3);
         assertThat(table().orElseThrow().version()).isEqualTo(1);
     }
 
     // The store comes back from an older copy, without the table. Daemons that start then would
     // find none; the holder of the duties writes what is in force again.
     @Test
-    void tableThatTheStoreHasLostIsWrittenAgain() {
-        mKeeper.start();
-        pass(Duration.ofSeconds(5), 2);
+    void tableLostByStoreIsWrittenAgain() {
+        mSynchronizer.start();
+        advance(Duration.ofSeconds(5), 2);
         final ShareTable before = table().orElseThrow();
         mStore.mValue = Optional.empty();
         mStore.mEnd = 0;
-        pass(Duration.ofMinutes(6), 2);
+        advance(Duration.ofMinutes(6), 2);
         assertThat(mStore.mValue).isPresent();
         assertThat(table()).contains(before);
     }
 
     @Test
-    void tableStaysInForceWhileTheStoreIsAway() {
-        mKeeper.start();
-        pass(Duration.ofSeconds(5), 2);
-        mStore.mAway = true;
-        pass(Duration.ofMinutes(6), 2);
+    void tableStaysInForceDuringStoreOutage() {
+        mSynchronizer.start();
+        advance(Duration.ofSeconds(5), 2);
+        mStore.mUnavailable = true;
+        advance(Duration.ofMinutes(6), 2);
         assertThat(table()).isPresent();
     }
 }
--- a/gateway/src/test/java/org/whinhead/gateway/rollout/RolloutHolderTest.java
+++ b/gateway/src/test/java/org/whinhead/gateway/rollout/RolloutCoordinatorTest.java
@@ -16,7 +16,7 @@
 import org.whinhead.gateway.exchange.ServingState;
 import org.whinhead.gateway.exchange.TestServing;
 import org.whinhead.gateway.store.MetadataStore;
-import org.whinhead.gateway.store.RolloutProtocol;
+import org.whinhead.gateway.store.OperatorRolloutCodec;
 import org.whinhead.gateway.store.StorePage;
 import org.whinhead.gateway.store.StoreRecord;
 import org.whinhead.gateway.store.StoreTopic;
@@ -26,7 +26,7 @@
 import org.whinhead.serving.rollout.RolloutState;
 import org.whinhead.serving.rollout.RolloutStep;
 
-class RolloutHolderTest {
+class RolloutCoordinatorTest {
 
     private static final RolloutOrder ORDER =
             new RolloutOrder("pool", "v2", Duration.ofSeconds(12), 7);
@@ -36,20 +36,21 @@
     private Instant mNow = Instant.parse("2026-01-01T00:00:00Z");
     private final ServingState mState = TestServing.state(() -> mNow);
     private final List<RolloutStep> mSteps = new ArrayList<>();
-    private final RolloutHolder mHolder = holder(mState, mSteps);
+    private final RolloutCoordinator mCoordinator = coordinator(mState, mSteps);
 
-    private RolloutHolder holder(final ServingState state, final List<RolloutStep> steps) {
-        return new RolloutHolder(
+    private RolloutCoordinator coordinator(
+            final ServingState state, final List<RolloutStep> steps) {
+        return new RolloutCoordinator(
                 state,
                 new RolloutLimits(0.1, 50),
-                new RolloutStore(mStore, new PlainProtocol()),
+                new RolloutStore(mStore, new StateNameCodec()),
                 steps::add);
     }
 
     /** Keeps records in memory; can be away, and can lose answers of writes that it carries out. */
     private static final class FakeStore implements MetadataStore {
         private final Map<StoreTopic, List<StoreRecord>> mTopics = new EnumMap<>(StoreTopic.class);
-        private boolean mAway;
+        private boolean mUnavailable;
         private boolean mLosesAnswers;
 
         private List<StoreRecord> records(final StoreTopic topic) {
@@ -64,7 +65,7 @@
 
         @Override
         public CompletableFuture<StorePage> newest(final StoreTopic topic) {
-            if (mAway) {
+            if (mUnavailable) {
                 return CompletableFuture.failedFuture(new IllegalStateException("away"));
             }
             final List<StoreRecord> all = records(topic);
@@ -88,7 +89,7 @@
         public CompletableFuture<OptionalLong> appendAt(
                 final StoreTopic topic, final String key, final byte[] value, final long end) {
             final List<StoreRecord> all = records(topic);
-            if (mAway) {
+            if (mUnavailable) {
                 return CompletableFuture.failedFuture(new IllegalStateException("away"));
             }
             if (end != all.size()) {
@@ -102,9 +103,9 @@
     }
 
     /** Spells a state by its name. */
-    private static final class PlainProtocol implements RolloutProtocol {
+    private static final class StateNameCodec implements OperatorRolloutCodec {
         @Override
-        public Optional<RolloutOrder> order(final StoreRecord record) {
+        public Optional<RolloutOrder> decodeOrder(final StoreRecord record) {
             return Optional.empty();
         }
 
@@ -114,17 +115,17 @@
         }
 
         @Override
-        public byte[] status(final RolloutRecord record) {
+        public byte[] encodeStatus(final RolloutRecord record) {
             return record.state().name().getBytes();
         }
     }
 
     @BeforeEach
-    void order() {
+    void registerOrder() {
         mState.rollouts().ordered(ORDER);
     }
 
-    private void tickUntil(final RolloutHolder holder, final long token, final long millis) {
+    private void tickUntil(final RolloutCoordinator holder, final long token, final long millis) {
         final Instant end = Instant.parse("2026-01-01T00:00:00Z").plusMillis(millis);
         while (mNow.isBefore(end)) {
             holder.tick(token, DAEMONS);
@@ -132,16 +133,17 @@
         }
     }
 
-    private List<RolloutState> told(final List<RolloutStep> steps) {
+    private List<RolloutState> announcedStates(final List<RolloutStep> steps) {
         return steps.stream().map(RolloutStep::state).distinct().toList();
     }
 
     @Test
-    void operatorsHearOfTheStartAndOfTheEnd() {
-        tickUntil(mHolder, 1, 13_000);
+    void statusShowsStartAndEnd() {
+        tickUntil(mCoordinator, 1, 13_000);
 
         assertThat(mStore.values(StoreTopic.STATUS)).containsExactly("RUNNING", "ROLLED_BACK");
-        assertThat(told(mSteps)).containsExactly(RolloutState.RUNNING, RolloutState.ROLLED_BACK);
+        assertThat(announcedStates(mSteps))
+                .containsExactly(RolloutState.RUNNING, RolloutState.ROLLED_BACK);
     }
 
     /**
@@ -149,27 +151,28 @@
      * away as this holder decides; nobody may be told an end that is not recorded.
      */
     @Test
-    void endIsNotToldBeforeItIsRecorded() {
-        tickUntil(mHolder, 1, 5_000);
-        mStore.mAway = true;
-        tickUntil(mHolder, 1, 13_000);
-        assertThat(told(mSteps)).containsExactly(RolloutState.RUNNING);
+    void endIsNotAnnouncedBeforeItIsRecorded() {
+        tickUntil(mCoordinator, 1, 5_000);
+        mStore.mUnavailable = true;
+        tickUntil(mCoordinator, 1, 13_000);
+        assertThat(announcedStates(mSteps)).containsExactly(RolloutState.RUNNING);
 
-        mStore.mAway = false;
-        tickUntil(mHolder, 1, 15_000);
+        mStore.mUnavailable = false;
+        tickUntil(mCoordinator, 1, 15_000);
 
         assertThat(mStore.values(StoreTopic.STATUS)).containsExactly("RUNNING", "ROLLED_BACK");
-        assertThat(told(mSteps)).containsExactly(RolloutState.RUNNING, RolloutState.ROLLED_BACK);
+        assertThat(announcedStates(mSteps))
+                .containsExactly(RolloutState.RUNNING, RolloutState.ROLLED_BACK);
     }
 
     /** Operators read two ends of one order: the write of the first landed, its answer was lost. */
     @Test
-    void writeWhoseAnswerWasLostIsNotRepeated() {
-        tickUntil(mHolder, 1, 5_000);
+    void writeWithLostAnswerIsNotRepeated() {
+        tickUntil(mCoordinator, 1, 5_000);
         mStore.mLosesAnswers = true;
-        tickUntil(mHolder, 1, 13_000);
+        tickUntil(mCoordinator, 1, 13_000);
         mStore.mLosesAnswers = false;
-        tickUntil(mHolder, 1, 15_000);
+        tickUntil(mCoordinator, 1, 15_000);
 
         assertThat(mStore.records(StoreTopic.ROLLOUTS)).hasSize(2);
         assertThat(mStore.values(StoreTopic.STATUS)).last().isEqualTo("ROLLED_BACK");
@@ -180,17 +183,17 @@
      * before it wrote its decision, and another one has decided meanwhile.
      */
     @Test
-    void pausedHolderTakesTheEndThatIsRecorded() {
-        tickUntil(mHolder, 1, 5_000);
+    void pausedHolderAdoptsRecordedEnd() {
+        tickUntil(mCoordinator, 1, 5_000);
         final ServingState otherState = TestServing.state(() -> mNow);
         otherState.rollouts().ordered(ORDER);
         final List<RolloutStep> otherSteps = new ArrayList<>();
-        final RolloutHolder other = holder(otherState, otherSteps);
+        final RolloutCoordinator other = coordinator(otherState, otherSteps);
         tickUntil(other, 2, 13_000);
-        assertThat(told(otherSteps)).last().isEqualTo(RolloutState.ROLLED_BACK);
+        assertThat(announcedStates(otherSteps)).last().isEqualTo(RolloutState.ROLLED_BACK);
 
-        mHolder.tick(1, DAEMONS);
-        tickUntil(mHolder, 1, 14_000);
+        mCoordinator.tick(1, DAEMONS);
+        tickUntil(mCoordinator, 1, 14_000);
 
         assertThat(mStore.records(StoreTopic.ROLLOUTS)).hasSize(2);
         assertThat(mState.rollouts().open()).isEmpty();
@@ -199,10 +202,10 @@
     /** The next holder counts the time budget from the order, not from its own start. */
     @Test
     void nextHolderKeepsTheTimeBudget() {
-        tickUntil(mHolder, 1, 8_000);
+        tickUntil(mCoordinator, 1, 8_000);
         final ServingState otherState = TestServing.state(() -> mNow);
         otherState.rollouts().ordered(ORDER);
-        final RolloutHolder other = holder(otherState, new ArrayList<>());
+        final RolloutCoordinator other = coordinator(otherState, new ArrayList<>());
         tickUntil(other, 2, 12_400);
 
         assertThat(mStore.values(StoreTopic.STATUS)).last().isEqualTo("ROLLED_BACK");
--- a/gateway/src/test/java/org/whinhead/gateway/store/EndpointWatchTest.java
+++ b/gateway/src/test/java/org/whinhead/gateway/store/EndpointTopicListenerTest.java
@@ -14,16 +14,16 @@
 import org.whinhead.serving.endpoint.EndpointChange;
 import org.whinhead.serving.endpoint.EndpointEntry;
 
-class EndpointWatchTest {
+class EndpointTopicListenerTest {
 
     private Instant mNow = Instant.parse("2026-01-01T00:00:00Z");
     private final List<String> mLeaving = new ArrayList<>();
     private final ServingState mState = TestServing.state(() -> mNow);
-    private final EndpointWatch mWatch =
-            new EndpointWatch(
+    private final EndpointTopicListener mListener =
+            new EndpointTopicListener(
                     mState,
                     new EndpointConnections(null, () -> mNow, null),
-                    EndpointWatchTest::decode);
+                    EndpointTopicListenerTest::decode);
 
     private static EndpointEntry decode(final String id, final byte[] value)
             throws UnreadableRecordException {
@@ -42,55 +42,55 @@
     // as
     // lapsed around an outage; then others read the store for it, and nothing looked at it again.
     @Test
-    void lapsedEntryIsDroppedWithoutReadsOfItsOwn() {
-        mWatch.snapshot(List.of(record("ready", 0)), 1);
-        mWatch.unreachable(new IllegalStateException("down"));
+    void lapsedEntryIsRemovedWithoutOwnReads() {
+        mListener.onSnapshot(List.of(record("ready", 0)), 1);
+        mListener.onUnreachable(new IllegalStateException("down"));
         mNow = mNow.plusMillis(800);
-        mWatch.appended(List.of(new StoreRecord("e1", Optional.empty(), 1)));
+        mListener.onAppended(List.of(new StoreRecord("e1", Optional.empty(), 1)));
         assertThat(mState.endpoints().usable("pool")).hasSize(1);
         mNow = mNow.plusMillis(1_800);
-        mWatch.dropLapsed();
+        mListener.removeLapsedEntries();
         assertThat(mState.endpoints().usable("pool")).isEmpty();
     }
 
     // All model requests fail until the daemon restarts: one damaged record among the endpoints'
     // entries stopped the reading of all others.
     @Test
-    void damagedRecordTakesOnlyItsOwnEndpointOutOfUse() {
-        mWatch.snapshot(
+    void unreadableRecordDisablesOnlyItsOwnEndpoint() {
+        mListener.onSnapshot(
                 List.of(record("ready", 0), new StoreRecord("x", record("", 1).value(), 1)), 2);
         assertThat(mState.endpoints().usable("pool")).hasSize(1);
-        mWatch.appended(
+        mListener.onAppended(
                 List.of(new StoreRecord("e2", record("ready", 2).value(), 2), record("", 3)));
         assertThat(mState.endpoints().usable("pool"))
                 .extracting(EndpointEntry::id)
                 .containsExactly("e2");
-        mWatch.appended(List.of(record("ready", 4)));
+        mListener.onAppended(List.of(record("ready", 4)));
         assertThat(mState.endpoints().usable("pool")).hasSize(2);
     }
 
     @Test
     void leavingEndpointIsReportedOnce() {
-        mWatch.onLeaving(entry -> mLeaving.add(entry.id()));
-        mWatch.snapshot(List.of(record("ready", 0)), 1);
-        mWatch.appended(List.of(record("leaving", 1)));
-        mWatch.appended(List.of(record("leaving", 2)));
+        mListener.onLeaving(entry -> mLeaving.add(entry.id()));
+        mListener.onSnapshot(List.of(record("ready", 0)), 1);
+        mListener.onAppended(List.of(record("leaving", 1)));
+        mListener.onAppended(List.of(record("leaving", 2)));
         assertThat(mLeaving).containsExactly("e1");
     }
 
     @Test
-    void changesThatOneDaemonReadAreInForceAtAnother() {
-        mWatch.snapshot(List.of(record("ready", 0)), 1);
-        mWatch.appended(List.of(record("ready", 1), record("leaving", 2)));
-        final List<EndpointChange> changes = mWatch.takeChanges();
+    void changesReadByOneDaemonApplyAtAnother() {
+        mListener.onSnapshot(List.of(record("ready", 0)), 1);
+        mListener.onAppended(List.of(record("ready", 1), record("leaving", 2)));
+        final List<EndpointChange> changes = mListener.drainChanges();
         assertThat(changes).extracting(EndpointChange::offset).containsExactly(2L);
-        assertThat(mWatch.takeChanges()).isEmpty();
+        assertThat(mListener.drainChanges()).isEmpty();
 
-        final EndpointWatchTest other = new EndpointWatchTest();
-        other.mWatch.snapshot(List.of(record("ready", 0)), 1);
-        other.mWatch.onLeaving(entry -> other.mLeaving.add(entry.id()));
-        other.mWatch.passedOn(changes);
-        other.mWatch.passedOn(changes);
+        final EndpointTopicListenerTest other = new EndpointTopicListenerTest();
+        other.mListener.onSnapshot(List.of(record("ready", 0)), 1);
+        other.mListener.onLeaving(entry -> other.mLeaving.add(entry.id()));
+        other.mListener.applyPeerChanges(changes);
+        other.mListener.applyPeerChanges(changes);
         assertThat(other.mLeaving).containsExactly("e1");
         assertThat(other.mState.endpoints().summary()).isEqualTo(mState.endpoints().summary());
     }
@@ -98,10 +98,10 @@
     // A server is back under its old entry although it was removed: a daemon learned of the removal
     // from another one, and then read the older records itself.
     @Test
-    void recordsOlderThanWhatWasPassedOnChangeNothing() {
-        mWatch.snapshot(List.of(record("ready", 0)), 1);
-        mWatch.passedOn(List.of(new EndpointChange("e1", 5, Optional.empty())));
-        mWatch.appended(List.of(record("ready", 3)));
+    void recordsOlderThanPeerChangesAreIgnored() {
+        mListener.onSnapshot(List.of(record("ready", 0)), 1);
+        mListener.applyPeerChanges(List.of(new EndpointChange("e1", 5, Optional.empty())));
+        mListener.onAppended(List.of(record("ready", 3)));
         assertThat(mState.endpoints().usable("pool")).isEmpty();
     }
 
@@ -109,10 +109,10 @@
     // turns
     // this daemon away, and it took the removals that a reader passed on for lapses of the store.
     @Test
-    void daemonThatIsTurnedAwayBelievesRemovalsThatOthersRead() {
-        mWatch.snapshot(List.of(record("ready", 0)), 1);
-        mWatch.unreachable(new IllegalStateException("turned away"));
-        mWatch.passedOn(List.of(new EndpointChange("e1", 5, Optional.empty())));
+    void peerRemovalAppliesWhileStoreRefusesThisDaemon() {
+        mListener.onSnapshot(List.of(record("ready", 0)), 1);
+        mListener.onUnreachable(new IllegalStateException("turned away"));
+        mListener.applyPeerChanges(List.of(new EndpointChange("e1", 5, Optional.empty())));
         assertThat(mState.endpoints().usable("pool")).isEmpty();
     }
 
@@ -120,11 +120,11 @@
     // passed
     // on that their entries had lapsed, and the others believed it.
     @Test
-    void removalThatTheReaderDoubtsIsNotPassedOn() {
-        mWatch.snapshot(List.of(record("ready", 0)), 1);
-        mWatch.unreachable(new IllegalStateException("down"));
-        mWatch.appended(List.of(new StoreRecord("e1", Optional.empty(), 1)));
+    void removalReadAfterOutageIsNotPassedOn() {
+        mListener.onSnapshot(List.of(record("ready", 0)), 1);
+        mListener.onUnreachable(new IllegalStateException("down"));
+        mListener.onAppended(List.of(new StoreRecord("e1", Optional.empty(), 1)));
         assertThat(mState.endpoints().usable("pool")).hasSize(1);
-        assertThat(mWatch.takeChanges()).isEmpty();
+        assertThat(mListener.drainChanges()).isEmpty();
     }
 }
--- a/gateway/src/test/java/org/whinhead/gateway/store/TopicFollowerTest.java
+++ b/gateway/src/test/java/org/whinhead/gateway/store/TopicFollowerTest.java
@@ -21,18 +21,18 @@
                     mStore,
                     StoreTopic.CONFIGURATION,
                     new IgnoringListener(),
-                    new TopicFollower.Pace(Duration.ZERO, Duration.ofMillis(400)),
-                    new NobodyElseReads());
+                    new TopicFollower.PollSchedule(Duration.ZERO, Duration.ofMillis(400)),
+                    new SoleReader());
 
     /** Counts calls, and refuses them while it is away. */
     private static final class CountingStore implements MetadataStore {
-        private boolean mAway;
+        private boolean mRefuses;
         private int mCalls;
 
         @Override
         public CompletableFuture<StorePage> newest(final StoreTopic topic) {
             mCalls++;
-            return mAway
+            return mRefuses
                     ? CompletableFuture.failedFuture(new IllegalStateException("refused"))
                     : CompletableFuture.completedFuture(new StorePage(List.of(), 0, false));
         }
@@ -58,22 +58,22 @@
 
     private static final class IgnoringListener implements TopicListener {
         @Override
-        public void snapshot(final List<StoreRecord> records, final long end) {
+        public void onSnapshot(final List<StoreRecord> records, final long end) {
             // What was read does not matter here.
         }
 
         @Override
-        public void appended(final List<StoreRecord> records) {
+        public void onAppended(final List<StoreRecord> records) {
             // What was read does not matter here.
         }
 
         @Override
-        public void unreachable(final Throwable cause) {
+        public void onUnreachable(final Throwable cause) {
             // The calls are counted by the store.
         }
     }
 
-    private static final class NobodyElseReads implements ReadSharing {
+    private static final class SoleReader implements ReadCoordinator {
         @Override
         public boolean isReader() {
             return false;
@@ -86,22 +86,22 @@
     }
 
     @BeforeEach
-    void stopTheClock() {
+    void startWithFrozenTime() {
         mChannel.freezeTime();
         mFollower.start();
     }
 
-    private void wakeForSeconds(final int seconds) {
+    private void requestReadsForSeconds(final int seconds) {
         for (int step = 0; step < seconds * 5; step++) {
-            mFollower.wake();
+            mFollower.readNow();
             mChannel.advanceTimeBy(200, TimeUnit.MILLISECONDS);
             mChannel.runScheduledPendingTasks();
         }
     }
 
     @Test
-    void newsAreReadAtOnce() {
-        mFollower.wake();
+    void readNowReadsAtOnce() {
+        mFollower.readNow();
 
         assertThat(mStore.mCalls).isEqualTo(2);
     }
@@ -111,24 +111,24 @@
      * five times a second that there is something new; each of them called as often, for nothing.
      */
     @Test
-    void daemonThatIsTurnedAwayKeepsItsPace() {
-        mStore.mAway = true;
-        mFollower.wake();
+    void refusedDaemonKeepsRetryPause() {
+        mStore.mRefuses = true;
+        mFollower.readNow();
         mStore.mCalls = 0;
 
-        wakeForSeconds(9);
+        requestReadsForSeconds(9);
 
         assertThat(mStore.mCalls).isLessThanOrEqualTo(9);
     }
 
     @Test
-    void daemonThatIsLetInAgainReadsWithinItsPace() {
-        mStore.mAway = true;
-        wakeForSeconds(3);
-        mStore.mAway = false;
+    void daemonReadsAgainOnceStoreAccepts() {
+        mStore.mRefuses = true;
+        requestReadsForSeconds(3);
+        mStore.mRefuses = false;
         mStore.mCalls = 0;
 
-        wakeForSeconds(2);
+        requestReadsForSeconds(2);
 
         assertThat(mStore.mCalls).isGreaterThanOrEqualTo(2);
     }
