--- a/gateway/src/main/java/org/whinhead/gateway/quota/QuotaMessages.java
+++ b/gateway/src/main/java/org/whinhead/gateway/quota/QuotaCodec.java
@@ -14,9 +14,9 @@
 import org.whinhead.serving.quota.TokenResponse;
 
 /** Spells claims of tokens and the table of shares as bytes. */
-final class QuotaMessages {
+final class QuotaCodec {
 
-    private QuotaMessages() {}
+    private QuotaCodec() {}
 
     static TokenAskRecord encode(final String claimant, final TokenRequest ask) {
         return TokenAskRecord.newBuilder()
