--- a/gateway/src/main/java/org/whinhead/gateway/Gateway.java
+++ b/gateway/src/main/java/org/whinhead/gateway/Gateway.java
@@ -204,7 +204,8 @@
                 .build();
     }
 
-    private RolloutParticipant createRolloutDuty(final RolloutLimits limits, final GatewayPorts ports) {
+    private RolloutParticipant createRolloutDuty(
+            final RolloutLimits limits, final GatewayPorts ports) {
         return new RolloutParticipant(
                 mState,
                 mMembers,
--- a/gateway/src/main/java/org/whinhead/gateway/quota/DatagramQuotaTransport.java
+++ b/gateway/src/main/java/org/whinhead/gateway/quota/DatagramQuotaTransport.java
@@ -79,8 +79,7 @@
             final TokenAskRecord record = datagram.getTokenReturn();
             mState.quotas()
                     .heldShares()
-                    .returnTokens(
-                            record.getClaimant(), QuotaCodec.decode(record), mState.moment());
+                    .returnTokens(record.getClaimant(), QuotaCodec.decode(record), mState.moment());
         }
         if (datagram.hasTokenAnswer()) {
             applyAnswer(datagram.getTokenAnswer());
--- a/gateway/src/test/java/org/whinhead/gateway/quota/ShareTableSynchronizerTest.java
+++ b/gateway/src/test/java/org/whinhead/gateway/quota/ShareTableSynchronizerTest.java
@@ -154,7 +154,8 @@
         mSynchronizer.start();
         advance(Duration.ofMillis(600));
         mStore.mValue =
-                Optional.of(QuotaCodec.encode(ShareTable.initial(List.of(member(9).peerAddress()))));
+                Optional.of(
+                        QuotaCodec.encode(ShareTable.initial(List.of(member(9).peerAddress()))));
         mStore.mEnd = 1;
         advance(Duration.ofSeconds(5), 2);
         assertThat(table().orElseThrow().hasHolder(member(9).peerAddress())).isTrue();
@@ -166,7 +167,8 @@
         mHoldsDuties = false;
         mSynchronizer.start();
         mStore.mValue =
-                Optional.of(QuotaCodec.encode(ShareTable.initial(List.of(member(2).peerAddress()))));
+                Optional.of(
+                        QuotaCodec.encode(ShareTable.initial(List.of(member(2).peerAddress()))));
         mStore.mEnd = 1;
         mSynchronizer.onPeerVersion(1);
         advance(Duration.ofMillis(600));
