--- a/serving/src/main/java/org/whinhead/serving/configuration/ConfigurationHolder.java
+++ b/serving/src/main/java/org/whinhead/serving/configuration/ConfigurationHolder.java
@@ -3,21 +3,20 @@
 import java.util.Optional;
 
 /**
- * Holds the newest configuration seen.
+ * Holds the newest configuration read.
  *
- * <p>Reads of the store may come back out of order, or from a copy that lags; taking one as it
- * comes would bring an older version back in force, which callers see as a route or key that
- * returns.
+ * <p>Reads of the store may complete out of order or be served by a lagging replica. Applying them
+ * as they complete would restore an older version, and with it removed routes and keys.
  */
 public final class ConfigurationHolder {
 
     private ServingConfiguration mCurrent;
 
     /**
-     * Offers a version.
+     * Applies a version if it is newer than the current one.
      *
      * @param candidate the version
-     * @return whether it is newer than all seen before, and so is in force now
+     * @return whether the version was applied
      */
     public boolean offer(final ServingConfiguration candidate) {
         if (mCurrent != null && candidate.version() <= mCurrent.version()) {
--- a/serving/src/main/java/org/whinhead/serving/configuration/CustomerAccount.java
+++ b/serving/src/main/java/org/whinhead/serving/configuration/CustomerAccount.java
@@ -6,17 +6,17 @@
 import org.whinhead.api.Arguments;
 
 /**
- * A customer as the configuration has it.
+ * Configuration of a customer.
  *
  * @param name the customer's name
  * @param keys the keys that its callers present
- * @param priority a rank that goes before the route's, 0 first
- * @param allowance what it may spend
+ * @param priority the rank, 0 first, that overrides the priority of the route
+ * @param allowance the tokens that the customer may spend
  */
 public record CustomerAccount(
         String name, List<String> keys, OptionalInt priority, TokenAllowance allowance) {
 
-    /** Checks and copies the parts. */
+    /** Checks and copies the components. */
     public CustomerAccount {
         Arguments.requireText(name, "name");
         keys = List.copyOf(keys);
--- a/serving/src/main/java/org/whinhead/serving/configuration/EngineLink.java
+++ b/serving/src/main/java/org/whinhead/serving/configuration/EngineLink.java
@@ -3,28 +3,29 @@
 import org.whinhead.api.Arguments;
 
 /**
- * How fast model engines copy cached prompts from each other.
+ * Network link over which model engines copy cached prompts from each other.
  *
- * @param bytesPerToken what one token takes in memory
- * @param megabitsPerSecond the speed of an engine's link
+ * @param bytesPerToken the size of one cached token, in bytes
+ * @param megabitsPerSecond the bandwidth of an engine's link
  */
 public record EngineLink(long bytesPerToken, double megabitsPerSecond) {
 
     private static final int BITS_PER_BYTE = 8;
     private static final double BITS_PER_MEGABIT_MILLISECOND = 1_000;
 
-    /** Checks the parts. */
+    /** Checks the components. */
     public EngineLink {
         Arguments.requireAtLeast(bytesPerToken, 1, "bytesPerToken");
         if (!(megabitsPerSecond > 0)) {
-            throw new IllegalArgumentException("no speed of a link: " + megabitsPerSecond);
+            throw new IllegalArgumentException(
+                    "megabitsPerSecond must be positive: " + megabitsPerSecond);
         }
     }
 
     /**
-     * Works out the speed of a copy.
+     * Returns the rate of a copy.
      *
-     * @return tokens in a millisecond, on a link that does nothing else
+     * @return the rate, in tokens per millisecond, on an otherwise idle link
      */
     public double tokensPerMillisecond() {
         return megabitsPerSecond * BITS_PER_MEGABIT_MILLISECOND / (bytesPerToken * BITS_PER_BYTE);
--- a/serving/src/main/java/org/whinhead/serving/configuration/ScalingLimits.java
+++ b/serving/src/main/java/org/whinhead/serving/configuration/ScalingLimits.java
@@ -5,13 +5,13 @@
 import org.whinhead.api.Arguments;
 
 /**
- * How many endpoints of a service may be ordered, and what they cost.
+ * Limits of the number of endpoints of a service, and their prices.
  *
- * @param least the smallest number in a failure domain, of both kinds together
- * @param most the largest number in a failure domain, of both kinds together
- * @param bootTime how long a new endpoint takes before it serves
- * @param reclaimablePrice the price of a reclaimable endpoint relative to the other kind
- * @param domainPrices the price of a second of an endpoint by failure domain
+ * @param least the smallest number of endpoints in a failure domain, reclaimable ones included
+ * @param most the largest number of endpoints in a failure domain, reclaimable ones included
+ * @param bootTime the time from the order of an endpoint until it serves
+ * @param reclaimablePrice the price of a reclaimable endpoint relative to an on-demand one
+ * @param domainPrices the price per second of an endpoint by failure domain
  */
 public record ScalingLimits(
         int least,
@@ -20,7 +20,7 @@
         double reclaimablePrice,
         Map<String, Double> domainPrices) {
 
-    /** Checks and copies the parts. */
+    /** Checks and copies the components. */
     public ScalingLimits {
         Arguments.requireAtLeast(least, 0, "least");
         Arguments.requireAtLeast(most, least, "most");
--- a/serving/src/main/java/org/whinhead/serving/configuration/ServiceSpec.java
+++ b/serving/src/main/java/org/whinhead/serving/configuration/ServiceSpec.java
@@ -5,13 +5,13 @@
 import org.whinhead.api.Arguments;
 
 /**
- * A service as the configuration has it.
+ * Configuration of a service.
  *
  * @param name the service's name
- * @param maxConnections how many connections one endpoint accepts from all callers together
+ * @param maxConnections the number of connections one endpoint accepts from all callers together
  * @param modelEngine whether its endpoints run language models
- * @param engineLink how fast its endpoints copy cached prompts from each other, if they can
- * @param scaling how many endpoints may be ordered, if any
+ * @param engineLink the link over which its endpoints copy cached prompts, if they can
+ * @param scaling the limits within which endpoints may be ordered, if any
  */
 public record ServiceSpec(
         String name,
@@ -20,7 +20,7 @@
         Optional<EngineLink> engineLink,
         Optional<ScalingLimits> scaling) {
 
-    /** Checks the parts. */
+    /** Checks the components. */
     public ServiceSpec {
         Arguments.requireText(name, "name");
         Arguments.requireAtLeast(maxConnections, 1, "maxConnections");
--- a/serving/src/main/java/org/whinhead/serving/configuration/ServingConfiguration.java
+++ b/serving/src/main/java/org/whinhead/serving/configuration/ServingConfiguration.java
@@ -9,7 +9,7 @@
 import org.whinhead.serving.route.Route;
 import org.whinhead.serving.route.RouteTable;
 
-/** One version of the configuration, whole and immutable. */
+/** A complete version of the configuration. */
 public final class ServingConfiguration {
 
     private final long mVersion;
@@ -20,13 +20,13 @@
     private final List<CustomerAccount> mCustomers;
 
     /**
-     * Makes a configuration.
+     * Creates a configuration.
      *
-     * @param version its number; a later one is larger
-     * @param routes its routes
-     * @param services its services
-     * @param limits what callers may send
-     * @param customers its customers; none means that no request needs a key
+     * @param version the version number, which grows with each change
+     * @param routes the routes
+     * @param services the services
+     * @param limits the limits of callers' requests
+     * @param customers the customers; if there are none, no request needs a key
      */
     public ServingConfiguration(
             final long version,
@@ -65,27 +65,27 @@
     }
 
     /**
-     * Finds a service.
+     * Returns a service.
      *
-     * @param name its name
-     * @return the service, if this version has it
+     * @param name the service's name
+     * @return the service, if this version contains it
      */
     public Optional<ServiceSpec> service(final String name) {
         return Optional.ofNullable(mServices.get(name));
     }
 
     /**
-     * Finds the customer that holds a key.
+     * Returns the customer with a key.
      *
      * @param key the key that a caller presents
-     * @return the customer, if a customer holds it
+     * @return the customer, if a customer has the key
      */
     public Optional<CustomerAccount> customerOfKey(final String key) {
         return Optional.ofNullable(mCustomersByKey.get(key));
     }
 
     /**
-     * Tells whether requests need a customer's key.
+     * Returns whether requests need a customer's key.
      *
      * @return whether this version has customers
      */
--- a/serving/src/main/java/org/whinhead/serving/configuration/TokenAllowance.java
+++ b/serving/src/main/java/org/whinhead/serving/configuration/TokenAllowance.java
@@ -3,15 +3,15 @@
 import org.whinhead.api.Arguments;
 
 /**
- * How many tokens a customer may spend over all daemons.
+ * Number of tokens that a customer may spend over all daemons.
  *
- * @param tokensPerSecond the lasting rate; 0 stands for no limit
- * @param burstTokens what may be spent at once beyond the rate
- * @param plainTokens what a request costs that states no tokens of its own
+ * @param tokensPerSecond the sustained rate; unlimited if it and the burst are 0
+ * @param burstTokens the tokens that may be spent at once beyond the rate
+ * @param plainTokens the cost, in tokens, of a request that states none
  */
 public record TokenAllowance(long tokensPerSecond, long burstTokens, long plainTokens) {
 
-    /** Checks the parts. */
+    /** Checks the components. */
     public TokenAllowance {
         Arguments.requireAtLeast(tokensPerSecond, 0, "tokensPerSecond");
         Arguments.requireAtLeast(burstTokens, 0, "burstTokens");
@@ -19,9 +19,9 @@
     }
 
     /**
-     * Tells whether the customer has no limit.
+     * Returns whether the customer has no limit.
      *
-     * @return whether everything is allowed
+     * @return whether both the rate and the burst are 0
      */
     public boolean isUnlimited() {
         return tokensPerSecond == 0 && burstTokens == 0;
--- a/serving/src/main/java/org/whinhead/serving/configuration/package-info.java
+++ b/serving/src/main/java/org/whinhead/serving/configuration/package-info.java
@@ -1,2 +1,2 @@
-/** The configuration in force: routes, services, limits and customers of one version. */
+/** The active configuration: routes, services, limits and customers of one version. */
 package org.whinhead.serving.configuration;
--- a/serving/src/main/java/org/whinhead/serving/duty/DutyLease.java
+++ b/serving/src/main/java/org/whinhead/serving/duty/DutyLease.java
@@ -7,22 +7,22 @@
 import java.util.Optional;
 
 /**
- * One daemon's view of the lease.
+ * One daemon's view of the lease on the duties.
  *
- * <p>A record is appended only if the store still ends where this daemon last saw it end, so of two
- * daemons that try at once one fails. A candidate waits until the store has not changed for the
- * time to live; a holder stops acting well before that, by the steady clock and by the time of day,
- * since the steady clock stands still while a VM is suspended.
+ * <p>A record is appended only at the end offset that this daemon last read, so of two concurrent
+ * claims one fails. A candidate waits until the store has not changed for the term; a holder stops
+ * acting before that, by both the steady clock and the time of day, since the steady clock stops
+ * while a VM is suspended.
  */
 public final class DutyLease {
 
-    /** What is taken off the time that a holder may act: a call on its way, clocks that differ. */
+    /** The margin before the end of the term, for calls in flight and clocks that differ. */
     private static final Duration ACTING_MARGIN = Duration.ofMillis(700);
 
-    /** What a candidate waits beyond the lease, so that two holders never act within it. */
+    /** The time that a candidate waits beyond the term, so that two holders never act at once. */
     private static final Duration TAKEOVER_MARGIN = Duration.ofMillis(1_000);
 
-    /** Decisions that are kept: more windows than can be due at a time. */
+    /** The number of decisions kept, which exceeds the windows that can be due at a time. */
     private static final int MAX_DECISIONS = 6;
 
     private final String mSelf;
@@ -40,10 +40,10 @@
     private Instant mRenewedTimeOfDay;
 
     /**
-     * Makes the view of a daemon that holds nothing.
+     * Creates the view of a daemon that does not hold the lease.
      *
-     * @param self names this process
-     * @param term the time within which no two holders may act by turns
+     * @param self the incarnation of this daemon
+     * @param term the time to live of the lease, within which no two holders act
      */
     public DutyLease(final String self, final Duration term) {
         mSelf = self;
@@ -51,7 +51,7 @@
     }
 
     /**
-     * Takes what a read of the store found.
+     * Records the result of a read of the store.
      *
      * @param stored the lease in the store
      * @param steady the steady time at which the read was sent
@@ -80,13 +80,13 @@
     }
 
     /**
-     * Tells whether this daemon may try to take the lease.
+     * Returns whether this daemon may try to claim the lease.
      *
-     * <p>A claim whose answer was lost may have landed: then the newest record is this daemon's
-     * own, and claiming again is safe, as nobody else has written since.
+     * <p>A claim whose response was lost may have been appended: then the newest record is this
+     * daemon's own, and claiming again is safe, as no other daemon has written since.
      *
      * @param steady the steady time
-     * @return whether it is free, is this daemon's, or was not renewed for its time to live
+     * @return whether the lease was released, was last claimed by this daemon, or has expired
      */
     public boolean canClaim(final Instant steady) {
         if (mHeld || mUnchangedSince == null) {
@@ -98,10 +98,10 @@
     }
 
     /**
-     * Makes the record that takes or renews the lease.
+     * Creates the record that claims or renews the lease.
      *
-     * @param decisions the decisions that it carries
-     * @return the record, to be appended at {@link #end()}
+     * @param decisions the decisions, of which the newest are kept in the record
+     * @return the record, to be appended at {@link #endOffset()}
      */
     public LeaseRecord claimRecord(final List<UsageDecision> decisions) {
         final long token = mHeld ? mToken : Math.max(mHighestToken, mEndOffset) + 1;
@@ -109,9 +109,9 @@
     }
 
     /**
-     * Makes the record that gives the lease up.
+     * Creates the record that releases the lease.
      *
-     * @return the record, to be appended at {@link #end()}
+     * @return the record, to be appended at {@link #endOffset()}
      */
     public LeaseRecord releaseRecord() {
         return new LeaseRecord("", mToken, mBeat + 1, mDecisions);
@@ -123,16 +123,16 @@
     }
 
     /**
-     * Notes that the store took a claim.
+     * Records that the store has appended a claim.
      *
-     * @param claim the record
-     * @param end the store's end behind it
-     * @param sentSteady the steady time at which it was sent
-     * @param sentTimeOfDay the time of day at which it was sent
+     * @param claim the appended record
+     * @param endOffset the end offset of the store after the record
+     * @param sentSteady the steady time at which the claim was sent
+     * @param sentTimeOfDay the time of day at which the claim was sent
      */
     public void recordGranted(
             final LeaseRecord claim,
-            final long end,
+            final long endOffset,
             final Instant sentSteady,
             final Instant sentTimeOfDay) {
         mHeld = true;
@@ -140,14 +140,14 @@
         mHighestToken = Math.max(mHighestToken, mToken);
         mBeat = claim.beat();
         mDecisions = claim.decisions();
-        mEndOffset = end;
+        mEndOffset = endOffset;
         mUnchangedSince = sentSteady;
         mReleased = false;
         mRenewedSteady = sentSteady;
         mRenewedTimeOfDay = sentTimeOfDay;
     }
 
-    /** Notes that another daemon wrote first, or that this one gave the lease up. */
+    /** Records that another daemon claimed the lease first, or that this one released it. */
     public void recordLost() {
         mHeld = false;
     }
@@ -157,21 +157,22 @@
     }
 
     /**
-     * Tells whether the holder may act now.
+     * Returns the fencing token if this daemon may act as the holder.
      *
      * @param steady the steady time
      * @param timeOfDay the time of day
-     * @return the fencing token to act with, if the lease is surely held
+     * @return the fencing token; empty if the lease is not held or may expire soon
      */
     public Optional<Long> fencingToken(final Instant steady, final Instant timeOfDay) {
         if (!mHeld) {
             return Optional.empty();
         }
-        final Duration most = mTerm.minus(ACTING_MARGIN);
-        final boolean stale =
-                Duration.between(mRenewedSteady, steady).compareTo(most) > 0
-                        || Duration.between(mRenewedTimeOfDay, timeOfDay).abs().compareTo(most) > 0;
-        return stale ? Optional.empty() : Optional.of(mToken);
+        final Duration maxAge = mTerm.minus(ACTING_MARGIN);
+        final boolean isStale =
+                Duration.between(mRenewedSteady, steady).compareTo(maxAge) > 0
+                        || Duration.between(mRenewedTimeOfDay, timeOfDay).abs().compareTo(maxAge)
+                                > 0;
+        return isStale ? Optional.empty() : Optional.of(mToken);
     }
 
     public long endOffset() {
--- a/serving/src/main/java/org/whinhead/serving/duty/LeaseRecord.java
+++ b/serving/src/main/java/org/whinhead/serving/duty/LeaseRecord.java
@@ -4,19 +4,19 @@
 import java.util.Objects;
 
 /**
- * What the store holds of the duties.
+ * Stored record of the lease on the duties.
  *
- * <p>Lease and decisions are one record: a decision is written only while the lease is held, and a
- * later holder finds the decisions with the lease that it takes over.
+ * <p>Lease and decisions share one record: a decision is written only while the lease is held, and
+ * the next holder reads the decisions with the lease that it takes over.
  *
- * @param holder the process that holds the lease; empty after a release
+ * @param holder the incarnation of the holder; empty after a release
  * @param token the fencing token, which grows with each holder
- * @param beat grows with each renewal, so that no two records are alike
+ * @param beat the number of the renewal, so that no two records are equal
  * @param decisions the decisions of the last windows
  */
 public record LeaseRecord(String holder, long token, long beat, List<UsageDecision> decisions) {
 
-    /** Checks and copies the parts. */
+    /** Checks and copies the components. */
     public LeaseRecord {
         Objects.requireNonNull(holder, "holder");
         decisions = List.copyOf(decisions);
--- a/serving/src/main/java/org/whinhead/serving/duty/StoredLease.java
+++ b/serving/src/main/java/org/whinhead/serving/duty/StoredLease.java
@@ -3,9 +3,9 @@
 import java.util.Optional;
 
 /**
- * The lease as a read of the store found it.
+ * Result of a read of the lease from the store.
  *
  * @param record the newest record, if there is one
- * @param end the offset that the next record gets
+ * @param end the offset of the next record
  */
 public record StoredLease(Optional<LeaseRecord> record, long endOffset) {}
--- a/serving/src/main/java/org/whinhead/serving/duty/UsageDecider.java
+++ b/serving/src/main/java/org/whinhead/serving/duty/UsageDecider.java
@@ -7,13 +7,13 @@
 import org.whinhead.serving.usage.UsageLedger;
 import org.whinhead.serving.usage.UsageWindows;
 
-/** Decides which windows are due, and what is reported of them. */
+/** Decides the final counts of the windows whose report is due. */
 public final class UsageDecider {
 
-    /** How long after a window's end its counts have arrived from all daemons. */
+    /** The time after a window's end by which the counts of all daemons have arrived. */
     private static final Duration SETTLING_TIME = Duration.ofMillis(2_000);
 
-    /** How many windows back a report is still made up for. */
+    /** The number of past windows whose missing reports are still made. */
     private static final int MAX_LATE_WINDOWS = 3;
 
     private final UsageWindows mWindows;
@@ -21,11 +21,11 @@
     private final long mFirstWindow;
 
     /**
-     * Makes a plan.
+     * Creates a decider.
      *
      * @param windows the deployment's windows
-     * @param ledger the counts
-     * @param startedAt when this daemon started; it knows nothing of windows before
+     * @param ledger the counts of all daemons
+     * @param startedAt the start time of this daemon, which has no counts of earlier windows
      */
     public UsageDecider(
             final UsageWindows windows, final UsageLedger ledger, final Instant startedAt) {
@@ -37,9 +37,9 @@
     /**
      * Adds decisions for the windows that are due.
      *
-     * @param decided the decisions so far
+     * @param decided the previous decisions
      * @param timeOfDay the time of day
-     * @return all decisions; the same list if nothing is due
+     * @return all decisions; the same list if no window is due
      */
     public List<UsageDecision> decide(final List<UsageDecision> decided, final Instant timeOfDay) {
         final long newest = mWindows.windowAt(timeOfDay.minus(SETTLING_TIME)) - 1;
--- a/serving/src/main/java/org/whinhead/serving/duty/UsageDecision.java
+++ b/serving/src/main/java/org/whinhead/serving/duty/UsageDecision.java
@@ -4,23 +4,23 @@
 import java.util.TreeMap;
 
 /**
- * The counts of a window as they were decided, and whether the platform has taken them.
+ * Final counts of a window, and whether their report was delivered to the platform.
  *
  * @param window the window's number
- * @param counts requests by customer
- * @param delivered whether the report was accepted
+ * @param counts the numbers of requests by customer
+ * @param delivered whether the platform has accepted the report
  */
 public record UsageDecision(long window, Map<String, Long> counts, boolean delivered) {
 
-    /** Copies the counts in the order of their customers. */
+    /** Copies the counts, sorted by customer. */
     public UsageDecision {
         counts = java.util.Collections.unmodifiableMap(new TreeMap<>(counts));
     }
 
     /**
-     * Marks the decision as delivered.
+     * Returns a copy marked as delivered.
      *
-     * @return the marked decision
+     * @return the copy
      */
     public UsageDecision asDelivered() {
         return new UsageDecision(window, counts, true);
--- a/serving/src/main/java/org/whinhead/serving/duty/package-info.java
+++ b/serving/src/main/java/org/whinhead/serving/duty/package-info.java
@@ -1,2 +1,2 @@
-/** The lease of the duties that one daemon holds at a time, and what its holder decided. */
+/** The lease on the duties, which one daemon holds at a time, and the decisions of its holder. */
 package org.whinhead.serving.duty;
--- a/serving/src/main/java/org/whinhead/serving/limit/RetryBudget.java
+++ b/serving/src/main/java/org/whinhead/serving/limit/RetryBudget.java
@@ -6,16 +6,16 @@
 import java.util.Map;
 
 /**
- * Decides whether a request may be sent once more.
+ * Retry budget that bounds the retries of all daemons together.
  *
  * <p>When endpoints fail, every daemon sees it at once, and unbounded retries would multiply the
- * load of a service that is already short. All daemons together may add a share of the requests and
- * a fixed number beside; each daemon takes the share of its own requests and an equal part of the
- * fixed number, so that no message between them is needed and a lost daemon frees nothing.
+ * load of an overloaded service. All daemons together may retry a share of the requests plus a
+ * fixed number in each window. Each daemon uses the share of its own requests and an equal part of
+ * the fixed number, so daemons exchange no messages and a lost daemon frees no budget.
  */
 public final class RetryBudget {
 
-    /** The part of the budget that is used; the rest covers daemons that count in other windows. */
+    /** The fraction of the budget in use; the rest covers daemons that count in other windows. */
     private static final double USED_FRACTION = 0.8;
 
     private final double mRetryShare;
@@ -25,11 +25,11 @@
     private int mDaemonCount;
 
     /**
-     * Makes a budget.
+     * Creates a budget.
      *
-     * @param share retries that each request adds
-     * @param fixed retries that all daemons together may add besides, in each window
-     * @param window the window
+     * @param share the retries allowed per request, from 0 to 1
+     * @param fixed the additional retries of all daemons together in each window
+     * @param window the length of the sliding window
      */
     public RetryBudget(final double share, final int fixed, final Duration window) {
         mRetryShare = share;
@@ -38,17 +38,17 @@
     }
 
     /**
-     * Sets among how many daemons the fixed number is split; until then nobody has a part of it.
+     * Sets the number of daemons that split the fixed retries; before, this daemon has none.
      *
-     * <p>Just after a restart a daemon has heard of no other one. If it took the whole number for
-     * itself, all daemons that were restarted together would repeat many times what they may. So it
-     * goes by what was written down of the deployment, if that is more.
+     * <p>Just after a restart a daemon knows no other one. If it used all fixed retries, daemons
+     * that restarted together would exceed the budget many times. So the larger of the known and
+     * the expected number is used.
      *
-     * @param heardOf the daemons that this one has heard of, itself included
-     * @param expected the daemons that the deployment is known to have had; 0 if that is not known
+     * @param known the number of known daemons, this one included
+     * @param expected the recorded number of daemons of the deployment; 0 if not known
      */
-    public void setDaemonCount(final int heardOf, final int expected) {
-        mDaemonCount = expected == 0 ? 0 : Math.max(heardOf, expected);
+    public void setDaemonCount(final int known, final int expected) {
+        mDaemonCount = expected == 0 ? 0 : Math.max(known, expected);
     }
 
     private double fixedRetriesPerDaemon() {
@@ -58,19 +58,19 @@
     /**
      * Counts a caller's request.
      *
-     * @param service the service that it goes to
-     * @param now the time
+     * @param service the name of the requested service
+     * @param now the current time
      */
     public void recordRequest(final String service, final Instant now) {
         counts(service).mRequests.add(now, 1);
     }
 
     /**
-     * Takes one retry from the budget.
+     * Takes one retry from the budget, if one is left.
      *
-     * @param service the service that it goes to
-     * @param now the time
-     * @return whether there was one left
+     * @param service the name of the requested service
+     * @param now the current time
+     * @return whether the retry is allowed
      */
     public boolean tryRetry(final String service, final Instant now) {
         final ServiceCounts counts = counts(service);
--- a/serving/src/main/java/org/whinhead/serving/limit/SlidingWindowSum.java
+++ b/serving/src/main/java/org/whinhead/serving/limit/SlidingWindowSum.java
@@ -4,7 +4,7 @@
 import java.time.Instant;
 import java.util.Arrays;
 
-/** Sums amounts of the last while, in slots of a twentieth of the window. */
+/** Sliding-window sum of amounts, in slots of a twentieth of the window. */
 final class SlidingWindowSum {
 
     private static final int SLOTS = 20;
--- a/serving/src/main/java/org/whinhead/serving/limit/package-info.java
+++ b/serving/src/main/java/org/whinhead/serving/limit/package-info.java
@@ -1,2 +1,2 @@
-/** Limits that all daemons keep together: what customers spend, and what retries may add. */
+/** Limits that all daemons keep together without exchanging messages. */
 package org.whinhead.serving.limit;
--- a/serving/src/main/java/org/whinhead/serving/member/Member.java
+++ b/serving/src/main/java/org/whinhead/serving/member/Member.java
@@ -5,13 +5,13 @@
 import org.whinhead.api.Arguments;
 
 /**
- * A daemon as the others know it.
+ * Identity and addresses of a daemon.
  *
- * @param name the daemon's name, which a restart keeps
- * @param incarnation names one process of the daemon
- * @param domain its failure domain
- * @param callerAddress where callers connect
- * @param peerAddress where other daemons send reports
+ * @param name the daemon's name, which is the same after a restart
+ * @param incarnation the id of one process of the daemon
+ * @param domain the name of its failure domain
+ * @param callerAddress the address to which callers connect
+ * @param peerAddress the address to which other daemons send reports
  */
 public record Member(
         String name,
@@ -20,7 +20,7 @@
         InetSocketAddress callerAddress,
         InetSocketAddress peerAddress) {
 
-    /** Checks the parts. */
+    /** Checks the components. */
     public Member {
         Arguments.requireText(name, "name");
         Arguments.requireText(incarnation, "incarnation");
--- a/serving/src/main/java/org/whinhead/serving/member/MemberTable.java
+++ b/serving/src/main/java/org/whinhead/serving/member/MemberTable.java
@@ -11,28 +11,28 @@
 import java.util.Map;
 import java.util.Optional;
 
-/** Which daemons are up, and which of them callers should use. */
+/** Membership table: the daemons that are up and those that callers should use. */
 public final class MemberTable {
 
-    /** The shortest interval of the reports of one daemon to another. */
+    /** The shortest interval between reports of one daemon to another. */
     private static final Duration MIN_REPORT_INTERVAL = Duration.ofMillis(200);
 
-    /** What each daemon adds to the interval: about 45 reports a second arrive at each. */
+    /** The interval that each daemon adds; about 45 reports a second arrive at each daemon. */
     private static final Duration REPORT_INTERVAL_PER_DAEMON = Duration.ofMillis(22);
 
-    /** Reports that are missed before a daemon counts as silent. */
+    /** The number of missed reports after which a daemon counts as silent. */
     private static final int MAX_MISSED_REPORTS = 3;
 
-    /** The least time before a daemon counts as silent, which gets no new callers then. */
+    /** The shortest time after which a daemon counts as silent and gets no new callers. */
     static final Duration MIN_SILENCE_TIMEOUT = Duration.ofMillis(900);
 
-    /** A daemon that was not heard for this long is forgotten. */
+    /** The time without a report after which a daemon is removed. */
     static final Duration EXPIRY_TIME = Duration.ofSeconds(30);
 
-    /** Fewer daemons than this in a failure domain are joined by those of other ones. */
+    /** The fewest daemons of a failure domain for which those of other domains are omitted. */
     private static final int MIN_DOMAIN_ADDRESSES = 2;
 
-    /** The most addresses that a caller is given; callers use no more. */
+    /** The most addresses returned to a caller; callers use no more. */
     private static final int MAX_ADDRESSES = 64;
 
     private final Member mSelf;
@@ -43,7 +43,7 @@
     private boolean mSelfReady;
 
     /**
-     * Makes a table that knows this daemon only.
+     * Creates a table that contains only this daemon.
      *
      * @param self this daemon
      */
@@ -56,9 +56,9 @@
     }
 
     /**
-     * Sets whether this daemon takes callers.
+     * Sets whether this daemon accepts callers.
      *
-     * @param ready whether it does
+     * @param ready whether it accepts callers
      */
     public void setSelfReady(final boolean ready) {
         mSelfReady = ready;
@@ -69,13 +69,13 @@
     }
 
     /**
-     * Notes a report of another daemon.
+     * Records a report of another daemon.
      *
-     * @param member the daemon
-     * @param ready whether it takes callers
+     * @param member the other daemon
+     * @param ready whether it accepts callers
      * @param leaving whether it is about to stop
-     * @param now the time
-     * @return the incarnation that this one replaces, if the daemon was restarted
+     * @param now the current time
+     * @return the previous incarnation, if the daemon was restarted
      */
     public Optional<String> recordReport(
             final Member member, final boolean ready, final boolean leaving, final Instant now) {
@@ -94,71 +94,72 @@
     }
 
     /**
-     * Forgets daemons that fell silent long ago.
+     * Removes daemons without a report for the expiry time.
      *
-     * @param now the time
+     * @param now the current time
      */
     public void expire(final Instant now) {
-        if (mPeers.values().removeIf(seen -> now.isAfter(seen.mReportedAt.plus(EXPIRY_TIME)))) {
+        if (mPeers.values().removeIf(peer -> now.isAfter(peer.mReportedAt.plus(EXPIRY_TIME)))) {
             recordPeersChanged();
         }
     }
 
     /**
-     * Works out what depends on the number of daemons only. It is asked for each daemon many times
-     * a second: at 85 daemons that took a twentieth of a daemon's time.
+     * Updates the values that depend only on the number of daemons. Computing them on each use,
+     * many times a second for each daemon, took a twentieth of the CPU time at 85 daemons.
      */
     private void recordPeersChanged() {
         mAddressChanges++;
-        final Duration grown = REPORT_INTERVAL_PER_DAEMON.multipliedBy(knownCount());
-        mReportInterval = grown.compareTo(MIN_REPORT_INTERVAL) > 0 ? grown : MIN_REPORT_INTERVAL;
-        final Duration missed = mReportInterval.multipliedBy(MAX_MISSED_REPORTS);
-        mSilenceTimeout = missed.compareTo(MIN_SILENCE_TIMEOUT) > 0 ? missed : MIN_SILENCE_TIMEOUT;
+        final Duration interval = REPORT_INTERVAL_PER_DAEMON.multipliedBy(knownCount());
+        mReportInterval =
+                interval.compareTo(MIN_REPORT_INTERVAL) > 0 ? interval : MIN_REPORT_INTERVAL;
+        final Duration timeout = mReportInterval.multipliedBy(MAX_MISSED_REPORTS);
+        mSilenceTimeout =
+                timeout.compareTo(MIN_SILENCE_TIMEOUT) > 0 ? timeout : MIN_SILENCE_TIMEOUT;
     }
 
     /**
-     * Counts how often the addresses of the other daemons have changed.
+     * Returns the number of changes to the addresses of the other daemons.
      *
-     * @return a number that grows with each change
+     * @return the number of changes so far
      */
     public long addressChangeCount() {
         return mAddressChanges;
     }
 
     /**
-     * Lists the other daemons, silent ones too.
+     * Returns the other daemons, including silent ones.
      *
-     * @return the daemons
+     * @return the other daemons
      */
     public Collection<Member> peers() {
-        return mPeers.values().stream().map(seen -> seen.mMember).toList();
+        return mPeers.values().stream().map(peer -> peer.mMember).toList();
     }
 
     /**
-     * Lists the daemons that fell silent and whose load no longer counts.
+     * Returns the daemons that are leaving or silent, whose load no longer counts.
      *
-     * @param now the time
-     * @return their names
+     * @param now the current time
+     * @return the names of these daemons
      */
     public List<String> silentMemberNames(final Instant now) {
         return mPeers.values().stream()
-                .filter(seen -> !isUp(seen, now))
-                .map(seen -> seen.mMember.name())
+                .filter(peer -> !isUp(peer, now))
+                .map(peer -> peer.mMember.name())
                 .toList();
     }
 
     /**
-     * Ranks this daemon among those that are up, by name: a few that come first do for all what
-     * need not be done by each. Daemons that see each other differently may share a rank for a
-     * while.
+     * Returns the rank of this daemon by name among those that are up; the first few perform tasks
+     * for all daemons. Daemons whose tables differ may temporarily have the same rank.
      *
-     * @param now the time
-     * @return how many come before this daemon
+     * @param now the current time
+     * @return the number of daemons that precede this one
      */
     public int rank(final Instant now) {
         int before = 0;
-        for (final PeerState seen : mPeers.values()) {
-            if (seen.mMember.name().compareTo(mSelf.name()) < 0 && isUp(seen, now)) {
+        for (final PeerState peer : mPeers.values()) {
+            if (peer.mMember.name().compareTo(mSelf.name()) < 0 && isUp(peer, now)) {
                 before++;
             }
         }
@@ -166,17 +167,17 @@
     }
 
     /**
-     * Counts the daemons that are up.
+     * Returns the number of daemons that are up.
      *
-     * @param now the time
+     * @param now the current time
      * @return the number, this daemon included
      */
     public int upCount(final Instant now) {
-        return 1 + (int) mPeers.values().stream().filter(seen -> isUp(seen, now)).count();
+        return 1 + (int) mPeers.values().stream().filter(peer -> isUp(peer, now)).count();
     }
 
     /**
-     * Tells how long the interval of reports is, which grows with the number of daemons.
+     * Returns the interval between reports, which grows with the number of daemons.
      *
      * @return the interval
      */
@@ -184,12 +185,12 @@
         return mReportInterval;
     }
 
-    private boolean isUp(final PeerState seen, final Instant now) {
-        return !seen.mLeaving && !now.isAfter(seen.mReportedAt.plus(mSilenceTimeout));
+    private boolean isUp(final PeerState peer, final Instant now) {
+        return !peer.mLeaving && !now.isAfter(peer.mReportedAt.plus(mSilenceTimeout));
     }
 
     /**
-     * Counts the daemons heard of lately, also those that may be cut off from this one.
+     * Returns the number of daemons in the table, including silent ones.
      *
      * @return the number, this daemon included
      */
@@ -198,26 +199,27 @@
     }
 
     /**
-     * Lists the addresses that a caller should use: those of its own failure domain first.
+     * Returns the addresses that a caller should use: those of its own failure domain if it has
+     * enough daemons, otherwise those of all domains.
      *
-     * @param domain the caller's failure domain
-     * @param now the time
-     * @return the addresses; empty if no daemon takes callers
+     * @param domain the name of the caller's failure domain
+     * @param now the current time
+     * @return the addresses; empty if no daemon accepts callers
      */
     public List<InetSocketAddress> addressesFor(final String domain, final Instant now) {
         final List<Member> ready = new ArrayList<>();
         if (mSelfReady) {
             ready.add(mSelf);
         }
-        for (final PeerState seen : mPeers.values()) {
-            if (seen.mReady && isUp(seen, now)) {
-                ready.add(seen.mMember);
+        for (final PeerState peer : mPeers.values()) {
+            if (peer.mReady && isUp(peer, now)) {
+                ready.add(peer.mMember);
             }
         }
         ready.sort(Comparator.comparing(Member::name));
-        final List<Member> near =
+        final List<Member> sameDomain =
                 ready.stream().filter(member -> member.domain().equals(domain)).toList();
-        final List<Member> chosen = near.size() >= MIN_DOMAIN_ADDRESSES ? near : ready;
+        final List<Member> chosen = sameDomain.size() >= MIN_DOMAIN_ADDRESSES ? sameDomain : ready;
         return chosen.stream().limit(MAX_ADDRESSES).map(Member::callerAddress).toList();
     }
 
--- a/serving/src/main/java/org/whinhead/serving/member/package-info.java
+++ b/serving/src/main/java/org/whinhead/serving/member/package-info.java
@@ -1,2 +1,2 @@
-/** The daemons of a deployment, by what they report to each other. */
+/** Membership of the daemons of a deployment, based on the reports they exchange. */
 package org.whinhead.serving.member;
--- a/serving/src/main/java/org/whinhead/serving/package-info.java
+++ b/serving/src/main/java/org/whinhead/serving/package-info.java
@@ -1,4 +1,2 @@
-/**
- * Decisions of the serving path: which route, which endpoint, whether again, within which limits.
- */
+/** Decisions of the serving path: routes, load balancing, retries and limits. */
 package org.whinhead.serving;
--- a/serving/src/main/java/org/whinhead/serving/quota/ClockReading.java
+++ b/serving/src/main/java/org/whinhead/serving/quota/ClockReading.java
@@ -5,25 +5,25 @@
 import java.util.Objects;
 
 /**
- * A moment by both clocks of a VM. The steady clock stands still while a VM is suspended, and the
- * time of day may be set back; neither hides that time has passed from both.
+ * A reading of both clocks of a VM. The steady clock stops while a VM is suspended, and the time of
+ * day may be set back; the longer of both elapsed times detects either.
  *
- * @param steady the steady time
+ * @param steady the time of the steady clock
  * @param timeOfDay the time of day
  */
 public record ClockReading(Instant steady, Instant timeOfDay) {
 
-    /** Checks the parts. */
+    /** Checks the components. */
     public ClockReading {
         Objects.requireNonNull(steady, "steady");
         Objects.requireNonNull(timeOfDay, "timeOfDay");
     }
 
     /**
-     * Tells how much time has passed since an earlier moment.
+     * Returns the time elapsed since an earlier reading.
      *
-     * @param earlier the earlier moment
-     * @return the time by the clock that shows more
+     * @param earlier the earlier reading
+     * @return the longer of the elapsed times of both clocks
      */
     public Duration elapsedSince(final ClockReading earlier) {
         final Duration bySteady = Duration.between(earlier.steady, steady);
--- a/serving/src/main/java/org/whinhead/serving/quota/CustomerQuotas.java
+++ b/serving/src/main/java/org/whinhead/serving/quota/CustomerQuotas.java
@@ -17,25 +17,25 @@
 import org.whinhead.serving.configuration.TokenAllowance;
 
 /**
- * Admits the requests of customers with tokens that the holders of their shares have issued.
+ * Client of the distributed token buckets: admits a request once the holders of its customer's
+ * shares have issued its tokens.
  *
- * <p>What other daemons spend is nowhere guessed. A daemon that took the whole allowance for itself
- * less what it had heard of the others gave a customer more than it may have whenever reports were
- * late or lost, a daemon was cut off, or all had just started. Here a message that is lost costs
- * its customer tokens and never adds any.
+ * <p>No daemon estimates the spending of the others. Subtracting the reported spending from the
+ * allowance admitted too much whenever reports were late or lost, a daemon was cut off, or all
+ * daemons had just started. Here a lost message costs its customer tokens and never adds any.
  */
 public final class CustomerQuotas {
 
-    /** How long an answer is waited for before another holder is asked. */
+    /** The time after which a request without a response is sent to another holder. */
     static final Duration RESPONSE_TIMEOUT = Duration.ofMillis(80);
 
     /**
-     * How long a claim may take in all. Just after a restart of all daemons each is slow to answer;
-     * a caller that is sent away then has used up its one return.
+     * The longest time of a claim. Just after a restart of all daemons each one responds slowly,
+     * and a rejection would use up the caller's only retry.
      */
     static final Duration CLAIM_TIMEOUT = Duration.ofMillis(1_000);
 
-    /** When a caller comes back whose customer's tokens could not be asked for. */
+    /** The delay after which a caller retries if no holder could be asked. */
     private static final Duration UNAVAILABLE_RETRY_DELAY = Duration.ofMillis(100);
 
     private final HeldShares mHeldShares;
@@ -50,29 +50,29 @@
     private boolean mCheckScheduled;
 
     /**
-     * Makes quotas without customers.
+     * Creates quotas without customers.
      *
      * @param self this daemon's incarnation
-     * @param held the shares that this daemon holds itself
-     * @param transport carries claims to the others
-     * @param random picks among holders that look alike
+     * @param heldShares the shares that this daemon holds
+     * @param transport sends requests to other holders
+     * @param random selects among equally suitable holders
      */
     public CustomerQuotas(
             final String self,
-            final HeldShares held,
+            final HeldShares heldShares,
             final QuotaTransport transport,
             final Random random) {
         mSelf = self;
-        mHeldShares = held;
+        mHeldShares = heldShares;
         mTransport = transport;
-        mEstimates = new ShareEstimates(held, random);
+        mEstimates = new ShareEstimates(heldShares, random);
     }
 
     /**
-     * Puts the allowances of a configuration in force.
+     * Applies the allowances of a configuration.
      *
-     * @param customers the customers
-     * @param now the moment
+     * @param customers the customers of the configuration
+     * @param now the current time
      */
     public void configure(final Collection<CustomerAccount> customers, final ClockReading now) {
         mAllowances.clear();
@@ -83,9 +83,9 @@
     }
 
     /**
-     * Tells whether requests can be admitted: nobody is limited, or it is known who to ask.
+     * Returns whether requests can be admitted.
      *
-     * @return whether they can
+     * @return whether the share table is known or no customer is limited
      */
     public boolean isReady() {
         return mHeldShares.table().isPresent()
@@ -103,29 +103,29 @@
     /**
      * Claims the tokens of a request.
      *
-     * @param customer the customer
-     * @param tokens what the request costs
-     * @param now the moment
-     * @param outcome is told the outcome, perhaps at once
-     * @return takes the claim back, for a caller that has left
+     * @param customer the customer's name
+     * @param tokens the cost of the request, in tokens
+     * @param now the current time
+     * @param listener receives the outcome, possibly before this method returns
+     * @return cancels the claim, for a caller that has disconnected
      */
     public Runnable claim(
             final String customer,
             final long tokens,
             final ClockReading now,
-            final TokenClaimListener outcome) {
+            final TokenClaimListener listener) {
         final TokenAllowance allowance = mAllowances.get(customer);
         final boolean light = allowance != null && tokens <= allowance.plainTokens();
-        final TokenClaim claim = new TokenClaim(customer, tokens, light, now, outcome);
+        final TokenClaim claim = new TokenClaim(customer, tokens, light, now, listener);
         if (allowance == null || allowance.isUnlimited()) {
             grant(claim, now);
             return () -> {};
         }
-        final Optional<ClockReading> stocked = pool(customer).take(tokens, now);
-        if (stocked.isPresent()) {
-            grant(claim, stocked.get());
+        final Optional<ClockReading> pooled = pool(customer).take(tokens, now);
+        if (pooled.isPresent()) {
+            grant(claim, pooled.get());
         } else if (mHeldShares.table().isEmpty()) {
-            outcome.unavailable(UNAVAILABLE_RETRY_DELAY);
+            listener.unavailable(UNAVAILABLE_RETRY_DELAY);
         } else {
             advance(claim, now);
         }
@@ -139,55 +139,56 @@
     }
 
     /**
-     * Gives back what a request was admitted with that did not run.
+     * Returns the tokens of an admitted request that did not run.
      *
-     * @param spend its tokens
+     * @param grant the tokens of the request
      */
-    public void refund(final TokenGrant spend) {
-        mOfferedLoad.recordRefunded(spend.tokens());
-        if (mAllowances.containsKey(spend.customer())) {
-            pool(spend.customer()).add(spend.tokens(), spend.issuedAfter());
+    public void refund(final TokenGrant grant) {
+        mOfferedLoad.recordRefunded(grant.tokens());
+        if (mAllowances.containsKey(grant.customer())) {
+            pool(grant.customer()).add(grant.tokens(), grant.issuedAfter());
         }
     }
 
     /**
-     * Takes a holder's answer.
+     * Handles the response of a holder.
      *
-     * @param answer the answer
-     * @param now the moment
+     * @param response the response
+     * @param now the current time
      */
-    public void handleResponse(final TokenResponse answer, final ClockReading now) {
-        final OpenRequest open = mOpenRequests.remove(answer.id());
-        if (open == null) {
+    public void handleResponse(final TokenResponse response, final ClockReading now) {
+        final OpenRequest openRequest = mOpenRequests.remove(response.id());
+        if (openRequest == null) {
             return;
         }
-        final TokenClaim claim = open.claim();
-        final TokenRequest ask = open.request();
-        switch (answer.outcome()) {
-            case ISSUED -> handleIssued(open, answer.level(), now.steady());
+        final TokenClaim claim = openRequest.claim();
+        final TokenRequest request = openRequest.request();
+        switch (response.outcome()) {
+            case ISSUED -> handleIssued(openRequest, response.level(), now.steady());
             case TOO_FEW -> {
-                mEstimates.recordLevel(ask, answer.level(), now.steady());
-                claim.recordDenied(ask);
+                mEstimates.recordLevel(request, response.level(), now.steady());
+                claim.recordDenied(request);
             }
             case NOT_HELD -> {
-                mEstimates.recordFailure(ask, now.steady());
-                claim.recordNotHeld(ask);
+                mEstimates.recordFailure(request, now.steady());
+                claim.recordNotHeld(request);
             }
-            default -> throw new IllegalStateException(answer.toString());
+            default -> throw new IllegalStateException(response.toString());
         }
         advance(claim, now);
     }
 
-    private void handleIssued(final OpenRequest open, final long level, final Instant now) {
-        mEstimates.recordLevel(open.request(), level, now);
-        if (open.claim().isFinished()) {
-            pool(open.claim().customer()).add(open.request().tokens(), open.sentAt());
+    private void handleIssued(final OpenRequest openRequest, final long level, final Instant now) {
+        mEstimates.recordLevel(openRequest.request(), level, now);
+        if (openRequest.claim().isFinished()) {
+            pool(openRequest.claim().customer())
+                    .add(openRequest.request().tokens(), openRequest.sentAt());
         } else {
-            open.claim().issued(open.request(), open.sentAt());
+            openRequest.claim().recordIssued(openRequest.request(), openRequest.sentAt());
         }
     }
 
-    /** Does the next step of a claim: it is whole, more is asked for, or it can't be met. */
+    /** Completes or rejects a claim, or requests its missing tokens. */
     private void advance(final TokenClaim claim, final ClockReading now) {
         if (claim.isFinished()) {
             return;
@@ -204,7 +205,7 @@
         }
     }
 
-    /** The customer has no shares any more: its limit was lifted, or it was taken out. */
+    /** Ends a claim whose customer's limit was lifted, or whose customer was removed. */
     private void finishWithoutShares(final TokenClaim claim, final ClockReading now) {
         abandon(claim, now);
         if (mAllowances.containsKey(claim.customer())) {
@@ -229,15 +230,17 @@
     }
 
     /**
-     * Looks for answers that did not come in time.
+     * Checks for requests without a response in time and continues their claims.
      *
-     * @param now the moment
+     * @param now the current time
      */
     public void checkTimeouts(final ClockReading now) {
         mCheckScheduled = false;
         final Set<TokenClaim> claims = new LinkedHashSet<>();
-        mOpenRequests.values().forEach(open -> claims.add(open.claim()));
-        mOpenRequests.values().removeIf(open -> TokenPool.isExpired(open.sentAt(), now));
+        mOpenRequests.values().forEach(openRequest -> claims.add(openRequest.claim()));
+        mOpenRequests
+                .values()
+                .removeIf(openRequest -> TokenPool.isExpired(openRequest.sentAt(), now));
         for (final TokenClaim claim : claims) {
             Optional<TokenRequest> overdue = claim.takeOverdue(now.steady());
             while (overdue.isPresent()) {
@@ -258,7 +261,7 @@
         }
     }
 
-    /** Asks for what is missing, split over as many shares as it takes. */
+    /** Requests a claim's missing tokens, split over as many shares as needed. */
     private void requestTokens(final TokenClaim claim, final ClockReading now) {
         final ShareLimits limits = mHeldShares.limits(claim.customer()).orElseThrow();
         final List<Integer> slots = mEstimates.candidateSlots(claim, limits, now);
@@ -268,38 +271,38 @@
         }
         long missing = claim.missingTokens();
         final int parts = Math.min(limits.partCount(missing), slots.size());
-        final List<TokenRequest> asks = new ArrayList<>();
+        final List<TokenRequest> requests = new ArrayList<>();
         for (int part = parts; part > 0; part--) {
             final long tokens = missing / part;
             missing -= tokens;
-            asks.add(createRequest(claim, slots.get(parts - part), tokens, now));
+            requests.add(createRequest(claim, slots.get(parts - part), tokens, now));
         }
-        asks.forEach(ask -> send(claim, ask, now));
+        requests.forEach(request -> send(claim, request, now));
     }
 
     private TokenRequest createRequest(
             final TokenClaim claim, final int slot, final long tokens, final ClockReading now) {
-        final TokenRequest ask =
+        final TokenRequest request =
                 new TokenRequest(
                         mNextId++, claim.customer(), slot, tokens, claim.tokens(), claim.isLight());
-        claim.recordSent(ask, now, RESPONSE_TIMEOUT);
-        mOpenRequests.put(ask.id(), new OpenRequest(claim, ask, now));
-        return ask;
+        claim.recordSent(request, now, RESPONSE_TIMEOUT);
+        mOpenRequests.put(request.id(), new OpenRequest(claim, request, now));
+        return request;
     }
 
-    private void send(final TokenClaim claim, final TokenRequest ask, final ClockReading now) {
+    private void send(final TokenClaim claim, final TokenRequest request, final ClockReading now) {
         if (claim.isFinished()) {
-            // The answer of an own share has ended the claim before this part was sent.
-            mOpenRequests.remove(ask.id());
-        } else if (mHeldShares.isOwn(ask.slot())) {
-            handleResponse(mHeldShares.handleRequest(mSelf, ask, now), now);
+            // A share of this daemon has ended the claim before this request was sent.
+            mOpenRequests.remove(request.id());
+        } else if (mHeldShares.isOwn(request.slot())) {
+            handleResponse(mHeldShares.handleRequest(mSelf, request, now), now);
         } else {
-            mTransport.sendRequest(holder(ask.slot()), ask);
+            mTransport.sendRequest(holder(request.slot()), request);
             scheduleCheck();
         }
     }
 
-    /** Ends a claim that can't be met, as soon as that is sure. */
+    /** Ends a claim that can't be met. */
     private void reject(final TokenClaim claim, final ClockReading now) {
         abandon(claim, now);
         if (claim.hasUnansweredRequest()) {
@@ -310,17 +313,17 @@
         }
     }
 
-    /** Ends a claim whose tokens nobody wants any more, and gives back what was issued. */
+    /** Ends a claim and returns its issued tokens to the holders. */
     private void abandon(final TokenClaim claim, final ClockReading now) {
         claim.finish();
-        claim.issued().forEach(ask -> returnTokens(ask, now));
+        claim.issuedRequests().forEach(request -> returnTokens(request, now));
     }
 
-    private void returnTokens(final TokenRequest ask, final ClockReading now) {
-        if (mHeldShares.isOwn(ask.slot())) {
-            mHeldShares.returnTokens(mSelf, ask, now);
+    private void returnTokens(final TokenRequest request, final ClockReading now) {
+        if (mHeldShares.isOwn(request.slot())) {
+            mHeldShares.returnTokens(mSelf, request, now);
         } else {
-            mTransport.sendReturn(holder(ask.slot()), ask);
+            mTransport.sendReturn(holder(request.slot()), request);
         }
     }
 
--- a/serving/src/main/java/org/whinhead/serving/quota/HeldShares.java
+++ b/serving/src/main/java/org/whinhead/serving/quota/HeldShares.java
@@ -12,13 +12,13 @@
 import org.whinhead.serving.configuration.CustomerAccount;
 import org.whinhead.serving.configuration.TokenAllowance;
 
-/** The shares that this daemon holds, and the tokens that it issues of them. */
+/** Issues tokens from the shares that this daemon holds. */
 public final class HeldShares {
 
     /**
-     * How long a holder goes on after it last read the table. Until then a daemon that took its
-     * place waits: a holder that is cut off from the store can't know that it was replaced. Regions
-     * lose each other for an hour.
+     * How long a holder issues tokens after it last read the table. A successor waits as long,
+     * since a holder that is cut off from the store can't know that it was replaced. Regions can be
+     * partitioned for an hour.
      */
     public static final Duration TABLE_VALIDITY = Duration.ofMinutes(90);
 
@@ -32,11 +32,11 @@
     private boolean mConfigured;
 
     /**
-     * Makes a daemon's shares; it knows of none yet.
+     * Creates the holder without a table and without customers.
      *
-     * @param self the daemon's address for the other daemons
-     * @param tolerance how spending is measured
-     * @param startedAt a moment at which no earlier process was left at this address
+     * @param self this daemon's address for the other daemons
+     * @param tolerance the window and tolerance within which spending is measured
+     * @param startedAt a time at which no earlier process was running at this address
      */
     public HeldShares(
             final InetSocketAddress self,
@@ -48,9 +48,9 @@
     }
 
     /**
-     * Puts the allowances of a configuration in force.
+     * Applies the allowances of a configuration.
      *
-     * @param customers the customers
+     * @param customers the customers of the configuration
      * @param now the steady time
      */
     public void configure(final Collection<CustomerAccount> customers, final Instant now) {
@@ -63,12 +63,12 @@
         mLimits.keySet().retainAll(limited.keySet());
         mBuckets.entrySet().removeIf(entry -> isExpired(entry.getKey(), entry.getValue(), now));
         limited.forEach((customer, allowance) -> setLimits(customer, allowance, now));
-        // Whoever comes later than the first configuration was not served by the process before.
+        // The previous process did not serve customers added after the first configuration.
         limited.keySet().forEach(customer -> createBuckets(customer, mConfigured));
         mConfigured = true;
     }
 
-    /** A customer that is removed and comes back finds its shares as they were. */
+    /** A customer that is removed and added again within a window keeps its share levels. */
     private boolean isExpired(final BucketKey key, final ShareBucket bucket, final Instant now) {
         return !mLimits.containsKey(key.customer())
                 && bucket.isUnusedSince(now.minus(mTolerance.window()));
@@ -87,10 +87,10 @@
     }
 
     /**
-     * Takes the table as this daemon has read it in the store.
+     * Updates the table unless a newer version is known.
      *
-     * @param table the table
-     * @param readAt a moment before it was read
+     * @param table the table as read from the store
+     * @param readAt a time before the read
      */
     public void updateTable(final ShareTable table, final ClockReading readAt) {
         if (mTable.isPresent() && mTable.get().version() > table.version()) {
@@ -109,9 +109,9 @@
         final ShareLimits limits = mLimits.get(customer);
         for (int share = 0; share < ShareLimits.SHARES; share++) {
             final int slot = mTable.get().slotOf(customer, share);
-            final ShareTable.Slot place = mTable.get().slots().get(slot);
-            if (place.holder().equals(mSelf)) {
-                final Instant from = exclusiveSince(place);
+            final ShareTable.Slot entry = mTable.get().slots().get(slot);
+            if (entry.holder().equals(mSelf)) {
+                final Instant from = exclusiveSince(entry);
                 mBuckets.computeIfAbsent(
                         new BucketKey(customer, slot),
                         key ->
@@ -122,54 +122,54 @@
         }
     }
 
-    /** The steady time from which nobody else has issued tokens of a slot. */
-    private Instant exclusiveSince(final ShareTable.Slot place) {
-        final Duration later = Duration.between(mStartedAt.timeOfDay(), place.activeFrom());
+    /** Returns the steady time from which no other daemon has issued tokens of a slot. */
+    private Instant exclusiveSince(final ShareTable.Slot entry) {
+        final Duration later = Duration.between(mStartedAt.timeOfDay(), entry.activeFrom());
         return later.isNegative() ? mStartedAt.steady() : mStartedAt.steady().plus(later);
     }
 
     /**
-     * Returns the table that this daemon goes by.
+     * Returns the newest table that this daemon has read.
      *
-     * @return the table; empty until it was read
+     * @return the table; empty before the first read
      */
     public Optional<ShareTable> table() {
         return mTable;
     }
 
     /**
-     * Returns what each share of a customer gives out.
+     * Returns the limits of each of a customer's shares.
      *
-     * @param customer the customer
-     * @return its limits; empty if it has none
+     * @param customer the customer's name
+     * @return the limits; empty if the customer is unknown or unlimited
      */
     Optional<ShareLimits> limits(final String customer) {
         return Optional.ofNullable(mLimits.get(customer));
     }
 
     /**
-     * Tells whether this daemon may issue tokens of a slot now.
+     * Returns whether this daemon may issue tokens of a slot.
      *
-     * @param slot the slot
-     * @param now the moment
-     * @return whether it holds it
+     * @param slot the index of the slot
+     * @param now the current time
+     * @return whether this daemon is the active holder and its table has not expired
      */
     boolean canIssue(final int slot, final ClockReading now) {
         if (mTable.isEmpty() || slot < 0 || slot >= mTable.get().slots().size()) {
             return false;
         }
-        final ShareTable.Slot place = mTable.get().slots().get(slot);
-        return place.holder().equals(mSelf)
-                && !now.timeOfDay().isBefore(place.activeFrom())
+        final ShareTable.Slot entry = mTable.get().slots().get(slot);
+        return entry.holder().equals(mSelf)
+                && !now.timeOfDay().isBefore(entry.activeFrom())
                 && now.elapsedSince(mTableReadAt.orElseThrow()).compareTo(TABLE_VALIDITY) < 0;
     }
 
-    /** Tells whether the table names this daemon as the holder of a slot, active or not. */
+    /** Returns whether the table lists this daemon as the holder of a slot, active or not. */
     boolean isOwn(final int slot) {
         return mTable.isPresent() && mTable.get().slots().get(slot).holder().equals(mSelf);
     }
 
-    /** The tokens of an own share; none at all where this daemon may not issue any. */
+    /** Returns the tokens in a held share; negative infinity if this daemon may not issue them. */
     double level(final String customer, final int slot, final ClockReading now) {
         final ShareBucket bucket = mBuckets.get(new BucketKey(customer, slot));
         return bucket == null || !canIssue(slot, now)
@@ -178,46 +178,50 @@
     }
 
     /**
-     * Answers an ask for tokens.
+     * Handles a request for tokens.
      *
-     * @param claimant the incarnation that asks
-     * @param ask what it asks
-     * @param now the moment
-     * @return the answer
+     * @param claimant the incarnation of the requesting daemon
+     * @param request the request
+     * @param now the current time
+     * @return the response
      */
     public TokenResponse handleRequest(
-            final String claimant, final TokenRequest ask, final ClockReading now) {
-        final ShareBucket bucket = mBuckets.get(new BucketKey(ask.customer(), ask.slot()));
-        if (bucket == null || !canIssue(ask.slot(), now)) {
+            final String claimant, final TokenRequest request, final ClockReading now) {
+        final ShareBucket bucket = mBuckets.get(new BucketKey(request.customer(), request.slot()));
+        if (bucket == null || !canIssue(request.slot(), now)) {
             return new TokenResponse(
-                    ask.id(), ask.customer(), ask.slot(), TokenResponse.Outcome.NOT_HELD, 0);
+                    request.id(),
+                    request.customer(),
+                    request.slot(),
+                    TokenResponse.Outcome.NOT_HELD,
+                    0);
         }
         final boolean issued =
                 bucket.issue(
-                        new ShareBucket.IssueKey(claimant, ask.id()),
-                        new ShareBucket.ClaimPart(ask.tokens(), ask.claimTokens()),
-                        ask.light(),
+                        new ShareBucket.IssueKey(claimant, request.id()),
+                        new ShareBucket.ClaimPart(request.tokens(), request.claimTokens()),
+                        request.light(),
                         now.steady());
         return new TokenResponse(
-                ask.id(),
-                ask.customer(),
-                ask.slot(),
+                request.id(),
+                request.customer(),
+                request.slot(),
                 issued ? TokenResponse.Outcome.ISSUED : TokenResponse.Outcome.TOO_FEW,
                 Math.round(bucket.level(now.steady())));
     }
 
     /**
-     * Takes back the tokens of an ask that were surely not spent.
+     * Returns the tokens of a request to their share; none of them has been spent.
      *
-     * @param claimant the incarnation that asked
-     * @param ask what it asked
-     * @param now the moment
+     * @param claimant the incarnation of the requesting daemon
+     * @param request the request that the tokens were issued for
+     * @param now the current time
      */
     public void returnTokens(
-            final String claimant, final TokenRequest ask, final ClockReading now) {
-        final ShareBucket bucket = mBuckets.get(new BucketKey(ask.customer(), ask.slot()));
+            final String claimant, final TokenRequest request, final ClockReading now) {
+        final ShareBucket bucket = mBuckets.get(new BucketKey(request.customer(), request.slot()));
         if (bucket != null) {
-            bucket.returnTokens(new ShareBucket.IssueKey(claimant, ask.id()), now.steady());
+            bucket.returnTokens(new ShareBucket.IssueKey(claimant, request.id()), now.steady());
         }
     }
 
--- a/serving/src/main/java/org/whinhead/serving/quota/OfferedLoad.java
+++ b/serving/src/main/java/org/whinhead/serving/quota/OfferedLoad.java
@@ -4,11 +4,11 @@
 import java.util.Map;
 
 /**
- * What callers ask of all daemons within their allowances, as far as this one has heard: the demand
- * by which endpoints are ordered.
+ * Counts the tokens that all daemons have admitted, as far as this one has received their reports.
+ * Endpoints are ordered by this load.
  *
- * <p>What this daemon admitted and could not serve counts, though it was given back: a demand that
- * fell as endpoints are lost would order no others.
+ * <p>Tokens that this daemon admitted and refunded stay counted in its view: otherwise the load
+ * would fall when endpoints are lost, and no replacements would be ordered.
  */
 public final class OfferedLoad {
 
@@ -18,7 +18,7 @@
     private double mOwnOfferedTokens;
     private double mOwnSquaredTokens;
 
-    /** Counts a request that this daemon has admitted. */
+    /** Counts a request that this daemon has admitted, by its tokens. */
     void recordAdmitted(final long tokens) {
         mFleetTokens += tokens;
         mOwnTokens += tokens;
@@ -26,16 +26,16 @@
         mOwnSquaredTokens += (double) tokens * tokens;
     }
 
-    /** Counts a request that did not run; the other daemons are told less. */
+    /** Subtracts a request that did not run from the count reported to other daemons. */
     void recordRefunded(final long tokens) {
         mOwnTokens -= tokens;
     }
 
     /**
-     * Takes another daemon's count.
+     * Updates the count of another daemon.
      *
-     * @param daemon its incarnation
-     * @param tokens what it has admitted since it started, less what did not run
+     * @param daemon the incarnation of the daemon
+     * @param tokens the tokens it has admitted since its start, less those refunded
      */
     public void updatePeer(final String daemon, final long tokens) {
         final Long before = mPeerTokens.put(daemon, tokens);
@@ -45,28 +45,27 @@
     }
 
     /**
-     * Returns what this daemon tells the others.
+     * Returns the count that this daemon reports to the others.
      *
-     * @return tokens admitted since it started, less what did not run
+     * @return the tokens admitted since its start, less those refunded
      */
     public long ownTokens() {
         return mOwnTokens;
     }
 
     /**
-     * Sums the demand.
+     * Returns the load of all daemons.
      *
-     * @return tokens since this daemon started
+     * @return the tokens offered since the start of this daemon
      */
     public long fleetTokens() {
         return mFleetTokens;
     }
 
     /**
-     * Tells how large the requests are that make up the demand: the size of the one to which a
-     * token belongs on average.
+     * Returns the mean size of this daemon's requests, weighted by their tokens.
      *
-     * @return tokens; 0 as long as this daemon has admitted none
+     * @return the mean, in tokens; 0 before the first admitted request
      */
     public double meanRequestTokens() {
         return mOwnOfferedTokens == 0 ? 0 : mOwnSquaredTokens / mOwnOfferedTokens;
--- a/serving/src/main/java/org/whinhead/serving/quota/QuotaTolerance.java
+++ b/serving/src/main/java/org/whinhead/serving/quota/QuotaTolerance.java
@@ -4,15 +4,15 @@
 import org.whinhead.api.Arguments;
 
 /**
- * How a deployment measures what customers spend.
+ * Window and tolerance within which a deployment measures the spending of customers.
  *
- * @param window the sliding time in which tokens are summed
- * @param overPart what may be spent beyond the allowance, as a part of it
- * @param slackTokens what may be spent beyond that
+ * @param window the length of the sliding window in which tokens are summed
+ * @param overshootFraction the accepted spending beyond the allowance, as a fraction of it
+ * @param slackTokens the accepted spending beyond both, in tokens
  */
 public record QuotaTolerance(Duration window, double overshootFraction, long slackTokens) {
 
-    /** Checks the parts. */
+    /** Checks the components. */
     public QuotaTolerance {
         Arguments.requirePositive(window, "window");
         Arguments.requireAtLeast(slackTokens, 0, "slackTokens");
--- a/serving/src/main/java/org/whinhead/serving/quota/QuotaTransport.java
+++ b/serving/src/main/java/org/whinhead/serving/quota/QuotaTransport.java
@@ -3,29 +3,29 @@
 import java.net.InetSocketAddress;
 import java.time.Duration;
 
-/** Carries claims to the holders of shares; messages may be lost, late and out of order. */
+/** Sends messages to the holders of shares; they may be lost, delayed and reordered. */
 public interface QuotaTransport {
 
     /**
-     * Sends an ask; the answer comes through {@link CustomerQuotas#handleResponse}.
+     * Sends a request; the response is passed to {@link CustomerQuotas#handleResponse}.
      *
-     * @param holder where the holder listens
-     * @param ask what is asked
+     * @param holder the address of the holder
+     * @param request the request for tokens
      */
-    void sendRequest(InetSocketAddress holder, TokenRequest ask);
+    void sendRequest(InetSocketAddress holder, TokenRequest request);
 
     /**
-     * Sends the tokens of an ask back.
+     * Returns the tokens of a request to their holder.
      *
-     * @param holder where the holder listens
-     * @param ask what was asked
+     * @param holder the address of the holder
+     * @param request the request that the tokens were issued for
      */
-    void sendReturn(InetSocketAddress holder, TokenRequest ask);
+    void sendReturn(InetSocketAddress holder, TokenRequest request);
 
     /**
-     * Calls {@link CustomerQuotas#checkTimeouts} once.
+     * Schedules one call of {@link CustomerQuotas#checkTimeouts}.
      *
-     * @param delay after this time
+     * @param delay the time until the call
      */
     void scheduleTimeoutCheck(Duration delay);
 }
--- a/serving/src/main/java/org/whinhead/serving/quota/ShareBucket.java
+++ b/serving/src/main/java/org/whinhead/serving/quota/ShareBucket.java
@@ -7,20 +7,20 @@
 import java.util.Map;
 
 /**
- * The tokens of one share of a customer's allowance, at the daemon that holds the share.
+ * Token bucket of one share of a customer's allowance, at the daemon that holds the share.
  *
- * <p>What was issued counts as held until it can no longer be spent. So whatever is issued, given
- * back and issued again, no window sees more than a full bucket, its inflow and one overdraft.
+ * <p>Issued tokens occupy capacity until they expire. So however tokens are issued, returned and
+ * issued again, no window admits more than a full bucket, its inflow and one overdraft.
  */
 final class ShareBucket {
 
-    /** How long issued tokens may be spent; until then they take up room in the bucket. */
+    /** How long issued tokens may be spent and occupy capacity of the bucket. */
     static final Duration TOKEN_VALIDITY = Duration.ofMillis(500);
 
-    /** How long a claim that was turned down holds smaller ones back. */
+    /** How long a rejected claim reserves tokens against smaller claims. */
     private static final Duration RESERVATION_TIME = Duration.ofMillis(500);
 
-    /** A claim that is larger than this part of a full share is not waited for. */
+    /** The largest reservation, as a fraction of the capacity. */
     private static final double MAX_RESERVED_FRACTION = 3.0 / 4;
 
     private final Map<IssueKey, Issue> mIssued = new LinkedHashMap<>();
@@ -39,18 +39,18 @@
     }
 
     /**
-     * Makes a bucket that is as empty as the one of the process before can have been, but for the
-     * credit.
+     * Creates a bucket with the lowest level that the previous process can have left, plus the
+     * restart credit.
      *
-     * <p>A daemon that comes back from a restart doesn't know what the process before had issued,
-     * so it takes the worst. Since its own process started nobody has issued tokens of the share.
-     * The credit serves the callers that have waited for the restart.
+     * <p>A restarted daemon doesn't know the tokens issued by the previous process and assumes the
+     * worst case. No tokens of the share were issued since its own process started. The credit
+     * serves the callers that have waited for the restart.
      */
     static ShareBucket restarted(final ShareLimits limits, final Instant at) {
         return new ShareBucket(limits, limits.restartCredit() - limits.maxDebt(), at);
     }
 
-    /** Makes the bucket of a customer that was not served before. */
+    /** Creates a full bucket, for a customer that was not served before. */
     static ShareBucket full(final ShareLimits limits, final Instant at) {
         return new ShareBucket(limits, limits.capacityTokens(), at);
     }
@@ -65,12 +65,12 @@
         mLevel = Math.min(mLevel, limits.capacityTokens() - mOutstanding);
     }
 
-    /** Issues all tokens of a claim if the share has them. */
+    /** Issues all tokens of a claim if the share has enough. */
     boolean issue(final IssueKey key, final long tokens, final boolean light, final Instant now) {
         return issue(key, new ClaimPart(tokens, tokens), light, now);
     }
 
-    /** Issues tokens if the share has them; a repeated claim is not issued again. */
+    /** Issues tokens if the share has enough; a repeated request is not issued again. */
     boolean issue(
             final IssueKey key, final ClaimPart part, final boolean light, final Instant now) {
         refill(now);
@@ -97,30 +97,30 @@
     }
 
     /**
-     * Returns what the share must have for a claim. One that needs several shares at the same
-     * moment finds what it asks of this one left behind by smaller claims; one that needs no other
-     * share comes first as soon as there is enough for it.
+     * Returns the tokens that the share must have to serve a part. Smaller claims leave the tokens
+     * of a waiting claim that needs several shares at the same time; a waiting claim that needs no
+     * other share is served first once the level suffices.
      */
     private double requiredTokens(final ClaimPart part, final Instant now) {
-        final long waiting = reservedClaimTokens(now);
-        if (part.claimTokens() >= waiting) {
+        final long reservedClaim = reservedClaimTokens(now);
+        if (part.claimTokens() >= reservedClaim) {
             return part.tokens();
         }
-        return waiting > mReservedTokens
+        return reservedClaim > mReservedTokens
                 ? part.tokens() + mReservedTokens
                 : Math.max(part.tokens(), mReservedTokens);
     }
 
-    /** The largest claim that was turned down a moment ago. */
+    /** Returns the size of the largest recently rejected claim, in tokens; 0 if there is none. */
     private long reservedClaimTokens(final Instant now) {
         return now.isBefore(mReservedUntil) ? mReservedClaimTokens : 0;
     }
 
     /**
-     * Remembers a claim that was turned down. While a customer asks for more than it may have, its
-     * small requests would take every token that comes in and its large ones would never be served;
-     * so smaller claims wait. Claims are compared as wholes: a large one is split over several
-     * shares, and its parts are no larger than others.
+     * Reserves tokens for a rejected claim, so that smaller claims wait. Otherwise the small
+     * requests of a customer over its allowance would take every new token and its large requests
+     * would never be served. Whole claims are compared: a large one is split over several shares,
+     * and its parts are no larger than others.
      */
     private void reserve(final ClaimPart part, final boolean light, final Instant now) {
         if (!light && part.claimTokens() >= reservedClaimTokens(now)) {
@@ -131,7 +131,7 @@
         }
     }
 
-    /** Takes back tokens that were issued and surely not spent. */
+    /** Returns issued tokens to the share; none of them has been spent. */
     void returnTokens(final IssueKey key, final Instant now) {
         refill(now);
         final Issue issue = mIssued.remove(key);
@@ -160,26 +160,26 @@
         refillUntil(now);
     }
 
-    /** Lets tokens flow in, as far as there is room beside those that may still be spent. */
+    /** Adds the inflow up to a time, within the capacity not occupied by issued tokens. */
     private void refillUntil(final Instant time) {
-        final Duration passed = Duration.between(mRefilledAt, time);
-        if (passed.isNegative() || passed.isZero()) {
+        final Duration elapsed = Duration.between(mRefilledAt, time);
+        if (elapsed.isNegative() || elapsed.isZero()) {
             return;
         }
         mRefilledAt = time;
-        final double most = Math.max(mLimits.capacityTokens() - mOutstanding, mLevel);
-        mLevel = Math.min(mLevel + mLimits.inflow(passed), most);
+        final double maxLevel = Math.max(mLimits.capacityTokens() - mOutstanding, mLevel);
+        mLevel = Math.min(mLevel + mLimits.inflow(elapsed), maxLevel);
     }
 
     /**
-     * What a claim asks of this share.
+     * The part of a claim that is requested from this share.
      *
-     * @param tokens how many it asks here
-     * @param claimTokens how many it needs of all shares
+     * @param tokens the tokens requested from this share
+     * @param claimTokens the tokens that the claim needs from all shares
      */
     record ClaimPart(long tokens, long claimTokens) {}
 
-    /** Who claimed, and under which number. */
+    /** Identifies a request by its daemon incarnation and its id. */
     record IssueKey(String claimant, long requestId) {}
 
     private static final class Issue {
--- a/serving/src/main/java/org/whinhead/serving/quota/ShareEstimate.java
+++ b/serving/src/main/java/org/whinhead/serving/quota/ShareEstimate.java
@@ -4,8 +4,8 @@
 import java.time.Instant;
 
 /**
- * What a daemon believes of a share that another one may hold. Others use the share too, so the
- * level is at most what is believed: a share that is believed to be too low surely is.
+ * Upper bound of the level of a share that another daemon may hold. Other daemons use the share
+ * too, so its level may be lower: a share whose bound is too low certainly has too few tokens.
  */
 final class ShareEstimate {
 
@@ -22,7 +22,7 @@
         return Math.min(refilled, limits.capacityTokens());
     }
 
-    /** The time until the share may hold so much. */
+    /** Returns the time until the share may have reached a level. */
     Duration timeUntil(final double level, final ShareLimits limits, final Instant now) {
         final double missing = Math.max(level - upperBound(limits, now), 0);
         return Duration.ofMillis((long) Math.ceil(missing * 1_000 / limits.tokensPerSecond()));
--- a/serving/src/main/java/org/whinhead/serving/quota/ShareEstimates.java
+++ b/serving/src/main/java/org/whinhead/serving/quota/ShareEstimates.java
@@ -12,13 +12,13 @@
 import java.util.Map;
 import java.util.Random;
 
-/** What a daemon believes of the shares that it may ask, and which of them it asks. */
+/** Estimates the levels of shares and selects those to request tokens from. */
 final class ShareEstimates {
 
-    /** How long a holder that did not answer is passed over, if others are left. */
+    /** How long other holders are preferred to one that did not respond. */
     private static final Duration UNRESPONSIVE_TIME = Duration.ofSeconds(10);
 
-    /** The least time after which a customer that is over its allowance is asked to come back. */
+    /** The shortest retry delay of a customer that is over its allowance. */
     private static final Duration MIN_RETRY_DELAY = Duration.ofMillis(20);
 
     private final HeldShares mHeldShares;
@@ -27,33 +27,33 @@
     private final Map<InetSocketAddress, Instant> mUnresponsiveUntil = new HashMap<>();
 
     /**
-     * Makes views of shares that nothing was heard of.
+     * Creates estimates without any reported level.
      *
-     * @param held the shares that this daemon holds itself, and the table
-     * @param random picks among shares that look alike
+     * @param heldShares the shares that this daemon holds, and the table
+     * @param random selects among equally suitable shares
      */
-    ShareEstimates(final HeldShares held, final Random random) {
-        mHeldShares = held;
+    ShareEstimates(final HeldShares heldShares, final Random random) {
+        mHeldShares = heldShares;
         mRandom = random;
     }
 
-    /** Forgets all customers but these. */
+    /** Removes the estimates of all other customers. */
     void retainCustomers(final Collection<String> customers) {
         mEstimates.keySet().retainAll(customers);
     }
 
-    /** Notes what a holder says that a share has left. */
-    void recordLevel(final TokenRequest ask, final long level, final Instant now) {
-        estimate(ask.customer(), ask.slot()).setLevel(level, now);
-        mUnresponsiveUntil.remove(holder(ask.slot()));
+    /** Records the level of a share that its holder has reported, in tokens. */
+    void recordLevel(final TokenRequest request, final long level, final Instant now) {
+        estimate(request.customer(), request.slot()).setLevel(level, now);
+        mUnresponsiveUntil.remove(holder(request.slot()));
     }
 
-    /** Notes that a holder did not answer, or did not know that it is one. */
-    void recordFailure(final TokenRequest ask, final Instant now) {
-        mUnresponsiveUntil.put(holder(ask.slot()), now.plus(UNRESPONSIVE_TIME));
+    /** Records that a holder did not respond, or does not hold the share. */
+    void recordFailure(final TokenRequest request, final Instant now) {
+        mUnresponsiveUntil.put(holder(request.slot()), now.plus(UNRESPONSIVE_TIME));
     }
 
-    /** The slots that may have enough: own ones, then those of holders that answer. */
+    /** Returns the slots that may have enough tokens: own ones first, then responsive holders. */
     List<Integer> candidateSlots(
             final TokenClaim claim, final ShareLimits limits, final ClockReading now) {
         final ShareTable table = mHeldShares.table().orElseThrow();
@@ -95,20 +95,20 @@
                 : estimate(customer, slot).upperBound(limits, now.steady());
     }
 
-    /** The time until as many shares as a claim needs may have enough for it. */
+    /** Returns the time until as many shares as a claim needs may have enough tokens. */
     Duration retryAfter(final TokenClaim claim, final ShareLimits limits, final Instant now) {
         final ShareTable table = mHeldShares.table().orElseThrow();
         final int parts = limits.partCount(claim.tokens());
         final double needed = limits.requiredLevel(claim.tokens() / parts, claim.isLight());
-        final List<Duration> times = new ArrayList<>();
+        final List<Duration> delays = new ArrayList<>();
         for (int share = 0; share < ShareLimits.SHARES; share++) {
-            final ShareEstimate view =
+            final ShareEstimate estimate =
                     estimate(claim.customer(), table.slotOf(claim.customer(), share));
-            times.add(view.timeUntil(needed, limits, now));
+            delays.add(estimate.timeUntil(needed, limits, now));
         }
-        Collections.sort(times);
-        final Duration enough = times.get(parts - 1);
-        return enough.compareTo(MIN_RETRY_DELAY) > 0 ? enough : MIN_RETRY_DELAY;
+        Collections.sort(delays);
+        final Duration delay = delays.get(parts - 1);
+        return delay.compareTo(MIN_RETRY_DELAY) > 0 ? delay : MIN_RETRY_DELAY;
     }
 
     private InetSocketAddress holder(final int slot) {
@@ -122,10 +122,10 @@
     }
 
     private static List<ShareEstimate> newEstimates() {
-        final List<ShareEstimate> views = new ArrayList<>();
+        final List<ShareEstimate> estimates = new ArrayList<>();
         for (int share = 0; share < ShareLimits.SHARES; share++) {
-            views.add(new ShareEstimate());
+            estimates.add(new ShareEstimate());
         }
-        return views;
+        return estimates;
     }
 }
--- a/serving/src/main/java/org/whinhead/serving/quota/ShareHolders.java
+++ b/serving/src/main/java/org/whinhead/serving/quota/ShareHolders.java
@@ -9,24 +9,24 @@
 import java.util.TreeMap;
 import org.whinhead.serving.member.Member;
 
-/** Orders the daemons that are to hold shares. */
+/** Orders daemons for the share table. */
 public final class ShareHolders {
 
     private ShareHolders() {}
 
     /**
-     * Takes a daemon of each failure domain in turn, and within a domain no two that are likely to
-     * be stopped one after the other. A customer's shares are neighbours in the table, so neither
-     * the loss of a domain nor a restart of all in turn takes many of them at once.
+     * Interleaves the failure domains, with the daemons of a domain ordered by a hash of their
+     * names. A customer's shares are neighbors in the table, so neither the loss of a domain nor a
+     * rolling restart in the order of names affects many of them at once.
      *
      * @param members the daemons
-     * @return their addresses
+     * @return the addresses of the daemons
      */
     public static List<InetSocketAddress> interleaveDomains(final Collection<Member> members) {
         final Map<String, List<Member>> byDomain = new TreeMap<>();
         members.stream()
                 .sorted(
-                        Comparator.comparingInt((Member member) -> mixed(member.name()))
+                        Comparator.comparingInt((Member member) -> mixedHash(member.name()))
                                 .thenComparing(Member::name))
                 .forEach(
                         member ->
@@ -44,8 +44,8 @@
         return ordered;
     }
 
-    /** Names are numbered, and numbers that follow each other have hash codes that do. */
-    private static int mixed(final String name) {
+    /** Spreads the hash codes of consecutively numbered names, which are consecutive too. */
+    private static int mixedHash(final String name) {
         final int hash = name.hashCode() * 0x9E3779B9;
         return hash ^ hash >>> 15;
     }
--- a/serving/src/main/java/org/whinhead/serving/quota/ShareTable.java
+++ b/serving/src/main/java/org/whinhead/serving/quota/ShareTable.java
@@ -9,21 +9,21 @@
 import org.whinhead.api.Arguments;
 
 /**
- * Which daemon holds which shares, the same for all customers; kept in the store.
+ * Assignment of shares to daemons, common to all customers and kept in the store.
  *
- * <p>A holder is known by its address: a process that comes up there knows that the one before is
- * gone. So a restart needs no change of the table, and no daemon has to find out who is alive.
+ * <p>A holder is identified by its address: a process that starts there knows that the previous one
+ * has ended. So a restart needs no change of the table and no failure detection.
  *
- * @param version grows with each change
- * @param daemons how many daemons there were when it was written
- * @param slots the holders; each customer uses {@link ShareLimits#SHARES} neighbouring slots
+ * @param version the version, which grows with each change
+ * @param daemons the number of daemons when the first version was written
+ * @param slots the holders; each customer uses {@link ShareLimits#SHARES} neighboring slots
  */
 public record ShareTable(long version, int daemons, List<Slot> slots) {
 
-    /** The slots of a table, so that the shares of many customers spread over many daemons. */
+    /** The number of slots, which spread the shares of many customers over many daemons. */
     public static final int SLOTS = 64;
 
-    /** Checks and copies the parts. */
+    /** Checks and copies the components. */
     public ShareTable {
         Arguments.requireAtLeast(version, 1, "version");
         Arguments.requireAtLeast(daemons, 1, "daemons");
@@ -32,14 +32,14 @@
     }
 
     /**
-     * A place in the table.
+     * An entry of the table.
      *
-     * @param holder the daemon's address for the other daemons
+     * @param holder the holder's address for the other daemons
      * @param activeFrom the time of day from which the holder issues tokens
      */
     public record Slot(InetSocketAddress holder, Instant activeFrom) {
 
-        /** Checks the parts. */
+        /** Checks the components. */
         public Slot {
             Objects.requireNonNull(holder, "holder");
             Objects.requireNonNull(activeFrom, "activeFrom");
@@ -47,9 +47,9 @@
     }
 
     /**
-     * Makes the first table.
+     * Creates the first version of the table.
      *
-     * @param holders the daemons, ordered so that neighbours should not fail together
+     * @param holders the daemons, ordered so that neighbors are unlikely to fail together
      * @return the table
      */
     public static ShareTable initial(final List<InetSocketAddress> holders) {
@@ -61,41 +61,41 @@
     }
 
     /**
-     * Gives the slots of daemons that are gone to others.
+     * Reassigns the slots of lost daemons.
      *
-     * @param isGone tells whether a daemon is gone for good
-     * @param successors who may take over
-     * @param activeFrom when the daemons that are gone have surely stopped issuing tokens
-     * @return the next table; this one if nothing changes
+     * @param isLost returns whether a daemon is lost permanently
+     * @param successors the daemons that may take over
+     * @param activeFrom the time of day from which the lost daemons certainly issue no tokens
+     * @return the next version; this one if nothing changes
      */
     public ShareTable reassign(
-            final Predicate<InetSocketAddress> isGone,
+            final Predicate<InetSocketAddress> isLost,
             final List<InetSocketAddress> successors,
             final Instant activeFrom) {
         final List<Slot> next = new ArrayList<>();
-        int taken = 0;
+        int reassigned = 0;
         for (final Slot slot : slots) {
-            if (isGone.test(slot.holder()) && !successors.isEmpty()) {
-                next.add(new Slot(successors.get(taken % successors.size()), activeFrom));
-                taken++;
+            if (isLost.test(slot.holder()) && !successors.isEmpty()) {
+                next.add(new Slot(successors.get(reassigned % successors.size()), activeFrom));
+                reassigned++;
             } else {
                 next.add(slot);
             }
         }
-        return taken == 0 ? this : new ShareTable(version + 1, daemons, next);
+        return reassigned == 0 ? this : new ShareTable(version + 1, daemons, next);
     }
 
     /**
-     * Tells whether a daemon holds any slot.
+     * Returns whether a daemon holds any slot.
      *
      * @param holder the daemon's address
-     * @return whether it is named
+     * @return whether the table lists the daemon
      */
     public boolean hasHolder(final InetSocketAddress holder) {
         return slots.stream().anyMatch(slot -> slot.holder().equals(holder));
     }
 
-    /** The slot of one of a customer's shares. */
+    /** Returns the index of the slot of one of a customer's shares. */
     int slotOf(final String customer, final int share) {
         return Math.floorMod(customer.hashCode() * ShareLimits.SHARES + share, slots.size());
     }
--- a/serving/src/main/java/org/whinhead/serving/quota/TokenClaim.java
+++ b/serving/src/main/java/org/whinhead/serving/quota/TokenClaim.java
@@ -11,7 +11,7 @@
 import java.util.Optional;
 import java.util.Set;
 
-/** A request's claim of tokens that is under way. */
+/** State of a pending claim for the tokens of one caller's request. */
 final class TokenClaim {
 
     private final String mCustomer;
@@ -26,25 +26,25 @@
     private boolean mFinished;
 
     /**
-     * Starts a claim.
+     * Creates a claim without tokens.
      *
-     * @param customer the customer
-     * @param tokens what its request costs
-     * @param light whether it may use what is kept for light requests
-     * @param startedAt from when the validity of its tokens is counted
-     * @param outcome hears the outcome
+     * @param customer the customer's name
+     * @param tokens the cost of the caller's request, in tokens
+     * @param light whether the claim may use the reserve for light requests
+     * @param startedAt the time from which the timeout and the validity of tokens count
+     * @param listener receives the outcome
      */
     TokenClaim(
             final String customer,
             final long tokens,
             final boolean light,
             final ClockReading startedAt,
-            final TokenClaimListener outcome) {
+            final TokenClaimListener listener) {
         mCustomer = customer;
         mTokens = tokens;
         mLight = light;
         mStartedAt = startedAt;
-        mListener = outcome;
+        mListener = listener;
     }
 
     String customer() {
@@ -67,22 +67,23 @@
         return mListener;
     }
 
-    void recordSent(final TokenRequest ask, final ClockReading at, final Duration timeout) {
-        mOpenRequests.put(ask.id(), new SentRequest(ask, at, at.steady().plus(timeout)));
+    void recordSent(final TokenRequest request, final ClockReading sentAt, final Duration timeout) {
+        mOpenRequests.put(
+                request.id(), new SentRequest(request, sentAt, sentAt.steady().plus(timeout)));
     }
 
-    void issued(final TokenRequest ask, final ClockReading issuedAfter) {
-        mOpenRequests.remove(ask.id());
-        mIssued.add(new IssuedTokens(ask, issuedAfter));
+    void recordIssued(final TokenRequest request, final ClockReading issuedAfter) {
+        mOpenRequests.remove(request.id());
+        mIssued.add(new IssuedTokens(request, issuedAfter));
     }
 
-    /** Forgets tokens that may no longer be spent: another answer took too long to come. */
+    /** Drops tokens that expired while other responses were pending, and expired requests. */
     void dropExpired(final ClockReading now) {
         mIssued.removeIf(tokens -> TokenPool.isExpired(tokens.issuedAfter(), now));
         mOpenRequests.values().removeIf(sent -> TokenPool.isExpired(sent.mSentAt, now));
     }
 
-    /** No token of this claim was issued earlier. */
+    /** Returns a time before which no token of this claim was issued. */
     ClockReading issuedAfter() {
         return mIssued.stream()
                 .map(IssuedTokens::issuedAfter)
@@ -90,19 +91,19 @@
                 .orElse(mStartedAt);
     }
 
-    /** Notes that a share has too few tokens; it is not asked again. */
-    void recordDenied(final TokenRequest ask) {
-        mOpenRequests.remove(ask.id());
-        mFailedSlots.add(ask.slot());
+    /** Records that a share has too few tokens; the claim does not ask it again. */
+    void recordDenied(final TokenRequest request) {
+        mOpenRequests.remove(request.id());
+        mFailedSlots.add(request.slot());
     }
 
-    /** Notes that a holder can't say what a share has; it is not asked again. */
-    void recordNotHeld(final TokenRequest ask) {
-        recordDenied(ask);
+    /** Records that a daemon does not hold a share; the claim does not ask it again. */
+    void recordNotHeld(final TokenRequest request) {
+        recordDenied(request);
         mUnanswered = true;
     }
 
-    /** Finds an ask whose answer is overdue, once; the answer is still taken if it comes. */
+    /** Returns each request without a response in time once; a late response is still used. */
     Optional<TokenRequest> takeOverdue(final Instant now) {
         for (final SentRequest sent : mOpenRequests.values()) {
             if (!sent.mOverdue && !now.isBefore(sent.mDeadline)) {
@@ -119,7 +120,7 @@
         return !mFailedSlots.contains(slot);
     }
 
-    /** What is still to be asked for: neither issued nor expected in time. */
+    /** Returns the tokens still to request: neither issued nor expected in time. */
     long missingTokens() {
         long missing = mTokens - issuedTokens();
         for (final SentRequest sent : mOpenRequests.values()) {
@@ -132,7 +133,7 @@
         return issuedTokens() >= mTokens;
     }
 
-    /** Tokens that were issued beyond what the request costs. */
+    /** Returns the tokens issued beyond the cost of the request. */
     long surplusTokens() {
         return issuedTokens() - mTokens;
     }
@@ -149,7 +150,7 @@
         return mUnanswered;
     }
 
-    List<TokenRequest> issued() {
+    List<TokenRequest> issuedRequests() {
         return mIssued.stream().map(IssuedTokens::request).toList();
     }
 
@@ -169,10 +170,11 @@
         private final Instant mDeadline;
         private boolean mOverdue;
 
-        private SentRequest(final TokenRequest ask, final ClockReading at, final Instant answerBy) {
-            mRequest = ask;
-            mSentAt = at;
-            mDeadline = answerBy;
+        private SentRequest(
+                final TokenRequest request, final ClockReading sentAt, final Instant deadline) {
+            mRequest = request;
+            mSentAt = sentAt;
+            mDeadline = deadline;
         }
     }
 }
--- a/serving/src/main/java/org/whinhead/serving/quota/TokenClaimListener.java
+++ b/serving/src/main/java/org/whinhead/serving/quota/TokenClaimListener.java
@@ -2,27 +2,27 @@
 
 import java.time.Duration;
 
-/** Hears what becomes of a claim, once. */
+/** Receives the outcome of a claim by one call of one method. */
 public interface TokenClaimListener {
 
     /**
-     * The customer has the tokens.
+     * Called when the tokens are granted.
      *
-     * @param spend the tokens, to be spent at once
+     * @param grant the tokens, to be spent at once
      */
-    void granted(TokenGrant spend);
+    void granted(TokenGrant grant);
 
     /**
-     * The customer has spent what it may.
+     * Called when the customer is over its allowance.
      *
-     * @param comeBackAfter when it may have enough again
+     * @param retryAfter the time until it may have enough tokens
      */
-    void overAllowance(Duration comeBackAfter);
+    void overAllowance(Duration retryAfter);
 
     /**
-     * What the customer may spend can't be found out.
+     * Called when the customer's remaining allowance can't be determined.
      *
-     * @param comeBackAfter when another try is worth it
+     * @param retryAfter the time until a retry may succeed
      */
-    void unavailable(Duration comeBackAfter);
+    void unavailable(Duration retryAfter);
 }
--- a/serving/src/main/java/org/whinhead/serving/quota/TokenGrant.java
+++ b/serving/src/main/java/org/whinhead/serving/quota/TokenGrant.java
@@ -3,15 +3,15 @@
 import java.util.Objects;
 
 /**
- * Tokens that a request was admitted with.
+ * Tokens granted to an admitted request.
  *
- * @param customer the customer
- * @param tokens how many
- * @param issuedAfter the tokens were issued no earlier
+ * @param customer the customer's name
+ * @param tokens the number of tokens
+ * @param issuedAfter a time before which none of the tokens was issued
  */
 public record TokenGrant(String customer, long tokens, ClockReading issuedAfter) {
 
-    /** Checks the parts. */
+    /** Checks the components. */
     public TokenGrant {
         Objects.requireNonNull(customer, "customer");
         Objects.requireNonNull(issuedAfter, "issuedAfter");
--- a/serving/src/main/java/org/whinhead/serving/quota/TokenPool.java
+++ b/serving/src/main/java/org/whinhead/serving/quota/TokenPool.java
@@ -6,8 +6,8 @@
 import java.util.Optional;
 
 /**
- * Tokens of a customer that this daemon was issued and has no request for: an answer came too late,
- * or a request did not run. They are spent by the next requests, or lapse.
+ * Issued tokens of a customer that are not assigned to a request, because a response was late or a
+ * request did not run. The next requests spend them unless they expire first.
  */
 final class TokenPool {
 
@@ -19,7 +19,7 @@
         mTokens += tokens;
     }
 
-    /** Takes tokens if there are enough that may still be spent. */
+    /** Takes tokens if enough are valid; returns a time before which none of them was issued. */
     Optional<ClockReading> take(final long tokens, final ClockReading now) {
         dropExpired(now);
         if (mTokens < tokens) {
@@ -29,29 +29,29 @@
         ClockReading oldest = now;
         long missing = tokens;
         while (missing > 0) {
-            final Batch lot = mBatches.removeFirst();
+            final Batch batch = mBatches.removeFirst();
             oldest =
-                    now.elapsedSince(lot.mIssuedAfter).compareTo(now.elapsedSince(oldest)) > 0
-                            ? lot.mIssuedAfter
+                    now.elapsedSince(batch.mIssuedAfter).compareTo(now.elapsedSince(oldest)) > 0
+                            ? batch.mIssuedAfter
                             : oldest;
-            if (lot.mTokens > missing) {
-                mBatches.addFirst(new Batch(lot.mTokens - missing, lot.mIssuedAfter));
+            if (batch.mTokens > missing) {
+                mBatches.addFirst(new Batch(batch.mTokens - missing, batch.mIssuedAfter));
             }
-            missing -= Math.min(lot.mTokens, missing);
+            missing -= Math.min(batch.mTokens, missing);
         }
         return Optional.of(oldest);
     }
 
     private void dropExpired(final ClockReading now) {
         mBatches.removeIf(
-                lot -> {
-                    final boolean lapsed = isExpired(lot.mIssuedAfter, now);
-                    mTokens -= lapsed ? lot.mTokens : 0;
-                    return lapsed;
+                batch -> {
+                    final boolean expired = isExpired(batch.mIssuedAfter, now);
+                    mTokens -= expired ? batch.mTokens : 0;
+                    return expired;
                 });
     }
 
-    /** Tells whether tokens that were issued no earlier than this may no longer be spent. */
+    /** Returns whether tokens that were issued no earlier than a time have expired. */
     static boolean isExpired(final ClockReading issuedAfter, final ClockReading now) {
         final Duration age = now.elapsedSince(issuedAfter);
         return age.compareTo(ShareBucket.TOKEN_VALIDITY) > 0;
--- a/serving/src/main/java/org/whinhead/serving/quota/TokenRequest.java
+++ b/serving/src/main/java/org/whinhead/serving/quota/TokenRequest.java
@@ -1,26 +1,26 @@
 package org.whinhead.serving.quota;
 
 /**
- * Asks the holder of a share for tokens.
+ * A request for tokens to the holder of a share.
  *
- * @param id numbers the asks of a daemon's incarnation
- * @param customer the customer
+ * @param id the id, unique within a daemon's incarnation
+ * @param customer the customer's name
  * @param slot the slot of the share in the table
- * @param tokens how many; all or none are issued
- * @param claimTokens how many the whole claim needs, of all shares that it asks
- * @param light whether the request may use what is kept for light ones
+ * @param tokens the number of tokens, of which all or none are issued
+ * @param claimTokens the tokens that the claim needs from all shares
+ * @param light whether the claim may use the reserve for light requests
  */
 public record TokenRequest(
         long id, String customer, int slot, long tokens, long claimTokens, boolean light) {
 
     /**
-     * Asks one share for all that a claim needs.
+     * Creates a request for all tokens of a claim.
      *
-     * @param id the number of the ask
-     * @param customer the customer
-     * @param slot the slot of the share
-     * @param tokens how many
-     * @param light whether the request may use what is kept for light ones
+     * @param id the id, unique within a daemon's incarnation
+     * @param customer the customer's name
+     * @param slot the slot of the share in the table
+     * @param tokens the number of tokens
+     * @param light whether the claim may use the reserve for light requests
      */
     public TokenRequest(
             final long id,
--- a/serving/src/main/java/org/whinhead/serving/quota/TokenResponse.java
+++ b/serving/src/main/java/org/whinhead/serving/quota/TokenResponse.java
@@ -3,28 +3,28 @@
 import java.util.Objects;
 
 /**
- * A holder's answer to an ask.
+ * A holder's response to a {@link TokenRequest}.
  *
- * @param id the ask's id
- * @param customer the customer
+ * @param id the id of the request
+ * @param customer the customer's name
  * @param slot the slot of the share
- * @param outcome what became of it
+ * @param outcome the outcome of the request
  * @param level the tokens left in the share; negative if it is overdrawn
  */
 public record TokenResponse(long id, String customer, int slot, Outcome outcome, long level) {
 
-    /** Checks the parts. */
+    /** Checks the components. */
     public TokenResponse {
         Objects.requireNonNull(outcome, "outcome");
     }
 
-    /** What became of an ask. */
+    /** Outcome of a request. */
     public enum Outcome {
-        /** The tokens may be spent for a short while. */
+        /** The tokens were issued and may be spent until they expire. */
         ISSUED,
-        /** The share has too few. */
+        /** The share has too few tokens. */
         TOO_FEW,
-        /** The daemon doesn't hold the share, or doesn't know that it does. */
+        /** The daemon doesn't hold the share, or doesn't know that it holds it. */
         NOT_HELD
     }
 }
--- a/serving/src/main/java/org/whinhead/serving/usage/FleetClock.java
+++ b/serving/src/main/java/org/whinhead/serving/usage/FleetClock.java
@@ -9,26 +9,24 @@
 import java.util.Objects;
 
 /**
- * The time of day that the daemons agree on.
+ * Time of day on which all daemons agree.
  *
  * <p>Usage is counted by windows of the true time, and the time of day of single machines jumps by
- * seconds: their requests were counted in a window that was not yet open or already reported. A
- * jump shows against the steady clock, but a machine that was suspended looks the same, as its
- * steady clock stood still. So this clock runs on steadily at a jump, and takes the median of the
- * other daemons' clocks once it differs. Machines that all jump at once keep each other right, as
- * what they tell each other is this clock and not the machine's.
+ * seconds: their requests were counted in windows that were not yet open or already reported. A
+ * jump is detected by comparison with the steady clock, but a suspension looks the same, as it
+ * stops the steady clock. So this clock ignores jumps, and adopts the median of the other daemons'
+ * clocks once it differs from it. The daemons exchange the times of these clocks and not of their
+ * machines, so the clocks stay correct even if all machines jump at once.
  */
 public final class FleetClock implements InstantSource {
 
-    /** Differences that are drift, and not a jump; machines differ by some tens of milliseconds. */
+    /** The largest difference treated as drift; machines differ by some tens of milliseconds. */
     private static final Duration MAX_DRIFT = Duration.ofMillis(400);
 
-    /**
-     * How long a daemon's clock counts after it was heard: two intervals of 90 daemons' reports.
-     */
+    /** How long a reported time is used: two report intervals of a fleet of 90 daemons. */
     private static final Duration PEER_TIME_VALIDITY = Duration.ofSeconds(4);
 
-    /** Fewer others only confirm: of two clocks that differ neither is known to be right. */
+    /** The fewest peers for a median; of two clocks that differ neither is known to be correct. */
     private static final int MIN_PEERS = 2;
 
     private final InstantSource mSteady;
@@ -37,7 +35,7 @@
     private Duration mOffset;
 
     /**
-     * Makes a clock that shows this machine's time of day.
+     * Creates a clock that starts with this machine's time of day.
      *
      * @param steady a clock that never jumps
      * @param timeOfDay the machine's time of day
@@ -54,9 +52,9 @@
 
     @Override
     public Instant instant() {
-        final Duration own = machineOffset();
-        if (isDrift(own) || mPeerTimes.isEmpty()) {
-            mOffset = own;
+        final Duration machine = machineOffset();
+        if (isDrift(machine) || mPeerTimes.isEmpty()) {
+            mOffset = machine;
         }
         return mSteady.instant().plus(mOffset);
     }
@@ -70,20 +68,20 @@
     }
 
     /**
-     * Takes what another daemon's clock shows.
+     * Records the time of another daemon's clock.
      *
-     * @param daemon the daemon
-     * @param shown the time when it was sent
+     * @param daemon the daemon's name
+     * @param time the time of its clock when the report was sent
      */
-    public void recordPeerTime(final String daemon, final Instant shown) {
+    public void recordPeerTime(final String daemon, final Instant time) {
         final Instant now = mSteady.instant();
-        mPeerTimes.put(daemon, new PeerTime(Duration.between(now, shown), now));
+        mPeerTimes.put(daemon, new PeerTime(Duration.between(now, time), now));
     }
 
-    /** Goes by the others if this clock differs from most of them; to be called often. */
+    /** Adopts the median of the peers if this clock differs from it; to be called often. */
     public void syncWithPeers() {
         final Instant oldest = mSteady.instant().minus(PEER_TIME_VALIDITY);
-        mPeerTimes.values().removeIf(heard -> heard.receivedAt().isBefore(oldest));
+        mPeerTimes.values().removeIf(peer -> peer.receivedAt().isBefore(oldest));
         if (mPeerTimes.size() < MIN_PEERS) {
             followConfirmedJump();
             return;
@@ -96,11 +94,11 @@
         }
     }
 
-    /** Follows the machine's time of day after a jump if the only other daemon shows the same. */
+    /** Follows the machine's time of day after a jump if the only peer confirms it. */
     private void followConfirmedJump() {
-        final Duration own = machineOffset();
-        if (mPeerTimes.values().stream().allMatch(heard -> isClose(heard.offset(), own))) {
-            mOffset = own;
+        final Duration machine = machineOffset();
+        if (mPeerTimes.values().stream().allMatch(peer -> isClose(peer.offset(), machine))) {
+            mOffset = machine;
         }
     }
 
--- a/serving/src/main/java/org/whinhead/serving/usage/UsageLedger.java
+++ b/serving/src/main/java/org/whinhead/serving/usage/UsageLedger.java
@@ -7,26 +7,26 @@
 import java.util.TreeMap;
 
 /**
- * Sums the usage of all daemons.
+ * Sums the usage counts of all daemons.
  *
  * <p>Every daemon sends its counts of the last windows to every other one several times a second,
- * so that a killed daemon's counts survive at the others, but for its last moment.
+ * so that a killed daemon loses only the counts since its last report.
  */
 public final class UsageLedger {
 
-    /** Windows that are kept: a report is due two windows after its own. */
+    /** The number of windows kept; the report of a window is due two windows later. */
     private static final int KEPT_WINDOWS = 6;
 
-    /** Windows that are reported: a window is decided two seconds after its end. */
+    /** The number of windows sent to other daemons; one is decided two seconds after its end. */
     private static final int REPORTED_WINDOWS = 3;
 
     private final String mOwnIncarnation;
     private final TreeMap<Long, Map<String, Map<String, Long>>> mWindows = new TreeMap<>();
 
     /**
-     * Makes an empty ledger.
+     * Creates an empty ledger.
      *
-     * @param ownIncarnation names this daemon's process
+     * @param ownIncarnation the incarnation of this daemon
      */
     public UsageLedger(final String ownIncarnation) {
         mOwnIncarnation = ownIncarnation;
@@ -35,17 +35,17 @@
     /**
      * Counts a request that began to run.
      *
-     * @param window the window in which it began
-     * @param customer its customer
+     * @param window the number of the window in which the request began
+     * @param customer the name of its customer
      */
     public void recordStart(final long window, final String customer) {
         counts(window, mOwnIncarnation).merge(customer, 1L, Long::sum);
     }
 
     /**
-     * Takes what another daemon counted.
+     * Merges a count of another daemon; the larger of two counts is kept.
      *
-     * @param incarnation the other daemon's process
+     * @param incarnation the incarnation of the other daemon
      * @param count its count so far
      */
     public void mergePeerCount(final String incarnation, final UsageCount count) {
@@ -53,10 +53,10 @@
     }
 
     /**
-     * Sums a window.
+     * Returns the sums of all daemons in a window.
      *
-     * @param window the window
-     * @return requests by customer; customers without any are left out
+     * @param window the number of the window
+     * @return the numbers of requests by customer; customers without requests are omitted
      */
     public Map<String, Long> totals(final long window) {
         final Map<String, Long> total = new TreeMap<>();
@@ -67,7 +67,7 @@
     }
 
     /**
-     * Lists this daemon's own counts of the windows that may still be decided.
+     * Returns this daemon's counts of the windows that may still be decided.
      *
      * @return the counts
      */
--- a/serving/src/main/java/org/whinhead/serving/usage/UsageWindows.java
+++ b/serving/src/main/java/org/whinhead/serving/usage/UsageWindows.java
@@ -5,7 +5,7 @@
 import org.whinhead.api.Arguments;
 
 /**
- * The windows of a deployment: the first one begins with the year 1970.
+ * Numbers the usage windows of a deployment; window 0 begins with the year 1970.
  *
  * @param length the length of a window
  */
@@ -17,7 +17,7 @@
     }
 
     /**
-     * Numbers the window of a time.
+     * Returns the window that contains a time.
      *
      * @param time the time of day
      * @return the window's number
@@ -27,10 +27,10 @@
     }
 
     /**
-     * Tells when a window ends.
+     * Returns the end of a window.
      *
-     * @param window its number
-     * @return the end, which is the beginning of the next one
+     * @param window the window's number
+     * @return the end, which is the beginning of the next window
      */
     public Instant endOf(final long window) {
         return Instant.ofEpochMilli((window + 1) * length.toMillis());
--- a/serving/src/main/java/org/whinhead/serving/usage/package-info.java
+++ b/serving/src/main/java/org/whinhead/serving/usage/package-info.java
@@ -1,2 +1,2 @@
-/** Usage: how many requests of each customer began to run in each window of true time. */
+/** Counts the requests of each customer that began to run in each window of true time. */
 package org.whinhead.serving.usage;
