--- a/serving/src/test/java/org/whinhead/serving/configuration/ConfigurationHolderTest.java
+++ b/serving/src/test/java/org/whinhead/serving/configuration/ConfigurationHolderTest.java
@@ -12,8 +12,8 @@
                 number, List.of(), List.of(), CallerLimits.INITIAL, List.of());
     }
 
-    // A key that was taken away works again for some seconds. The newest version was read, then a
-    // copy of the store that lags answered the next read with the version before.
+    // Guards against a revoked key that works again for some seconds: after the newest version was
+    // read, a lagging replica of the store answered the next read with the previous version.
     @Test
     void olderVersionIsRejected() {
         final ConfigurationHolder holder = new ConfigurationHolder();
--- a/serving/src/test/java/org/whinhead/serving/duty/DutyLeaseTest.java
+++ b/serving/src/test/java/org/whinhead/serving/duty/DutyLeaseTest.java
@@ -40,8 +40,8 @@
         assertThat(mLease.claimRecord(List.of()).token()).isGreaterThan(5);
     }
 
-    // Two daemons order servers by turns. The holder was suspended past its lease; its steady clock
-    // stood still meanwhile, so that it took the lease for fresh when it woke.
+    // Guards against two daemons that order servers at the same time: a holder was suspended past
+    // its term, and its steady clock, which had stopped, showed the lease as valid.
     @Test
     void suspendedHolderHasNoFencingToken() {
         acquire(START);
@@ -58,8 +58,8 @@
         assertThat(mLease.fencingToken(START.plusMillis(2_400), START.plusMillis(2_400))).isEmpty();
     }
 
-    // No duty is done for seconds after the answer to a claim was lost: the claim had landed, and
-    // its own daemon waited for the lease of a stranger to run out.
+    // Guards against seconds without a lease holder after the response to a claim was lost: the
+    // claim was appended, and its daemon waited for the term as if another daemon held the lease.
     @Test
     void ownRecordCanBeClaimedAtOnce() {
         acquire(START);
@@ -76,8 +76,8 @@
         assertThat(mLease.canClaim(START.plusSeconds(1))).isTrue();
     }
 
-    // A usage window is reported twice with different counts. The first holder had reported it and
-    // died; the next one counted the window anew. It finds the decision with the lease instead.
+    // Guards against a usage window reported twice with different counts: the first holder reported
+    // it and died, and the next one counted it again. The next holder reads the decision instead.
     @Test
     void decisionsAreReadWithLease() {
         final UsageDecision decision = new UsageDecision(7, Map.of("clinic", 3L), false);
--- a/serving/src/test/java/org/whinhead/serving/limit/RetryBudgetTest.java
+++ b/serving/src/test/java/org/whinhead/serving/limit/RetryBudgetTest.java
@@ -10,8 +10,8 @@
 
     private static final Instant START = Instant.parse("2026-01-01T00:00:00Z");
 
-    // A service whose servers fail half of the requests is hit by twice its load, as each daemon
-    // repeats whatever fails. The budget lets through a share of the requests and a little beside.
+    // Guards against a multiplied load on a service that fails half of its requests, as each daemon
+    // retries every failure. The budget allows a share of the requests and a fixed number.
     @Test
     void allDaemonsTogetherStayWithinTheBudget() {
         int retries = 0;
@@ -27,9 +27,8 @@
         assertThat(retries).isBetween(100, (int) (0.2 * 800 + 56));
     }
 
-    // All 95 daemons lose power while a service fails. Each of them comes up knowing of no other
-    // one, takes the whole fixed number of retries for its own, and the service gets up to 95
-    // times as many.
+    // All 95 daemons restart while a service fails. Each knows of no other daemon at first; if it
+    // used all fixed retries, the service would get up to 95 times as many.
     @Test
     void startingDaemonsUseOnlyTheirPartOfFixedRetries() {
         int retries = 0;
--- a/serving/src/test/java/org/whinhead/serving/member/MemberTableTest.java
+++ b/serving/src/test/java/org/whinhead/serving/member/MemberTableTest.java
@@ -34,9 +34,8 @@
         assertThat(mTable.addressesFor("domain-b", START)).hasSize(3);
     }
 
-    // New callers are sent to a daemon that is about to stop, and their requests are cut. The
-    // daemon
-    // said so, but its own answers and those of others still named it.
+    // Guards against sending new callers to a daemon that has announced its stop, where their
+    // requests are cut: its own responses and those of other daemons still returned its address.
     @Test
     void leavingDaemonIsNotReturned() {
         mTable.setSelfReady(true);
@@ -56,9 +55,9 @@
         assertThat(mTable.knownCount()).isEqualTo(2);
     }
 
-    // All daemons of a large deployment take each other for silent, read the store each by itself
-    // and
-    // name no address but their own. Reports come less often there than silence was waited for.
+    // Guards against daemons of a large deployment that treat each other as silent, each read the
+    // store and return only their own addresses: the report interval there exceeded the fixed
+    // silence timeout.
     @Test
     void silenceTimeoutGrowsWithFleetSize() {
         for (int peer = 0; peer < 60; peer++) {
--- a/serving/src/test/java/org/whinhead/serving/quota/CustomerQuotasBoundTest.java
+++ b/serving/src/test/java/org/whinhead/serving/quota/CustomerQuotasBoundTest.java
@@ -8,29 +8,30 @@
 import net.jqwik.api.Property;
 import net.jqwik.api.constraints.IntRange;
 
-/** Whatever happens, no window sees more than is accepted. */
+/** Tests the bound of spending in any window under random faults. */
 class CustomerQuotasBoundTest {
 
     private static final int FAULTS = 12;
     private static final int TRAFFIC_AT = 4_000;
     private static final int END = 34_000;
 
-    // A customer asks up to twelve times its usual, in bursts, of all daemons or mostly of one,
-    // while daemons are restarted, suspended and cut off, messages are slow or lost, and requests
-    // that did not run give their tokens back. In any window it gets at most what is accepted.
+    // A customer's demand reaches twelve times its usual, in bursts, at all daemons or mostly at
+    // one, while daemons are restarted, suspended and partitioned, messages are delayed or lost,
+    // and
+    // requests that did not run are refunded. No window may admit more than is accepted.
     @Property(tries = 120, seed = "4711")
     void noWindowExceedsAcceptedTokens(
             @ForAll @IntRange(min = 1, max = 60) final int daemons, @ForAll final long seed) {
         final Random random = new Random(seed);
         final long rate = 18_000 + random.nextInt(400_000);
         final double factor = 1 + random.nextInt(12);
-        final int rhythm = 1 + random.nextInt(5);
-        final QuotaScenario day =
+        final int periodSeconds = 1 + random.nextInt(5);
+        final QuotaScenario scenario =
                 new QuotaScenario(daemons, rate, seed)
-                        .demand(millis -> millis / 1_000 % rhythm == 0 ? factor : 0.2)
+                        .demand(millis -> millis / 1_000 % periodSeconds == 0 ? factor : 0.2)
                         .concentrate(random.nextDouble())
                         .refundFraction(random.nextDouble() / 2);
-        final SimulatedFleet fleet = day.fleet();
+        final SimulatedFleet fleet = scenario.fleet();
         fleet.setLossRate(random.nextDouble() / 4);
         fleet.setDelay(1 + random.nextInt(60));
         for (int fault = 0; fault < FAULTS; fault++) {
@@ -38,8 +39,8 @@
                     TRAFFIC_AT + random.nextInt(END - TRAFFIC_AT),
                     () -> injectFault(fleet, random));
         }
-        day.run(TRAFFIC_AT, END);
-        assertThat(day.worstWindowFraction()).isLessThanOrEqualTo(1.0);
+        scenario.run(TRAFFIC_AT, END);
+        assertThat(scenario.worstWindowFraction()).isLessThanOrEqualTo(1.0);
     }
 
     private static void injectFault(final SimulatedFleet fleet, final Random random) {
--- a/serving/src/test/java/org/whinhead/serving/quota/CustomerQuotasColdStartTest.java
+++ b/serving/src/test/java/org/whinhead/serving/quota/CustomerQuotasColdStartTest.java
@@ -6,7 +6,7 @@
 import org.junit.jupiter.params.ParameterizedTest;
 import org.junit.jupiter.params.provider.CsvSource;
 
-/** One customer that asks many times its usual just after all daemons have started. */
+/** Tests a demand spike of one customer just after all daemons have started. */
 class CustomerQuotasColdStartTest {
 
     private static final long RATE = 600_000;
@@ -16,14 +16,16 @@
     private static final int SEED = 1;
     private static final Duration START_TIME = Duration.ofMillis(500);
 
-    // A customer got 6,276,038 tokens in eight seconds at 95 daemons, 25,032 more than is accepted;
-    // callers of the others found the engines full. All daemons had just started, and half a second
-    // after the first request the customer asked six times its usual of all of them.
-    // Cause: each daemon spent the whole allowance less what it had heard of the others, and
-    // messages that come late or not at all, a restart or a cut hide what the others spend. With
-    // daemons that admit by what they hear each of these brought 1.01 to 1.91 of what is accepted.
-    // Columns: time of a message, part that is lost, until when all are lost, a third restarted,
-    // a third cut off; times from the first request on, 0 for never.
+    // A customer got 6,276,038 tokens in eight seconds at 95 daemons, 25,032 more than accepted,
+    // and
+    // the engines were full for other customers. All daemons had just started, and half a second
+    // after the first request the customer's demand rose to six times its usual. Each daemon spent
+    // the allowance less the reported spending of the others, which late or lost messages, a
+    // restart
+    // or a partition hide: with such daemons each of these cases admitted 1.01 to 1.91 of the
+    // accepted tokens.
+    // Columns: message delay in ms, fraction lost, end of a total loss, restart of a third and
+    // partition of a third; times in ms from the first request, 0 for never.
     @ParameterizedTest
     @CsvSource({
         "6, 1, 0, 0, 0, 0",
@@ -48,10 +50,10 @@
             final int silentMillis,
             final int restartMillis,
             final int cutMillis) {
-        final QuotaScenario day =
+        final QuotaScenario scenario =
                 new QuotaScenario(daemons, RATE, SEED)
                         .demand(millis -> millis < SPIKE_AT ? 1 : SPIKE_FACTOR);
-        final SimulatedFleet fleet = day.fleet();
+        final SimulatedFleet fleet = scenario.fleet();
         fleet.setDelay(delayMillis);
         fleet.setLossRate(lost);
         if (silentMillis > 0) {
@@ -64,8 +66,8 @@
         if (cutMillis > 0) {
             fleet.at(TRAFFIC_AT + cutMillis, () -> fleet.setPartitioned(true));
         }
-        day.run(TRAFFIC_AT, TRAFFIC_AT + 20_000);
-        assertThat(day.worstWindowFraction()).isLessThanOrEqualTo(1.0);
+        scenario.run(TRAFFIC_AT, TRAFFIC_AT + 20_000);
+        assertThat(scenario.worstWindowFraction()).isLessThanOrEqualTo(1.0);
     }
 
     private static void restartThird(final SimulatedFleet fleet) {
--- a/serving/src/test/java/org/whinhead/serving/quota/CustomerQuotasTest.java
+++ b/serving/src/test/java/org/whinhead/serving/quota/CustomerQuotasTest.java
@@ -34,36 +34,36 @@
 
     private final class RecordingTransport implements QuotaTransport {
         @Override
-        public void sendRequest(final InetSocketAddress holder, final TokenRequest ask) {
+        public void sendRequest(final InetSocketAddress holder, final TokenRequest request) {
             assertThat(holder).isEqualTo(OTHER);
-            mRequests.add(ask);
+            mRequests.add(request);
         }
 
         @Override
-        public void sendReturn(final InetSocketAddress holder, final TokenRequest ask) {
-            mReturns.add(ask);
+        public void sendReturn(final InetSocketAddress holder, final TokenRequest request) {
+            mReturns.add(request);
         }
 
         @Override
         public void scheduleTimeoutCheck(final Duration delay) {
-            // The tests look for answers themselves.
+            // The tests check for timeouts themselves.
         }
     }
 
     private final class RecordingListener implements TokenClaimListener {
         @Override
-        public void granted(final TokenGrant spend) {
-            mGranted.add(spend);
+        public void granted(final TokenGrant grant) {
+            mGranted.add(grant);
         }
 
         @Override
-        public void overAllowance(final Duration comeBackAfter) {
-            mOverAllowance.add(comeBackAfter);
+        public void overAllowance(final Duration retryAfter) {
+            mOverAllowance.add(retryAfter);
         }
 
         @Override
-        public void unavailable(final Duration comeBackAfter) {
-            mUnavailable.add(comeBackAfter);
+        public void unavailable(final Duration retryAfter) {
+            mUnavailable.add(retryAfter);
         }
     }
 
@@ -90,12 +90,12 @@
     }
 
     private void respond(
-            final TokenRequest ask,
+            final TokenRequest request,
             final TokenResponse.Outcome outcome,
             final long level,
             final long millis) {
         mQuotas.handleResponse(
-                new TokenResponse(ask.id(), ask.customer(), ask.slot(), outcome, level),
+                new TokenResponse(request.id(), request.customer(), request.slot(), outcome, level),
                 at(millis));
     }
 
@@ -109,8 +109,9 @@
         assertThat(mRequests).isEmpty();
     }
 
-    // A customer floods the service with prompts, some hundred times its allowance. Its plain calls
-    // cost next to nothing, yet they were refused like the prompts: the shares were always empty.
+    // A customer sends prompts of some hundred times its allowance. Its plain calls cost little,
+    // yet
+    // they were rejected like the prompts, because the shares were always empty.
     @Test
     void lightRequestsOfCustomerOverItsAllowanceAreAdmitted() {
         setHolder(SELF);
@@ -175,8 +176,8 @@
         assertThat(mRequests.get(1).slot()).isNotEqualTo(mRequests.get(0).slot());
     }
 
-    // Once all shares have said that they are empty, the next request is refused at once: asking
-    // again would keep its caller waiting for nothing.
+    // Once all holders have reported empty shares, the next claim is rejected at once: requesting
+    // tokens again would only delay the rejection.
     @Test
     void claimIsRejectedWithoutRequestIfAllSharesAreEmpty() {
         setHolder(OTHER);
@@ -190,8 +191,8 @@
         assertThat(mRequests).hasSize(ShareLimits.SHARES);
     }
 
-    // A holder is dead. The caller must not wait for it until its time is up, and the tokens of an
-    // answer that comes after all are not lost.
+    // A holder does not respond. The caller must not wait for it until its own timeout, and the
+    // tokens of a late response are not lost.
     @Test
     void claimGoesToAnotherHolderAfterTimeout() {
         setHolder(OTHER);
@@ -216,13 +217,13 @@
         assertThat(mUnavailable).hasSize(1);
     }
 
-    // The VM is suspended between a holder's answer and the request's sending. Seconds later its
-    // tokens belong to another window, in which the holder has issued as many again.
+    // The VM is suspended between a holder's response and its handling. Seconds later the tokens
+    // would count in another window, in which the holder has issued as many again.
     @Test
     void tokensReceivedAfterSuspensionAreNotSpent() {
         setHolder(OTHER);
         claim(REQUEST, 10_000);
-        final ClockReading woken =
+        final ClockReading resumed =
                 new ClockReading(START.plusMillis(10_010), START.plusMillis(15_010));
         mQuotas.handleResponse(
                 new TokenResponse(
@@ -231,13 +232,13 @@
                         mRequests.get(0).slot(),
                         TokenResponse.Outcome.ISSUED,
                         5_000),
-                woken);
+                resumed);
         assertThat(mGranted).isEmpty();
         assertThat(mUnavailable.size() + mOverAllowance.size()).isEqualTo(1);
     }
 
-    // An operator takes a customer out, or lifts its limit, while one of its requests waits for
-    // tokens. The request would never be answered.
+    // An operator removes a customer, or lifts its limit, while one of its requests waits for
+    // tokens. The request must not remain without an outcome.
     @Test
     void claimOfRemovedCustomerIsRejected() {
         setHolder(OTHER);
--- a/serving/src/test/java/org/whinhead/serving/quota/HeldSharesTest.java
+++ b/serving/src/test/java/org/whinhead/serving/quota/HeldSharesTest.java
@@ -54,42 +54,43 @@
         final ShareTable table = ShareTable.initial(List.of(SELF, OTHER));
         mShares.configure(QuotaScenario.customers(RATE), START);
         mShares.updateTable(table, at(Duration.ZERO));
-        final int own = ownSlot(table);
-        assertThat(outcome(own, WARM_UP)).isEqualTo(TokenResponse.Outcome.ISSUED);
-        assertThat(outcome((own + 1) % ShareTable.SLOTS, WARM_UP.plusMillis(1)))
+        final int ownSlot = ownSlot(table);
+        assertThat(outcome(ownSlot, WARM_UP)).isEqualTo(TokenResponse.Outcome.ISSUED);
+        assertThat(outcome((ownSlot + 1) % ShareTable.SLOTS, WARM_UP.plusMillis(1)))
                 .isEqualTo(TokenResponse.Outcome.NOT_HELD);
         assertThat(outcome(-1, WARM_UP.plusMillis(2))).isEqualTo(TokenResponse.Outcome.NOT_HELD);
         assertThat(outcome(ShareTable.SLOTS, WARM_UP.plusMillis(3)))
                 .isEqualTo(TokenResponse.Outcome.NOT_HELD);
     }
 
-    // A holder is cut off from the store for hours, and its shares were given to another daemon.
-    // Both would issue the same shares; the one that can't read the table stops first.
+    // A holder is cut off from the store for hours, and its shares are reassigned to another
+    // daemon.
+    // The holder that can't read the table must stop before both issue tokens of the same shares.
     @Test
     void holderStopsIssuingWhenItsTableExpires() {
         final ShareTable table = ShareTable.initial(List.of(SELF));
         mShares.configure(QuotaScenario.customers(RATE), START);
         mShares.updateTable(table, at(Duration.ZERO));
-        final int own = ownSlot(table);
-        assertThat(outcome(own, HeldShares.TABLE_VALIDITY.minusSeconds(1)))
+        final int ownSlot = ownSlot(table);
+        assertThat(outcome(ownSlot, HeldShares.TABLE_VALIDITY.minusSeconds(1)))
                 .isEqualTo(TokenResponse.Outcome.ISSUED);
-        assertThat(outcome(own, HeldShares.TABLE_VALIDITY))
+        assertThat(outcome(ownSlot, HeldShares.TABLE_VALIDITY))
                 .isEqualTo(TokenResponse.Outcome.NOT_HELD);
         mShares.updateTable(table, at(HeldShares.TABLE_VALIDITY));
-        assertThat(outcome(own, HeldShares.TABLE_VALIDITY.plusSeconds(1)))
+        assertThat(outcome(ownSlot, HeldShares.TABLE_VALIDITY.plusSeconds(1)))
                 .isEqualTo(TokenResponse.Outcome.ISSUED);
     }
 
-    // A VM is suspended for hours. Its steady clock stands still meanwhile, so by that clock the
-    // table was read a moment ago.
+    // A VM is suspended for hours. Its steady clock stops meanwhile, so by that clock the table was
+    // read recently.
     @Test
     void tableExpiresDuringSuspension() {
         final ShareTable table = ShareTable.initial(List.of(SELF));
         mShares.configure(QuotaScenario.customers(RATE), START);
         mShares.updateTable(table, at(Duration.ZERO));
-        final ClockReading woken =
+        final ClockReading resumed =
                 new ClockReading(START.plus(WARM_UP), START.plus(HeldShares.TABLE_VALIDITY));
-        assertThat(mShares.handleRequest("d-1", request(1, ownSlot(table)), woken).outcome())
+        assertThat(mShares.handleRequest("d-1", request(1, ownSlot(table)), resumed).outcome())
                 .isEqualTo(TokenResponse.Outcome.NOT_HELD);
     }
 
@@ -101,11 +102,13 @@
                         .reassign(OTHER::equals, List.of(SELF), START.plus(wait));
         mShares.configure(QuotaScenario.customers(RATE), START);
         mShares.updateTable(table, at(Duration.ZERO));
-        final int own = ownSlot(table);
-        assertThat(outcome(own, wait.minusSeconds(1))).isEqualTo(TokenResponse.Outcome.NOT_HELD);
+        final int ownSlot = ownSlot(table);
+        assertThat(outcome(ownSlot, wait.minusSeconds(1)))
+                .isEqualTo(TokenResponse.Outcome.NOT_HELD);
         mShares.updateTable(table, at(wait));
-        // The holder before may have issued a full share a moment ago.
-        final TokenRequest large = new TokenRequest(1, QuotaScenario.CUSTOMER, own, 9_000, false);
+        // The previous holder may have just issued a full share.
+        final TokenRequest large =
+                new TokenRequest(1, QuotaScenario.CUSTOMER, ownSlot, 9_000, false);
         assertThat(mShares.handleRequest("d-1", large, at(wait)).outcome())
                 .isEqualTo(TokenResponse.Outcome.TOO_FEW);
         assertThat(mShares.handleRequest("d-1", large, at(wait.plus(WARM_UP))).outcome())
@@ -121,8 +124,8 @@
         assertThat(mShares.table()).contains(second);
     }
 
-    // An operator adds a customer. Nobody has spent anything of its allowance, so its first
-    // requests must not be refused.
+    // An operator adds a customer. None of its allowance has been spent, so its first requests must
+    // not be rejected.
     @Test
     void addedCustomerIsServedAtOnce() {
         final ShareTable table = ShareTable.initial(List.of(SELF));
@@ -132,21 +135,23 @@
         assertThat(outcome(ownSlot(table), WARM_UP)).isEqualTo(TokenResponse.Outcome.ISSUED);
     }
 
-    // An operator takes a customer out and puts it back a second later. Its shares would be full
-    // again, though it had just spent them.
+    // An operator removes a customer and restores it at once. Its shares must not be full again
+    // after it has just spent them.
     @Test
     void restoredCustomerKeepsItsShareLevels() {
         final ShareTable table = ShareTable.initial(List.of(SELF));
         mShares.configure(QuotaScenario.customers(RATE), START);
         mShares.updateTable(table, at(Duration.ZERO));
-        final int own = ownSlot(table);
+        final int ownSlot = ownSlot(table);
         final List<TokenResponse.Outcome> outcomes = new ArrayList<>();
         for (int claim = 0; claim < 2_000; claim++) {
-            outcomes.add(mShares.handleRequest("d-1", request(claim, own), at(WARM_UP)).outcome());
+            outcomes.add(
+                    mShares.handleRequest("d-1", request(claim, ownSlot), at(WARM_UP)).outcome());
         }
         assertThat(outcomes).contains(TokenResponse.Outcome.TOO_FEW);
         mShares.configure(List.of(), START.plus(WARM_UP).plusMillis(1));
         mShares.configure(QuotaScenario.customers(RATE), START.plus(WARM_UP).plusMillis(2));
-        assertThat(outcome(own, WARM_UP.plusMillis(3))).isEqualTo(TokenResponse.Outcome.TOO_FEW);
+        assertThat(outcome(ownSlot, WARM_UP.plusMillis(3)))
+                .isEqualTo(TokenResponse.Outcome.TOO_FEW);
     }
 }
--- a/serving/src/test/java/org/whinhead/serving/quota/OfferedLoadTest.java
+++ b/serving/src/test/java/org/whinhead/serving/quota/OfferedLoadTest.java
@@ -8,8 +8,8 @@
 
     private final OfferedLoad mOfferedLoad = new OfferedLoad();
 
-    // Endpoints are lost and requests that were admitted come to nothing. If they did not count,
-    // the demand would seem to fall and no endpoints would be ordered in place of the lost ones.
+    // Endpoints are lost and admitted requests are refunded. If these did not count, the load would
+    // appear to fall and no endpoints would be ordered to replace the lost ones.
     @Test
     void refundedRequestsCountAsDemand() {
         mOfferedLoad.recordAdmitted(100);
--- a/serving/src/test/java/org/whinhead/serving/quota/QuotaScenario.java
+++ b/serving/src/test/java/org/whinhead/serving/quota/QuotaScenario.java
@@ -9,7 +9,7 @@
 import org.whinhead.serving.configuration.CustomerAccount;
 import org.whinhead.serving.configuration.TokenAllowance;
 
-/** A day of one customer's requests at a fleet, and what it was given. */
+/** Simulates one customer's requests at a fleet and measures the admitted tokens. */
 final class QuotaScenario {
 
     static final String CUSTOMER = "clinic";
@@ -55,25 +55,27 @@
         return mFleet;
     }
 
-    /** Sets how many times its usual the customer asks. */
-    QuotaScenario demand(final LongToDoubleFunction usualTimes) {
-        mDemandFactor = usualTimes;
+    /** Sets the demand by time, as a multiple of the customer's usual demand. */
+    QuotaScenario demand(final LongToDoubleFunction demandFactor) {
+        mDemandFactor = demandFactor;
         return this;
     }
 
-    /** Sends a part of all requests to a single daemon, besides its share of the rest. */
-    QuotaScenario concentrate(final double part) {
-        mFirstDaemonFraction = part;
+    /**
+     * Sends a fraction of all requests to the first daemon, in addition to its part of the rest.
+     */
+    QuotaScenario concentrate(final double fraction) {
+        mFirstDaemonFraction = fraction;
         return this;
     }
 
-    /** Gives the tokens of a part of all requests back: they did not run. */
-    QuotaScenario refundFraction(final double part) {
-        mRefundFraction = part;
+    /** Refunds a fraction of all requests, as if they did not run. */
+    QuotaScenario refundFraction(final double fraction) {
+        mRefundFraction = fraction;
         return this;
     }
 
-    /** Counts what is refused up to a time only. */
+    /** Sets the time, in milliseconds, until which requests count in the admitted fraction. */
     QuotaScenario countUntil(final long millis) {
         mCountedUntil = millis;
         return this;
@@ -83,14 +85,14 @@
         final Random random = mFleet.random();
         for (long millis = fromMillis; millis < toMillis; millis += STEP_MILLIS) {
             mFleet.runUntil(millis);
-            double left =
+            double remaining =
                     mRate
                             * USUAL_FRACTION
                             * mDemandFactor.applyAsDouble(millis)
                             * STEP_MILLIS
                             / 1_000;
-            while (random.nextDouble() < left / MEAN_REQUEST_TOKENS) {
-                left -= MEAN_REQUEST_TOKENS;
+            while (random.nextDouble() < remaining / MEAN_REQUEST_TOKENS) {
+                remaining -= MEAN_REQUEST_TOKENS;
                 request(500 + random.nextInt(2 * MEAN_REQUEST_TOKENS - 1_000));
             }
         }
@@ -116,11 +118,11 @@
                 tokens,
                 new TokenClaimListener() {
                     @Override
-                    public void granted(final TokenGrant spend) {
+                    public void granted(final TokenGrant grant) {
                         if (mRefundFraction > 0 && random.nextDouble() < mRefundFraction) {
                             mFleet.at(
                                     mFleet.millis() + random.nextInt(MAX_REFUND_DELAY_MILLIS),
-                                    () -> mFleet.refund(index, spend));
+                                    () -> mFleet.refund(index, grant));
                             return;
                         }
                         mAdmittedRequests++;
@@ -131,38 +133,38 @@
                     }
 
                     @Override
-                    public void overAllowance(final Duration comeBackAfter) {
+                    public void overAllowance(final Duration retryAfter) {
                         // Not admitted.
                     }
 
                     @Override
-                    public void unavailable(final Duration comeBackAfter) {
+                    public void unavailable(final Duration retryAfter) {
                         // Not admitted.
                     }
                 });
     }
 
-    /** The part of the offered tokens that was admitted. */
+    /** Returns the fraction of the offered tokens that was admitted. */
     double admittedFraction() {
         return (double) mCountedAdmitted / mCountedOffered;
     }
 
-    /** How often large requests were admitted, as a part of how often all were. */
+    /** Returns the admission rate of large requests relative to that of all requests. */
     double largeRequestRatio() {
         final double all = (double) mAdmittedRequests / mOfferedRequests;
         return (double) mAdmittedLarge / mOfferedLarge / all;
     }
 
-    /** The most that was admitted in any window, as a part of what is accepted. */
+    /** Returns the most tokens admitted in any window, as a fraction of the accepted tokens. */
     double worstWindowFraction() {
         long sum = 0;
         long worst = 0;
-        int first = 0;
+        int oldest = 0;
         for (int index = 0; index < mAdmittedAt.size(); index++) {
             sum += mAdmittedTokens.get(index);
-            while (mAdmittedAt.get(index) - mAdmittedAt.get(first) > WINDOW_MILLIS) {
-                sum -= mAdmittedTokens.get(first);
-                first++;
+            while (mAdmittedAt.get(index) - mAdmittedAt.get(oldest) > WINDOW_MILLIS) {
+                sum -= mAdmittedTokens.get(oldest);
+                oldest++;
             }
             worst = Math.max(worst, sum);
         }
--- a/serving/src/test/java/org/whinhead/serving/quota/ShareBucketTest.java
+++ b/serving/src/test/java/org/whinhead/serving/quota/ShareBucketTest.java
@@ -12,8 +12,8 @@
 
     private final ShareBucket mBucket = ShareBucket.full(LIMITS, START);
 
-    private static ShareBucket.IssueKey key(final long number) {
-        return new ShareBucket.IssueKey("d-1", number);
+    private static ShareBucket.IssueKey key(final long requestId) {
+        return new ShareBucket.IssueKey("d-1", requestId);
     }
 
     @Test
@@ -31,27 +31,29 @@
         assertThat(mBucket.issue(key(3), 10, true, START)).isTrue();
     }
 
-    // Tokens that were issued a moment ago are spent now, and the share has refilled meanwhile: a
-    // window would see both. So what may still be spent takes up room.
+    // Issued tokens may be spent after the share has refilled, and a window would contain both. So
+    // they occupy capacity until they expire.
     @Test
     void issuedTokensOccupyCapacityUntilTheyExpire() {
         mBucket.issue(key(1), 900, false, START);
-        final Instant stillValid = START.plus(ShareBucket.TOKEN_VALIDITY);
-        assertThat(mBucket.level(stillValid)).isZero();
-        assertThat(mBucket.level(stillValid.plusMillis(500))).isGreaterThan(400);
+        final Instant expiry = START.plus(ShareBucket.TOKEN_VALIDITY);
+        assertThat(mBucket.level(expiry)).isZero();
+        assertThat(mBucket.level(expiry.plusMillis(500))).isGreaterThan(400);
     }
 
-    // A share issues all it has and is not asked for half a second. What could have been spent all
-    // that time took up its room, so nothing has flowed in meanwhile.
+    // A share issues all its tokens and gets no request for half a second. The issued tokens
+    // occupied
+    // its capacity for that time, so it has not refilled.
     @Test
     void bucketDoesNotRefillWhileIssuedTokensOccupyIt() {
         mBucket.issue(key(1), 900, false, START);
-        final Instant lapsed = START.plus(ShareBucket.TOKEN_VALIDITY).plusMillis(10);
-        assertThat(mBucket.level(lapsed)).isBetween(0.0, 10.0);
+        final Instant afterExpiry = START.plus(ShareBucket.TOKEN_VALIDITY).plusMillis(10);
+        assertThat(mBucket.level(afterExpiry)).isBetween(0.0, 10.0);
     }
 
-    // An answer is lost and the claimant gives up; a datagram that is carried twice gives the same
-    // tokens back twice, and the customer would have more than before.
+    // A response is lost, and the claimant returns the tokens in a datagram that is delivered
+    // twice.
+    // The customer must not get them twice.
     @Test
     void tokensAreReturnedOnce() {
         mBucket.issue(key(1), 500, false, START);
@@ -63,10 +65,10 @@
     @Test
     void expiredTokensAreNotReturned() {
         mBucket.issue(key(1), 500, false, START);
-        final Instant later = START.plus(ShareBucket.TOKEN_VALIDITY).plusMillis(1);
-        final double level = mBucket.level(later);
-        mBucket.returnTokens(key(1), later);
-        assertThat(mBucket.level(later)).isEqualTo(level);
+        final Instant afterExpiry = START.plus(ShareBucket.TOKEN_VALIDITY).plusMillis(1);
+        final double level = mBucket.level(afterExpiry);
+        mBucket.returnTokens(key(1), afterExpiry);
+        assertThat(mBucket.level(afterExpiry)).isEqualTo(level);
     }
 
     @Test
@@ -76,7 +78,7 @@
         assertThat(mBucket.level(START)).isEqualTo(800);
     }
 
-    /** Small claims would use up a share before a large claim finds it and others full at once. */
+    /** Small claims must not drain a share before a large claim finds enough in several at once. */
     @Test
     void smallClaimsLeaveTokensForRejectedSplitClaim() {
         mBucket.issue(key(1), 500, false, START);
@@ -88,7 +90,7 @@
         assertThat(issuePart(5, 560, 2_000)).isTrue();
     }
 
-    /** Claims were compared by their parts, which are alike however large the claims are. */
+    /** Guards against comparing claims by their parts, which have similar sizes for all claims. */
     @Test
     void partOfSmallerClaimWaitsForLargerOne() {
         mBucket.issue(key(1), 700, false, START);
@@ -100,9 +102,9 @@
         assertThat(issuePart(5, 500, 2_000)).isTrue();
     }
 
-    private boolean issuePart(final long number, final long tokens, final long claimTokens) {
+    private boolean issuePart(final long requestId, final long tokens, final long claimTokens) {
         return mBucket.issue(
-                key(number), new ShareBucket.ClaimPart(tokens, claimTokens), false, START);
+                key(requestId), new ShareBucket.ClaimPart(tokens, claimTokens), false, START);
     }
 
     @Test
@@ -111,8 +113,8 @@
         assertThat(mBucket.level(START)).isEqualTo(90);
     }
 
-    // All daemons are killed and come back. Before, they had issued all they had and overdrawn it;
-    // a share that started full would issue as much again within the same window.
+    // All daemons are killed and restarted after they have issued all tokens and the overdraft. A
+    // share that started full would issue as many again within the same window.
     @Test
     void restartedShareHoldsOnlyItsCredit() {
         final ShareBucket restarted = ShareBucket.restarted(LIMITS, START);
--- a/serving/src/test/java/org/whinhead/serving/quota/ShareLimitsTest.java
+++ b/serving/src/test/java/org/whinhead/serving/quota/ShareLimitsTest.java
@@ -15,21 +15,22 @@
     private static final QuotaTolerance TOLERANCE =
             new QuotaTolerance(Duration.ofSeconds(WINDOW_SECONDS), 0.1, 72_000);
 
-    // What all shares may give out in a window by their own rules is the bound on which everything
-    // else rests: it must never be more than what is accepted.
+    // The tokens that all shares may issue in a window bound the spending of the whole fleet, so
+    // they must never exceed the accepted tokens.
     @Property(tries = 1_000, seed = "17")
     void sharesTogetherStayWithinAcceptedTokens(
             @ForAll @IntRange(min = 0, max = 5_000_000) final int rate,
             @ForAll @IntRange(min = 0, max = 5_000_000) final int burst) {
         final TokenAllowance allowance = new TokenAllowance(rate, burst, 200);
         final ShareLimits share = ShareLimits.of(allowance, TOLERANCE);
-        final double most =
+        final double issuedAtMost =
                 ShareLimits.SHARES
                         * (WINDOW_SECONDS * share.tokensPerSecond()
                                 + share.capacityTokens()
                                 + share.maxDebt()
                                 + share.restartCredit());
-        assertThat(most).isLessThanOrEqualTo(ShareLimits.acceptedTokens(allowance, TOLERANCE));
+        assertThat(issuedAtMost)
+                .isLessThanOrEqualTo(ShareLimits.acceptedTokens(allowance, TOLERANCE));
     }
 
     @Test
--- a/serving/src/test/java/org/whinhead/serving/quota/ShareTableTest.java
+++ b/serving/src/test/java/org/whinhead/serving/quota/ShareTableTest.java
@@ -41,8 +41,8 @@
         return holders;
     }
 
-    // The loss of one daemon must not take more than one share of a customer, where there are
-    // enough daemons.
+    // If there are enough daemons, the loss of one must not affect more than one share of a
+    // customer.
     @ParameterizedTest
     @ValueSource(ints = {8, 9, 18, 61, 66, 95, 330})
     void sharesOfCustomerAreAtDifferentDaemons(final int count) {
@@ -61,7 +61,7 @@
         assertThat(holders(table, "clinic")).hasSize(count);
     }
 
-    // A failure domain is lost. With it go no more of a customer's shares than its part of them.
+    // The loss of a failure domain must affect no more of a customer's shares than its proportion.
     @Test
     void domainHoldsItsProportionOfShares() {
         final List<Member> members = members(60, 3);
--- a/serving/src/test/java/org/whinhead/serving/quota/SimulatedFleet.java
+++ b/serving/src/test/java/org/whinhead/serving/quota/SimulatedFleet.java
@@ -11,13 +11,13 @@
 import org.whinhead.serving.configuration.CustomerAccount;
 import org.whinhead.serving.member.Member;
 
-/** Daemons that ask each other for tokens over a network that delays, loses and cuts. */
+/** Simulates daemons that claim tokens over a network with delay, loss and partitions. */
 final class SimulatedFleet {
 
     static final Instant START = Instant.parse("2026-01-01T00:00:00Z");
     static final QuotaTolerance TOLERANCE = new QuotaTolerance(Duration.ofSeconds(8), 0.1, 72_000);
 
-    /** From the beginning of a process to its first request: it reads the store meanwhile. */
+    /** The time from the start of a process until it has read the store and is up. */
     private static final Duration START_TIME = Duration.ofMillis(500);
 
     private static final int DOMAINS = 5;
@@ -53,21 +53,21 @@
         members.forEach(member -> mDaemons.add(new Daemon(member.peerAddress(), 0)));
     }
 
-    void setDelay(final int millis) {
-        mDelayMillis = millis;
+    void setDelay(final int delayMillis) {
+        mDelayMillis = delayMillis;
     }
 
-    void setLossRate(final double part) {
-        mLossRate = part;
+    void setLossRate(final double fraction) {
+        mLossRate = fraction;
     }
 
-    void setAllMessagesLost(final boolean silent) {
-        mAllMessagesLost = silent;
+    void setAllMessagesLost(final boolean lost) {
+        mAllMessagesLost = lost;
     }
 
-    /** Cuts every third daemon off from the others; they still reach each other. */
-    void setPartitioned(final boolean cut) {
-        mPartitioned = cut;
+    /** Cuts every third daemon off from the others; these daemons still reach each other. */
+    void setPartitioned(final boolean partitioned) {
+        mPartitioned = partitioned;
     }
 
     void configure(final List<CustomerAccount> customers) {
@@ -75,15 +75,13 @@
         mDaemons.forEach(daemon -> daemon.mQuotas.configure(customers, now()));
     }
 
-    /**
-     * Ends a process; another one starts at its address after a while, and serves when it is up.
-     */
-    void restart(final int index, final Duration after) {
-        final Daemon before = mDaemons.get(index);
-        before.mUp = false;
+    /** Ends a process and starts another one at its address after a delay. */
+    void restart(final int index, final Duration delay) {
+        final Daemon previous = mDaemons.get(index);
+        previous.mUp = false;
         scheduleIn(
-                after.toNanos() / 1_000,
-                () -> start(index, new Daemon(before.mAddress, before.mIncarnation + 1)));
+                delay.toNanos() / 1_000,
+                () -> start(index, new Daemon(previous.mAddress, previous.mIncarnation + 1)));
     }
 
     private void start(final int index, final Daemon daemon) {
@@ -92,11 +90,11 @@
         scheduleIn(START_TIME.toNanos() / 1_000, () -> daemon.mUp = daemon == mDaemons.get(index));
     }
 
-    /** Suspends a VM: its steady clock stands still and its messages wait. */
-    void suspend(final int index, final Duration time) {
+    /** Suspends a VM: its steady clock stops and its messages wait. */
+    void suspend(final int index, final Duration duration) {
         final Daemon daemon = mDaemons.get(index);
-        daemon.mSuspendedUntil = mNowMicros + time.toNanos() / 1_000;
-        daemon.mSuspendedMicros += time.toNanos() / 1_000;
+        daemon.mSuspendedUntil = mNowMicros + duration.toNanos() / 1_000;
+        daemon.mSuspendedMicros += duration.toNanos() / 1_000;
     }
 
     boolean isUp(final int index) {
@@ -120,13 +118,13 @@
             final int index,
             final String customer,
             final long tokens,
-            final TokenClaimListener outcome) {
+            final TokenClaimListener listener) {
         final Daemon daemon = mDaemons.get(index);
-        return daemon.mQuotas.claim(customer, tokens, daemon.now(), outcome);
+        return daemon.mQuotas.claim(customer, tokens, daemon.now(), listener);
     }
 
-    void refund(final int index, final TokenGrant spend) {
-        mDaemons.get(index).mQuotas.refund(spend);
+    void refund(final int index, final TokenGrant grant) {
+        mDaemons.get(index).mQuotas.refund(grant);
     }
 
     long millis() {
@@ -138,39 +136,39 @@
         return new ClockReading(instant, instant);
     }
 
-    void at(final long millis, final Runnable step) {
-        scheduleIn(millis * 1_000 - mNowMicros, step);
+    void at(final long atMillis, final Runnable action) {
+        scheduleIn(atMillis * 1_000 - mNowMicros, action);
     }
 
-    private void scheduleIn(final long micros, final Runnable step) {
-        mEvents.add(new Event(mNowMicros + micros, mNextNumber++, step));
+    private void scheduleIn(final long micros, final Runnable action) {
+        mEvents.add(new Event(mNowMicros + micros, mNextNumber++, action));
     }
 
-    /** Lets everything happen that is due up to a time. */
-    void runUntil(final long millis) {
-        while (!mEvents.isEmpty() && mEvents.peek().mAtMicros <= millis * 1_000) {
+    /** Runs all events that are due up to a time. */
+    void runUntil(final long untilMillis) {
+        while (!mEvents.isEmpty() && mEvents.peek().mAtMicros <= untilMillis * 1_000) {
             final Event event = mEvents.poll();
             mNowMicros = event.mAtMicros;
-            event.mStep.run();
+            event.mAction.run();
         }
-        mNowMicros = millis * 1_000;
+        mNowMicros = untilMillis * 1_000;
     }
 
-    private void send(final Daemon from, final Daemon to, final Runnable arrival) {
+    private void send(final Daemon from, final Daemon to, final Runnable delivery) {
         mMessages++;
-        final boolean severed = mPartitioned && from.isInMinority() != to.isInMinority();
-        if (mAllMessagesLost || severed || mRandom.nextDouble() < mLossRate) {
+        final boolean isSevered = mPartitioned && from.isInMinority() != to.isInMinority();
+        if (mAllMessagesLost || isSevered || mRandom.nextDouble() < mLossRate) {
             return;
         }
         final long micros = mDelayMillis * 500L + mRandom.nextInt(mDelayMillis * 1_000);
-        scheduleIn(micros, () -> deliver(to, arrival));
+        scheduleIn(micros, () -> deliver(to, delivery));
     }
 
-    private void deliver(final Daemon to, final Runnable arrival) {
+    private void deliver(final Daemon to, final Runnable delivery) {
         if (to.mSuspendedUntil > mNowMicros) {
-            scheduleIn(to.mSuspendedUntil - mNowMicros, () -> deliver(to, arrival));
+            scheduleIn(to.mSuspendedUntil - mNowMicros, () -> deliver(to, delivery));
         } else if (to.mUp) {
-            arrival.run();
+            delivery.run();
         }
     }
 
@@ -181,12 +179,12 @@
     private static final class Event {
         private final long mAtMicros;
         private final long mNumber;
-        private final Runnable mStep;
+        private final Runnable mAction;
 
-        private Event(final long atMicros, final long number, final Runnable step) {
+        private Event(final long atMicros, final long number, final Runnable action) {
             mAtMicros = atMicros;
             mNumber = number;
-            mStep = step;
+            mAction = action;
         }
     }
 
@@ -201,10 +199,10 @@
         private Daemon(final InetSocketAddress address, final int incarnation) {
             mAddress = address;
             mIncarnation = incarnation;
-            final HeldShares held = new HeldShares(address, TOLERANCE, now());
-            mQuotas = new CustomerQuotas(name(), held, this, new Random(mRandom.nextLong()));
+            final HeldShares heldShares = new HeldShares(address, TOLERANCE, now());
+            mQuotas = new CustomerQuotas(name(), heldShares, this, new Random(mRandom.nextLong()));
             mQuotas.configure(mCustomers, now());
-            held.updateTable(mTable, now());
+            heldShares.updateTable(mTable, now());
         }
 
         private String name() {
@@ -221,22 +219,22 @@
         }
 
         @Override
-        public void sendRequest(final InetSocketAddress holder, final TokenRequest ask) {
+        public void sendRequest(final InetSocketAddress holder, final TokenRequest request) {
             final Daemon to = at(holder);
             send(
                     this,
                     to,
                     () -> {
-                        final TokenResponse answer =
-                                to.mQuotas.heldShares().handleRequest(name(), ask, to.now());
-                        send(to, this, () -> mQuotas.handleResponse(answer, now()));
+                        final TokenResponse response =
+                                to.mQuotas.heldShares().handleRequest(name(), request, to.now());
+                        send(to, this, () -> mQuotas.handleResponse(response, now()));
                     });
         }
 
         @Override
-        public void sendReturn(final InetSocketAddress holder, final TokenRequest ask) {
+        public void sendReturn(final InetSocketAddress holder, final TokenRequest request) {
             final Daemon to = at(holder);
-            send(this, to, () -> to.mQuotas.heldShares().returnTokens(name(), ask, to.now()));
+            send(this, to, () -> to.mQuotas.heldShares().returnTokens(name(), request, to.now()));
         }
 
         @Override
--- a/serving/src/test/java/org/whinhead/serving/usage/FleetClockTest.java
+++ b/serving/src/test/java/org/whinhead/serving/usage/FleetClockTest.java
@@ -21,8 +21,8 @@
         mClock.syncWithPeers();
     }
 
-    // The usage of a window is reported with half of its requests: some machines' time of day was
-    // set back by five seconds, and they counted into a window that was reported already.
+    // Guards against usage reports that miss half of the requests of a window: some machines' time
+    // of day was set back by five seconds, and they counted in a window that was already reported.
     @Test
     void timeOfDayJumpIsIgnored() {
         reportPeerTimes(Duration.ZERO);
@@ -32,8 +32,9 @@
         assertThat(mClock.instant()).isEqualTo(mSteady);
     }
 
-    // A machine is suspended for three seconds. Its steady clock stood still, so its time of day
-    // seems to jump; yet it is right, and the others confirm it.
+    // A machine is suspended for three seconds. Its steady clock stopped, so its time of day
+    // appears
+    // to jump; it is correct, and the peers confirm it.
     @Test
     void clockIsCorrectAfterSuspension() {
         reportPeerTimes(Duration.ZERO);
@@ -71,8 +72,8 @@
         assertThat(mClock.instant()).isEqualTo(mSteady);
     }
 
-    // Of two daemons one is suspended for three seconds, and counts usage three seconds late from
-    // then on: one other has no majority, so its word was not taken even for what the machine says.
+    // One of two daemons is suspended for three seconds. It counted usage three seconds late from
+    // then on, because a single peer is no majority and was not used to confirm the machine's time.
     @Test
     void singlePeerConfirmsMachineTime() {
         mClock.recordPeerTime("other", mSteady);
--- a/serving/src/test/java/org/whinhead/serving/usage/UsageLedgerTest.java
+++ b/serving/src/test/java/org/whinhead/serving/usage/UsageLedgerTest.java
@@ -27,9 +27,8 @@
         assertThat(ledger.totals(7)).isEqualTo(Map.of("clinic", 4L, "bailiff", 1L));
     }
 
-    // A window is reported short by what a killed daemon had counted. Its new process reports its
-    // own
-    // counts from nothing, and they replaced those of the process before.
+    // Guards against reports without the counts of a killed daemon: its new process counts from
+    // zero, and its counts replaced those of the previous process.
     @Test
     void countsOfPreviousIncarnationAreKept() {
         final UsageLedger ledger = new UsageLedger("self");
