--- a/serving/src/main/java/org/whinhead/serving/limit/package-info.java
+++ b/serving/src/main/java/org/whinhead/serving/limit/package-info.java
@@ -1,2 +1,2 @@
-/** Limits that all daemons keep together without exchanging messages. */
+/** Retry budget that bounds the retries of all daemons together. */
 package org.whinhead.serving.limit;
--- a/serving/src/main/java/org/whinhead/serving/quota/CustomerQuotas.java
+++ b/serving/src/main/java/org/whinhead/serving/quota/CustomerQuotas.java
@@ -139,7 +139,7 @@
     }
 
     /**
-     * Returns the tokens of an admitted request that did not run.
+     * Refunds the tokens of an admitted request that did not run.
      *
      * @param grant the tokens of the request
      */
--- a/serving/src/main/java/org/whinhead/serving/quota/HeldShares.java
+++ b/serving/src/main/java/org/whinhead/serving/quota/HeldShares.java
@@ -211,7 +211,7 @@
     }
 
     /**
-     * Returns the tokens of a request to their share; none of them has been spent.
+     * Puts the tokens of a request back into their share; they must not have been spent.
      *
      * @param claimant the incarnation of the requesting daemon
      * @param request the request that the tokens were issued for
--- a/serving/src/main/java/org/whinhead/serving/quota/QuotaTransport.java
+++ b/serving/src/main/java/org/whinhead/serving/quota/QuotaTransport.java
@@ -15,7 +15,7 @@
     void sendRequest(InetSocketAddress holder, TokenRequest request);
 
     /**
-     * Returns the tokens of a request to their holder.
+     * Sends the tokens of a request back to their holder.
      *
      * @param holder the address of the holder
      * @param request the request that the tokens were issued for
--- a/serving/src/main/java/org/whinhead/serving/quota/ShareBucket.java
+++ b/serving/src/main/java/org/whinhead/serving/quota/ShareBucket.java
@@ -131,7 +131,7 @@
         }
     }
 
-    /** Returns issued tokens to the share; none of them has been spent. */
+    /** Puts issued tokens back into the share; they must not have been spent. */
     void returnTokens(final IssueKey key, final Instant now) {
         refill(now);
         final Issue issue = mIssued.remove(key);
@@ -186,9 +186,9 @@
         private final long mTokens;
         private final Instant mExpiresAt;
 
-        private Issue(final long tokens, final Instant spentBy) {
+        private Issue(final long tokens, final Instant expiresAt) {
             mTokens = tokens;
-            mExpiresAt = spentBy;
+            mExpiresAt = expiresAt;
         }
     }
 }
--- a/serving/src/main/java/org/whinhead/serving/quota/ShareLimits.java
+++ b/serving/src/main/java/org/whinhead/serving/quota/ShareLimits.java
@@ -11,8 +11,8 @@
  * deployment accepts.
  *
  * @param tokensPerSecond the refill rate
- * @param fullTokens the capacity, including issued tokens that have not expired
- * @param mostDebt the largest overdraft, in tokens
+ * @param capacityTokens the capacity, including issued tokens that have not expired
+ * @param maxDebt the largest overdraft, in tokens
  * @param restartCredit the tokens that a restarted holder adds to the worst-case level
  * @param lightReserve the tokens reserved for light requests
  */
@@ -32,7 +32,10 @@
     /** The fraction of the tokens accepted beyond the rate that refills; the rest is for bursts. */
     private static final double REFILL_FRACTION = 1.0 / 5;
 
-    /** The least fraction beyond the sustained rate, since a request takes its tokens at once. */
+    /**
+     * The least fraction of the accepted tokens beyond the sustained rate; a request takes all of
+     * its tokens at once.
+     */
     private static final double MIN_BURST_FRACTION = 1.0 / 8;
 
     /** The fraction of the burst tokens available as overdraft. */
--- a/serving/src/test/java/org/whinhead/serving/quota/CustomerQuotasBoundTest.java
+++ b/serving/src/test/java/org/whinhead/serving/quota/CustomerQuotasBoundTest.java
@@ -17,8 +17,7 @@
 
     // A customer's demand reaches twelve times its usual, in bursts, at all daemons or mostly at
     // one, while daemons are restarted, suspended and partitioned, messages are delayed or lost,
-    // and
-    // requests that did not run are refunded. No window may admit more than is accepted.
+    // and requests that did not run are refunded. No window may admit more than is accepted.
     @Property(tries = 120, seed = "4711")
     void noWindowExceedsAcceptedTokens(
             @ForAll @IntRange(min = 1, max = 60) final int daemons, @ForAll final long seed) {
--- a/serving/src/test/java/org/whinhead/serving/quota/CustomerQuotasColdStartTest.java
+++ b/serving/src/test/java/org/whinhead/serving/quota/CustomerQuotasColdStartTest.java
@@ -17,13 +17,11 @@
     private static final Duration START_TIME = Duration.ofMillis(500);
 
     // A customer got 6,276,038 tokens in eight seconds at 95 daemons, 25,032 more than accepted,
-    // and
-    // the engines were full for other customers. All daemons had just started, and half a second
-    // after the first request the customer's demand rose to six times its usual. Each daemon spent
-    // the allowance less the reported spending of the others, which late or lost messages, a
-    // restart
-    // or a partition hide: with such daemons each of these cases admitted 1.01 to 1.91 of the
-    // accepted tokens.
+    // and the engines were full for other customers. All daemons had just started, and half a
+    // second after the first request the customer's demand rose to six times its usual. Each
+    // daemon spent the allowance less the reported spending of the others, which late or lost
+    // messages, a restart or a partition hide: with such daemons each of these cases admitted 1.01
+    // to 1.91 of the accepted tokens.
     // Columns: message delay in ms, fraction lost, end of a total loss, restart of a third and
     // partition of a third; times in ms from the first request, 0 for never.
     @ParameterizedTest
--- a/serving/src/test/java/org/whinhead/serving/quota/CustomerQuotasFleetTest.java
+++ b/serving/src/test/java/org/whinhead/serving/quota/CustomerQuotasFleetTest.java
@@ -32,9 +32,8 @@
 
     // Guards against engines that are full for other customers, because all daemons together admit
     // more of one customer in eight seconds than its allowance. Its demand, spread over all
-    // daemons,
-    // suddenly rises 3 to 8 times; real customers reach 7.5 times their usual demand, which is
-    // 1 / 1.8 of their allowance.
+    // daemons, suddenly rises 3 to 8 times; real customers reach 7.5 times their usual demand,
+    // which is 1 / 1.8 of their allowance.
     @ParameterizedTest
     @CsvSource({"6, 6", "18, 6", "61, 8", "95, 3", "95, 6", "95, 8", "330, 6"})
     void customerWithDemandSpikeStaysWithinAllowance(final int daemons, final double factor) {
@@ -46,8 +45,7 @@
     // Guards against rejecting or delaying a tenth of the requests within a small allowance, when
     // each daemon's part of it is less than one request. The burst of this customer is some four
     // requests: the smallest allowance is 18,000 tokens a second, with 72,000 tokens accepted
-    // beyond
-    // it in a window.
+    // beyond it in a window.
     @ParameterizedTest
     @CsvSource({"6, 8", "18, 6", "95, 6", "95, 8", "330, 8"})
     void customerWithSmallAllowanceIsAdmittedBelowIt(final int daemons, final double factor) {
--- a/serving/src/test/java/org/whinhead/serving/quota/CustomerQuotasTest.java
+++ b/serving/src/test/java/org/whinhead/serving/quota/CustomerQuotasTest.java
@@ -110,8 +110,7 @@
     }
 
     // A customer sends prompts of some hundred times its allowance. Its plain calls cost little,
-    // yet
-    // they were rejected like the prompts, because the shares were always empty.
+    // yet they were rejected like the prompts, because the shares were always empty.
     @Test
     void lightRequestsOfCustomerOverItsAllowanceAreAdmitted() {
         setHolder(SELF);
--- a/serving/src/test/java/org/whinhead/serving/quota/HeldSharesTest.java
+++ b/serving/src/test/java/org/whinhead/serving/quota/HeldSharesTest.java
@@ -64,8 +64,8 @@
     }
 
     // A holder is cut off from the store for hours, and its shares are reassigned to another
-    // daemon.
-    // The holder that can't read the table must stop before both issue tokens of the same shares.
+    // daemon. The holder that can't read the table must stop before both issue tokens of the same
+    // shares.
     @Test
     void holderStopsIssuingWhenItsTableExpires() {
         final ShareTable table = ShareTable.initial(List.of(SELF));
--- a/serving/src/test/java/org/whinhead/serving/quota/QuotaScenario.java
+++ b/serving/src/test/java/org/whinhead/serving/quota/QuotaScenario.java
@@ -61,9 +61,7 @@
         return this;
     }
 
-    /**
-     * Sends a fraction of all requests to the first daemon, in addition to its part of the rest.
-     */
+    /** Sends a fraction of all requests to the first daemon, beside its part of the rest. */
     QuotaScenario concentrate(final double fraction) {
         mFirstDaemonFraction = fraction;
         return this;
--- a/serving/src/test/java/org/whinhead/serving/quota/ShareBucketTest.java
+++ b/serving/src/test/java/org/whinhead/serving/quota/ShareBucketTest.java
@@ -42,8 +42,7 @@
     }
 
     // A share issues all its tokens and gets no request for half a second. The issued tokens
-    // occupied
-    // its capacity for that time, so it has not refilled.
+    // occupied its capacity for that time, so it has not refilled.
     @Test
     void bucketDoesNotRefillWhileIssuedTokensOccupyIt() {
         mBucket.issue(key(1), 900, false, START);
@@ -52,8 +51,7 @@
     }
 
     // A response is lost, and the claimant returns the tokens in a datagram that is delivered
-    // twice.
-    // The customer must not get them twice.
+    // twice. The customer must not get them twice.
     @Test
     void tokensAreReturnedOnce() {
         mBucket.issue(key(1), 500, false, START);
--- a/serving/src/test/java/org/whinhead/serving/usage/FleetClockTest.java
+++ b/serving/src/test/java/org/whinhead/serving/usage/FleetClockTest.java
@@ -33,8 +33,7 @@
     }
 
     // A machine is suspended for three seconds. Its steady clock stopped, so its time of day
-    // appears
-    // to jump; it is correct, and the peers confirm it.
+    // appears to jump; it is correct, and the peers confirm it.
     @Test
     void clockIsCorrectAfterSuspension() {
         reportPeerTimes(Duration.ZERO);
