--- a/serving/src/main/java/org/whinhead/serving/configuration/ServingConfiguration.java
+++ b/serving/src/main/java/org/whinhead/serving/configuration/ServingConfiguration.java
@@ -9,7 +9,7 @@
 import org.whinhead.serving.route.Route;
 import org.whinhead.serving.route.RouteTable;
 
-/** A complete version of the configuration. */
+/** A complete, immutable version of the configuration. */
 public final class ServingConfiguration {
 
     private final long mVersion;
--- a/serving/src/main/java/org/whinhead/serving/quota/CustomerQuotas.java
+++ b/serving/src/main/java/org/whinhead/serving/quota/CustomerQuotas.java
@@ -35,7 +35,7 @@
      */
     static final Duration CLAIM_TIMEOUT = Duration.ofMillis(1_000);
 
-    /** The delay after which a caller retries if no holder could be asked. */
+    /** The retry delay if the customer's remaining allowance can't be determined. */
     private static final Duration UNAVAILABLE_RETRY_DELAY = Duration.ofMillis(100);
 
     private final HeldShares mHeldShares;
--- a/serving/src/test/java/org/whinhead/serving/quota/HeldSharesTest.java
+++ b/serving/src/test/java/org/whinhead/serving/quota/HeldSharesTest.java
@@ -63,9 +63,8 @@
                 .isEqualTo(TokenResponse.Outcome.NOT_HELD);
     }
 
-    // A holder is cut off from the store for hours, and its shares are reassigned to another
-    // daemon. The holder that can't read the table must stop before both issue tokens of the same
-    // shares.
+    // A holder is cut off from the store for hours, and its shares are reassigned. It must
+    // stop before two daemons issue tokens of the same shares.
     @Test
     void holderStopsIssuingWhenItsTableExpires() {
         final ShareTable table = ShareTable.initial(List.of(SELF));
@@ -135,8 +134,8 @@
         assertThat(outcome(ownSlot(table), WARM_UP)).isEqualTo(TokenResponse.Outcome.ISSUED);
     }
 
-    // An operator removes a customer and restores it at once. Its shares must not be full again
-    // after it has just spent them.
+    // An operator removes a customer and restores it a second later. Its shares must not be
+    // full again after it has just spent them.
     @Test
     void restoredCustomerKeepsItsShareLevels() {
         final ShareTable table = ShareTable.initial(List.of(SELF));
