--- a/serving/src/main/java/org/whinhead/serving/capacity/CapacityOrder.java
+++ b/serving/src/main/java/org/whinhead/serving/capacity/CapacityOrder.java
@@ -7,12 +7,12 @@
  *
  * @param service the service
  * @param domain the failure domain
- * @param reclaimable whether the endpoints may be taken back on short notice
- * @param count how many of that kind there should be
+ * @param reclaimable whether the endpoints may be reclaimed on short notice
+ * @param count the total number of endpoints of that kind that there should be
  */
 public record CapacityOrder(String service, String domain, boolean reclaimable, int count) {
 
-    /** Checks the parts. */
+    /** Checks the components. */
     public CapacityOrder {
         Arguments.requireText(service, "service");
         Arguments.requireText(domain, "domain");
--- a/serving/src/main/java/org/whinhead/serving/capacity/CapacityPlanner.java
+++ b/serving/src/main/java/org/whinhead/serving/capacity/CapacityPlanner.java
@@ -18,37 +18,43 @@
 import org.whinhead.serving.endpoint.EndpointEntry;
 
 /**
- * Orders endpoints such that the demand is met, and that the loss of any failure domain's
- * reclaimable ones leaves a part of them.
+ * Orders endpoints so that they meet the demand, and that the loss of any failure domain's
+ * reclaimable endpoints leaves enough of them.
  *
- * <p>Reclaimable endpoints cost a fraction of the others, so they carry the calm hours, spread
+ * <p>Reclaimable endpoints cost a fraction of the on-demand ones, so they serve calm hours, spread
  * evenly over the failure domains. A reclaim takes all of one domain within seconds, and none are
- * to be had for a while; endpoints on demand then fill up what the demand needs, and leave again as
- * reclaimable ones come back.
+ * available for a while. On-demand endpoints then fill the gap and are removed again as reclaimable
+ * ones return.
  *
  * <p>The failure domains are those that the configuration prices, not only those where endpoints
- * are listed: a holder that takes over after the last endpoint has gone would otherwise know no
- * domain, order nothing, and the service would stay without endpoints for good.
+ * are listed. Otherwise a holder that takes over after the last endpoint has gone would know no
+ * domain and order nothing, and the service would remain without endpoints.
  */
 public final class CapacityPlanner {
 
-    /** How long an order that was refused rests before it is repeated. */
+    /** The time after which a refused order is repeated. */
     private static final Duration REFUSED_RETRY_DELAY = Duration.ofSeconds(3);
 
-    /** What is added to the time that an endpoint takes to start, before its order is repeated. */
+    /** The margin that is added to an endpoint's start time before its order is repeated. */
     private static final Duration BOOT_MARGIN = Duration.ofSeconds(2);
 
     /**
-     * How long a surplus lasts before endpoints on demand are given up. Before traffic they go as
-     * soon as others have replaced them: a deployment of 25 paid for all of its own until second 1
-     * of traffic, a tenth of a calm day's worth.
+     * The time that a surplus lasts before on-demand endpoints are removed. Before traffic they are
+     * removed as soon as others have replaced them: a deployment of 25 paid for all of its
+     * on-demand endpoints until second 1 of traffic, a tenth of a calm day's cost.
      */
     private static final Duration SURPLUS_DELAY = Duration.ofSeconds(4);
 
-    /** How far the need must fall before fewer endpoints are kept; they come and go in seconds. */
+    /**
+     * The number of endpoints by which the need must fall before fewer are kept, since it varies
+     * within seconds.
+     */
     private static final double NEED_SLACK = 1.3;
 
-    /** Part of the endpoints present at the start that are taken as needed until traffic comes. */
+    /**
+     * The share of the endpoints present at the start that are assumed to be needed until traffic
+     * starts.
+     */
     private static final double INITIAL_NEED_SHARE = 2.0 / 3;
 
     private final CapacitySettings mSettings;
@@ -60,36 +66,37 @@
     private final Map<String, Instant> mSurplusSince = new HashMap<>();
 
     /**
-     * Makes a planner that has ordered nothing.
+     * Creates a planner that has ordered nothing.
      *
-     * @param settings how much capacity is kept
+     * @param settings the settings of the kept capacity
      */
     public CapacityPlanner(final CapacitySettings settings) {
         mSettings = Objects.requireNonNull(settings, "settings");
     }
 
     /**
-     * What a service's endpoints have to do.
+     * The load of a service's endpoints.
      *
-     * @param demand tokens a second that callers ask for, if traffic has lasted long enough to tell
-     * @param atLeast tokens a second that they surely ask for; 0 if nothing was seen yet
-     * @param tokensPerEndpoint tokens a second that one endpoint reads, as far as was learned
+     * @param demand the tokens per second that callers request; empty until traffic has lasted long
+     *     enough to measure
+     * @param minimumDemand the tokens per second that callers request at least; 0 without traffic
+     * @param tokensPerEndpoint the measured tokens per second that one endpoint processes
      */
     public record Load(OptionalDouble demand, double minimumDemand, double tokensPerEndpoint) {
 
-        /** Tells whether callers were seen at all. */
-        boolean isSeen() {
+        /** Returns whether any traffic was observed. */
+        boolean isObserved() {
             return demand.isPresent() || minimumDemand > 0;
         }
     }
 
     /**
-     * Lists the orders to send now.
+     * Returns the orders to send now.
      *
-     * @param service a service, with scaling limits or without
-     * @param endpoints its endpoints that are not leaving; none if all were lost
-     * @param load what is asked, and what an endpoint does
-     * @param now the time
+     * @param service a service, with or without scaling limits
+     * @param endpoints its endpoints that are not leaving; empty if all were lost
+     * @param load the service's load
+     * @param now the current time
      * @return the orders; each counts as sent
      */
     public List<CapacityOrder> plan(
@@ -107,7 +114,7 @@
         }
         final InitialEndpoints initial = initial(service.name(), limits, now);
         initial.update(domains, now);
-        if (!load.isSeen() && !initial.isSettled(now)) {
+        if (!load.isObserved() && !initial.isSettled(now)) {
             return List.of();
         }
         final int least = Math.max(domains.size() * limits.least(), 1);
@@ -118,8 +125,8 @@
                         (int) Math.ceil(need * mSettings.reserve() / domains.size()),
                         limits.least());
         domains.forEach(domain -> domain.setReclaimableTarget(reclaimable));
-        final Duration surplusFor = load.isSeen() ? SURPLUS_DELAY : Duration.ZERO;
-        balanceOnDemand(service.name(), domains, limits, need, surplusFor, now);
+        final Duration surplusDelay = load.isObserved() ? SURPLUS_DELAY : Duration.ZERO;
+        balanceOnDemand(service.name(), domains, limits, need, surplusDelay, now);
         final List<CapacityOrder> orders = new ArrayList<>();
         for (final DomainCapacity domain : domains) {
             addOrder(orders, service, domain, true, domain.reclaimableTarget(), now);
@@ -129,11 +136,12 @@
     }
 
     /**
-     * Takes the list while another daemon orders, so that this one knows it when it takes over.
+     * Observes the endpoints while another daemon orders, so that this one knows them when it takes
+     * over.
      *
-     * @param service a service, with scaling limits or without
+     * @param service a service, with or without scaling limits
      * @param endpoints its endpoints that are not leaving
-     * @param now the time
+     * @param now the current time
      */
     public void observe(
             final ServiceSpec service,
@@ -145,19 +153,21 @@
                     domains(service.name(), limits, endpoints, now);
             initial(service.name(), limits, now).update(domains, now);
             domains.forEach(domain -> domain.keepAllOnDemand(now));
-            // What the holder has ordered is wanted: where all of it goes, it was reclaimed.
+            // All listed endpoints are wanted by the holder: if all of them disappear, they were
+            // reclaimed.
             domains.forEach(domain -> domain.setReclaimableTarget(domain.currentCount(true)));
         }
     }
 
     /**
-     * Notes an order of the daemon that orders now. Its endpoints are not listed before they have
-     * started; one that takes over meanwhile would order fewer, and the platform give up those that
-     * were about to start: twenty of them, two seconds before the last failure domain went.
+     * Records an order of the daemon that orders now. Its endpoints are not listed before they have
+     * started. A daemon that takes over meanwhile would order fewer, and the platform would remove
+     * those that were about to start: twenty of them, two seconds before the last failure domain
+     * was reclaimed.
      *
      * @param service the service
-     * @param order an order that the platform has taken
-     * @param now the time
+     * @param order an order that the platform has accepted
+     * @param now the current time
      */
     public void recordPeerOrder(
             final ServiceSpec service, final CapacityOrder order, final Instant now) {
@@ -195,9 +205,9 @@
     }
 
     /**
-     * Forgets which orders were sent to a domain that has lost endpoints. An order that was carried
-     * out before the loss would otherwise count as under way for the time of a start: the same
-     * number is not ordered again, and nothing else in its place.
+     * Forgets the orders that were sent to a domain that has lost endpoints. Otherwise an order
+     * that was carried out before the loss would count as pending for the time of a start, and
+     * neither the same number nor another one would be ordered.
      */
     private void forgetOrders(final String service, final String domain) {
         mSent.keySet()
@@ -213,9 +223,10 @@
     }
 
     /**
-     * Keeps endpoints on demand that are needed, whoever has ordered them. The holder before may
-     * have ordered them for a fleet that was lost; a successor that never asked for them ordered
-     * them away as they came up, and the service stood without endpoints for another start.
+     * Keeps needed on-demand endpoints regardless of which daemon ordered them. The previous holder
+     * may have ordered them for a fleet that was lost; a successor that had not ordered them
+     * removed them as they started, and the service remained without endpoints for the time of
+     * another start.
      */
     private static void adoptNeeded(final Collection<DomainCapacity> domains, final int need) {
         int missing = need - domains.stream().mapToInt(DomainCapacity::keptCount).sum();
@@ -225,14 +236,14 @@
     }
 
     private int need(final String service, final Load load, final int initial) {
-        final int held = mNeeds.getOrDefault(service, 0);
+        final int previous = mNeeds.getOrDefault(service, 0);
         if (load.demand().isEmpty()) {
-            final int seen = (int) Math.ceil(endpointsFor(load.minimumDemand(), load));
+            final int observed = (int) Math.ceil(endpointsFor(load.minimumDemand(), load));
             final int assumed = (int) Math.ceil(initial * INITIAL_NEED_SHARE);
-            return Math.max(Math.max(held, seen), assumed);
+            return Math.max(Math.max(previous, observed), assumed);
         }
         final double need = endpointsFor(load.demand().getAsDouble(), load);
-        if (need > held || need + NEED_SLACK < held) {
+        if (need > previous || need + NEED_SLACK < previous) {
             mNeeds.put(service, (int) Math.max(Math.ceil(need), 1));
         }
         return mNeeds.get(service);
@@ -247,9 +258,9 @@
     }
 
     /**
-     * Counts the endpoints that are kept: what the demand needs, and what leaves enough of that if
-     * reclaimable ones go. In a wave two more failure domains may go before anything that is
-     * ordered at the next notice has started.
+     * Returns the number of endpoints to keep: enough for the demand, and enough to survive a loss
+     * of reclaimable ones. In a wave of reclaims two more failure domains may be reclaimed before
+     * anything that is ordered at the next notice has started.
      */
     private int endpointsToKeep(
             final Collection<DomainCapacity> domains, final int need, final Instant now) {
@@ -261,19 +272,22 @@
                         .limit(wave ? mSettings.lossesInWave() : 1)
                         .mapToInt(Integer::intValue)
                         .sum();
-        final double surviving =
+        final double survivors =
                 need * (wave ? mSettings.survivingPartInWave() : mSettings.survivingPart());
-        final int enough = (int) (need * mSettings.burstReserve());
-        return Math.max(enough, atRisk + (int) Math.ceil(surviving));
+        final int withBursts = (int) (need * mSettings.burstReserve());
+        return Math.max(withBursts, atRisk + (int) Math.ceil(survivors));
     }
 
-    /** Sets how many endpoints on demand are wanted, by what there is and what may go at once. */
+    /**
+     * Sets the on-demand targets by the current number of endpoints and the number that may be lost
+     * at once.
+     */
     private void balanceOnDemand(
             final String service,
             final Collection<DomainCapacity> domains,
             final ScalingLimits limits,
             final int need,
-            final Duration surplusFor,
+            final Duration surplusDelay,
             final Instant now) {
         final int kept = endpointsToKeep(domains, need, now);
         final int expected = domains.stream().mapToInt(DomainCapacity::expectedCount).sum();
@@ -286,12 +300,12 @@
             return;
         }
         final Instant since = mSurplusSince.computeIfAbsent(service, name -> now);
-        if (expected == kept || now.isBefore(since.plus(surplusFor))) {
+        if (expected == kept || now.isBefore(since.plus(surplusDelay))) {
             return;
         }
-        // Only what serves already replaces an endpoint, not what is on its way.
-        final int here = domains.stream().mapToInt(DomainCapacity::keptCount).sum();
-        removeOnDemand(domains, limits.least(), here - kept, byPrice);
+        // Only endpoints that serve already replace others, not those that are starting.
+        final int present = domains.stream().mapToInt(DomainCapacity::keptCount).sum();
+        removeOnDemand(domains, limits.least(), present - kept, byPrice);
         mSurplusSince.remove(service);
     }
 
@@ -329,35 +343,36 @@
             final ServiceSpec service,
             final DomainCapacity domain,
             final boolean reclaimable,
-            final int goal,
+            final int target,
             final Instant now) {
-        if (goal == domain.currentCount(reclaimable)) {
+        if (target == domain.currentCount(reclaimable)) {
             return;
         }
         final CapacityOrder order =
-                new CapacityOrder(service.name(), domain.domain(), reclaimable, goal);
-        final Duration rest =
+                new CapacityOrder(service.name(), domain.domain(), reclaimable, target);
+        final Duration retryDelay =
                 mRefused.contains(order)
                         ? REFUSED_RETRY_DELAY
                         : service.scaling().orElseThrow().bootTime().plus(BOOT_MARGIN);
         final Instant sent = mSent.get(order);
-        if (sent == null || !now.isBefore(sent.plus(rest))) {
+        if (sent == null || !now.isBefore(sent.plus(retryDelay))) {
             mSent.put(order, now);
             orders.add(order);
         }
     }
 
     /**
-     * Takes the platform's answer to an order.
+     * Records the platform's answer to an order.
      *
      * @param order the order
-     * @param taken whether it was accepted; if not, none of that kind are to be had there
+     * @param accepted whether the order was accepted; if not, no endpoints of that kind are
+     *     available there
      */
-    public void recordAnswer(final CapacityOrder order, final boolean taken) {
+    public void recordAnswer(final CapacityOrder order, final boolean accepted) {
         if (order.reclaimable()) {
-            mServices.get(order.service()).get(order.domain()).recordReclaimableAnswer(taken);
+            mServices.get(order.service()).get(order.domain()).recordReclaimableAnswer(accepted);
         }
-        if (taken) {
+        if (accepted) {
             mRefused.remove(order);
         } else {
             mRefused.add(order);
--- a/serving/src/main/java/org/whinhead/serving/capacity/CapacitySettings.java
+++ b/serving/src/main/java/org/whinhead/serving/capacity/CapacitySettings.java
@@ -2,17 +2,17 @@
 
 import org.whinhead.api.Arguments;
 
-/** How much capacity is kept for a demand: immutable, made by its builder. */
+/** The settings of the capacity that is kept for a demand: immutable, created by its builder. */
 public final class CapacitySettings {
 
     /**
-     * What is kept for model services. Within a wave of reclaims all of the need is kept safe:
-     * where all three domains went within nine seconds, and the last while nobody could order, that
-     * earned 0.14 of the day more than a third; on days of two reclaims it costs 0.01. Keeping a
-     * third of the need safe against the next reclaim, not all of it, in calm times earned 0.03 to
-     * 0.09 of what is owed more on days with two reclaims: half of the endpoints on demand were not
-     * needed. At 1.17 of what an engine reads a service that had lost all reclaimable endpoints
-     * served 0.73 of what is owed, not 0.86.
+     * The settings for model services. Within a wave of reclaims all of the need must survive:
+     * where all three domains were reclaimed within nine seconds, and the last while no daemon
+     * could order, that earned 0.14 of the day more than a third did; on days of two reclaims it
+     * costs 0.01. In calm times only a third of the need must survive the next reclaim: that earned
+     * 0.03 to 0.09 of the owed amount more on days with two reclaims, since half of the on-demand
+     * endpoints were not needed. With a load of 1.17 of an engine's prefill rate a service that had
+     * lost all reclaimable endpoints served 0.73 of the owed amount, not 0.86.
      */
     public static final CapacitySettings USUAL = usual().build();
 
@@ -25,7 +25,7 @@
 
     private CapacitySettings(final Builder builder) {
         if (!(builder.mLoadPart > 0)) {
-            throw new IllegalArgumentException("loadPart is no part: " + builder.mLoadPart);
+            throw new IllegalArgumentException("loadPart must be above 0: " + builder.mLoadPart);
         }
         mLoadPart = builder.mLoadPart;
         mReserve = requireAtLeastOne(builder.mReserve, "reserve");
@@ -37,7 +37,7 @@
 
     private static double requirePart(final double part, final String name) {
         if (!(part >= 0 && part <= 1)) {
-            throw new IllegalArgumentException(name + " is no part: " + part);
+            throw new IllegalArgumentException(name + " is not from 0 to 1: " + part);
         }
         return part;
     }
@@ -50,18 +50,18 @@
     }
 
     /**
-     * Starts settings.
+     * Creates a builder of settings.
      *
-     * @return a builder that keeps what the demand needs, and nothing against losses
+     * @return a builder that keeps the endpoints that the demand needs, and none against losses
      */
     public static Builder builder() {
         return new Builder();
     }
 
     /**
-     * Starts settings from those that are kept for model services.
+     * Creates a builder with the settings for model services.
      *
-     * @return a builder that holds them
+     * @return the builder
      */
     public static Builder usual() {
         return builder()
@@ -96,7 +96,7 @@
         return mBurstReserve;
     }
 
-    /** Collects the parts of settings. */
+    /** Builds capacity settings. */
     public static final class Builder {
 
         private double mLoadPart = 1;
@@ -109,9 +109,9 @@
         private Builder() {}
 
         /**
-         * Sets the load of an endpoint.
+         * Sets the target load of an endpoint.
          *
-         * @param loadPart the part of what an endpoint can read that it should get at most;
+         * @param loadPart the highest load as a share of an endpoint's prefill rate, above 0;
          *     callers' shared prompts count, though many are cached
          * @return this builder
          */
@@ -121,9 +121,9 @@
         }
 
         /**
-         * Sets how many reclaimable endpoints are kept.
+         * Sets the number of reclaimable endpoints to keep.
          *
-         * @param reserve the number for each endpoint that the demand needs
+         * @param reserve the number for each endpoint that the demand needs, at least 1
          * @return this builder
          */
         public Builder reserve(final double reserve) {
@@ -132,11 +132,13 @@
         }
 
         /**
-         * Sets what must be left if reclaimable endpoints go now; more are ordered once they do.
+         * Sets the shares of the needed endpoints that must survive a reclaim; more are ordered
+         * after it.
          *
-         * @param part the part of the needed endpoints, if any failure domain's go
-         * @param partInWave the same while a domain was reclaimed a short while ago: reclaims come
-         *     in waves, and nothing reclaimable is to be had until a wave is over
+         * @param part the share, 0 to 1, if the reclaimable endpoints of any failure domain are
+         *     lost
+         * @param partInWave the same for a while after a reclaim, since reclaims come in waves, and
+         *     no reclaimable endpoints are available until a wave is over
          * @return this builder
          */
         public Builder surviving(final double part, final double partInWave) {
@@ -146,9 +148,10 @@
         }
 
         /**
-         * Sets how many reclaims are prepared for in a wave.
+         * Sets the number of further reclaims to survive in a wave.
          *
-         * @param lossesInWave failure domains that may go before what is ordered has started
+         * @param lossesInWave the number of failure domains that may be lost before ordered
+         *     endpoints have started, at least 1
          * @return this builder
          */
         public Builder lossesInWave(final int lossesInWave) {
@@ -157,9 +160,10 @@
         }
 
         /**
-         * Sets what is kept for bursts where only endpoints on demand are to be had.
+         * Sets the reserve for bursts if only on-demand endpoints are available.
          *
-         * @param burstReserve whole endpoints for each one that the demand needs
+         * @param burstReserve the number of endpoints, rounded down in total, for each one that the
+         *     demand needs, at least 1
          * @return this builder
          */
         public Builder burstReserve(final double burstReserve) {
@@ -168,9 +172,10 @@
         }
 
         /**
-         * Makes the settings.
+         * Returns the settings.
          *
          * @return the settings
+         * @throws IllegalArgumentException if a value is out of its range
          */
         public CapacitySettings build() {
             return new CapacitySettings(this);
--- a/serving/src/main/java/org/whinhead/serving/capacity/DemandMeter.java
+++ b/serving/src/main/java/org/whinhead/serving/capacity/DemandMeter.java
@@ -5,32 +5,41 @@
 import java.util.OptionalDouble;
 
 /**
- * Measures how many tokens a second all callers ask for.
+ * Measures the tokens per second that all callers request.
  *
- * <p>It rises at once and falls slowly: endpoints that are ordered away as a wave ebbs are missing
- * when it comes back.
+ * <p>The rate rises at once and falls slowly: endpoints that are removed as a wave of requests ebbs
+ * would be missing in the next one.
  */
 public final class DemandMeter {
 
-    /** The time over which the rate is taken; shorter ones show single large requests. */
+    /**
+     * The time over which the rate is measured; shorter ones are dominated by single large
+     * requests.
+     */
     private static final Duration SPAN = Duration.ofMillis(2_500);
 
     /**
-     * The least such time while traffic is new, if enough requests came in it. What is assumed
-     * before traffic comes may be far too little, and endpoints take seconds to start.
+     * The shortest such time while traffic is new, if it contains enough requests. The demand that
+     * is assumed before traffic may be far too low, and endpoints take seconds to start.
      */
     private static final Duration MIN_SPAN = Duration.ofMillis(500);
 
-    /** Requests in a span from which chance moves its rate by a tenth at most. */
+    /**
+     * The number of requests in a span from which random variation changes its rate by a tenth at
+     * most.
+     */
     private static final double MIN_EARLY_REQUESTS = 100;
 
-    /** How fast a peak is forgotten. */
+    /** The half-life of a peak. */
     private static final Duration PEAK_HALF_LIFE = Duration.ofSeconds(20);
 
-    /** Below this rate there is no traffic to judge by. */
+    /** The rate below which there is too little traffic to measure. */
     private static final double MIN_TOKENS_PER_SECOND = 1_000;
 
-    /** How long traffic must have lasted: the first span is partly without, and far too low. */
+    /**
+     * The time that traffic must have lasted: the first span has traffic for a part of its time
+     * only, and its rate is far too low.
+     */
     private static final Duration SETTLED_AFTER = Duration.ofSeconds(6);
 
     private static final double MILLIS_PER_SECOND = 1_000;
@@ -43,24 +52,24 @@
     private double mRate;
 
     /**
-     * Takes the total as of now.
+     * Adds the current total of tokens.
      *
-     * @param tokensInAll tokens of all requests so far
-     * @param requestTokens the tokens of a usual request; 0 if none is known
-     * @param now the time
+     * @param totalTokens the tokens of all requests so far
+     * @param requestTokens the tokens of a typical request; 0 if unknown
+     * @param now the current time
      */
-    public void addTotal(final long tokensInAll, final double requestTokens, final Instant now) {
+    public void addTotal(final long totalTokens, final double requestTokens, final Instant now) {
         if (mStart == null) {
             mStart = now;
             mDecayedAt = now;
-            mTokensAtStart = tokensInAll;
+            mTokensAtStart = totalTokens;
             return;
         }
         final double millis = Duration.between(mDecayedAt, now).toMillis();
         mRate *= Math.pow(0.5, millis / PEAK_HALF_LIFE.toMillis());
         mDecayedAt = now;
         final Duration span = Duration.between(mStart, now);
-        final long tokens = tokensInAll - mTokensAtStart;
+        final long tokens = totalTokens - mTokensAtStart;
         final boolean early =
                 !mSettled
                         && requestTokens > 0
@@ -70,7 +79,7 @@
             final double rate = tokens * MILLIS_PER_SECOND / span.toMillis();
             mRate = Math.max(mRate, rate);
             mStart = now;
-            mTokensAtStart = tokensInAll;
+            mTokensAtStart = totalTokens;
             updateSettled(now);
         }
     }
@@ -87,19 +96,18 @@
     }
 
     /**
-     * Returns the rate to be prepared for.
+     * Returns the rate that the capacity must serve.
      *
-     * @return tokens a second; empty while there is no traffic, or hardly any was seen
+     * @return tokens per second; empty without traffic, or before it has lasted long enough
      */
     public OptionalDouble tokensPerSecond() {
         return mSettled ? OptionalDouble.of(mRate) : OptionalDouble.empty();
     }
 
     /**
-     * Returns the rate that was seen so far, also while traffic is too new to tell that there is no
-     * more.
+     * Returns the rate measured so far, even while traffic is too new to exclude a higher one.
      *
-     * @return tokens a second; 0 if none were seen
+     * @return tokens per second; 0 without traffic
      */
     public double minimumTokensPerSecond() {
         return mRate;
--- a/serving/src/main/java/org/whinhead/serving/capacity/DomainCapacity.java
+++ b/serving/src/main/java/org/whinhead/serving/capacity/DomainCapacity.java
@@ -5,16 +5,19 @@
 import java.util.Collection;
 import org.whinhead.serving.endpoint.EndpointEntry;
 
-/** The endpoints of one service in one failure domain, as they are and as they should be. */
+/** The current and target numbers of a service's endpoints in one failure domain. */
 final class DomainCapacity {
 
-    /** How long after one reclaim another is expected; those of a wave came 2 to 6 s apart. */
+    /**
+     * The time after a reclaim in which another one is expected; those of a wave came 2 to 6 s
+     * apart.
+     */
     private static final Duration WAVE_DURATION = Duration.ofSeconds(8);
 
-    /** How long the notices of one reclaim take to be read. */
+    /** The time within which all notices of one reclaim are read. */
     private static final Duration RECLAIM_WINDOW = Duration.ofMillis(2_000);
 
-    /** Part of the endpoints that may still be listed when a reclaim is taken for one. */
+    /** The largest share of the endpoints that may still be listed when a reclaim is detected. */
     private static final double MAX_REMAINING_SHARE = 0.25;
 
     private final String mDomain;
@@ -30,12 +33,12 @@
     private int mPeak;
     private Instant mPeakAt = Instant.EPOCH;
 
-    DomainCapacity(final String domain, final int most) {
+    DomainCapacity(final String domain, final int limit) {
         mDomain = domain;
-        mMaxEndpoints = most;
+        mMaxEndpoints = limit;
     }
 
-    /** Counts what is listed now, and tells whether that is fewer of a kind than before. */
+    /** Counts the listed endpoints, and returns whether there are fewer of a kind than before. */
     boolean updateCounts(final Collection<EndpointEntry> endpoints, final Instant now) {
         final int onDemandBefore = mOnDemandNow;
         final int reclaimableBefore = mReclaimableNow;
@@ -56,8 +59,8 @@
     }
 
     /**
-     * Notes a reclaim: most of the reclaimable endpoints go within a moment, though they are
-     * wanted. Not all, since the list is read in parts, and entries of other starts may stay a
+     * Detects a reclaim: most of the wanted reclaimable endpoints disappear at once. Not all of
+     * them must have, since the list is read in parts, and entries of other starts may remain for a
      * while.
      */
     private void detectReclaim(final Instant now) {
@@ -72,38 +75,43 @@
     }
 
     /**
-     * Takes all endpoints on demand that are here, or on their way, as wanted: while the list still
+     * Sets the on-demand target to all endpoints that are listed or pending, while the list still
      * grows, and while another daemon orders.
      */
     void keepAllOnDemand(final Instant now) {
-        final boolean underWay = now.isBefore(mPendingUntil);
-        mOnDemandTarget = underWay ? Math.max(mOnDemandNow, mOnDemandPending) : mOnDemandNow;
+        final boolean pending = now.isBefore(mPendingUntil);
+        mOnDemandTarget = pending ? Math.max(mOnDemandNow, mOnDemandPending) : mOnDemandNow;
     }
 
-    /** Notes how many endpoints on demand another daemon has ordered, and when they are listed. */
+    /**
+     * Records the number of on-demand endpoints that another daemon has ordered, and the time by
+     * which they are listed.
+     */
     void recordPeerOrder(final int count, final Instant listedAt) {
         mOnDemandPending = count;
         mPendingUntil = listedAt;
     }
 
-    /** Tells whether all reclaimable endpoints were taken back here within the last while. */
+    /**
+     * Returns whether the reclaimable endpoints were reclaimed here within the duration of a wave.
+     */
     boolean wasReclaimed(final Instant now) {
         return now.isBefore(mReclaimedAt.plus(WAVE_DURATION));
     }
 
     /**
-     * Takes endpoints on demand that are here, though not ordered from here, as wanted.
+     * Adds listed on-demand endpoints that this planner has not ordered to the target.
      *
-     * @param most how many at most
-     * @return how many
+     * @param limit the largest number to add
+     * @return the number of added endpoints
      */
-    int adoptOnDemand(final int most) {
-        final int adopted = Math.max(Math.min(mOnDemandNow - mOnDemandTarget, most), 0);
+    int adoptOnDemand(final int limit) {
+        final int adopted = Math.max(Math.min(mOnDemandNow - mOnDemandTarget, limit), 0);
         mOnDemandTarget += adopted;
         return adopted;
     }
 
-    /** Counts endpoints that are here and wanted. */
+    /** Returns the number of listed endpoints that are wanted. */
     int keptCount() {
         return Math.min(mOnDemandNow, mOnDemandTarget) + mReclaimableNow;
     }
@@ -120,9 +128,9 @@
         return mOnDemandTarget;
     }
 
-    /** Sets how many reclaimable endpoints there should be, as far as there is room. */
-    void setReclaimableTarget(final int wanted) {
-        mReclaimableTarget = wanted;
+    /** Sets the target of reclaimable endpoints, which is limited by the room in the domain. */
+    void setReclaimableTarget(final int target) {
+        mReclaimableTarget = target;
     }
 
     int reclaimableTarget() {
@@ -130,17 +138,17 @@
         return Math.min(mReclaimableTarget, Math.max(mMaxEndpoints - onDemand, 0));
     }
 
-    /** Notes whether the platform had reclaimable endpoints when they were ordered last. */
-    void recordReclaimableAnswer(final boolean taken) {
-        mOutOfStock = !taken;
+    /** Records whether the platform had reclaimable endpoints at the last order. */
+    void recordReclaimableAnswer(final boolean accepted) {
+        mOutOfStock = !accepted;
     }
 
-    /** Counts reclaimable endpoints that serve or are on their way. */
+    /** Returns the number of reclaimable endpoints that serve or are starting. */
     int expectedReclaimable() {
         return mOutOfStock ? mReclaimableNow : Math.max(mReclaimableNow, reclaimableTarget());
     }
 
-    /** Counts endpoints that serve or are on their way. */
+    /** Returns the number of endpoints that serve or are starting. */
     int expectedCount() {
         return Math.max(mOnDemandNow, mOnDemandTarget) + expectedReclaimable();
     }
@@ -149,9 +157,12 @@
         return mOnDemandTarget + mReclaimableNow < mMaxEndpoints;
     }
 
-    /** Tells whether an endpoint on demand can go without leaving fewer than the least here. */
-    boolean canRemoveOnDemand(final int least) {
-        return mOnDemandTarget > 0 && mOnDemandTarget + mReclaimableNow > least;
+    /**
+     * Returns whether an on-demand endpoint can be removed without leaving fewer than the given
+     * minimum here.
+     */
+    boolean canRemoveOnDemand(final int minimum) {
+        return mOnDemandTarget > 0 && mOnDemandTarget + mReclaimableNow > minimum;
     }
 
     void addOnDemand() {
--- a/serving/src/main/java/org/whinhead/serving/capacity/InitialEndpoints.java
+++ b/serving/src/main/java/org/whinhead/serving/capacity/InitialEndpoints.java
@@ -5,22 +5,27 @@
 import java.util.Collection;
 
 /**
- * What a service's list held when its planner began.
+ * The endpoints that a service's list held when its planner started.
  *
- * <p>Entries of a large service come one by one over seconds. An order names how many endpoints
- * there should be; one that is made of the first few entries orders the others away: 44 of 74, and
- * a third of a calm day's requests was not served. So nothing is ordered until the list has stopped
- * to grow.
+ * <p>Entries of a large service arrive one by one over seconds. An order names the total number of
+ * endpoints, so an order based on the first few entries removes the others: 44 of 74 were removed,
+ * and a third of a calm day's requests were not served. So nothing is ordered until the list has
+ * stopped growing.
  */
 final class InitialEndpoints {
 
-    /** Endpoints write their entries 1.2 s apart: a list that did not grow for longer is whole. */
+    /**
+     * Endpoints write their entries 1.2 s apart: a list that did not grow for longer is complete.
+     */
     private static final Duration SETTLED_AFTER = Duration.ofMillis(1_400);
 
-    /** The same from the first entry on; the store shows entries up to 0.8 s late. */
+    /**
+     * The time from the first entry after which a list is complete in any case; the store shows
+     * entries up to 0.8 s late.
+     */
     private static final Duration COMPLETE_AFTER = Duration.ofMillis(2_600);
 
-    /** Without any entry: how long the first may take. */
+    /** The time after which a list without any entry is complete. */
     private static final Duration EMPTY_AFTER = Duration.ofMillis(2_000);
 
     private final Instant mOwnOrdersFrom;
@@ -31,11 +36,11 @@
     private boolean mSettled;
 
     /**
-     * Makes a list of which nothing was seen.
+     * Creates an empty list.
      *
-     * @param now the time
-     * @param bootTime what an order takes to show: reclaimable endpoints that are listed before
-     *     were there, later ones may have been ordered by this planner
+     * @param now the current time
+     * @param bootTime the time until an ordered endpoint is listed: reclaimable endpoints that are
+     *     listed earlier were there before, later ones may have been ordered by this planner
      */
     InitialEndpoints(final Instant now, final Duration bootTime) {
         mGrownAt = now;
@@ -59,7 +64,7 @@
         mReclaimable = Math.max(mReclaimable, reclaimable);
     }
 
-    /** Tells whether the list has stopped to grow once; what comes later was ordered. */
+    /** Returns whether the list has stopped growing once; later entries were ordered. */
     boolean isSettled(final Instant now) {
         mSettled = mSettled || (mFirstAt == null ? isEmpty(now) : isComplete(now));
         return mSettled;
@@ -74,7 +79,7 @@
                 || !now.isBefore(mFirstAt.plus(COMPLETE_AFTER));
     }
 
-    /** Counts the endpoints that were there. */
+    /** Returns the number of endpoints that were present. */
     int count() {
         return mOnDemand + mReclaimable;
     }
--- a/serving/src/main/java/org/whinhead/serving/capacity/package-info.java
+++ b/serving/src/main/java/org/whinhead/serving/capacity/package-info.java
@@ -1,2 +1,4 @@
-/** How many endpoints of which kind are ordered in which failure domain. */
+/**
+ * Capacity planning: the number of endpoints of each kind that are ordered in each failure domain.
+ */
 package org.whinhead.serving.capacity;
--- a/serving/src/test/java/org/whinhead/serving/capacity/CapacityPlannerTest.java
+++ b/serving/src/test/java/org/whinhead/serving/capacity/CapacityPlannerTest.java
@@ -37,7 +37,7 @@
             new CapacityPlanner(
                     CapacitySettings.builder().loadPart(1).reserve(2).surviving(1, 1).build());
     private final List<EndpointEntry> mEndpoints = new ArrayList<>();
-    private boolean mDry;
+    private boolean mOutOfStock;
     private int mNextId;
 
     CapacityPlannerTest() {
@@ -70,15 +70,15 @@
         return (int) mEndpoints.stream().filter(e -> e.reclaimable() == reclaimable).count();
     }
 
-    /** Plays seconds in which the platform carries out each order at once, or refuses it. */
+    /** Simulates seconds in which the platform carries out each order at once, or refuses it. */
     private void run(final int fromSecond, final int toSecond, final OptionalDouble demand) {
         for (int second = fromSecond; second < toSecond; second++) {
             final Instant now = START.plusSeconds(second);
             for (final CapacityOrder order :
                     mPlanner.plan(SERVICE, mEndpoints, load(demand), now)) {
-                final boolean taken = !(mDry && order.reclaimable());
-                mPlanner.recordAnswer(order, taken);
-                if (taken) {
+                final boolean accepted = !(mOutOfStock && order.reclaimable());
+                mPlanner.recordAnswer(order, accepted);
+                if (accepted) {
                     set(order.domain(), order.reclaimable(), order.count());
                 }
             }
@@ -93,24 +93,22 @@
     }
 
     @Test
-    void higherDemandKeepsMore() {
+    void higherDemandKeepsMoreEndpoints() {
         run(0, 20, OptionalDouble.of(140_000));
         assertThat(count(true)).isEqualTo(12);
     }
 
     @Test
-    void beforeTrafficMostOfWhatWasThereIsKept() {
+    void mostInitialEndpointsAreKeptBeforeTraffic() {
         run(0, 20, OptionalDouble.empty());
         assertThat(count(true) + count(false)).isGreaterThanOrEqualTo(8);
     }
 
-    // Nobody is served for a second of a wave of reclaims. The holder had ordered endpoints on
-    // demand in
-    // time; the next one took the lease while they started, ordered one for the same domain, and
-    // the
-    // platform gave up those on their way.
+    // Guards against an outage of a second in a wave of reclaims. The holder had ordered on-demand
+    // endpoints in time; the next one took the lease while they started, ordered one for the same
+    // domain, and the platform removed those that were starting.
     @Test
-    void holderThatTakesOverKeepsWhatIsOnItsWay() {
+    void newHolderKeepsStartingEndpoints() {
         mPlanner =
                 new CapacityPlanner(CapacitySettings.builder().reserve(2).surviving(0, 1).build());
         DOMAINS.forEach(domain -> set(domain, false, 0));
@@ -118,7 +116,7 @@
         for (int second = 0; second < 10; second++) {
             mPlanner.observe(SERVICE, mEndpoints, START.plusSeconds(second));
         }
-        mDry = true;
+        mOutOfStock = true;
         set("a", true, 0);
         final Instant reclaimed = START.plusSeconds(10);
         mPlanner.observe(SERVICE, mEndpoints, reclaimed);
@@ -138,26 +136,26 @@
                 .allMatch(order -> order.count() >= 4);
     }
 
-    // Half of the callers of a large service fail for its first twelve seconds. The lease holder
-    // planned when the first of its 42 endpoints were listed, and took these for all.
+    // Guards against failing half of the requests to a large service for its first twelve seconds.
+    // The lease holder planned when the first of its 42 endpoints were listed, and treated them as
+    // all.
     @Test
-    void endpointsThatAreListedLateCountAsPresent() {
+    void endpointsThatAreListedLateCountAsInitial() {
         mEndpoints.clear();
         set("a", false, 1);
-        mDry = true;
+        mOutOfStock = true;
         run(0, 1, OptionalDouble.empty());
         DOMAINS.forEach(domain -> set(domain, false, 4));
         run(4, 30, OptionalDouble.empty());
         assertThat(count(false)).isGreaterThanOrEqualTo(8);
     }
 
-    // Two failure domains are reclaimed within seconds, none of that kind are to be had, and what
-    // is
-    // left of the service is overrun. Endpoints on demand were to be had all the while.
+    // Guards against overload after two failure domains are reclaimed within seconds and no
+    // reclaimable endpoints are available, though on-demand ones are.
     @Test
-    void endpointsOnDemandFillUpAfterReclaims() {
+    void onDemandEndpointsReplaceReclaimedOnes() {
         run(0, 20, OptionalDouble.of(140_000));
-        mDry = true;
+        mOutOfStock = true;
         set("a", true, 0);
         run(20, 26, OptionalDouble.of(140_000));
         set("b", true, 0);
@@ -165,12 +163,13 @@
         assertThat(count(true) + count(false) - 4).isGreaterThanOrEqualTo(6);
     }
 
-    // A service pays for seven endpoints on demand, each at five times the price of a reclaimable
-    // one, while the reclaimable ones that are left carry all that is asked. Pattern: one domain is
-    // reclaimed and none are to be had, then a second one six seconds later. Grounds: notices come
-    // 2.5 s ahead and a start takes 4 s, so a third of the need bridges what is ordered then.
+    // Guards against paying for seven on-demand endpoints, each at five times the price of a
+    // reclaimable one, while the remaining reclaimable ones serve the whole demand. One domain is
+    // reclaimed and none are available, then a second one six seconds later. Notices come 2.5 s
+    // ahead and a start takes 4 s, so a third of the need bridges the time until ordered endpoints
+    // start.
     @Test
-    void endpointsOnDemandFillOnlyWhatIsMissing() {
+    void onDemandEndpointsFillOnlyTheGap() {
         mPlanner =
                 new CapacityPlanner(
                         CapacitySettings.builder()
@@ -180,7 +179,7 @@
                                 .build());
         run(0, 20, OptionalDouble.of(120_000));
         assertThat(count(true)).isEqualTo(12);
-        mDry = true;
+        mOutOfStock = true;
         set("a", true, 0);
         run(20, 26, OptionalDouble.of(120_000));
         assertThat(count(false)).isZero();
@@ -194,8 +193,8 @@
     }
 
     @Test
-    void slowerEndpointsAreNeededInLargerNumber() {
-        mDry = true;
+    void slowerEndpointsRaiseTheNeed() {
+        mOutOfStock = true;
         final CapacityPlanner.Load slow =
                 new CapacityPlanner.Load(OptionalDouble.of(120_000), 0, 15_000);
         for (final CapacityOrder order : mPlanner.plan(SERVICE, mEndpoints, slow, START)) {
@@ -205,34 +204,35 @@
     }
 
     @Test
-    void endpointsOnDemandLeaveAsReclaimableOnesComeBack() {
+    void onDemandEndpointsAreRemovedAsReclaimableOnesReturn() {
         run(0, 20, OptionalDouble.of(140_000));
-        mDry = true;
+        mOutOfStock = true;
         set("a", true, 0);
         run(20, 40, OptionalDouble.of(140_000));
         assertThat(count(false)).isPositive();
-        mDry = false;
+        mOutOfStock = false;
         run(40, 80, OptionalDouble.of(140_000));
         assertThat(count(false)).isZero();
         assertThat(count(true)).isEqualTo(12);
     }
 
-    // Every call to the model service is refused for the rest of the day. One failure domain is
-    // reclaimed while the store turns the lease holder away, then the other two together; the next
-    // holder takes over when no endpoint is listed any more, knows no domain and orders nothing.
+    // Guards against refusing every request to a model service for the rest of the day. One failure
+    // domain is reclaimed while the store rejects the lease holder, then the other two together;
+    // the next holder takes over when no endpoint is listed any more, knows no domain and orders
+    // nothing.
     @Test
-    void holderThatTakesOverAfterTheLastEndpointHasGoneOrdersNewOnes() {
+    void newHolderOrdersEndpointsForAnEmptyList() {
         mEndpoints.clear();
         mPlanner.observe(SERVICE, mEndpoints, START.minusSeconds(5));
         run(0, 1, OptionalDouble.empty());
         assertThat(count(true)).isEqualTo(6);
     }
 
-    // A fleet that was lost is served again for a moment, and stands without endpoints for three
-    // seconds more. The holder before had ordered endpoints on demand; as they came up the next
-    // holder, which had ordered reclaimable ones meanwhile, ordered them away.
+    // Guards against three further seconds without endpoints after a fleet was lost and replaced.
+    // The previous holder had ordered on-demand endpoints; as they started the next holder, which
+    // had ordered reclaimable ones meanwhile, removed them.
     @Test
-    void holderKeepsWhatTheOneBeforeHadOrderedUntilItsOwnIsThere() {
+    void newHolderKeepsEarlierOrdersUntilItsOwnAreCarriedOut() {
         mEndpoints.clear();
         final CapacityPlanner.Load load = load(OptionalDouble.of(100_000));
         mPlanner.plan(SERVICE, mEndpoints, load, START)
@@ -250,25 +250,26 @@
     }
 
     @Test
-    void holderThatTakesOverAnEmptyFleetInDryTimesOrdersOnDemand() {
+    void newHolderOrdersOnDemandIfReclaimableOnesAreOutOfStock() {
         mEndpoints.clear();
-        mDry = true;
+        mOutOfStock = true;
         run(0, 5, OptionalDouble.empty());
         assertThat(count(false)).isGreaterThanOrEqualTo(2);
     }
 
     @Test
-    void holderThatKnowsTheDemandOfLostFleetOrdersForIt() {
+    void holderOrdersForTheKnownDemandOfLostFleet() {
         mEndpoints.clear();
-        mDry = true;
+        mOutOfStock = true;
         run(0, 5, OptionalDouble.of(140_000));
         assertThat(count(false)).isGreaterThanOrEqualTo(6);
     }
 
-    // A domain is lost just after its endpoints were ordered, and none are to be had any more. The
-    // order counted as under way for the time of a start, and nothing was ordered in its place.
+    // Guards against a delayed replacement if a domain is lost just after its endpoints were
+    // ordered and no more are available: the order counted as pending for the time of a start, and
+    // nothing was ordered instead.
     @Test
-    void orderIsSentAgainAtOnceIfItsEndpointsWereLost() {
+    void orderIsRepeatedAtOnceIfItsEndpointsWereLost() {
         run(0, 20, OptionalDouble.of(140_000));
         set("a", true, 0);
         run(20, 22, OptionalDouble.of(140_000));
@@ -279,7 +280,7 @@
     }
 
     @Test
-    void orderThatShowsNoEffectIsRepeatedAfterItsStart() {
+    void orderWithoutEffectIsRepeatedAfterTheStartTime() {
         assertThat(mPlanner.plan(SERVICE, mEndpoints, load(OptionalDouble.of(70_000)), START))
                 .isNotEmpty();
         assertThat(
@@ -299,18 +300,18 @@
     }
 
     @Test
-    void serviceWithoutLimitsIsLeftAlone() {
+    void serviceWithoutLimitsGetsNoOrders() {
         final ServiceSpec plain =
                 new ServiceSpec("api", 100, false, Optional.empty(), Optional.empty());
         assertThat(mPlanner.plan(plain, mEndpoints, load(OptionalDouble.empty()), START)).isEmpty();
     }
 
-    // A large service starts its day with 30 of 74 endpoints. Its entries come over two seconds,
-    // and
-    // the first orders were made of those that had come: three reclaimable ones a domain, where
-    // twelve were running. An order names how many there should be, so the others went.
+    // Guards against starting a large service's day with 30 of 74 endpoints. Its entries arrive
+    // over two seconds, and the first orders were based on those that had arrived: three
+    // reclaimable ones a domain, where twelve were running. An order names the total number, so the
+    // others were removed.
     @Test
-    void nothingIsOrderedOfListThatStillGrows() {
+    void nothingIsOrderedWhileTheListGrows() {
         mEndpoints.clear();
         for (int tenth = 0; tenth < 20; tenth++) {
             set(DOMAINS.get(tenth % 3), true, 1 + tenth / 5);
@@ -326,19 +327,19 @@
         assertThat(count(true) + count(false)).isGreaterThanOrEqualTo(12);
     }
 
-    // The list tells nothing of the demand after a restart of all daemons in the middle of a wave
-    // of
-    // reclaims: few endpoints are left in it. What callers are seen to ask for tells more at once.
+    // After a restart of all daemons in the middle of a wave of reclaims the list has few endpoints
+    // and says nothing about the demand. The requests observed so far give a better estimate at
+    // once.
     @Test
-    void demandThatWasSeenCountsThoughItIsNew() {
+    void minimumDemandCountsBeforeDemandIsMeasured() {
         mEndpoints.clear();
         set("c", true, 1);
-        mDry = true;
+        mOutOfStock = true;
         final CapacityPlanner.Load load =
                 new CapacityPlanner.Load(OptionalDouble.empty(), 120_000, 25_000);
         for (final CapacityOrder order : mPlanner.plan(SERVICE, mEndpoints, load, START)) {
-            final boolean taken = !order.reclaimable();
-            mPlanner.recordAnswer(order, taken);
+            final boolean accepted = !order.reclaimable();
+            mPlanner.recordAnswer(order, accepted);
         }
         final int onDemand =
                 mPlanner.plan(SERVICE, mEndpoints, load, START.plusMillis(30)).stream()
@@ -348,11 +349,12 @@
         assertThat(onDemand).isGreaterThanOrEqualTo(4);
     }
 
-    // Two domains of three are reclaimed within three seconds, and the last one while nobody can
-    // order: from then on three of four callers fail for seven seconds. Grounds: none are to be had
-    // for 12 to 15 s, others follow within some six, and a start takes 4 s, longer than any notice.
+    // Guards against failing three of four requests for seven seconds: two of three domains are
+    // reclaimed within three seconds, and the last one while no daemon can order. No reclaimable
+    // endpoints are available for 12 to 15 s, further reclaims follow within about six, and a start
+    // takes 4 s, longer than any notice.
     @Test
-    void allOfTheNeedSurvivesTheNextReclaimOfTheSameWave() {
+    void wholeNeedSurvivesTheNextReclaimOfTheWave() {
         mPlanner =
                 new CapacityPlanner(
                         CapacitySettings.builder()
@@ -361,7 +363,7 @@
                                 .surviving(0.34, 1)
                                 .build());
         run(0, 20, OptionalDouble.of(110_000));
-        mDry = true;
+        mOutOfStock = true;
         set("a", true, 0);
         run(20, 23, OptionalDouble.of(110_000));
         set("b", true, 0);
@@ -370,10 +372,10 @@
         assertThat(count(false)).isGreaterThanOrEqualTo(5);
     }
 
-    // Nobody is served for two seconds of a wave of reclaims. The news of the first one is read in
-    // parts, one entry of the domain stays listed, and nothing is ordered against the next reclaim.
+    // Guards against an outage of two seconds in a wave of reclaims. The list is read in parts, one
+    // entry of the first domain remains listed, and nothing is ordered against the next reclaim.
     @Test
-    void reclaimThatLeavesOneEntryListedIsNoticed() {
+    void reclaimThatLeavesOneEntryListedIsDetected() {
         mPlanner =
                 new CapacityPlanner(
                         CapacitySettings.builder()
@@ -382,16 +384,16 @@
                                 .surviving(0.34, 1)
                                 .build());
         run(0, 20, OptionalDouble.of(140_000));
-        mDry = true;
+        mOutOfStock = true;
         set("a", true, 1);
         run(20, 23, OptionalDouble.of(140_000));
         assertThat(count(false)).isGreaterThanOrEqualTo(1);
     }
 
-    // The same, as the lease changes hands between two reclaims: the next holder had only watched
+    // The same when the lease changes hands between two reclaims: the next holder had only observed
     // the first one, and ordered nothing until the second was read.
     @Test
-    void holderThatTakesOverHasNoticedTheReclaimBefore() {
+    void newHolderHasDetectedTheEarlierReclaim() {
         mPlanner =
                 new CapacityPlanner(
                         CapacitySettings.builder()
@@ -404,7 +406,7 @@
         for (int second = 0; second < 10; second++) {
             mPlanner.observe(SERVICE, mEndpoints, START.plusSeconds(second));
         }
-        mDry = true;
+        mOutOfStock = true;
         set("a", true, 0);
         mPlanner.observe(SERVICE, mEndpoints, START.plusSeconds(10));
         run(12, 15, OptionalDouble.of(140_000));
@@ -412,7 +414,7 @@
     }
 
     @Test
-    void endpointsThatWereKeptForTheWaveLeaveBehindIt() {
+    void endpointsKeptForWaveAreRemovedAfterIt() {
         mPlanner =
                 new CapacityPlanner(
                         CapacitySettings.builder()
@@ -421,18 +423,19 @@
                                 .surviving(0.34, 1)
                                 .build());
         run(0, 20, OptionalDouble.of(110_000));
-        mDry = true;
+        mOutOfStock = true;
         set("a", true, 0);
         run(20, 34, OptionalDouble.of(110_000));
-        mDry = false;
+        mOutOfStock = false;
         run(34, 60, OptionalDouble.of(110_000));
         assertThat(count(false)).isZero();
     }
 
-    // A service pays for six endpoints on demand that nobody needs, as the lease changes hands: the
-    // next holder had seen them at its start, and took them for wanted though they were given up.
+    // Guards against paying for six unneeded on-demand endpoints after the lease changes hands: the
+    // next holder had observed them at its start, and treated them as wanted though they had been
+    // removed.
     @Test
-    void holderThatTakesOverWantsNoMoreThanThereIs() {
+    void newHolderWantsOnlyListedEndpoints() {
         mPlanner.observe(SERVICE, mEndpoints, START);
         DOMAINS.forEach(domain -> set(domain, false, 0));
         DOMAINS.forEach(domain -> set(domain, true, 2));
@@ -442,10 +445,10 @@
         assertThat(count(true)).isEqualTo(6);
     }
 
-    // A calm day pays for all the endpoints on demand that were there at first until its traffic
-    // has begun, ten seconds longer than the reclaimable ones that replace them take to start.
+    // Guards against paying for all initial on-demand endpoints until traffic has begun, ten
+    // seconds longer than the reclaimable ones that replace them take to start.
     @Test
-    void endpointsOnDemandLeaveBeforeTrafficAsSoonAsOthersReplaceThem() {
+    void replacedOnDemandEndpointsAreRemovedBeforeTraffic() {
         mPlanner =
                 new CapacityPlanner(
                         CapacitySettings.builder()
@@ -458,12 +461,11 @@
         assertThat(count(true)).isGreaterThanOrEqualTo(8);
     }
 
-    // A calm day pays for four endpoints on demand for twelve seconds longer than the wave for
-    // which
-    // they were kept: none reclaimable were to be had in their own domains, and only that let them
-    // go, though the third domain carried all that was asked.
+    // Guards against paying for four on-demand endpoints for twelve seconds longer than the wave
+    // for which they were kept. They were removed only once reclaimable ones were available in
+    // their own domains, though the third domain served the whole demand.
     @Test
-    void endpointsOnDemandLeaveDryDomainsOnceOthersCarryTheNeed() {
+    void onDemandEndpointsAreRemovedOnceOtherDomainsServeTheNeed() {
         mPlanner =
                 new CapacityPlanner(
                         CapacitySettings.builder()
@@ -472,7 +474,7 @@
                                 .surviving(0.34, 1)
                                 .build());
         run(0, 20, OptionalDouble.of(70_000));
-        mDry = true;
+        mOutOfStock = true;
         set("a", true, 0);
         run(20, 26, OptionalDouble.of(70_000));
         set("b", true, 0);
--- a/serving/src/test/java/org/whinhead/serving/capacity/CapacityRecoveryTest.java
+++ b/serving/src/test/java/org/whinhead/serving/capacity/CapacityRecoveryTest.java
@@ -21,8 +21,8 @@
 import org.whinhead.serving.endpoint.EndpointEntry;
 
 /**
- * From any state that reclaims, dry spells, crashes and changes of the lease holder lead to, a
- * service that is asked for has endpoints again within a bounded time.
+ * Guards against a service that stays without endpoints: after any sequence of reclaims, shortages,
+ * crashes and changes of the lease holder, it must have endpoints again within a bounded time.
  */
 class CapacityRecoveryTest {
 
@@ -30,7 +30,7 @@
     private static final List<String> DOMAINS = List.of("a", "b", "c");
     private static final int BOOT_SECONDS = 4;
 
-    /** An order, its start, and the rest of a refused one. */
+    /** The time of an order, its start and the retry delay of a refused one. */
     private static final int BOUND_SECONDS = 3 * BOOT_SECONDS;
 
     private static final ServiceSpec SERVICE =
@@ -47,11 +47,13 @@
                                     0.22,
                                     Map.of("a", 0.85, "b", 1.2, "c", 1.0))));
 
-    /** A cloud that starts endpoints after a while, and takes all of a domain's away. */
+    /**
+     * Simulates a cloud that starts endpoints after a delay, and reclaims those of a whole domain.
+     */
     private static final class Cloud {
         private final List<EndpointEntry> mListed = new ArrayList<>();
         private final Map<EndpointEntry, Integer> mStarting = new HashMap<>();
-        private boolean mDry;
+        private boolean mOutOfStock;
         private int mNextId;
 
         private void start(final String domain, final boolean reclaimable, final int ready) {
@@ -69,18 +71,18 @@
         }
 
         private boolean take(final CapacityOrder order, final int second) {
-            final long there =
+            final long existing =
                     mListed.stream().filter(endpoint -> matches(endpoint, order)).count()
                             + mStarting.keySet().stream()
                                     .filter(endpoint -> matches(endpoint, order))
                                     .count();
-            if (order.count() > there && order.reclaimable() && mDry) {
+            if (order.count() > existing && order.reclaimable() && mOutOfStock) {
                 return false;
             }
-            for (long index = there; index < order.count(); index++) {
+            for (long index = existing; index < order.count(); index++) {
                 start(order.domain(), order.reclaimable(), second + BOOT_SECONDS);
             }
-            for (long index = there; index > order.count(); index--) {
+            for (long index = existing; index > order.count(); index--) {
                 mListed.stream()
                         .filter(endpoint -> matches(endpoint, order))
                         .findFirst()
@@ -117,7 +119,7 @@
                 CapacitySettings.builder().loadPart(1).reserve(2).surviving(1, 1).build());
     }
 
-    private static void second(
+    private static void simulateSecond(
             final CapacityPlanner planner,
             final Cloud cloud,
             final OptionalDouble demand,
@@ -134,11 +136,11 @@
     }
 
     @Property(tries = 300)
-    void serviceComesBackFromAnyState(
+    void serviceRecoversFromAnyState(
             @ForAll final long seed,
             @ForAll @IntRange(min = 0, max = 40) final int troubledSeconds,
             @ForAll @DoubleRange(min = 1_000, max = 250_000) final double tokensPerSecond,
-            @ForAll final boolean dryAtTheEnd) {
+            @ForAll final boolean outOfStockAtTheEnd) {
         final Random random = new Random(seed);
         final Cloud cloud = new Cloud();
         DOMAINS.forEach(domain -> cloud.start(domain, false, 0));
@@ -148,21 +150,21 @@
             if (event < DOMAINS.size()) {
                 cloud.lose(DOMAINS.get(event), random.nextInt(4) == 0);
             } else if (event == 3) {
-                cloud.mDry = !cloud.mDry;
+                cloud.mOutOfStock = !cloud.mOutOfStock;
             } else if (event == 4) {
                 planner = planner();
             }
             final boolean holderMissing = event == 5;
             if (!holderMissing) {
-                second(planner, cloud, demand(random, tokensPerSecond), second);
+                simulateSecond(planner, cloud, demand(random, tokensPerSecond), second);
             }
         }
-        cloud.mDry = dryAtTheEnd;
+        cloud.mOutOfStock = outOfStockAtTheEnd;
         DOMAINS.forEach(domain -> cloud.lose(domain, true));
         final CapacityPlanner last = random.nextBoolean() ? planner : planner();
         final int end = troubledSeconds + BOUND_SECONDS;
         for (int second = troubledSeconds; second <= end; second++) {
-            second(last, cloud, demand(random, tokensPerSecond), second);
+            simulateSecond(last, cloud, demand(random, tokensPerSecond), second);
         }
         assertThat(cloud.mListed).isNotEmpty();
     }
--- a/serving/src/test/java/org/whinhead/serving/capacity/DemandMeterTest.java
+++ b/serving/src/test/java/org/whinhead/serving/capacity/DemandMeterTest.java
@@ -22,15 +22,16 @@
     private long mTokens;
 
     @Test
-    void nothingIsKnownWithoutTraffic() {
+    void rateIsUnknownWithoutTraffic() {
         run(0, 10, 0);
         assertThat(mMeter.tokensPerSecond()).isEmpty();
     }
 
-    // Most endpoints are ordered away in the first second of a day. The first span had held half a
-    // second of traffic only, and passed for a demand that one endpoint can serve.
+    // Guards against removing most endpoints in the first second of a day. The first span contained
+    // half a second of traffic only, and its rate was treated as a demand that one endpoint can
+    // serve.
     @Test
-    void firstMomentsOfTrafficAreNotJudged() {
+    void firstSpanOfTrafficIsNotMeasured() {
         run(0, 10, 0);
         mTokens += 8_000;
         mMeter.addTotal(mTokens, 0, START.plusMillis(10_400));
@@ -48,9 +49,10 @@
                 .isCloseTo(50_000, Percentage.withPercentage(5));
     }
 
-    // Endpoints are ordered away as a wave ebbs, and are missing twenty seconds later.
+    // Guards against removing endpoints as a wave of requests ebbs, which are missing twenty
+    // seconds later.
     @Test
-    void peakIsForgottenSlowly() {
+    void peakDecaysSlowly() {
         run(0, 14, 100_000);
         run(15, 29, 40_000);
         assertThat(mMeter.tokensPerSecond().orElseThrow()).isBetween(50_000.0, 75_000.0);
@@ -59,12 +61,12 @@
                 .isCloseTo(40_000, Percentage.withPercentage(5));
     }
 
-    // Half of the callers of a large service fail for its first sixteen seconds. Its list had held
-    // a third of the endpoints that the traffic needs; the demand was known after eight and a half
-    // seconds only, and others take four to start. Grounds: 100 requests move a rate by a tenth, a
-    // span of half a second holds 200 of them at 400 requests a second.
+    // Guards against failing half of the requests to a large service for its first sixteen seconds.
+    // Its list held a third of the needed endpoints; the demand was known only after eight and a
+    // half seconds, and further endpoints take four to start. 100 requests change a rate by a tenth
+    // at most, and a span of half a second holds 200 of them at 400 requests per second.
     @Test
-    void demandOfManyRequestsIsSeenWithinTwoSeconds() {
+    void demandOfManyRequestsIsMeasuredWithinTwoSeconds() {
         final double requestTokens = 4_000;
         for (int tenth = 0; tenth <= 20; tenth++) {
             mTokens += 160_000;
@@ -75,9 +77,10 @@
                 .isCloseTo(1_600_000, Percentage.withPercentage(10));
     }
 
-    // A small service orders for twice its demand, since two large requests came within a second.
+    // Guards against a small service that orders for twice its demand because two large requests
+    // came within a second.
     @Test
-    void fewRequestsAreNotJudgedEarly() {
+    void fewRequestsAreNotMeasuredEarly() {
         for (int tenth = 0; tenth <= 20; tenth++) {
             mTokens += 10_000;
             mMeter.addTotal(mTokens, 5_000, START.plusMillis(tenth * 100L));
@@ -85,10 +88,11 @@
         assertThat(mMeter.minimumTokensPerSecond()).isZero();
     }
 
-    // Six daemons of eighteen were cut off for twelve seconds, and what they had spent comes within
-    // one report. Such a lump is no demand: once traffic has settled, spans are long again.
+    // Six of eighteen daemons were cut off for twelve seconds, and the tokens of that time arrive
+    // in one report. They must not raise the measured demand: once traffic has settled, spans are
+    // long again.
     @Test
-    void lumpOfLateReportsIsSpreadOverTheLongSpan() {
+    void lateReportsAreSpreadOverTheLongSpan() {
         run(0, 15, 100_000);
         mTokens += 400_000;
         mMeter.addTotal(mTokens, 1_000, START.plusMillis(15_500));
