--- a/serving/src/main/java/org/whinhead/serving/balance/CandidateSampler.java
+++ b/serving/src/main/java/org/whinhead/serving/balance/CandidateSampler.java
@@ -9,21 +9,21 @@
 import org.whinhead.serving.endpoint.EndpointEntry;
 
 /**
- * Picks the few endpoints that are compared for a request.
+ * Samples the few endpoints that are compared for a request.
  *
- * <p>What daemons know of each other's work is as old as the last report. If each of many daemons
- * compared all endpoints, all would send everything to the one that was idle then, until the next
- * report. Comparing a few that differ from request to request spreads the work, and is nearly as
- * good as comparing all with fresh knowledge (Mitzenmacher, "How useful is old information?"). On a
- * busy day with 17 daemons it raised what is earned from 0.356 to 0.389 of what is owed, the
- * reserve of allowances included.
+ * <p>A daemon's knowledge of the others' load is as old as their last report. If each of many
+ * daemons compared all endpoints, all would send every request to the endpoint that was idle at the
+ * last report. Comparing a few that differ from request to request spreads the load, and is nearly
+ * as good as comparing all with current knowledge (Mitzenmacher, "How useful is old information?").
+ * On a busy day with 17 daemons it raised the earned share of the owed amount from 0.356 to 0.389,
+ * including the reserve of allowances.
  */
 final class CandidateSampler {
 
-    /** How many endpoints are compared; the only number that was tried against all. */
+    /** The number of endpoints that are compared. */
     private static final int SAMPLE_SIZE = 4;
 
-    /** How many of them are of other failure domains, if the request has no home. */
+    /** The number of them in other failure domains, if the request has no home. */
     private static final int OTHER_DOMAIN_CANDIDATES = 1;
 
     /** An odd constant with evenly spread bits: 2 to the 64 over the golden ratio. */
@@ -38,12 +38,12 @@
     }
 
     /**
-     * Picks endpoints for a session, the same ones on every daemon: those with the highest hashes
-     * of their ids and the session.
+     * Returns a session's endpoints, the same ones on every daemon (rendezvous hashing): those with
+     * the highest hashes of their id and the session.
      *
-     * @param candidates the endpoints to pick from
-     * @param session names the session
-     * @return the picked ones, the session's home first
+     * @param candidates the endpoints to sample from
+     * @param session the session's name
+     * @return the sampled endpoints, the session's home first
      */
     List<EndpointEntry> sampleForSession(
             final List<EndpointEntry> candidates, final String session) {
@@ -56,10 +56,10 @@
     }
 
     /**
-     * Picks endpoints for a request that may go anywhere, most of them close by.
+     * Returns endpoints for a request without a home, most of them in this daemon's failure domain.
      *
-     * @param candidates the endpoints to pick from
-     * @return the picked ones, in no order
+     * @param candidates the endpoints to sample from
+     * @return the sampled endpoints, in no particular order
      */
     List<EndpointEntry> sampleAny(final List<EndpointEntry> candidates) {
         final List<EndpointEntry> near = new ArrayList<>();
@@ -87,8 +87,8 @@
     }
 
     /**
-     * Spreads a checksum over all bits. Checksums of texts with a common start differ by a constant
-     * pattern, which would give some endpoints far more sessions than others.
+     * Spreads a checksum over all bits. Checksums of texts with a common prefix differ by a
+     * constant pattern, which would give some endpoints far more sessions than others.
      */
     private static long spread(final long checksum) {
         final long mixed = (checksum ^ (checksum >>> 16)) * SPREAD_FACTOR;
--- a/serving/src/main/java/org/whinhead/serving/balance/EndpointChooser.java
+++ b/serving/src/main/java/org/whinhead/serving/balance/EndpointChooser.java
@@ -15,40 +15,54 @@
 /**
  * Chooses the endpoint with the shortest expected wait.
  *
- * <p>The wait is estimated in milliseconds: prompts that are still to be read there (from all
- * daemons), requests that run there, the request's own tokens that are not cached there, and
- * penalties for failures and distance. Sessions have a home endpoint that every daemon computes
- * alike, so that their prompts are read once for the fleet and not once for each daemon. Only a few
- * candidates are compared, see {@link CandidateSampler}.
+ * <p>The wait is estimated in milliseconds, from the prompts that are still to be prefilled there
+ * (for all daemons), the requests that run there, the request's own tokens that are not cached
+ * there, and penalties for failures and distance. Sessions have a home endpoint that every daemon
+ * computes alike, so that their prompts are prefilled once for the fleet and not once for each
+ * daemon. Only a few candidates are compared, see {@link CandidateSampler}.
  */
 public final class EndpointChooser {
 
-    /** What a request that runs beside another one delays it by; from the engines' data sheet. */
+    /**
+     * The delay by each request that runs at the same time, in milliseconds, from the engines' data
+     * sheet.
+     */
     private static final double RUNNING_REQUEST_MILLIS = 2.0;
 
-    /** What a plain service's request waits for each other one, relative to its places. */
+    /**
+     * The delay by each request of a plain service relative to the endpoint's slots, in
+     * milliseconds.
+     */
     private static final double SLOT_MILLIS = 60.0;
 
-    /** What a call to another failure domain costs: its way, and bytes that are billed. */
+    /**
+     * The cost of a call to another failure domain in milliseconds, for its latency and the bytes
+     * that are billed.
+     */
     private static final double OTHER_DOMAIN_MILLIS = 6.0;
 
-    /** What an endpoint that fails all its requests is put behind. */
+    /** The penalty of an endpoint that fails all requests, in milliseconds. */
     private static final double FAILURE_MILLIS = 2_000.0;
 
     /**
-     * Share of shared tokens taken as cached at a session's home, though nothing was sent there.
+     * The share of shared tokens that is assumed to be cached at a session's home, even if this
+     * daemon sent nothing there.
      */
     private static final double HOME_CACHED_SHARE = 0.9;
 
-    /** Tokens of prompts that an engine keeps beside the running requests. */
+    /**
+     * The number of prompt tokens that an engine caches in addition to those of running requests.
+     */
     private static final long PREFIX_CACHE_TOKENS = 200_000;
 
-    /** Shared tokens from which it pays to go to the session's home: 26 ms of reading. */
+    /**
+     * The number of shared tokens from which it pays to use the session's home: 26 ms of prefill.
+     */
     private static final int MIN_SHARED_TOKENS = 1_000;
 
     /**
-     * Shared tokens from which a copy pays. A copy has a fixed cost of some milliseconds at the
-     * engine, in which it reads 150 to 200 tokens.
+     * The number of shared tokens from which a copy pays. A copy has a fixed cost of some
+     * milliseconds at the engine, in which it prefills 150 to 200 tokens.
      */
     private static final int MIN_COPIED_TOKENS = 200;
 
@@ -58,10 +72,10 @@
     private final Map<String, PrefillRate> mPrefillRates = new HashMap<>();
 
     /**
-     * Makes a chooser that knows no load.
+     * Creates a chooser without any known load.
      *
      * @param ownDomain the failure domain of this daemon
-     * @param random draws the endpoints that are compared
+     * @param random the source of random candidates
      */
     public EndpointChooser(final String ownDomain, final RandomGenerator random) {
         mOwnDomain = ownDomain;
@@ -71,12 +85,12 @@
     /**
      * Chooses an endpoint and counts the request there.
      *
-     * @param candidates the endpoints that may get it
-     * @param work what the request asks
-     * @param tried endpoints that it was sent to before
+     * @param candidates the endpoints that may receive the request
+     * @param work the work of the request
+     * @param tried the ids of endpoints that the request was sent to before
      * @param copies whether the endpoints copy cached prompts from each other
-     * @param now the time
-     * @return the place, if there is one
+     * @param now the current time
+     * @return the placement; empty if there is no untried endpoint
      */
     public Optional<Placement> place(
             final List<EndpointEntry> candidates,
@@ -86,49 +100,51 @@
             final Instant now) {
         final List<EndpointEntry> untried =
                 candidates.stream().filter(candidate -> !tried.contains(candidate.id())).toList();
-        final List<EndpointEntry> open =
+        final List<EndpointEntry> available =
                 untried.stream()
                         .filter(candidate -> load(candidate.id()).isAvailable(now))
                         .toList();
-        final EndpointEntry best = findBest(open.isEmpty() ? untried : open, work);
+        final EndpointEntry best = findBest(available.isEmpty() ? untried : available, work);
         if (best == null) {
             return Optional.empty();
         }
         final EndpointLoad load = load(best.id());
         final Optional<EndpointEntry> source =
-                copies ? promptSource(open, best, work) : Optional.empty();
+                copies ? promptSource(available, best, work) : Optional.empty();
         final int cached =
                 Math.max(
                         load.cachedTokens(work),
                         source.map(endpoint -> load(endpoint.id()).cachedTokens(work)).orElse(0));
-        final int unread = Math.max(work.promptTokens() - cached, 0);
-        load.recordStart(work, unread);
-        final Duration reading =
+        final int prefillTokens = Math.max(work.promptTokens() - cached, 0);
+        load.recordStart(work, prefillTokens);
+        final Duration prefillTime =
                 Duration.ofMillis(
-                        Math.round(unread / prefillRate(best.service()).tokensPerMillisecond()));
+                        Math.round(
+                                prefillTokens
+                                        / prefillRate(best.service()).tokensPerMillisecond()));
         return Optional.of(
                 new Placement(
                         best,
                         load,
-                        unread,
+                        prefillTokens,
                         source,
-                        reading,
+                        prefillTime,
                         prefillSampler(best.service(), work, now)));
     }
 
     /**
-     * Finds the endpoint from which the chosen one should copy shared parts of a prompt. It is the
-     * one to which most of them were sent from here, or else the session's home, where the other
-     * daemons send them.
+     * Returns the endpoint from which the chosen one should copy shared prompt parts: the one to
+     * which this daemon sent most of them, or else the session's home, to which the other daemons
+     * send them.
      */
     private Optional<EndpointEntry> promptSource(
-            final List<EndpointEntry> open, final EndpointEntry chosen, final Work work) {
-        if (open.isEmpty() || work.sharedTokens() < MIN_COPIED_TOKENS) {
+            final List<EndpointEntry> available, final EndpointEntry chosen, final Work work) {
+        if (available.isEmpty() || work.sharedTokens() < MIN_COPIED_TOKENS) {
             return Optional.empty();
         }
         EndpointEntry source = null;
         int most = load(chosen.id()).cachedTokens(work) + MIN_COPIED_TOKENS - 1;
-        for (final EndpointEntry candidate : open) {
+        for (final EndpointEntry candidate : available) {
             final int cached = load(candidate.id()).cachedTokens(work);
             if (cached > most) {
                 most = cached;
@@ -136,7 +152,7 @@
             }
         }
         if (source == null && most < work.sharedTokens()) {
-            source = mSampler.sampleForSession(open, work.session()).get(0);
+            source = mSampler.sampleForSession(available, work.session()).get(0);
         }
         return Optional.ofNullable(source).filter(endpoint -> endpoint != chosen);
     }
@@ -149,10 +165,10 @@
     }
 
     /**
-     * Finds what was learned of a service's engines.
+     * Returns the measured prefill rate of a service's engines.
      *
      * @param service the service
-     * @return how fast one of them reads prompts
+     * @return the rate of one engine
      */
     public PrefillRate prefillRate(final String service) {
         return mPrefillRates.computeIfAbsent(service, name -> new PrefillRate());
@@ -167,8 +183,8 @@
         EndpointEntry best = null;
         double least = Double.MAX_VALUE;
         for (final EndpointEntry candidate : sample) {
-            final boolean home = hasHome && candidate == sample.get(0);
-            final double wait = expectedWait(candidate, work, home);
+            final boolean isHome = hasHome && candidate == sample.get(0);
+            final double wait = expectedWait(candidate, work, isHome);
             if (wait < least) {
                 least = wait;
                 best = candidate;
@@ -177,7 +193,8 @@
         return best;
     }
 
-    private double expectedWait(final EndpointEntry endpoint, final Work work, final boolean home) {
+    private double expectedWait(
+            final EndpointEntry endpoint, final Work work, final boolean isHome) {
         final EndpointLoad load = load(endpoint.id());
         double wait = load.failureShare() * load.failureShare() * FAILURE_MILLIS;
         if (!endpoint.domain().equals(mOwnDomain)) {
@@ -188,7 +205,7 @@
             return wait + SLOT_MILLIS * load.running() / Math.max(endpoint.slots(), 1);
         }
         double cached = load.cachedTokens(work);
-        if (home) {
+        if (isHome) {
             cached = Math.max(cached, HOME_CACHED_SHARE * work.sharedTokens());
         }
         wait +=
@@ -198,9 +215,9 @@
     }
 
     /**
-     * Finds the load of an endpoint.
+     * Returns the load of an endpoint.
      *
-     * @param endpoint its id
+     * @param endpoint the endpoint's id
      * @return its load, empty at first
      */
     public EndpointLoad load(final String endpoint) {
@@ -208,12 +225,12 @@
     }
 
     /**
-     * Takes what another daemon has under way at an endpoint.
+     * Updates another daemon's load at an endpoint.
      *
      * @param daemon the other daemon
      * @param endpoint the endpoint
-     * @param running its requests there
-     * @param promptTokens their prompt tokens that are still to be read
+     * @param running the number of its requests there
+     * @param promptTokens the number of their prompt tokens that are still to be prefilled
      */
     public void updatePeerLoad(
             final String daemon,
@@ -224,7 +241,7 @@
     }
 
     /**
-     * Forgets what a daemon had under way, as it fell silent.
+     * Removes the load of a daemon that no longer reports.
      *
      * @param daemon the daemon
      */
@@ -233,17 +250,18 @@
     }
 
     /**
-     * Forgets what is known of an endpoint that has started again: its cached prompts, its load and
-     * its failures were those of the start before.
+     * Removes the state of an endpoint that has restarted: its cached prompts, load and failures
+     * were those of the earlier start.
      *
-     * @param endpoint its id
+     * @param endpoint the endpoint's id
      */
     public void forgetEndpoint(final String endpoint) {
         mLoads.remove(endpoint);
     }
 
     /**
-     * Drops the loads of endpoints that are gone.
+     * Removes the loads of endpoints that no longer exist and have no running requests of this
+     * daemon.
      *
      * @param known the ids of all endpoints
      */
@@ -256,9 +274,9 @@
     }
 
     /**
-     * Lists the loads of this daemon's own requests.
+     * Returns the loads of all known endpoints.
      *
-     * @return the loads by endpoint
+     * @return the loads by endpoint id
      */
     public Map<String, EndpointLoad> loads() {
         return mLoads;
--- a/serving/src/main/java/org/whinhead/serving/balance/EndpointLoad.java
+++ b/serving/src/main/java/org/whinhead/serving/balance/EndpointLoad.java
@@ -5,16 +5,16 @@
 import java.util.HashMap;
 import java.util.Map;
 
-/** What this daemon knows of one endpoint's load and failures. */
+/** The load and the failures of one endpoint, as far as this daemon knows. */
 public final class EndpointLoad {
 
-    /** Weight of the newest outcome in the failure share: about the last ten requests count. */
+    /** The weight of the newest outcome in the failure share: about the last ten requests count. */
     private static final double FAILURE_WEIGHT = 0.1;
 
-    /** The first time without new work after a connection could not be made. */
+    /** The first backoff after a connection could not be made. */
     private static final Duration FIRST_BACKOFF = Duration.ofMillis(300);
 
-    /** The longest time without new work: an endpoint that is back is found within it. */
+    /** The longest backoff: a reachable endpoint is used again within it. */
     private static final Duration LONGEST_BACKOFF = Duration.ofSeconds(2);
 
     private final PrefixCacheModel mPrefixCache;
@@ -29,14 +29,14 @@
         mPrefixCache = new PrefixCacheModel(prefixCapacity);
     }
 
-    void recordStart(final Work work, final int unreadTokens) {
+    void recordStart(final Work work, final int prefillTokens) {
         mRunning++;
-        mPromptTokens += unreadTokens;
+        mPromptTokens += prefillTokens;
         mPrefixCache.add(work);
     }
 
-    void recordPrefill(final int unreadTokens) {
-        mPromptTokens -= unreadTokens;
+    void recordPrefill(final int prefillTokens) {
+        mPromptTokens -= prefillTokens;
     }
 
     void recordEnd() {
@@ -52,7 +52,7 @@
     }
 
     /**
-     * Notes an outcome that tells of the endpoint's health.
+     * Records an outcome that indicates the endpoint's health.
      *
      * @param failed whether the endpoint failed the request
      */
@@ -65,14 +65,14 @@
     }
 
     /**
-     * Notes that no connection could be made, or that one broke without an answer.
+     * Records that no connection could be made, or that one was lost without an answer.
      *
-     * @param now the time
+     * @param now the current time
      */
     public void recordUnreachable(final Instant now) {
-        final long doubled = FIRST_BACKOFF.toMillis() << Math.min(mUnreachableCount, 3);
+        final long backoffMillis = FIRST_BACKOFF.toMillis() << Math.min(mUnreachableCount, 3);
         mUnreachableCount++;
-        mAvailableAt = now.plusMillis(Math.min(doubled, LONGEST_BACKOFF.toMillis()));
+        mAvailableAt = now.plusMillis(Math.min(backoffMillis, LONGEST_BACKOFF.toMillis()));
         recordOutcome(true);
     }
 
--- a/serving/src/main/java/org/whinhead/serving/balance/Placement.java
+++ b/serving/src/main/java/org/whinhead/serving/balance/Placement.java
@@ -6,7 +6,10 @@
 import java.util.function.Consumer;
 import org.whinhead.serving.endpoint.EndpointEntry;
 
-/** A request's place at an endpoint; its load counts until the request has left. */
+/**
+ * The placement of a request at an endpoint; it counts toward the endpoint's load until it is
+ * released.
+ */
 public final class Placement {
 
     private final EndpointEntry mEndpoint;
@@ -22,15 +25,15 @@
     Placement(
             final EndpointEntry endpoint,
             final EndpointLoad load,
-            final int unreadTokens,
+            final int prefillTokens,
             final Optional<EndpointEntry> promptSource,
-            final Duration expectedReading,
+            final Duration expectedPrefill,
             final Consumer<Instant> onFirstToken) {
         mEndpoint = endpoint;
         mLoad = load;
-        mPrefillTokens = unreadTokens;
+        mPrefillTokens = prefillTokens;
         mPromptSource = promptSource;
-        mExpectedPrefill = expectedReading;
+        mExpectedPrefill = expectedPrefill;
         mOnFirstToken = onFirstToken;
     }
 
@@ -39,18 +42,18 @@
     }
 
     /**
-     * Names the endpoint that has more of the prompt cached than this one.
+     * Returns the endpoint that has more of the prompt cached than this one.
      *
-     * @return where this one should copy shared parts from instead of reading them again
+     * @return the endpoint to copy shared parts from instead of prefilling them again
      */
     public Optional<EndpointEntry> promptSource() {
         return mPromptSource;
     }
 
     /**
-     * Tells how long the endpoint reads of the prompt that it has not cached.
+     * Returns the expected time for the prefill of the tokens that the endpoint has not cached.
      *
-     * @return the time without waiting for others
+     * @return the time, without waiting for other requests
      */
     public Duration expectedPrefill() {
         return mExpectedPrefill;
@@ -60,15 +63,15 @@
         return mLoad;
     }
 
-    /** Notes that the endpoint got the prompt with a moved run, and need not read it. */
+    /** Records that the endpoint received the prompt with a moved run, and need not prefill it. */
     public void skipPrefill() {
         mPrefillSkipped = true;
     }
 
     /**
-     * Notes the first token: the prompt no longer delays others.
+     * Records the first token: the prompt no longer delays other requests.
      *
-     * @param now the time
+     * @param now the current time
      */
     public void recordFirstToken(final Instant now) {
         if (!mPrefilled && !mReleased && !mPrefillSkipped) {
@@ -84,7 +87,7 @@
         }
     }
 
-    /** Notes that the endpoint no longer works on the request. */
+    /** Removes the request from the endpoint's load. */
     public void release() {
         if (!mReleased) {
             mReleased = true;
--- a/serving/src/main/java/org/whinhead/serving/balance/PrefixCacheModel.java
+++ b/serving/src/main/java/org/whinhead/serving/balance/PrefixCacheModel.java
@@ -4,7 +4,10 @@
 import java.util.LinkedHashMap;
 import java.util.Map;
 
-/** The prompt parts that an endpoint likely still has in memory, by what was sent to it. */
+/**
+ * Models the prompt parts that an endpoint has likely cached, from the requests that were sent to
+ * it.
+ */
 final class PrefixCacheModel {
 
     private final LinkedHashMap<String, Integer> mParts = new LinkedHashMap<>(64, 0.75f, true);
--- a/serving/src/main/java/org/whinhead/serving/balance/package-info.java
+++ b/serving/src/main/java/org/whinhead/serving/balance/package-info.java
@@ -1,2 +1,4 @@
-/** The choice of an endpoint: cached prompt parts against load, failures and distance. */
+/**
+ * Load balancing: the choice of an endpoint by cached prompt parts, load, failures and distance.
+ */
 package org.whinhead.serving.balance;
--- a/serving/src/test/java/org/whinhead/serving/balance/EndpointChooserTest.java
+++ b/serving/src/test/java/org/whinhead/serving/balance/EndpointChooserTest.java
@@ -60,7 +60,7 @@
     }
 
     @Test
-    void daemonsAgreeOnTheHomeOfNewSessions() {
+    void daemonsComputeTheSameHomeOfNewSessions() {
         final List<EndpointEntry> endpoints = endpoints(4);
         final Set<String> homes = new HashSet<>();
         for (int session = 0; session < 20; session++) {
@@ -92,7 +92,7 @@
     }
 
     @Test
-    void loadOfDaemonThatFellSilentNoLongerCounts() {
+    void loadOfForgottenDaemonNoLongerCounts() {
         final List<EndpointEntry> endpoints = endpoints(2);
         final String home = place(endpoints, work("s1"));
         mChooser.updatePeerLoad("other", home, 40, 60_000);
@@ -100,10 +100,11 @@
         assertThat(place(endpoints, work("s1"))).isEqualTo(home);
     }
 
-    // Half of the prompts of a busy session are read twice: its home is full, so its requests go to
-    // another server, which reads 6,300 tokens that the home holds. A copy takes some milliseconds.
+    // Guards against prefilling half of a busy session's prompts twice: its home is full, so its
+    // requests are sent to another server, which prefills 6,300 tokens that the home has cached. A
+    // copy takes some milliseconds.
     @Test
-    void promptIsCopiedFromItsHomeIfTheRequestGoesElsewhere() {
+    void promptIsCopiedFromItsHomeIfTheRequestIsSentElsewhere() {
         final List<EndpointEntry> endpoints = endpoints(2);
         final String home = place(endpoints, work("s1"));
         mChooser.updatePeerLoad("other", home, 40, 60_000);
@@ -124,7 +125,7 @@
     }
 
     @Test
-    void promptThatIsThereIsNotCopied() {
+    void cachedPromptIsNotCopied() {
         final List<EndpointEntry> endpoints = endpoints(4);
         place(endpoints, work("s1"));
         assertThat(copying(endpoints, work("s1")).promptSource()).isEmpty();
@@ -139,7 +140,7 @@
     }
 
     @Test
-    void shortSharedPartIsReadAgain() {
+    void shortSharedPartIsNotCopied() {
         final List<EndpointEntry> endpoints = endpoints(2);
         final Work work = new Work(List.of(new PromptPart("short", 170)), 700, 50);
         assertThat(copying(endpoints, work).promptSource()).isEmpty();
@@ -149,11 +150,10 @@
         return mChooser.place(endpoints, work, Set.of(), true, NOW).orElseThrow();
     }
 
-    // Callers wait for connections to a server that has gone dark; each request that picks it costs
-    // a
-    // timeout. After the first one the server rests, and is tried again later.
+    // Guards against connection timeouts of many requests to an unreachable server. After the first
+    // timeout the server receives no requests for the backoff, and is tried again later.
     @Test
-    void unreachableEndpointRests() {
+    void unreachableEndpointIsNotUsedDuringBackoff() {
         final List<EndpointEntry> endpoints = endpoints(2);
         final String home = place(endpoints, work("s1"));
         mChooser.load(home).recordUnreachable(NOW);
@@ -172,11 +172,11 @@
         assertThat(mChooser.place(endpoints(1), work("s1"), Set.of("e0"), false, NOW)).isEmpty();
     }
 
-    // Prompts of many daemons pile up on one endpoint although others are idle: all daemons take
-    // the
-    // endpoint that had least to do at the last report, and send everything there until the next.
+    // Guards against a queue at one endpoint although others are idle: all daemons choose the
+    // endpoint that had the lowest load at the last report, and send every request there until the
+    // next one.
     @Test
-    void daemonsDoNotAllRushToTheEndpointThatWasIdle() {
+    void daemonsDoNotAllChooseTheIdleEndpoint() {
         final List<EndpointEntry> endpoints = endpoints(20);
         final Map<String, Integer> arrivals = new HashMap<>();
         for (int daemon = 0; daemon < 60; daemon++) {
