--- a/serving/src/main/java/org/whinhead/serving/endpoint/EndpointChange.java
+++ b/serving/src/main/java/org/whinhead/serving/endpoint/EndpointChange.java
@@ -5,7 +5,7 @@
 import org.whinhead.api.Arguments;
 
 /**
- * A record of the store that changed which endpoints there are, or which are leaving.
+ * A record of the store that added, changed or removed an endpoint.
  *
  * @param id the endpoint
  * @param offset the record's offset in the store
@@ -13,7 +13,7 @@
  */
 public record EndpointChange(String id, long offset, Optional<EndpointEntry> entry) {
 
-    /** Checks the parts. */
+    /** Checks the components. */
     public EndpointChange {
         Arguments.requireText(id, "id");
         Arguments.requireAtLeast(offset, 0, "offset");
--- a/serving/src/main/java/org/whinhead/serving/endpoint/EndpointEntry.java
+++ b/serving/src/main/java/org/whinhead/serving/endpoint/EndpointEntry.java
@@ -8,19 +8,20 @@
 import org.whinhead.api.Arguments;
 
 /**
- * One endpoint as it describes itself in the store.
+ * An endpoint as it describes itself in the store.
  *
- * @param id its id, which it may keep over a restart
+ * @param id the endpoint's id, which may stay the same after a restart
  * @param service the service that it belongs to
- * @param version the version of the service's software; empty if it doesn't say
- * @param address where it listens
+ * @param version the version of the service's software; empty if unknown
+ * @param address the address that it listens on
  * @param domain its failure domain
- * @param slots how many requests it works on at once
+ * @param slots the number of requests that it processes at once, at least 1
  * @param leaving whether it has announced to leave
- * @param reclaimable whether it may be taken back on short notice
+ * @param reclaimable whether it may be reclaimed on short notice
  * @param leavesIn the time left of an announced reclaim, counted from the announcement
- * @param coldFor how much longer it is slow after its start
- * @param startedAt when it started, if it says so; another start knows nothing of the one before
+ * @param coldFor the time for which it is still slow after its start
+ * @param startedAt the time of its start, if known; a restarted endpoint has lost the state of the
+ *     earlier start
  */
 public record EndpointEntry(
         String id,
@@ -35,7 +36,7 @@
         Duration coldFor,
         Optional<Instant> startedAt) {
 
-    /** Checks the parts. */
+    /** Checks the components. */
     public EndpointEntry {
         Arguments.requireText(id, "id");
         Arguments.requireText(service, "service");
@@ -49,11 +50,11 @@
     }
 
     /**
-     * Starts an entry.
+     * Creates a builder of an entry.
      *
      * @param id the endpoint's id
      * @param service the service that it belongs to
-     * @param address where it listens
+     * @param address the address it listens on
      * @param domain its failure domain
      * @return a builder of an on-demand endpoint that is ready and has one slot
      */
@@ -66,9 +67,9 @@
     }
 
     /**
-     * Makes the entry that the endpoint writes as it leaves, if nothing else has changed.
+     * Returns the entry that the endpoint writes when it leaves, if nothing else has changed.
      *
-     * @param time how much longer it serves, if it says so
+     * @param time the time for which it still serves, if known
      * @return the entry
      */
     public EndpointEntry asLeaving(final Optional<Duration> time) {
@@ -86,12 +87,12 @@
                 startedAt);
     }
 
-    /** Tells whether this entry is of a later start of the endpoint than another one. */
+    /** Returns whether this entry is of a later start of the endpoint than another one. */
     boolean startedAfter(final EndpointEntry other) {
         return compareStart(other) > 0;
     }
 
-    /** Tells whether this entry is of an earlier start of the endpoint than another one. */
+    /** Returns whether this entry is of an earlier start of the endpoint than another one. */
     boolean startedBefore(final EndpointEntry other) {
         return compareStart(other) < 0;
     }
@@ -103,7 +104,7 @@
         return startedAt.get().compareTo(other.startedAt.get());
     }
 
-    /** Collects the parts of an entry. */
+    /** Builds an entry. */
     public static final class Builder {
         private final String mId;
         private final String mService;
@@ -129,7 +130,7 @@
         }
 
         /**
-         * Sets what it runs.
+         * Sets the software version.
          *
          * @param version the version of the service's software
          * @return this builder
@@ -140,9 +141,9 @@
         }
 
         /**
-         * Sets how much it works on at once.
+         * Sets the number of slots.
          *
-         * @param slots requests
+         * @param slots the number of requests that the endpoint processes at once, at least 1
          * @return this builder
          */
         public Builder slots(final int slots) {
@@ -151,10 +152,10 @@
         }
 
         /**
-         * Sets whether it is going away.
+         * Sets whether the endpoint is leaving.
          *
          * @param leaving whether it has announced to leave
-         * @param leavesIn how much longer it serves, if it says so
+         * @param leavesIn the time for which it still serves, if known
          * @return this builder
          */
         public Builder leaving(final boolean leaving, final Optional<Duration> leavesIn) {
@@ -164,9 +165,9 @@
         }
 
         /**
-         * Sets its kind.
+         * Sets whether the endpoint is reclaimable.
          *
-         * @param reclaimable whether it may be taken back on short notice
+         * @param reclaimable whether it may be reclaimed on short notice
          * @return this builder
          */
         public Builder reclaimable(final boolean reclaimable) {
@@ -175,10 +176,10 @@
         }
 
         /**
-         * Sets what it says of its start.
+         * Sets the start of the endpoint.
          *
-         * @param startedAt when it started, if it says so
-         * @param coldFor how much longer it is slow
+         * @param startedAt the time of its start, if known
+         * @param coldFor the time for which it is still slow
          * @return this builder
          */
         public Builder started(final Optional<Instant> startedAt, final Duration coldFor) {
@@ -188,7 +189,7 @@
         }
 
         /**
-         * Makes the entry.
+         * Returns the entry.
          *
          * @return the entry
          */
--- a/serving/src/main/java/org/whinhead/serving/endpoint/EndpointRegistry.java
+++ b/serving/src/main/java/org/whinhead/serving/endpoint/EndpointRegistry.java
@@ -13,28 +13,32 @@
 import java.util.Set;
 
 /**
- * The endpoints that the store lists, in the order of its offsets.
+ * The endpoints that the store lists, updated in the order of the store's offsets.
  *
- * <p>An entry lapses in the store when its endpoint's heartbeats are not written, also when it is
- * the store that was away. Such an endpoint is alive and comes back within two seconds; dropping it
- * at once would leave a service without endpoints after each outage. So an entry that goes missing
- * around an outage stays in use for a while, and one that goes missing in calm times leaves at
- * once.
+ * <p>An entry lapses in the store if its endpoint's heartbeats are not written, even if the store
+ * itself was down. Such an endpoint is alive and is listed again within two seconds; removing it at
+ * once would leave a service without endpoints after each outage. So an entry that goes missing
+ * around an outage remains in use for a grace period, and one that goes missing at other times is
+ * removed at once.
  */
 public final class EndpointRegistry {
 
     /**
-     * How long after the last failed read a missing entry may still come back: the store's promise
-     * of two seconds from its return, and the time in which the return is noticed. It does not
-     * count from the removal, since an endpoint that is truly gone must get no new work two seconds
-     * after that.
+     * The time after the last failed read in which a missing entry may be listed again: the store's
+     * guarantee of two seconds after its return, and the time until the return is noticed. It
+     * doesn't start at the removal, since an endpoint that has really gone must get no new work two
+     * seconds after that.
      */
     static final Duration LAPSE_GRACE = Duration.ofMillis(2_500);
 
-    /** Removals that are remembered: all that the largest deployment sees in some minutes. */
+    /**
+     * The number of removals that are remembered: those of some minutes in the largest deployment.
+     */
     private static final int MAX_REMOVALS = 2_000;
 
-    /** Spreads the hashes of single entries, so that their sum tells sets apart. */
+    /**
+     * The factor that spreads the hashes of single entries, so that their sum differs between sets.
+     */
     private static final long SPREAD_FACTOR = 0x9E3779B97F4A7C15L;
 
     private final Map<String, Record> mRecords = new HashMap<>();
@@ -44,19 +48,19 @@
     private long mNewestOffset = -1;
 
     /**
-     * Takes the newest record of an endpoint.
+     * Adds or updates an endpoint's entry.
      *
      * @param entry the entry
      * @param offset its offset in the store
-     * @return what it changed
+     * @return the effect of the entry
      */
     public EntryEffect put(final EndpointEntry entry, final long offset) {
         mNewestOffset = Math.max(mNewestOffset, offset);
-        final Record before = mRecords.get(entry.id());
-        if (isOutdated(entry, offset, before)) {
+        final Record previous = mRecords.get(entry.id());
+        if (isOutdated(entry, offset, previous)) {
             return EntryEffect.NONE;
         }
-        final boolean restarted = before != null && entry.startedAfter(before.mEntry);
+        final boolean restarted = previous != null && entry.startedAfter(previous.mEntry);
         if (restarted) {
             mLeavingIds.remove(entry.id());
         }
@@ -69,73 +73,75 @@
             return EntryEffect.RESTARTED;
         }
         final boolean changed =
-                before == null || before.mLeaving != leaving || before.mDoubt != Doubt.NONE;
+                previous == null || previous.mLeaving != leaving || previous.mDoubt != Doubt.NONE;
         return changed ? EntryEffect.CHANGED : EntryEffect.NONE;
     }
 
     /**
-     * Tells whether an entry says nothing new. A write of an endpoint's earlier start may be
-     * carried out after the first one of its next start; it must not undo that one.
+     * Returns whether an entry is older than the known one. A write of an endpoint's earlier start
+     * may be carried out after the first one of its next start, and must not replace that.
      */
-    private boolean isOutdated(final EndpointEntry entry, final long offset, final Record before) {
+    private boolean isOutdated(
+            final EndpointEntry entry, final long offset, final Record previous) {
         if (mRemovals.getOrDefault(entry.id(), -1L) >= offset) {
             return true;
         }
-        return before != null && (before.mOffset >= offset || entry.startedBefore(before.mEntry));
+        return previous != null
+                && (previous.mOffset >= offset || entry.startedBefore(previous.mEntry));
     }
 
     /**
-     * Takes a record under an endpoint's id that can't be understood. It may come from another
-     * writer. It names no endpoint to use, so this one gets no new work until it has written again,
-     * and all others hold.
+     * Marks an endpoint whose newest record can't be parsed. The record may come from another
+     * writer and describes no usable endpoint, so the endpoint gets no new work until it has
+     * written again. All other endpoints are unaffected.
      *
      * @param id the record's key
      * @param offset its offset in the store
-     * @return whether an endpoint was usable until now
+     * @return whether the endpoint was usable until now
      */
     public boolean markUnreadable(final String id, final long offset) {
         mNewestOffset = Math.max(mNewestOffset, offset);
-        final Record before = mRecords.get(id);
-        if (before == null || before.mOffset >= offset) {
+        final Record previous = mRecords.get(id);
+        if (previous == null || previous.mOffset >= offset) {
             return false;
         }
-        mRecords.put(id, new Record(before.mEntry, offset, before.mLeaving, Doubt.UNREADABLE));
-        return before.mDoubt != Doubt.UNREADABLE;
+        mRecords.put(id, new Record(previous.mEntry, offset, previous.mLeaving, Doubt.UNREADABLE));
+        return previous.mDoubt != Doubt.UNREADABLE;
     }
 
     /**
-     * Takes the removal of an entry.
+     * Removes an entry, after a grace period if it goes missing around an outage.
      *
-     * @param id the endpoint
+     * @param id the endpoint's id
      * @param offset the removal's offset
-     * @param now the time
+     * @param now the current time
      * @return whether the entry was listed, and the removal is newer
      */
     public boolean remove(final String id, final long offset, final Instant now) {
         mNewestOffset = Math.max(mNewestOffset, offset);
-        final Record before = mRecords.get(id);
-        if (before != null && before.mOffset >= offset) {
+        final Record previous = mRecords.get(id);
+        if (previous != null && previous.mOffset >= offset) {
             return false;
         }
         rememberRemoval(id, offset);
-        if (before == null) {
+        if (previous == null) {
             return false;
         }
-        lapse(before, now);
+        lapse(previous, now);
         return true;
     }
 
     /**
-     * Takes the removal of an entry that another daemon has read and doesn't doubt.
+     * Removes an entry whose removal another daemon has read and confirmed.
      *
-     * @param id the endpoint
+     * @param id the endpoint's id
      * @param offset the removal's offset
      * @return whether the entry was listed, and the removal is newer
      */
     public boolean removeConfirmed(final String id, final long offset) {
         mNewestOffset = Math.max(mNewestOffset, offset);
-        final Record before = mRecords.get(id);
-        if (before != null && before.mOffset >= offset) {
+        final Record previous = mRecords.get(id);
+        if (previous != null && previous.mOffset >= offset) {
             return false;
         }
         rememberRemoval(id, offset);
@@ -143,8 +149,8 @@
     }
 
     /**
-     * Remembers a removal. What other daemons have read overtakes this daemon's own reads, and an
-     * older record that is read afterwards must not bring the endpoint back.
+     * Remembers a removal. Other daemons' messages may arrive before this daemon's own reads, and
+     * an older record that is read afterwards must not add the endpoint again.
      */
     private void rememberRemoval(final String id, final long offset) {
         mRemovals.put(id, offset);
@@ -154,11 +160,11 @@
     }
 
     /**
-     * Takes a whole listing.
+     * Removes the entries that a complete listing doesn't contain.
      *
-     * @param listed the ids that it names; their entries were put before
-     * @param end the store's end offset when it was made; an older listing removes nothing
-     * @param now the time
+     * @param listed the ids in the listing; their entries were put before
+     * @param end the store's end offset when the listing was made; an older listing removes nothing
+     * @param now the current time
      */
     public void retain(final Set<String> listed, final long end, final Instant now) {
         if (end <= mNewestOffset) {
@@ -184,33 +190,33 @@
     }
 
     /**
-     * Notes that the store could not be read.
+     * Records that the store could not be read.
      *
-     * @param now the time
+     * @param now the current time
      */
     public void recordOutage(final Instant now) {
         mLastOutage = now;
     }
 
     /**
-     * Drops the entries that stayed missing after an outage.
+     * Removes the entries that remained missing after an outage.
      *
-     * @param now the time
-     * @return the ids that were dropped
+     * @param now the current time
+     * @return the removed ids
      */
     public List<String> expire(final Instant now) {
-        final List<String> gone = new ArrayList<>();
+        final List<String> expired = new ArrayList<>();
         for (final Record record : mRecords.values()) {
             if (record.mDoubt == Doubt.MISSING && now.isAfter(mLastOutage.plus(LAPSE_GRACE))) {
-                gone.add(record.mEntry.id());
+                expired.add(record.mEntry.id());
             }
         }
-        gone.forEach(mRecords::remove);
-        return gone;
+        expired.forEach(mRecords::remove);
+        return expired;
     }
 
     /**
-     * Lists the endpoints that may get new work.
+     * Returns the endpoints that may get new work.
      *
      * @param service the service
      * @return its endpoints that are not leaving
@@ -218,8 +224,8 @@
     public List<EndpointEntry> usable(final String service) {
         final List<EndpointEntry> usable = new ArrayList<>();
         for (final Record record : mRecords.values()) {
-            final boolean open = !record.mLeaving && record.mDoubt != Doubt.UNREADABLE;
-            if (open && record.mEntry.service().equals(service)) {
+            final boolean isUsable = !record.mLeaving && record.mDoubt != Doubt.UNREADABLE;
+            if (isUsable && record.mEntry.service().equals(service)) {
                 usable.add(record.mEntry);
             }
         }
@@ -227,9 +233,9 @@
     }
 
     /**
-     * Finds an endpoint, leaving or not.
+     * Returns an endpoint's entry, even if it is leaving.
      *
-     * @param id its id
+     * @param id the endpoint's id
      * @return its entry, if the store lists it
      */
     public Optional<EndpointEntry> find(final String id) {
@@ -237,12 +243,12 @@
     }
 
     /**
-     * Sums up which endpoints are listed and which of them are leaving.
+     * Returns a digest of the listed endpoints and of those that are leaving.
      *
-     * @return a number that two daemons with the same view share
+     * @return the digest, which is equal for daemons with the same view
      */
     public long digest() {
-        long summary = 0;
+        long digest = 0;
         for (final Record record : mRecords.values()) {
             if (record.mDoubt == Doubt.NONE) {
                 final int leaving = record.mEntry.leaving() ? 1 : 0;
@@ -250,16 +256,16 @@
                         31L * record.mEntry.id().hashCode()
                                 + leaving
                                 + record.mEntry.startedAt().hashCode();
-                summary += hash * SPREAD_FACTOR;
+                digest += hash * SPREAD_FACTOR;
             }
         }
-        return summary;
+        return digest;
     }
 
     /**
-     * Drops an endpoint whose address answered for another one.
+     * Marks an endpoint as leaving because another endpoint answered at its address.
      *
-     * @param id the endpoint that is no longer there
+     * @param id the id of the endpoint that is no longer at the address
      */
     public void markReplaced(final String id) {
         mLeavingIds.add(id);
@@ -268,7 +274,7 @@
     }
 
     /**
-     * Lists all endpoints, leaving ones too.
+     * Returns all endpoints, including leaving ones.
      *
      * @return their entries
      */
@@ -276,12 +282,12 @@
         return mRecords.values().stream().map(record -> record.mEntry).toList();
     }
 
-    /** Why an entry that is kept may not hold any more. */
+    /** The reason why a listed entry may no longer be valid. */
     private enum Doubt {
         NONE,
-        /** It went missing around an outage of the store, and may come back. */
+        /** The entry went missing around an outage of the store, and may be listed again. */
         MISSING,
-        /** A newer record under its id can't be understood. */
+        /** A newer record with the entry's id can't be parsed. */
         UNREADABLE
     }
 
--- a/serving/src/main/java/org/whinhead/serving/endpoint/EntryEffect.java
+++ b/serving/src/main/java/org/whinhead/serving/endpoint/EntryEffect.java
@@ -1,12 +1,12 @@
 package org.whinhead.serving.endpoint;
 
-/** What an entry changed in the view of an endpoint. */
+/** The effect of an entry on the view of an endpoint. */
 public enum EntryEffect {
-    /** Nothing that matters for serving; a heartbeat, or a record that is too old. */
+    /** Nothing relevant for serving has changed: a heartbeat, or an outdated record. */
     NONE(false),
-    /** The endpoint came, is leaving, or is usable again. */
+    /** The endpoint is new, is leaving, or is usable again. */
     CHANGED(true),
-    /** It is another start under the id of one before, and holds nothing of what that one held. */
+    /** The endpoint has restarted under the same id and has lost its earlier state. */
     RESTARTED(true);
 
     private final boolean mChange;
@@ -16,9 +16,9 @@
     }
 
     /**
-     * Tells whether others must hear of it.
+     * Returns whether other daemons must be informed.
      *
-     * @return whether anything changed
+     * @return whether anything has changed
      */
     public boolean isChange() {
         return mChange;
--- a/serving/src/main/java/org/whinhead/serving/endpoint/ReclaimedEndpoints.java
+++ b/serving/src/main/java/org/whinhead/serving/endpoint/ReclaimedEndpoints.java
@@ -7,34 +7,37 @@
 import java.util.Map;
 
 /**
- * Endpoints that were reclaimed a moment ago and still serve, for requests that nobody else can
+ * Endpoints that have a reclaim notice and still serve, for requests that no other endpoint can
  * take.
  *
- * <p>Waves of reclaims take one failure domain after the other, and the endpoints that replace them
- * start seconds later than the notices end. Where all that is left is leaving, a request that is
- * refused is lost, and one that is sent there is answered, or moved as soon as another endpoint is
- * up. Leaving endpoints get no new work otherwise, and none later than 0.7 s after their notice was
- * read.
+ * <p>Waves of reclaims affect one failure domain after the other, and the replacing endpoints start
+ * seconds after the notices end. If all remaining endpoints are leaving, a request that is refused
+ * is lost, while one that is sent to a leaving endpoint is answered, or moved as soon as another
+ * endpoint has started. Otherwise leaving endpoints get no new work, and none later than 0.7 s
+ * after their notice was read.
  */
 public final class ReclaimedEndpoints {
 
     /**
-     * How long after its notice was read an endpoint may get work: a notice is read up to 0.8 s
-     * late, 1.2 s where the news of it was lost, and no work may arrive later than two seconds
-     * after it.
+     * The time after its notice was read in which an endpoint may get work: a notice is read up to
+     * 0.8 s late, 1.2 s if the message about it was lost, and no work may arrive later than two
+     * seconds after it.
      */
     private static final Duration MAX_USE_AFTER_NOTICE = Duration.ofMillis(700);
 
-    /** What is left of a notice at least: a plain call, or the start of a stream and its move. */
+    /**
+     * The shortest remaining time of a notice: that of a plain call, or the start of a stream and
+     * its move.
+     */
     private static final Duration MIN_REMAINING = Duration.ofMillis(800);
 
     private final Map<String, Notice> mNotices = new HashMap<>();
 
     /**
-     * Notes that an endpoint leaves.
+     * Adds an endpoint that has a reclaim notice.
      *
-     * @param entry its entry; one that doesn't say how much longer it serves is not used
-     * @param now the time
+     * @param entry its entry; it is ignored if the time for which it still serves is unknown
+     * @param now the current time
      */
     public void addNotice(final EndpointEntry entry, final Instant now) {
         if (entry.leaving() && entry.leavesIn().isPresent()) {
@@ -43,20 +46,20 @@
     }
 
     /**
-     * Notes that an endpoint is gone.
+     * Removes an endpoint that no longer serves.
      *
-     * @param id its id
+     * @param id the endpoint's id
      */
     public void remove(final String id) {
         mNotices.remove(id);
     }
 
     /**
-     * Lists endpoints for requests that no other endpoint can take.
+     * Returns the endpoints for requests that no other endpoint can take.
      *
      * @param service the service
-     * @param now the time
-     * @return its endpoints that still serve long enough
+     * @param now the current time
+     * @return its leaving endpoints that still serve long enough
      */
     public List<EndpointEntry> lastResort(final String service, final Instant now) {
         mNotices.values().removeIf(notice -> now.isAfter(notice.usableUntil()));
--- a/serving/src/main/java/org/whinhead/serving/endpoint/package-info.java
+++ b/serving/src/main/java/org/whinhead/serving/endpoint/package-info.java
@@ -1,2 +1,2 @@
-/** Endpoints as the store lists them: which exist, which are leaving, which lapsed. */
+/** The endpoints that the store lists: which exist, which are leaving and which have lapsed. */
 package org.whinhead.serving.endpoint;
--- a/serving/src/main/java/org/whinhead/serving/route/Route.java
+++ b/serving/src/main/java/org/whinhead/serving/route/Route.java
@@ -6,7 +6,7 @@
 import java.util.Objects;
 import org.whinhead.api.Arguments;
 
-/** One route of a configuration: immutable, made by its builder. */
+/** A route of a configuration: immutable, created by its builder. */
 public final class Route {
 
     private final String mName;
@@ -36,9 +36,9 @@
     }
 
     /**
-     * Starts a route.
+     * Creates a builder of a route.
      *
-     * @return a builder with no service
+     * @return a builder without a service
      */
     public static Builder builder() {
         return new Builder();
@@ -77,7 +77,7 @@
     }
 
     /**
-     * Tells whether requests need no key of a customer.
+     * Returns whether requests need no customer key.
      *
      * @return whether anyone may call
      */
@@ -86,18 +86,18 @@
     }
 
     /**
-     * Tells whether a request that may have run can be sent to another endpoint.
+     * Returns whether a request that may have run can be sent to another endpoint.
      *
-     * @return whether it can
+     * @return whether running it again is allowed
      */
     public boolean canRunAgain() {
         return mKind.canRunAgain(mResumable);
     }
 
     /**
-     * Picks the service of one request by the weights of the route.
+     * Selects the service of one request by the weights of the route.
      *
-     * @param draw any number that is spread evenly over requests
+     * @param draw any number that is uniformly distributed over requests
      * @return the service's name
      */
     public String selectService(final int draw) {
@@ -115,7 +115,7 @@
         throw new IllegalStateException("weights of route " + mName + " changed while drawing");
     }
 
-    /** Collects the parts of a route. */
+    /** Builds a route. */
     public static final class Builder {
 
         private final List<WeightedService> mServices = new ArrayList<>();
@@ -144,10 +144,10 @@
         }
 
         /**
-         * Sets what selects the route.
+         * Sets the host and path that the route matches.
          *
          * @param host the host that callers name, in lower case, without a port
-         * @param pathPrefix the start of the path, with a slash at both ends
+         * @param pathPrefix the prefix of the path, with a slash at both ends
          * @return this builder
          */
         public Builder match(final String host, final String pathPrefix) {
@@ -157,10 +157,10 @@
         }
 
         /**
-         * Sets what may be repeated.
+         * Sets the kind of the route's requests.
          *
-         * @param kind the kind of the route's requests
-         * @param resumable whether streams can go on from an event
+         * @param kind the kind
+         * @param resumable whether streams can be resumed from an event
          * @return this builder
          */
         public Builder kind(final RouteKind kind, final boolean resumable) {
@@ -170,10 +170,10 @@
         }
 
         /**
-         * Sets the times of the route.
+         * Sets the time limits of the route.
          *
-         * @param timeout the longest time that a caller is kept waiting
-         * @param targetLatency the time within which an answer is worth most
+         * @param timeout the longest time that a caller waits
+         * @param targetLatency the latency up to which an answer is worth most
          * @return this builder
          */
         public Builder times(final Duration timeout, final Duration targetLatency) {
@@ -183,9 +183,9 @@
         }
 
         /**
-         * Sets the rank of the route's requests.
+         * Sets the priority of the route's requests.
          *
-         * @param priority the rank, 0 first
+         * @param priority the priority, 0 is the highest
          * @return this builder
          */
         public Builder priority(final int priority) {
@@ -205,9 +205,9 @@
         }
 
         /**
-         * Sets how many endpoints one request may be sent to.
+         * Sets the largest number of attempts of a request.
          *
-         * @param maxAttempts the number, at least 1
+         * @param maxAttempts the number of endpoints that a request may be sent to, at least 1
          * @return this builder
          */
         public Builder maxAttempts(final int maxAttempts) {
@@ -216,7 +216,7 @@
         }
 
         /**
-         * Sets whether requests need no key.
+         * Sets whether requests need no customer key.
          *
          * @param keyless whether anyone may call
          * @return this builder
@@ -227,9 +227,10 @@
         }
 
         /**
-         * Makes the route.
+         * Returns the route.
          *
          * @return the route
+         * @throws IllegalArgumentException if the route has no service or an invalid value
          */
         public Route build() {
             if (mServices.isEmpty()) {
--- a/serving/src/main/java/org/whinhead/serving/route/RouteKind.java
+++ b/serving/src/main/java/org/whinhead/serving/route/RouteKind.java
@@ -1,6 +1,9 @@
 package org.whinhead.serving.route;
 
-/** What may be repeated of a route's requests, and what an answer of it looks like. */
+/**
+ * The kind of a route's requests: whether they may be repeated, and whether they are answered by a
+ * stream.
+ */
 public enum RouteKind {
     /** A request may run more than once. */
     IDEMPOTENT {
@@ -9,14 +12,17 @@
             return true;
         }
     },
-    /** A request runs once at most. */
+    /** A request runs at most once. */
     NON_IDEMPOTENT {
         @Override
         public boolean canRunAgain(final boolean resumable) {
             return false;
         }
     },
-    /** The answer is a series of numbered events; it runs again only where it can be resumed. */
+    /**
+     * The answer is a series of numbered events; a request runs again only if its stream can be
+     * resumed.
+     */
     STREAMING {
         @Override
         public boolean canRunAgain(final boolean resumable) {
@@ -30,15 +36,15 @@
     };
 
     /**
-     * Tells whether a request that may have run can be sent to another endpoint.
+     * Returns whether a request that may have run can be sent to another endpoint.
      *
-     * @param resumable whether the route's streams can go on from an event
-     * @return whether running it twice is allowed
+     * @param resumable whether the route's streams can be resumed from an event
+     * @return whether running it again is allowed
      */
     public abstract boolean canRunAgain(boolean resumable);
 
     /**
-     * Tells whether answers are event streams.
+     * Returns whether answers are event streams.
      *
      * @return whether they are
      */
--- a/serving/src/main/java/org/whinhead/serving/route/RouteTable.java
+++ b/serving/src/main/java/org/whinhead/serving/route/RouteTable.java
@@ -6,15 +6,15 @@
 import java.util.Map;
 import java.util.Optional;
 
-/** Finds the route of a request: its host, and there the longest prefix of its path. */
+/** Finds the route of a request by its host and the longest matching prefix of its path. */
 public final class RouteTable {
 
     private final Map<String, Map<String, Route>> mRoutes = new HashMap<>();
 
     /**
-     * Makes a table of routes.
+     * Creates a table of routes.
      *
-     * @param routes the routes; of two with the same host and prefix the later one stays
+     * @param routes the routes; of two with the same host and prefix the later one is used
      */
     public RouteTable(final Collection<Route> routes) {
         for (final Route route : routes) {
@@ -24,10 +24,10 @@
     }
 
     /**
-     * Finds the route of a request.
+     * Returns the route of a request.
      *
-     * <p>Prefixes end with a slash, so only the path up to each of its slashes can be one: a
-     * look-up costs as many steps as the path has slashes, however many routes a host has.
+     * <p>Prefixes end with a slash, so only the parts of the path up to one of its slashes can
+     * match: a lookup costs as many steps as the path has slashes, however many routes a host has.
      *
      * @param host the host that the caller names, with or without a port
      * @param path the path, without its query
--- a/serving/src/main/java/org/whinhead/serving/route/WeightedService.java
+++ b/serving/src/main/java/org/whinhead/serving/route/WeightedService.java
@@ -10,7 +10,7 @@
  */
 public record WeightedService(String service, int weight) {
 
-    /** Checks the parts. */
+    /** Checks the components. */
     public WeightedService {
         Arguments.requireText(service, "service");
         Arguments.requireAtLeast(weight, 0, "weight");
--- a/serving/src/main/java/org/whinhead/serving/route/package-info.java
+++ b/serving/src/main/java/org/whinhead/serving/route/package-info.java
@@ -1,2 +1,2 @@
-/** Routes: which service answers a host and path, and what may be repeated there. */
+/** Routes: the service that answers a host and path, and the requests that may be repeated. */
 package org.whinhead.serving.route;
--- a/serving/src/test/java/org/whinhead/serving/endpoint/EndpointRegistryTest.java
+++ b/serving/src/test/java/org/whinhead/serving/endpoint/EndpointRegistryTest.java
@@ -29,10 +29,11 @@
                 .build();
     }
 
-    // Prompts are sent to a server as cached there and take ten times as long; runs that it had
-    // seem to go on. It had crashed and started again under the id that it had.
+    // Guards against using the state of a server from before a crash. It has restarted under the
+    // same id: its prompts are no longer cached and take ten times as long, and its runs have
+    // ended.
     @Test
-    void laterStartUnderTheSameIdIsAnotherEndpoint() {
+    void laterStartUnderTheSameIdIsReportedAsRestart() {
         mRegistry.put(entry("e1", false, Optional.of(START)), 1);
         assertThat(mRegistry.put(entry("e1", false, Optional.of(START)), 2))
                 .isEqualTo(EntryEffect.NONE);
@@ -40,18 +41,19 @@
                 .isEqualTo(EntryEffect.RESTARTED);
     }
 
-    // A server that announced to leave, crashed and is back under its id never gets work again.
+    // Guards against a server that never gets work again because it announced to leave, crashed and
+    // restarted under the same id.
     @Test
-    void laterStartIsNotLeavingAsTheOneBeforeWas() {
+    void laterStartIsNotLeaving() {
         mRegistry.put(entry("e1", true, Optional.of(START)), 1);
         mRegistry.put(entry("e1", false, Optional.of(START.plusSeconds(9))), 2);
         assertThat(mRegistry.usable("pool")).hasSize(1);
     }
 
-    // A server that has just started again gets no work, and what is known of it is dropped twice:
-    // the last write of its earlier start was carried out behind the first one of this start.
+    // Guards against treating a restarted server as leaving and dropping its state twice: the last
+    // write of its earlier start was carried out after the first one of this start.
     @Test
-    void lateWriteOfAnEarlierStartChangesNothing() {
+    void lateWriteOfAnEarlierStartIsIgnored() {
         mRegistry.put(entry("e1", false, Optional.of(START.plusSeconds(9))), 1);
         assertThat(mRegistry.put(entry("e1", true, Optional.of(START)), 2))
                 .isEqualTo(EntryEffect.NONE);
@@ -71,7 +73,7 @@
     }
 
     @Test
-    void unreadableRecordThatIsOlderChangesNothing() {
+    void olderUnreadableRecordIsIgnored() {
         mRegistry.put(entry("e1", false), 5);
         assertThat(mRegistry.markUnreadable("e1", 3)).isFalse();
         assertThat(mRegistry.usable("pool")).hasSize(1);
@@ -85,10 +87,10 @@
         assertThat(mRegistry.find("e1")).isPresent();
     }
 
-    // Requests reach a server long after it announced to leave. Its announcement was read, then a
-    // listing that lags showed the entry from before, and the server counted as ready again.
+    // Guards against sending requests to a leaving server. Its announcement was read, then a
+    // delayed listing contained the earlier entry, and the server counted as ready again.
     @Test
-    void lateListingDoesNotBringLeavingEndpointBack() {
+    void lateListingDoesNotReactivateLeavingEndpoint() {
         mRegistry.put(entry("e1", false), 1);
         mRegistry.put(entry("e1", true), 5);
         mRegistry.put(entry("e1", false), 1);
@@ -98,16 +100,17 @@
     }
 
     @Test
-    void removalInCalmTimesTakesEffectAtOnce() {
+    void removalWithoutOutageTakesEffectAtOnce() {
         mRegistry.put(entry("e1", false), 1);
         mRegistry.remove("e1", 2, START);
         assertThat(mRegistry.usable("pool")).isEmpty();
     }
 
-    // All requests fail for two seconds after the store was away. Nobody could write heartbeats, so
-    // every entry lapsed, and the daemon dropped endpoints that were alive all the while.
+    // Guards against failing all requests for two seconds after an outage of the store. Heartbeats
+    // could not be written, so every entry lapsed, and the daemon removed endpoints that were
+    // alive.
     @Test
-    void entryThatLapsedAroundAnOutageStaysInUseUntilItIsDue() {
+    void entryThatLapsedAroundAnOutageStaysInUseForTheGracePeriod() {
         mRegistry.put(entry("e1", false), 1);
         mRegistry.recordOutage(START);
         mRegistry.retain(Set.of(), 3, START.plusMillis(400));
@@ -117,9 +120,8 @@
         assertThat(mRegistry.usable("pool")).isEmpty();
     }
 
-    // A request reaches a server 2.2 s after its entry was removed. Just before, the store had
-    // turned
-    // this daemon away for some seconds, and the removal was taken for a lapse.
+    // Guards against sending a request to a server 2.2 s after its entry was removed. Just before,
+    // the store had rejected this daemon for some seconds, and the removal was treated as a lapse.
     @Test
     void removalSoonAfterAnOutageTakesEffectInTime() {
         mRegistry.put(entry("e1", false), 1);
@@ -130,7 +132,7 @@
     }
 
     @Test
-    void lapsedEntryThatComesBackStays() {
+    void lapsedEntryThatIsListedAgainStays() {
         mRegistry.put(entry("e1", false), 1);
         mRegistry.recordOutage(START);
         mRegistry.retain(Set.of(), 3, START.plusMillis(400));
@@ -140,25 +142,25 @@
     }
 
     @Test
-    void listingOlderThanWhatIsKnownRemovesNothing() {
+    void outdatedListingRemovesNothing() {
         mRegistry.put(entry("e1", false), 9);
         mRegistry.retain(Set.of(), 8, START);
         assertThat(mRegistry.usable("pool")).hasSize(1);
     }
 
     @Test
-    void endpointWhoseAddressAnswersForAnotherIsNotUsedAgain() {
+    void replacedEndpointIsNotUsedAgain() {
         mRegistry.put(entry("e1", false), 1);
         mRegistry.markReplaced("e1");
         mRegistry.put(entry("e1", false), 2);
         assertThat(mRegistry.usable("pool")).isEmpty();
     }
 
-    // A server that is gone gets requests. Another daemon told of its removal, but the datagram
-    // that
-    // had told of its coming was lost; then this daemon read the older records itself.
+    // Guards against sending requests to a removed server. Another daemon reported its removal, but
+    // the datagram that had reported the server was lost; then this daemon read the older records
+    // itself.
     @Test
-    void removalOfAnEndpointThatWasNotKnownYetIsRemembered() {
+    void removalOfUnknownEndpointIsRemembered() {
         assertThat(mRegistry.remove("e1", 5, START)).isFalse();
         mRegistry.put(entry("e1", false), 3);
         assertThat(mRegistry.usable("pool")).isEmpty();
--- a/serving/src/test/java/org/whinhead/serving/endpoint/ReclaimedEndpointsTest.java
+++ b/serving/src/test/java/org/whinhead/serving/endpoint/ReclaimedEndpointsTest.java
@@ -9,9 +9,9 @@
 import org.junit.jupiter.api.Test;
 
 /**
- * Three failure domains are reclaimed within six seconds, the last one 2.4 s before the endpoints
- * that replace them are up. Callers were refused for two seconds, while the last domain still
- * served.
+ * Guards against refusing requests for two seconds while the last failure domain still serves.
+ * Three domains are reclaimed within six seconds, the last one 2.4 s before the replacing endpoints
+ * have started.
  */
 class ReclaimedEndpointsTest {
 
@@ -27,7 +27,7 @@
     }
 
     @Test
-    void endpointServesShortlyAfterItsNotice() {
+    void endpointIsUsedShortlyAfterItsNotice() {
         mLeaving.addNotice(leaving(Optional.of(Duration.ofMillis(2_400))), NOW);
 
         assertThat(mLeaving.lastResort("pool", NOW.plusMillis(700))).hasSize(1);
@@ -35,7 +35,7 @@
     }
 
     @Test
-    void endpointThatIsGoneSoonIsNotUsed() {
+    void endpointThatLeavesSoonIsNotUsed() {
         mLeaving.addNotice(leaving(Optional.of(Duration.ofMillis(1_000))), NOW);
 
         assertThat(mLeaving.lastResort("pool", NOW.plusMillis(200))).hasSize(1);
@@ -43,14 +43,14 @@
     }
 
     @Test
-    void endpointThatDoesNotSayWhenItGoesIsNotUsed() {
+    void endpointWithUnknownLeavingTimeIsNotUsed() {
         mLeaving.addNotice(leaving(Optional.empty()), NOW);
 
         assertThat(mLeaving.lastResort("pool", NOW)).isEmpty();
     }
 
     @Test
-    void repeatedNoticeExtendsNothing() {
+    void repeatedNoticeDoesNotExtendTheUse() {
         final EndpointEntry entry = leaving(Optional.of(Duration.ofMillis(2_400)));
         mLeaving.addNotice(entry, NOW);
         mLeaving.addNotice(entry, NOW.plusMillis(600));
@@ -59,7 +59,7 @@
     }
 
     @Test
-    void endpointThatIsGoneIsNotUsed() {
+    void removedEndpointIsNotUsed() {
         mLeaving.addNotice(leaving(Optional.of(Duration.ofMillis(2_400))), NOW);
         mLeaving.remove("a");
 
