--- a/serving/src/main/java/org/whinhead/serving/rollout/CanaryAnalysis.java
+++ b/serving/src/main/java/org/whinhead/serving/rollout/CanaryAnalysis.java
@@ -12,38 +12,49 @@
 import java.util.function.Function;
 
 /**
- * Judges a new version by what all daemons have seen of it and of the old one.
+ * Compares a new version with the old one, from the outcomes that all daemons report.
  *
- * <p>Each route is tested apart, since a version may be bad on one route only, and all of them
- * together, since one route alone may have too few requests to tell. Failures and delays are tested
- * apart as well: the usual ones of one kind would hide a fault of the other. The old version's
- * answers in the same seconds are what the new one is held against: a fault that hits both is not
- * the version's.
+ * <p>Each route is tested separately, since a version may be bad on one route only, and all routes
+ * are tested together, since one route alone may have too few requests. Failures and delays are
+ * tested separately as well, since the usual rate of one kind would hide a fault of the other. The
+ * baseline is the old version's answers of the same seconds, so that a fault that affects both
+ * versions is not attributed to the new one.
  */
 final class CanaryAnalysis {
 
-    /** The part of a route's answers that a fault hits which must not be overlooked. */
+    /** A fault that affects this share of a route's answers must not be missed. */
     private static final double ROUTE_AFFECTED_SHARE = 0.4;
 
-    /** The same of all routes' answers that were given under load. */
+    /**
+     * A fault that affects this share of the answers of all routes that were given under load must
+     * not be missed.
+     */
     private static final double OVERALL_AFFECTED_SHARE = 0.3;
 
-    /** The chance of overlooking such a fault that is accepted. */
+    /** The accepted probability of missing such a fault. */
     private static final double MAX_MISS_PROBABILITY = 0.002;
 
-    /** The chance that the trial is to bring it down to, where it may get enough requests. */
+    /**
+     * The probability of a missed fault that the canary phase aims at, if it may send enough
+     * requests.
+     */
     private static final double TARGET_MISS_PROBABILITY = MAX_MISS_PROBABILITY / 10;
 
-    /** The chance of so many bad answers below which a version is worse than the old one. */
+    /**
+     * The probability of at least as many bad answers without a fault; below it a version is worse
+     * than the old one.
+     */
     private static final double MIN_TAIL_PROBABILITY = 0.0005;
 
-    /** The log likelihood ratio of a fault up to which the version may get everything. */
+    /**
+     * The highest log likelihood ratio of a fault with which the version may receive all requests.
+     */
     private static final double MAX_PROMISING_LOG_RATIO = 4;
 
-    /** Answers without which the version may not get everything. */
+    /** The number of answers that the version needs before it may receive all requests. */
     private static final int MIN_PROMISING_ANSWERS = 10;
 
-    /** Routes with a smaller part of the service's answers need not be shown to be good. */
+    /** Routes with a smaller share of the service's answers need not be shown to be good. */
     private static final double MINOR_TRAFFIC_SHARE = 0.1;
 
     private final Map<String, RolloutEvidence> mEvidence = new HashMap<>();
@@ -53,7 +64,7 @@
     private final CusumDetector mOverall = new CusumDetector();
     private long mInitialAnswers;
 
-    /** Takes a daemon's counts; older ones than those that are known change nothing. */
+    /** Adds a daemon's counts; counts that are older than the known ones are ignored. */
     void addEvidence(final RolloutEvidence evidence) {
         final RolloutEvidence known = mEvidence.get(evidence.daemon());
         if (known == null) {
@@ -77,35 +88,37 @@
     }
 
     /**
-     * Judges what has come since the last call.
+     * Evaluates the counts that were added since the last call.
      *
-     * @param now the time
+     * @param now the current time
      */
     void evaluate(final Instant now) {
         mUpdatedDaemons.forEach(
                 daemon -> mRate.addReport(daemon, sent(mEvidence.get(daemon).outcomes()), now));
         mUpdatedDaemons.clear();
         final Map<String, RouteComparison.Totals> old = new HashMap<>();
-        final Map<String, RouteComparison.Totals> trial = new HashMap<>();
+        final Map<String, RouteComparison.Totals> canary = new HashMap<>();
         for (final RolloutEvidence evidence : mEvidence.values()) {
             for (final RouteOutcomes outcomes : evidence.outcomes()) {
-                (outcomes.canary() ? trial : old)
+                (outcomes.canary() ? canary : old)
                         .computeIfAbsent(outcomes.route(), route -> new RouteComparison.Totals())
                         .add(outcomes);
             }
         }
         final Set<String> routes = new HashSet<>(old.keySet());
-        routes.addAll(trial.keySet());
+        routes.addAll(canary.keySet());
         for (final String route : routes) {
             mRoutes.computeIfAbsent(route, name -> new RouteComparison())
                     .compare(
                             old.getOrDefault(route, new RouteComparison.Totals()),
-                            trial.getOrDefault(route, new RouteComparison.Totals()),
+                            canary.getOrDefault(route, new RouteComparison.Totals()),
                             mOverall);
         }
     }
 
-    /** Names what is bad: a route, or all of them together. */
+    /**
+     * Returns the name of a route with a fault, or of all routes together; empty without a fault.
+     */
     Optional<String> findFault() {
         for (final Map.Entry<String, RouteComparison> route : mRoutes.entrySet()) {
             if (route.getValue().isBad()) {
@@ -115,7 +128,9 @@
         return mOverall.isBad() ? Optional.of("all routes together") : Optional.empty();
     }
 
-    /** Tells whether the version may get more requests, though it isn't known to be good yet. */
+    /**
+     * Returns whether the version may receive more requests, though it isn't shown to be good yet.
+     */
     boolean isPromising() {
         final Collection<RouteComparison> routes = mRoutes.values();
         return findFault().isEmpty()
@@ -132,13 +147,13 @@
     }
 
     /**
-     * Names what hasn't been shown to be free of faults.
+     * Returns the name of a route that isn't shown to be free of faults, or of all routes together.
      *
-     * @param loadedPart the part of the answers that were given under load: a fault that needs load
-     *     shows in no others
-     * @return a route, or all of them together; empty if the version is good
+     * @param loadedShare the share of the answers that were given under load, 0 to 1; a fault that
+     *     needs load shows in no other answers
+     * @return the name; empty if the version is good
      */
-    Optional<String> findUnproven(final double loadedPart) {
+    Optional<String> findUnproven(final double loadedShare) {
         final Optional<String> bad = findFault();
         if (bad.isPresent()) {
             return bad;
@@ -148,9 +163,9 @@
                 return Optional.of("route " + route.getKey());
             }
         }
-        final double hitPart = OVERALL_AFFECTED_SHARE * loadedPart;
-        return isRuledOut(samples(RouteComparison::failures), hitPart)
-                        && isRuledOut(samples(RouteComparison::delays), hitPart)
+        final double affectedShare = OVERALL_AFFECTED_SHARE * loadedShare;
+        return isRuledOut(samples(RouteComparison::failures), affectedShare)
+                        && isRuledOut(samples(RouteComparison::delays), affectedShare)
                 ? Optional.empty()
                 : Optional.of("all routes together");
     }
@@ -159,7 +174,10 @@
         return mRoutes.values().stream().map(kind).toList();
     }
 
-    /** A route that few requests take can't be shown to be good; it must not be suspected. */
+    /**
+     * Returns whether a route is good. A minor one has too few requests to show it; there a fault
+     * must not be more likely than none.
+     */
     private boolean isGood(final RouteComparison route) {
         if (isMinor(route)) {
             return route.logRatio(ROUTE_AFFECTED_SHARE) <= 0;
@@ -168,8 +186,9 @@
                 && isRuledOut(List.of(route.delays()), ROUTE_AFFECTED_SHARE);
     }
 
-    private static boolean isRuledOut(final List<AnswerSample> samples, final double hitPart) {
-        return AnswerSample.probabilityOfAtMost(samples, hitPart) <= MAX_MISS_PROBABILITY
+    private static boolean isRuledOut(
+            final List<AnswerSample> samples, final double affectedShare) {
+        return AnswerSample.probabilityOfAtMost(samples, affectedShare) <= MAX_MISS_PROBABILITY
                 && AnswerSample.probabilityOfAtLeast(samples) >= MIN_TAIL_PROBABILITY;
     }
 
@@ -182,9 +201,9 @@
     }
 
     /**
-     * Says what each route needs, so that the trial's requests can be split accordingly.
+     * Returns the number of answers that each route needs, by which the canary requests are split.
      *
-     * @return the needs of all routes but those that few requests take
+     * @return the needs of all routes but the minor ones
      */
     List<RouteSampleNeed> sampleNeeds() {
         return mRoutes.entrySet().stream()
@@ -201,36 +220,36 @@
                         route.delays()
                                 .requiredAnswers(ROUTE_AFFECTED_SHARE, TARGET_MISS_PROBABILITY));
         final long unanswered = canaryRequests(name) - route.answers();
-        final double trafficPart = (double) route.oldAnswers() / oldAnswers();
-        return new RouteSampleNeed(name, trafficPart, Math.max(needed - unanswered, 0));
+        final double trafficShare = (double) route.oldAnswers() / oldAnswers();
+        return new RouteSampleNeed(name, trafficShare, Math.max(needed - unanswered, 0));
     }
 
-    /** Tells whether the old version fails so often now that the new one can't be judged. */
+    /** Returns whether the old version fails so often that the new one can't be evaluated. */
     boolean isOldFailing() {
         return mRoutes.values().stream().anyMatch(RouteComparison::isOldFailing);
     }
 
-    /** Returns the requests a second that reach the service; 0 if that isn't known yet. */
+    /** Returns the requests per second that reach the service; 0 if unknown. */
     double requestsPerSecond(final Instant now) {
         return mRate.perSecond(now);
     }
 
-    /** Returns how old the daemons' counts are in the mean. */
+    /** Returns the mean age of the daemons' last counts. */
     Duration meanReportAge(final Instant now) {
         return mRate.meanReportAge(now);
     }
 
-    /** Counts answers of the new version that daemons already had when they were first heard. */
+    /** Returns the number of new answers that the daemons' first reports contained. */
     long initialAnswers() {
         return mInitialAnswers;
     }
 
-    /** Counts requests that reached the service since the order. */
+    /** Returns the number of requests that reached the service since the order. */
     long requests() {
         return mEvidence.values().stream().mapToLong(evidence -> sent(evidence.outcomes())).sum();
     }
 
-    /** Counts requests that reached the new version. */
+    /** Returns the number of requests that reached the new version. */
     long canaryRequests() {
         return mEvidence.values().stream()
                 .flatMap(evidence -> evidence.outcomes().stream())
@@ -247,7 +266,7 @@
                 .sum();
     }
 
-    /** Counts answers of the new version that were judged, and how many of them were bad. */
+    /** Returns the totals of the evaluated answers. */
     Tally tally() {
         final Collection<RouteComparison> routes = mRoutes.values();
         return new Tally(
@@ -257,11 +276,11 @@
     }
 
     /**
-     * What was judged.
+     * The totals of the evaluated answers of the new version.
      *
-     * @param answers answers of the new version
-     * @param bad those that were bad
-     * @param evidence what speaks against the version
+     * @param answers the number of answers
+     * @param bad the number of bad answers
+     * @param evidence the sum of log likelihood ratios of a fault
      */
     record Tally(long answers, long bad, double evidence) {}
 }
--- a/serving/src/main/java/org/whinhead/serving/rollout/CusumDetector.java
+++ b/serving/src/main/java/org/whinhead/serving/rollout/CusumDetector.java
@@ -1,31 +1,35 @@
 package org.whinhead.serving.rollout;
 
 /**
- * A sequential test of whether a version's answers have become worse than they should be.
+ * A sequential test that detects when a version's answers become worse than the old version's.
  *
- * <p>Each answer moves a sum of log likelihood ratios that never falls below zero, so that a
- * version that turns bad after many good answers is found as fast as one that was bad from the
- * start (Page, Continuous Inspection Schemes, Biometrika 1954).
+ * <p>Each answer adds to a sum of log likelihood ratios that never falls below zero (CUSUM; Page,
+ * Continuous Inspection Schemes, Biometrika 1954), so that a version that turns bad after many good
+ * answers is detected as fast as one that was bad from the start.
  */
 final class CusumDetector {
 
-    /** The least part of the answers that a fault hits. */
+    /** The smallest share of affected answers that counts as a fault. */
     private static final double AFFECTED_SHARE = 0.25;
 
-    /** The sum at which a version is bad; a good one reaches it once in exp(12) answers or less. */
+    /**
+     * The sum from which a version is bad; a good version reaches it once in exp(12) answers or
+     * less often.
+     */
     private static final double BAD_THRESHOLD = 12;
 
     private double mSum;
 
     /**
-     * Takes answers.
+     * Adds answers to the sum.
      *
-     * @param good how many were good
-     * @param bad how many were failures, or far too slow
-     * @param usual the share of such answers that the old version gives
+     * @param good the number of good answers
+     * @param bad the number of answers that failed or were far too slow
+     * @param baselineShare the share of such answers that the old version gives, 0 to 1
      */
-    void addAnswers(final long good, final long bad, final double usual) {
-        final double change = FaultLikelihood.logRatio(good + bad, bad, usual, AFFECTED_SHARE);
+    void addAnswers(final long good, final long bad, final double baselineShare) {
+        final double change =
+                FaultLikelihood.logRatio(good + bad, bad, baselineShare, AFFECTED_SHARE);
         mSum = Math.max(mSum + change, 0);
     }
 
@@ -33,7 +37,9 @@
         return mSum >= BAD_THRESHOLD;
     }
 
-    /** Returns how much speaks against the version; it is bad from {@link #BAD_AT} on. */
+    /**
+     * Returns the sum of log likelihood ratios; the version is bad from {@link #BAD_THRESHOLD} on.
+     */
     double sum() {
         return mSum;
     }
--- a/serving/src/main/java/org/whinhead/serving/rollout/LatencyHistogram.java
+++ b/serving/src/main/java/org/whinhead/serving/rollout/LatencyHistogram.java
@@ -5,14 +5,14 @@
 import java.util.List;
 
 /**
- * Counts of answers by time, in buckets that each reach half as far again as the one before.
+ * A histogram of answers by latency whose bucket bounds grow by half.
  *
- * <p>Three times as long is told from once as long by at least two buckets, which is all that the
- * comparison of two versions needs; a whole route fits into a few bytes of a report.
+ * <p>Three times the latency lies at least two buckets higher, which suffices to compare two
+ * versions, and a route takes only a few bytes of a report.
  */
 final class LatencyHistogram {
 
-    /** Buckets: from under 2 ms to over 27 s. */
+    /** The number of buckets, from under 2 ms to over 27 s. */
     static final int BUCKET_COUNT = 25;
 
     private static final double FIRST_BOUND_MILLIS = 2;
@@ -20,18 +20,18 @@
 
     private final long[] mCounts = new long[BUCKET_COUNT];
 
-    /** Makes empty counts. */
+    /** Creates an empty histogram. */
     LatencyHistogram() {}
 
-    /** Makes counts of their list; buckets that are missing are empty. */
+    /** Creates a histogram from a list of counts; missing buckets are empty. */
     LatencyHistogram(final List<Long> counts) {
         for (int bucket = 0; bucket < Math.min(counts.size(), BUCKET_COUNT); bucket++) {
             mCounts[bucket] = counts.get(bucket);
         }
     }
 
-    void add(final Duration time) {
-        mCounts[bucket(time)]++;
+    void add(final Duration latency) {
+        mCounts[bucket(latency)]++;
     }
 
     void addAll(final LatencyHistogram other) {
@@ -40,7 +40,7 @@
         }
     }
 
-    /** Takes counts off that were added before. */
+    /** Subtracts counts that were added before. */
     void subtractAll(final LatencyHistogram other) {
         for (int bucket = 0; bucket < BUCKET_COUNT; bucket++) {
             mCounts[bucket] -= other.mCounts[bucket];
@@ -51,25 +51,25 @@
         return Arrays.stream(mCounts).sum();
     }
 
-    /** Counts what took longer than the bucket. */
+    /** Returns the number of answers that lie in buckets above the given one. */
     long countAbove(final int bucket) {
         return Arrays.stream(mCounts, Math.min(bucket + 1, BUCKET_COUNT), BUCKET_COUNT).sum();
     }
 
-    /** Finds the bucket below which a part of the counts lies. */
-    int quantileBucket(final double part) {
-        final double wanted = part * total();
+    /** Returns the bucket that contains the given quantile, 0 to 1. */
+    int quantileBucket(final double quantile) {
+        final double targetCount = quantile * total();
         long seen = 0;
         for (int bucket = 0; bucket < BUCKET_COUNT; bucket++) {
             seen += mCounts[bucket];
-            if (seen >= wanted && seen > 0) {
+            if (seen >= targetCount && seen > 0) {
                 return bucket;
             }
         }
         return BUCKET_COUNT - 1;
     }
 
-    /** Returns the upper end of a bucket. */
+    /** Returns the upper bound of a bucket. */
     static Duration upperBound(final int bucket) {
         return Duration.ofMillis(Math.round(FIRST_BOUND_MILLIS * Math.pow(GROWTH, bucket)));
     }
@@ -78,11 +78,11 @@
         return Arrays.stream(mCounts).boxed().toList();
     }
 
-    private static int bucket(final Duration time) {
-        double end = FIRST_BOUND_MILLIS;
+    private static int bucket(final Duration latency) {
+        double bound = FIRST_BOUND_MILLIS;
         int bucket = 0;
-        while (time.toMillis() >= end && bucket < BUCKET_COUNT - 1) {
-            end *= GROWTH;
+        while (latency.toMillis() >= bound && bucket < BUCKET_COUNT - 1) {
+            bound *= GROWTH;
             bucket++;
         }
         return bucket;
--- a/serving/src/main/java/org/whinhead/serving/rollout/LoadedAnswerCounter.java
+++ b/serving/src/main/java/org/whinhead/serving/rollout/LoadedAnswerCounter.java
@@ -4,12 +4,12 @@
 import java.time.Instant;
 
 /**
- * Counts which part of the new version's answers its endpoints gave under load. A fault that needs
- * load shows in no others.
+ * Counts the answers that the new version gave under load. A fault that needs load shows in no
+ * other answers.
  */
 final class LoadedAnswerCounter {
 
-    /** How long endpoints that begin to get requests are not under load yet. */
+    /** The time after the first requests during which endpoints aren't under load yet. */
     private static final Duration RAMP_UP_TIME = Duration.ofMillis(1_000);
 
     private Instant mCanarySince;
@@ -17,28 +17,29 @@
     private long mUnloaded;
 
     /**
-     * Takes the count of answers.
+     * Updates the number of answers.
      *
-     * @param answers answers since this daemon holds the duties
-     * @param share the share of requests that the new version gets
-     * @param now the time
+     * @param answers the number of answers since this daemon holds the lease
+     * @param share the share of requests that the new version receives, 0 to 1
+     * @param now the current time
      */
     void update(final long answers, final double share, final Instant now) {
         if (mCanarySince == null && share > 0) {
             mCanarySince = now;
         }
-        final boolean starts =
+        final boolean rampingUp =
                 mCanarySince != null && now.isBefore(mCanarySince.plus(RAMP_UP_TIME));
-        if (starts || share == 1) {
+        if (rampingUp || share == 1) {
             mUnloaded += answers - mAnswers;
         }
         mAnswers = answers;
     }
 
     /**
-     * Returns the part that was given under load.
+     * Returns the share of answers that were given under load.
      *
-     * @param answers all answers, those from before this daemon held the duties included
+     * @param answers the number of all answers, including those from before this daemon held the
+     *     lease
      * @return 0 to 1; 0 without answers
      */
     double loadedShare(final long answers) {
--- a/serving/src/main/java/org/whinhead/serving/rollout/RequestRate.java
+++ b/serving/src/main/java/org/whinhead/serving/rollout/RequestRate.java
@@ -8,18 +8,18 @@
 import java.util.Map;
 
 /**
- * Requests a second of all daemons, from counts that each of them reports.
+ * Measures the requests per second of all daemons from the totals that each of them reports.
  *
- * <p>The first count of a daemon, and one after a pause, hold what came long before: they are where
- * its rate starts, not part of it. Else the rate would jump whenever the holder of the duties
- * changes, or a daemon that was cut off is heard again.
+ * <p>The first total of a daemon, and one after a pause, include requests from long before. They
+ * are the starting point of the daemon's rate and not part of it; otherwise the rate would jump
+ * whenever the lease holder changes, or a daemon that was cut off reports again.
  */
 final class RequestRate {
 
-    /** The time over which the rate is taken. */
+    /** The time window over which the rate is measured. */
     private static final Duration WINDOW = Duration.ofMillis(2_000);
 
-    /** The time over which a daemon's rate is taken at least. */
+    /** The shortest time over which a daemon's rate is measured. */
     private static final Duration MIN_SPAN = Duration.ofMillis(500);
 
     private static final double MILLIS_PER_SECOND = 1_000;
@@ -27,11 +27,11 @@
     private final Map<String, Deque<Sample>> mDaemons = new HashMap<>();
 
     /**
-     * Takes a daemon's count.
+     * Adds a daemon's report.
      *
-     * @param daemon names the daemon's process
-     * @param requests its requests so far
-     * @param now the time
+     * @param daemon the name of the daemon's process
+     * @param requests the total number of its requests
+     * @param now the current time
      */
     void addReport(final String daemon, final long requests, final Instant now) {
         final Deque<Sample> samples = mDaemons.computeIfAbsent(daemon, name -> new ArrayDeque<>());
@@ -45,23 +45,24 @@
     }
 
     /**
-     * Adds up the daemons' rates; one whose rate isn't known yet is taken to have the others' mean.
+     * Returns the sum of the daemons' rates. A daemon whose rate isn't known yet counts with the
+     * mean of the others.
      *
-     * @param now the time
-     * @return requests a second; 0 if no daemon's rate is known
+     * @param now the current time
+     * @return requests per second; 0 if no daemon's rate is known
      */
     double perSecond(final Instant now) {
         double sum = 0;
-        int known = 0;
-        int heard = 0;
+        int measured = 0;
+        int reporting = 0;
         for (final Deque<Sample> samples : mDaemons.values()) {
             if (isReporting(samples, now)) {
-                heard++;
+                reporting++;
                 final Sample first = samples.peekFirst();
                 final Sample last = samples.peekLast();
                 final Duration span = Duration.between(first.at(), last.at());
                 if (span.compareTo(MIN_SPAN) >= 0) {
-                    known++;
+                    measured++;
                     sum +=
                             (last.requests() - first.requests())
                                     * MILLIS_PER_SECOND
@@ -69,14 +70,14 @@
                 }
             }
         }
-        return known == 0 ? 0 : sum * heard / known;
+        return measured == 0 ? 0 : sum * reporting / measured;
     }
 
     /**
-     * Returns how long ago the daemons' last counts came, in the mean.
+     * Returns the mean age of the daemons' last reports.
      *
-     * @param now the time
-     * @return zero if none was heard lately
+     * @param now the current time
+     * @return zero if no daemon has reported within the window
      */
     Duration meanReportAge(final Instant now) {
         final double millis =
--- a/serving/src/main/java/org/whinhead/serving/rollout/RolloutAttempt.java
+++ b/serving/src/main/java/org/whinhead/serving/rollout/RolloutAttempt.java
@@ -2,7 +2,7 @@
 
 import java.time.Duration;
 
-/** One send of a request to an endpoint of a service that a roll-out is under way for. */
+/** One attempt of a request at an endpoint of a service with a roll-out in progress. */
 public final class RolloutAttempt {
 
     private final OutcomeCounter mCounts;
@@ -11,29 +11,29 @@
     private boolean mAnswered;
     private boolean mFailed;
 
-    RolloutAttempt(final OutcomeCounter counts, final String route, final boolean onTrial) {
+    RolloutAttempt(final OutcomeCounter counts, final String route, final boolean canary) {
         mCounts = counts;
         mRoute = route;
-        mCanary = onTrial;
-        counts.recordSend(route, onTrial);
+        mCanary = canary;
+        counts.recordSend(route, canary);
     }
 
     /**
-     * Notes that the endpoint answered, or began to generate.
+     * Records that the endpoint answered, or began to generate.
      *
-     * @param taken the time from the send to the whole answer, or to a stream's first token
+     * @param latency the time from the send to the whole answer, or to a stream's first token
      */
-    public void recordAnswer(final Duration taken) {
+    public void recordAnswer(final Duration latency) {
         if (!mAnswered) {
             mAnswered = true;
-            mCounts.recordAnswer(mRoute, mCanary, taken);
+            mCounts.recordAnswer(mRoute, mCanary, latency);
         }
     }
 
     /**
-     * Notes that the endpoint failed the request by its answer, or spoiled a stream behind its
-     * first token. A connection that is lost says nothing of the version: VMs are reclaimed and
-     * crash at any version.
+     * Records that the endpoint failed the request by its answer, or corrupted a stream after the
+     * first token. A lost connection doesn't count as a failure of the version: VMs are reclaimed
+     * and crash with any version.
      */
     public void recordFailure() {
         if (!mFailed) {
--- a/serving/src/main/java/org/whinhead/serving/rollout/RolloutController.java
+++ b/serving/src/main/java/org/whinhead/serving/rollout/RolloutController.java
@@ -7,62 +7,65 @@
 import java.util.Optional;
 
 /**
- * Carries out one order, at the holder of the duties.
+ * Carries out one roll-out order at the lease holder.
  *
- * <p>The new version first gets a small share for most of the time budget, so that a version that
- * turns bad later shows it. It gets everything only for the last moment before the decision, if the
- * requests that a bad version may get allow that: the bound on them holds for each version that is
- * turned back, and the old endpoints are still there until then. Nothing is decided before the
- * store has taken the record of it.
+ * <p>The new version first receives a small canary share for most of the time budget, so that a
+ * version that turns bad late is noticed. It receives all requests only in the takeover, the last
+ * moment before the decision, and only if the limit of requests to a bad version allows that: the
+ * limit holds for each version that is rolled back, and the old endpoints remain until then. A
+ * decision takes effect only after the store has accepted its record.
  */
 public final class RolloutController {
 
-    /** What is kept of the time budget for writing the decision: a second write if one is lost. */
+    /**
+     * The shortest time at the end of the time budget that is reserved for storing the decision,
+     * and for storing it again if a write is lost.
+     */
     private static final Duration MIN_DECISION_MARGIN = Duration.ofMillis(350);
 
-    /** The same as a part of the time budget. */
+    /** The same time as a share of the time budget; the longer one applies. */
     private static final double DECISION_MARGIN_SHARE = 0.03;
 
-    /** The last moment is at least so long: each daemon must hear of it, and move what runs. */
+    /** The shortest takeover: each daemon must learn of it and move its running requests. */
     private static final Duration MIN_TAKEOVER = Duration.ofMillis(500);
 
-    /** Part of the requests that a bad version may get which the takeover spends at least. */
+    /** The share of the allowed requests that is reserved for the takeover. */
     private static final double TAKEOVER_REQUEST_SHARE = 0.2;
 
-    /** Part of the time budget that the takeover lasts at most. */
+    /** The largest share of the time budget that the takeover lasts. */
     private static final double MAX_TAKEOVER_SHARE = 0.25;
 
-    /** How much later than it is due a decision may be taken and heard. */
+    /** The longest delay until a due decision has been made and received by the daemons. */
     private static final Duration MAX_DECISION_DELAY = Duration.ofMillis(150);
 
-    /** The largest share of a trial: endpoints that all start at once must not get a flood. */
+    /** The largest canary share: endpoints that all start at once must not be flooded. */
     private static final double MAX_CANARY_SHARE = 0.6;
 
-    /** How long requests are on their way to a count, beside the pause between two reports. */
+    /** The time from a request to its count, in addition to the interval between two reports. */
     private static final Duration COUNT_DELAY = Duration.ofMillis(100);
 
-    /** The last part of the trial is not spread over less. */
+    /** The shortest time over which the remaining canary requests are spread. */
     private static final double MIN_CANARY_SECONDS = 0.3;
 
-    /** Part of the requests that a bad version may get which is kept for what is counted late. */
+    /** The share of the allowed requests that is reserved for requests that are counted late. */
     private static final double RESERVE_SHARE = 0.05;
 
-    /** Requests that are kept for that at least. */
+    /** The smallest number of requests that is reserved for that. */
     private static final double MIN_RESERVE_REQUESTS = 5;
 
     /**
-     * The time within which an endpoint of the new version gets its full load for a part. A share
-     * that is less than one endpoint's is given by turns: the endpoint's full load, then nothing.
+     * The period in which an endpoint of the new version receives its full load for a part of the
+     * time and then nothing, if the canary share is less than one endpoint's load.
      */
     private static final Duration DUTY_CYCLE = Duration.ofMillis(2_000);
 
-    /** Part of the old endpoints' number that the new ones need to take over. */
+    /** The number of new endpoints that a takeover needs, as a share of the old ones. */
     private static final double MIN_ENDPOINT_SHARE = 0.5;
 
-    /** What a reported request counts where it is not sure how many there were. */
+    /** The weight of a reported request where the number of requests is uncertain. */
     private static final double REPORTED_WEIGHT = 0.8;
 
-    /** Requests a second that are reckoned with where hardly any come. */
+    /** The lowest assumed request rate. */
     private static final double MIN_REQUESTS_PER_SECOND = 1;
 
     private static final double MILLIS_PER_SECOND = 1_000;
@@ -80,12 +83,12 @@
     private String mReason = "";
 
     /**
-     * Starts or resumes an order.
+     * Creates a controller that starts or resumes an order.
      *
      * @param order the order
-     * @param limits what a bad version may get
-     * @param startedAt the steady time of the order, as far as it is known
-     * @param now the time; later than the start if another daemon has begun
+     * @param limits the limit of requests to a bad version
+     * @param startedAt the monotonic time of the order, as far as it is known
+     * @param now the current time; later than the start if another daemon has begun
      */
     public RolloutController(
             final RolloutOrder order,
@@ -99,21 +102,21 @@
     }
 
     /**
-     * How many endpoints a service has.
+     * The number of endpoints of a service.
      *
-     * @param old usable ones of other versions than the new one
-     * @param trial usable ones of the new version
+     * @param old the usable endpoints of versions other than the new one
+     * @param canary the usable endpoints of the new version
      */
     public record Endpoints(int old, int canary) {}
 
     /**
-     * What the controller wants done, and why.
+     * A decision of the controller and its reason.
      *
-     * @param share the share of requests for the new version
-     * @param routes the shares of routes that get another one
-     * @param state the state; a final one must be recorded before it is told
-     * @param oldStopsIn when the old endpoints will stop; zero while that is not near
-     * @param reason why it is so, for the log
+     * @param share the share of requests that the new version receives, 0 to 1
+     * @param routes the routes with a share of their own
+     * @param state the state; a final one must be recorded before it is sent
+     * @param oldStopsIn the time until the old endpoints stop; zero while that is not near
+     * @param reason the reason, for the log
      */
     public record Decision(
             double share,
@@ -127,9 +130,9 @@
     }
 
     /**
-     * Takes what a daemon has seen.
+     * Adds the counts of a daemon; those of another order are ignored.
      *
-     * @param evidence its counts
+     * @param evidence the counts
      */
     public void addEvidence(final RolloutEvidence evidence) {
         if (evidence.order() == mOrder.offset()) {
@@ -138,26 +141,27 @@
     }
 
     /**
-     * Takes an end that is recorded already, by this daemon or another one.
+     * Adopts a final state that this daemon or another one has recorded already.
      *
-     * @param state the end
+     * @param state the final state
+     * @throws IllegalArgumentException if the state is not final
      */
     public void adoptFinalState(final RolloutState state) {
         if (!state.isFinal()) {
-            throw new IllegalArgumentException("no end: " + state);
+            throw new IllegalArgumentException("state is not final: " + state);
         }
         mState = state;
         mShare = state == RolloutState.COMPLETED ? 1 : 0;
         mTakingOver = false;
-        mReason = "recorded before";
+        mReason = "final state recorded earlier";
     }
 
     /**
-     * Decides what is to be done now.
+     * Decides on the share of the new version and the state of the roll-out.
      *
      * @param endpoints the service's endpoints
-     * @param now the time
-     * @return the decision; one that is final stays
+     * @param now the current time
+     * @return the decision; a final state doesn't change any more
      */
     public Decision decide(final Endpoints endpoints, final Instant now) {
         mEndpoints = endpoints;
@@ -173,9 +177,9 @@
     }
 
     /**
-     * Says what the decisions were based on.
+     * Returns the counts that the decisions were based on.
      *
-     * @return counts, for the log
+     * @return the counts, for the log
      */
     public Basis basis() {
         final CanaryAnalysis.Tally tally = mAnalysis.tally();
@@ -188,26 +192,29 @@
     }
 
     /**
-     * What the decisions were based on.
+     * The counts that the decisions were based on.
      *
-     * @param requests requests that reached the service since the order
-     * @param exposed those that reached the new version
-     * @param answers answers of the new version
-     * @param bad those that failed or took far too long
-     * @param evidence what speaks against the version, as a log likelihood ratio
+     * @param requests the requests that reached the service since the order
+     * @param exposed the requests that reached the new version
+     * @param answers the evaluated answers of the new version
+     * @param bad the answers that failed or took far too long
+     * @param evidence the log likelihood ratio of a fault
      */
     public record Basis(long requests, long exposed, long answers, long bad, double evidence) {}
 
-    /** Splits the trial over the routes, reckoning with what the takeover will show of each. */
+    /**
+     * Returns the canary shares of the routes, which account for the answers that the takeover will
+     * give of each.
+     */
     private List<RouteShare> routes(final Instant now) {
         if (mShare == 0 || mShare == 1) {
             return List.of();
         }
-        final double shownMillis = takeoverDuration(now).minus(MAX_DECISION_DELAY).toMillis();
+        final double takeoverMillis = takeoverDuration(now).minus(MAX_DECISION_DELAY).toMillis();
         return RouteSampleNeed.split(
                 mAnalysis.sampleNeeds(),
                 mShare,
-                requestsPerSecond(now) * shownMillis / MILLIS_PER_SECOND);
+                requestsPerSecond(now) * takeoverMillis / MILLIS_PER_SECOND);
     }
 
     private void updateRunning(final Instant now) {
@@ -234,16 +241,16 @@
         if (exposedRequests(now) >= spendableRequests(now)) {
             mShare = 0;
             mTakingOver = false;
-            mReason = "gets no more than a bad version may get";
+            mReason = "limit of requests to a bad version reached";
             return;
         }
         mTakingOver = canTakeOver(now);
         if (mTakingOver) {
             mShare = 1;
-            mReason = "takes over";
+            mReason = "new version takes over";
         } else {
             mShare = applyDutyCycle(canaryShare(now), now);
-            mReason = "on trial";
+            mReason = "canary in progress";
         }
     }
 
@@ -257,14 +264,14 @@
         } else if (unproven.isPresent()) {
             end(
                     RolloutState.ROLLED_BACK,
-                    "too little shown within the time budget on " + unproven.get());
+                    "fault not ruled out within the time budget on " + unproven.get());
         } else if (!mTakingOver) {
-            // Old endpoints stop at once, so what runs there must have moved before.
+            // Old endpoints stop at once, so their running requests must have moved before.
             end(RolloutState.ROLLED_BACK, "good, but no time left to take over");
         } else {
             mState = RolloutState.COMPLETED;
             mShare = 1;
-            mReason = "good until the time budget's end";
+            mReason = "good until the end of the time budget";
         }
     }
 
@@ -280,55 +287,60 @@
                 && mEndpoints.canary() >= MIN_ENDPOINT_SHARE * mEndpoints.old();
     }
 
-    /** Returns the time until the decision has to be written. */
+    /** Returns the time until the decision has to be stored. */
     private Duration remaining(final Instant now) {
         return Duration.between(now, mStartedAt.plus(mOrder.timeBudget()).minus(margin()));
     }
 
     private Duration margin() {
-        final Duration part =
+        final Duration proportional =
                 Duration.ofMillis(
                         Math.round(mOrder.timeBudget().toMillis() * DECISION_MARGIN_SHARE));
-        return part.compareTo(MIN_DECISION_MARGIN) > 0 ? part : MIN_DECISION_MARGIN;
+        return proportional.compareTo(MIN_DECISION_MARGIN) > 0 ? proportional : MIN_DECISION_MARGIN;
     }
 
-    /** Returns the requests a second that reach the service. */
+    /** Returns the requests per second that reach the service. */
     private double requestsPerSecond(final Instant now) {
-        final double known = mAnalysis.requestsPerSecond(now);
-        return Math.max(known > 0 ? known : meanRequestsPerSecond(now), MIN_REQUESTS_PER_SECOND);
+        final double measured = mAnalysis.requestsPerSecond(now);
+        return Math.max(
+                measured > 0 ? measured : meanRequestsPerSecond(now), MIN_REQUESTS_PER_SECOND);
     }
 
-    /** Returns the rate since the order, by what the daemons have reported so far. */
+    /** Returns the mean rate since the order, from the daemons' reports. */
     private double meanRequestsPerSecond(final Instant now) {
         final long millis = Math.max(Duration.between(mStartedAt, now).toMillis(), 1);
         return mAnalysis.requests() * MILLIS_PER_SECOND / millis;
     }
 
     /**
-     * Counts the requests that have reached the new version. Daemons that were killed have
-     * forgotten theirs; the trial's part of what they served before this daemon took over is
-     * assumed.
+     * Returns the number of requests that have reached the new version. The counts of killed
+     * daemons are lost: for the time before this daemon took over, the canary budget's share of the
+     * unreported requests is assumed.
      */
     private double exposedRequests(final Instant now) {
         final double before = (double) mElapsedBefore.toMillis() / mOrder.timeBudget().toMillis();
         return mAnalysis.canaryRequests() + before * unreportedShare(now) * canaryBudget(now);
     }
 
-    /** Returns the part of the requests since the order that no daemon has reported. */
+    /** Returns the share of the requests since the order that no daemon has reported. */
     private double unreportedShare(final Instant now) {
         final double elapsed = Duration.between(mStartedAt, now).toMillis() / MILLIS_PER_SECOND;
         final double reported = mAnalysis.requests() / (requestsPerSecond(now) * elapsed);
         return Math.min(Math.max(1 - REPORTED_WEIGHT * reported, 0), 1);
     }
 
-    /** Returns the requests that a bad version may get until the end of the time budget. */
+    /**
+     * Returns the number of requests that a bad version may receive until the end of the time
+     * budget.
+     */
     private double allowedRequests(final Instant now) {
         final Duration left = Duration.between(now, mStartedAt.plus(mOrder.timeBudget()));
-        final double coming = requestsPerSecond(now) * left.toMillis() / MILLIS_PER_SECOND;
-        return mLimits.maxExposedRequests(mAnalysis.requests() + coming);
+        final double expectedRequests =
+                requestsPerSecond(now) * left.toMillis() / MILLIS_PER_SECOND;
+        return mLimits.maxExposedRequests(mAnalysis.requests() + expectedRequests);
     }
 
-    /** Tells whether the new version may get all that comes until the decision. */
+    /** Returns whether the new version may receive all requests until the decision. */
     private boolean canTakeOver(final Instant now) {
         if (!hasEnoughEndpoints() || !mAnalysis.isPromising()) {
             return false;
@@ -341,32 +353,35 @@
     }
 
     private boolean isTakeoverAllowed(final Instant now) {
-        final double coming =
+        final double expectedRequests =
                 requestsPerSecond(now)
                         * remaining(now).plus(MAX_DECISION_DELAY).toMillis()
                         / MILLIS_PER_SECOND;
-        return exposedRequests(now) + uncountedRequests(now) + coming <= allowedRequests(now);
+        return exposedRequests(now) + uncountedRequests(now) + expectedRequests
+                <= allowedRequests(now);
     }
 
-    /** Returns how long before the decision the takeover begins. */
+    /** Returns the time between the start of the takeover and the decision. */
     private Duration takeoverDuration(final Instant now) {
-        final double mostSeconds =
+        final double maxSeconds =
                 MAX_TAKEOVER_SHARE * mOrder.timeBudget().toMillis() / MILLIS_PER_SECOND;
         final double seconds =
                 Math.min(
                         spendableRequests(now) * TAKEOVER_REQUEST_SHARE / requestsPerSecond(now),
-                        mostSeconds);
+                        maxSeconds);
         final Duration takeover = Duration.ofMillis(Math.round(seconds * MILLIS_PER_SECOND));
         return takeover.compareTo(MIN_TAKEOVER) > 0 ? takeover : MIN_TAKEOVER;
     }
 
-    /** Returns the requests that the new version may get until it is decided. */
+    /** Returns the number of requests that the new version may receive until the decision. */
     private double spendableRequests(final Instant now) {
         final double allowed = allowedRequests(now);
         return allowed - Math.max(RESERVE_SHARE * allowed, MIN_RESERVE_REQUESTS);
     }
 
-    /** Returns the requests that the trial may spend: what the takeover leaves. */
+    /**
+     * Returns the number of requests that the canary phase may use: those that the takeover leaves.
+     */
     private double canaryBudget(final Instant now) {
         final double takeoverMillis = takeoverDuration(now).plus(MAX_DECISION_DELAY).toMillis();
         return Math.max(
@@ -375,30 +390,34 @@
                 0);
     }
 
-    /** Gives a share that is less than one endpoint's by turns. */
+    /**
+     * Returns the share for the current part of the duty cycle, if the share is less than one
+     * endpoint's load.
+     */
     private double applyDutyCycle(final double share, final Instant now) {
-        final double one = 1.0 / mEndpoints.canary();
-        if (share >= one) {
+        final double endpointShare = 1.0 / mEndpoints.canary();
+        if (share >= endpointShare) {
             return share;
         }
-        final long into = Duration.between(mStartedAt, now).toMillis() % DUTY_CYCLE.toMillis();
-        return into < share / one * DUTY_CYCLE.toMillis() ? one : 0;
+        final long elapsedMillis =
+                Duration.between(mStartedAt, now).toMillis() % DUTY_CYCLE.toMillis();
+        return elapsedMillis < share / endpointShare * DUTY_CYCLE.toMillis() ? endpointShare : 0;
     }
 
-    /** Returns the requests to the new version that no count holds yet. */
+    /** Returns the number of requests to the new version that aren't counted yet. */
     private double uncountedRequests(final Instant now) {
-        final Duration late = mAnalysis.meanReportAge(now).plus(COUNT_DELAY);
-        return requestsPerSecond(now) * mShare * late.toMillis() / MILLIS_PER_SECOND;
+        final Duration countAge = mAnalysis.meanReportAge(now).plus(COUNT_DELAY);
+        return requestsPerSecond(now) * mShare * countAge.toMillis() / MILLIS_PER_SECOND;
     }
 
     private double canaryShare(final Instant now) {
         final double left = canaryBudget(now) - exposedRequests(now) - uncountedRequests(now);
-        final double trialSeconds =
+        final double canarySeconds =
                 Math.max(
                         (remaining(now).toMillis() - takeoverDuration(now).toMillis())
                                 / MILLIS_PER_SECOND,
                         MIN_CANARY_SECONDS);
-        final double share = left / (requestsPerSecond(now) * trialSeconds);
+        final double share = left / (requestsPerSecond(now) * canarySeconds);
         return Math.min(Math.max(share, 0), MAX_CANARY_SHARE);
     }
 }
--- a/serving/src/main/java/org/whinhead/serving/rollout/RolloutEvidence.java
+++ b/serving/src/main/java/org/whinhead/serving/rollout/RolloutEvidence.java
@@ -4,18 +4,18 @@
 import org.whinhead.api.Arguments;
 
 /**
- * What one daemon has seen of a roll-out since its order; each says all, so that one that is lost
- * is made up for by the next.
+ * The outcomes of requests that one daemon has counted since the order of a roll-out. Each report
+ * holds all counts, so that the next one replaces a lost one.
  *
  * @param service the service
  * @param order the offset of the order
- * @param daemon names the daemon's process
- * @param outcomes what became of the requests
+ * @param daemon the name of the daemon's process
+ * @param outcomes the outcomes of the requests
  */
 public record RolloutEvidence(
         String service, long order, String daemon, List<RouteOutcomes> outcomes) {
 
-    /** Checks the parts. */
+    /** Checks the components. */
     public RolloutEvidence {
         Arguments.requireText(service, "service");
         Arguments.requireText(daemon, "daemon");
@@ -23,7 +23,7 @@
     }
 
     /**
-     * Counts what the new version failed.
+     * Returns the number of requests that the new version failed.
      *
      * @return the failures on all routes
      */
--- a/serving/src/main/java/org/whinhead/serving/rollout/RolloutOrder.java
+++ b/serving/src/main/java/org/whinhead/serving/rollout/RolloutOrder.java
@@ -7,13 +7,13 @@
  * An operator's order to move a service to a version.
  *
  * @param service the service
- * @param version the version that its endpoints are to have
- * @param timeBudget how long it may take, from the order on
- * @param offset where the order lies in the store; a later order of the same service replaces it
+ * @param version the version that its endpoints should have
+ * @param timeBudget the longest time that the roll-out may take from the order on
+ * @param offset the offset of the order in the store; a later order of the same service replaces it
  */
 public record RolloutOrder(String service, String version, Duration timeBudget, long offset) {
 
-    /** Checks the parts. */
+    /** Checks the components. */
     public RolloutOrder {
         Arguments.requireText(service, "service");
         Arguments.requireText(version, "version");
--- a/serving/src/main/java/org/whinhead/serving/rollout/RolloutRecord.java
+++ b/serving/src/main/java/org/whinhead/serving/rollout/RolloutRecord.java
@@ -5,18 +5,18 @@
 import org.whinhead.api.Arguments;
 
 /**
- * What the store keeps of a roll-out, so that another holder goes on with it.
+ * The stored state of a roll-out, from which another lease holder continues it.
  *
  * @param service the service
  * @param version the new version
  * @param order the offset of the order
  * @param startedAt the time of day at which the order was first seen
- * @param state how far it is; a final one is written before it is told to anybody
+ * @param state the state; a final one is stored before it is sent to any daemon
  */
 public record RolloutRecord(
         String service, String version, long order, Instant startedAt, RolloutState state) {
 
-    /** Checks the parts. */
+    /** Checks the components. */
     public RolloutRecord {
         Arguments.requireText(service, "service");
         Arguments.requireText(version, "version");
--- a/serving/src/main/java/org/whinhead/serving/rollout/RolloutState.java
+++ b/serving/src/main/java/org/whinhead/serving/rollout/RolloutState.java
@@ -1,18 +1,18 @@
 package org.whinhead.serving.rollout;
 
-/** How far a roll-out has come. */
+/** The state of a roll-out. */
 public enum RolloutState {
-    /** The new version is on trial, or takes over while the old one can still take back. */
+    /** The new version is a canary, or takes over while the roll-out can still be rolled back. */
     RUNNING,
-    /** The new version serves alone; the old endpoints stop at once. */
+    /** Only the new version serves; the old endpoints stop at once. */
     COMPLETED,
-    /** The old version serves alone; the new endpoints leave. */
+    /** Only the old version serves; the new endpoints leave. */
     ROLLED_BACK;
 
     /**
-     * Tells whether the state can't change any more.
+     * Returns whether the state can't change any more.
      *
-     * @return whether it is an end
+     * @return whether the roll-out is completed or rolled back
      */
     public boolean isFinal() {
         return this != RUNNING;
--- a/serving/src/main/java/org/whinhead/serving/rollout/RolloutStep.java
+++ b/serving/src/main/java/org/whinhead/serving/rollout/RolloutStep.java
@@ -6,18 +6,18 @@
 import org.whinhead.api.Arguments;
 
 /**
- * What the holder of the duties tells every daemon of a roll-out.
+ * An instruction that the lease holder sends to every daemon about a roll-out.
  *
  * @param service the service
  * @param order the offset of the order that is carried out
  * @param token the fencing token of the holder
  * @param sequence the number of the step among those of this holder
- * @param state how far the roll-out is
- * @param share the part of the service's requests that go to the new version while it is running, 0
- *     to 1
- * @param routes routes that another part of goes there; empty if all get the same
- * @param oldStopsIn when the old endpoints will stop, once the new version gets everything; zero
- *     before that
+ * @param state the state of the roll-out
+ * @param share the share of the service's requests that the new version receives while the roll-out
+ *     is running, 0 to 1
+ * @param routes the routes with a share of their own; empty if all have the same
+ * @param oldStopsIn the time until the old endpoints stop, once the new version receives all
+ *     requests; zero before that
  */
 public record RolloutStep(
         String service,
@@ -29,27 +29,27 @@
         List<RouteShare> routes,
         Duration oldStopsIn) {
 
-    /** Checks the parts. */
+    /** Checks the components. */
     public RolloutStep {
         Arguments.requireText(service, "service");
         Objects.requireNonNull(state, "state");
         Objects.requireNonNull(oldStopsIn, "oldStopsIn");
         routes = List.copyOf(routes);
         if (!(share >= 0 && share <= 1)) {
-            throw new IllegalArgumentException("share is no part: " + share);
+            throw new IllegalArgumentException("share is not from 0 to 1: " + share);
         }
     }
 
     /**
-     * Makes a step that gives all routes the same share.
+     * Creates a step that gives all routes the same share.
      *
      * @param service the service
      * @param order the offset of the order
      * @param token the fencing token of the holder
      * @param sequence the number of the step
-     * @param state how far the roll-out is
-     * @param share the part of the requests that go to the new version
-     * @param oldStopsIn when the old endpoints will stop; zero if that is not near
+     * @param state the state of the roll-out
+     * @param share the share of the requests that the new version receives, 0 to 1
+     * @param oldStopsIn the time until the old endpoints stop; zero if that is not near
      */
     public RolloutStep(
             final String service,
@@ -62,7 +62,10 @@
         this(service, order, token, sequence, state, share, List.of(), oldStopsIn);
     }
 
-    /** Tells whether this step is newer than another one: by order, holder and number. */
+    /**
+     * Returns whether this step is newer than another one, by order, fencing token and sequence
+     * number.
+     */
     boolean isNewerThan(final RolloutStep other) {
         if (order != other.order) {
             return order > other.order;
--- a/serving/src/main/java/org/whinhead/serving/rollout/Rollouts.java
+++ b/serving/src/main/java/org/whinhead/serving/rollout/Rollouts.java
@@ -10,21 +10,21 @@
 import org.whinhead.serving.endpoint.EndpointEntry;
 
 /**
- * The roll-outs that a daemon knows of, and which of a service's endpoints may get a request.
+ * The roll-outs that a daemon knows, which select the endpoints that may receive a request.
  *
- * <p>The new version gets a request only if the request's hash lies below the share of the newest
- * step, so no daemon has to ask another one, and all daemons together keep to the share whatever
- * they hear of each other. A daemon that has read an order and no step sends the new version
- * nothing.
+ * <p>A request is sent to the new version only if the request's hash lies below the share of the
+ * newest step. Thus daemons need not ask each other, and all of them together keep to the share
+ * whatever messages they receive. A daemon that has read an order but received no step sends no
+ * requests to the new version.
  */
 public final class Rollouts {
 
-    /** Stands for the route where all routes get the same. */
+    /** The placeholder of a route where all routes have the same share. */
     private static final String ANY_ROUTE = "";
 
     private static final double HASHES = 0x1p32;
 
-    /** Spreads the hashes of ids that differ in few characters. */
+    /** The factor that spreads the hashes of ids that differ in few characters. */
     private static final int SPREAD_FACTOR = 0x9E3779B9;
 
     private final boolean mEnabled;
@@ -32,20 +32,20 @@
     private final Map<String, ServiceRollout> mServices = new HashMap<>();
 
     /**
-     * Makes a set that knows no order.
+     * Creates a set without any order.
      *
-     * @param inForce whether there are roll-outs in this deployment; if not, every endpoint may get
+     * @param enabled whether this deployment has roll-outs; if not, every endpoint may receive
      *     every request
      */
-    public Rollouts(final boolean inForce) {
-        mEnabled = inForce;
+    public Rollouts(final boolean enabled) {
+        mEnabled = enabled;
     }
 
     /**
-     * Takes an order as the store shows it.
+     * Adds an order that the store holds.
      *
-     * @param order the order; an older one than that which is known changes nothing
-     * @return whether it is new
+     * @param order the order; one that is older than the known order of its service is ignored
+     * @return whether the order is new
      */
     public boolean addOrder(final RolloutOrder order) {
         final ServiceRollout known = mServices.get(order.service());
@@ -57,17 +57,17 @@
     }
 
     /**
-     * Takes a step of the holder of the duties.
+     * Applies a step of the lease holder.
      *
      * @param step the step
-     * @param now the time
+     * @param now the current time
      */
     public void applyStep(final RolloutStep step, final Instant now) {
         find(step.service()).ifPresent(rollout -> rollout.applyStep(step, now));
     }
 
     /**
-     * Takes what the store keeps of a roll-out.
+     * Applies the stored state of a roll-out.
      *
      * @param record the record
      */
@@ -78,10 +78,10 @@
     }
 
     /**
-     * Notes which endpoints there are.
+     * Observes the listed endpoints and their versions.
      *
      * @param endpoints the endpoints of all services
-     * @param now the time
+     * @param now the current time
      */
     public void observeEndpoints(final Collection<EndpointEntry> endpoints, final Instant now) {
         if (mEnabled) {
@@ -90,11 +90,12 @@
     }
 
     /**
-     * Picks the endpoints that count as a service's capacity.
+     * Returns the endpoints that count as a service's capacity.
      *
      * @param service the service
      * @param usable its endpoints that are not leaving
-     * @return all while a roll-out is under way, and then those of the version that serves
+     * @return all of them while a roll-out is in progress, otherwise those of the version that
+     *     serves
      */
     public List<EndpointEntry> capacityEndpoints(
             final String service, final List<EndpointEntry> usable) {
@@ -105,15 +106,15 @@
     }
 
     /**
-     * Picks the endpoints that may get a request whose route is of no concern.
+     * Returns the endpoints that may receive a request if its route doesn't matter.
      *
      * @param service the service
      * @param usable its endpoints that are not leaving
      * @param requestId the request's id
-     * @param repeated whether the request was sent before; then the new version gets it only if it
-     *     has taken over
-     * @param now the time
-     * @return those that may get it
+     * @param repeated whether the request was sent before; then it is sent to the new version only
+     *     if that has taken over
+     * @param now the current time
+     * @return the endpoints that may receive the request
      */
     public List<EndpointEntry> candidates(
             final String service,
@@ -125,16 +126,16 @@
     }
 
     /**
-     * Picks the endpoints that may get a request.
+     * Returns the endpoints that may receive a request.
      *
      * @param service the service
      * @param usable its endpoints that are not leaving
      * @param route the request's route
      * @param requestId the request's id
-     * @param repeated whether the request was sent before; then the new version gets it only if it
-     *     has taken over
-     * @param now the time
-     * @return those that may get it
+     * @param repeated whether the request was sent before; then it is sent to the new version only
+     *     if that has taken over
+     * @param now the current time
+     * @return the endpoints that may receive the request
      */
     public List<EndpointEntry> candidates(
             final String service,
@@ -153,16 +154,17 @@
         }
         final List<EndpointEntry> known =
                 usable.stream().filter(endpoint -> !mHold.isHeld(endpoint, now)).toList();
-        // A service whose endpoints are all new has nothing to be compared with.
+        // If all endpoints are new, there is no old version to prefer.
         return known.isEmpty() ? usable : known;
     }
 
     /**
-     * Notes that a request is sent.
+     * Starts to track a request that is sent to an endpoint.
      *
-     * @param route its route
-     * @param endpoint where to
-     * @return counts what becomes of it; empty if no roll-out of the service is under way
+     * @param route the request's route
+     * @param endpoint the endpoint
+     * @return the attempt that counts the outcome; empty if no roll-out of the service is in
+     *     progress
      */
     public Optional<RolloutAttempt> startAttempt(final String route, final EndpointEntry endpoint) {
         return find(endpoint.service())
@@ -174,7 +176,7 @@
     }
 
     /**
-     * Lists the orders that were not decided yet, as far as this daemon knows.
+     * Returns the orders that aren't decided yet, as far as this daemon knows.
      *
      * @return the orders
      */
@@ -186,20 +188,21 @@
     }
 
     /**
-     * Tells whether a service is between two versions, so that none of its endpoints is a surplus.
+     * Returns whether a service is between two versions, so that none of its endpoints is a
+     * surplus.
      *
      * @param service the service
-     * @return whether a roll-out of it is under way
+     * @return whether a roll-out of the service is in progress
      */
     public boolean isOpen(final String service) {
         return find(service).filter(rollout -> !rollout.state().isFinal()).isPresent();
     }
 
     /**
-     * Says what this daemon has seen of the roll-outs that are under way.
+     * Returns the outcomes that this daemon has counted for the roll-outs in progress.
      *
-     * @param daemon names this daemon's process
-     * @return the evidence of each
+     * @param daemon the name of this daemon's process
+     * @return the evidence of each roll-out
      */
     public List<RolloutEvidence> collectEvidence(final String daemon) {
         final List<RolloutEvidence> all = new ArrayList<>();
@@ -217,11 +220,11 @@
     }
 
     /**
-     * Picks the endpoints that stop when a roll-out of their service is completed.
+     * Returns the endpoints that stop when a roll-out of their service is completed.
      *
      * @param service the service
      * @param endpoints its endpoints
-     * @return those of other versions than the new one; none without a roll-out
+     * @return those of versions other than the new one; none without a roll-out
      */
     public List<EndpointEntry> replacedEndpoints(
             final String service, final List<EndpointEntry> endpoints) {
@@ -235,9 +238,9 @@
     }
 
     /**
-     * Names the newest order that is known.
+     * Returns the offset of the newest known order.
      *
-     * @return its offset; 0 without an order
+     * @return the offset; 0 without an order
      */
     public long newestOrderOffset() {
         return mServices.values().stream()
--- a/serving/src/main/java/org/whinhead/serving/rollout/RouteComparison.java
+++ b/serving/src/main/java/org/whinhead/serving/rollout/RouteComparison.java
@@ -2,29 +2,37 @@
 
 import java.time.Duration;
 
-/** Compares a route's answers of the new version with those of the old one. */
+/** Compares the new version's answers on a route with those of the old version. */
 final class RouteComparison {
 
     /**
-     * Buckets above the old version's median from which an answer is too slow: 2.3 to 3.4 times as
-     * long. Of answers that vary by half, one in thirty takes that long anyway.
+     * An answer is too slow if it lies more than so many buckets above the old version's median,
+     * that is 2.3 to 3.4 times as long. If latencies vary by half, one answer in thirty takes that
+     * long anyway.
      */
     private static final int SLOW_BUCKET_DISTANCE = 2;
 
-    /** Answers that are faster than this are never too slow; a busy daemon alone delays as much. */
+    /**
+     * Answers that are faster than this are never too slow, since a busy daemon alone delays them
+     * as much.
+     */
     private static final Duration MIN_SLOW_LATENCY = Duration.ofMillis(60);
 
-    /** Answers of the old version without which nothing is compared with them. */
+    /** The number of old answers that a comparison needs. */
     private static final double MIN_BASELINE_ANSWERS = 10;
 
-    /** Answers that are added to the old version's, so that its first few don't count for all. */
+    /**
+     * The number of assumed answers that are added to the old version's, so that its first few have
+     * less weight.
+     */
     private static final double PRIOR_ANSWERS = 10;
 
-    /** What those hold of bad ones. */
+    /** The number of bad ones among the assumed answers. */
     private static final double PRIOR_BAD = 0.5;
 
     /**
-     * What a call keeps of the old version's recent answers: at five calls a second half a second.
+     * The factor by which each call reduces the old version's recent answers, so that about half a
+     * second of them counts at five calls per second.
      */
     private static final double RECENT_DECAY = 0.75;
 
@@ -43,52 +51,54 @@
     private long mSlow;
 
     /**
-     * Takes all answers so far.
+     * Compares all answers so far.
      *
-     * <p>What either version answers while the old one fails says nothing of the new one, and is
-     * left out.
+     * <p>While the old version fails, the answers of both versions say nothing about the new one
+     * and are left out.
      *
-     * @param old the old version's sums
-     * @param trial the new version's sums
-     * @param overall also gets the answers that are new since the last call
+     * @param old the totals of the old version
+     * @param canary the totals of the new version
+     * @param overall the detector of all routes, to which the new answers since the last call are
+     *     added as well
      */
-    void compare(final Totals old, final Totals trial, final CusumDetector overall) {
+    void compare(final Totals old, final Totals canary, final CusumDetector overall) {
         final int slowBucket = slowBucket(old);
-        final Totals freshOld = old.since(mProcessedOld);
+        final Totals newOld = old.since(mProcessedOld);
         mProcessedOld = old.copy();
-        mRecentAnswers = RECENT_DECAY * mRecentAnswers + freshOld.answers();
-        mRecentBad = RECENT_DECAY * mRecentBad + freshOld.bad(slowBucket);
-        mAllOldAnswers += freshOld.answers();
-        mAllOldBad += freshOld.bad(slowBucket);
+        mRecentAnswers = RECENT_DECAY * mRecentAnswers + newOld.answers();
+        mRecentBad = RECENT_DECAY * mRecentBad + newOld.bad(slowBucket);
+        mAllOldAnswers += newOld.answers();
+        mAllOldBad += newOld.bad(slowBucket);
         if (isOldFailing()) {
-            mProcessedCanary = trial.copy();
+            mProcessedCanary = canary.copy();
             return;
         }
-        mOldAnswers += freshOld.answers();
-        mOldFailed += freshOld.mFailed;
-        mOldSlow += freshOld.mTimes.countAbove(slowBucket);
+        mOldAnswers += newOld.answers();
+        mOldFailed += newOld.mFailed;
+        mOldSlow += newOld.mLatencies.countAbove(slowBucket);
         if (mOldAnswers >= MIN_BASELINE_ANSWERS) {
-            evaluate(trial.since(mProcessedCanary), slowBucket, overall);
-            mProcessedCanary = trial.copy();
+            evaluate(canary.since(mProcessedCanary), slowBucket, overall);
+            mProcessedCanary = canary.copy();
         }
     }
 
-    private void evaluate(final Totals fresh, final int slowBucket, final CusumDetector overall) {
-        final long bad = fresh.bad(slowBucket);
-        final long good = fresh.answers() - bad;
-        final double usual = isWorseRecently() ? recentShare() : baselineShare();
-        mDetector.addAnswers(good, bad, usual);
-        overall.addAnswers(good, bad, usual);
-        mAnswers += fresh.answers();
-        mFailed += fresh.mFailed;
-        mSlow += fresh.mTimes.countAbove(slowBucket);
+    private void evaluate(
+            final Totals newCanary, final int slowBucket, final CusumDetector overall) {
+        final long bad = newCanary.bad(slowBucket);
+        final long good = newCanary.answers() - bad;
+        final double expectedShare = isWorseRecently() ? recentShare() : baselineShare();
+        mDetector.addAnswers(good, bad, expectedShare);
+        overall.addAnswers(good, bad, expectedShare);
+        mAnswers += newCanary.answers();
+        mFailed += newCanary.mFailed;
+        mSlow += newCanary.mLatencies.countAbove(slowBucket);
     }
 
     private static double share(final double bad, final double answers) {
         return (bad + PRIOR_BAD) / (answers + PRIOR_ANSWERS);
     }
 
-    /** Returns the share of the old version's answers that are bad. */
+    /** Returns the share of the old version's answers that are bad, 0 to 1. */
     double baselineShare() {
         return share(mOldFailed + mOldSlow, mOldAnswers);
     }
@@ -101,20 +111,22 @@
         return lowerBound(mRecentBad, mRecentAnswers) > baselineShare();
     }
 
-    /** Returns a share less its standard error: what it is at least, but for chance. */
+    /** Returns the lower confidence bound of a share: the share less its standard error. */
     private static double lowerBound(final double bad, final double answers) {
         final double share = share(bad, answers);
         return share - Math.sqrt(share * (1 - share) / (answers + PRIOR_ANSWERS));
     }
 
-    /** Tells whether the old version fails so often now that nothing can be told of the new one. */
+    /**
+     * Returns whether the old version fails so often that the new one can't be compared with it.
+     */
     boolean isOldFailing() {
         return lowerBound(mRecentBad, mRecentAnswers) > FaultLikelihood.MAX_BASELINE_SHARE
                 || lowerBound(mAllOldBad, mAllOldAnswers) > FaultLikelihood.MAX_BASELINE_SHARE;
     }
 
     private static int slowBucket(final Totals old) {
-        int bucket = old.mTimes.quantileBucket(0.5) + SLOW_BUCKET_DISTANCE;
+        int bucket = old.mLatencies.quantileBucket(0.5) + SLOW_BUCKET_DISTANCE;
         while (bucket < LatencyHistogram.BUCKET_COUNT
                 && LatencyHistogram.upperBound(bucket).compareTo(MIN_SLOW_LATENCY) < 0) {
             bucket++;
@@ -126,25 +138,25 @@
         return mDetector.isBad();
     }
 
-    /** Returns what the new version has shown of failures. */
+    /** Returns the sample of the new version's failures. */
     AnswerSample failures() {
         return new AnswerSample(
                 (int) mAnswers, (int) mFailed, share(mOldFailed, mOldAnswers), mOldAnswers);
     }
 
-    /** Returns what the new version has shown of answers that are far too slow. */
+    /** Returns the sample of the new version's answers that are far too slow. */
     AnswerSample delays() {
         final long answered = mOldAnswers - mOldFailed;
         return new AnswerSample(
                 (int) (mAnswers - mFailed), (int) mSlow, share(mOldSlow, answered), answered);
     }
 
-    /** Returns how much speaks for a fault that hits a part, as a log likelihood ratio. */
-    double logRatio(final double hitPart) {
-        return FaultLikelihood.logRatio(mAnswers, bad(), baselineShare(), hitPart);
+    /** Returns the log likelihood ratio of a fault that affects a share of the answers. */
+    double logRatio(final double affectedShare) {
+        return FaultLikelihood.logRatio(mAnswers, bad(), baselineShare(), affectedShare);
     }
 
-    /** Counts the old version's answers that the new one's are compared with. */
+    /** Returns the number of old answers that the new ones are compared with. */
     long oldAnswers() {
         return mOldAnswers;
     }
@@ -157,22 +169,22 @@
         return mAnswers;
     }
 
-    /** What all daemons together have seen of a route at one version. */
+    /** The totals of one version on a route, summed over all daemons. */
     static final class Totals {
-        private final LatencyHistogram mTimes = new LatencyHistogram();
+        private final LatencyHistogram mLatencies = new LatencyHistogram();
         private long mFailed;
 
         void add(final RouteOutcomes outcomes) {
-            mTimes.addAll(new LatencyHistogram(outcomes.times()));
+            mLatencies.addAll(new LatencyHistogram(outcomes.times()));
             mFailed += outcomes.failed();
         }
 
         private long answers() {
-            return mFailed + mTimes.total();
+            return mFailed + mLatencies.total();
         }
 
         private long bad(final int slowBucket) {
-            return mFailed + mTimes.countAbove(slowBucket);
+            return mFailed + mLatencies.countAbove(slowBucket);
         }
 
         private Totals copy() {
@@ -181,8 +193,8 @@
 
         private Totals since(final Totals earlier) {
             final Totals since = new Totals();
-            since.mTimes.addAll(mTimes);
-            since.mTimes.subtractAll(earlier.mTimes);
+            since.mLatencies.addAll(mLatencies);
+            since.mLatencies.subtractAll(earlier.mLatencies);
             since.mFailed = mFailed - earlier.mFailed;
             return since;
         }
--- a/serving/src/main/java/org/whinhead/serving/rollout/RouteOutcomes.java
+++ b/serving/src/main/java/org/whinhead/serving/rollout/RouteOutcomes.java
@@ -4,19 +4,19 @@
 import org.whinhead.api.Arguments;
 
 /**
- * What became of a route's requests at one of the two versions since the order, by one daemon's
- * count.
+ * The outcomes of a route's requests at one of the two versions since the order, counted by one
+ * daemon.
  *
  * @param route the route
- * @param onTrial whether the new version is meant, or all others
- * @param sent requests that were sent there
- * @param failed answers that the version failed
- * @param times the other answers by time, see {@link LatencyHistogram}
+ * @param canary whether the counts are of the new version, or of all others
+ * @param sent the number of requests that were sent
+ * @param failed the number of answers that the version failed
+ * @param times the other answers by latency, see {@link LatencyHistogram}
  */
 public record RouteOutcomes(
         String route, boolean canary, long sent, long failed, List<Long> times) {
 
-    /** Checks the parts. */
+    /** Checks the components. */
     public RouteOutcomes {
         Arguments.requireText(route, "route");
         Arguments.requireAtLeast(sent, 0, "sent");
@@ -24,7 +24,7 @@
         times = List.copyOf(times);
     }
 
-    /** Counts the answers, failures included. */
+    /** Returns the number of answers, including failures. */
     long answers() {
         return failed + times.stream().mapToLong(Long::longValue).sum();
     }
--- a/serving/src/main/java/org/whinhead/serving/rollout/RouteShare.java
+++ b/serving/src/main/java/org/whinhead/serving/rollout/RouteShare.java
@@ -4,27 +4,28 @@
 import org.whinhead.api.Arguments;
 
 /**
- * The part of a route's requests that go to the new version while it is on trial.
+ * The share of a route's requests that the new version receives as a canary.
  *
  * @param route the route
- * @param share the part, 0 to 1
+ * @param share the share, 0 to 1
  */
 public record RouteShare(String route, double share) {
 
-    /** Checks the parts. */
+    /** Checks the components. */
     public RouteShare {
         Arguments.requireText(route, "route");
         if (!(share >= 0 && share <= 1)) {
-            throw new IllegalArgumentException("share of " + route + " is no part: " + share);
+            throw new IllegalArgumentException(
+                    "share of " + route + " is not from 0 to 1: " + share);
         }
     }
 
-    /** Finds a route's share; the given one if the route has none of its own. */
-    static double of(final List<RouteShare> routes, final String route, final double otherwise) {
+    /** Returns a route's share, or the given default if the route has none of its own. */
+    static double of(final List<RouteShare> routes, final String route, final double defaultShare) {
         return routes.stream()
                 .filter(share -> share.route().equals(route))
                 .mapToDouble(RouteShare::share)
                 .findFirst()
-                .orElse(otherwise);
+                .orElse(defaultShare);
     }
 }
--- a/serving/src/main/java/org/whinhead/serving/rollout/ServiceRollout.java
+++ b/serving/src/main/java/org/whinhead/serving/rollout/ServiceRollout.java
@@ -7,26 +7,33 @@
 import java.util.Objects;
 import org.whinhead.serving.endpoint.EndpointEntry;
 
-/** One order at one daemon: which version gets a request, and what became of those that went. */
+/**
+ * A service's roll-out at one daemon: selects the version that receives a request, and counts the
+ * outcomes.
+ */
 final class ServiceRollout {
 
     /**
-     * How long a step holds without another one from the holder. A holder that is killed, paused or
-     * cut off can't take a bad version back, so each daemon does it alone: without news the new
-     * version gets nothing. Three pulses of the holder may be lost before that.
+     * The time for which a step is valid unless the holder sends another one. A holder that is
+     * killed, paused or cut off can't roll a bad version back, so each daemon does it alone:
+     * without further steps the new version receives no requests. Three heartbeats of the holder
+     * may be lost before that.
      */
     static final Duration STEP_LIFETIME = Duration.ofMillis(1_500);
 
-    /** Steps after which other endpoints get the trial's requests: about each two seconds. */
+    /**
+     * The number of steps after which the canary requests move to other endpoints: about two
+     * seconds' worth.
+     */
     private static final long STEPS_PER_ROTATION = 10;
 
-    /** From this share on the new version may stand in where the old one has no endpoint left. */
+    /** The share from which the new version may serve if no old endpoint is left. */
     private static final double MIN_TAKEOVER_SHARE = 0.5;
 
-    /** What makes a share of one endpoint's part one endpoint, though it is no whole number. */
+    /** The tolerance for rounding a share of the endpoints to a whole number of them. */
     private static final double ROUNDING_TOLERANCE = 1e-6;
 
-    /** Spreads the hashes of ids that differ in few characters. */
+    /** The factor that spreads the hashes of ids that differ in few characters. */
     private static final int SPREAD_FACTOR = 0x9E3779B9;
 
     private final RolloutOrder mOrder;
@@ -51,7 +58,7 @@
         return mCounts;
     }
 
-    /** Takes a step of the holder; one that was overtaken on the way changes nothing. */
+    /** Applies a step of the holder; a step that is older than the current one is ignored. */
     void applyStep(final RolloutStep step, final Instant now) {
         if (step.order() != mOrder.offset() || (mStep != null && !step.isNewerThan(mStep))) {
             return;
@@ -63,7 +70,7 @@
         }
     }
 
-    /** Takes what the store says of the order. */
+    /** Applies the state of the order that the store holds. */
     void applyRecordedState(final RolloutState state) {
         if (state.isFinal()) {
             mState = state;
@@ -82,7 +89,10 @@
         };
     }
 
-    /** Returns a route's part of the requests; of other routes' the same part is sent. */
+    /**
+     * Returns the share of a route's requests; routes without one of their own have the common
+     * share.
+     */
     private double share(final String route, final Instant now) {
         final double share = share(now);
         return mState == RolloutState.RUNNING && share > 0
@@ -95,12 +105,12 @@
     }
 
     /**
-     * Picks the endpoints that may get a request.
+     * Returns the endpoints that may receive a request.
      *
      * @param usable the service's endpoints
      * @param route the request's route
-     * @param draw a number from 0 to 1 that is spread evenly over requests
-     * @param now the time
+     * @param draw a number from 0 to 1 that is uniformly distributed over requests
+     * @param now the current time
      */
     List<EndpointEntry> candidates(
             final List<EndpointEntry> usable,
@@ -108,32 +118,36 @@
             final double draw,
             final Instant now) {
         final double share = share(now);
-        final List<EndpointEntry> trial = usable.stream().filter(this::isNew).toList();
+        final List<EndpointEntry> canary = usable.stream().filter(this::isNew).toList();
         final List<EndpointEntry> old = usable.stream().filter(entry -> !isNew(entry)).toList();
-        if (draw < share(route, now) && !trial.isEmpty()) {
-            return selectCanaryEndpoints(trial, share);
+        if (draw < share(route, now) && !canary.isEmpty()) {
+            return selectCanaryEndpoints(canary, share);
         }
-        final boolean replaced = mState == RolloutState.COMPLETED && !trial.isEmpty();
+        final boolean replaced = mState == RolloutState.COMPLETED && !canary.isEmpty();
         if (replaced || (old.isEmpty() && share >= MIN_TAKEOVER_SHARE)) {
-            return trial;
+            return canary;
         }
         return old;
     }
 
     /**
-     * Picks as many endpoints of the new version as the share is of all, the same ones at every
-     * daemon: each then gets what an endpoint gets in the end, and a version that is bad under load
-     * only shows it while it gets a tenth of the traffic.
+     * Selects as many endpoints of the new version as correspond to the share, the same ones at
+     * every daemon. Each of them then receives an endpoint's full load, so that a version that is
+     * bad only under load shows it even while the new version receives a tenth of the traffic.
      */
     private List<EndpointEntry> selectCanaryEndpoints(
-            final List<EndpointEntry> trial, final double share) {
-        final int count = (int) Math.max(trial.size() * share + ROUNDING_TOLERANCE, 1);
-        if (count >= trial.size()) {
-            return trial;
+            final List<EndpointEntry> canary, final double share) {
+        final int count = (int) Math.max(canary.size() * share + ROUNDING_TOLERANCE, 1);
+        if (count >= canary.size()) {
+            return canary;
         }
-        final long turn = mStep == null ? 0 : mStep.sequence() / STEPS_PER_ROTATION;
-        final Comparator<EndpointEntry> byTurn =
-                Comparator.comparingInt(entry -> (entry.id() + turn).hashCode() * SPREAD_FACTOR);
-        return trial.stream().sorted(byTurn.thenComparing(EndpointEntry::id)).limit(count).toList();
+        final long rotation = mStep == null ? 0 : mStep.sequence() / STEPS_PER_ROTATION;
+        final Comparator<EndpointEntry> byRotation =
+                Comparator.comparingInt(
+                        entry -> (entry.id() + rotation).hashCode() * SPREAD_FACTOR);
+        return canary.stream()
+                .sorted(byRotation.thenComparing(EndpointEntry::id))
+                .limit(count)
+                .toList();
     }
 }
--- a/serving/src/main/java/org/whinhead/serving/rollout/VersionHold.java
+++ b/serving/src/main/java/org/whinhead/serving/rollout/VersionHold.java
@@ -9,21 +9,24 @@
 import org.whinhead.serving.endpoint.EndpointEntry;
 
 /**
- * Holds work back from endpoints of a version that was never seen before.
+ * Delays requests to endpoints of a version that was never seen before.
  *
- * <p>Endpoints of a new version are started on an order, but the order and the entries are read
- * apart, and a daemon that reads the entries first would send the new version its full share.
- * Orders are in force everywhere within seconds, so a version that is still unnamed after that was
- * not ordered, and is an ordinary replacement.
+ * <p>Endpoints of a new version are started by an order, but the order and the entries are read
+ * separately, and a daemon that reads the entries first would send the new version its full share.
+ * Orders reach all daemons within seconds, so a version that still has no order after that is an
+ * ordinary replacement.
  */
 final class VersionHold {
 
-    /** How long an order may be read later than the entries of endpoints that it starts. */
+    /**
+     * The longest time by which an order may be read later than the entries of the endpoints that
+     * it starts.
+     */
     static final Duration HOLD_TIME = Duration.ofMillis(2_000);
 
     private final Map<String, Map<String, Instant>> mReleasedAt = new HashMap<>();
 
-    /** Notes which versions there are; those that come first of a service are not held back. */
+    /** Observes the listed versions; the first ones of a service are not delayed. */
     void observe(final Collection<EndpointEntry> endpoints, final Instant now) {
         final Set<String> known = Set.copyOf(mReleasedAt.keySet());
         for (final EndpointEntry endpoint : endpoints) {
--- a/serving/src/test/java/org/whinhead/serving/rollout/CusumDetectorTest.java
+++ b/serving/src/test/java/org/whinhead/serving/rollout/CusumDetectorTest.java
@@ -6,34 +6,39 @@
 
 class CusumDetectorTest {
 
-    private static final double USUAL = 0.02;
+    private static final double BASELINE_SHARE = 0.02;
 
-    private final CusumDetector mTest = new CusumDetector();
+    private final CusumDetector mDetector = new CusumDetector();
 
     @Test
-    void fewGoodAnswersShowNothing() {
-        mTest.addAnswers(10, 0, USUAL);
+    void goodAnswersLeaveTheSumAtZero() {
+        mDetector.addAnswers(10, 0, BASELINE_SHARE);
 
-        assertThat(mTest.isBad()).isFalse();
-        assertThat(mTest.sum()).isZero();
+        assertThat(mDetector.isBad()).isFalse();
+        assertThat(mDetector.sum()).isZero();
     }
 
-    /** A version that turns bad late must be found as fast as one that was bad from the start. */
+    /**
+     * A version that turns bad late must be detected as fast as one that was bad from the start.
+     */
     @Test
-    void goodPastHidesNothing() {
-        mTest.addAnswers(1_000, 0, USUAL);
-        mTest.addAnswers(0, 5, USUAL);
+    void earlierGoodAnswersDoNotDelayDetection() {
+        mDetector.addAnswers(1_000, 0, BASELINE_SHARE);
+        mDetector.addAnswers(0, 5, BASELINE_SHARE);
 
-        assertThat(mTest.isBad()).isTrue();
+        assertThat(mDetector.isBad()).isTrue();
     }
 
-    /** One route of the users fails one answer in seven at every version. */
+    /**
+     * Some routes fail one answer in seven at every version, which must not count as a fault of the
+     * new one.
+     */
     @Test
-    void usualFailuresAreNotTheVersions() {
+    void failuresAtTheBaselineRateAreNoFault() {
         for (int round = 0; round < 20; round++) {
-            mTest.addAnswers(6, 1, 0.14);
+            mDetector.addAnswers(6, 1, 0.14);
         }
 
-        assertThat(mTest.isBad()).isFalse();
+        assertThat(mDetector.isBad()).isFalse();
     }
 }
--- a/serving/src/test/java/org/whinhead/serving/rollout/LoadedAnswerCounterTest.java
+++ b/serving/src/test/java/org/whinhead/serving/rollout/LoadedAnswerCounterTest.java
@@ -10,29 +10,32 @@
     private static final Instant START = Instant.ofEpochSecond(1_000);
     private static final double SHARE = 0.1;
 
-    private final LoadedAnswerCounter mLoaded = new LoadedAnswerCounter();
+    private final LoadedAnswerCounter mCounter = new LoadedAnswerCounter();
 
     @Test
-    void noAnswerIsNoLoad() {
-        assertThat(mLoaded.loadedShare(0)).isZero();
+    void loadedShareWithoutAnswersIsZero() {
+        assertThat(mCounter.loadedShare(0)).isZero();
     }
 
-    /** A version that fails under load only was completed on answers from before there was any. */
+    /**
+     * Guards against completing a version that fails only under load because of answers from before
+     * the load.
+     */
     @Test
-    void answersOfTheStartAndTheTakeoverAreNotUnderLoad() {
-        mLoaded.update(0, SHARE, START);
-        mLoaded.update(10, SHARE, START.plusMillis(900));
-        mLoaded.update(50, SHARE, START.plusMillis(5_000));
-        mLoaded.update(80, 1, START.plusMillis(5_200));
+    void answersOfRampUpAndTakeoverAreNotUnderLoad() {
+        mCounter.update(0, SHARE, START);
+        mCounter.update(10, SHARE, START.plusMillis(900));
+        mCounter.update(50, SHARE, START.plusMillis(5_000));
+        mCounter.update(80, 1, START.plusMillis(5_200));
 
-        assertThat(mLoaded.loadedShare(80)).isEqualTo(0.5);
+        assertThat(mCounter.loadedShare(80)).isEqualTo(0.5);
     }
 
     @Test
-    void answersFromBeforeCountAsUnderLoad() {
-        mLoaded.update(0, SHARE, START);
-        mLoaded.update(10, SHARE, START.plusMillis(900));
+    void answersBeforeThisHolderCountAsUnderLoad() {
+        mCounter.update(0, SHARE, START);
+        mCounter.update(10, SHARE, START.plusMillis(900));
 
-        assertThat(mLoaded.loadedShare(40)).isEqualTo(0.75);
+        assertThat(mCounter.loadedShare(40)).isEqualTo(0.75);
     }
 }
--- a/serving/src/test/java/org/whinhead/serving/rollout/RequestRateTest.java
+++ b/serving/src/test/java/org/whinhead/serving/rollout/RequestRateTest.java
@@ -14,7 +14,7 @@
 
     private final RequestRate mRate = new RequestRate();
 
-    /** Each daemon reports five times a second, and gets ten requests a second. */
+    /** Each daemon reports five times a second and receives ten requests per second. */
     private void report(final long fromMillis, final long untilMillis, final int daemons) {
         for (long millis = fromMillis; millis <= untilMillis; millis += 200) {
             for (int daemon = 0; daemon < daemons; daemon++) {
@@ -30,17 +30,23 @@
         assertThat(mRate.perSecond(START.plusMillis(2_000))).isCloseTo(100, within(1e-6));
     }
 
-    /** A new holder took all requests since the order for those of its first second. */
+    /**
+     * Guards against a new lease holder that treats all requests since the order as those of its
+     * first second.
+     */
     @Test
-    void countsFromBeforeTheFirstReportAreNoRate() {
+    void countsBeforeTheFirstReportDoNotRaiseTheRate() {
         report(10_000, 10_600, DAEMONS);
 
         assertThat(mRate.perSecond(START.plusMillis(10_600))).isCloseTo(100, within(1e-6));
     }
 
-    /** Daemons that come back from a cut brought all requests of the cut at once. */
+    /**
+     * Daemons that were cut off report all requests of that time at once, which must not raise the
+     * rate.
+     */
     @Test
-    void countsFromDuringCutAreNoRate() {
+    void countsOfCutOffTimeDoNotRaiseTheRate() {
         report(0, 2_000, DAEMONS);
         report(2_200, 8_000, DAEMONS / 2);
         report(8_200, 8_800, DAEMONS);
@@ -49,14 +55,14 @@
     }
 
     @Test
-    void nothingIsKnownOfOneReport() {
+    void rateIsUnknownAfterOneReport() {
         report(0, 0, DAEMONS);
 
         assertThat(mRate.perSecond(START)).isZero();
     }
 
     @Test
-    void ageIsThatOfLastReports() {
+    void meanReportAgeIsThatOfLastReports() {
         report(0, 1_000, DAEMONS);
 
         assertThat(mRate.meanReportAge(START.plusMillis(1_150))).isEqualTo(Duration.ofMillis(150));
--- a/serving/src/test/java/org/whinhead/serving/rollout/RolloutControllerTest.java
+++ b/serving/src/test/java/org/whinhead/serving/rollout/RolloutControllerTest.java
@@ -15,22 +15,22 @@
     private static final RolloutOrder ORDER =
             new RolloutOrder("service", "v2", Duration.ofSeconds(12), 7);
     private static final RolloutController.Endpoints BOTH = new RolloutController.Endpoints(6, 6);
-    private static final int FAST = 8;
-    private static final int SLOW = 14;
+    private static final int FAST_BUCKET = 8;
+    private static final int SLOW_BUCKET = 14;
 
     private final RolloutController mController =
             new RolloutController(ORDER, new RolloutLimits(0.1, 50), START, START);
     private long mOldSent;
     private long mOldFailed;
-    private long mTrialFast;
-    private long mTrialSlow;
-    private long mTrialFailed;
+    private long mCanaryFast;
+    private long mCanarySlow;
+    private long mCanaryFailed;
 
     private static List<Long> times(final long fast, final long slow) {
         final List<Long> times =
                 new ArrayList<>(Collections.nCopies(LatencyHistogram.BUCKET_COUNT, 0L));
-        times.set(FAST, fast);
-        times.set(SLOW, slow);
+        times.set(FAST_BUCKET, fast);
+        times.set(SLOW_BUCKET, slow);
         return times;
     }
 
@@ -50,22 +50,22 @@
                                 new RouteOutcomes(
                                         "route",
                                         true,
-                                        mTrialFast + mTrialSlow + mTrialFailed,
-                                        mTrialFailed,
-                                        times(mTrialFast, mTrialSlow)))));
+                                        mCanaryFast + mCanarySlow + mCanaryFailed,
+                                        mCanaryFailed,
+                                        times(mCanaryFast, mCanarySlow)))));
         return mController.decide(BOTH, START.plusMillis(millis));
     }
 
     private void goodUntil(final long millis) {
         for (long at = 200; at <= millis; at += 200) {
             mOldSent += 12;
-            mTrialFast += 1;
+            mCanaryFast += 1;
             after(at);
         }
     }
 
     @Test
-    void newVersionGetsNothingBeforeItsEndpointsAreThere() {
+    void newVersionReceivesNothingWithoutEndpoints() {
         final RolloutController.Decision decision =
                 mController.decide(new RolloutController.Endpoints(6, 0), START.plusMillis(500));
 
@@ -73,9 +73,11 @@
         assertThat(decision.state()).isEqualTo(RolloutState.RUNNING);
     }
 
-    /** The trial lasts as long as the order allows: a version may turn bad late. */
+    /**
+     * The canary phase lasts as long as the time budget allows, since a version may turn bad late.
+     */
     @Test
-    void goodVersionTakesOverAtTheEndOnly() {
+    void goodVersionTakesOverOnlyAtTheEnd() {
         goodUntil(9_000);
         assertThat(after(9_200).share()).isLessThan(1);
 
@@ -88,9 +90,9 @@
     }
 
     @Test
-    void failuresTurnItBackAtOnce() {
+    void failuresRollTheVersionBackAtOnce() {
         goodUntil(5_000);
-        mTrialFailed += 5;
+        mCanaryFailed += 5;
 
         final RolloutController.Decision decision = after(5_200);
 
@@ -100,23 +102,23 @@
     }
 
     @Test
-    void slowAnswersTurnItBackAtOnce() {
+    void slowAnswersRollTheVersionBackAtOnce() {
         goodUntil(5_000);
-        mTrialSlow += 5;
+        mCanarySlow += 5;
 
         assertThat(after(5_200).state()).isEqualTo(RolloutState.ROLLED_BACK);
     }
 
     /**
-     * A good version is turned back by a fault that hits both versions alike. The trial rests while
-     * the old one fails, and goes on afterwards.
+     * Guards against rolling a good version back because of a fault that affects both versions. The
+     * canary phase pauses while the old version fails and continues afterwards.
      */
     @Test
-    void failuresOfBothVersionsAreNotTheNewOnes() {
+    void failuresOfBothVersionsPauseTheCanary() {
         goodUntil(5_000);
         mOldSent += 40;
         mOldFailed += 30;
-        mTrialFailed += 5;
+        mCanaryFailed += 5;
 
         final RolloutController.Decision decision = after(5_200);
 
@@ -125,13 +127,16 @@
     }
 
     @Test
-    void versionThatShowsTooLittleIsTurnedBack() {
+    void versionWithTooFewAnswersIsRolledBack() {
         after(200);
 
         assertThat(after(11_700).state()).isEqualTo(RolloutState.ROLLED_BACK);
     }
 
-    /** Old endpoints stop at once when a roll-out is completed, with all that still runs there. */
+    /**
+     * Old endpoints stop at once when a roll-out is completed, together with the requests that
+     * still run there.
+     */
     @Test
     void versionThatHasNotTakenOverIsNotCompleted() {
         goodUntil(11_000);
@@ -142,9 +147,11 @@
         assertThat(decision.reason()).isEqualTo("good, but no time left to take over");
     }
 
-    /** Requests would be put on trial evenly, though one route needs more to show a fault. */
+    /**
+     * Guards against splitting canary requests evenly though one route needs more to show a fault.
+     */
     @Test
-    void routeThatIsNotShownYetGetsMore() {
+    void routeThatNeedsMoreAnswersReceivesMore() {
         for (long at = 200; at <= 6_000; at += 200) {
             mController.addEvidence(
                     new RolloutEvidence(
@@ -167,22 +174,25 @@
     }
 
     private static RouteOutcomes outcomes(
-            final String route, final boolean onTrial, final long sent, final long failed) {
-        return new RouteOutcomes(route, onTrial, sent, failed, times(sent - failed, 0));
+            final String route, final boolean canary, final long sent, final long failed) {
+        return new RouteOutcomes(route, canary, sent, failed, times(sent - failed, 0));
     }
 
-    /** Another holder's recorded end stays, whatever is seen afterwards. */
+    /** A final state that another holder has recorded stays, whatever answers follow. */
     @Test
-    void recordedEndStays() {
+    void recordedFinalStateStays() {
         mController.adoptFinalState(RolloutState.ROLLED_BACK);
         goodUntil(11_400);
 
         assertThat(after(11_800).state()).isEqualTo(RolloutState.ROLLED_BACK);
     }
 
-    /** Each new holder would start the trial anew, and a bad version get its part many times. */
+    /**
+     * Guards against a restart of the canary phase by each new holder, in which a bad version would
+     * receive the allowed requests several times.
+     */
     @Test
-    void laterHolderAssumesWhatWasSpentBefore() {
+    void laterHolderAssumesEarlierExposure() {
         final Instant takenOverAt = START.plusSeconds(8);
         final RolloutController later =
                 new RolloutController(ORDER, new RolloutLimits(0.1, 50), START, takenOverAt);
--- a/serving/src/test/java/org/whinhead/serving/rollout/RolloutsTest.java
+++ b/serving/src/test/java/org/whinhead/serving/rollout/RolloutsTest.java
@@ -47,22 +47,22 @@
     }
 
     /**
-     * A caller gets a failure of a bad version before anybody watches it. Its endpoints are listed;
-     * this daemon has read the order, but the holder's first step has not come yet.
+     * Guards against failures of a bad version before it is monitored. Its endpoints are listed and
+     * this daemon has read the order, but not received the holder's first step.
      */
     @Test
-    void orderAloneGivesTheNewVersionNothing() {
+    void newVersionReceivesNothingBeforeTheFirstStep() {
         mRollouts.addOrder(ORDER);
 
         assertThat(versions("request", START)).containsExactly("v1");
     }
 
     /**
-     * Callers get a bad version's failures from one daemon for a whole roll-out. That daemon reads
-     * the endpoints' entries before the order, and takes them for an ordinary replacement.
+     * Guards against a daemon that sends a bad version requests during a whole roll-out. It reads
+     * the endpoints' entries before the order and treats them as an ordinary replacement.
      */
     @Test
-    void endpointsOfUnseenVersionWaitForTheirOrder() {
+    void endpointsOfUnseenVersionAreDelayed() {
         mRollouts.observeEndpoints(mBoth.subList(0, 2), START);
         mRollouts.observeEndpoints(mBoth, START);
 
@@ -71,20 +71,20 @@
     }
 
     @Test
-    void withoutRolloutsNothingWaits() {
-        final Rollouts none = new Rollouts(false);
-        none.observeEndpoints(mBoth.subList(0, 2), START);
-        none.observeEndpoints(mBoth, START);
+    void withoutRolloutsNoVersionIsDelayed() {
+        final Rollouts disabled = new Rollouts(false);
+        disabled.observeEndpoints(mBoth.subList(0, 2), START);
+        disabled.observeEndpoints(mBoth, START);
 
-        assertThat(none.candidates(SERVICE, mBoth, "request", false, START)).isEqualTo(mBoth);
+        assertThat(disabled.candidates(SERVICE, mBoth, "request", false, START)).isEqualTo(mBoth);
     }
 
     /**
-     * Callers of one daemon go on getting a bad version's failures. The holder is killed, or this
-     * daemon is cut off, just as the version is found to be bad.
+     * Guards against a daemon that continues to send requests to a bad version: the holder is
+     * killed, or the daemon is cut off, just as the version is found to be bad.
      */
     @Test
-    void stepLapsesWithoutNews() {
+    void stepExpiresWithoutAnotherOne() {
         mRollouts.addOrder(ORDER);
         mRollouts.applyStep(step(1, 1, RolloutState.RUNNING, 1), START);
 
@@ -92,9 +92,9 @@
         assertThat(versions("request", START.plusMillis(1_501))).containsExactly("v1");
     }
 
-    /** A step of the holder before, delayed on its way, must not bring a bad version back. */
+    /** A delayed step of an earlier holder must not reactivate a bad version. */
     @Test
-    void stepOfEarlierHolderChangesNothing() {
+    void stepOfEarlierHolderIsIgnored() {
         mRollouts.addOrder(ORDER);
         mRollouts.applyStep(step(2, 1, RolloutState.ROLLED_BACK, 0), START);
         mRollouts.applyStep(step(1, 9, RolloutState.RUNNING, 1), START);
@@ -104,11 +104,12 @@
     }
 
     /**
-     * Every request is refused though the new version serves. This daemon was cut off while the
-     * roll-out was completed, and all old endpoints are gone; the store's record tells it.
+     * Guards against refusing every request though the new version serves. This daemon was cut off
+     * while the roll-out was completed and the old endpoints stopped, and learns of it from the
+     * stored record.
      */
     @Test
-    void recordOfTheStoreOpensTheNewVersion() {
+    void storedRecordActivatesTheNewVersion() {
         mRollouts.addOrder(ORDER);
         final List<EndpointEntry> onlyNew = mBoth.subList(2, 4);
         assertThat(mRollouts.candidates(SERVICE, onlyNew, "request", false, START)).isEmpty();
@@ -119,9 +120,9 @@
                 .isEqualTo(onlyNew);
     }
 
-    /** A record of an earlier order of the same version says nothing of the one under way. */
+    /** A record of an earlier order of the same version doesn't apply to the current one. */
     @Test
-    void recordOfEarlierOrderChangesNothing() {
+    void recordOfEarlierOrderIsIgnored() {
         mRollouts.addOrder(ORDER);
         mRollouts.applyRecord(new RolloutRecord(SERVICE, "v2", 6, START, RolloutState.COMPLETED));
 
@@ -137,9 +138,9 @@
                 .isEqualTo(mBoth.subList(0, 2));
     }
 
-    /** A version that was rolled back stays out of the capacity that is kept for the service. */
+    /** Endpoints of a version that was rolled back don't count as the service's capacity. */
     @Test
-    void capacityIsThatOfTheVersionThatServes() {
+    void capacityIsThatOfTheServingVersion() {
         mRollouts.addOrder(ORDER);
         assertThat(mRollouts.capacityEndpoints(SERVICE, mBoth)).isEqualTo(mBoth);
 
@@ -149,11 +150,11 @@
     }
 
     /**
-     * Many daemons that hear steps of several holders in any order, some never, send a bad version
-     * more than the largest share that was told: the bound must hold without any message.
+     * Guards against daemons that together send a bad version more than the largest share in any
+     * step. They receive steps of several holders in any order or not at all.
      */
     @Property(tries = 60)
-    void sharesHoldWhateverIsHeard(
+    void shareLimitHoldsForAnyReceivedSteps(
             @ForAll final long seed,
             @ForAll @IntRange(min = 1, max = 30) final int daemons,
             @ForAll @DoubleRange(max = 0.4) final double largest) {
@@ -165,7 +166,7 @@
             final Rollouts rollouts = new Rollouts(true);
             all.add(rollouts);
             rollouts.addOrder(ORDER);
-            for (int heard = random.nextInt(5); heard > 0; heard--) {
+            for (int steps = random.nextInt(5); steps > 0; steps--) {
                 rollouts.applyStep(
                         step(
                                 random.nextInt(3),
@@ -186,7 +187,7 @@
                                     START.plusMillis(random.nextInt(4_000)));
             exposed += candidates.get(0).version().equals("v2") ? 1 : 0;
         }
-        final double chance = 5 * Math.sqrt(requests * largest) + 1;
-        assertThat((double) exposed).isLessThanOrEqualTo(requests * largest + chance);
+        final double tolerance = 5 * Math.sqrt(requests * largest) + 1;
+        assertThat((double) exposed).isLessThanOrEqualTo(requests * largest + tolerance);
     }
 }
--- a/serving/src/test/java/org/whinhead/serving/rollout/RouteSampleNeedTest.java
+++ b/serving/src/test/java/org/whinhead/serving/rollout/RouteSampleNeedTest.java
@@ -10,13 +10,14 @@
 
     private static final double SHARE = 0.1;
 
-    private static List<RouteShare> split(final double unsplit, final RouteSampleNeed... needs) {
-        return RouteSampleNeed.split(List.of(needs), SHARE, unsplit);
+    private static List<RouteShare> split(
+            final double takeoverRequests, final RouteSampleNeed... needs) {
+        return RouteSampleNeed.split(List.of(needs), SHARE, takeoverRequests);
     }
 
-    /** Spread evenly, the route that fails most never shows enough. */
+    /** With an even split the route that fails most never has enough answers. */
     @Test
-    void routeThatNeedsMoreGetsMore() {
+    void routeThatNeedsMoreReceivesMore() {
         final List<RouteShare> shares =
                 split(
                         0,
@@ -28,7 +29,7 @@
     }
 
     @Test
-    void meanIsKept() {
+    void meanShareIsPreserved() {
         final List<RouteShare> shares =
                 split(0, new RouteSampleNeed("many", 0.8, 10), new RouteSampleNeed("few", 0.2, 10));
 
@@ -37,7 +38,7 @@
     }
 
     @Test
-    void routeThatNeedsNothingIsWatchedOn() {
+    void routeWithoutNeedStillReceivesRequests() {
         final List<RouteShare> shares =
                 split(
                         0,
@@ -47,9 +48,9 @@
         assertThat(shares.get(0).share()).isPositive();
     }
 
-    /** What the takeover shows of each route needn't be shown before. */
+    /** Answers that a route will give in the takeover aren't needed before. */
     @Test
-    void laterRequestsAreReckonedWith() {
+    void takeoverRequestsReduceTheNeeds() {
         final RouteSampleNeed often = new RouteSampleNeed("often", 0.5, 60);
         final RouteSampleNeed seldom = new RouteSampleNeed("seldom", 0.5, 20);
 
