--- a/serving/src/main/java/org/whinhead/serving/balance/EndpointChooser.java
+++ b/serving/src/main/java/org/whinhead/serving/balance/EndpointChooser.java
@@ -23,46 +23,30 @@
  */
 public final class EndpointChooser {
 
-    /**
-     * The delay by each request that runs at the same time, in milliseconds, from the engines' data
-     * sheet.
-     */
+    /** The delay by each other running request, from the engines' data sheet. */
     private static final double RUNNING_REQUEST_MILLIS = 2.0;
 
-    /**
-     * The delay by each request of a plain service relative to the endpoint's slots, in
-     * milliseconds.
-     */
+    /** The delay by each request of a plain service, divided by the endpoint's slots. */
     private static final double SLOT_MILLIS = 60.0;
 
-    /**
-     * The cost of a call to another failure domain in milliseconds, for its latency and the bytes
-     * that are billed.
-     */
+    /** The cost of a call to another failure domain: its latency and the billed bytes. */
     private static final double OTHER_DOMAIN_MILLIS = 6.0;
 
     /** The penalty of an endpoint that fails all requests, in milliseconds. */
     private static final double FAILURE_MILLIS = 2_000.0;
 
-    /**
-     * The share of shared tokens that is assumed to be cached at a session's home, even if this
-     * daemon sent nothing there.
-     */
+    /** The share of shared tokens assumed to be cached at the home, even if none was sent. */
     private static final double HOME_CACHED_SHARE = 0.9;
 
-    /**
-     * The number of prompt tokens that an engine caches in addition to those of running requests.
-     */
+    /** The prompt tokens that an engine caches in addition to those of running requests. */
     private static final long PREFIX_CACHE_TOKENS = 200_000;
 
-    /**
-     * The number of shared tokens from which it pays to use the session's home: 26 ms of prefill.
-     */
+    /** The shared tokens from which the session's home is preferred: 26 ms of prefill. */
     private static final int MIN_SHARED_TOKENS = 1_000;
 
     /**
-     * The number of shared tokens from which a copy pays. A copy has a fixed cost of some
-     * milliseconds at the engine, in which it prefills 150 to 200 tokens.
+     * The shared tokens from which a copy pays. A copy has a fixed cost of some milliseconds at the
+     * engine, in which it prefills 150 to 200 tokens.
      */
     private static final int MIN_COPIED_TOKENS = 200;
 
--- a/serving/src/main/java/org/whinhead/serving/balance/Placement.java
+++ b/serving/src/main/java/org/whinhead/serving/balance/Placement.java
@@ -6,10 +6,7 @@
 import java.util.function.Consumer;
 import org.whinhead.serving.endpoint.EndpointEntry;
 
-/**
- * The placement of a request at an endpoint; it counts toward the endpoint's load until it is
- * released.
- */
+/** A request's placement at an endpoint, which counts as load until it is released. */
 public final class Placement {
 
     private final EndpointEntry mEndpoint;
--- a/serving/src/main/java/org/whinhead/serving/balance/PrefillRate.java
+++ b/serving/src/main/java/org/whinhead/serving/balance/PrefillRate.java
@@ -21,10 +21,7 @@
     /** The relative step of one sample: about thirty samples double the estimate. */
     private static final double STEP = 0.04;
 
-    /**
-     * The shortest prompt of a sample; shorter ones depend more on the fixed time to a first token
-     * than on the rate.
-     */
+    /** The shortest prompt to sample; shorter ones show the fixed time to a first token. */
     private static final int MIN_SAMPLE_TOKENS = 2_000;
 
     /**
--- a/serving/src/main/java/org/whinhead/serving/balance/PrefixCacheModel.java
+++ b/serving/src/main/java/org/whinhead/serving/balance/PrefixCacheModel.java
@@ -4,10 +4,7 @@
 import java.util.LinkedHashMap;
 import java.util.Map;
 
-/**
- * Models the prompt parts that an endpoint has likely cached, from the requests that were sent to
- * it.
- */
+/** Models an endpoint's cached prompt parts from the requests that were sent to it. */
 final class PrefixCacheModel {
 
     private final LinkedHashMap<String, Integer> mParts = new LinkedHashMap<>(64, 0.75f, true);
--- a/serving/src/main/java/org/whinhead/serving/balance/package-info.java
+++ b/serving/src/main/java/org/whinhead/serving/balance/package-info.java
@@ -1,4 +1,2 @@
-/**
- * Load balancing: the choice of an endpoint by cached prompt parts, load, failures and distance.
- */
+/** Load balancing: endpoints are chosen by cached prompt parts, load, failures and distance. */
 package org.whinhead.serving.balance;
--- a/serving/src/main/java/org/whinhead/serving/capacity/CapacityPlanner.java
+++ b/serving/src/main/java/org/whinhead/serving/capacity/CapacityPlanner.java
@@ -45,16 +45,10 @@
      */
     private static final Duration SURPLUS_DELAY = Duration.ofSeconds(4);
 
-    /**
-     * The number of endpoints by which the need must fall before fewer are kept, since it varies
-     * within seconds.
-     */
+    /** The decrease of the need before fewer endpoints are kept; it varies within seconds. */
     private static final double NEED_SLACK = 1.3;
 
-    /**
-     * The share of the endpoints present at the start that are assumed to be needed until traffic
-     * starts.
-     */
+    /** The share of the initial endpoints that is assumed to be needed until traffic starts. */
     private static final double INITIAL_NEED_SHARE = 2.0 / 3;
 
     private final CapacitySettings mSettings;
@@ -278,10 +272,7 @@
         return Math.max(withBursts, atRisk + (int) Math.ceil(survivors));
     }
 
-    /**
-     * Sets the on-demand targets by the current number of endpoints and the number that may be lost
-     * at once.
-     */
+    /** Sets the on-demand targets by the expected endpoints and possible losses. */
     private void balanceOnDemand(
             final String service,
             final Collection<DomainCapacity> domains,
--- a/serving/src/main/java/org/whinhead/serving/capacity/DemandMeter.java
+++ b/serving/src/main/java/org/whinhead/serving/capacity/DemandMeter.java
@@ -12,10 +12,7 @@
  */
 public final class DemandMeter {
 
-    /**
-     * The time over which the rate is measured; shorter ones are dominated by single large
-     * requests.
-     */
+    /** The time span of a measurement; shorter ones show single large requests. */
     private static final Duration SPAN = Duration.ofMillis(2_500);
 
     /**
@@ -24,10 +21,7 @@
      */
     private static final Duration MIN_SPAN = Duration.ofMillis(500);
 
-    /**
-     * The number of requests in a span from which random variation changes its rate by a tenth at
-     * most.
-     */
+    /** The requests in a span from which chance changes its rate by a tenth at most. */
     private static final double MIN_EARLY_REQUESTS = 100;
 
     /** The half-life of a peak. */
@@ -36,10 +30,7 @@
     /** The rate below which there is too little traffic to measure. */
     private static final double MIN_TOKENS_PER_SECOND = 1_000;
 
-    /**
-     * The time that traffic must have lasted: the first span has traffic for a part of its time
-     * only, and its rate is far too low.
-     */
+    /** The least duration of traffic: the first span is partly without, its rate far too low. */
     private static final Duration SETTLED_AFTER = Duration.ofSeconds(6);
 
     private static final double MILLIS_PER_SECOND = 1_000;
--- a/serving/src/main/java/org/whinhead/serving/capacity/DomainCapacity.java
+++ b/serving/src/main/java/org/whinhead/serving/capacity/DomainCapacity.java
@@ -8,10 +8,7 @@
 /** The current and target numbers of a service's endpoints in one failure domain. */
 final class DomainCapacity {
 
-    /**
-     * The time after a reclaim in which another one is expected; those of a wave came 2 to 6 s
-     * apart.
-     */
+    /** The time in which another reclaim is expected; those of a wave came 2 to 6 s apart. */
     private static final Duration WAVE_DURATION = Duration.ofSeconds(8);
 
     /** The time within which all notices of one reclaim are read. */
@@ -83,18 +80,13 @@
         mOnDemandTarget = pending ? Math.max(mOnDemandNow, mOnDemandPending) : mOnDemandNow;
     }
 
-    /**
-     * Records the number of on-demand endpoints that another daemon has ordered, and the time by
-     * which they are listed.
-     */
+    /** Records another daemon's on-demand order, and the time by which it is carried out. */
     void recordPeerOrder(final int count, final Instant listedAt) {
         mOnDemandPending = count;
         mPendingUntil = listedAt;
     }
 
-    /**
-     * Returns whether the reclaimable endpoints were reclaimed here within the duration of a wave.
-     */
+    /** Returns whether the reclaimable endpoints were reclaimed within a wave's duration. */
     boolean wasReclaimed(final Instant now) {
         return now.isBefore(mReclaimedAt.plus(WAVE_DURATION));
     }
@@ -157,10 +149,7 @@
         return mOnDemandTarget + mReclaimableNow < mMaxEndpoints;
     }
 
-    /**
-     * Returns whether an on-demand endpoint can be removed without leaving fewer than the given
-     * minimum here.
-     */
+    /** Returns whether an on-demand endpoint can be removed while the minimum remains. */
     boolean canRemoveOnDemand(final int minimum) {
         return mOnDemandTarget > 0 && mOnDemandTarget + mReclaimableNow > minimum;
     }
--- a/serving/src/main/java/org/whinhead/serving/capacity/InitialEndpoints.java
+++ b/serving/src/main/java/org/whinhead/serving/capacity/InitialEndpoints.java
@@ -14,15 +14,10 @@
  */
 final class InitialEndpoints {
 
-    /**
-     * Endpoints write their entries 1.2 s apart: a list that did not grow for longer is complete.
-     */
+    /** Endpoints write their entries 1.2 s apart: a list that didn't grow for longer is whole. */
     private static final Duration SETTLED_AFTER = Duration.ofMillis(1_400);
 
-    /**
-     * The time from the first entry after which a list is complete in any case; the store shows
-     * entries up to 0.8 s late.
-     */
+    /** The longest time from the first to the last entry; the store shows them up to 0.8 s late. */
     private static final Duration COMPLETE_AFTER = Duration.ofMillis(2_600);
 
     /** The time after which a list without any entry is complete. */
--- a/serving/src/main/java/org/whinhead/serving/capacity/package-info.java
+++ b/serving/src/main/java/org/whinhead/serving/capacity/package-info.java
@@ -1,4 +1,2 @@
-/**
- * Capacity planning: the number of endpoints of each kind that are ordered in each failure domain.
- */
+/** Capacity planning: the number and kind of endpoints ordered in each failure domain. */
 package org.whinhead.serving.capacity;
--- a/serving/src/main/java/org/whinhead/serving/endpoint/EndpointRegistry.java
+++ b/serving/src/main/java/org/whinhead/serving/endpoint/EndpointRegistry.java
@@ -31,14 +31,10 @@
      */
     static final Duration LAPSE_GRACE = Duration.ofMillis(2_500);
 
-    /**
-     * The number of removals that are remembered: those of some minutes in the largest deployment.
-     */
+    /** The number of remembered removals: some minutes' worth in the largest deployment. */
     private static final int MAX_REMOVALS = 2_000;
 
-    /**
-     * The factor that spreads the hashes of single entries, so that their sum differs between sets.
-     */
+    /** Spreads the hashes of single entries, so that their sum differs between sets. */
     private static final long SPREAD_FACTOR = 0x9E3779B97F4A7C15L;
 
     private final Map<String, Record> mRecords = new HashMap<>();
--- a/serving/src/main/java/org/whinhead/serving/endpoint/ReclaimedEndpoints.java
+++ b/serving/src/main/java/org/whinhead/serving/endpoint/ReclaimedEndpoints.java
@@ -25,10 +25,7 @@
      */
     private static final Duration MAX_USE_AFTER_NOTICE = Duration.ofMillis(700);
 
-    /**
-     * The shortest remaining time of a notice: that of a plain call, or the start of a stream and
-     * its move.
-     */
+    /** The least remaining time: that of a plain call, or of a stream's start and move. */
     private static final Duration MIN_REMAINING = Duration.ofMillis(800);
 
     private final Map<String, Notice> mNotices = new HashMap<>();
--- a/serving/src/main/java/org/whinhead/serving/rollout/AnswerSample.java
+++ b/serving/src/main/java/org/whinhead/serving/rollout/AnswerSample.java
@@ -14,10 +14,7 @@
  */
 record AnswerSample(int answers, int bad, double baselineShare, long baselineAnswers) {
 
-    /**
-     * The old version's true share is assumed to lie within so many standard errors of the measured
-     * one.
-     */
+    /** The assumed error of the baseline share on either side, in standard errors. */
     private static final double MAX_STANDARD_ERRORS = 2;
 
     /** The step between the assumed true shares, in standard errors. */
@@ -26,10 +23,7 @@
     /** The upper bound of {@link #requiredAnswers}. */
     private static final int MAX_REQUIRED_ANSWERS = 128;
 
-    /**
-     * The number of standard deviations above the expected bad answers that a good version may
-     * show.
-     */
+    /** The standard deviations above the expected bad answers that a good version may show. */
     private static final double TOLERATED_DEVIATIONS = 1.5;
 
     /** Checks the components. */
@@ -117,8 +111,8 @@
     }
 
     /**
-     * Returns the probability of each number of bad answers, averaged over the shares that the old
-     * version may truly have.
+     * Returns the probability of each number of bad answers, averaged over the possible true
+     * baseline shares.
      */
     private double[] distribution(final double affectedShare) {
         final double error =
--- a/serving/src/main/java/org/whinhead/serving/rollout/CanaryAnalysis.java
+++ b/serving/src/main/java/org/whinhead/serving/rollout/CanaryAnalysis.java
@@ -25,33 +25,22 @@
     /** A fault that affects this share of a route's answers must not be missed. */
     private static final double ROUTE_AFFECTED_SHARE = 0.4;
 
-    /**
-     * A fault that affects this share of the answers of all routes that were given under load must
-     * not be missed.
-     */
+    /** The same for the answers of all routes that were given under load. */
     private static final double OVERALL_AFFECTED_SHARE = 0.3;
 
     /** The accepted probability of missing such a fault. */
     private static final double MAX_MISS_PROBABILITY = 0.002;
 
-    /**
-     * The probability of a missed fault that the canary phase aims at, if it may send enough
-     * requests.
-     */
+    /** The probability of a missed fault that the canary phase aims at, requests permitting. */
     private static final double TARGET_MISS_PROBABILITY = MAX_MISS_PROBABILITY / 10;
 
-    /**
-     * The probability of at least as many bad answers without a fault; below it a version is worse
-     * than the old one.
-     */
+    /** The probability of so many bad answers by chance below which a version is worse. */
     private static final double MIN_TAIL_PROBABILITY = 0.0005;
 
-    /**
-     * The highest log likelihood ratio of a fault with which the version may receive all requests.
-     */
+    /** The log likelihood ratio of a fault up to which the version may take over. */
     private static final double MAX_PROMISING_LOG_RATIO = 4;
 
-    /** The number of answers that the version needs before it may receive all requests. */
+    /** The number of answers that the version needs before it may take over. */
     private static final int MIN_PROMISING_ANSWERS = 10;
 
     /** Routes with a smaller share of the service's answers need not be shown to be good. */
@@ -116,9 +105,7 @@
         }
     }
 
-    /**
-     * Returns the name of a route with a fault, or of all routes together; empty without a fault.
-     */
+    /** Returns the name of a route with a fault, or of all routes together. */
     Optional<String> findFault() {
         for (final Map.Entry<String, RouteComparison> route : mRoutes.entrySet()) {
             if (route.getValue().isBad()) {
@@ -128,9 +115,7 @@
         return mOverall.isBad() ? Optional.of("all routes together") : Optional.empty();
     }
 
-    /**
-     * Returns whether the version may receive more requests, though it isn't shown to be good yet.
-     */
+    /** Returns whether the version may take over, though it isn't shown to be good yet. */
     boolean isPromising() {
         final Collection<RouteComparison> routes = mRoutes.values();
         return findFault().isEmpty()
@@ -175,8 +160,8 @@
     }
 
     /**
-     * Returns whether a route is good. A minor one has too few requests to show it; there a fault
-     * must not be more likely than none.
+     * Returns whether a route is good; on a minor one, which has too few requests to show it, a
+     * fault must not be likelier than none.
      */
     private boolean isGood(final RouteComparison route) {
         if (isMinor(route)) {
--- a/serving/src/main/java/org/whinhead/serving/rollout/CusumDetector.java
+++ b/serving/src/main/java/org/whinhead/serving/rollout/CusumDetector.java
@@ -12,10 +12,7 @@
     /** The smallest share of affected answers that counts as a fault. */
     private static final double AFFECTED_SHARE = 0.25;
 
-    /**
-     * The sum from which a version is bad; a good version reaches it once in exp(12) answers or
-     * less often.
-     */
+    /** The sum from which a version is bad; a good one needs exp(12) answers or more for it. */
     private static final double BAD_THRESHOLD = 12;
 
     private double mSum;
@@ -37,9 +34,7 @@
         return mSum >= BAD_THRESHOLD;
     }
 
-    /**
-     * Returns the sum of log likelihood ratios; the version is bad from {@link #BAD_THRESHOLD} on.
-     */
+    /** Returns the sum of log likelihood ratios, at least 0. */
     double sum() {
         return mSum;
     }
--- a/serving/src/main/java/org/whinhead/serving/rollout/FaultLikelihood.java
+++ b/serving/src/main/java/org/whinhead/serving/rollout/FaultLikelihood.java
@@ -3,9 +3,7 @@
 /** Computes the likelihood of answers with and without a fault that affects a share of them. */
 final class FaultLikelihood {
 
-    /**
-     * The lowest share of bad answers assumed for the old version, since a few are bad by chance.
-     */
+    /** The lowest share assumed for the old version, since a few answers are bad by chance. */
     static final double MIN_BASELINE_SHARE = 0.02;
 
     /** The highest share assumed: above it a bad version can't be told from the old one. */
@@ -38,10 +36,7 @@
         return Math.min(Math.max(baselineShare, MIN_BASELINE_SHARE), MAX_BASELINE_SHARE);
     }
 
-    /**
-     * Returns the share of bad answers if a fault affects a share of those that are good without
-     * it.
-     */
+    /** Returns the share of bad answers if a fault affects a share of the good ones. */
     static double shareWithFault(final double baselineShare, final double affectedShare) {
         return baselineShare + (1 - baselineShare) * affectedShare;
     }
--- a/serving/src/main/java/org/whinhead/serving/rollout/RolloutController.java
+++ b/serving/src/main/java/org/whinhead/serving/rollout/RolloutController.java
@@ -17,10 +17,7 @@
  */
 public final class RolloutController {
 
-    /**
-     * The shortest time at the end of the time budget that is reserved for storing the decision,
-     * and for storing it again if a write is lost.
-     */
+    /** The least time that is reserved for storing the decision, twice if a write is lost. */
     private static final Duration MIN_DECISION_MARGIN = Duration.ofMillis(350);
 
     /** The same time as a share of the time budget; the longer one applies. */
@@ -202,10 +199,7 @@
      */
     public record Basis(long requests, long exposed, long answers, long bad, double evidence) {}
 
-    /**
-     * Returns the canary shares of the routes, which account for the answers that the takeover will
-     * give of each.
-     */
+    /** Returns the routes' canary shares, less the answers that the takeover will give. */
     private List<RouteShare> routes(final Instant now) {
         if (mShare == 0 || mShare == 1) {
             return List.of();
@@ -329,10 +323,7 @@
         return Math.min(Math.max(1 - REPORTED_WEIGHT * reported, 0), 1);
     }
 
-    /**
-     * Returns the number of requests that a bad version may receive until the end of the time
-     * budget.
-     */
+    /** Returns the number of requests that a bad version may receive in the time budget. */
     private double allowedRequests(final Instant now) {
         final Duration left = Duration.between(now, mStartedAt.plus(mOrder.timeBudget()));
         final double expectedRequests =
@@ -379,9 +370,7 @@
         return allowed - Math.max(RESERVE_SHARE * allowed, MIN_RESERVE_REQUESTS);
     }
 
-    /**
-     * Returns the number of requests that the canary phase may use: those that the takeover leaves.
-     */
+    /** Returns the number of requests that the canary phase may use before the takeover. */
     private double canaryBudget(final Instant now) {
         final double takeoverMillis = takeoverDuration(now).plus(MAX_DECISION_DELAY).toMillis();
         return Math.max(
@@ -390,10 +379,7 @@
                 0);
     }
 
-    /**
-     * Returns the share for the current part of the duty cycle, if the share is less than one
-     * endpoint's load.
-     */
+    /** Returns the current share of the duty cycle if the share is below one endpoint's load. */
     private double applyDutyCycle(final double share, final Instant now) {
         final double endpointShare = 1.0 / mEndpoints.canary();
         if (share >= endpointShare) {
--- a/serving/src/main/java/org/whinhead/serving/rollout/RolloutStep.java
+++ b/serving/src/main/java/org/whinhead/serving/rollout/RolloutStep.java
@@ -62,10 +62,7 @@
         this(service, order, token, sequence, state, share, List.of(), oldStopsIn);
     }
 
-    /**
-     * Returns whether this step is newer than another one, by order, fencing token and sequence
-     * number.
-     */
+    /** Returns whether this step is newer, by order, fencing token and sequence number. */
     boolean isNewerThan(final RolloutStep other) {
         if (order != other.order) {
             return order > other.order;
--- a/serving/src/main/java/org/whinhead/serving/rollout/Rollouts.java
+++ b/serving/src/main/java/org/whinhead/serving/rollout/Rollouts.java
@@ -22,7 +22,7 @@
     /** The placeholder of a route where all routes have the same share. */
     private static final String ANY_ROUTE = "";
 
-    private static final double HASHES = 0x1p32;
+    private static final double HASH_RANGE = 0x1p32;
 
     /** The factor that spreads the hashes of ids that differ in few characters. */
     private static final int SPREAD_FACTOR = 0x9E3779B9;
@@ -44,7 +44,7 @@
     /**
      * Adds an order that the store holds.
      *
-     * @param order the order; one that is older than the known order of its service is ignored
+     * @param order the order; it is ignored unless it is newer than the known order of its service
      * @return whether the order is new
      */
     public boolean addOrder(final RolloutOrder order) {
@@ -257,6 +257,6 @@
         int hash = requestId.hashCode() * SPREAD_FACTOR;
         hash ^= hash >>> 15;
         hash *= SPREAD_FACTOR;
-        return Integer.toUnsignedLong(hash ^ (hash >>> 13)) / HASHES;
+        return Integer.toUnsignedLong(hash ^ (hash >>> 13)) / HASH_RANGE;
     }
 }
--- a/serving/src/main/java/org/whinhead/serving/rollout/RouteComparison.java
+++ b/serving/src/main/java/org/whinhead/serving/rollout/RouteComparison.java
@@ -12,28 +12,19 @@
      */
     private static final int SLOW_BUCKET_DISTANCE = 2;
 
-    /**
-     * Answers that are faster than this are never too slow, since a busy daemon alone delays them
-     * as much.
-     */
+    /** Answers faster than this are never too slow; a busy daemon alone delays as much. */
     private static final Duration MIN_SLOW_LATENCY = Duration.ofMillis(60);
 
     /** The number of old answers that a comparison needs. */
     private static final double MIN_BASELINE_ANSWERS = 10;
 
-    /**
-     * The number of assumed answers that are added to the old version's, so that its first few have
-     * less weight.
-     */
+    /** Assumed old answers, which reduce the weight of the first few real ones. */
     private static final double PRIOR_ANSWERS = 10;
 
     /** The number of bad ones among the assumed answers. */
     private static final double PRIOR_BAD = 0.5;
 
-    /**
-     * The factor by which each call reduces the old version's recent answers, so that about half a
-     * second of them counts at five calls per second.
-     */
+    /** The part of recent old answers that a call keeps: half a second at five calls a second. */
     private static final double RECENT_DECAY = 0.75;
 
     private final CusumDetector mDetector = new CusumDetector();
@@ -117,9 +108,7 @@
         return share - Math.sqrt(share * (1 - share) / (answers + PRIOR_ANSWERS));
     }
 
-    /**
-     * Returns whether the old version fails so often that the new one can't be compared with it.
-     */
+    /** Returns whether the old version fails too often to compare the new one with it. */
     boolean isOldFailing() {
         return lowerBound(mRecentBad, mRecentAnswers) > FaultLikelihood.MAX_BASELINE_SHARE
                 || lowerBound(mAllOldBad, mAllOldAnswers) > FaultLikelihood.MAX_BASELINE_SHARE;
--- a/serving/src/main/java/org/whinhead/serving/rollout/RouteSampleNeed.java
+++ b/serving/src/main/java/org/whinhead/serving/rollout/RouteSampleNeed.java
@@ -12,9 +12,7 @@
  */
 record RouteSampleNeed(String route, double trafficShare, double answers) {
 
-    /**
-     * The number of requests that are split evenly at least, so that every route stays monitored.
-     */
+    /** The number of requests that are split evenly, so that every route stays monitored. */
     private static final double MIN_SPLIT_REQUESTS = 10;
 
     /** The largest share of a route's requests that the new version receives. */
--- a/serving/src/main/java/org/whinhead/serving/rollout/ServiceRollout.java
+++ b/serving/src/main/java/org/whinhead/serving/rollout/ServiceRollout.java
@@ -7,10 +7,7 @@
 import java.util.Objects;
 import org.whinhead.serving.endpoint.EndpointEntry;
 
-/**
- * A service's roll-out at one daemon: selects the version that receives a request, and counts the
- * outcomes.
- */
+/** A service's roll-out at one daemon: selects endpoints and counts the outcomes. */
 final class ServiceRollout {
 
     /**
@@ -21,10 +18,7 @@
      */
     static final Duration STEP_LIFETIME = Duration.ofMillis(1_500);
 
-    /**
-     * The number of steps after which the canary requests move to other endpoints: about two
-     * seconds' worth.
-     */
+    /** The steps after which the canary moves to other endpoints: about two seconds' worth. */
     private static final long STEPS_PER_ROTATION = 10;
 
     /** The share from which the new version may serve if no old endpoint is left. */
@@ -89,10 +83,7 @@
         };
     }
 
-    /**
-     * Returns the share of a route's requests; routes without one of their own have the common
-     * share.
-     */
+    /** Returns a route's share of the requests, by default the common one. */
     private double share(final String route, final Instant now) {
         final double share = share(now);
         return mState == RolloutState.RUNNING && share > 0
--- a/serving/src/main/java/org/whinhead/serving/rollout/VersionHold.java
+++ b/serving/src/main/java/org/whinhead/serving/rollout/VersionHold.java
@@ -18,10 +18,7 @@
  */
 final class VersionHold {
 
-    /**
-     * The longest time by which an order may be read later than the entries of the endpoints that
-     * it starts.
-     */
+    /** The longest delay between reading the entries of new endpoints and their order. */
     static final Duration HOLD_TIME = Duration.ofMillis(2_000);
 
     private final Map<String, Map<String, Instant>> mReleasedAt = new HashMap<>();
--- a/serving/src/main/java/org/whinhead/serving/rollout/package-info.java
+++ b/serving/src/main/java/org/whinhead/serving/rollout/package-info.java
@@ -1,5 +1,5 @@
 /**
- * Roll-outs: a new version of a service receives a share of the traffic as a canary, is compared
- * with the old version, and is completed or rolled back.
+ * Roll-outs: a new version of a service receives a share of the traffic as a canary and is
+ * completed or rolled back.
  */
 package org.whinhead.serving.rollout;
--- a/serving/src/main/java/org/whinhead/serving/route/RouteKind.java
+++ b/serving/src/main/java/org/whinhead/serving/route/RouteKind.java
@@ -1,9 +1,6 @@
 package org.whinhead.serving.route;
 
-/**
- * The kind of a route's requests: whether they may be repeated, and whether they are answered by a
- * stream.
- */
+/** The kind of a route's requests: whether they may be repeated or are streams. */
 public enum RouteKind {
     /** A request may run more than once. */
     IDEMPOTENT {
@@ -19,10 +16,7 @@
             return false;
         }
     },
-    /**
-     * The answer is a series of numbered events; a request runs again only if its stream can be
-     * resumed.
-     */
+    /** The answer is a stream of numbered events; a request runs again only if it is resumable. */
     STREAMING {
         @Override
         public boolean canRunAgain(final boolean resumable) {
--- a/serving/src/test/java/org/whinhead/serving/balance/PrefillRateTest.java
+++ b/serving/src/test/java/org/whinhead/serving/balance/PrefillRateTest.java
@@ -12,10 +12,7 @@
     private final PrefillRate mRate = new PrefillRate();
     private final Random mRandom = new Random(7);
 
-    /**
-     * Simulates requests of mixed length that wait for up to the given multiple of their prefill
-     * time.
-     */
+    /** Simulates requests that wait for up to the given multiple of their prefill time. */
     private void serve(
             final double tokensPerMillisecond, final double maxWaitFactor, final int count) {
         for (int request = 0; request < count; request++) {
--- a/serving/src/test/java/org/whinhead/serving/capacity/CapacityRecoveryTest.java
+++ b/serving/src/test/java/org/whinhead/serving/capacity/CapacityRecoveryTest.java
@@ -47,9 +47,7 @@
                                     0.22,
                                     Map.of("a", 0.85, "b", 1.2, "c", 1.0))));
 
-    /**
-     * Simulates a cloud that starts endpoints after a delay, and reclaims those of a whole domain.
-     */
+    /** Simulates a cloud that starts endpoints after a delay and reclaims whole domains. */
     private static final class Cloud {
         private final List<EndpointEntry> mListed = new ArrayList<>();
         private final Map<EndpointEntry, Integer> mStarting = new HashMap<>();
--- a/serving/src/test/java/org/whinhead/serving/rollout/AnswerSampleTest.java
+++ b/serving/src/test/java/org/whinhead/serving/rollout/AnswerSampleTest.java
@@ -42,10 +42,7 @@
         assertThat(missProbability(sample(0, 0, 0.14))).isEqualTo(1);
     }
 
-    /**
-     * Guards against completing a bad version because its baseline rests on a few answers of the
-     * old one.
-     */
+    /** Guards against completing a bad version on the baseline of a few old answers. */
     @Test
     void uncertainBaselineShareRaisesMissProbability() {
         final AnswerSample small = new AnswerSample(40, 12, 0.14, 20);
--- a/serving/src/test/java/org/whinhead/serving/rollout/CusumDetectorTest.java
+++ b/serving/src/test/java/org/whinhead/serving/rollout/CusumDetectorTest.java
@@ -18,9 +18,7 @@
         assertThat(mDetector.sum()).isZero();
     }
 
-    /**
-     * A version that turns bad late must be detected as fast as one that was bad from the start.
-     */
+    /** A version that turns bad late must be detected as fast as one bad from the start. */
     @Test
     void earlierGoodAnswersDoNotDelayDetection() {
         mDetector.addAnswers(1_000, 0, BASELINE_SHARE);
@@ -29,10 +27,7 @@
         assertThat(mDetector.isBad()).isTrue();
     }
 
-    /**
-     * Some routes fail one answer in seven at every version, which must not count as a fault of the
-     * new one.
-     */
+    /** Some routes fail one answer in seven at every version, which is no fault of the new one. */
     @Test
     void failuresAtTheBaselineRateAreNoFault() {
         for (int round = 0; round < 20; round++) {
--- a/serving/src/test/java/org/whinhead/serving/rollout/LoadedAnswerCounterTest.java
+++ b/serving/src/test/java/org/whinhead/serving/rollout/LoadedAnswerCounterTest.java
@@ -17,10 +17,7 @@
         assertThat(mCounter.loadedShare(0)).isZero();
     }
 
-    /**
-     * Guards against completing a version that fails only under load because of answers from before
-     * the load.
-     */
+    /** A version that fails only under load was completed on answers from before the load. */
     @Test
     void answersOfRampUpAndTakeoverAreNotUnderLoad() {
         mCounter.update(0, SHARE, START);
--- a/serving/src/test/java/org/whinhead/serving/rollout/RequestRateTest.java
+++ b/serving/src/test/java/org/whinhead/serving/rollout/RequestRateTest.java
@@ -30,10 +30,7 @@
         assertThat(mRate.perSecond(START.plusMillis(2_000))).isCloseTo(100, within(1e-6));
     }
 
-    /**
-     * Guards against a new lease holder that treats all requests since the order as those of its
-     * first second.
-     */
+    /** A new lease holder counted all requests since the order in its first second. */
     @Test
     void countsBeforeTheFirstReportDoNotRaiseTheRate() {
         report(10_000, 10_600, DAEMONS);
@@ -41,10 +38,7 @@
         assertThat(mRate.perSecond(START.plusMillis(10_600))).isCloseTo(100, within(1e-6));
     }
 
-    /**
-     * Daemons that were cut off report all requests of that time at once, which must not raise the
-     * rate.
-     */
+    /** Daemons that were cut off report all requests of that time at once. */
     @Test
     void countsOfCutOffTimeDoNotRaiseTheRate() {
         report(0, 2_000, DAEMONS);
--- a/serving/src/test/java/org/whinhead/serving/rollout/RolloutControllerTest.java
+++ b/serving/src/test/java/org/whinhead/serving/rollout/RolloutControllerTest.java
@@ -73,9 +73,7 @@
         assertThat(decision.state()).isEqualTo(RolloutState.RUNNING);
     }
 
-    /**
-     * The canary phase lasts as long as the time budget allows, since a version may turn bad late.
-     */
+    /** The canary phase lasts for most of the time budget, since a version may turn bad late. */
     @Test
     void goodVersionTakesOverOnlyAtTheEnd() {
         goodUntil(9_000);
@@ -133,10 +131,7 @@
         assertThat(after(11_700).state()).isEqualTo(RolloutState.ROLLED_BACK);
     }
 
-    /**
-     * Old endpoints stop at once when a roll-out is completed, together with the requests that
-     * still run there.
-     */
+    /** Old endpoints stop at once on completion, with the requests that still run there. */
     @Test
     void versionThatHasNotTakenOverIsNotCompleted() {
         goodUntil(11_000);
@@ -147,9 +142,7 @@
         assertThat(decision.reason()).isEqualTo("good, but no time left to take over");
     }
 
-    /**
-     * Guards against splitting canary requests evenly though one route needs more to show a fault.
-     */
+    /** Canary requests were split evenly though one route needs more to show a fault. */
     @Test
     void routeThatNeedsMoreAnswersReceivesMore() {
         for (long at = 200; at <= 6_000; at += 200) {
@@ -187,10 +180,7 @@
         assertThat(after(11_800).state()).isEqualTo(RolloutState.ROLLED_BACK);
     }
 
-    /**
-     * Guards against a restart of the canary phase by each new holder, in which a bad version would
-     * receive the allowed requests several times.
-     */
+    /** A bad version received the allowed requests again from each new holder. */
     @Test
     void laterHolderAssumesEarlierExposure() {
         final Instant takenOverAt = START.plusSeconds(8);
