--- a/serving/src/main/java/org/whinhead/serving/balance/EndpointChooser.java
+++ b/serving/src/main/java/org/whinhead/serving/balance/EndpointChooser.java
@@ -118,8 +118,7 @@
 
     /**
      * Returns the endpoint from which the chosen one should copy shared prompt parts: the one to
-     * which this daemon sent most of them, or else the session's home, to which the other daemons
-     * send them.
+     * which this daemon sent most of them, or else the session's home, which other daemons use.
      */
     private Optional<EndpointEntry> promptSource(
             final List<EndpointEntry> available, final EndpointEntry chosen, final Work work) {
@@ -244,8 +243,7 @@
     }
 
     /**
-     * Removes the loads of endpoints that no longer exist and have no running requests of this
-     * daemon.
+     * Removes the loads of endpoints that no longer exist and run no requests of this daemon.
      *
      * @param known the ids of all endpoints
      */
--- a/serving/src/main/java/org/whinhead/serving/balance/PrefillRate.java
+++ b/serving/src/main/java/org/whinhead/serving/balance/PrefillRate.java
@@ -24,10 +24,7 @@
     /** The shortest prompt to sample; shorter ones show the fixed time to a first token. */
     private static final int MIN_SAMPLE_TOKENS = 2_000;
 
-    /**
-     * The bounds of the estimate, so that wrong samples can't make one engine count as many, or
-     * many as none.
-     */
+    /** The bounds of the estimate: wrong samples must not make one engine count as many or none. */
     private static final double MIN_TOKENS_PER_MILLI = INITIAL_TOKENS_PER_MILLI / 2;
 
     private static final double MAX_TOKENS_PER_MILLI = INITIAL_TOKENS_PER_MILLI * 4;
--- a/serving/src/main/java/org/whinhead/serving/capacity/CapacityPlanner.java
+++ b/serving/src/main/java/org/whinhead/serving/capacity/CapacityPlanner.java
@@ -23,8 +23,7 @@
  *
  * <p>Reclaimable endpoints cost a fraction of the on-demand ones, so they serve calm hours, spread
  * evenly over the failure domains. A reclaim takes all of one domain within seconds, and none are
- * available for a while. On-demand endpoints then fill the gap and are removed again as reclaimable
- * ones return.
+ * available for a while. On-demand endpoints then fill the gap until reclaimable ones return.
  *
  * <p>The failure domains are those that the configuration prices, not only those where endpoints
  * are listed. Otherwise a holder that takes over after the last endpoint has gone would know no
@@ -71,8 +70,8 @@
     /**
      * The load of a service's endpoints.
      *
-     * @param demand the tokens per second that callers request; empty until traffic has lasted long
-     *     enough to measure
+     * @param demand the tokens per second that callers request; empty while traffic is too short to
+     *     measure
      * @param minimumDemand the tokens per second that callers request at least; 0 without traffic
      * @param tokensPerEndpoint the measured tokens per second that one endpoint processes
      */
@@ -130,8 +129,7 @@
     }
 
     /**
-     * Observes the endpoints while another daemon orders, so that this one knows them when it takes
-     * over.
+     * Observes the endpoints while another daemon orders, in preparation for a takeover.
      *
      * @param service a service, with or without scaling limits
      * @param endpoints its endpoints that are not leaving
@@ -147,8 +145,7 @@
                     domains(service.name(), limits, endpoints, now);
             initial(service.name(), limits, now).update(domains, now);
             domains.forEach(domain -> domain.keepAllOnDemand(now));
-            // All listed endpoints are wanted by the holder: if all of them disappear, they were
-            // reclaimed.
+            // The holder wants all listed endpoints: if all disappear, they were reclaimed.
             domains.forEach(domain -> domain.setReclaimableTarget(domain.currentCount(true)));
         }
     }
@@ -156,8 +153,8 @@
     /**
      * Records an order of the daemon that orders now. Its endpoints are not listed before they have
      * started. A daemon that takes over meanwhile would order fewer, and the platform would remove
-     * those that were about to start: twenty of them, two seconds before the last failure domain
-     * was reclaimed.
+     * those that were about to start: twenty of them, two seconds before the last domain was
+     * reclaimed.
      *
      * @param service the service
      * @param order an order that the platform has accepted
@@ -219,8 +216,7 @@
     /**
      * Keeps needed on-demand endpoints regardless of which daemon ordered them. The previous holder
      * may have ordered them for a fleet that was lost; a successor that had not ordered them
-     * removed them as they started, and the service remained without endpoints for the time of
-     * another start.
+     * removed them as they started, and the service had no endpoints for the time of another start.
      */
     private static void adoptNeeded(final Collection<DomainCapacity> domains, final int need) {
         int missing = need - domains.stream().mapToInt(DomainCapacity::keptCount).sum();
@@ -356,8 +352,7 @@
      * Records the platform's answer to an order.
      *
      * @param order the order
-     * @param accepted whether the order was accepted; if not, no endpoints of that kind are
-     *     available there
+     * @param accepted whether the order was accepted; if not, none of that kind are available there
      */
     public void recordAnswer(final CapacityOrder order, final boolean accepted) {
         if (order.reclaimable()) {
--- a/serving/src/main/java/org/whinhead/serving/capacity/CapacitySettings.java
+++ b/serving/src/main/java/org/whinhead/serving/capacity/CapacitySettings.java
@@ -132,11 +132,9 @@
         }
 
         /**
-         * Sets the shares of the needed endpoints that must survive a reclaim; more are ordered
-         * after it.
+         * Sets the shares of the need that must survive a reclaim; more is ordered after it.
          *
-         * @param part the share, 0 to 1, if the reclaimable endpoints of any failure domain are
-         *     lost
+         * @param part the share, 0 to 1, if any failure domain's reclaimable endpoints are lost
          * @param partInWave the same for a while after a reclaim, since reclaims come in waves, and
          *     no reclaimable endpoints are available until a wave is over
          * @return this builder
--- a/serving/src/main/java/org/whinhead/serving/capacity/DomainCapacity.java
+++ b/serving/src/main/java/org/whinhead/serving/capacity/DomainCapacity.java
@@ -56,9 +56,8 @@
     }
 
     /**
-     * Detects a reclaim: most of the wanted reclaimable endpoints disappear at once. Not all of
-     * them must have, since the list is read in parts, and entries of other starts may remain for a
-     * while.
+     * Detects a reclaim: most of the wanted reclaimable endpoints disappear at once. Some may
+     * remain, since the list is read in parts, and entries of other starts last for a while.
      */
     private void detectReclaim(final Instant now) {
         if (mReclaimableNow >= mPeak || now.isAfter(mPeakAt.plus(RECLAIM_WINDOW))) {
--- a/serving/src/main/java/org/whinhead/serving/capacity/InitialEndpoints.java
+++ b/serving/src/main/java/org/whinhead/serving/capacity/InitialEndpoints.java
@@ -9,8 +9,7 @@
  *
  * <p>Entries of a large service arrive one by one over seconds. An order names the total number of
  * endpoints, so an order based on the first few entries removes the others: 44 of 74 were removed,
- * and a third of a calm day's requests were not served. So nothing is ordered until the list has
- * stopped growing.
+ * and a third of a calm day's requests were not served. So nothing is ordered while the list grows.
  */
 final class InitialEndpoints {
 
--- a/serving/src/main/java/org/whinhead/serving/endpoint/EndpointEntry.java
+++ b/serving/src/main/java/org/whinhead/serving/endpoint/EndpointEntry.java
@@ -20,8 +20,7 @@
  * @param reclaimable whether it may be reclaimed on short notice
  * @param leavesIn the time left of an announced reclaim, counted from the announcement
  * @param coldFor the time for which it is still slow after its start
- * @param startedAt the time of its start, if known; a restarted endpoint has lost the state of the
- *     earlier start
+ * @param startedAt the time of its start, if known; another start has lost the earlier state
  */
 public record EndpointEntry(
         String id,
--- a/serving/src/main/java/org/whinhead/serving/endpoint/EndpointRegistry.java
+++ b/serving/src/main/java/org/whinhead/serving/endpoint/EndpointRegistry.java
@@ -18,7 +18,7 @@
  * <p>An entry lapses in the store if its endpoint's heartbeats are not written, even if the store
  * itself was down. Such an endpoint is alive and is listed again within two seconds; removing it at
  * once would leave a service without endpoints after each outage. So an entry that goes missing
- * around an outage remains in use for a grace period, and one that goes missing at other times is
+ * around an outage remains in use for a grace period, and one that goes missing otherwise is
  * removed at once.
  */
 public final class EndpointRegistry {
@@ -27,7 +27,7 @@
      * The time after the last failed read in which a missing entry may be listed again: the store's
      * guarantee of two seconds after its return, and the time until the return is noticed. It
      * doesn't start at the removal, since an endpoint that has really gone must get no new work two
-     * seconds after that.
+     * seconds later.
      */
     static final Duration LAPSE_GRACE = Duration.ofMillis(2_500);
 
--- a/serving/src/main/java/org/whinhead/serving/endpoint/ReclaimedEndpoints.java
+++ b/serving/src/main/java/org/whinhead/serving/endpoint/ReclaimedEndpoints.java
@@ -7,8 +7,7 @@
 import java.util.Map;
 
 /**
- * Endpoints that have a reclaim notice and still serve, for requests that no other endpoint can
- * take.
+ * Endpoints with a reclaim notice that still serve, for requests that no others can take.
  *
  * <p>Waves of reclaims affect one failure domain after the other, and the replacing endpoints start
  * seconds after the notices end. If all remaining endpoints are leaving, a request that is refused
@@ -20,8 +19,8 @@
 
     /**
      * The time after its notice was read in which an endpoint may get work: a notice is read up to
-     * 0.8 s late, 1.2 s if the message about it was lost, and no work may arrive later than two
-     * seconds after it.
+     * 0.8 s late, 1.2 s if the message about it was lost, and no work may arrive over two seconds
+     * after it.
      */
     private static final Duration MAX_USE_AFTER_NOTICE = Duration.ofMillis(700);
 
--- a/serving/src/main/java/org/whinhead/serving/rollout/AnswerSample.java
+++ b/serving/src/main/java/org/whinhead/serving/rollout/AnswerSample.java
@@ -34,8 +34,8 @@
     }
 
     /**
-     * Returns the probability that a version with a fault gives at most as many bad answers as the
-     * samples hold in total.
+     * Returns the probability that a version with a fault gives no more bad answers than the
+     * samples.
      *
      * @param samples the samples, one for each route
      * @param affectedShare the share of the answers that the fault affects, 0 to 1
@@ -47,8 +47,7 @@
     }
 
     /**
-     * Returns the probability that a version without a fault gives at least as many bad answers as
-     * the samples hold in total.
+     * Returns the probability that a good version gives no fewer bad answers than the samples.
      *
      * @param samples the samples, one for each route
      * @return the probability, 0 to 1
@@ -110,10 +109,7 @@
                 answers + furtherAnswers, (int) (bad + furtherBad), baselineShare, baselineAnswers);
     }
 
-    /**
-     * Returns the probability of each number of bad answers, averaged over the possible true
-     * baseline shares.
-     */
+    /** Returns the probability of each number of bad answers for an uncertain baseline share. */
     private double[] distribution(final double affectedShare) {
         final double error =
                 Math.sqrt(baselineShare * (1 - baselineShare) / Math.max(baselineAnswers, 1));
--- a/serving/src/main/java/org/whinhead/serving/rollout/LoadedAnswerCounter.java
+++ b/serving/src/main/java/org/whinhead/serving/rollout/LoadedAnswerCounter.java
@@ -3,10 +3,7 @@
 import java.time.Duration;
 import java.time.Instant;
 
-/**
- * Counts the answers that the new version gave under load. A fault that needs load shows in no
- * other answers.
- */
+/** Counts the new version's answers under load: a fault that needs load shows in no others. */
 final class LoadedAnswerCounter {
 
     /** The time after the first requests during which endpoints aren't under load yet. */
@@ -38,8 +35,7 @@
     /**
      * Returns the share of answers that were given under load.
      *
-     * @param answers the number of all answers, including those from before this daemon held the
-     *     lease
+     * @param answers the number of all answers, also from before this daemon held the lease
      * @return 0 to 1; 0 without answers
      */
     double loadedShare(final long answers) {
--- a/serving/src/main/java/org/whinhead/serving/rollout/RequestRate.java
+++ b/serving/src/main/java/org/whinhead/serving/rollout/RequestRate.java
@@ -45,8 +45,8 @@
     }
 
     /**
-     * Returns the sum of the daemons' rates. A daemon whose rate isn't known yet counts with the
-     * mean of the others.
+     * Returns the sum of the daemons' rates. A daemon whose rate is unknown counts with the others'
+     * mean.
      *
      * @param now the current time
      * @return requests per second; 0 if no daemon's rate is known
--- a/serving/src/main/java/org/whinhead/serving/rollout/RolloutStep.java
+++ b/serving/src/main/java/org/whinhead/serving/rollout/RolloutStep.java
@@ -13,8 +13,7 @@
  * @param token the fencing token of the holder
  * @param sequence the number of the step among those of this holder
  * @param state the state of the roll-out
- * @param share the share of the service's requests that the new version receives while the roll-out
- *     is running, 0 to 1
+ * @param share the share of requests that the new version receives while it is running, 0 to 1
  * @param routes the routes with a share of their own; empty if all have the same
  * @param oldStopsIn the time until the old endpoints stop, once the new version receives all
  *     requests; zero before that
--- a/serving/src/main/java/org/whinhead/serving/rollout/Rollouts.java
+++ b/serving/src/main/java/org/whinhead/serving/rollout/Rollouts.java
@@ -34,8 +34,7 @@
     /**
      * Creates a set without any order.
      *
-     * @param enabled whether this deployment has roll-outs; if not, every endpoint may receive
-     *     every request
+     * @param enabled whether the deployment has roll-outs; if not, any endpoint may get any request
      */
     public Rollouts(final boolean enabled) {
         mEnabled = enabled;
@@ -94,8 +93,7 @@
      *
      * @param service the service
      * @param usable its endpoints that are not leaving
-     * @return all of them while a roll-out is in progress, otherwise those of the version that
-     *     serves
+     * @return all of them during a roll-out, otherwise those of the version that serves
      */
     public List<EndpointEntry> capacityEndpoints(
             final String service, final List<EndpointEntry> usable) {
@@ -163,8 +161,7 @@
      *
      * @param route the request's route
      * @param endpoint the endpoint
-     * @return the attempt that counts the outcome; empty if no roll-out of the service is in
-     *     progress
+     * @return the attempt, which counts the outcome; empty without a roll-out in progress
      */
     public Optional<RolloutAttempt> startAttempt(final String route, final EndpointEntry endpoint) {
         return find(endpoint.service())
@@ -188,8 +185,7 @@
     }
 
     /**
-     * Returns whether a service is between two versions, so that none of its endpoints is a
-     * surplus.
+     * Returns whether a service is between two versions, without surplus endpoints.
      *
      * @param service the service
      * @return whether a roll-out of the service is in progress
--- a/serving/src/main/java/org/whinhead/serving/rollout/RouteComparison.java
+++ b/serving/src/main/java/org/whinhead/serving/rollout/RouteComparison.java
@@ -7,8 +7,8 @@
 
     /**
      * An answer is too slow if it lies more than so many buckets above the old version's median,
-     * that is 2.3 to 3.4 times as long. If latencies vary by half, one answer in thirty takes that
-     * long anyway.
+     * that is 2.3 to 3.4 times as long. Of answers that vary by half, one in thirty takes that long
+     * anyway.
      */
     private static final int SLOW_BUCKET_DISTANCE = 2;
 
@@ -44,13 +44,13 @@
     /**
      * Compares all answers so far.
      *
-     * <p>While the old version fails, the answers of both versions say nothing about the new one
-     * and are left out.
+     * <p>While the old version fails, the answers of both say nothing about the new one and are
+     * ignored.
      *
      * @param old the totals of the old version
      * @param canary the totals of the new version
-     * @param overall the detector of all routes, to which the new answers since the last call are
-     *     added as well
+     * @param overall the detector of all routes, which also receives the answers since the last
+     *     call
      */
     void compare(final Totals old, final Totals canary, final CusumDetector overall) {
         final int slowBucket = slowBucket(old);
--- a/serving/src/main/java/org/whinhead/serving/rollout/RouteOutcomes.java
+++ b/serving/src/main/java/org/whinhead/serving/rollout/RouteOutcomes.java
@@ -4,8 +4,7 @@
 import org.whinhead.api.Arguments;
 
 /**
- * The outcomes of a route's requests at one of the two versions since the order, counted by one
- * daemon.
+ * One daemon's counts of a route's requests at one of the two versions since the order.
  *
  * @param route the route
  * @param canary whether the counts are of the new version, or of all others
--- a/serving/src/main/java/org/whinhead/serving/rollout/VersionHold.java
+++ b/serving/src/main/java/org/whinhead/serving/rollout/VersionHold.java
@@ -13,8 +13,8 @@
  *
  * <p>Endpoints of a new version are started by an order, but the order and the entries are read
  * separately, and a daemon that reads the entries first would send the new version its full share.
- * Orders reach all daemons within seconds, so a version that still has no order after that is an
- * ordinary replacement.
+ * Orders reach all daemons within seconds, so a version without an order after that is an ordinary
+ * replacement.
  */
 final class VersionHold {
 
--- a/serving/src/test/java/org/whinhead/serving/balance/EndpointChooserTest.java
+++ b/serving/src/test/java/org/whinhead/serving/balance/EndpointChooserTest.java
@@ -173,8 +173,8 @@
     }
 
     // Guards against a queue at one endpoint although others are idle: all daemons choose the
-    // endpoint that had the lowest load at the last report, and send every request there until the
-    // next one.
+    // endpoint that had the lowest load at the last report, and send everything there until the
+    // next.
     @Test
     void daemonsDoNotAllChooseTheIdleEndpoint() {
         final List<EndpointEntry> endpoints = endpoints(20);
--- a/serving/src/test/java/org/whinhead/serving/capacity/CapacityPlannerTest.java
+++ b/serving/src/test/java/org/whinhead/serving/capacity/CapacityPlannerTest.java
@@ -137,7 +137,7 @@
     }
 
     // Guards against failing half of the requests to a large service for its first twelve seconds.
-    // The lease holder planned when the first of its 42 endpoints were listed, and treated them as
+    // The lease holder planned when the first of its 42 endpoints were listed, as if these were
     // all.
     @Test
     void endpointsThatAreListedLateCountAsInitial() {
@@ -164,10 +164,9 @@
     }
 
     // Guards against paying for seven on-demand endpoints, each at five times the price of a
-    // reclaimable one, while the remaining reclaimable ones serve the whole demand. One domain is
-    // reclaimed and none are available, then a second one six seconds later. Notices come 2.5 s
-    // ahead and a start takes 4 s, so a third of the need bridges the time until ordered endpoints
-    // start.
+    // reclaimable one, while the remaining ones serve the whole demand. One domain is reclaimed and
+    // none are available, then a second one six seconds later. Notices come 2.5 s ahead and a start
+    // takes 4 s, so a third of the need bridges the time until ordered endpoints start.
     @Test
     void onDemandEndpointsFillOnlyTheGap() {
         mPlanner =
@@ -218,8 +217,7 @@
 
     // Guards against refusing every request to a model service for the rest of the day. One failure
     // domain is reclaimed while the store rejects the lease holder, then the other two together;
-    // the next holder takes over when no endpoint is listed any more, knows no domain and orders
-    // nothing.
+    // the next holder takes over an empty list, knows no domain and orders nothing.
     @Test
     void newHolderOrdersEndpointsForAnEmptyList() {
         mEndpoints.clear();
@@ -308,8 +306,8 @@
 
     // Guards against starting a large service's day with 30 of 74 endpoints. Its entries arrive
     // over two seconds, and the first orders were based on those that had arrived: three
-    // reclaimable ones a domain, where twelve were running. An order names the total number, so the
-    // others were removed.
+    // reclaimable ones a domain, where twelve were running. An order names the total, so the others
+    // were removed.
     @Test
     void nothingIsOrderedWhileTheListGrows() {
         mEndpoints.clear();
@@ -328,8 +326,7 @@
     }
 
     // After a restart of all daemons in the middle of a wave of reclaims the list has few endpoints
-    // and says nothing about the demand. The requests observed so far give a better estimate at
-    // once.
+    // and says nothing about the demand. The requests so far give a better estimate.
     @Test
     void minimumDemandCountsBeforeDemandIsMeasured() {
         mEndpoints.clear();
@@ -432,8 +429,7 @@
     }
 
     // Guards against paying for six unneeded on-demand endpoints after the lease changes hands: the
-    // next holder had observed them at its start, and treated them as wanted though they had been
-    // removed.
+    // next holder had observed them at its start, and wanted them though they had been removed.
     @Test
     void newHolderWantsOnlyListedEndpoints() {
         mPlanner.observe(SERVICE, mEndpoints, START);
--- a/serving/src/test/java/org/whinhead/serving/capacity/DemandMeterTest.java
+++ b/serving/src/test/java/org/whinhead/serving/capacity/DemandMeterTest.java
@@ -28,8 +28,7 @@
     }
 
     // Guards against removing most endpoints in the first second of a day. The first span contained
-    // half a second of traffic only, and its rate was treated as a demand that one endpoint can
-    // serve.
+    // half a second of traffic only, a demand that one endpoint can serve.
     @Test
     void firstSpanOfTrafficIsNotMeasured() {
         run(0, 10, 0);
@@ -49,8 +48,7 @@
                 .isCloseTo(50_000, Percentage.withPercentage(5));
     }
 
-    // Guards against removing endpoints as a wave of requests ebbs, which are missing twenty
-    // seconds later.
+    // Guards against removing endpoints in an ebb that are missing twenty seconds later.
     @Test
     void peakDecaysSlowly() {
         run(0, 14, 100_000);
@@ -77,8 +75,7 @@
                 .isCloseTo(1_600_000, Percentage.withPercentage(10));
     }
 
-    // Guards against a small service that orders for twice its demand because two large requests
-    // came within a second.
+    // Guards against doubling a small service's demand after two large requests in a second.
     @Test
     void fewRequestsAreNotMeasuredEarly() {
         for (int tenth = 0; tenth <= 20; tenth++) {
@@ -89,8 +86,8 @@
     }
 
     // Six of eighteen daemons were cut off for twelve seconds, and the tokens of that time arrive
-    // in one report. They must not raise the measured demand: once traffic has settled, spans are
-    // long again.
+    // in one report. They must not raise the measured demand: spans are long once traffic has
+    // settled.
     @Test
     void lateReportsAreSpreadOverTheLongSpan() {
         run(0, 15, 100_000);
--- a/serving/src/test/java/org/whinhead/serving/endpoint/EndpointRegistryTest.java
+++ b/serving/src/test/java/org/whinhead/serving/endpoint/EndpointRegistryTest.java
@@ -30,8 +30,7 @@
     }
 
     // Guards against using the state of a server from before a crash. It has restarted under the
-    // same id: its prompts are no longer cached and take ten times as long, and its runs have
-    // ended.
+    // same id: uncached prompts take ten times as long, and its runs have ended.
     @Test
     void laterStartUnderTheSameIdIsReportedAsRestart() {
         mRegistry.put(entry("e1", false, Optional.of(START)), 1);
@@ -107,8 +106,7 @@
     }
 
     // Guards against failing all requests for two seconds after an outage of the store. Heartbeats
-    // could not be written, so every entry lapsed, and the daemon removed endpoints that were
-    // alive.
+    // could not be written, so all entries lapsed, and living endpoints were removed.
     @Test
     void entryThatLapsedAroundAnOutageStaysInUseForTheGracePeriod() {
         mRegistry.put(entry("e1", false), 1);
@@ -157,8 +155,7 @@
     }
 
     // Guards against sending requests to a removed server. Another daemon reported its removal, but
-    // the datagram that had reported the server was lost; then this daemon read the older records
-    // itself.
+    // the datagram that had reported the server was lost; then this daemon read the older records.
     @Test
     void removalOfUnknownEndpointIsRemembered() {
         assertThat(mRegistry.remove("e1", 5, START)).isFalse();
--- a/serving/src/test/java/org/whinhead/serving/endpoint/ReclaimedEndpointsTest.java
+++ b/serving/src/test/java/org/whinhead/serving/endpoint/ReclaimedEndpointsTest.java
@@ -10,8 +10,8 @@
 
 /**
  * Guards against refusing requests for two seconds while the last failure domain still serves.
- * Three domains are reclaimed within six seconds, the last one 2.4 s before the replacing endpoints
- * have started.
+ * Three domains are reclaimed within six seconds, the last one 2.4 s before their replacements
+ * start.
  */
 class ReclaimedEndpointsTest {
 
--- a/serving/src/test/java/org/whinhead/serving/rollout/RolloutsTest.java
+++ b/serving/src/test/java/org/whinhead/serving/rollout/RolloutsTest.java
@@ -105,8 +105,7 @@
 
     /**
      * Guards against refusing every request though the new version serves. This daemon was cut off
-     * while the roll-out was completed and the old endpoints stopped, and learns of it from the
-     * stored record.
+     * while the roll-out was completed and the old endpoints stopped, and reads the stored record.
      */
     @Test
     void storedRecordActivatesTheNewVersion() {
