--- a/serving/src/test/java/org/whinhead/serving/rollout/LoadedAnswerCounterTest.java
+++ b/serving/src/test/java/org/whinhead/serving/rollout/LoadedAnswerCounterTest.java
@@ -17,7 +17,7 @@
         assertThat(mCounter.loadedShare(0)).isZero();
     }
 
-    /** A version that fails only under load was completed on answers from before the load. */
+    /** Guards against completing a version on answers from before it was under load. */
     @Test
     void answersOfRampUpAndTakeoverAreNotUnderLoad() {
         mCounter.update(0, SHARE, START);
--- a/serving/src/test/java/org/whinhead/serving/rollout/RequestRateTest.java
+++ b/serving/src/test/java/org/whinhead/serving/rollout/RequestRateTest.java
@@ -30,7 +30,7 @@
         assertThat(mRate.perSecond(START.plusMillis(2_000))).isCloseTo(100, within(1e-6));
     }
 
-    /** A new lease holder counted all requests since the order in its first second. */
+    /** Guards against a new holder that counts all requests since the order in one second. */
     @Test
     void countsBeforeTheFirstReportDoNotRaiseTheRate() {
         report(10_000, 10_600, DAEMONS);
@@ -38,7 +38,7 @@
         assertThat(mRate.perSecond(START.plusMillis(10_600))).isCloseTo(100, within(1e-6));
     }
 
-    /** Daemons that were cut off report all requests of that time at once. */
+    /** Guards against counting requests at once that daemons report after they were cut off. */
     @Test
     void countsOfCutOffTimeDoNotRaiseTheRate() {
         report(0, 2_000, DAEMONS);
--- a/serving/src/test/java/org/whinhead/serving/rollout/RolloutControllerTest.java
+++ b/serving/src/test/java/org/whinhead/serving/rollout/RolloutControllerTest.java
@@ -142,7 +142,7 @@
         assertThat(decision.reason()).isEqualTo("good, but no time left to take over");
     }
 
-    /** Canary requests were split evenly though one route needs more to show a fault. */
+    /** Guards against an even split though one route needs more answers to show a fault. */
     @Test
     void routeThatNeedsMoreAnswersReceivesMore() {
         for (long at = 200; at <= 6_000; at += 200) {
@@ -180,7 +180,7 @@
         assertThat(after(11_800).state()).isEqualTo(RolloutState.ROLLED_BACK);
     }
 
-    /** A bad version received the allowed requests again from each new holder. */
+    /** Guards against exposing the allowed requests again with each new lease holder. */
     @Test
     void laterHolderAssumesEarlierExposure() {
         final Instant takenOverAt = START.plusSeconds(8);
