--- a/serving/src/main/java/org/whinhead/serving/balance/package-info.java
+++ b/serving/src/main/java/org/whinhead/serving/balance/package-info.java
@@ -1,2 +1,2 @@
-/** The choice of an endpoint: cached prompt parts against load, failures and distance. */
+/** Load balancing: endpoints are chosen by cached prompt parts, load, failures and distance. */
 package org.whinhead.serving.balance;
--- a/serving/src/main/java/org/whinhead/serving/capacity/package-info.java
+++ b/serving/src/main/java/org/whinhead/serving/capacity/package-info.java
@@ -1,2 +1,2 @@
-/** How many endpoints of which kind are ordered in which failure domain. */
+/** Capacity planning: the number and kind of endpoints ordered in each failure domain. */
 package org.whinhead.serving.capacity;
