--- a/gateway/src/main/java/org/whinhead/gateway/DirectoryProtocol.java
+++ b/gateway/src/main/java/org/whinhead/gateway/DirectoryProtocol.java
@@ -6,16 +6,16 @@
 import java.util.function.Function;
 import org.whinhead.gateway.http.HttpReply;
 
-/** How callers ask which addresses to use. */
+/** Answers directory calls, by which callers learn the addresses of the daemons. */
 public interface DirectoryProtocol {
 
     /**
-     * Answers a caller.
+     * Returns the response to a directory call.
      *
-     * @param target path and query of its call
-     * @param addresses gives the addresses for a failure domain
-     * @param keep how long the caller may keep the answer
-     * @return the answer
+     * @param target the path and query of the call
+     * @param addresses returns the daemons' addresses for a caller in the given failure domain
+     * @param keep the time for which the caller may cache the response
+     * @return the response
      */
     HttpReply answer(
             String target, Function<String, List<InetSocketAddress>> addresses, Duration keep);
--- a/gateway/src/main/java/org/whinhead/gateway/Gateway.java
+++ b/gateway/src/main/java/org/whinhead/gateway/Gateway.java
@@ -48,10 +48,11 @@
 import org.whinhead.serving.usage.UsageWindows;
 
 /**
- * One daemon: callers in front, endpoints behind, the store and the other daemons beside.
+ * The gateway daemon: accepts requests of callers, forwards them to endpoints, follows the store
+ * and exchanges reports with other daemons.
  *
- * <p>Everything runs on one event loop: on a VM with less than a core, a hand-over between threads
- * costs more than the decisions, and no decision object needs a lock.
+ * <p>All work runs on one event loop: on a VM with less than one core, passing work between threads
+ * costs more than the decisions themselves, and on one thread no decision object needs a lock.
  */
 public final class Gateway {
 
@@ -60,29 +61,40 @@
     private static final int HTTP_OK = 200;
     private static final int HTTP_SERVICE_UNAVAILABLE = 503;
 
-    /** How long callers keep an answer of the directory; some keep it three times as long. */
+    /**
+     * The time for which callers may cache a directory response; some keep it three times as long.
+     */
     private static final Duration DIRECTORY_CACHE_TIME = Duration.ofSeconds(1);
 
-    /** Wait and pause of the configuration's reads: a read that hangs is given up in time. */
+    /**
+     * Long-poll wait and pause of configuration reads; the wait is short so that a read that hangs
+     * is given up in time.
+     */
     private static final TopicFollower.Pace CONFIGURATION_PACE =
             new TopicFollower.Pace(Duration.ofMillis(1_000), Duration.ofMillis(20));
 
-    /** Endpoints write several times a second, so reads need not wait but must be paced. */
+    /**
+     * Endpoints write several times per second, so reads need no long-poll wait but need a pause.
+     */
     private static final TopicFollower.Pace ENDPOINT_PACE =
             new TopicFollower.Pace(Duration.ZERO, Duration.ofMillis(400));
 
-    /** From the signal on: when connections without a request are closed. */
+    /** The delay from the stop signal until connections without a request are closed. */
     private static final Duration CLOSE_IDLE_AFTER = Duration.ofMillis(300);
 
-    /** From the signal on: when streams are refused, since they would not end within the grace. */
+    /**
+     * The delay from the stop signal until new streams are refused, as they would not end within
+     * the grace period.
+     */
     private static final Duration REFUSE_STREAMS_AFTER = Duration.ofMillis(2_500);
 
     /**
-     * From the signal on: when callers have learnt not to connect here, and an idle daemon ends.
+     * The delay from the stop signal until an idle daemon exits; by then callers have learned from
+     * the directory not to connect to it.
      */
     private static final Duration MIN_STOP_TIME = Duration.ofMillis(4_000);
 
-    /** What is left of the grace when the daemon ends with requests under way. */
+    /** The rest of the grace period at which the daemon exits even if requests are in progress. */
     private static final Duration STOP_MARGIN = Duration.ofMillis(500);
 
     private static final int STOP_CHECK_INTERVAL_MILLIS = 100;
@@ -106,12 +118,12 @@
     private boolean mStopping;
 
     /**
-     * Makes a daemon that does nothing yet.
+     * Creates a gateway that is not started yet.
      *
-     * @param loop where everything runs
-     * @param settings what it is told
-     * @param ports what the adapter supplies
-     * @param clock the steady clock
+     * @param loop the event loop on which all work runs
+     * @param settings the settings of this daemon
+     * @param ports the implementations that the platform's adapter supplies
+     * @param clock the monotonic clock
      * @param timeOfDay the time of day
      */
     public Gateway(
@@ -217,12 +229,14 @@
                 .orElse(CallerLimits.INITIAL);
     }
 
-    /** Starts to listen and to follow the store; to be called on the event loop. */
+    /**
+     * Opens the listening ports and starts to follow the store. Must be called on the event loop.
+     */
     public void start() {
-        final SimpleHttpServer small = new SimpleHttpServer(mLoop);
-        small.listen(mSettings.readinessAddress(), "text/plain", target -> readiness());
-        small.listen(mSettings.directoryAddress(), "application/json", this::addresses);
-        small.listen(mSettings.metricsAddress(), "text/plain", target -> metrics());
+        final SimpleHttpServer statusServer = new SimpleHttpServer(mLoop);
+        statusServer.listen(mSettings.readinessAddress(), "text/plain", target -> readiness());
+        statusServer.listen(mSettings.directoryAddress(), "application/json", this::addresses);
+        statusServer.listen(mSettings.metricsAddress(), "text/plain", target -> metrics());
         mCallerServer.listen(mSettings.self().callerAddress());
         mSettings.contacts().forEach(mPeers::addContact);
         mPeers.start();
@@ -261,7 +275,7 @@
         mLoop.scheduleWithFixedDelay(this::runPeriodicTasks, pace, pace, TimeUnit.MILLISECONDS);
     }
 
-    /** What must be looked at some times a second; one timer serves all of it. */
+    /** Runs the checks that are due several times per second; one timer serves all of them. */
     private void runPeriodicTasks() {
         mExchanges.measureLag();
         mEndpointWatch.dropLapsed();
@@ -288,6 +302,7 @@
         return new HttpReply(HTTP_OK, mCounts.page().getBytes(StandardCharsets.UTF_8));
     }
 
+    /** Returns whether this daemon can serve, and updates its entry in the member table. */
     private boolean updateReadiness() {
         final boolean ready =
                 !mStopping
@@ -308,19 +323,21 @@
     }
 
     /**
-     * Takes addresses of other daemons from settings that changed.
+     * Adds the contact addresses of changed settings; other settings need a restart.
      *
-     * @param changed the settings as they are now
+     * @param changed the current settings
      */
     public void reload(final GatewaySettings changed) {
         changed.contacts().forEach(mPeers::addContact);
-        LOG.atInfo().addKeyValue("contacts", changed.contacts()).log("settings read again");
+        LOG.atInfo().addKeyValue("contacts", changed.contacts()).log("settings reloaded");
     }
 
     /**
-     * Stops gently: no new callers at once, what is under way ends.
+     * Starts a graceful stop: announces at once that this daemon leaves, and lets requests in
+     * progress end.
      *
-     * @param ended runs when nothing is left to do, within the grace
+     * @param ended called within the grace period, once no request is left or the period is almost
+     *     over
      */
     public void stop(final Runnable ended) {
         if (mStopping) {
--- a/gateway/src/main/java/org/whinhead/gateway/GatewayPorts.java
+++ b/gateway/src/main/java/org/whinhead/gateway/GatewayPorts.java
@@ -10,18 +10,18 @@
 import org.whinhead.gateway.store.RolloutProtocol;
 
 /**
- * What an adapter of a platform supplies.
+ * The interfaces that a platform's adapter implements for the gateway.
  *
- * @param callers how callers spell their requests
- * @param endpoints how endpoints are spoken to
- * @param mover moves runs off leaving endpoints
- * @param directory how callers ask for addresses
- * @param store the platform's store
- * @param cloud the platform's calls for one daemon at a time
- * @param configurations reads the operator's configuration
- * @param configurationKey the key of the record that holds it
- * @param entries reads entries of endpoints
- * @param rollouts how operators order roll-outs
+ * @param callers decodes the requests of callers
+ * @param endpoints encodes requests to endpoints and decodes their responses
+ * @param mover moves runs from leaving endpoints to other ones
+ * @param directory answers directory calls of callers
+ * @param store the platform's metadata store
+ * @param cloud the cloud calls that one daemon at a time makes
+ * @param configurations decodes the operator's configuration
+ * @param configurationKey the key of the store record with the configuration
+ * @param entries decodes endpoint entries
+ * @param rollouts decodes the roll-out orders of operators
  */
 public record GatewayPorts(
         CallerProtocol callers,
--- a/gateway/src/main/java/org/whinhead/gateway/GatewaySettings.java
+++ b/gateway/src/main/java/org/whinhead/gateway/GatewaySettings.java
@@ -10,7 +10,7 @@
 import org.whinhead.serving.quota.QuotaTolerance;
 import org.whinhead.serving.rollout.RolloutLimits;
 
-/** What a gateway is told when it starts: immutable, made by its builder. */
+/** The immutable settings of a gateway, read at its start. */
 public final class GatewaySettings {
 
     private final Member mSelf;
@@ -46,9 +46,9 @@
     }
 
     /**
-     * Starts settings.
+     * Returns a builder of settings.
      *
-     * @return a builder
+     * @return a builder without the required settings
      */
     public static Builder builder() {
         return new Builder();
@@ -103,7 +103,7 @@
     }
 
     /**
-     * Tells what a bad version may get in a roll-out.
+     * Returns the limits on the traffic that a bad version may get in a roll-out.
      *
      * @return the limits; empty if this deployment has no roll-outs
      */
@@ -115,7 +115,7 @@
         return mCapacity;
     }
 
-    /** Collects the parts of settings. */
+    /** Builds {@link GatewaySettings}. */
     public static final class Builder {
 
         private Member mSelf;
@@ -136,7 +136,7 @@
         private Builder() {}
 
         /**
-         * Sets who this daemon is and where callers and other daemons reach it.
+         * Sets the identity of this daemon and its addresses for callers and other daemons.
          *
          * @param self this daemon
          * @return this builder
@@ -147,11 +147,11 @@
         }
 
         /**
-         * Sets where small calls are answered.
+         * Sets the addresses of the readiness, directory and metrics servers.
          *
-         * @param readinessAddress where the platform asks whether this daemon is ready
-         * @param directoryAddress where callers ask which addresses to use
-         * @param metricsAddress where metrics are read
+         * @param readinessAddress the address at which the platform checks readiness
+         * @param directoryAddress the address at which callers look up the daemons' addresses
+         * @param metricsAddress the address at which metrics are scraped
          * @return this builder
          */
         public Builder statusAddresses(
@@ -165,9 +165,9 @@
         }
 
         /**
-         * Sets where other daemons may be found.
+         * Sets the addresses by which other daemons are first contacted.
          *
-         * @param contacts addresses for reports; some may be stale
+         * @param contacts peer addresses; some may be stale
          * @return this builder
          */
         public Builder contacts(final List<InetSocketAddress> contacts) {
@@ -176,11 +176,11 @@
         }
 
         /**
-         * Sets what retries may add.
+         * Sets the retry budget.
          *
-         * @param share retries that each request adds
-         * @param fixed retries that all daemons together may add besides
-         * @param window the time in which they are counted
+         * @param share the number of retries that each request adds to the budget
+         * @param fixed the additional retries per window, for all daemons together
+         * @param window the time window in which requests and retries are counted
          * @return this builder
          */
         public Builder retries(final double share, final int fixed, final Duration window) {
@@ -191,9 +191,9 @@
         }
 
         /**
-         * Sets how the spending of customers is measured.
+         * Sets how the token use of customers is limited.
          *
-         * @param quotaTolerance window and tolerance
+         * @param quotaTolerance the window and the tolerance of customer quotas
          * @return this builder
          */
         public Builder quotaTolerance(final QuotaTolerance quotaTolerance) {
@@ -202,10 +202,11 @@
         }
 
         /**
-         * Sets the times of the duties.
+         * Sets the durations of the duties of the lease holder.
          *
          * @param usageWindow the length of a usage window
-         * @param leaseTerm the time within which no two holders may act by turns
+         * @param leaseTerm the duration of a lease, within which no two daemons act as holder in
+         *     turn
          * @return this builder
          */
         public Builder duties(final Duration usageWindow, final Duration leaseTerm) {
@@ -215,9 +216,9 @@
         }
 
         /**
-         * Sets how long a planned stop may take.
+         * Sets the grace period of a planned stop.
          *
-         * @param stopGrace the time from the signal to the kill
+         * @param stopGrace the time from the stop signal until the process is killed
          * @return this builder
          */
         public Builder stopGrace(final Duration stopGrace) {
@@ -226,9 +227,9 @@
         }
 
         /**
-         * Sets how much capacity a scaled service keeps for its demand.
+         * Sets how capacity is planned for the demand of a scaled service.
          *
-         * @param capacity the settings
+         * @param capacity the capacity settings
          * @return this builder
          */
         public Builder capacity(final CapacitySettings capacity) {
@@ -237,7 +238,7 @@
         }
 
         /**
-         * Sets what a bad version may get in a roll-out.
+         * Sets the limits on the traffic that a bad version may get in a roll-out.
          *
          * @param rollouts the limits; empty if this deployment has no roll-outs
          * @return this builder
@@ -248,9 +249,10 @@
         }
 
         /**
-         * Makes the settings.
+         * Creates the settings.
          *
          * @return the settings
+         * @throws NullPointerException if a required setting is missing
          */
         public GatewaySettings build() {
             return new GatewaySettings(this);
--- a/gateway/src/main/java/org/whinhead/gateway/caller/BadRequestException.java
+++ b/gateway/src/main/java/org/whinhead/gateway/caller/BadRequestException.java
@@ -1,12 +1,12 @@
 package org.whinhead.gateway.caller;
 
-/** A request that is refused as it stands, before any of it is acted on. */
+/** Thrown for a malformed request, which is refused before anything is done for it. */
 public final class BadRequestException extends Exception {
 
     private static final long serialVersionUID = 1L;
 
     /**
-     * Makes the exception.
+     * Creates the exception.
      *
      * @param message what is wrong with the request
      */
--- a/gateway/src/main/java/org/whinhead/gateway/caller/CallerConnection.java
+++ b/gateway/src/main/java/org/whinhead/gateway/caller/CallerConnection.java
@@ -30,16 +30,16 @@
 import org.whinhead.gateway.endpoint.EndpointResponse;
 
 /**
- * One connection of a caller: reads a request whole, has it served, answers, reads the next.
+ * One connection of a caller, which serves its requests one after the other.
  *
- * <p>The connection is read all the time, since a caller that leaves shows only there. Requests
- * that are sent ahead wait; a caller that sends many ahead is no longer read.
+ * <p>The connection is read all the time, since only a read shows that the caller has disconnected.
+ * Pipelined requests are queued; reading pauses while the queue is full.
  */
 final class CallerConnection extends ChannelInboundHandlerAdapter implements CallerResponse {
 
     private static final int MAX_QUEUED_MESSAGES = 64;
 
-    /** Decimal digits of a second that are told: milliseconds. */
+    /** The decimals of the seconds in Retry-After, which state milliseconds. */
     private static final int RETRY_AFTER_DECIMALS = 3;
 
     private final CallerHttpServer mServer;
@@ -165,7 +165,10 @@
         mRunning = mServing ? running : null;
     }
 
-    /** Answers a request that was not read to its end; what follows on the connection is void. */
+    /**
+     * Refuses a request that was not read to its end, and discards all that follows on the
+     * connection.
+     */
     private void refuseUnread(final Refusal refusal) {
         mDiscarding = true;
         mKeepAlive = false;
@@ -175,10 +178,12 @@
     }
 
     @Override
-    public void start(final EndpointResponse answer) {
+    public void start(final EndpointResponse endpointResponse) {
         final HttpResponse response =
                 new DefaultHttpResponse(
-                        HttpVersion.HTTP_1_1, answer.status(), answer.forwardedHeaders());
+                        HttpVersion.HTTP_1_1,
+                        endpointResponse.status(),
+                        endpointResponse.forwardedHeaders());
         mChunked = !HttpUtil.isContentLengthSet(response);
         if (mChunked) {
             HttpUtil.setTransferEncodingChunked(response, true);
--- a/gateway/src/main/java/org/whinhead/gateway/caller/CallerHttpServer.java
+++ b/gateway/src/main/java/org/whinhead/gateway/caller/CallerHttpServer.java
@@ -19,7 +19,7 @@
 import org.slf4j.LoggerFactory;
 import org.whinhead.serving.configuration.CallerLimits;
 
-/** Listens for callers and keeps their connections. */
+/** The HTTP server for callers, which tracks their connections. */
 public final class CallerHttpServer {
 
     private static final Logger LOG = LoggerFactory.getLogger(CallerHttpServer.class);
@@ -34,12 +34,12 @@
     private boolean mStopping;
 
     /**
-     * Makes a listener that listens nowhere yet.
+     * Creates a server that does not listen yet.
      *
-     * @param loop where everything runs
-     * @param protocol how callers spell their requests
+     * @param loop the event loop on which all work runs
+     * @param protocol decodes requests
      * @param handler serves requests
-     * @param limits gives the limits in force
+     * @param limits returns the limits in force
      */
     public CallerHttpServer(
             final EventLoop loop,
@@ -53,9 +53,9 @@
     }
 
     /**
-     * Starts to listen.
+     * Starts to accept connections.
      *
-     * @param address where callers connect
+     * @param address the address to listen at
      */
     public void listen(final InetSocketAddress address) {
         mServer =
@@ -69,7 +69,7 @@
                         .channel();
     }
 
-    /** Has every answer from now on close its connection, and closes those without a request. */
+    /** Closes the connections without a request, and each other one after its current response. */
     public void drain() {
         mStopping = true;
         for (final CallerConnection connection : List.copyOf(mConnections)) {
@@ -79,15 +79,15 @@
         }
     }
 
-    /** Takes no more connections. */
+    /** Stops accepting connections. */
     public void stopAccepting() {
         mServer.close();
     }
 
     /**
-     * Counts the connections with a request.
+     * Returns the number of connections with a request.
      *
-     * @return their number
+     * @return the number of busy connections
      */
     public int busyConnectionCount() {
         return (int) mConnections.stream().filter(connection -> !connection.isIdle()).count();
--- a/gateway/src/main/java/org/whinhead/gateway/caller/CallerProtocol.java
+++ b/gateway/src/main/java/org/whinhead/gateway/caller/CallerProtocol.java
@@ -2,15 +2,15 @@
 
 import io.netty.handler.codec.http.HttpRequest;
 
-/** How callers spell their requests. */
+/** Decodes the requests of callers. */
 public interface CallerProtocol {
 
     /**
-     * Reads the head of a request.
+     * Decodes the head of a request.
      *
      * @param head the head
-     * @return what it asks
-     * @throws BadRequestException if it can't be acted on
+     * @return the decoded request, without its body
+     * @throws BadRequestException if the head is malformed
      */
     CallerRequest decode(HttpRequest head) throws BadRequestException;
 }
--- a/gateway/src/main/java/org/whinhead/gateway/caller/CallerRequest.java
+++ b/gateway/src/main/java/org/whinhead/gateway/caller/CallerRequest.java
@@ -9,7 +9,7 @@
 import org.whinhead.api.Arguments;
 import org.whinhead.serving.balance.Work;
 
-/** A caller's request, decoded: immutable, made by its builder. */
+/** The immutable, decoded head of a caller's request. */
 public final class CallerRequest {
 
     private final String mId;
@@ -33,11 +33,11 @@
         mWork = builder.mWork;
         mTokens = builder.mTokens;
         mResumeAfter = builder.mResumeAfter;
-        mForwardedHeaders = Objects.requireNonNull(builder.mForwardedHeaders, "forwarded");
+        mForwardedHeaders = Objects.requireNonNull(builder.mForwardedHeaders, "forwardedHeaders");
     }
 
     /**
-     * Starts a request.
+     * Returns a builder of a request.
      *
      * @return a builder for a plain request without key and deadline
      */
@@ -58,7 +58,7 @@
     }
 
     /**
-     * Returns the path and query as the caller spelled them.
+     * Returns the path and query as the caller sent them.
      *
      * @return the request's target
      */
@@ -81,9 +81,9 @@
     }
 
     /**
-     * Returns how long the caller waits for the whole answer.
+     * Returns the time for which the caller waits for the complete response.
      *
-     * @return the time from the request's arrival, if the caller states it
+     * @return the time from the request's arrival; empty if the caller states none
      */
     public Optional<Duration> deadline() {
         return mDeadline;
@@ -94,33 +94,33 @@
     }
 
     /**
-     * Returns what the request costs its customer.
+     * Returns the number of tokens that the customer is charged.
      *
-     * @return prompt and output tokens together, if the caller states them
+     * @return prompt and output tokens together; empty if the caller states none
      */
     public OptionalLong tokens() {
         return mTokens;
     }
 
     /**
-     * Returns the event that the caller has seen last of a broken stream.
+     * Returns the id of the last event that the caller received of a broken stream.
      *
-     * @return the event's id, if the caller goes on with a stream
+     * @return the event's id; empty if the caller does not resume a stream
      */
     public Optional<String> resumeAfter() {
         return mResumeAfter;
     }
 
     /**
-     * Returns the headers that go on to an endpoint as they are.
+     * Returns the headers that are forwarded to the endpoint unchanged.
      *
-     * @return the headers, not to be changed
+     * @return the headers, which must not be modified
      */
     public HttpHeaders forwardedHeaders() {
         return mForwardedHeaders;
     }
 
-    /** Collects the parts of a request. */
+    /** Builds a {@link CallerRequest}. */
     public static final class Builder {
 
         private String mId;
@@ -139,7 +139,7 @@
         /**
          * Sets the request's id.
          *
-         * @param id the id, unique to this attempt of the caller
+         * @param id the id, unique for each attempt of the caller
          * @return this builder
          */
         public Builder id(final String id) {
@@ -148,11 +148,11 @@
         }
 
         /**
-         * Sets what is called.
+         * Sets the method, host and target.
          *
          * @param method the method
-         * @param host the host that the caller names
-         * @param target path and query
+         * @param host the host that the caller states
+         * @param target the path and query
          * @return this builder
          */
         public Builder call(final HttpMethod method, final String host, final String target) {
@@ -165,7 +165,7 @@
         /**
          * Sets the key that the caller presents.
          *
-         * @param key the key, if any
+         * @param key the key; empty if there is none
          * @return this builder
          */
         public Builder key(final Optional<String> key) {
@@ -174,9 +174,9 @@
         }
 
         /**
-         * Sets how long the caller waits.
+         * Sets the time for which the caller waits.
          *
-         * @param deadline the time, if stated
+         * @param deadline the time from the request's arrival; empty if not stated
          * @return this builder
          */
         public Builder deadline(final Optional<Duration> deadline) {
@@ -185,10 +185,10 @@
         }
 
         /**
-         * Sets what an endpoint has to do.
+         * Sets the work of an endpoint and the tokens to charge.
          *
-         * @param work the prompt and output
-         * @param tokens what is charged, if stated
+         * @param work the prompt and the expected output
+         * @param tokens the prompt and output tokens to charge; empty if not stated
          * @return this builder
          */
         public Builder work(final Work work, final OptionalLong tokens) {
@@ -198,9 +198,9 @@
         }
 
         /**
-         * Sets the event after which a stream goes on.
+         * Sets the event after which a stream resumes.
          *
-         * @param resumeAfter the event's id, if any
+         * @param resumeAfter the event's id; empty for a new stream
          * @return this builder
          */
         public Builder resumeAfter(final Optional<String> resumeAfter) {
@@ -209,20 +209,21 @@
         }
 
         /**
-         * Sets the headers that go on as they are.
+         * Sets the headers that are forwarded unchanged.
          *
-         * @param forwarded the headers
+         * @param forwardedHeaders the headers
          * @return this builder
          */
-        public Builder forwardedHeaders(final HttpHeaders forwarded) {
-            mForwardedHeaders = forwarded;
+        public Builder forwardedHeaders(final HttpHeaders forwardedHeaders) {
+            mForwardedHeaders = forwardedHeaders;
             return this;
         }
 
         /**
-         * Makes the request.
+         * Creates the request.
          *
          * @return the request
+         * @throws NullPointerException if the method, host, target or headers are missing
          */
         public CallerRequest build() {
             return new CallerRequest(this);
--- a/gateway/src/main/java/org/whinhead/gateway/caller/CallerRequestHandler.java
+++ b/gateway/src/main/java/org/whinhead/gateway/caller/CallerRequestHandler.java
@@ -2,26 +2,26 @@
 
 import io.netty.buffer.ByteBuf;
 
-/** Serves requests of callers. */
+/** Serves the requests of callers. */
 public interface CallerRequestHandler {
 
     /**
-     * Serves a request that was read whole.
+     * Serves a completely received request.
      *
      * @param request the request
-     * @param body its body, which the handler releases
-     * @param answer takes the answer
-     * @return the request under way
+     * @param body the body, which the handler releases
+     * @param response receives the response
+     * @return the request in progress
      */
-    ActiveRequest serve(CallerRequest request, ByteBuf body, CallerResponse answer);
+    ActiveRequest serve(CallerRequest request, ByteBuf body, CallerResponse response);
 
-    /** A request under way. */
+    /** A request in progress, which is notified of its caller's connection. */
     interface ActiveRequest {
 
-        /** The caller has closed its connection. */
+        /** Called when the caller has closed its connection. */
         void callerDisconnected();
 
-        /** The caller has read what was written to it. */
+        /** Called when the caller has read enough of the response for more to be written. */
         void callerCaughtUp();
     }
 }
--- a/gateway/src/main/java/org/whinhead/gateway/caller/CallerResponse.java
+++ b/gateway/src/main/java/org/whinhead/gateway/caller/CallerResponse.java
@@ -3,35 +3,35 @@
 import io.netty.buffer.ByteBuf;
 import org.whinhead.gateway.endpoint.EndpointResponse;
 
-/** The answer to one request of a caller; always on the event loop. */
+/** The response to one request of a caller. All methods are called on the event loop. */
 public interface CallerResponse {
 
     /**
-     * Sends the head of an endpoint's answer.
+     * Sends the head of an endpoint's response.
      *
-     * @param answer the head
+     * @param response the head
      */
-    void start(EndpointResponse answer);
+    void start(EndpointResponse response);
 
     /**
      * Sends a part of the body.
      *
      * @param bytes the part, which this call releases
-     * @return whether the caller keeps up; if not, {@link CallerRequestHandler#callerCaughtUp}
-     *     follows
+     * @return true if the caller reads fast enough; if false, {@link
+     *     CallerRequestHandler#callerCaughtUp} follows
      */
     boolean write(ByteBuf bytes);
 
-    /** Ends a whole answer. */
+    /** Ends a complete response. */
     void finish();
 
-    /** Breaks an answer off, such that it can't be taken for a whole one. */
+    /** Aborts a response such that the caller can't mistake it for a complete one. */
     void abort();
 
     /**
-     * Sends an answer of this daemon.
+     * Sends a response that this daemon itself creates.
      *
-     * @param refusal the answer
+     * @param refusal the response
      */
     void refuse(Refusal refusal);
 }
--- a/gateway/src/main/java/org/whinhead/gateway/caller/HeaderTimeoutHandler.java
+++ b/gateway/src/main/java/org/whinhead/gateway/caller/HeaderTimeoutHandler.java
@@ -7,10 +7,11 @@
 import java.util.concurrent.TimeUnit;
 
 /**
- * Closes a new connection whose first head doesn't arrive in time.
+ * Closes a new connection whose first request head is not received in time.
  *
- * <p>Callers that trickle a head hold a descriptor each; a few thousand of them would leave none
- * for others. The guard leaves the pipeline once a head was decoded.
+ * <p>Each caller that sends a head very slowly occupies a file descriptor, and a few thousand of
+ * them would leave none for others. The handler removes itself from the pipeline at the timeout if
+ * a head was decoded.
  */
 final class HeaderTimeoutHandler extends ChannelInboundHandlerAdapter {
 
--- a/gateway/src/main/java/org/whinhead/gateway/caller/Refusal.java
+++ b/gateway/src/main/java/org/whinhead/gateway/caller/Refusal.java
@@ -6,18 +6,18 @@
 import java.util.Optional;
 
 /**
- * An answer that this daemon makes itself.
+ * A response that this daemon itself creates instead of an endpoint's.
  *
- * <p>Callers take 408, 421, 429 and 503 as a promise that the request has not run; only the factory
- * methods for requests that surely did not run use these.
+ * <p>Callers treat the statuses 408, 421, 429 and 503 as a guarantee that the request did not run,
+ * so only refusals of requests that certainly did not run use them.
  *
- * @param status the status
- * @param reason what happened, in a few words, for the body and the log
- * @param retryAfter when the caller should come back, if it should
+ * @param status the HTTP status
+ * @param reason the reason in a few words, for the body and the log
+ * @param retryAfter the delay after which the caller should retry; empty if it should not
  */
 public record Refusal(HttpResponseStatus status, String reason, Optional<Duration> retryAfter) {
 
-    /** Checks the parts. */
+    /** Checks that no component is null. */
     public Refusal {
         Objects.requireNonNull(status, "status");
         Objects.requireNonNull(reason, "reason");
@@ -25,10 +25,10 @@
     }
 
     /**
-     * Refuses a request that did not run.
+     * Returns the refusal of a request that did not run.
      *
-     * @param reason why
-     * @param retryAfter when to come back
+     * @param reason the reason, for the body and the log
+     * @param retryAfter the delay after which to retry
      * @return the refusal
      */
     public static Refusal notRun(final String reason, final Duration retryAfter) {
@@ -36,9 +36,9 @@
     }
 
     /**
-     * Refuses a request beyond its customer's allowance.
+     * Returns the refusal of a request that exceeds its customer's allowance.
      *
-     * @param retryAfter when the allowance suffices again
+     * @param retryAfter the delay after which the allowance suffices again
      * @return the refusal
      */
     public static Refusal overAllowance(final Duration retryAfter) {
@@ -47,10 +47,10 @@
     }
 
     /**
-     * Refuses what no configuration allows, or what can't be read.
+     * Returns the refusal of a malformed request or of one that the configuration does not allow.
      *
-     * @param status the status, from 400 on, none of those that promise anything
-     * @param reason why
+     * @param status the status, 400 or above, but none that guarantees that the request did not run
+     * @param reason the reason, for the body and the log
      * @return the refusal
      */
     public static Refusal invalid(final HttpResponseStatus status, final String reason) {
@@ -58,9 +58,9 @@
     }
 
     /**
-     * Gives up a request that may have run.
+     * Returns the refusal of a request that may have run.
      *
-     * @param reason why
+     * @param reason the reason, for the body and the log
      * @return the refusal
      */
     public static Refusal mayHaveRun(final String reason) {
@@ -68,7 +68,7 @@
     }
 
     /**
-     * Gives up a request that may have run and whose time is over.
+     * Returns the refusal of a request that may have run and whose deadline has passed.
      *
      * @return the refusal
      */
--- a/gateway/src/main/java/org/whinhead/gateway/caller/StrictRequestDecoder.java
+++ b/gateway/src/main/java/org/whinhead/gateway/caller/StrictRequestDecoder.java
@@ -5,25 +5,26 @@
 import io.netty.handler.codec.http.HttpRequestDecoder;
 
 /**
- * Refuses requests whose end is ambiguous.
+ * Decodes requests and rejects those with an ambiguous body length.
  *
- * <p>A request with both a length and chunks ends at one place for this daemon and perhaps at
- * another for an endpoint; what lies between would run as a request that no caller has sent.
+ * <p>A request with both Content-Length and chunked encoding may end at different bytes for this
+ * daemon and for an endpoint; the bytes between would run as a request that no caller sent (request
+ * smuggling).
  */
 final class StrictRequestDecoder extends HttpRequestDecoder {
 
     private static final int MAX_REQUEST_LINE_BYTES = 8_192;
 
-    StrictRequestDecoder(final int mostHeaderBytes) {
+    StrictRequestDecoder(final int maxHeaderBytes) {
         super(
                 new HttpDecoderConfig()
                         .setMaxInitialLineLength(MAX_REQUEST_LINE_BYTES)
-                        .setMaxHeaderSize(mostHeaderBytes)
+                        .setMaxHeaderSize(maxHeaderBytes)
                         .setAllowDuplicateContentLengths(false));
     }
 
     @Override
     protected void handleTransferEncodingChunkedWithContentLength(final HttpMessage message) {
-        throw new IllegalArgumentException("both a length and chunks");
+        throw new IllegalArgumentException("both Content-Length and chunked Transfer-Encoding");
     }
 }
--- a/gateway/src/main/java/org/whinhead/gateway/caller/package-info.java
+++ b/gateway/src/main/java/org/whinhead/gateway/caller/package-info.java
@@ -1,2 +1,2 @@
-/** Connections of callers: strict reading of requests, answers as they come. */
+/** Connections of callers: strict decoding of requests, and responses sent as they arrive. */
 package org.whinhead.gateway.caller;
--- a/gateway/src/main/java/org/whinhead/gateway/endpoint/AttemptContext.java
+++ b/gateway/src/main/java/org/whinhead/gateway/endpoint/AttemptContext.java
@@ -6,15 +6,15 @@
 import org.whinhead.serving.endpoint.EndpointEntry;
 
 /**
- * What is asked of an endpoint besides the caller's own words.
+ * The parameters of one attempt at an endpoint, in addition to the caller's request.
  *
- * @param endpoint the endpoint that the request is meant for
- * @param customer the customer that holds the caller's key, if keys are needed
- * @param timeLeft how long the caller still waits
- * @param priority the rank of the request, 0 first
- * @param resumeAfter the event after which a stream goes on, if it was broken off
- * @param promptSource the endpoint from which to copy shared parts of the prompt
- * @param continued the stopped run whose memory the endpoint has, if it goes on with one
+ * @param endpoint the endpoint to which the request is sent
+ * @param customer the customer that holds the caller's key; empty if no key is needed
+ * @param timeLeft the time until the caller's deadline
+ * @param priority the priority of the request; 0 is served first
+ * @param resumeAfter the id of the event after which a broken stream resumes
+ * @param promptSource the endpoint from which to copy cached parts of the prompt, if any
+ * @param continued the stopped run that the endpoint continues from its copied KV cache, if any
  */
 public record AttemptContext(
         EndpointEntry endpoint,
@@ -25,7 +25,7 @@
         Optional<EndpointEntry> promptSource,
         Optional<MovedRun> continuedRun) {
 
-    /** Checks the parts. */
+    /** Checks that no component is null. */
     public AttemptContext {
         Objects.requireNonNull(endpoint, "endpoint");
         Objects.requireNonNull(customer, "customer");
--- a/gateway/src/main/java/org/whinhead/gateway/endpoint/EndpointConnection.java
+++ b/gateway/src/main/java/org/whinhead/gateway/endpoint/EndpointConnection.java
@@ -15,11 +15,12 @@
 import java.time.Duration;
 
 /**
- * One connection to an endpoint, which carries one request at a time.
+ * A connection to an endpoint, which carries one request at a time.
  *
- * <p>It goes back to the pool only after the request is written, the answer is whole, and the event
- * loop has read everything that came with it: an endpoint may send another answer right behind, and
- * whoever used the connection next would take that for its own.
+ * <p>The connection returns to the pool only after the request is written, the response is
+ * complete, and the event loop has read everything that arrived with it: an endpoint may send an
+ * extra response right after the first, and the next request on the connection would receive that
+ * one.
  */
 public final class EndpointConnection extends ChannelInboundHandlerAdapter {
 
@@ -53,9 +54,9 @@
     /**
      * Sends a request.
      *
-     * @param head its head
-     * @param body its body, which this call releases
-     * @param listener hears the answer
+     * @param head the head of the request
+     * @param body the body, which this call releases
+     * @param listener receives the response
      */
     public void send(
             final HttpRequest head, final ByteBuf body, final EndpointResponseListener listener) {
@@ -65,12 +66,12 @@
         mWritten = mChannel.writeAndFlush(new DefaultLastHttpContent(body));
     }
 
-    /** Gives the connection back without having sent anything. */
+    /** Returns the unused connection to the pool. */
     public void release() {
         mPool.release(this);
     }
 
-    /** Stops listening and closes the connection, at which endpoints drop the request. */
+    /** Closes the connection without notice to the listener; endpoints then drop the request. */
     public void cancel() {
         mListener = null;
         mReusable = false;
@@ -78,9 +79,9 @@
     }
 
     /**
-     * Reads on or pauses, as the caller keeps up or not.
+     * Resumes or pauses reading, depending on whether the caller reads fast enough.
      *
-     * @param reading whether to read
+     * @param reading true to read, false to pause
      */
     public void setReading(final boolean reading) {
         mChannel.config().setAutoRead(reading);
@@ -155,8 +156,8 @@
     }
 
     /**
-     * Fails what is under way, as the endpoint that worked on it is no more. Its connections may be
-     * silent instead of reset, and a caller would wait for its answer until the deadline.
+     * Fails the request in progress, as its endpoint has restarted. The connection may be silent
+     * instead of reset, and the caller would wait until its deadline.
      */
     void endpointRestarted() {
         fail(EndpointFailure.CONNECTION_LOST);
--- a/gateway/src/main/java/org/whinhead/gateway/endpoint/EndpointConnections.java
+++ b/gateway/src/main/java/org/whinhead/gateway/endpoint/EndpointConnections.java
@@ -22,16 +22,19 @@
 import java.util.function.Consumer;
 import org.whinhead.serving.endpoint.EndpointEntry;
 
-/** Open connections to endpoints, kept by the endpoint's incarnation. */
+/** The connection pools of the endpoints, by endpoint id. */
 public final class EndpointConnections {
 
-    /** How long an idle connection is kept if its endpoint doesn't say. */
+    /** The time for which an idle connection is kept if its endpoint states none. */
     static final Duration DEFAULT_IDLE_TIMEOUT = Duration.ofSeconds(5);
 
-    /** A connection is not used for this long before its endpoint would close it. */
+    /** The time before the endpoint's idle timeout in which a connection is no longer used. */
     private static final Duration IDLE_MARGIN = Duration.ofMillis(700);
 
-    /** Endpoints of the same region answer in a few milliseconds; one that is dark never does. */
+    /**
+     * Endpoints of the same region accept connections within a few milliseconds; unreachable ones
+     * never do.
+     */
     private static final int CONNECT_TIMEOUT_MILLIS = 300;
 
     private final EventLoop mLoop;
@@ -40,11 +43,11 @@
     private final Map<String, Pool> mPools = new HashMap<>();
 
     /**
-     * Makes a set without connections.
+     * Creates pools without connections.
      *
-     * @param loop where everything runs
-     * @param clock the steady clock
-     * @param protocol how endpoints are spoken to
+     * @param loop the event loop on which all work runs
+     * @param clock the monotonic clock
+     * @param protocol decodes the responses of endpoints
      */
     public EndpointConnections(
             final EventLoop loop, final InstantSource clock, final EndpointProtocol protocol) {
@@ -54,11 +57,11 @@
     }
 
     /**
-     * Gets a connection, an idle one if there is one.
+     * Acquires a connection to an endpoint: an idle one if possible, else a new one.
      *
      * @param endpoint the endpoint
-     * @param opened gets the connection
-     * @param failed is called if none can be made
+     * @param opened receives the connection
+     * @param failed called if no connection can be made
      */
     public void acquire(
             final EndpointEntry endpoint,
@@ -101,7 +104,7 @@
     }
 
     /**
-     * Closes the idle connections to endpoints that are gone.
+     * Closes the idle connections to endpoints that no longer exist.
      *
      * @param known the ids of all endpoints
      */
@@ -118,10 +121,10 @@
     }
 
     /**
-     * Closes all connections to an endpoint that has started again under its id; requests on them
+     * Closes all connections to an endpoint that has restarted under the same id; requests on them
      * may have run.
      *
-     * @param endpoint its id
+     * @param endpoint the endpoint's id
      */
     public void endpointRestarted(final String endpoint) {
         final Pool pool = mPools.remove(endpoint);
--- a/gateway/src/main/java/org/whinhead/gateway/endpoint/EndpointFailure.java
+++ b/gateway/src/main/java/org/whinhead/gateway/endpoint/EndpointFailure.java
@@ -2,13 +2,13 @@
 
 import org.whinhead.api.verdict.Verdict;
 
-/** Why an attempt got no whole answer, and whether the request may have run. */
+/** The reason why an attempt got no complete response, with whether the request may have run. */
 public enum EndpointFailure {
     /** No connection could be made, so nothing was sent. */
     NOT_CONNECTED(Verdict.NOT_RUN),
-    /** The connection broke, or ended before the answer was whole. */
+    /** The connection was lost before the response was complete. */
     CONNECTION_LOST(Verdict.MAY_HAVE_RUN),
-    /** What came was no answer in the protocol. */
+    /** The received bytes were not a valid HTTP response. */
     NOT_HTTP(Verdict.MAY_HAVE_RUN);
 
     private final Verdict mVerdict;
--- a/gateway/src/main/java/org/whinhead/gateway/endpoint/EndpointProtocol.java
+++ b/gateway/src/main/java/org/whinhead/gateway/endpoint/EndpointProtocol.java
@@ -4,24 +4,24 @@
 import io.netty.handler.codec.http.HttpResponse;
 import org.whinhead.gateway.caller.CallerRequest;
 
-/** How requests and answers are spelled at endpoints. */
+/** Encodes requests to endpoints and decodes their responses. */
 public interface EndpointProtocol {
 
     /**
-     * Spells the head of a request.
+     * Encodes the head of a request.
      *
      * @param request the caller's request
-     * @param order what is asked of the endpoint
-     * @param bodyBytes the length of the body
-     * @return the head; its body follows with a length
+     * @param context the parameters of the attempt
+     * @param bodyBytes the length of the body in bytes
+     * @return the head, which states the length of the body
      */
-    HttpRequest encode(CallerRequest request, AttemptContext order, int bodyBytes);
+    HttpRequest encode(CallerRequest request, AttemptContext context, int bodyBytes);
 
     /**
-     * Reads the head of an answer.
+     * Decodes the head of a response.
      *
      * @param response the head
-     * @return what it says
+     * @return the decoded head
      */
     EndpointResponse decode(HttpResponse response);
 }
--- a/gateway/src/main/java/org/whinhead/gateway/endpoint/EndpointResponse.java
+++ b/gateway/src/main/java/org/whinhead/gateway/endpoint/EndpointResponse.java
@@ -7,16 +7,17 @@
 import java.util.Optional;
 
 /**
- * The head of an endpoint's answer, decoded.
+ * The decoded head of an endpoint's response.
  *
- * @param status its status
- * @param passed the headers that a caller gets
- * @param requestId the request that it says it answers, if it says so
+ * @param status the HTTP status
+ * @param passed the headers to forward to the caller
+ * @param requestId the id of the request that the response names; empty if it names none
  * @param notRun whether the endpoint states that the request did not run
- * @param otherEndpoint whether the address belongs to another endpoint than expected
- * @param genuine whether the body is the endpoint's own: signed and not encoded
- * @param idleTimeout how long the endpoint keeps an idle connection, if it says so
- * @param closes whether the endpoint closes the connection behind this answer
+ * @param otherEndpoint whether another endpoint than expected uses the address
+ * @param genuine whether the body is verified to be the endpoint's own: signed and without content
+ *     encoding
+ * @param idleTimeout the time for which the endpoint keeps an idle connection; empty if not stated
+ * @param closes whether the endpoint closes the connection after this response
  */
 public record EndpointResponse(
         HttpResponseStatus status,
@@ -32,7 +33,7 @@
     private static final int FIRST_REDIRECT = 300;
     private static final int FIRST_SERVER_ERROR = 500;
 
-    /** Checks the parts. */
+    /** Checks that the status and the headers are not null. */
     public EndpointResponse {
         Objects.requireNonNull(status, "status");
         Objects.requireNonNull(forwardedHeaders, "passed");
--- a/gateway/src/main/java/org/whinhead/gateway/endpoint/EndpointResponseListener.java
+++ b/gateway/src/main/java/org/whinhead/gateway/endpoint/EndpointResponseListener.java
@@ -2,30 +2,32 @@
 
 import io.netty.buffer.ByteBuf;
 
-/** Hears what comes back of one request at an endpoint; always on the event loop. */
+/**
+ * Receives the response to one request from an endpoint. All methods are called on the event loop.
+ */
 public interface EndpointResponseListener {
 
     /**
-     * The head of the answer has come.
+     * Called when the head of the response is received.
      *
-     * @param answer the head
+     * @param response the head
      */
-    void headReceived(EndpointResponse answer);
+    void headReceived(EndpointResponse response);
 
     /**
-     * A part of the body has come.
+     * Called when a part of the body is received.
      *
      * @param bytes the part, valid during this call only
      */
     void bodyReceived(ByteBuf bytes);
 
-    /** The answer is whole. */
+    /** Called when the response is complete. */
     void completed();
 
     /**
-     * No more will come.
+     * Called when the response can't be completed.
      *
-     * @param failure why
+     * @param failure the cause
      */
     void failed(EndpointFailure failure);
 }
--- a/gateway/src/main/java/org/whinhead/gateway/endpoint/MoveOutcome.java
+++ b/gateway/src/main/java/org/whinhead/gateway/endpoint/MoveOutcome.java
@@ -4,14 +4,14 @@
 import java.util.Optional;
 
 /**
- * The answer to a move.
+ * The source endpoint's reply to the request to move a run.
  *
- * @param copied whether the target has the memory
- * @param run what names the stopped run; empty if it was not stopped
+ * @param copied whether the target has a copy of the run's KV cache
+ * @param run the stopped run; empty if the run was not stopped
  */
 public record MoveOutcome(boolean copied, Optional<MovedRun> run) {
 
-    /** Checks the parts. */
+    /** Checks that no component is null. */
     public MoveOutcome {
         Objects.requireNonNull(run, "run");
     }
--- a/gateway/src/main/java/org/whinhead/gateway/endpoint/MovedRun.java
+++ b/gateway/src/main/java/org/whinhead/gateway/endpoint/MovedRun.java
@@ -5,14 +5,14 @@
 import org.whinhead.api.Arguments;
 
 /**
- * A stopped run that can be gone on with once.
+ * A stopped run, which can be continued once.
  *
- * @param source the endpoint that worked on it
- * @param handle what the source calls it
+ * @param source the address of the endpoint that stopped the run
+ * @param handle the source's identifier of the run
  */
 public record MovedRun(InetSocketAddress source, String handle) {
 
-    /** Checks the parts. */
+    /** Checks the components. */
     public MovedRun {
         Objects.requireNonNull(source, "source");
         Arguments.requireText(handle, "handle");
--- a/gateway/src/main/java/org/whinhead/gateway/endpoint/package-info.java
+++ b/gateway/src/main/java/org/whinhead/gateway/endpoint/package-info.java
@@ -1,2 +1,2 @@
-/** Connections to endpoints, and what comes back on them. */
+/** Connections to endpoints, and the protocol spoken on them. */
 package org.whinhead.gateway.endpoint;
--- a/gateway/src/main/java/org/whinhead/gateway/exchange/Admission.java
+++ b/gateway/src/main/java/org/whinhead/gateway/exchange/Admission.java
@@ -9,13 +9,13 @@
 import org.whinhead.serving.route.Route;
 
 /**
- * A request that is allowed, with what its configuration says of it.
+ * An admitted request with its route and customer.
  *
  * @param request the request
  * @param route its route
- * @param customer the customer that holds its key, if it needs one
- * @param spend the tokens that its customer was charged, if it has one
- * @param arrivedAt the earliest time at which it can have come whole
+ * @param customer the customer that holds the request's key; empty if no key is needed
+ * @param spend the tokens charged to the customer; empty without a customer
+ * @param arrivedAt the earliest time at which the whole request may have arrived
  */
 record Admission(
         CallerRequest request,
@@ -24,16 +24,18 @@
         Optional<TokenSpend> spend,
         Instant arrivedAt) {
 
-    /** Tells when the caller or the operator no longer wants an answer. */
+    /**
+     * Returns the time of the caller's deadline or of the route's timeout, whichever is earlier.
+     */
     Instant deadline() {
-        final Duration most =
+        final Duration limit =
                 request.deadline()
                         .filter(stated -> stated.compareTo(route.timeout()) < 0)
                         .orElse(route.timeout());
-        return arrivedAt.plus(most);
+        return arrivedAt.plus(limit);
     }
 
-    /** The rank of the request: its customer's, or else its route's. */
+    /** Returns the priority of the customer, or else of the route; 0 is served first. */
     int priority() {
         return customer.map(CustomerAccount::priority)
                 .filter(java.util.OptionalInt::isPresent)
--- a/gateway/src/main/java/org/whinhead/gateway/exchange/EndpointResponseFault.java
+++ b/gateway/src/main/java/org/whinhead/gateway/exchange/EndpointResponseFault.java
@@ -5,38 +5,38 @@
 import org.whinhead.gateway.endpoint.EndpointResponse;
 
 /**
- * Why an endpoint's answer can't go to the caller.
+ * The reason why an endpoint's response must not be forwarded to the caller.
  *
  * @param verdict whether the request may have run at that endpoint
- * @param reason what is logged
+ * @param reason the reason for the log and the metrics
  */
 record EndpointResponseFault(Verdict verdict, String reason) {
 
     /**
-     * Judges an answer by its head.
+     * Checks the head of a response.
      *
-     * @param answer the head
-     * @param requestId the request that was asked
-     * @param streamStarted whether the caller has part of the answer already
-     * @return the fault, if it has one
+     * @param response the head
+     * @param requestId the id of the request that was sent
+     * @param streamStarted whether the caller already has a part of the stream
+     * @return the fault; empty if the response may be forwarded
      */
     static Optional<EndpointResponseFault> of(
-            final EndpointResponse answer, final String requestId, final boolean streamStarted) {
-        if (answer.isFromOtherEndpoint()) {
+            final EndpointResponse response, final String requestId, final boolean streamStarted) {
+        if (response.isFromOtherEndpoint()) {
             return fault(Verdict.NOT_RUN, "address belongs to another endpoint");
         }
-        if (answer.statesNotRun()) {
+        if (response.statesNotRun()) {
             return fault(Verdict.NOT_RUN, "endpoint refused");
         }
-        if (!answer.requestId().equals(Optional.of(requestId))) {
+        if (!response.requestId().equals(Optional.of(requestId))) {
             return fault(Verdict.MAY_HAVE_RUN, "answer of another request");
         }
-        if (!answer.isAuthentic()) {
+        if (!response.isAuthentic()) {
             return fault(Verdict.MAY_HAVE_RUN, "answer not signed by its endpoint");
         }
-        if (streamStarted && !answer.isSuccess()) {
-            // Its body would follow the events passed before, and end the stream as if it were
-            // whole.
+        if (streamStarted && !response.isSuccess()) {
+            // The body would follow the events forwarded so far, and the stream would seem
+            // complete.
             return fault(Verdict.MAY_HAVE_RUN, "stream could not go on");
         }
         return Optional.empty();
--- a/gateway/src/main/java/org/whinhead/gateway/exchange/EventSplitter.java
+++ b/gateway/src/main/java/org/whinhead/gateway/exchange/EventSplitter.java
@@ -7,10 +7,10 @@
 import java.util.Optional;
 
 /**
- * Cuts an event stream into whole events.
+ * Splits an event stream into whole events.
  *
- * <p>An endpoint that crashes may break its stream off within an event; only whole events are
- * passed on, so that a stream which goes on elsewhere continues behind the last whole one.
+ * <p>An endpoint that crashes may cut its stream within an event. Only whole events are forwarded,
+ * so that another endpoint can continue the stream after the last whole event.
  */
 final class EventSplitter {
 
@@ -33,7 +33,10 @@
         return mBytes.readableBytes();
     }
 
-    /** Takes the next whole event with its blank line, if there is one; the caller releases it. */
+    /**
+     * Removes and returns the next whole event with its blank line; empty if none is complete. The
+     * caller releases the event.
+     */
     Optional<ByteBuf> next() {
         final int start = mBytes.readerIndex();
         int from = start + mScanned;
@@ -55,7 +58,7 @@
         return lineEnd == from || lineEnd == from + 1 && mBytes.getByte(from) == '\r';
     }
 
-    /** Drops a part of an event, as its endpoint sends no more. */
+    /** Discards a partial event, as its endpoint sends no more. */
     void clear() {
         mBytes.clear();
         mScanned = 0;
@@ -65,7 +68,7 @@
         mBytes.release();
     }
 
-    /** Reads the id of an event. */
+    /** Returns the value of an event's id field; empty without such a field. */
     static Optional<String> id(final ByteBuf event) {
         int from = event.readerIndex();
         while (from < event.writerIndex()) {
--- a/gateway/src/main/java/org/whinhead/gateway/exchange/Exchange.java
+++ b/gateway/src/main/java/org/whinhead/gateway/exchange/Exchange.java
@@ -22,11 +22,11 @@
 import org.whinhead.serving.route.Route;
 
 /**
- * The life of one admitted request.
+ * Handles one admitted request from its first attempt to the end of its response.
  *
- * <p>At any time at most one attempt is under way. An attempt that ended without an answer is
- * followed by another one only if the request surely did not run or may run twice, and the budgets
- * allow it.
+ * <p>At most one attempt is in progress at any time. An attempt without a response is followed by
+ * another one only if the request certainly did not run or may run twice, and the attempt limit and
+ * the retry budget allow it.
  */
 final class Exchange
         implements EndpointResponseListener,
@@ -35,11 +35,11 @@
                 CallerRequestHandler.ActiveRequest {
 
     /**
-     * Endpoints that are tried in vain, with nothing sent, before the caller is told to come back.
+     * Failed connects, with nothing sent, after which the request is refused with a retry delay.
      */
     private static final int MAX_CONNECT_FAILURES = 4;
 
-    /** Least time left for another attempt to be worth its cost. */
+    /** With less time left than this, an attempt is not worth its cost. */
     private static final Duration MIN_TIME_LEFT = Duration.ofMillis(30);
 
     private static final String TIMED_OUT = "timed out";
@@ -70,15 +70,15 @@
             final Exchanges exchanges,
             final Admission admission,
             final ByteBuf body,
-            final CallerResponse answer) {
+            final CallerResponse response) {
         mExchanges = exchanges;
         mAdmission = admission;
         mBody = body;
-        mResponse = answer;
+        mResponse = response;
         mService = admission.route().service(admission.request().id().hashCode());
         mRelay =
                 new ResponseRelay(
-                        answer,
+                        response,
                         admission.route().kind().isStream(),
                         admission.request().resumeAfter(),
                         this);
@@ -108,7 +108,7 @@
 
     private void dispatch() {
         final ServingState state = mExchanges.state();
-        final Optional<Placement> place =
+        final Optional<Placement> placement =
                 state.chooser()
                         .place(
                                 state.candidates(
@@ -120,28 +120,28 @@
                                 mTriedEndpoints,
                                 state.canCopyPrompts(mService),
                                 now());
-        if (place.isEmpty()) {
+        if (placement.isEmpty()) {
             giveUp("no endpoint left");
             return;
         }
-        mPlacement = place.get();
+        mPlacement = placement.get();
         mTriedEndpoints.add(mPlacement.endpoint().id());
         connect();
     }
 
     private void connect() {
         mAttemptId++;
-        final int dispatch = mAttemptId;
+        final int attemptId = mAttemptId;
         mExchanges
                 .connections()
                 .acquire(
                         mPlacement.endpoint(),
-                        connection -> connected(connection, dispatch),
-                        () -> connectFailed(dispatch));
+                        connection -> connected(connection, attemptId),
+                        () -> connectFailed(attemptId));
     }
 
-    private void connected(final EndpointConnection connection, final int dispatch) {
-        if (mFinished || dispatch != mAttemptId) {
+    private void connected(final EndpointConnection connection, final int attemptId) {
+        if (mFinished || attemptId != mAttemptId) {
             connection.release();
             return;
         }
@@ -152,7 +152,7 @@
         mSentAt = now();
         mTrial.attemptSent(mPlacement);
         mRelay.startAttempt();
-        final AttemptContext order =
+        final AttemptContext context =
                 new AttemptContext(
                         mPlacement.endpoint(),
                         mAdmission.customerName(),
@@ -163,7 +163,7 @@
                         Optional.ofNullable(mContinuedRun));
         mContinuedRun = null;
         connection.send(
-                mExchanges.protocol().encode(mAdmission.request(), order, mBody.readableBytes()),
+                mExchanges.protocol().encode(mAdmission.request(), context, mBody.readableBytes()),
                 mBody.retainedDuplicate(),
                 this);
         startAttemptTimeout();
@@ -174,12 +174,12 @@
         if (!route.mayRunAgain() || route.kind().isStream() || mSends >= route.maxAttempts()) {
             return;
         }
-        final int dispatch = mAttemptId;
-        mTimers.startAttemptTimeout(route, () -> attemptTimedOut(dispatch));
+        final int attemptId = mAttemptId;
+        mTimers.startAttemptTimeout(route, () -> attemptTimedOut(attemptId));
     }
 
-    private void attemptTimedOut(final int dispatch) {
-        if (mFinished || dispatch != mAttemptId || mRelay.head() != null || !acquireRetry()) {
+    private void attemptTimedOut(final int attemptId) {
+        if (mFinished || attemptId != mAttemptId || mRelay.head() != null || !acquireRetry()) {
             return;
         }
         mPlacement.load().outcome(true);
@@ -189,8 +189,8 @@
         dispatch();
     }
 
-    private void connectFailed(final int dispatch) {
-        if (mFinished || dispatch != mAttemptId) {
+    private void connectFailed(final int attemptId) {
+        if (mFinished || attemptId != mAttemptId) {
             return;
         }
         mPlacement.load().unreachable(now());
@@ -204,16 +204,16 @@
     }
 
     @Override
-    public void headReceived(final EndpointResponse answer) {
-        if (answer.isFromOtherEndpoint()) {
+    public void headReceived(final EndpointResponse response) {
+        if (response.isFromOtherEndpoint()) {
             mExchanges.state().endpoints().replacedAtAddress(mPlacement.endpoint().id());
         }
         final Optional<EndpointResponseFault> fault =
-                EndpointResponseFault.of(answer, mAdmission.request().id(), mRelay.isStarted());
+                EndpointResponseFault.of(response, mAdmission.request().id(), mRelay.isStarted());
         if (fault.isPresent()) {
             mTrial.responseRejected(fault.get().verdict());
             attemptFailed(fault.get().verdict(), fault.get().reason());
-        } else if (answer.isServerError() && mAdmission.route().mayRunAgain() && acquireRetry()) {
+        } else if (response.isServerError() && mAdmission.route().mayRunAgain() && acquireRetry()) {
             mUsage.recordRun(mSentAt);
             mTrial.answered(true);
             mRefusals.markMayHaveRun();
@@ -221,7 +221,7 @@
             endAttempt();
             dispatch();
         } else {
-            mRelay.head(answer);
+            mRelay.head(response);
         }
     }
 
@@ -256,7 +256,7 @@
             attemptFailed(Verdict.MAY_HAVE_RUN, "stream ended within an event");
             return;
         }
-        // The run may have been over before its endpoint got the order to stop it.
+        // The run may have ended before its endpoint received the order to stop it.
         cancelMove();
         mUsage.recordRun(mSentAt);
         mRelay.flush();
@@ -286,8 +286,8 @@
                 .requestLogger()
                 .attemptFailed(mAdmission, mPlacement.endpoint(), verdict, reason);
         endAttempt();
-        final boolean begun = mRelay.isStarted() || verdict != Verdict.NOT_RUN;
-        final boolean allowed = !begun || mAdmission.route().mayRunAgain();
+        final boolean mayHaveRun = mRelay.isStarted() || verdict != Verdict.NOT_RUN;
+        final boolean allowed = !mayHaveRun || mAdmission.route().mayRunAgain();
         if (allowed && acquireRetry()) {
             dispatch();
         } else {
@@ -295,20 +295,25 @@
         }
     }
 
-    /** Has the run moved in time, as its endpoint leaves before it may be over. */
+    /**
+     * Schedules the move of the run if it is at the leaving endpoint.
+     *
+     * @param endpoint the id of the leaving endpoint
+     * @param moveAfter the delay until the move
+     */
     void endpointLeaving(final String endpoint, final Duration moveAfter) {
         final boolean running = !mFinished && mPlacement != null && mConnection != null;
         if (!running || !mPlacement.endpoint().id().equals(endpoint)) {
             return;
         }
-        final int dispatch = mAttemptId;
+        final int attemptId = mAttemptId;
         mExchanges
                 .loop()
-                .schedule(() -> move(dispatch), moveAfter.toMillis(), TimeUnit.MILLISECONDS);
+                .schedule(() -> move(attemptId), moveAfter.toMillis(), TimeUnit.MILLISECONDS);
     }
 
-    private void move(final int dispatch) {
-        if (mFinished || dispatch != mAttemptId || mConnection == null || mMove != null) {
+    private void move(final int attemptId) {
+        if (mFinished || attemptId != mAttemptId || mConnection == null || mMove != null) {
             return;
         }
         if (!mRelay.isStarted()) {
@@ -319,15 +324,15 @@
     }
 
     /**
-     * Sends a request elsewhere that waits for its first token at an endpoint that is about to go,
-     * if it may run again. Its connection would stay silent: the caller would hear nothing until
-     * its deadline, as those did that waited at the last endpoints of a wave of reclaims.
+     * Sends a request that waits for its first token at a leaving endpoint to another endpoint, if
+     * it may run again. Otherwise the connection would stay silent and the caller would wait until
+     * its deadline, as happened at the last endpoints of a wave of reclaims.
      */
     private void redispatch() {
-        final boolean otherLeft =
+        final boolean hasUntriedEndpoint =
                 mExchanges.state().retryCandidates(mService, mAdmission.request().id()).stream()
                         .anyMatch(candidate -> !mTriedEndpoints.contains(candidate.id()));
-        if (otherLeft && mAdmission.route().mayRunAgain() && acquireRetry()) {
+        if (hasUntriedEndpoint && mAdmission.route().mayRunAgain() && acquireRetry()) {
             mRefusals.markMayHaveRun();
             endAttempt();
             dispatch();
@@ -360,6 +365,7 @@
         }
     }
 
+    /** Returns whether another attempt is allowed, and charges it to the retry budget if so. */
     private boolean acquireRetry() {
         return mSends < mAdmission.route().maxAttempts()
                 && timeLeft().compareTo(MIN_TIME_LEFT) > 0
@@ -367,6 +373,7 @@
                 && mExchanges.state().retryBudget().tryRetry(mService, now());
     }
 
+    /** Ends the current attempt, if any, and invalidates its pending callbacks. */
     private void endAttempt() {
         mTimers.cancelAttemptTimeout();
         if (mConnection != null) {
--- a/gateway/src/main/java/org/whinhead/gateway/exchange/ExchangeTimers.java
+++ b/gateway/src/main/java/org/whinhead/gateway/exchange/ExchangeTimers.java
@@ -6,10 +6,13 @@
 import java.util.concurrent.TimeUnit;
 import org.whinhead.serving.route.Route;
 
-/** The two timers of a request: the end of its time, and of the patience with its attempt. */
+/** The two timers of a request: its deadline and the timeout of its current attempt. */
 final class ExchangeTimers {
 
-    /** Part of the target latency after which an idempotent request is sent to another endpoint. */
+    /**
+     * The share of the target latency after which an idempotent request is sent to another
+     * endpoint.
+     */
     private static final double ATTEMPT_TIMEOUT_SHARE = 0.6;
 
     private final EventLoop mLoop;
@@ -20,28 +23,36 @@
         mLoop = loop;
     }
 
-    /** Starts the time that the whole request has; one that is over ends at once. */
+    /**
+     * Starts the deadline timer of the whole request.
+     *
+     * @param left the time left; if it is not positive, the timer fires at once
+     * @param passed called at the deadline
+     */
     void startDeadline(final Duration left, final Runnable passed) {
         mDeadline = mLoop.schedule(passed, left.toMillis(), TimeUnit.MILLISECONDS);
     }
 
     /**
-     * Starts the time that an attempt has to answer. An answer that was lost on its way shows as
-     * silence only; a request that may repeat need not wait for its deadline then.
+     * Starts the timeout of an attempt. A response that was lost on its way shows only as silence,
+     * and a request that may run again need not wait for its deadline then.
+     *
+     * @param route the route, with its target latency
+     * @param timedOut called when the attempt has timed out
      */
-    void startAttemptTimeout(final Route route, final Runnable over) {
+    void startAttemptTimeout(final Route route, final Runnable timedOut) {
         final long millis = Math.round(route.targetLatency().toMillis() * ATTEMPT_TIMEOUT_SHARE);
-        mAttemptTimeout = mLoop.schedule(over, millis, TimeUnit.MILLISECONDS);
+        mAttemptTimeout = mLoop.schedule(timedOut, millis, TimeUnit.MILLISECONDS);
     }
 
-    /** Drops the patience with an attempt that has ended. */
+    /** Cancels the timeout of an attempt that has ended. */
     void cancelAttemptTimeout() {
         if (mAttemptTimeout != null) {
             mAttemptTimeout.cancel(false);
         }
     }
 
-    /** Drops the deadline of a request that has ended. */
+    /** Cancels the deadline timer of a request that has ended. */
     void cancelDeadline() {
         mDeadline.cancel(false);
     }
--- a/gateway/src/main/java/org/whinhead/gateway/exchange/Exchanges.java
+++ b/gateway/src/main/java/org/whinhead/gateway/exchange/Exchanges.java
@@ -21,22 +21,27 @@
 import org.whinhead.serving.configuration.ServingConfiguration;
 import org.whinhead.serving.route.Route;
 
-/** Checks requests against the configuration in force and starts those that are allowed. */
+/**
+ * Checks requests against the configuration in force and starts an exchange for each allowed one.
+ */
 public final class Exchanges implements CallerRequestHandler {
 
-    /** When a caller comes back that came before this daemon knew any configuration. */
+    /** The retry delay sent to callers while this daemon has no configuration. */
     private static final Duration NO_CONFIGURATION_RETRY_AFTER = Duration.ofMillis(300);
 
-    /** How long an endpoint serves on that only says that it is leaving: the platform's least. */
+    /**
+     * The notice assumed for a leaving endpoint that states none: the platform's shortest notice.
+     */
     private static final Duration DEFAULT_NOTICE = Duration.ofMillis(2_000);
 
     /**
-     * What is kept of a notice for moving: it is read up to 0.8 s late, and the copies of a full
-     * endpoint take some 0.3 s. Most runs are over before, and need no move.
+     * The time before an endpoint's end at which its runs are moved: a notice is read up to 0.8 s
+     * late, and the copies of a full endpoint take about 0.3 s. Most runs end earlier and need no
+     * move.
      */
     private static final Duration MOVE_LEAD_TIME = Duration.ofMillis(1_400);
 
-    /** The pace at which {@link #measureLag()} must be called. */
+    /** The interval at which {@link #measureLag()} must be called. */
     public static final Duration LAG_MEASUREMENT_INTERVAL = Duration.ofMillis(200);
 
     private final EventLoop mLoop;
@@ -50,44 +55,44 @@
     private boolean mRefusesStreams;
 
     /**
-     * Makes a handler without requests.
+     * Creates a handler without requests.
      *
-     * @param loop where everything runs
+     * @param loop the event loop on which all work runs
      * @param state the decision objects
      * @param connections the connections to endpoints
-     * @param protocol how endpoints are spoken to
-     * @param journal logs what became of each request
-     * @param mover moves runs off leaving endpoints
+     * @param protocol encodes requests to endpoints
+     * @param requestLogger logs and counts the outcome of each request
+     * @param mover moves runs from leaving endpoints to other ones
      */
     public Exchanges(
             final EventLoop loop,
             final ServingState state,
             final EndpointConnections connections,
             final EndpointProtocol protocol,
-            final RequestLogger journal,
+            final RequestLogger requestLogger,
             final RunMover mover) {
         mLoop = loop;
         mState = state;
         mConnections = connections;
         mProtocol = protocol;
-        mRequestLogger = journal;
+        mRequestLogger = requestLogger;
         mMover = mover;
         mLag = new LoopLag(LAG_MEASUREMENT_INTERVAL, state.clock().instant());
     }
 
-    /** Notes that the loop runs, so that the age of what it reads is known. */
+    /** Records that the event loop runs, so that the age of the requests it reads is known. */
     public void measureLag() {
         mLag.taskRan(mState.clock().instant());
     }
 
-    /** Refuses streams from now on, as this daemon stops before they would end. */
+    /** Refuses new streams from now on, as this daemon exits before they would end. */
     public void refuseStreams() {
         mRefusesStreams = true;
     }
 
     @Override
     public ActiveRequest serve(
-            final CallerRequest request, final ByteBuf body, final CallerResponse answer) {
+            final CallerRequest request, final ByteBuf body, final CallerResponse response) {
         final Instant now = mState.clock().instant();
         final Instant arrivedAt = now.minus(mLag.lagAt(now));
         final Optional<ServingConfiguration> current = mState.configuration().current();
@@ -95,7 +100,7 @@
             return refuse(
                     request,
                     body,
-                    answer,
+                    response,
                     Refusal.notRun("no configuration yet", NO_CONFIGURATION_RETRY_AFTER));
         }
         final ServingConfiguration configuration = current.get();
@@ -104,7 +109,7 @@
             return refuse(
                     request,
                     body,
-                    answer,
+                    response,
                     Refusal.invalid(HttpResponseStatus.NOT_FOUND, "no such route"));
         }
         final Optional<CustomerAccount> customer =
@@ -114,39 +119,39 @@
             return refuse(
                     request,
                     body,
-                    answer,
+                    response,
                     Refusal.invalid(HttpResponseStatus.UNAUTHORIZED, "unknown key"));
         }
         if (mRefusesStreams && route.get().kind().isStream()) {
-            return refuse(request, body, answer, Refusal.notRun("stopping", Duration.ZERO));
+            return refuse(request, body, response, Refusal.notRun("stopping", Duration.ZERO));
         }
         if (customer.isEmpty()) {
             return start(
                     new Admission(request, route.get(), customer, Optional.empty(), arrivedAt),
                     body,
-                    answer);
+                    response);
         }
         return new PendingAdmission(
                 this,
                 new PendingAdmission.Candidate(request, route.get(), customer.get(), arrivedAt),
                 body,
-                answer);
+                response);
     }
 
-    /** Starts a request that is allowed. */
+    /** Starts the exchange of an admitted request. */
     ActiveRequest start(
-            final Admission admission, final ByteBuf body, final CallerResponse answer) {
-        final Exchange exchange = new Exchange(this, admission, body, answer);
+            final Admission admission, final ByteBuf body, final CallerResponse response) {
+        final Exchange exchange = new Exchange(this, admission, body, response);
         mRunning.add(exchange);
         exchange.start();
         return exchange;
     }
 
     /**
-     * Moves what runs at a leaving endpoint before it is gone.
+     * Schedules the moves of the runs at a leaving endpoint.
      *
      * @param endpoint the endpoint's id
-     * @param leavesIn how much longer it serves, as far as it says
+     * @param leavesIn the time for which the endpoint still serves, if it states one
      */
     public void endpointLeaving(final String endpoint, final Optional<Duration> leavesIn) {
         final Duration moveAfter = leavesIn.orElse(DEFAULT_NOTICE).minus(MOVE_LEAD_TIME);
@@ -161,11 +166,11 @@
     ActiveRequest refuse(
             final CallerRequest request,
             final ByteBuf body,
-            final CallerResponse answer,
+            final CallerResponse response,
             final Refusal refusal) {
         body.release();
         mRequestLogger.refused(request, refusal);
-        answer.refuse(refusal);
+        response.refuse(refusal);
         return new RefusedRequest();
     }
 
@@ -196,12 +201,12 @@
     private static final class RefusedRequest implements ActiveRequest {
         @Override
         public void callerDisconnected() {
-            // Nothing is under way for a request that was refused.
+            // Nothing is in progress for a refused request.
         }
 
         @Override
         public void callerCaughtUp() {
-            // The refusal was written whole.
+            // The whole refusal was written at once.
         }
     }
 }
--- a/gateway/src/main/java/org/whinhead/gateway/exchange/PendingAdmission.java
+++ b/gateway/src/main/java/org/whinhead/gateway/exchange/PendingAdmission.java
@@ -13,7 +13,7 @@
 import org.whinhead.serving.quota.TokenSpend;
 import org.whinhead.serving.route.Route;
 
-/** A request whose customer's tokens are being claimed, and what it becomes. */
+/** A request that waits for its customer's tokens and is then started or refused. */
 final class PendingAdmission implements CallerRequestHandler.ActiveRequest, TokenClaimListener {
 
     private final Exchanges mExchanges;
@@ -28,20 +28,20 @@
     /**
      * Claims the tokens of a request.
      *
-     * @param exchanges starts or refuses it
+     * @param exchanges starts or refuses the request
      * @param candidate the request
-     * @param body its body, released if the request is not started
-     * @param answer takes the answer
+     * @param body the body, which is released if the request is not started
+     * @param response receives the response
      */
     PendingAdmission(
             final Exchanges exchanges,
             final Candidate candidate,
             final ByteBuf body,
-            final CallerResponse answer) {
+            final CallerResponse response) {
         mExchanges = exchanges;
         mCandidate = candidate;
         mBody = body;
-        mResponse = answer;
+        mResponse = response;
         mTokens =
                 candidate.request().tokens().orElse(candidate.customer().allowance().plainTokens());
         mCancel =
@@ -56,12 +56,12 @@
     }
 
     /**
-     * A request that the configuration allows.
+     * A request that the configuration allows and whose tokens are not claimed yet.
      *
      * @param request the request
      * @param route its route
-     * @param customer the customer that pays for it
-     * @param arrivedAt the earliest time at which it can have come whole
+     * @param customer the customer that is charged
+     * @param arrivedAt the earliest time at which the whole request may have arrived
      */
     record Candidate(
             CallerRequest request, Route route, CustomerAccount customer, Instant arrivedAt) {}
@@ -80,16 +80,16 @@
     }
 
     @Override
-    public void overAllowance(final Duration comeBackAfter) {
+    public void overAllowance(final Duration retryAfter) {
         mExchanges
                 .requestLogger()
-                .overAllowance(mCandidate.request(), mCandidate.customer(), mTokens, comeBackAfter);
-        refuse(Refusal.overAllowance(comeBackAfter));
+                .overAllowance(mCandidate.request(), mCandidate.customer(), mTokens, retryAfter);
+        refuse(Refusal.overAllowance(retryAfter));
     }
 
     @Override
-    public void unknown(final Duration comeBackAfter) {
-        refuse(Refusal.notRun("allowance not known", comeBackAfter));
+    public void unknown(final Duration retryAfter) {
+        refuse(Refusal.notRun("allowance not known", retryAfter));
     }
 
     private void refuse(final Refusal refusal) {
--- a/gateway/src/main/java/org/whinhead/gateway/exchange/RefusalFactory.java
+++ b/gateway/src/main/java/org/whinhead/gateway/exchange/RefusalFactory.java
@@ -3,13 +3,13 @@
 import java.time.Duration;
 import org.whinhead.gateway.caller.Refusal;
 
-/** What a caller is told of a request that got no answer, by whether the request may have run. */
+/** Creates the refusal of a request without a response, by whether the request may have run. */
 final class RefusalFactory {
 
-    /** Longest time after which a caller with a request that did not run is asked to come back. */
+    /** The upper limit of the retry delay sent to callers whose request did not run. */
     private static final Duration MAX_RETRY_AFTER = Duration.ofMillis(300);
 
-    /** Part of the caller's remaining time that it should wait before it comes back. */
+    /** The retry delay is the caller's remaining time divided by this. */
     private static final int RETRY_AFTER_DIVISOR = 12;
 
     private final ServingState mState;
@@ -21,16 +21,16 @@
         mAdmission = admission;
     }
 
-    /** Notes that the request may have run, or be running; that can't be taken back. */
+    /** Records that the request may have run or be running; this is final. */
     void markMayHaveRun() {
         mMayHaveRun = true;
     }
 
     /**
-     * Refuses a request for which nothing more is tried. One that did not run costs its customer
-     * nothing.
+     * Returns the refusal of a request that is not tried any further. If the request did not run,
+     * its customer gets the tokens back.
      *
-     * @param reason what is logged and told
+     * @param reason the reason for the log and the caller
      */
     Refusal givenUpRefusal(final String reason) {
         if (mMayHaveRun) {
@@ -41,9 +41,9 @@
     }
 
     /**
-     * Refuses a request whose time is up.
+     * Returns the refusal of a request whose deadline has passed.
      *
-     * @param reason what is logged and told
+     * @param reason the reason for the log and the caller
      */
     Refusal timeoutRefusal(final String reason) {
         return mMayHaveRun ? Refusal.timedOut() : givenUpRefusal(reason);
--- a/gateway/src/main/java/org/whinhead/gateway/exchange/RequestLogger.java
+++ b/gateway/src/main/java/org/whinhead/gateway/exchange/RequestLogger.java
@@ -13,7 +13,9 @@
 import org.whinhead.serving.configuration.CustomerAccount;
 import org.whinhead.serving.endpoint.EndpointEntry;
 
-/** Logs one line for each decision about a request, with the request's id. */
+/**
+ * Logs one line for each decision about a request, with the request's id, and counts the decisions.
+ */
 public final class RequestLogger {
 
     private static final Logger LOG = LoggerFactory.getLogger(RequestLogger.class);
@@ -22,10 +24,10 @@
     private final RequestCounts mCounts;
 
     /**
-     * Makes a journal.
+     * Creates a logger.
      *
-     * @param clock the steady clock
-     * @param counts counts what is logged
+     * @param clock the monotonic clock
+     * @param counts the counters of the metrics
      */
     public RequestLogger(final InstantSource clock, final RequestCounts counts) {
         mClock = clock;
@@ -49,12 +51,12 @@
             final CallerRequest request,
             final CustomerAccount customer,
             final long tokens,
-            final Duration comeBackAfter) {
+            final Duration retryAfter) {
         LOG.atInfo()
                 .addKeyValue("request", request.id())
                 .addKeyValue("customer", customer.name())
                 .addKeyValue("tokens", tokens)
-                .addKeyValue("comeBackAfter", comeBackAfter)
+                .addKeyValue("comeBackAfter", retryAfter)
                 .addKeyValue("ratePerSecond", customer.allowance().tokensPerSecond())
                 .addKeyValue("burst", customer.allowance().burstTokens())
                 .log("customer is over its allowance");
--- a/gateway/src/main/java/org/whinhead/gateway/exchange/ResponseRelay.java
+++ b/gateway/src/main/java/org/whinhead/gateway/exchange/ResponseRelay.java
@@ -8,15 +8,15 @@
 import org.whinhead.gateway.endpoint.EndpointResponse;
 
 /**
- * Passes endpoints' answers on to the caller of one request.
+ * Forwards the responses of endpoints to the caller of one request.
  *
- * <p>Of a stream only whole events are passed, each once, whichever endpoints they come from.
- * Another answer is kept until it is whole, so that a broken one can still be replaced by a second
- * attempt.
+ * <p>Of a stream only whole events are forwarded, each once, even if several endpoints send them.
+ * Any other response is buffered until it is complete, so that a second attempt can replace a
+ * broken one.
  */
 final class ResponseRelay {
 
-    /** Answers up to this size are kept until they are whole. */
+    /** Responses up to this size are buffered until they are complete. */
     private static final int MAX_BUFFERED_BYTES = 256 * 1024;
 
     private final CallerResponse mResponse;
@@ -30,27 +30,30 @@
     private boolean mReleased;
 
     ResponseRelay(
-            final CallerResponse answer,
+            final CallerResponse response,
             final boolean streamRoute,
-            final Optional<String> lastEvent,
+            final Optional<String> lastEventId,
             final ProgressListener progress) {
-        mResponse = answer;
+        mResponse = response;
         mStreamRoute = streamRoute;
-        mLastEventId = lastEvent;
+        mLastEventId = lastEventId;
         mProgress = progress;
     }
 
-    /** Hears how the answer gets on. */
+    /** Receives the progress of the response. */
     interface ProgressListener {
 
-        /** An event is about to be passed: the endpoint has read the prompt and is generating. */
+        /**
+         * Called before each event is forwarded; the endpoint has processed the prompt and
+         * generates tokens.
+         */
         void generationStarted();
 
-        /** The caller doesn't keep up. */
+        /** Called when the caller reads more slowly than the endpoint sends. */
         void callerLagging();
     }
 
-    /** Forgets what was not passed on of an attempt's answer. */
+    /** Discards the unforwarded part of the previous attempt's response. */
     void startAttempt() {
         mHead = null;
         mBuffered.clear();
@@ -61,7 +64,7 @@
         mHead = head;
     }
 
-    /** The head of the attempt's answer; null before it has come. */
+    /** Returns the head of the attempt's response, or null before it is received. */
     EndpointResponse head() {
         return mHead;
     }
@@ -114,7 +117,10 @@
         }
     }
 
-    /** Tells whether an event comes behind another one; ids that are no numbers are taken to. */
+    /**
+     * Returns whether an event follows the last forwarded one. An id that is not a number follows
+     * any other id.
+     */
     private static boolean isAfter(final String id, final String last) {
         try {
             return Long.parseLong(id) > Long.parseLong(last);
@@ -146,12 +152,12 @@
         }
     }
 
-    /** Tells whether an answer that has ended is whole: a stream must not end within an event. */
+    /** Returns whether an ended response is complete: a stream must not end within an event. */
     boolean isWhole() {
         return !isStream() || mEvents.pendingBytes() == 0;
     }
 
-    /** Passes the rest of a whole answer. */
+    /** Forwards the buffered rest of a complete response. */
     void flush() {
         forwardBuffered();
     }
--- a/gateway/src/main/java/org/whinhead/gateway/exchange/RunMove.java
+++ b/gateway/src/main/java/org/whinhead/gateway/exchange/RunMove.java
@@ -10,14 +10,14 @@
 import org.whinhead.serving.balance.Placement;
 
 /**
- * A run on its way from a leaving endpoint to another one.
+ * The move of a run from a leaving endpoint to another one.
  *
- * <p>It goes on only once two things have come: the source's answer, and the end of the source's
- * stream, whose last events may still be on the way when the answer is there.
+ * <p>The run continues only after both the source's reply and the end of the source's stream, since
+ * the last events of the stream may arrive after the reply.
  */
 final class RunMove {
 
-    /** How long the last events of a stopped run may take behind the answer that it was stopped. */
+    /** The time for which the last events of a stopped run are awaited after the source's reply. */
     private static final Duration STREAM_END_TIMEOUT = Duration.ofMillis(150);
 
     private final Exchanges mExchanges;
@@ -43,17 +43,29 @@
         mListener = owner;
     }
 
-    /** Whose run is moved. */
+    /** Receives the outcome of the move. */
     interface Listener {
 
-        /** The run was stopped and can go on. */
+        /**
+         * Called when the run was stopped and can continue.
+         *
+         * @param at the placement at which it continues
+         * @param run the stopped run
+         */
         void runMoved(Placement at, MovedRun run);
 
-        /** The run was not stopped, or nobody knows; its stream has ended or may still go on. */
+        /**
+         * Called when the run was not stopped, or when that is unknown.
+         *
+         * @param streamEnded whether the source's stream has ended; if not, it may continue
+         */
         void moveFailed(boolean streamEnded);
     }
 
-    /** Starts to move a run, if there is another endpoint and a retry left for it. */
+    /**
+     * Starts to move a run; returns empty if there is no other endpoint or no retry left in the
+     * budget.
+     */
     static Optional<RunMove> start(
             final Exchanges exchanges,
             final Admission admission,
@@ -96,7 +108,7 @@
             return;
         }
         mRun = outcome.run().get();
-        // Without a copy only the source, which has stopped the run, can go on with it.
+        // Without a copy, only the source, which has stopped the run, can continue it.
         mContinueAt = outcome.copied() ? mTarget : mSource;
         if (mStreamEnded) {
             complete();
@@ -107,7 +119,7 @@
         }
     }
 
-    /** Notes that the source's stream has ended. */
+    /** Records that the source's stream has ended. */
     void streamEnded() {
         mStreamEnded = true;
         if (mRun != null) {
@@ -122,7 +134,7 @@
         }
     }
 
-    /** Gives the move up. */
+    /** Cancels the move; the listener is not called any more. */
     void cancel() {
         mFinished = true;
         mTarget.ended();
--- a/gateway/src/main/java/org/whinhead/gateway/exchange/ServingState.java
+++ b/gateway/src/main/java/org/whinhead/gateway/exchange/ServingState.java
@@ -18,12 +18,12 @@
 import org.whinhead.serving.usage.UsageLedger;
 import org.whinhead.serving.usage.UsageWindows;
 
-/** The decision objects of a daemon; all are used on its event loop only. */
+/** The decision objects of a daemon, all of which are used on its event loop only. */
 public final class ServingState {
 
     /**
-     * Tokens in a millisecond from which engines are taken to copy a prompt faster than they read
-     * it: twice what the fastest known one reads.
+     * The copy rate above which engines are assumed to copy a prompt faster than they process it:
+     * twice the rate at which the fastest known engine processes prompts.
      */
     private static final double MIN_COPY_TOKENS_PER_MILLISECOND = 100;
 
@@ -53,9 +53,9 @@
     }
 
     /**
-     * Starts a state.
+     * Returns a builder of a state.
      *
-     * @return a builder
+     * @return a builder without any parts
      */
     public static Builder builder() {
         return new Builder();
@@ -70,7 +70,7 @@
     }
 
     /**
-     * Returns the present by both clocks.
+     * Returns the current time of both clocks.
      *
      * @return the moment
      */
@@ -79,9 +79,9 @@
     }
 
     /**
-     * Returns the clock by which usage is counted.
+     * Returns the clock that assigns usage to windows.
      *
-     * @return the time of day that the daemons agree on
+     * @return the time of day on which the daemons agree
      */
     public FleetClock usageClock() {
         return mUsageClock;
@@ -92,11 +92,11 @@
     }
 
     /**
-     * Tells whether a service's endpoints copy cached prompts from each other faster than they read
-     * them.
+     * Returns whether a service's endpoints copy cached prompts from each other faster than they
+     * process them.
      *
      * @param service the service
-     * @return whether a request may name an endpoint to copy from
+     * @return true if a request may name an endpoint to copy the prompt from
      */
     boolean canCopyPrompts(final String service) {
         return mConfiguration
@@ -116,12 +116,12 @@
     }
 
     /**
-     * Lists the endpoints that may get a request.
+     * Returns the endpoints to which a request may be sent.
      *
-     * @param service its service
-     * @param route its route
-     * @param requestId its id
-     * @param repeated whether it was sent before
+     * @param service the name of the request's service
+     * @param route the name of the request's route
+     * @param requestId the request's id
+     * @param repeated whether the request was sent before
      * @return the endpoints
      */
     List<EndpointEntry> candidates(
@@ -135,10 +135,10 @@
     }
 
     /**
-     * Lists the endpoints that may get a request which was sent before.
+     * Returns the endpoints to which a request may be sent again.
      *
-     * @param service its service
-     * @param requestId its id
+     * @param service the name of the request's service
+     * @param requestId the request's id
      * @return the endpoints
      */
     List<EndpointEntry> retryCandidates(final String service, final String requestId) {
@@ -152,7 +152,7 @@
     }
 
     /**
-     * Finds the endpoints that leave and still serve.
+     * Returns the leaving endpoints that still serve.
      *
      * @return the endpoints
      */
@@ -180,7 +180,7 @@
         return mUsageWindows;
     }
 
-    /** Collects the parts of a state. */
+    /** Builds a {@link ServingState}. */
     public static final class Builder {
 
         private InstantSource mClock;
@@ -197,7 +197,7 @@
         /**
          * Sets the clocks.
          *
-         * @param clock the steady clock
+         * @param clock the monotonic clock
          * @param timeOfDay the time of day
          * @return this builder
          */
@@ -208,7 +208,7 @@
         }
 
         /**
-         * Sets the choice of endpoints.
+         * Sets the load balancer that chooses endpoints.
          *
          * @param chooser the chooser
          * @return this builder
@@ -219,10 +219,10 @@
         }
 
         /**
-         * Sets the limits.
+         * Sets the quotas of customers and the retry budget.
          *
-         * @param quotas what customers may spend
-         * @param retryBudget what retries may add
+         * @param quotas the token quotas of customers
+         * @param retryBudget the limit on the load that retries add
          * @return this builder
          */
         public Builder limits(final CustomerQuotas quotas, final RetryBudget retryBudget) {
@@ -232,10 +232,10 @@
         }
 
         /**
-         * Sets where usage is counted.
+         * Sets the counters of usage.
          *
-         * @param usage the counts
-         * @param windows the windows
+         * @param usage the counts of started requests per customer
+         * @param windows the windows in which usage is counted
          * @return this builder
          */
         public Builder usage(final UsageLedger usage, final UsageWindows windows) {
@@ -245,9 +245,9 @@
         }
 
         /**
-         * Sets whether there are roll-outs in this deployment.
+         * Sets whether this deployment has roll-outs.
          *
-         * @param inForce whether there are
+         * @param inForce true if it has roll-outs
          * @return this builder
          */
         public Builder rollouts(final boolean inForce) {
@@ -256,9 +256,10 @@
         }
 
         /**
-         * Makes the state.
+         * Creates the state.
          *
          * @return the state
+         * @throws NullPointerException if a part is missing
          */
         public ServingState build() {
             return new ServingState(this);
--- a/gateway/src/main/java/org/whinhead/gateway/exchange/TrialRecorder.java
+++ b/gateway/src/main/java/org/whinhead/gateway/exchange/TrialRecorder.java
@@ -9,7 +9,10 @@
 import org.whinhead.serving.rollout.Trial;
 import org.whinhead.serving.route.Route;
 
-/** Tells a roll-out what became of one request's sends, as far as that speaks of a version. */
+/**
+ * Reports the outcomes of one request's attempts to the roll-out, as far as they depend on the
+ * version.
+ */
 final class TrialRecorder {
 
     private final ServingState mState;
@@ -30,14 +33,14 @@
     }
 
     /**
-     * Notes a stream's first token. The time that reading its prompt takes is taken off: endpoints
-     * that have just been started have no prompt cached, at any version.
+     * Records a stream's first token. The expected time to process the prompt is subtracted, since
+     * endpoints that were just started have no prompts cached, whatever their version.
      */
     void firstToken() {
         recordLatency(elapsed().minus(mExpectedPromptTime));
     }
 
-    /** Notes a whole answer. */
+    /** Records a complete response. */
     void answered(final boolean failure) {
         if (failure) {
             mTrial.ifPresent(Trial::failed);
@@ -46,28 +49,31 @@
         }
     }
 
-    /** Notes an answer that can't go to the caller. */
+    /** Records a response that can't be forwarded to the caller. */
     void responseRejected(final Verdict verdict) {
         if (verdict != Verdict.NOT_RUN) {
             mTrial.ifPresent(Trial::failed);
         }
     }
 
-    /** Notes the end of a connection; only bytes that are no answer speak of the version. */
+    /** Records the loss of a connection; only bytes that are not HTTP count against the version. */
     void connectionFailed(final EndpointFailure failure) {
         if (failure == EndpointFailure.NOT_HTTP) {
             mTrial.ifPresent(Trial::failed);
         }
     }
 
-    /** Notes that nobody waits any longer for an answer that should have come by now. */
+    /**
+     * Records that a response is no longer awaited; it counts as late if the target latency has
+     * passed.
+     */
     void attemptAbandoned() {
         if (mSentAt != null && elapsed().compareTo(mRoute.targetLatency()) > 0) {
             recordLatency(elapsed());
         }
     }
 
-    /** Notes that the endpoint no longer works on the request; what comes later is not its own. */
+    /** Records that the attempt has ended; later outcomes are not the endpoint's. */
     void attemptEnded() {
         mTrial = Optional.empty();
     }
--- a/gateway/src/main/java/org/whinhead/gateway/exchange/UsageRecorder.java
+++ b/gateway/src/main/java/org/whinhead/gateway/exchange/UsageRecorder.java
@@ -3,7 +3,7 @@
 import java.time.Duration;
 import java.time.Instant;
 
-/** Counts one request as used, once, in the window in which it began to run. */
+/** Counts the usage of one request, once, in the window in which the request began to run. */
 final class UsageRecorder {
 
     private final ServingState mState;
@@ -16,9 +16,9 @@
     }
 
     /**
-     * Notes that the request has run, or is running.
+     * Records that the request has run or is running.
      *
-     * @param sentAt when it was sent to the endpoint that shows it
+     * @param sentAt the time at which it was sent to the endpoint that ran it
      */
     void recordRun(final Instant sentAt) {
         if (mCounted) {
@@ -26,7 +26,8 @@
         }
         mCounted = true;
         final Instant now = mState.usageClock().instant();
-        // A stream begins with its first event, which is here; another request when it is sent.
+        // A stream begins with its first event, which has just arrived; any other request when it
+        // is sent.
         final Instant began =
                 mAdmission.route().kind().isStream()
                         ? now
--- a/gateway/src/main/java/org/whinhead/gateway/exchange/package-info.java
+++ b/gateway/src/main/java/org/whinhead/gateway/exchange/package-info.java
@@ -1,2 +1,5 @@
-/** The life of a request: from a caller, to one endpoint or several, and back. */
+/**
+ * Request handling: admission, attempts at one or several endpoints, and the response to the
+ * caller.
+ */
 package org.whinhead.gateway.exchange;
--- a/gateway/src/main/java/org/whinhead/gateway/http/CallFailedException.java
+++ b/gateway/src/main/java/org/whinhead/gateway/http/CallFailedException.java
@@ -2,15 +2,15 @@
 
 import java.io.IOException;
 
-/** A call got no answer; whether it was carried out is unknown. */
+/** Thrown when a call got no response; it is unknown whether the server executed it. */
 public final class CallFailedException extends IOException {
 
     private static final long serialVersionUID = 1L;
 
     /**
-     * Makes the exception.
+     * Creates the exception.
      *
-     * @param message what happened
+     * @param message the cause
      */
     public CallFailedException(final String message) {
         super(message);
--- a/gateway/src/main/java/org/whinhead/gateway/http/EventLoopHttpClient.java
+++ b/gateway/src/main/java/org/whinhead/gateway/http/EventLoopHttpClient.java
@@ -27,10 +27,10 @@
 import java.util.concurrent.TimeUnit;
 
 /**
- * Makes calls to one server, each on a connection of its own while it lasts.
+ * An HTTP client for one server, in which each call in progress has its own connection.
  *
- * <p>A connection whose answer was lost never carries another one, so a call that fails or times
- * out closes its connection. All of it runs on one event loop, which also completes the futures.
+ * <p>A late response must not be received by a later call, so a call that fails or times out closes
+ * its connection. All work runs on one event loop, which also completes the futures.
  */
 public final class EventLoopHttpClient {
 
@@ -42,9 +42,9 @@
     private final Deque<Channel> mIdle = new ArrayDeque<>();
 
     /**
-     * Makes a caller without a connection.
+     * Creates a client without connections.
      *
-     * @param loop where everything runs
+     * @param loop the event loop on which all work runs
      * @param server the server's address
      */
     public EventLoopHttpClient(final EventLoop loop, final InetSocketAddress server) {
@@ -53,16 +53,19 @@
     }
 
     /**
-     * Makes a call; to be called on the event loop.
+     * Starts a call. Must be called on the event loop.
      *
      * @param call the call
-     * @return the answer, or a {@link CallFailedException}
+     * @return the response; the future fails with a {@link CallFailedException} if there is none in
+     *     time
      */
     public CompletableFuture<HttpReply> call(final HttpCall call) {
         final PendingCall pending = new PendingCall(call);
         final Future<?> timeout =
                 mLoop.schedule(
-                        () -> pending.fail("no answer in " + call.timeout().toMillis() + " ms"),
+                        () ->
+                                pending.fail(
+                                        "no response within " + call.timeout().toMillis() + " ms"),
                         call.timeout().toMillis(),
                         TimeUnit.MILLISECONDS);
         pending.mReply.whenComplete((reply, failure) -> timeout.cancel(false));
@@ -97,7 +100,7 @@
                     if (future.isSuccess()) {
                         send(connected.channel(), pending);
                     } else {
-                        pending.fail("no connection: " + future.cause());
+                        pending.fail("connect failed: " + future.cause());
                     }
                 });
     }
@@ -196,7 +199,7 @@
         @Override
         public void exceptionCaught(final ChannelHandlerContext context, final Throwable cause) {
             if (mPending != null) {
-                mPending.fail("connection broke: " + cause);
+                mPending.fail("connection lost: " + cause);
             }
             context.close();
         }
--- a/gateway/src/main/java/org/whinhead/gateway/http/HttpCall.java
+++ b/gateway/src/main/java/org/whinhead/gateway/http/HttpCall.java
@@ -5,7 +5,7 @@
 import java.util.Map;
 import java.util.Objects;
 
-/** A call to be made: immutable, made by its builder. */
+/** An immutable HTTP request with its timeout. */
 public final class HttpCall {
 
     private final HttpMethod mMethod;
@@ -23,10 +23,10 @@
     }
 
     /**
-     * Starts a call.
+     * Returns a builder of a call.
      *
-     * @param method its method
-     * @param target its path and query
+     * @param method the method
+     * @param target the path and query
      * @return a builder without headers and body
      */
     public static Builder builder(final HttpMethod method, final String target) {
@@ -53,7 +53,7 @@
         return mTimeout;
     }
 
-    /** Collects the parts of a call. */
+    /** Builds an {@link HttpCall}. */
     public static final class Builder {
 
         private final HttpMethod mMethod;
@@ -70,8 +70,8 @@
         /**
          * Adds a header.
          *
-         * @param name its name
-         * @param value its value
+         * @param name the name
+         * @param value the value
          * @return this builder
          */
         public Builder header(final String name, final String value) {
@@ -82,7 +82,7 @@
         /**
          * Sets the body.
          *
-         * @param body its bytes
+         * @param body the bytes, which are copied
          * @return this builder
          */
         public Builder body(final byte[] body) {
@@ -91,9 +91,9 @@
         }
 
         /**
-         * Sets how long the answer is waited for.
+         * Sets the time limit of the call.
          *
-         * @param timeout the time, connecting included
+         * @param timeout the time from the call to the complete response, including the connect
          * @return this builder
          */
         public Builder timeout(final Duration timeout) {
@@ -102,9 +102,10 @@
         }
 
         /**
-         * Makes the call.
+         * Creates the call.
          *
          * @return the call
+         * @throws NullPointerException if no timeout was set
          */
         public HttpCall build() {
             return new HttpCall(this);
--- a/gateway/src/main/java/org/whinhead/gateway/http/HttpReply.java
+++ b/gateway/src/main/java/org/whinhead/gateway/http/HttpReply.java
@@ -2,7 +2,7 @@
 
 import java.util.Objects;
 
-/** A whole answer of a call. */
+/** The complete response to a call. */
 public final class HttpReply {
 
     private static final int SUCCESS = 200;
@@ -11,10 +11,10 @@
     private final byte[] mBody;
 
     /**
-     * Makes an answer.
+     * Creates a response.
      *
-     * @param status its status code
-     * @param body its body
+     * @param status the HTTP status code
+     * @param body the body, which is copied
      */
     public HttpReply(final int status, final byte[] body) {
         mStatus = status;
@@ -26,18 +26,18 @@
     }
 
     /**
-     * Tells whether the call was carried out.
+     * Returns whether the server executed the call.
      *
-     * @return whether the status is 200
+     * @return true if the status is 200
      */
     public boolean isSuccess() {
         return mStatus == SUCCESS;
     }
 
     /**
-     * Copies the body.
+     * Returns a copy of the body.
      *
-     * @return its bytes
+     * @return the bytes of the body
      */
     public byte[] body() {
         return mBody.clone();
--- a/gateway/src/main/java/org/whinhead/gateway/http/SimpleHttpServer.java
+++ b/gateway/src/main/java/org/whinhead/gateway/http/SimpleHttpServer.java
@@ -25,33 +25,33 @@
 import org.slf4j.Logger;
 import org.slf4j.LoggerFactory;
 
-/** Answers small calls from memory: readiness, addresses, metrics. */
+/** Serves small responses from memory: readiness, directory and metrics. */
 public final class SimpleHttpServer {
 
     private static final Logger LOG = LoggerFactory.getLogger(SimpleHttpServer.class);
 
     private static final int MAX_REQUEST_BYTES = 64 * 1024;
 
-    /** A connection without a call for this long is closed. */
+    /** The idle time after which a connection is closed. */
     private static final int IDLE_SECONDS = 30;
 
     private final EventLoop mLoop;
 
     /**
-     * Makes a server that listens nowhere yet.
+     * Creates a server that does not listen yet.
      *
-     * @param loop where everything runs
+     * @param loop the event loop on which all work runs
      */
     public SimpleHttpServer(final EventLoop loop) {
         mLoop = loop;
     }
 
     /**
-     * Starts to listen.
+     * Starts to listen at an address.
      *
-     * @param address where
-     * @param type the content type of the answers
-     * @param answer makes the answer to a path and query
+     * @param address the address to listen at
+     * @param type the content type of the responses
+     * @param answer returns the response to a path and query
      * @return the listening channel
      */
     public Channel listen(
@@ -77,7 +77,10 @@
                 .channel();
     }
 
-    /** A daemon whose port is taken goes on; without a line nobody would know why it is silent. */
+    /**
+     * Logs a failed bind. A daemon whose port is in use keeps running, and without this line the
+     * cause of its silence would be unknown.
+     */
     private static void logFailure(final InetSocketAddress address, final Throwable cause) {
         if (cause != null) {
             LOG.atError()
--- a/gateway/src/main/java/org/whinhead/gateway/http/package-info.java
+++ b/gateway/src/main/java/org/whinhead/gateway/http/package-info.java
@@ -1,2 +1,2 @@
-/** Plain HTTP calls and answers that fit into memory. */
+/** HTTP client and server for messages that fit into memory. */
 package org.whinhead.gateway.http;
--- a/gateway/src/main/java/org/whinhead/gateway/package-info.java
+++ b/gateway/src/main/java/org/whinhead/gateway/package-info.java
@@ -1,2 +1,5 @@
-/** The serving path's input and output: callers, endpoints, the store and other daemons. */
+/**
+ * The network side of the serving path: connections to callers, endpoints, the store and other
+ * daemons.
+ */
 package org.whinhead.gateway;
--- a/gateway/src/main/java/org/whinhead/gateway/time/LoopLag.java
+++ b/gateway/src/main/java/org/whinhead/gateway/time/LoopLag.java
@@ -4,11 +4,11 @@
 import java.time.Instant;
 
 /**
- * How far an event loop is behind, by the lateness of a task that it should run at a steady pace.
+ * Measures the lag of an event loop by the lateness of a periodic task.
  *
- * <p>On a small part of a core a loop may stand for a second while requests wait unread in their
- * sockets. What it reads then may be as old as it is late. A request whose time is counted from its
- * reading goes on to an endpoint after its caller has given up.
+ * <p>On a small share of a core a loop may stall for a second while requests wait unread in their
+ * sockets, so a request may be as old as the loop is late when it is read. If its deadline were
+ * counted from the read, it would be sent to an endpoint after its caller has given up.
  */
 public final class LoopLag {
 
@@ -18,10 +18,10 @@
     private Duration mLag = Duration.ZERO;
 
     /**
-     * Makes a measure of a loop that is in time.
+     * Creates a measurement of a loop without lag.
      *
-     * @param interval the pace of the task
-     * @param now the time
+     * @param interval the interval of the periodic task
+     * @param now the current time
      */
     public LoopLag(final Duration interval, final Instant now) {
         mInterval = interval;
@@ -30,9 +30,9 @@
     }
 
     /**
-     * Notes that the task runs.
+     * Records a run of the periodic task.
      *
-     * @param now the time
+     * @param now the current time
      */
     public void taskRan(final Instant now) {
         mLag = lateness(now);
@@ -41,10 +41,11 @@
     }
 
     /**
-     * Tells how old what is read now may be.
+     * Returns the greatest age that a request read now may have.
      *
-     * @param now the time
-     * @return how late the task is, or was if it has just run; zero while the loop is in time
+     * @param now the current time
+     * @return the lateness of the task, or of its last run if that is recent and was later; zero
+     *     without lag
      */
     public Duration lagAt(final Instant now) {
         final Duration overdue = lateness(now);
--- a/gateway/src/main/java/org/whinhead/gateway/time/MonotonicClock.java
+++ b/gateway/src/main/java/org/whinhead/gateway/time/MonotonicClock.java
@@ -4,9 +4,9 @@
 import java.time.InstantSource;
 
 /**
- * A clock that never jumps: it starts at the time of day and then follows the steady timer.
+ * A monotonic clock: it starts at the time of day and then follows {@link System#nanoTime()}.
  *
- * <p>Timeouts and sliding windows use it, since the time of day may be set back or ahead on a VM.
+ * <p>Timeouts and sliding windows use it, since the time of day may be set back or forward on a VM.
  */
 public final class MonotonicClock implements InstantSource {
 
@@ -14,9 +14,9 @@
     private final long mStartNanos;
 
     /**
-     * Starts the clock.
+     * Creates a clock that starts now.
      *
-     * @param timeOfDay the time of day, read once
+     * @param timeOfDay the time of day, which is read once
      */
     public MonotonicClock(final InstantSource timeOfDay) {
         mStart = timeOfDay.instant();
--- a/gateway/src/main/java/org/whinhead/gateway/time/package-info.java
+++ b/gateway/src/main/java/org/whinhead/gateway/time/package-info.java
@@ -1,2 +1,2 @@
-/** Clocks of a running daemon. */
+/** The monotonic clock and the event loop's lag. */
 package org.whinhead.gateway.time;
--- a/gateway/src/test/java/org/whinhead/gateway/caller/CallerConnectionTest.java
+++ b/gateway/src/test/java/org/whinhead/gateway/caller/CallerConnectionTest.java
@@ -25,20 +25,20 @@
             new CallerLimits(512, 64, Duration.ofSeconds(3), Duration.ofSeconds(15));
 
     private final List<String> mServed = new ArrayList<>();
-    private final List<CallerResponse> mAnswers = new ArrayList<>();
-    private int mLeft;
-    private CallerHttpServer mListener;
+    private final List<CallerResponse> mResponses = new ArrayList<>();
+    private int mDisconnects;
+    private CallerHttpServer mServer;
     private EmbeddedChannel mChannel;
 
     @BeforeEach
     void connect() {
-        mListener =
+        mServer =
                 new CallerHttpServer(null, CallerConnectionTest::decode, this::serve, () -> LIMITS);
         mChannel =
                 new EmbeddedChannel(
                         new StrictRequestDecoder(LIMITS.maxHeaderBytes()),
                         new HttpResponseEncoder(),
-                        new CallerConnection(mListener));
+                        new CallerConnection(mServer));
     }
 
     private static CallerRequest decode(final HttpRequest head) throws BadRequestException {
@@ -53,14 +53,14 @@
     }
 
     private CallerRequestHandler.ActiveRequest serve(
-            final CallerRequest request, final ByteBuf body, final CallerResponse answer) {
+            final CallerRequest request, final ByteBuf body, final CallerResponse response) {
         mServed.add(request.id() + ":" + body.toString(StandardCharsets.UTF_8));
         body.release();
-        mAnswers.add(answer);
+        mResponses.add(response);
         return new CallerRequestHandler.ActiveRequest() {
             @Override
             public void callerDisconnected() {
-                mLeft++;
+                mDisconnects++;
             }
 
             @Override
@@ -100,18 +100,18 @@
     }
 
     @Test
-    void requestsOfOneConnectionAreServedInTurn() {
+    void pipelinedRequestsAreServedOneAfterTheOther() {
         send("POST /a HTTP/1.1\r\nHost: h\r\nId: 1\r\nContent-Length: 2\r\n\r\nxy");
         send("GET /b HTTP/1.1\r\nHost: h\r\nId: 2\r\n\r\n");
         assertThat(mServed).containsExactly("1:xy");
-        mAnswers.get(0).start(success());
-        mAnswers.get(0).finish();
+        mResponses.get(0).start(success());
+        mResponses.get(0).finish();
         assertThat(received()).startsWith("HTTP/1.1 200 OK").endsWith("0\r\n\r\n");
         assertThat(mServed).containsExactly("1:xy", "2:");
     }
 
     @Test
-    void bodyInChunksIsReadWhole() {
+    void chunkedBodyIsServedOnceComplete() {
         send(
                 "POST /a HTTP/1.1\r\n"
                         + "Host: h\r\n"
@@ -124,11 +124,12 @@
         assertThat(mServed).containsExactly("1:xyz");
     }
 
-    // A server runs a request that no caller has sent. It was hidden in the body of another one
-    // that
-    // states both a length and chunks, and the two ends of the connection cut it differently.
+    // Guards against request smuggling: a request states both a length and chunked encoding, the
+    // two
+    // ends of the connection delimit its body differently, and a request that is hidden in the body
+    // runs although no caller sent it.
     @Test
-    void requestWithLengthAndChunksIsRefused() {
+    void requestWithLengthAndChunkedEncodingIsRefused() {
         send(
                 "POST /a HTTP/1.1\r\nHost: h\r\nId: 1\r\nContent-Length: 4\r\n"
                         + "Transfer-Encoding: chunked\r\n\r\n0\r\n\r\n"
@@ -153,7 +154,7 @@
     }
 
     @Test
-    void brokenChunksAreRefused() {
+    void malformedChunkIsRefused() {
         send(
                 "POST /a HTTP/1.1\r\n"
                         + "Host: h\r\n"
@@ -187,33 +188,31 @@
         assertThat(received()).startsWith("HTTP/1.1 413");
     }
 
-    // Servers work on for callers that have hung up. While an answer is awaited nothing is written,
-    // so
-    // only reading shows that the caller has left.
+    // Guards against endpoints working for callers that have disconnected. Nothing is written while
+    // a response is awaited, so only a read shows the disconnect.
     @Test
-    void callerThatLeavesIsNoticedWhileItsRequestIsServed() {
+    void disconnectIsNoticedWhileRequestIsServed() {
         send("GET /a HTTP/1.1\r\nHost: h\r\nId: 1\r\n\r\n");
         mChannel.close();
-        assertThat(mLeft).isEqualTo(1);
+        assertThat(mDisconnects).isEqualTo(1);
     }
 
-    // A caller takes half of an answer for the whole. Its server had crashed, and the daemon ended
-    // the
-    // body in good order.
+    // Guards against a caller taking half of a response for the complete one: its endpoint crashes,
+    // and the daemon terminates the body regularly.
     @Test
-    void answerThatIsBrokenOffHasNoEnd() {
+    void abortedResponseHasNoEnd() {
         send("GET /a HTTP/1.1\r\nHost: h\r\nId: 1\r\n\r\n");
-        mAnswers.get(0).start(success());
-        mAnswers.get(0).write(Unpooled.copiedBuffer("half", StandardCharsets.UTF_8));
-        mAnswers.get(0).abort();
+        mResponses.get(0).start(success());
+        mResponses.get(0).write(Unpooled.copiedBuffer("half", StandardCharsets.UTF_8));
+        mResponses.get(0).abort();
         assertThat(received()).contains("half").doesNotEndWith("0\r\n\r\n");
         assertThat(mChannel.isOpen()).isFalse();
     }
 
     @Test
-    void refusalSaysWhenToComeBack() {
+    void refusalStatesRetryDelay() {
         send("GET /a HTTP/1.1\r\nHost: h\r\nId: 1\r\n\r\n");
-        mAnswers.get(0).refuse(Refusal.notRun("busy", Duration.ofMillis(250)));
+        mResponses.get(0).refuse(Refusal.notRun("busy", Duration.ofMillis(250)));
         assertThat(received())
                 .startsWith("HTTP/1.1 503")
                 .containsIgnoringCase("retry-after: 0.250");
@@ -221,19 +220,19 @@
     }
 
     @Test
-    void stoppingDaemonClosesConnectionsBehindTheirAnswers() {
+    void drainClosesBusyConnectionAfterItsResponse() {
         send("GET /a HTTP/1.1\r\nHost: h\r\nId: 1\r\n\r\n");
-        mListener.drain();
+        mServer.drain();
         assertThat(mChannel.isOpen()).isTrue();
-        mAnswers.get(0).start(success());
-        mAnswers.get(0).finish();
+        mResponses.get(0).start(success());
+        mResponses.get(0).finish();
         assertThat(received()).containsIgnoringCase("connection: close");
         assertThat(mChannel.isOpen()).isFalse();
     }
 
     @Test
-    void stoppingDaemonClosesIdleConnections() {
-        mListener.drain();
+    void drainClosesIdleConnections() {
+        mServer.drain();
         assertThat(mChannel.isOpen()).isFalse();
     }
 }
--- a/gateway/src/test/java/org/whinhead/gateway/endpoint/EndpointConnectionTest.java
+++ b/gateway/src/test/java/org/whinhead/gateway/endpoint/EndpointConnectionTest.java
@@ -25,30 +25,30 @@
 
 class EndpointConnectionTest {
 
-    private final List<String> mHeard = new ArrayList<>();
+    private final List<String> mReceived = new ArrayList<>();
     private EndpointConnection mConnection;
     private EmbeddedChannel mChannel;
 
     private final EndpointResponseListener mListener =
             new EndpointResponseListener() {
                 @Override
-                public void headReceived(final EndpointResponse answer) {
-                    mHeard.add("head " + answer.status().code());
+                public void headReceived(final EndpointResponse response) {
+                    mReceived.add("head " + response.status().code());
                 }
 
                 @Override
                 public void bodyReceived(final ByteBuf bytes) {
-                    mHeard.add("body " + bytes.toString(StandardCharsets.UTF_8));
+                    mReceived.add("body " + bytes.toString(StandardCharsets.UTF_8));
                 }
 
                 @Override
                 public void completed() {
-                    mHeard.add("end");
+                    mReceived.add("end");
                 }
 
                 @Override
                 public void failed(final EndpointFailure failure) {
-                    mHeard.add(failure.name());
+                    mReceived.add(failure.name());
                 }
             };
 
@@ -89,77 +89,77 @@
                 mListener);
     }
 
-    private void answer(final String text) {
+    private void receive(final String text) {
         mChannel.writeInbound(Unpooled.copiedBuffer(text, StandardCharsets.UTF_8));
     }
 
     @Test
-    void wholeAnswerIsHeardAndTheConnectionKept() {
-        answer("HTTP/1.1 200 OK\r\nContent-Length: 2\r\n\r\nok");
+    void completeResponseIsDeliveredAndConnectionIsReusable() {
+        receive("HTTP/1.1 200 OK\r\nContent-Length: 2\r\n\r\nok");
         mChannel.runPendingTasks();
-        assertThat(mHeard).containsExactly("head 200", "body ok", "end");
+        assertThat(mReceived).containsExactly("head 200", "body ok", "end");
         assertThat(mConnection.isUsable()).isTrue();
     }
 
-    // A caller gets the answer to a request of somebody else. A server had sent a second answer
-    // right
-    // behind the first, and it was waiting on the connection when the next request used it.
+    // Guards against a caller receiving the response to another caller's request: an endpoint sends
+    // an extra response right after the first, and it waits on the connection when the next request
+    // uses it.
     @Test
-    void connectionWithBytesBehindAnAnswerIsNotUsedAgain() {
-        answer(
+    void connectionWithBytesAfterResponseIsNotReused() {
+        receive(
                 "HTTP/1.1 200 OK\r\nContent-Length: 2\r\n\r\nok"
                         + "HTTP/1.1 200 OK\r\nContent-Length: 2\r\n\r\nno");
         mChannel.runPendingTasks();
-        assertThat(mHeard).containsExactly("head 200", "body ok", "end");
+        assertThat(mReceived).containsExactly("head 200", "body ok", "end");
         assertThat(mConnection.isUsable()).isFalse();
     }
 
     @Test
-    void answerThatComesWhileNobodyWaitsClosesTheConnection() {
-        answer("HTTP/1.1 200 OK\r\nContent-Length: 2\r\n\r\nok");
+    void unexpectedResponseClosesConnection() {
+        receive("HTTP/1.1 200 OK\r\nContent-Length: 2\r\n\r\nok");
         mChannel.runPendingTasks();
-        answer("HTTP/1.1 200 OK\r\nContent-Length: 0\r\n\r\n");
+        receive("HTTP/1.1 200 OK\r\nContent-Length: 0\r\n\r\n");
         assertThat(mConnection.isUsable()).isFalse();
     }
 
-    // A caller takes a truncated answer for a whole one: the server closed the connection before
-    // the
-    // length that it had stated.
+    // Guards against passing a truncated response as complete: the endpoint closes the connection
+    // before it has sent the stated length.
     @Test
-    void answerShorterThanItsLengthIsNotWhole() {
-        answer("HTTP/1.1 200 OK\r\nContent-Length: 5\r\n\r\nok");
+    void responseShorterThanItsLengthFails() {
+        receive("HTTP/1.1 200 OK\r\nContent-Length: 5\r\n\r\nok");
         mChannel.close();
-        assertThat(mHeard).containsExactly("head 200", "body ok", "CONNECTION_LOST");
+        assertThat(mReceived).containsExactly("head 200", "body ok", "CONNECTION_LOST");
     }
 
     @Test
-    void answerWithoutLengthEndsWithItsConnection() {
-        answer("HTTP/1.1 200 OK\r\n\r\nok");
+    void responseWithoutLengthEndsWithItsConnection() {
+        receive("HTTP/1.1 200 OK\r\n\r\nok");
         mChannel.close();
-        assertThat(mHeard).containsExactly("head 200", "body ok", "end");
+        assertThat(mReceived).containsExactly("head 200", "body ok", "end");
     }
 
-    // The same without a length, but the connection was reset: what came may be a part only.
+    // Guards against taking a part of a response without a length for the complete one after the
+    // connection was reset.
     @Test
-    void answerWithoutLengthThatIsResetIsNotWhole() {
-        answer("HTTP/1.1 200 OK\r\n\r\nok");
+    void responseWithoutLengthFailsIfConnectionIsReset() {
+        receive("HTTP/1.1 200 OK\r\n\r\nok");
         mChannel.pipeline().fireExceptionCaught(new IOException("Connection reset"));
         mChannel.close();
-        assertThat(mHeard).containsExactly("head 200", "body ok", "CONNECTION_LOST");
+        assertThat(mReceived).containsExactly("head 200", "body ok", "CONNECTION_LOST");
     }
 
     @Test
-    void bytesThatAreNoAnswerFailTheRequest() {
-        answer("\u0001\u0002\u0003 nonsense\r\n\r\n");
-        assertThat(mHeard).containsExactly("NOT_HTTP");
+    void bytesThatAreNotHttpFailTheRequest() {
+        receive("\u0001\u0002\u0003 nonsense\r\n\r\n");
+        assertThat(mReceived).containsExactly("NOT_HTTP");
         assertThat(mConnection.isUsable()).isFalse();
     }
 
     @Test
-    void connectionThatItsEndpointClosesIsNotKept() {
-        answer("HTTP/1.1 200 OK\r\nConnection: close\r\nContent-Length: 2\r\n\r\nok");
+    void connectionClosedByItsEndpointIsNotReused() {
+        receive("HTTP/1.1 200 OK\r\nConnection: close\r\nContent-Length: 2\r\n\r\nok");
         mChannel.runPendingTasks();
-        assertThat(mHeard).contains("end");
+        assertThat(mReceived).contains("end");
         assertThat(mConnection.isUsable()).isFalse();
     }
 }
--- a/gateway/src/test/java/org/whinhead/gateway/exchange/EndpointResponseFaultTest.java
+++ b/gateway/src/test/java/org/whinhead/gateway/exchange/EndpointResponseFaultTest.java
@@ -13,7 +13,7 @@
 
     private static final String ID = "r-1";
 
-    private static EndpointResponse answer(
+    private static EndpointResponse response(
             final HttpResponseStatus status,
             final String requestId,
             final boolean notRun,
@@ -30,40 +30,43 @@
                 false);
     }
 
-    private static Verdict verdict(final EndpointResponse answer, final boolean streamStarted) {
-        return EndpointResponseFault.of(answer, ID, streamStarted)
+    private static Verdict verdict(final EndpointResponse response, final boolean streamStarted) {
+        return EndpointResponseFault.of(response, ID, streamStarted)
                 .map(EndpointResponseFault::verdict)
                 .orElse(null);
     }
 
     @Test
-    void answerOfTheRequestHasNoFault() {
-        assertThat(verdict(answer(HttpResponseStatus.OK, ID, false, false, true), false)).isNull();
-        assertThat(verdict(answer(HttpResponseStatus.OK, ID, false, false, true), true)).isNull();
+    void responseToTheRequestHasNoFault() {
+        assertThat(verdict(response(HttpResponseStatus.OK, ID, false, false, true), false))
+                .isNull();
+        assertThat(verdict(response(HttpResponseStatus.OK, ID, false, false, true), true)).isNull();
     }
 
     @Test
-    void onlyTheEndpointsOwnWordMeansNotRun() {
+    void onlyAnEndpointsStatementMeansNotRun() {
         final HttpResponseStatus full = HttpResponseStatus.SERVICE_UNAVAILABLE;
-        assertThat(verdict(answer(full, ID, true, false, false), false)).isEqualTo(Verdict.NOT_RUN);
-        assertThat(verdict(answer(full, ID, false, true, false), false)).isEqualTo(Verdict.NOT_RUN);
-        assertThat(verdict(answer(full, ID, false, false, false), false))
+        assertThat(verdict(response(full, ID, true, false, false), false))
+                .isEqualTo(Verdict.NOT_RUN);
+        assertThat(verdict(response(full, ID, false, true, false), false))
+                .isEqualTo(Verdict.NOT_RUN);
+        assertThat(verdict(response(full, ID, false, false, false), false))
                 .isEqualTo(Verdict.MAY_HAVE_RUN);
     }
 
-    // A caller gets the answer of another request. Its endpoint had sent an extra one behind an
-    // earlier answer, and it came where this request's answer was due.
+    // Guards against a caller receiving the response to another request: an endpoint sends an extra
+    // response after an earlier one, and it arrives in place of this request's response.
     @Test
-    void answerOfAnotherRequestIsNoAnswer() {
-        assertThat(verdict(answer(HttpResponseStatus.OK, "r-0", false, false, true), false))
+    void responseToAnotherRequestIsRejected() {
+        assertThat(verdict(response(HttpResponseStatus.OK, "r-0", false, false, true), false))
                 .isEqualTo(Verdict.MAY_HAVE_RUN);
     }
 
     @Test
-    void failureMustNotFollowTheEventsOfStream() {
+    void errorAfterTheStartOfStreamIsRejected() {
         final HttpResponseStatus error = HttpResponseStatus.INTERNAL_SERVER_ERROR;
-        assertThat(verdict(answer(error, ID, false, false, true), false)).isNull();
-        assertThat(verdict(answer(error, ID, false, false, true), true))
+        assertThat(verdict(response(error, ID, false, false, true), false)).isNull();
+        assertThat(verdict(response(error, ID, false, false, true), true))
                 .isEqualTo(Verdict.MAY_HAVE_RUN);
     }
 }
--- a/gateway/src/test/java/org/whinhead/gateway/exchange/EventSplitterTest.java
+++ b/gateway/src/test/java/org/whinhead/gateway/exchange/EventSplitterTest.java
@@ -30,17 +30,16 @@
     }
 
     @Test
-    void eventsComeWhole() {
+    void streamIsSplitIntoWholeEvents() {
         add("id: 1\ndata: a\n\nid: 2\ndata: b\n\n");
         assertThat(events()).containsExactly("id: 1\ndata: a\n\n", "id: 2\ndata: b\n\n");
         assertThat(mSplitter.pendingBytes()).isZero();
     }
 
-    // A caller sees half an event, and then the whole of it from the server that took over. The
-    // first
-    // server had crashed within the event.
+    // Guards against a caller receiving half an event and then the whole event from the endpoint
+    // that continues the stream, after the first endpoint crashed within the event.
     @Test
-    void partOfAnEventIsHeldBackAndDropped() {
+    void partialEventIsNotReturnedAndCanBeDiscarded() {
         add("id: 1\ndata: a\n\nid: 2\nda");
         assertThat(events()).containsExactly("id: 1\ndata: a\n\n");
         assertThat(mSplitter.pendingBytes()).isPositive();
@@ -50,7 +49,7 @@
     }
 
     @Test
-    void eventThatComesInPiecesIsPutTogether() {
+    void eventReceivedInPiecesIsAssembled() {
         for (final char letter : "id: 7\r\ndata: x\r\n\r\n".toCharArray()) {
             assertThat(events()).isEmpty();
             add(String.valueOf(letter));
@@ -59,7 +58,7 @@
     }
 
     @Test
-    void idIsRead() {
+    void idIsReadFromIdFieldOnly() {
         final ByteBuf event =
                 Unpooled.copiedBuffer("data: id: 9\nid: 12\n\n", StandardCharsets.UTF_8);
         assertThat(EventSplitter.id(event)).contains("12");
--- a/gateway/src/test/java/org/whinhead/gateway/exchange/RefusalFactoryTest.java
+++ b/gateway/src/test/java/org/whinhead/gateway/exchange/RefusalFactoryTest.java
@@ -41,23 +41,23 @@
     }
 
     @Test
-    void callerOfRequestThatDidNotRunIsAskedToComeBack() {
+    void requestThatDidNotRunIsRefusedWithRetryDelay() {
         assertThat(mRefusals.givenUpRefusal("none left").status().code()).isEqualTo(503);
         assertThat(mRefusals.givenUpRefusal("none left").retryAfter().orElseThrow())
                 .isBetween(Duration.ofMillis(80), Duration.ofMillis(300));
     }
 
     @Test
-    void nothingIsPromisedOfRequestThatMayHaveRun() {
+    void requestThatMayHaveRunIsRefusedAsGatewayError() {
         mRefusals.markMayHaveRun();
         assertThat(mRefusals.givenUpRefusal("lost").status().code()).isEqualTo(502);
         assertThat(mRefusals.timeoutRefusal("late").status().code()).isEqualTo(504);
     }
 
-    // A caller is told to come back after minus one millisecond, and takes the answer for broken.
-    // Timers fire late, so a request whose time is up has a little less than none left.
+    // Guards against a negative retry delay, which makes the response malformed. Timers fire late,
+    // so the deadline has already passed when the refusal is created.
     @Test
-    void timeToComeBackIsNeverNegative() {
+    void retryDelayIsNeverNegative() {
         mNow = START.plusMillis(1_012);
         assertThat(mRefusals.timeoutRefusal("late").retryAfter()).contains(Duration.ZERO);
     }
--- a/gateway/src/test/java/org/whinhead/gateway/exchange/TestServing.java
+++ b/gateway/src/test/java/org/whinhead/gateway/exchange/TestServing.java
@@ -17,14 +17,14 @@
 import org.whinhead.serving.usage.UsageLedger;
 import org.whinhead.serving.usage.UsageWindows;
 
-/** Decision objects and endpoints for tests. */
+/** Creates decision objects and endpoints for tests. */
 public final class TestServing {
 
     private static final Duration WINDOW = Duration.ofSeconds(5);
 
     private TestServing() {}
 
-    /** Makes a state that knows nothing; one clock stands for both. */
+    /** Creates a state without configuration and endpoints, with one clock as both clocks. */
     public static ServingState state(final InstantSource clock) {
         return ServingState.builder()
                 .clocks(clock, clock)
@@ -46,7 +46,7 @@
                 new Random(1));
     }
 
-    /** Describes an endpoint of the service "pool". */
+    /** Creates an entry of an endpoint of the service "pool". */
     public static EndpointEntry endpoint(final String id, final boolean leaving) {
         return EndpointEntry.builder(
                         id, "pool", new InetSocketAddress("127.0.0.1", 9000), "domain-a")
--- a/gateway/src/test/java/org/whinhead/gateway/time/LoopLagTest.java
+++ b/gateway/src/test/java/org/whinhead/gateway/time/LoopLagTest.java
@@ -14,18 +14,18 @@
     private final LoopLag mLag = new LoopLag(INTERVAL, START);
 
     @Test
-    void loopInTimeHasNone() {
+    void loopWithoutDelayHasNoLag() {
         for (int step = 1; step < 10; step++) {
             mLag.taskRan(START.plusMillis(step * 200L));
             assertThat(mLag.lagAt(START.plusMillis(step * 200L + 100))).isZero();
         }
     }
 
-    // An endpoint works for a caller that gave up 0.6 s before. The daemon had stood still for 1.3
-    // s;
-    // the request waited in its socket all the while, and its second was counted from its reading.
+    // Guards against sending a request to an endpoint after its caller gave up 0.6 s earlier: the
+    // daemon stalls for 1.3 s while the request waits in its socket, and the request's deadline
+    // of one second is counted from the time of the read.
     @Test
-    void whatIsReadByLoopThatStoodStillIsAsOldAsItIsLate() {
+    void stalledLoopHasLagBeforeAndAfterItsNextRun() {
         mLag.taskRan(START.plusMillis(200));
         assertThat(mLag.lagAt(START.plusMillis(1_700))).isEqualTo(Duration.ofMillis(1_300));
         mLag.taskRan(START.plusMillis(1_700));
@@ -33,7 +33,7 @@
     }
 
     @Test
-    void lagIsForgottenOnceTheLoopHasCaughtUp() {
+    void lagIsZeroAfterNextRunInTime() {
         mLag.taskRan(START.plusMillis(1_700));
         mLag.taskRan(START.plusMillis(1_900));
         assertThat(mLag.lagAt(START.plusMillis(1_950))).isZero();
