--- a/gateway/src/main/java/org/whinhead/gateway/DirectoryProtocol.java
+++ b/gateway/src/main/java/org/whinhead/gateway/DirectoryProtocol.java
@@ -14,9 +14,9 @@
      *
      * @param target the path and query of the call
      * @param addresses returns the daemons' addresses for a caller in the given failure domain
-     * @param keep the time for which the caller may cache the response
+     * @param cacheTime the time for which the caller may cache the response
      * @return the response
      */
     HttpReply answer(
-            String target, Function<String, List<InetSocketAddress>> addresses, Duration keep);
+            String target, Function<String, List<InetSocketAddress>> addresses, Duration cacheTime);
 }
--- a/gateway/src/main/java/org/whinhead/gateway/Gateway.java
+++ b/gateway/src/main/java/org/whinhead/gateway/Gateway.java
@@ -61,31 +61,21 @@
     private static final int HTTP_OK = 200;
     private static final int HTTP_SERVICE_UNAVAILABLE = 503;
 
-    /**
-     * The time for which callers may cache a directory response; some keep it three times as long.
-     */
+    /** The cache time of directory responses; some callers keep them three times as long. */
     private static final Duration DIRECTORY_CACHE_TIME = Duration.ofSeconds(1);
 
-    /**
-     * Long-poll wait and pause of configuration reads; the wait is short so that a read that hangs
-     * is given up in time.
-     */
+    /** Wait and pause of configuration reads, so short that a hanging read is given up in time. */
     private static final TopicFollower.Pace CONFIGURATION_PACE =
             new TopicFollower.Pace(Duration.ofMillis(1_000), Duration.ofMillis(20));
 
-    /**
-     * Endpoints write several times per second, so reads need no long-poll wait but need a pause.
-     */
+    /** Endpoints write several times per second, so reads need a pause but no wait. */
     private static final TopicFollower.Pace ENDPOINT_PACE =
             new TopicFollower.Pace(Duration.ZERO, Duration.ofMillis(400));
 
     /** The delay from the stop signal until connections without a request are closed. */
     private static final Duration CLOSE_IDLE_AFTER = Duration.ofMillis(300);
 
-    /**
-     * The delay from the stop signal until new streams are refused, as they would not end within
-     * the grace period.
-     */
+    /** The delay from the stop signal until streams are refused that would outlast the grace. */
     private static final Duration REFUSE_STREAMS_AFTER = Duration.ofMillis(2_500);
 
     /**
@@ -229,9 +219,7 @@
                 .orElse(CallerLimits.INITIAL);
     }
 
-    /**
-     * Opens the listening ports and starts to follow the store. Must be called on the event loop.
-     */
+    /** Starts to listen and to follow the store. Must be called on the event loop. */
     public void start() {
         final SimpleHttpServer statusServer = new SimpleHttpServer(mLoop);
         statusServer.listen(mSettings.readinessAddress(), "text/plain", target -> readiness());
@@ -271,8 +259,9 @@
                 });
         configuration.start();
         endpoints.start();
-        final long pace = Exchanges.LAG_MEASUREMENT_INTERVAL.toMillis();
-        mLoop.scheduleWithFixedDelay(this::runPeriodicTasks, pace, pace, TimeUnit.MILLISECONDS);
+        final long interval = Exchanges.LAG_MEASUREMENT_INTERVAL.toMillis();
+        mLoop.scheduleWithFixedDelay(
+                this::runPeriodicTasks, interval, interval, TimeUnit.MILLISECONDS);
     }
 
     /** Runs the checks that are due several times per second; one timer serves all of them. */
@@ -289,8 +278,10 @@
     }
 
     private TopicFollower follower(
-            final StoreTopic topic, final TopicListener listener, final TopicFollower.Pace pace) {
-        return new TopicFollower(mLoop, mPorts.store(), topic, listener, pace, mDigests);
+            final StoreTopic topic,
+            final TopicListener listener,
+            final TopicFollower.Pace interval) {
+        return new TopicFollower(mLoop, mPorts.store(), topic, listener, interval, mDigests);
     }
 
     private HttpReply readiness() {
@@ -364,9 +355,9 @@
 
     private void checkStopped(final Instant start, final Runnable ended) {
         mCallerServer.stopAccepting();
-        final Duration spent = Duration.between(start, mState.clock().instant());
+        final Duration elapsed = Duration.between(start, mState.clock().instant());
         final int busy = mCallerServer.busyConnectionCount();
-        if (busy == 0 || spent.compareTo(mSettings.stopGrace().minus(STOP_MARGIN)) > 0) {
+        if (busy == 0 || elapsed.compareTo(mSettings.stopGrace().minus(STOP_MARGIN)) > 0) {
             LOG.atInfo().addKeyValue("requestsCut", busy).log("stopped");
             ended.run();
         }
--- a/gateway/src/main/java/org/whinhead/gateway/GatewaySettings.java
+++ b/gateway/src/main/java/org/whinhead/gateway/GatewaySettings.java
@@ -252,7 +252,6 @@
          * Creates the settings.
          *
          * @return the settings
-         * @throws NullPointerException if a required setting is missing
          */
         public GatewaySettings build() {
             return new GatewaySettings(this);
--- a/gateway/src/main/java/org/whinhead/gateway/caller/CallerConnection.java
+++ b/gateway/src/main/java/org/whinhead/gateway/caller/CallerConnection.java
@@ -54,8 +54,8 @@
     private boolean mDiscarding;
     private boolean mSeenRequest;
 
-    CallerConnection(final CallerHttpServer listener) {
-        mServer = listener;
+    CallerConnection(final CallerHttpServer server) {
+        mServer = server;
     }
 
     @Override
@@ -165,10 +165,7 @@
         mRunning = mServing ? running : null;
     }
 
-    /**
-     * Refuses a request that was not read to its end, and discards all that follows on the
-     * connection.
-     */
+    /** Refuses a request that was not read to its end, and discards all further input. */
     private void refuseUnread(final Refusal refusal) {
         mDiscarding = true;
         mKeepAlive = false;
--- a/gateway/src/main/java/org/whinhead/gateway/caller/CallerHttpServer.java
+++ b/gateway/src/main/java/org/whinhead/gateway/caller/CallerHttpServer.java
@@ -69,7 +69,7 @@
                         .channel();
     }
 
-    /** Closes the connections without a request, and each other one after its current response. */
+    /** Closes idle connections at once, and each other one after its current response. */
     public void drain() {
         mStopping = true;
         for (final CallerConnection connection : List.copyOf(mConnections)) {
--- a/gateway/src/main/java/org/whinhead/gateway/caller/CallerRequest.java
+++ b/gateway/src/main/java/org/whinhead/gateway/caller/CallerRequest.java
@@ -223,7 +223,6 @@
          * Creates the request.
          *
          * @return the request
-         * @throws NullPointerException if the method, host, target or headers are missing
          */
         public CallerRequest build() {
             return new CallerRequest(this);
--- a/gateway/src/main/java/org/whinhead/gateway/endpoint/AttemptContext.java
+++ b/gateway/src/main/java/org/whinhead/gateway/endpoint/AttemptContext.java
@@ -14,7 +14,7 @@
  * @param priority the priority of the request; 0 is served first
  * @param resumeAfter the id of the event after which a broken stream resumes
  * @param promptSource the endpoint from which to copy cached parts of the prompt, if any
- * @param continued the stopped run that the endpoint continues from its copied KV cache, if any
+ * @param continuedRun the stopped run that the endpoint continues from its copied KV cache, if any
  */
 public record AttemptContext(
         EndpointEntry endpoint,
@@ -32,6 +32,6 @@
         Objects.requireNonNull(timeLeft, "timeLeft");
         Objects.requireNonNull(resumeAfter, "resumeAfter");
         Objects.requireNonNull(promptSource, "promptSource");
-        Objects.requireNonNull(continuedRun, "continued");
+        Objects.requireNonNull(continuedRun, "continuedRun");
     }
 }
--- a/gateway/src/main/java/org/whinhead/gateway/endpoint/EndpointConnections.java
+++ b/gateway/src/main/java/org/whinhead/gateway/endpoint/EndpointConnections.java
@@ -31,10 +31,7 @@
     /** The time before the endpoint's idle timeout in which a connection is no longer used. */
     private static final Duration IDLE_MARGIN = Duration.ofMillis(700);
 
-    /**
-     * Endpoints of the same region accept connections within a few milliseconds; unreachable ones
-     * never do.
-     */
+    /** Endpoints of the same region accept within a few milliseconds, unreachable ones never. */
     private static final int CONNECT_TIMEOUT_MILLIS = 300;
 
     private final EventLoop mLoop;
@@ -170,8 +167,8 @@
             if (!connection.isUsable()) {
                 return;
             }
-            final Duration kept = connection.idleTimeout().minus(IDLE_MARGIN);
-            mIdle.addFirst(new IdleConnection(connection, mClock.instant().plus(kept)));
+            final Duration usableFor = connection.idleTimeout().minus(IDLE_MARGIN);
+            mIdle.addFirst(new IdleConnection(connection, mClock.instant().plus(usableFor)));
         }
 
         void remove(final EndpointConnection connection) {
--- a/gateway/src/main/java/org/whinhead/gateway/endpoint/EndpointResponse.java
+++ b/gateway/src/main/java/org/whinhead/gateway/endpoint/EndpointResponse.java
@@ -10,14 +10,14 @@
  * The decoded head of an endpoint's response.
  *
  * @param status the HTTP status
- * @param passed the headers to forward to the caller
+ * @param forwardedHeaders the headers to forward to the caller
  * @param requestId the id of the request that the response names; empty if it names none
- * @param notRun whether the endpoint states that the request did not run
- * @param otherEndpoint whether another endpoint than expected uses the address
- * @param genuine whether the body is verified to be the endpoint's own: signed and without content
- *     encoding
+ * @param statesNotRun whether the endpoint states that the request did not run
+ * @param isFromOtherEndpoint whether another endpoint than expected uses the address
+ * @param isAuthentic whether the body is verified to be the endpoint's own: signed and without
+ *     content encoding
  * @param idleTimeout the time for which the endpoint keeps an idle connection; empty if not stated
- * @param closes whether the endpoint closes the connection after this response
+ * @param closesConnection whether the endpoint closes the connection after this response
  */
 public record EndpointResponse(
         HttpResponseStatus status,
@@ -36,7 +36,7 @@
     /** Checks that the status and the headers are not null. */
     public EndpointResponse {
         Objects.requireNonNull(status, "status");
-        Objects.requireNonNull(forwardedHeaders, "passed");
+        Objects.requireNonNull(forwardedHeaders, "forwardedHeaders");
     }
 
     public boolean isSuccess() {
--- a/gateway/src/main/java/org/whinhead/gateway/endpoint/EndpointResponseListener.java
+++ b/gateway/src/main/java/org/whinhead/gateway/endpoint/EndpointResponseListener.java
@@ -2,9 +2,7 @@
 
 import io.netty.buffer.ByteBuf;
 
-/**
- * Receives the response to one request from an endpoint. All methods are called on the event loop.
- */
+/** Receives an endpoint's response to one request. All calls are made on the event loop. */
 public interface EndpointResponseListener {
 
     /**
--- a/gateway/src/main/java/org/whinhead/gateway/exchange/Admission.java
+++ b/gateway/src/main/java/org/whinhead/gateway/exchange/Admission.java
@@ -24,9 +24,7 @@
         Optional<TokenSpend> spend,
         Instant arrivedAt) {
 
-    /**
-     * Returns the time of the caller's deadline or of the route's timeout, whichever is earlier.
-     */
+    /** Returns the earlier of the caller's deadline and the end of the route's timeout. */
     Instant deadline() {
         final Duration limit =
                 request.deadline()
--- a/gateway/src/main/java/org/whinhead/gateway/exchange/EventSplitter.java
+++ b/gateway/src/main/java/org/whinhead/gateway/exchange/EventSplitter.java
@@ -33,10 +33,7 @@
         return mBytes.readableBytes();
     }
 
-    /**
-     * Removes and returns the next whole event with its blank line; empty if none is complete. The
-     * caller releases the event.
-     */
+    /** Removes and returns the next whole event, which the caller releases, if there is one. */
     Optional<ByteBuf> next() {
         final int start = mBytes.readerIndex();
         int from = start + mScanned;
--- a/gateway/src/main/java/org/whinhead/gateway/exchange/Exchange.java
+++ b/gateway/src/main/java/org/whinhead/gateway/exchange/Exchange.java
@@ -34,9 +34,7 @@
                 RunMove.Listener,
                 CallerRequestHandler.ActiveRequest {
 
-    /**
-     * Failed connects, with nothing sent, after which the request is refused with a retry delay.
-     */
+    /** The number of failed connects after which a request that was not sent is refused. */
     private static final int MAX_CONNECT_FAILURES = 4;
 
     /** With less time left than this, an attempt is not worth its cost. */
@@ -251,7 +249,7 @@
         if (head == null) {
             return;
         }
-        if (!mRelay.isWhole()) {
+        if (!mRelay.isComplete()) {
             mTrial.responseRejected(Verdict.MAY_HAVE_RUN);
             attemptFailed(Verdict.MAY_HAVE_RUN, "stream ended within an event");
             return;
@@ -324,9 +322,9 @@
     }
 
     /**
-     * Sends a request that waits for its first token at a leaving endpoint to another endpoint, if
-     * it may run again. Otherwise the connection would stay silent and the caller would wait until
-     * its deadline, as happened at the last endpoints of a wave of reclaims.
+     * Sends a request that waits for its first token at a leaving endpoint to another one, if it
+     * may run again. Otherwise the connection stays silent and the caller waits until its deadline,
+     * as happened at the last endpoints of a wave of reclaims.
      */
     private void redispatch() {
         final boolean hasUntriedEndpoint =
--- a/gateway/src/main/java/org/whinhead/gateway/exchange/ExchangeTimers.java
+++ b/gateway/src/main/java/org/whinhead/gateway/exchange/ExchangeTimers.java
@@ -9,10 +9,7 @@
 /** The two timers of a request: its deadline and the timeout of its current attempt. */
 final class ExchangeTimers {
 
-    /**
-     * The share of the target latency after which an idempotent request is sent to another
-     * endpoint.
-     */
+    /** The share of the target latency after which an idempotent request is sent again. */
     private static final double ATTEMPT_TIMEOUT_SHARE = 0.6;
 
     private final EventLoop mLoop;
--- a/gateway/src/main/java/org/whinhead/gateway/exchange/Exchanges.java
+++ b/gateway/src/main/java/org/whinhead/gateway/exchange/Exchanges.java
@@ -21,17 +21,13 @@
 import org.whinhead.serving.configuration.ServingConfiguration;
 import org.whinhead.serving.route.Route;
 
-/**
- * Checks requests against the configuration in force and starts an exchange for each allowed one.
- */
+/** Checks requests against the configuration in force and starts the allowed ones. */
 public final class Exchanges implements CallerRequestHandler {
 
     /** The retry delay sent to callers while this daemon has no configuration. */
     private static final Duration NO_CONFIGURATION_RETRY_AFTER = Duration.ofMillis(300);
 
-    /**
-     * The notice assumed for a leaving endpoint that states none: the platform's shortest notice.
-     */
+    /** The notice of leaving endpoints that state none: the platform's shortest one. */
     private static final Duration DEFAULT_NOTICE = Duration.ofMillis(2_000);
 
     /**
--- a/gateway/src/main/java/org/whinhead/gateway/exchange/RequestLogger.java
+++ b/gateway/src/main/java/org/whinhead/gateway/exchange/RequestLogger.java
@@ -13,9 +13,7 @@
 import org.whinhead.serving.configuration.CustomerAccount;
 import org.whinhead.serving.endpoint.EndpointEntry;
 
-/**
- * Logs one line for each decision about a request, with the request's id, and counts the decisions.
- */
+/** Logs one line for each decision about a request, with the request's id. */
 public final class RequestLogger {
 
     private static final Logger LOG = LoggerFactory.getLogger(RequestLogger.class);
--- a/gateway/src/main/java/org/whinhead/gateway/exchange/ResponseRelay.java
+++ b/gateway/src/main/java/org/whinhead/gateway/exchange/ResponseRelay.java
@@ -43,10 +43,7 @@
     /** Receives the progress of the response. */
     interface ProgressListener {
 
-        /**
-         * Called before each event is forwarded; the endpoint has processed the prompt and
-         * generates tokens.
-         */
+        /** Called before an event is forwarded: the endpoint generates tokens. */
         void generationStarted();
 
         /** Called when the caller reads more slowly than the endpoint sends. */
@@ -117,10 +114,7 @@
         }
     }
 
-    /**
-     * Returns whether an event follows the last forwarded one. An id that is not a number follows
-     * any other id.
-     */
+    /** Returns whether an id follows the last one; if one is no number, it only has to differ. */
     private static boolean isAfter(final String id, final String last) {
         try {
             return Long.parseLong(id) > Long.parseLong(last);
@@ -153,7 +147,7 @@
     }
 
     /** Returns whether an ended response is complete: a stream must not end within an event. */
-    boolean isWhole() {
+    boolean isComplete() {
         return !isStream() || mEvents.pendingBytes() == 0;
     }
 
--- a/gateway/src/main/java/org/whinhead/gateway/exchange/RunMove.java
+++ b/gateway/src/main/java/org/whinhead/gateway/exchange/RunMove.java
@@ -35,12 +35,12 @@
             final Admission admission,
             final Placement source,
             final Placement target,
-            final Listener owner) {
+            final Listener listener) {
         mExchanges = exchanges;
         mAdmission = admission;
         mSource = source;
         mTarget = target;
-        mListener = owner;
+        mListener = listener;
     }
 
     /** Receives the outcome of the move. */
@@ -62,16 +62,13 @@
         void moveFailed(boolean streamEnded);
     }
 
-    /**
-     * Starts to move a run; returns empty if there is no other endpoint or no retry left in the
-     * budget.
-     */
+    /** Starts to move a run, if there is another endpoint and the retry budget allows it. */
     static Optional<RunMove> start(
             final Exchanges exchanges,
             final Admission admission,
             final String service,
             final Placement source,
-            final Listener owner) {
+            final Listener listener) {
         final ServingState state = exchanges.state();
         final Instant now = state.clock().instant();
         final Optional<Placement> target =
@@ -89,7 +86,7 @@
             target.get().ended();
             return Optional.empty();
         }
-        final RunMove move = new RunMove(exchanges, admission, source, target.get(), owner);
+        final RunMove move = new RunMove(exchanges, admission, source, target.get(), listener);
         exchanges
                 .mover()
                 .move(source.endpoint(), admission.request().id(), target.get().endpoint())
--- a/gateway/src/main/java/org/whinhead/gateway/exchange/ServingState.java
+++ b/gateway/src/main/java/org/whinhead/gateway/exchange/ServingState.java
@@ -259,7 +259,6 @@
          * Creates the state.
          *
          * @return the state
-         * @throws NullPointerException if a part is missing
          */
         public ServingState build() {
             return new ServingState(this);
--- a/gateway/src/main/java/org/whinhead/gateway/exchange/TrialRecorder.java
+++ b/gateway/src/main/java/org/whinhead/gateway/exchange/TrialRecorder.java
@@ -9,10 +9,7 @@
 import org.whinhead.serving.rollout.Trial;
 import org.whinhead.serving.route.Route;
 
-/**
- * Reports the outcomes of one request's attempts to the roll-out, as far as they depend on the
- * version.
- */
+/** Reports the outcomes of a request's attempts that depend on the version to the roll-out. */
 final class TrialRecorder {
 
     private final ServingState mState;
@@ -63,17 +60,14 @@
         }
     }
 
-    /**
-     * Records that a response is no longer awaited; it counts as late if the target latency has
-     * passed.
-     */
+    /** Records that a response is no longer awaited, if the target latency has passed. */
     void attemptAbandoned() {
         if (mSentAt != null && elapsed().compareTo(mRoute.targetLatency()) > 0) {
             recordLatency(elapsed());
         }
     }
 
-    /** Records that the attempt has ended; later outcomes are not the endpoint's. */
+    /** Records that the attempt has ended; later outcomes do not count for its endpoint. */
     void attemptEnded() {
         mTrial = Optional.empty();
     }
--- a/gateway/src/main/java/org/whinhead/gateway/exchange/package-info.java
+++ b/gateway/src/main/java/org/whinhead/gateway/exchange/package-info.java
@@ -1,5 +1,2 @@
-/**
- * Request handling: admission, attempts at one or several endpoints, and the response to the
- * caller.
- */
+/** Request handling: admission, attempts at endpoints, and the response to the caller. */
 package org.whinhead.gateway.exchange;
--- a/gateway/src/main/java/org/whinhead/gateway/http/HttpCall.java
+++ b/gateway/src/main/java/org/whinhead/gateway/http/HttpCall.java
@@ -105,7 +105,6 @@
          * Creates the call.
          *
          * @return the call
-         * @throws NullPointerException if no timeout was set
          */
         public HttpCall build() {
             return new HttpCall(this);
--- a/gateway/src/main/java/org/whinhead/gateway/http/SimpleHttpServer.java
+++ b/gateway/src/main/java/org/whinhead/gateway/http/SimpleHttpServer.java
@@ -50,14 +50,14 @@
      * Starts to listen at an address.
      *
      * @param address the address to listen at
-     * @param type the content type of the responses
-     * @param answer returns the response to a path and query
+     * @param contentType the content type of the responses
+     * @param responder returns the response to a path and query
      * @return the listening channel
      */
     public Channel listen(
             final InetSocketAddress address,
-            final String type,
-            final Function<String, HttpReply> answer) {
+            final String contentType,
+            final Function<String, HttpReply> responder) {
         return new ServerBootstrap()
                 .group(mLoop)
                 .channel(NioServerSocketChannel.class)
@@ -69,7 +69,7 @@
                                         .addLast(new IdleStateHandler(0, 0, IDLE_SECONDS))
                                         .addLast(new HttpServerCodec())
                                         .addLast(new HttpObjectAggregator(MAX_REQUEST_BYTES))
-                                        .addLast(new RequestHandler(type, answer));
+                                        .addLast(new RequestHandler(contentType, responder));
                             }
                         })
                 .bind(address)
@@ -77,10 +77,7 @@
                 .channel();
     }
 
-    /**
-     * Logs a failed bind. A daemon whose port is in use keeps running, and without this line the
-     * cause of its silence would be unknown.
-     */
+    /** A daemon whose port is in use keeps running; the line shows why it does not respond. */
     private static void logFailure(final InetSocketAddress address, final Throwable cause) {
         if (cause != null) {
             LOG.atError()
@@ -91,24 +88,25 @@
     }
 
     private static final class RequestHandler extends SimpleChannelInboundHandler<FullHttpRequest> {
-        private final String mType;
-        private final Function<String, HttpReply> mAnswer;
+        private final String mContentType;
+        private final Function<String, HttpReply> mResponder;
 
-        private RequestHandler(final String type, final Function<String, HttpReply> answer) {
-            mType = type;
-            mAnswer = answer;
+        private RequestHandler(
+                final String contentType, final Function<String, HttpReply> responder) {
+            mContentType = contentType;
+            mResponder = responder;
         }
 
         @Override
         protected void channelRead0(
                 final ChannelHandlerContext context, final FullHttpRequest request) {
-            final HttpReply reply = mAnswer.apply(request.uri());
+            final HttpReply reply = mResponder.apply(request.uri());
             final FullHttpResponse response =
                     new DefaultFullHttpResponse(
                             HttpVersion.HTTP_1_1,
                             HttpResponseStatus.valueOf(reply.status()),
                             Unpooled.wrappedBuffer(reply.body()));
-            response.headers().set(HttpHeaderNames.CONTENT_TYPE, mType);
+            response.headers().set(HttpHeaderNames.CONTENT_TYPE, mContentType);
             HttpUtil.setContentLength(response, response.content().readableBytes());
             final boolean keepAlive = HttpUtil.isKeepAlive(request);
             HttpUtil.setKeepAlive(response, keepAlive);
--- a/gateway/src/main/java/org/whinhead/gateway/package-info.java
+++ b/gateway/src/main/java/org/whinhead/gateway/package-info.java
@@ -1,5 +1,2 @@
-/**
- * The network side of the serving path: connections to callers, endpoints, the store and other
- * daemons.
- */
+/** The network side of the serving path: callers, endpoints, the store and other daemons. */
 package org.whinhead.gateway;
--- a/gateway/src/main/java/org/whinhead/gateway/time/LoopLag.java
+++ b/gateway/src/main/java/org/whinhead/gateway/time/LoopLag.java
@@ -44,8 +44,8 @@
      * Returns the greatest age that a request read now may have.
      *
      * @param now the current time
-     * @return the lateness of the task, or of its last run if that is recent and was later; zero
-     *     without lag
+     * @return the current lateness of the task, or that of its last run if the run is recent and
+     *     was later; zero without lag
      */
     public Duration lagAt(final Instant now) {
         final Duration overdue = lateness(now);
--- a/gateway/src/test/java/org/whinhead/gateway/caller/CallerConnectionTest.java
+++ b/gateway/src/test/java/org/whinhead/gateway/caller/CallerConnectionTest.java
@@ -125,9 +125,8 @@
     }
 
     // Guards against request smuggling: a request states both a length and chunked encoding, the
-    // two
-    // ends of the connection delimit its body differently, and a request that is hidden in the body
-    // runs although no caller sent it.
+    // ends of the connection delimit its body differently, and a request hidden in the body runs
+    // although no caller sent it.
     @Test
     void requestWithLengthAndChunkedEncodingIsRefused() {
         send(
--- a/gateway/src/test/java/org/whinhead/gateway/endpoint/EndpointConnectionTest.java
+++ b/gateway/src/test/java/org/whinhead/gateway/endpoint/EndpointConnectionTest.java
@@ -55,7 +55,7 @@
     private static final class PlainProtocol implements EndpointProtocol {
         @Override
         public HttpRequest encode(
-                final CallerRequest request, final AttemptContext order, final int bodyBytes) {
+                final CallerRequest request, final AttemptContext context, final int bodyBytes) {
             throw new AssertionError("not used");
         }
 
