--- a/gateway/src/main/java/org/whinhead/gateway/GatewaySettings.java
+++ b/gateway/src/main/java/org/whinhead/gateway/GatewaySettings.java
@@ -205,8 +205,7 @@
          * Sets the durations of the duties of the lease holder.
          *
          * @param usageWindow the length of a usage window
-         * @param leaseTerm the duration of a lease, within which no two daemons act as holder in
-         *     turn
+         * @param leaseTerm the duration of a lease, in which only one daemon acts as holder
          * @return this builder
          */
         public Builder duties(final Duration usageWindow, final Duration leaseTerm) {
--- a/gateway/src/main/java/org/whinhead/gateway/exchange/Exchange.java
+++ b/gateway/src/main/java/org/whinhead/gateway/exchange/Exchange.java
@@ -293,12 +293,7 @@
         }
     }
 
-    /**
-     * Schedules the move of the run if it is at the leaving endpoint.
-     *
-     * @param endpoint the id of the leaving endpoint
-     * @param moveAfter the delay until the move
-     */
+    /** Schedules the move of the run after a delay if it is at the leaving endpoint. */
     void endpointLeaving(final String endpoint, final Duration moveAfter) {
         final boolean running = !mFinished && mPlacement != null && mConnection != null;
         if (!running || !mPlacement.endpoint().id().equals(endpoint)) {
--- a/gateway/src/main/java/org/whinhead/gateway/exchange/ExchangeTimers.java
+++ b/gateway/src/main/java/org/whinhead/gateway/exchange/ExchangeTimers.java
@@ -20,12 +20,7 @@
         mLoop = loop;
     }
 
-    /**
-     * Starts the deadline timer of the whole request.
-     *
-     * @param left the time left; if it is not positive, the timer fires at once
-     * @param passed called at the deadline
-     */
+    /** Starts the deadline timer of the whole request; with no time left it fires at once. */
     void startDeadline(final Duration left, final Runnable passed) {
         mDeadline = mLoop.schedule(passed, left.toMillis(), TimeUnit.MILLISECONDS);
     }
@@ -33,9 +28,6 @@
     /**
      * Starts the timeout of an attempt. A response that was lost on its way shows only as silence,
      * and a request that may run again need not wait for its deadline then.
-     *
-     * @param route the route, with its target latency
-     * @param timedOut called when the attempt has timed out
      */
     void startAttemptTimeout(final Route route, final Runnable timedOut) {
         final long millis = Math.round(route.targetLatency().toMillis() * ATTEMPT_TIMEOUT_SHARE);
--- a/gateway/src/main/java/org/whinhead/gateway/exchange/RunMove.java
+++ b/gateway/src/main/java/org/whinhead/gateway/exchange/RunMove.java
@@ -46,19 +46,10 @@
     /** Receives the outcome of the move. */
     interface Listener {
 
-        /**
-         * Called when the run was stopped and can continue.
-         *
-         * @param at the placement at which it continues
-         * @param run the stopped run
-         */
+        /** Called when the run was stopped and can continue at the placement. */
         void runMoved(Placement at, MovedRun run);
 
-        /**
-         * Called when the run was not stopped, or when that is unknown.
-         *
-         * @param streamEnded whether the source's stream has ended; if not, it may continue
-         */
+        /** The run was not stopped, or that is unknown; its stream has ended or may continue. */
         void moveFailed(boolean streamEnded);
     }
 
