--- a/gateway/src/main/java/org/whinhead/gateway/exchange/RequestLogger.java
+++ b/gateway/src/main/java/org/whinhead/gateway/exchange/RequestLogger.java
@@ -22,10 +22,10 @@
     private final RequestMetrics mCounts;
 
     /**
-     * Makes a journal.
+     * Creates a logger.
      *
-     * @param clock the steady clock
-     * @param counts counts what is logged
+     * @param clock the monotonic clock
+     * @param counts the counters of the metrics
      */
     public RequestLogger(final InstantSource clock, final RequestMetrics counts) {
         mClock = clock;
@@ -49,12 +49,12 @@
             final CallerRequest request,
             final CustomerAccount customer,
             final long tokens,
-            final Duration comeBackAfter) {
+            final Duration retryAfter) {
         LOG.atInfo()
                 .addKeyValue("request", request.id())
                 .addKeyValue("customer", customer.name())
                 .addKeyValue("tokens", tokens)
-                .addKeyValue("comeBackAfter", comeBackAfter)
+                .addKeyValue("comeBackAfter", retryAfter)
                 .addKeyValue("ratePerSecond", customer.allowance().tokensPerSecond())
                 .addKeyValue("burst", customer.allowance().burstTokens())
                 .log("customer is over its allowance");
--- a/gateway/src/main/java/org/whinhead/gateway/http/SimpleHttpServer.java
+++ b/gateway/src/main/java/org/whinhead/gateway/http/SimpleHttpServer.java
@@ -25,39 +25,39 @@
 import org.slf4j.Logger;
 import org.slf4j.LoggerFactory;
 
-/** Answers small calls from memory: readiness, addresses, metrics. */
+/** Serves small responses from memory: readiness, directory and metrics. */
 public final class SimpleHttpServer {
 
     private static final Logger LOG = LoggerFactory.getLogger(SimpleHttpServer.class);
 
     private static final int MAX_REQUEST_BYTES = 64 * 1024;
 
-    /** A connection without a call for this long is closed. */
+    /** The idle time after which a connection is closed. */
     private static final int IDLE_SECONDS = 30;
 
     private final EventLoop mLoop;
 
     /**
-     * Makes a server that listens nowhere yet.
+     * Creates a server that does not listen yet.
      *
-     * @param loop where everything runs
+     * @param loop the event loop on which all work runs
      */
     public SimpleHttpServer(final EventLoop loop) {
         mLoop = loop;
     }
 
     /**
-     * Starts to listen.
+     * Starts to listen at an address.
      *
-     * @param address where
-     * @param type the content type of the answers
-     * @param answer makes the answer to a path and query
+     * @param address the address to listen at
+     * @param contentType the content type of the responses
+     * @param responder returns the response to a path and query
      * @return the listening channel
      */
     public Channel listen(
             final InetSocketAddress address,
-            final String type,
-            final Function<String, HttpReply> answer) {
+            final String contentType,
+            final Function<String, HttpReply> responder) {
         return new ServerBootstrap()
                 .group(mLoop)
                 .channel(NioServerSocketChannel.class)
@@ -69,7 +69,7 @@
                                         .addLast(new IdleStateHandler(0, 0, IDLE_SECONDS))
                                         .addLast(new HttpServerCodec())
                                         .addLast(new HttpObjectAggregator(MAX_REQUEST_BYTES))
-                                        .addLast(new RequestHandler(type, answer));
+                                        .addLast(new RequestHandler(contentType, responder));
                             }
                         })
                 .bind(address)
@@ -77,7 +77,7 @@
                 .channel();
     }
 
-    /** A daemon whose port is taken goes on; without a line nobody would know why it is silent. */
+    /** A daemon whose port is in use keeps running; the line shows why it does not respond. */
     private static void logFailure(final InetSocketAddress address, final Throwable cause) {
         if (cause != null) {
             LOG.atError()
@@ -88,24 +88,25 @@
     }
 
     private static final class RequestHandler extends SimpleChannelInboundHandler<FullHttpRequest> {
-        private final String mType;
-        private final Function<String, HttpReply> mAnswer;
+        private final String mContentType;
+        private final Function<String, HttpReply> mResponder;
 
-        private RequestHandler(final String type, final Function<String, HttpReply> answer) {
-            mType = type;
-            mAnswer = answer;
+        private RequestHandler(
+                final String contentType, final Function<String, HttpReply> responder) {
+            mContentType = contentType;
+            mResponder = responder;
         }
 
         @Override
         protected void channelRead0(
                 final ChannelHandlerContext context, final FullHttpRequest request) {
-            final HttpReply reply = mAnswer.apply(request.uri());
+            final HttpReply reply = mResponder.apply(request.uri());
             final FullHttpResponse response =
                     new DefaultFullHttpResponse(
                             HttpVersion.HTTP_1_1,
                             HttpResponseStatus.valueOf(reply.status()),
                             Unpooled.wrappedBuffer(reply.body()));
-            response.headers().set(HttpHeaderNames.CONTENT_TYPE, mType);
+            response.headers().set(HttpHeaderNames.CONTENT_TYPE, mContentType);
             HttpUtil.setContentLength(response, response.content().readableBytes());
             final boolean keepAlive = HttpUtil.isKeepAlive(request);
             HttpUtil.setKeepAlive(response, keepAlive);
