--- a/gateway/src/main/java/org/whinhead/gateway/duty/DutyLeaseManager.java
+++ b/gateway/src/main/java/org/whinhead/gateway/duty/DutyLeaseManager.java
@@ -26,20 +26,21 @@
 import org.whinhead.serving.member.MemberTable;
 
 /**
- * Keeps or awaits the lease, and acts while it is held.
+ * Acquires and renews the lease, and performs the tasks of the lease holder: usage reports and
+ * endpoint orders.
  *
- * <p>The two daemons whose names come first watch the lease for all; the others neither read nor
- * write it, so that its cost doesn't grow with the number of daemons.
+ * <p>Only the two daemons with the first names in order are candidates; the others neither read nor
+ * write the lease, so that its cost doesn't grow with the number of daemons.
  */
 public final class DutyLeaseManager {
 
     private static final Logger LOG = LoggerFactory.getLogger(DutyLeaseManager.class);
     private static final String LEASE_KEY = "lease";
 
-    /** The pace of renewals, and of a candidate's reads; a third of the lease at most. */
+    /** Interval of renewals and of a candidate's reads; at most a third of the lease term. */
     private static final int RENEWAL_INTERVAL_MILLIS = 1_000;
 
-    /** Daemons that watch the lease without holding it. */
+    /** Number of daemons that read the lease without holding it. */
     private static final int CANDIDATE_COUNT = 2;
 
     private final EventLoop mLoop;
@@ -58,14 +59,14 @@
     private boolean mStopped;
 
     /**
-     * Makes a holder that holds nothing.
+     * Creates a manager that doesn't hold the lease.
      *
-     * @param loop where everything runs
-     * @param state the decision objects
-     * @param members the daemons
-     * @param store where the lease is kept
-     * @param cloud takes reports and orders
-     * @param duties the lease and the plans of its holder
+     * @param loop the event loop that runs all calls
+     * @param state the endpoints, the usage, the configuration and the clocks
+     * @param members the known daemons
+     * @param store the store of the lease
+     * @param cloud receives usage reports and endpoint orders
+     * @param duties the lease and the planners of its holder
      */
     public DutyLeaseManager(
             final EventLoop loop,
@@ -86,24 +87,24 @@
     }
 
     /**
-     * The decision objects of the duties.
+     * The lease and the planners of its holder's tasks.
      *
-     * @param lease the lease
-     * @param usagePlan which windows are reported
-     * @param planner which endpoints are ordered
+     * @param lease the state of the lease
+     * @param usagePlan decides which usage windows to report
+     * @param planner decides which endpoints to order
      */
     public record Duties(DutyLease lease, UsagePlan usagePlan, CapacityPlanner planner) {}
 
     /**
-     * Returns the duty that orders endpoints under the lease.
+     * Returns the autoscaler that orders endpoints under the lease.
      *
-     * @return the duty
+     * @return the autoscaler
      */
     public EndpointAutoscaler autoscaler() {
         return mAutoscaler;
     }
 
-    /** Starts to watch the lease. */
+    /** Starts to read, claim and renew the lease. */
     public void start() {
         mLoop.scheduleWithFixedDelay(
                 this::tick,
@@ -112,7 +113,7 @@
                 TimeUnit.MILLISECONDS);
     }
 
-    /** Gives the lease up, so that another daemon need not wait for it to run out. */
+    /** Releases the lease, so that another daemon need not wait for it to expire. */
     public void stop() {
         mStopped = true;
         if (mLease.isHeld()) {
@@ -128,13 +129,13 @@
                                     LOG.atInfo()
                                             .addKeyValue("token", release.token())
                                             .addKeyValue("failure", String.valueOf(failure))
-                                            .log("lease given up"));
+                                            .log("lease released"));
         }
     }
 
     private void tick() {
-        // Every daemon meters the demand: one that takes the lease over a fleet that was just lost
-        // would otherwise judge it by the few requests that are still served.
+        // Every daemon records the demand: one that takes the lease just after most endpoints were
+        // lost would otherwise underestimate it from the few requests that are still served.
         mAutoscaler.recordDemand();
         if (mCallPending || mStopped) {
             return;
@@ -148,26 +149,26 @@
 
     private void readLease() {
         mCallPending = true;
-        final Instant steady = mState.clock().instant();
+        final Instant readAt = mState.clock().instant();
         mStore.newest(StoreTopic.DUTIES)
                 .whenComplete(
                         (page, failure) -> {
                             mCallPending = false;
                             if (failure == null) {
-                                handleLeaseRead(page, steady);
+                                handleLeaseRead(page, readAt);
                             }
                         });
     }
 
-    private void handleLeaseRead(final StorePage page, final Instant steady) {
+    private void handleLeaseRead(final StorePage page, final Instant readAt) {
         final Optional<LeaseRecord> record;
         try {
             record = decodeLease(page);
         } catch (InvalidProtocolBufferException e) {
-            LOG.error("lease not understood, no duty is done", e);
+            LOG.error("lease record not readable, lease not claimed", e);
             return;
         }
-        mLease.seen(new StoredLease(record, page.end()), steady);
+        mLease.seen(new StoredLease(record, page.end()), readAt);
         if (mLease.isFree(mState.clock().instant()) && !mStopped) {
             claim();
         }
@@ -221,7 +222,7 @@
             handleUnansweredClaim(failure);
         } else if (end.isEmpty()) {
             mLease.lost();
-            LOG.info("lease belongs to another daemon");
+            LOG.info("lease is held by another daemon");
         } else {
             if (!renewal) {
                 LOG.atInfo().addKeyValue("token", mClaimedRecord.token()).log("lease taken");
@@ -231,11 +232,11 @@
     }
 
     /**
-     * Goes on under the last renewal, as long as that holds. The store may turn away the holder
-     * just as its endpoints are reclaimed; a holder that gave up at the first refusal left nobody
-     * to order others until its successor's wait was over, 3.4 s later. It stays safe: nobody else
-     * takes the lease before its term has passed since the last record. The claim may have landed
-     * all the same; then the next one finds another end of the store.
+     * Continues under the last renewal while it is valid. The store may refuse the holder just as
+     * endpoints are reclaimed; a holder that gave up the lease at the first refusal left nobody to
+     * order replacements until its successor's wait was over, 3.4 s later. Continuing is safe:
+     * nobody else takes the lease before its term has passed since the last record. The claim may
+     * have been written all the same; the next claim then finds another end of the topic.
      */
     private void handleUnansweredClaim(final Throwable failure) {
         final boolean stillHeld = fencingToken().isPresent();
@@ -246,7 +247,7 @@
                 .addKeyValue("token", mClaimedRecord.token())
                 .addKeyValue("cause", String.valueOf(failure.getMessage()))
                 .addKeyValue("stillHeld", stillHeld)
-                .log("claim of the lease not answered");
+                .log("lease claim not answered");
         mAutoscaler.orderEndpoints();
     }
 
@@ -258,33 +259,33 @@
     private void performDuties() {
         for (final UsageDecision decision : mLease.decisions()) {
             if (!decision.delivered() && !mDeliveredWindows.contains(decision.window())) {
-                fencingToken().ifPresent(token -> reportUsage(token, decision));
+                fencingToken().ifPresent(fencingToken -> reportUsage(fencingToken, decision));
             }
         }
         mAutoscaler.orderEndpoints();
     }
 
     /**
-     * Tells whether this daemon may act as the holder of the duties now.
+     * Returns the fencing token while this daemon may act as the lease holder.
      *
-     * @return the fencing token to act with, if it may
+     * @return the fencing token; empty if this daemon may not act
      */
     public Optional<Long> fencingToken() {
         return mLease.tokenToAct(mState.clock().instant(), mState.timeOfDay().instant());
     }
 
-    private void reportUsage(final long token, final UsageDecision decision) {
-        mCloud.reportUsage(token, decision)
+    private void reportUsage(final long fencingToken, final UsageDecision decision) {
+        mCloud.reportUsage(fencingToken, decision)
                 .whenComplete(
-                        (taken, failure) -> {
-                            if (failure == null && taken) {
+                        (accepted, failure) -> {
+                            if (failure == null && accepted) {
                                 mDeliveredWindows.add(decision.window());
                             }
                             LOG.atInfo()
                                     .addKeyValue("window", decision.window())
                                     .addKeyValue("counts", decision.counts())
-                                    .addKeyValue("token", token)
-                                    .addKeyValue("taken", taken)
+                                    .addKeyValue("token", fencingToken)
+                                    .addKeyValue("taken", accepted)
                                     .addKeyValue("failure", String.valueOf(failure))
                                     .log("usage reported");
                         });
--- a/gateway/src/main/java/org/whinhead/gateway/duty/EndpointAutoscaler.java
+++ b/gateway/src/main/java/org/whinhead/gateway/duty/EndpointAutoscaler.java
@@ -17,14 +17,17 @@
 import org.whinhead.serving.configuration.ServingConfiguration;
 import org.whinhead.serving.endpoint.EndpointEntry;
 
-/** Orders endpoints while this daemon holds the lease, and watches which there are otherwise. */
+/**
+ * Orders endpoints while this daemon holds the lease; otherwise only tracks the existing ones, to
+ * be able to take over.
+ */
 public final class EndpointAutoscaler {
 
     private static final Logger LOG = LoggerFactory.getLogger(EndpointAutoscaler.class);
 
     private static final int MILLIS_PER_SECOND = 1_000;
 
-    /** How long answers to the orders of one round are gathered; an answer takes some 4 ms. */
+    /** Time for which refusals of one round of orders are collected; an answer takes about 4 ms. */
     private static final int REFUSAL_BATCH_MILLIS = 30;
 
     private final EventLoop mLoop;
@@ -41,27 +44,28 @@
             final ServingState state,
             final FencedCloudClient cloud,
             final CapacityPlanner planner,
-            final Supplier<Optional<Long>> token) {
+            final Supplier<Optional<Long>> fencingToken) {
         mLoop = loop;
         mState = state;
         mCloud = cloud;
         mPlanner = planner;
-        mFencingToken = token;
+        mFencingToken = fencingToken;
     }
 
     /**
-     * Sets what is done with an order that the platform has taken.
+     * Sets the handler of accepted orders.
      *
-     * @param onOrdered takes the order
+     * @param onOrdered receives an order that the platform has accepted
      */
     public void onOrdered(final Consumer<CapacityOrder> onOrdered) {
         mOnOrdered = onOrdered;
     }
 
     /**
-     * Takes an order of the daemon that holds the lease, for the time when this one does.
+     * Records an order of the lease holder, so that this daemon plans with it if it takes over.
+     * Does nothing if this daemon holds the lease or the service is not configured.
      *
-     * @param order an order that the platform has taken
+     * @param order an order that the platform has accepted
      */
     public void recordPeerOrder(final CapacityOrder order) {
         final Optional<ServiceSpec> service =
@@ -74,8 +78,8 @@
     }
 
     /**
-     * Orders endpoints at once if this daemon holds the lease, as a reclaim leaves seconds only;
-     * otherwise it only watches which there are.
+     * Plans and orders endpoints at once if this daemon holds the lease, as a reclaim leaves only
+     * seconds; otherwise only records the existing endpoints.
      */
     public void orderEndpoints() {
         final Optional<ServingConfiguration> configuration = mState.configuration().current();
@@ -97,7 +101,7 @@
                         && mState.rollouts().isOpen(service.name())) {
                     continue;
                 }
-                mFencingToken.get().ifPresent(token -> order(token, order));
+                mFencingToken.get().ifPresent(fencingToken -> order(fencingToken, order));
             }
         }
     }
@@ -107,8 +111,9 @@
     }
 
     /**
-     * Tells whether an order gives endpoints up. Between two versions a service has twice what it
-     * needs, and which of them is given up would be the platform's choice.
+     * Returns whether an order releases endpoints. During a rollout a service has twice the
+     * endpoints that it needs, and the platform would choose which of them to release, whatever
+     * their version.
      */
     private static boolean reducesEndpoints(
             final CapacityOrder order, final List<EndpointEntry> endpoints) {
@@ -126,7 +131,9 @@
         }
     }
 
-    /** Notes what callers have asked so far; to be called at each tick of every daemon. */
+    /**
+     * Records the tokens that callers have requested so far; called at each tick of every daemon.
+     */
     void recordDemand() {
         mDemand.total(
                 mState.quotas().offered().byAll(),
@@ -142,9 +149,9 @@
     }
 
     /**
-     * Orders elsewhere what was refused, once for all refusals of a round. A wave of reclaims makes
-     * several domains run dry together; a holder that went on at its next round lost a second of
-     * the two or three that a notice gives.
+     * Schedules one new round of orders for all refusals of a round. In a wave of reclaims several
+     * domains have no capacity left at once; a holder that waited for its next regular round lost
+     * one of the two or three seconds that a reclaim notice gives.
      */
     private void scheduleReplacementOrders() {
         if (!mReorderScheduled) {
@@ -159,17 +166,17 @@
         }
     }
 
-    private void order(final long token, final CapacityOrder order) {
-        mCloud.order(token, order)
+    private void order(final long fencingToken, final CapacityOrder order) {
+        mCloud.order(fencingToken, order)
                 .whenComplete(
-                        (taken, failure) -> {
+                        (accepted, failure) -> {
                             if (failure == null) {
-                                mPlanner.answered(order, taken);
+                                mPlanner.answered(order, accepted);
                             }
-                            if (failure == null && taken) {
+                            if (failure == null && accepted) {
                                 mOnOrdered.accept(order);
                             }
-                            if (failure == null && !taken) {
+                            if (failure == null && !accepted) {
                                 scheduleReplacementOrders();
                             }
                             LOG.atInfo()
@@ -177,8 +184,8 @@
                                     .addKeyValue("domain", order.domain())
                                     .addKeyValue("reclaimable", order.reclaimable())
                                     .addKeyValue("count", order.count())
-                                    .addKeyValue("token", token)
-                                    .addKeyValue("taken", taken)
+                                    .addKeyValue("token", fencingToken)
+                                    .addKeyValue("taken", accepted)
                                     .addKeyValue("failure", String.valueOf(failure))
                                     .log("endpoints ordered");
                         });
--- a/gateway/src/main/java/org/whinhead/gateway/duty/LeaseRecordCodec.java
+++ b/gateway/src/main/java/org/whinhead/gateway/duty/LeaseRecordCodec.java
@@ -7,7 +7,7 @@
 import org.whinhead.serving.duty.LeaseRecord;
 import org.whinhead.serving.duty.UsageDecision;
 
-/** Spells the lease as bytes. */
+/** Encodes and decodes the lease record of the store. */
 final class LeaseRecordCodec {
 
     private LeaseRecordCodec() {}
--- a/gateway/src/main/java/org/whinhead/gateway/duty/package-info.java
+++ b/gateway/src/main/java/org/whinhead/gateway/duty/package-info.java
@@ -1,2 +1,2 @@
-/** Carries out the duties of the lease holder: usage reports and orders of endpoints. */
+/** The lease, and the tasks of its holder: usage reports and endpoint orders. */
 package org.whinhead.gateway.duty;
--- a/gateway/src/main/java/org/whinhead/gateway/metrics/CounterKey.java
+++ b/gateway/src/main/java/org/whinhead/gateway/metrics/CounterKey.java
@@ -4,40 +4,43 @@
 import java.util.Objects;
 
 /**
- * Which count of requests is meant.
+ * The key of a request counter.
  *
- * @param metric what is counted
- * @param first the value of the metric's first tag
- * @param second the value of its second tag; empty if it has none
+ * @param metric the metric
+ * @param firstTagValue the value of the metric's first tag
+ * @param secondTagValue the value of the metric's second tag; empty if it has none
  */
 record CounterKey(Metric metric, String firstTagValue, String secondTagValue) {
 
-    /** Checks the parts. */
+    /** Rejects null components. */
     CounterKey {
         Objects.requireNonNull(metric, "metric");
-        Objects.requireNonNull(firstTagValue, "first");
-        Objects.requireNonNull(secondTagValue, "second");
+        Objects.requireNonNull(firstTagValue, "firstTagValue");
+        Objects.requireNonNull(secondTagValue, "secondTagValue");
     }
 
     Tags tags() {
         return metric.tags(firstTagValue, secondTagValue);
     }
 
-    /** What is counted, with the names of its tags. */
+    /** The metrics, with their names and tag names. */
     enum Metric {
         /** Requests that were refused without being sent. */
         REFUSED("whinhead.requests.refused", "reason", ""),
-        /** Tokens of the requests that customers were admitted with. */
+        /** Tokens of admitted requests. */
         TOKENS_ADMITTED("whinhead.tokens.admitted", "customer", ""),
-        /** Sends that ended without an answer. */
+        /** Attempts that ended without an answer. */
         ATTEMPT_FAILED("whinhead.attempts.failed", "verdict", "reason"),
         /** Runs that were moved off leaving endpoints. */
         MOVED("whinhead.runs.moved", "answered", ""),
         /** Requests that have ended. */
         FINISHED("whinhead.requests.finished", "kind", "outcome"),
-        /** Requests that have ended within a time, as a cumulative histogram. */
+        /**
+         * Requests that have ended within a time, as a cumulative histogram with bounds in
+         * milliseconds.
+         */
         TIME_WITHIN("whinhead.requests.within", "kind", "millis"),
-        /** The sum of the times of ended requests. */
+        /** The sum of the durations of ended requests, in milliseconds. */
         TIME_MILLIS("whinhead.requests.time.millis", "kind", "");
 
         private final String mName;
--- a/gateway/src/main/java/org/whinhead/gateway/metrics/RequestMetrics.java
+++ b/gateway/src/main/java/org/whinhead/gateway/metrics/RequestMetrics.java
@@ -10,14 +10,14 @@
 import org.whinhead.serving.route.RouteKind;
 
 /**
- * Counts what became of requests; used on the event loop only.
+ * Counts requests, their outcomes and their durations; used on the event loop only.
  *
- * <p>The registry that writes the page is made when the page is first read: setting it up is a
- * twentieth of a start, and a request looks its counters up without building their tags.
+ * <p>The Prometheus registry is created at the first scrape: its setup takes a twentieth of a
+ * start. A request finds its counters without building their tags.
  */
 public final class RequestMetrics {
 
-    /** Upper bounds of the histogram: from a plain call's work to the longest streams. */
+    /** Upper bounds of the histogram: from a plain call to the longest streams. */
     private static final long[] BUCKET_BOUNDS_MILLIS = {
         10, 20, 50, 100, 200, 500, 1_000, 2_000, 5_000, 10_000
     };
@@ -28,39 +28,39 @@
     private PrometheusMeterRegistry mRegistry;
 
     /**
-     * Counts a request that was not sent anywhere.
+     * Counts a request that was refused without being sent.
      *
-     * @param reason why
+     * @param reason the reason of the refusal
      */
     public void recordRefused(final String reason) {
         counter(Metric.REFUSED, reason, "").add(1);
     }
 
     /**
-     * Counts what a customer was admitted with. Summed over all daemons, the growth within a window
-     * is what the customer's allowance bounds.
+     * Counts the tokens of an admitted request. The customer's quota bounds the growth of this
+     * counter within a window, summed over all daemons.
      *
      * @param customer the customer's name
-     * @param tokens what the request costs
+     * @param tokens the cost of the request in tokens
      */
     public void recordAdmitted(final String customer, final long tokens) {
         counter(Metric.TOKENS_ADMITTED, customer, "").add(tokens);
     }
 
     /**
-     * Counts a send without an answer.
+     * Counts an attempt without an answer.
      *
-     * @param verdict whether it may have run
-     * @param reason why there is no answer
+     * @param verdict whether the request may have run
+     * @param reason the reason of the failure
      */
     public void recordFailedAttempt(final Verdict verdict, final String reason) {
         counter(Metric.ATTEMPT_FAILED, verdict.wireName(), reason).add(1);
     }
 
     /**
-     * Counts a run that was moved, or should have been.
+     * Counts a run that was moved off a leaving endpoint, successfully or not.
      *
-     * @param answered whether its endpoint answered
+     * @param answered whether the endpoint answered
      */
     public void recordMoved(final boolean answered) {
         counter(Metric.MOVED, String.valueOf(answered), "").add(1);
@@ -69,26 +69,27 @@
     /**
      * Counts a request that has ended.
      *
-     * @param kind its route's kind
-     * @param outcome how it ended
-     * @param taken how long it took
+     * @param kind the kind of the request's route
+     * @param outcome the outcome
+     * @param duration the time from the request to its end
      */
-    public void recordFinished(final RouteKind kind, final String outcome, final Duration taken) {
-        final String name = kind.name();
-        counter(Metric.FINISHED, name, outcome).add(1);
-        counter(Metric.TIME_MILLIS, name, "").add(taken.toMillis());
+    public void recordFinished(
+            final RouteKind kind, final String outcome, final Duration duration) {
+        final String kindName = kind.name();
+        counter(Metric.FINISHED, kindName, outcome).add(1);
+        counter(Metric.TIME_MILLIS, kindName, "").add(duration.toMillis());
         for (final long bound : BUCKET_BOUNDS_MILLIS) {
-            if (taken.toMillis() <= bound) {
-                counter(Metric.TIME_WITHIN, name, String.valueOf(bound)).add(1);
+            if (duration.toMillis() <= bound) {
+                counter(Metric.TIME_WITHIN, kindName, String.valueOf(bound)).add(1);
             }
         }
-        counter(Metric.TIME_WITHIN, name, INFINITE_BOUND).add(1);
+        counter(Metric.TIME_WITHIN, kindName, INFINITE_BOUND).add(1);
     }
 
     /**
-     * Writes the page.
+     * Renders the metrics page.
      *
-     * @return the counts in Prometheus's text form
+     * @return the counters in Prometheus's text format
      */
     public String renderPage() {
         if (mRegistry == null) {
@@ -98,22 +99,23 @@
         return mRegistry.scrape();
     }
 
-    private Counter counter(final Metric metric, final String first, final String second) {
-        final CounterKey name = new CounterKey(metric, first, second);
-        final Counter known = mCounters.get(name);
+    private Counter counter(
+            final Metric metric, final String firstTagValue, final String secondTagValue) {
+        final CounterKey key = new CounterKey(metric, firstTagValue, secondTagValue);
+        final Counter known = mCounters.get(key);
         if (known != null) {
             return known;
         }
         final Counter added = new Counter();
-        mCounters.put(name, added);
+        mCounters.put(key, added);
         if (mRegistry != null) {
-            register(name, added);
+            register(key, added);
         }
         return added;
     }
 
-    private void register(final CounterKey name, final Counter count) {
-        mRegistry.more().counter(name.metric().metricName(), name.tags(), count, Counter::total);
+    private void register(final CounterKey key, final Counter counter) {
+        mRegistry.more().counter(key.metric().metricName(), key.tags(), counter, Counter::total);
     }
 
     private static final class Counter {
--- a/gateway/src/main/java/org/whinhead/gateway/metrics/package-info.java
+++ b/gateway/src/main/java/org/whinhead/gateway/metrics/package-info.java
@@ -1,2 +1,2 @@
-/** Counts of requests, and the page that shows them. */
+/** Request counters and the metrics page. */
 package org.whinhead.gateway.metrics;
--- a/gateway/src/main/java/org/whinhead/gateway/peers/DigestReadCoordinator.java
+++ b/gateway/src/main/java/org/whinhead/gateway/peers/DigestReadCoordinator.java
@@ -14,22 +14,22 @@
 import org.whinhead.serving.member.MemberTable;
 
 /**
- * Lets a few daemons read the store for all.
+ * Coordinates reads so that a few daemons read the store for all.
  *
  * <p>Each call to the store is billed and counts against a limit that all daemons share. The two
- * daemons whose names come first read at a steady pace and pass on what has changed, with a digest
- * of what they see behind each read. The others read only if a digest that is not older than their
- * own view differs from it, or if none has come for a while.
+ * daemons with the first names in order read at a fixed interval. After each read they send the
+ * changes and a digest of their view to the others. The other daemons read only if a digest that is
+ * not older than their own view differs from it, or if no digest has arrived for a while.
  */
 public final class DigestReadCoordinator implements ReadCoordinator {
 
-    /** Daemons that read for all: one may be cut off from the store without being noticed. */
+    /** Number of daemons that read for all: one may be cut off from the store unnoticed. */
     private static final int READER_COUNT = 2;
 
-    /** Two digests are missed; a leaving endpoint must be noticed within two seconds. */
+    /** Allows for two lost digests; a leaving endpoint must be noticed within two seconds. */
     private static final Duration DIGEST_MAX_AGE = Duration.ofMillis(900);
 
-    /** A read of the configuration waits a second at the store. */
+    /** A configuration read waits up to one second at the store. */
     private static final Duration CONFIGURATION_READ_MAX_AGE = Duration.ofMillis(2_500);
 
     private final ServingState mState;
@@ -41,10 +41,10 @@
     private Instant mConfigurationReadAt = Instant.EPOCH;
 
     /**
-     * Makes digests of nothing.
+     * Creates a coordinator that has received no digest.
      *
-     * @param state what this daemon has seen
-     * @param members the daemons
+     * @param state this daemon's view of endpoints, configuration and rollouts
+     * @param members the known daemons
      */
     public DigestReadCoordinator(final ServingState state, final MemberTable members) {
         mState = state;
@@ -52,33 +52,34 @@
     }
 
     /**
-     * Sets what is done when another daemon has seen something new.
+     * Sets the handler for records that another daemon has read and this one has not.
      *
-     * @param wake takes the topic to be read
+     * @param onNewRecords receives the topic to read
      */
-    public void onNewRecords(final Consumer<StoreTopic> wake) {
-        mOnNewRecords = wake;
+    public void onNewRecords(final Consumer<StoreTopic> onNewRecords) {
+        mOnNewRecords = onNewRecords;
     }
 
     /**
-     * Sets what is done when another daemon has read on and found what this one knows.
+     * Sets the handler for endpoint records that another daemon has read and that change nothing
+     * for this one.
      *
-     * @param skip takes the offset behind what it has read of the endpoints
+     * @param onSkippableEndpoints receives the offset behind the last such record
      */
-    public void onSkippableEndpoints(final LongConsumer skip) {
-        mOnSkippableEndpoints = skip;
+    public void onSkippableEndpoints(final LongConsumer onSkippableEndpoints) {
+        mOnSkippableEndpoints = onSkippableEndpoints;
     }
 
     /**
-     * Notes how far the endpoints were read.
+     * Records how far this daemon has read the endpoints.
      *
-     * @param end the offset behind the last record
+     * @param end the offset behind the last record read
      */
     public void recordEndpointsRead(final long end) {
         mEndpointsEnd = Math.max(mEndpointsEnd, end);
     }
 
-    /** Notes that the configuration was read. */
+    /** Records that this daemon has read the configuration now. */
     public void recordConfigurationRead() {
         mConfigurationReadAt = now();
     }
@@ -93,12 +94,12 @@
         if (isReader()) {
             return false;
         }
-        final Instant oldest = now().minus(DIGEST_MAX_AGE);
+        final Instant notBefore = now().minus(DIGEST_MAX_AGE);
         return mReceivedDigests.values().stream()
                 .anyMatch(
-                        seen ->
-                                seen.mReceivedAt.isAfter(oldest)
-                                        && hasNothingNew(seen.mDigest, topic));
+                        received ->
+                                received.mReceivedAt.isAfter(notBefore)
+                                        && hasNothingNew(received.mDigest, topic));
     }
 
     private boolean hasNothingNew(final StoreDigest digest, final StoreTopic topic) {
@@ -125,7 +126,7 @@
     }
 
     /**
-     * Sums up what this daemon has read.
+     * Creates a digest of what this daemon has read.
      *
      * @return the digest
      */
@@ -141,9 +142,9 @@
     }
 
     /**
-     * Takes a digest of another daemon.
+     * Handles a digest of another daemon.
      *
-     * @param sender the address that it came from
+     * @param sender the address of that daemon
      * @param digest the digest
      */
     void receive(final String sender, final StoreDigest digest) {
@@ -164,9 +165,9 @@
         private final StoreDigest mDigest;
         private final Instant mReceivedAt;
 
-        private ReceivedDigest(final StoreDigest digest, final Instant at) {
+        private ReceivedDigest(final StoreDigest digest, final Instant receivedAt) {
             mDigest = digest;
-            mReceivedAt = at;
+            mReceivedAt = receivedAt;
         }
     }
 }
--- a/gateway/src/main/java/org/whinhead/gateway/peers/EndpointChangeCodec.java
+++ b/gateway/src/main/java/org/whinhead/gateway/peers/EndpointChangeCodec.java
@@ -12,37 +12,41 @@
 import org.whinhead.serving.endpoint.EndpointEntry;
 
 /**
- * Spells changes of endpoints for other daemons.
+ * Encodes endpoint changes for other daemons and decodes them.
  *
- * <p>A leaving endpoint is named by its id alone, since the others know the rest. A reclaim changes
- * all entries of a failure domain at once, and each of the readers tells every daemon over a link
- * of 10 Mbit/s: whole entries filled it, and half of the news of each reclaim was lost.
+ * <p>The record of a leaving endpoint omits what the other daemons already know of it. A reclaim
+ * changes all entries of a failure domain at once, and each reader of the store sends the changes
+ * to every daemon over a link of 10 Mbit/s: complete entries saturated that link, and half of the
+ * changes of each reclaim were lost.
  */
 final class EndpointChangeCodec {
 
-    /** Bytes of changes in one datagram, so that it travels in one packet. */
+    /**
+     * Maximum size of the changes in one datagram, in bytes, so that the datagram fits into one
+     * packet.
+     */
     private static final int MAX_BYTES_PER_DATAGRAM = 1_150;
 
     private EndpointChangeCodec() {}
 
     static List<EndpointNews> encode(final List<EndpointChange> changes) {
-        final List<EndpointNews> all = new ArrayList<>();
-        EndpointNews.Builder news = EndpointNews.newBuilder();
+        final List<EndpointNews> messages = new ArrayList<>();
+        EndpointNews.Builder message = EndpointNews.newBuilder();
         int bytes = 0;
         for (final EndpointChange change : changes) {
             final EndpointChangeRecord record = encode(change);
             if (bytes > 0 && bytes + record.getSerializedSize() > MAX_BYTES_PER_DATAGRAM) {
-                all.add(news.build());
-                news = EndpointNews.newBuilder();
+                messages.add(message.build());
+                message = EndpointNews.newBuilder();
                 bytes = 0;
             }
-            news.addChanges(record);
+            message.addChanges(record);
             bytes += record.getSerializedSize();
         }
         if (bytes > 0) {
-            all.add(news.build());
+            messages.add(message.build());
         }
-        return all;
+        return messages;
     }
 
     private static EndpointChangeRecord encode(final EndpointChange change) {
@@ -54,7 +58,7 @@
 
     private static void setEntryFields(
             final EndpointEntry entry, final EndpointChangeRecord.Builder record) {
-        entry.leavesIn().ifPresent(left -> record.setLeavesInMillis(left.toMillis()));
+        entry.leavesIn().ifPresent(remaining -> record.setLeavesInMillis(remaining.toMillis()));
         entry.startedAt().ifPresent(start -> record.setStartedMillis(start.toEpochMilli()));
         record.setLeaving(entry.leaving());
         if (entry.leaving()) {
@@ -70,19 +74,19 @@
     }
 
     /**
-     * Reads changes.
+     * Decodes changes.
      *
-     * @param news the changes as they were sent
-     * @param known finds the entry of an endpoint that is known here
-     * @return the changes; without those of leaving endpoints that are not known here
-     * @throws IllegalArgumentException if one can't be understood
+     * @param message the changes as they were sent
+     * @param findKnown finds the entry of an endpoint that this daemon knows
+     * @return the changes, without those of leaving endpoints that this daemon doesn't know
+     * @throws IllegalArgumentException if a change is not readable
      */
     static List<EndpointChange> decode(
-            final EndpointNews news, final Function<String, Optional<EndpointEntry>> known) {
+            final EndpointNews message, final Function<String, Optional<EndpointEntry>> findKnown) {
         final List<EndpointChange> changes = new ArrayList<>();
-        for (final EndpointChangeRecord record : news.getChangesList()) {
+        for (final EndpointChangeRecord record : message.getChangesList()) {
             final Optional<EndpointEntry> entry =
-                    record.getLeaving() ? decodeLeaving(record, known) : decodeEntry(record);
+                    record.getLeaving() ? decodeLeaving(record, findKnown) : decodeEntry(record);
             if (entry.isPresent() || !record.getLeaving()) {
                 changes.add(new EndpointChange(record.getId(), record.getOffset(), entry));
             }
@@ -92,8 +96,9 @@
 
     private static Optional<EndpointEntry> decodeLeaving(
             final EndpointChangeRecord record,
-            final Function<String, Optional<EndpointEntry>> known) {
-        return known.apply(record.getId())
+            final Function<String, Optional<EndpointEntry>> findKnown) {
+        return findKnown
+                .apply(record.getId())
                 .filter(entry -> entry.startedAt().equals(startedAt(record)))
                 .map(entry -> entry.asLeaving(leavesIn(record)));
     }
--- a/gateway/src/main/java/org/whinhead/gateway/peers/MemberDiscovery.java
+++ b/gateway/src/main/java/org/whinhead/gateway/peers/MemberDiscovery.java
@@ -15,10 +15,10 @@
 import org.whinhead.serving.member.Member;
 
 /**
- * Introduces daemons that know no address of each other.
+ * Announces this daemon's address in the store and reads the addresses of other daemons from it.
  *
- * <p>The addresses in the settings may all be of daemons that are down. So each daemon writes its
- * own into the store once, and reads those of the others once.
+ * <p>All addresses in the settings may belong to daemons that are down, so each daemon writes its
+ * own address to the store once and then reads those of the others once.
  */
 public final class MemberDiscovery {
 
@@ -32,25 +32,28 @@
     private final Consumer<InetSocketAddress> mOnContact;
 
     /**
-     * Makes an announcement that is not sent yet.
+     * Creates a discovery that is not started.
      *
-     * @param loop where everything runs
-     * @param store where daemons announce themselves
+     * @param loop the event loop that runs all calls
+     * @param store the store of the announcements
      * @param self this daemon
-     * @param contacts takes the addresses of the others
+     * @param onContact receives the address of each announced daemon
      */
     public MemberDiscovery(
             final EventLoop loop,
             final MetadataStore store,
             final Member self,
-            final Consumer<InetSocketAddress> contacts) {
+            final Consumer<InetSocketAddress> onContact) {
         mLoop = loop;
         mStore = store;
         mSelf = self;
-        mOnContact = contacts;
+        mOnContact = onContact;
     }
 
-    /** Announces this daemon, and then looks for others; repeats what fails. */
+    /**
+     * Announces this daemon and then reads the announcements of the others; repeats a step that
+     * fails.
+     */
     public void start() {
         final byte[] value =
                 MemberRecord.newBuilder()
@@ -95,7 +98,7 @@
                 LOG.atWarn()
                         .addKeyValue("daemon", record.key())
                         .addKeyValue("cause", e.getMessage())
-                        .log("announcement not understood");
+                        .log("member announcement not readable");
             }
         }
     }
--- a/gateway/src/main/java/org/whinhead/gateway/peers/PeerDatagramChannel.java
+++ b/gateway/src/main/java/org/whinhead/gateway/peers/PeerDatagramChannel.java
@@ -34,31 +34,36 @@
 import org.whinhead.serving.rollout.RolloutStep;
 
 /**
- * Sends this daemon's report to all others, and takes theirs.
+ * Exchanges datagrams with the other daemons: periodic reports, store digests, endpoint changes,
+ * rollout messages, capacity orders and token messages.
  *
- * <p>Reports are datagrams with totals, not changes: one that is lost is made up for by the next.
- * The interval grows with the number of daemons, so that each receives about as many reports a
- * second whatever the size of the deployment.
+ * <p>Reports contain totals rather than changes, so that the next report makes up for a lost one.
+ * The report interval grows with the number of daemons, so that each daemon receives about the same
+ * number of reports a second at any size of the deployment.
  */
 public final class PeerDatagramChannel {
 
     private static final Logger LOG = LoggerFactory.getLogger(PeerDatagramChannel.class);
 
     /**
-     * The pace of sending: each time a part of the others is sent to, so that no link is filled.
+     * Interval between two sends; each send covers a part of the receivers, so that no link is
+     * saturated.
      */
     private static final int SEND_INTERVAL_MILLIS = 200;
 
     /**
-     * The pause for each receiver between two datagrams that all of them get: what one of 1,200
-     * bytes takes on a link of 10 Mbit/s. Sent at once, the second and later ones were lost.
+     * Pause per receiver between two datagrams to all receivers: the time that one of 1,200 bytes
+     * takes on a link of 10 Mbit/s. Without the pause, the second and later datagrams were lost.
      */
     private static final long BROADCAST_PAUSE_MICROS_PER_RECEIVER = 1_000;
 
-    /** Known addresses that a report passes on; a newcomer learns all within a few reports. */
+    /**
+     * Maximum number of known addresses in a report; a new daemon learns all of them within a few
+     * reports.
+     */
     private static final int CONTACTS_PER_REPORT = 12;
 
-    /** One report in so many passes addresses on: they are needed by newcomers only. */
+    /** Number of report rounds per round that contains addresses, as only new daemons need them. */
     private static final int REPORTS_PER_CONTACT_LIST = 5;
 
     private final EventLoop mLoop;
@@ -79,12 +84,12 @@
     private boolean mLeaving;
 
     /**
-     * Makes a reporter that sends nothing yet.
+     * Creates a channel that is not started.
      *
-     * @param loop where everything runs
-     * @param state what is reported, and what reports change
-     * @param members the daemons
-     * @param digests what was read of the store
+     * @param loop the event loop that runs all calls
+     * @param state the source of this daemon's reports, updated by the reports of others
+     * @param members the known daemons
+     * @param digests creates and receives digests of what was read from the store
      */
     public PeerDatagramChannel(
             final EventLoop loop,
@@ -98,7 +103,7 @@
         mReportHandler = new PeerReportHandler(state, members, this::addContact);
     }
 
-    /** Starts to send and receive. */
+    /** Opens the channel and starts to send reports. */
     public void start() {
         mChannel =
                 new Bootstrap()
@@ -111,9 +116,9 @@
     }
 
     /**
-     * Adds an address at which a daemon may be.
+     * Adds an address where a daemon may listen.
      *
-     * @param contact the address
+     * @param contact the address; ignored if it is this daemon's own
      */
     public void addContact(final InetSocketAddress contact) {
         if (!contact.equals(mMembers.self().peerAddress())) {
@@ -121,7 +126,7 @@
         }
     }
 
-    /** Tells the others at once that this daemon is about to stop. */
+    /** Informs all other daemons at once that this daemon is about to stop. */
     public void announceLeaving() {
         mLeaving = true;
         sendToAll(Datagram.newBuilder().setReport(createReport()).build());
@@ -140,7 +145,9 @@
         mLoop.schedule(this::tick, SEND_INTERVAL_MILLIS, TimeUnit.MILLISECONDS);
     }
 
-    /** Sends to the next part of the others; all get a report within the interval. */
+    /**
+     * Sends a report to the next part of the receivers; all receive one within the report interval.
+     */
     private void sendToNextReceivers() {
         final List<InetSocketAddress> receivers = sortedReceivers();
         if (receivers.isEmpty()) {
@@ -157,7 +164,10 @@
         mChannel.flush();
     }
 
-    /** Orders the others, once for each set of them: sorting spells every address many times. */
+    /**
+     * Returns the receivers in a fixed order. Sorts only when their set changes, as sorting formats
+     * every address many times.
+     */
     private List<InetSocketAddress> sortedReceivers() {
         final long changes = mMembers.addressChanges() + mContacts.size();
         if (changes != mReceiversVersion) {
@@ -175,54 +185,55 @@
     }
 
     /**
-     * Sets what is done with endpoints that another daemon has read.
+     * Sets the handler of endpoint changes that another daemon has read.
      *
-     * @param onNews takes the changes in order
+     * @param onEndpointChanges receives the changes in order
      */
-    public void onEndpointChanges(final Consumer<List<EndpointChange>> onNews) {
-        mOnEndpointChanges = onNews;
+    public void onEndpointChanges(final Consumer<List<EndpointChange>> onEndpointChanges) {
+        mOnEndpointChanges = onEndpointChanges;
     }
 
     /**
-     * Passes on what was read of the endpoints, if this daemon reads for the others.
+     * Sends endpoint changes and then a digest to all daemons, if this daemon reads the store for
+     * the others.
      *
-     * @param changes what has changed
+     * @param changes the changes that were read, in order
      */
     public void sendEndpointChanges(final List<EndpointChange> changes) {
         if (!mDigests.isReader()) {
             return;
         }
-        final List<EndpointNews> all = EndpointChangeCodec.encode(changes);
+        final List<EndpointNews> messages = EndpointChangeCodec.encode(changes);
         final long pauseMicros = BROADCAST_PAUSE_MICROS_PER_RECEIVER * sortedReceivers().size();
-        for (int index = 0; index < all.size(); index++) {
-            final Datagram datagram = Datagram.newBuilder().setNews(all.get(index)).build();
+        for (int index = 0; index < messages.size(); index++) {
+            final Datagram datagram = Datagram.newBuilder().setNews(messages.get(index)).build();
             runAfterMicros(index * pauseMicros, () -> sendToAll(datagram));
         }
-        // Behind all news: a daemon that has not heard them would read the store itself.
-        runAfterMicros(Math.max(all.size() - 1, 0) * pauseMicros, this::sendDigest);
+        // After all changes: a daemon that has not received them yet would read the store itself.
+        runAfterMicros(Math.max(messages.size() - 1, 0) * pauseMicros, this::sendDigest);
     }
 
-    private void runAfterMicros(final long micros, final Runnable send) {
+    private void runAfterMicros(final long micros, final Runnable task) {
         if (micros == 0) {
-            send.run();
+            task.run();
         } else {
-            mLoop.schedule(send, micros, TimeUnit.MICROSECONDS);
+            mLoop.schedule(task, micros, TimeUnit.MICROSECONDS);
         }
     }
 
     /**
-     * Sets what is done with orders of endpoints by another daemon.
+     * Sets the handler of endpoint orders placed by another daemon.
      *
-     * @param onOrder takes an order that the platform has taken
+     * @param onCapacityOrder receives an order that the platform has accepted
      */
-    public void onCapacityOrder(final Consumer<CapacityOrder> onOrder) {
-        mOnCapacityOrder = onOrder;
+    public void onCapacityOrder(final Consumer<CapacityOrder> onCapacityOrder) {
+        mOnCapacityOrder = onCapacityOrder;
     }
 
     /**
-     * Tells all daemons of an order of endpoints, as any of them may be the next to order.
+     * Sends an endpoint order to all daemons, as any of them may place the next one.
      *
-     * @param order an order that the platform has taken
+     * @param order an order that the platform has accepted
      */
     public void sendCapacityOrder(final CapacityOrder order) {
         sendToAll(
@@ -245,16 +256,16 @@
     }
 
     /**
-     * Sets what is done with news of roll-outs.
+     * Sets the listener for rollout messages.
      *
-     * @param news takes them
+     * @param listener receives the steps and the evidence
      */
-    public void onRolloutMessages(final RolloutMessageListener news) {
-        mRolloutListener = news;
+    public void onRolloutMessages(final RolloutMessageListener listener) {
+        mRolloutListener = listener;
     }
 
     /**
-     * Tells all daemons of a step.
+     * Sends a rollout step to all daemons.
      *
      * @param step the step
      */
@@ -263,10 +274,10 @@
     }
 
     /**
-     * Tells the holder of the duties what this daemon has seen.
+     * Sends this daemon's evidence of a rollout to the lease holder.
      *
-     * @param evidence its counts
-     * @param holder where the holder listens
+     * @param evidence the counts of this daemon
+     * @param holder the address where the lease holder listens
      */
     public void sendRolloutEvidence(
             final RolloutEvidence evidence, final InetSocketAddress holder) {
@@ -276,27 +287,27 @@
     }
 
     /**
-     * Sets what is done with the version of the table of shares that another daemon goes by.
+     * Sets the handler of the share table version that another daemon reports.
      *
-     * @param onShareTable takes the version
+     * @param onShareTableVersion receives the version; 0 if that daemon has no table
      */
-    public void onShareTableVersion(final LongConsumer onShareTable) {
-        mReportHandler.onShareTableVersion(onShareTable);
+    public void onShareTableVersion(final LongConsumer onShareTableVersion) {
+        mReportHandler.onShareTableVersion(onShareTableVersion);
     }
 
     /**
-     * Sets what is done with asks for tokens, their answers, and what is given back.
+     * Sets the handler of datagrams that ask for tokens, answer such an ask or return tokens.
      *
-     * @param onTokens takes a datagram that holds one of these, and its sender
+     * @param onTokenDatagram receives the datagram and the address of its sender
      */
-    public void onTokenDatagram(final BiConsumer<Datagram, InetSocketAddress> onTokens) {
-        mOnTokenDatagram = onTokens;
+    public void onTokenDatagram(final BiConsumer<Datagram, InetSocketAddress> onTokenDatagram) {
+        mOnTokenDatagram = onTokenDatagram;
     }
 
     /**
      * Sends a datagram to one daemon.
      *
-     * @param receiver where it listens
+     * @param receiver the address where that daemon listens
      * @param datagram the datagram
      */
     public void send(final InetSocketAddress receiver, final Datagram datagram) {
@@ -304,7 +315,10 @@
         mChannel.flush();
     }
 
-    /** Tells the others what was read of the store, if this daemon reads for them. */
+    /**
+     * Sends a digest of the last reads to all daemons, if this daemon reads the store for the
+     * others.
+     */
     public void sendDigest() {
         if (mDigests.isReader()) {
             sendToAll(Datagram.newBuilder().setDigest(mDigests.createDigest()).build());
@@ -326,18 +340,18 @@
         return mState.clock().instant();
     }
 
-    /** Where no roll-outs are in force, nobody sends news of them. */
+    /** Logs rollout messages that arrive although no listener is set. */
     private static final class UnexpectedRolloutListener implements RolloutMessageListener {
         @Override
         public void onStep(final RolloutStep step, final InetSocketAddress holder) {
-            LOG.atWarn().addKeyValue("sender", holder).log("step of a roll-out not expected");
+            LOG.atWarn().addKeyValue("sender", holder).log("unexpected rollout step");
         }
 
         @Override
         public void onEvidence(final RolloutEvidence evidence) {
             LOG.atWarn()
                     .addKeyValue("daemon", evidence.daemon())
-                    .log("evidence of a roll-out not expected");
+                    .log("unexpected rollout evidence");
         }
     }
 
@@ -377,13 +391,13 @@
                 LOG.atWarn()
                         .addKeyValue("sender", packet.sender())
                         .addKeyValue("cause", e.getMessage())
-                        .log("report not understood");
+                        .log("datagram not readable");
             }
         }
 
         @Override
         public void exceptionCaught(final ChannelHandlerContext context, final Throwable cause) {
-            LOG.atWarn().addKeyValue("cause", cause.toString()).log("report channel failed");
+            LOG.atWarn().addKeyValue("cause", cause.toString()).log("peer datagram channel failed");
         }
     }
 }
--- a/gateway/src/main/java/org/whinhead/gateway/peers/PeerReportHandler.java
+++ b/gateway/src/main/java/org/whinhead/gateway/peers/PeerReportHandler.java
@@ -16,7 +16,7 @@
 import org.whinhead.serving.member.MemberTable;
 import org.whinhead.serving.usage.UsageCount;
 
-/** What a report between daemons holds, and what it changes where it arrives. */
+/** Creates this daemon's reports and applies those of other daemons. */
 final class PeerReportHandler {
 
     private static final Logger LOG = LoggerFactory.getLogger(PeerReportHandler.class);
@@ -35,18 +35,21 @@
         mOnContact = onContact;
     }
 
-    /** Sets what is done with the version of the table of shares that another daemon goes by. */
+    /**
+     * Sets the handler of the share table version that another daemon reports; 0 if it has no
+     * table.
+     */
     void onShareTableVersion(final LongConsumer onShareTable) {
         mOnShareTableVersion = onShareTable;
     }
 
     /**
-     * Says what this daemon has to say.
+     * Creates a report of this daemon.
      *
-     * @param leaving whether it is about to stop
-     * @param contacts how many addresses of other daemons are passed on
+     * @param leaving whether this daemon is about to stop
+     * @param maxContacts maximum number of other daemons' addresses in the report
      */
-    PeerReport createReport(final boolean leaving, final int contacts) {
+    PeerReport createReport(final boolean leaving, final int maxContacts) {
         final Member self = mMembers.self();
         final PeerReport.Builder report =
                 PeerReport.newBuilder()
@@ -83,12 +86,12 @@
                             .setRequests(count.requests()));
         }
         mMembers.peers().stream()
-                .limit(contacts)
+                .limit(maxContacts)
                 .forEach(peer -> report.addContacts(Addresses.format(peer.peerAddress())));
         return report.build();
     }
 
-    /** Takes what another daemon says. */
+    /** Applies a report of another daemon; ignores this daemon's own. */
     void applyReport(final PeerReport report) {
         if (report.getName().equals(mMembers.self().name())) {
             return;
@@ -103,11 +106,11 @@
                         Addresses.parse(report.getPeerAddress()));
         mMembers.heard(member, report.getReady(), report.getLeaving(), now)
                 .ifPresent(
-                        before ->
+                        previous ->
                                 LOG.atInfo()
                                         .addKeyValue("daemon", member.name())
                                         .addKeyValue("incarnation", member.incarnation())
-                                        .log("daemon was restarted"));
+                                        .log("peer daemon restarted"));
         if (report.getTimeOfDayMillis() > 0) {
             mState.usageClock()
                     .heard(report.getName(), Instant.ofEpochMilli(report.getTimeOfDayMillis()));
--- a/gateway/src/main/java/org/whinhead/gateway/peers/RolloutCodec.java
+++ b/gateway/src/main/java/org/whinhead/gateway/peers/RolloutCodec.java
@@ -16,7 +16,7 @@
 import org.whinhead.serving.rollout.RouteOutcomes;
 import org.whinhead.serving.rollout.RouteShare;
 
-/** Spells what daemons tell each other of roll-outs, and what the store keeps of them. */
+/** Encodes and decodes rollout messages between daemons and rollout records of the store. */
 public final class RolloutCodec {
 
     private RolloutCodec() {}
@@ -88,12 +88,12 @@
     }
 
     /**
-     * Spells what the store keeps of a roll-out.
+     * Encodes a rollout record for the store.
      *
-     * @param record the roll-out
-     * @return the record's value
+     * @param record the rollout
+     * @return the value of the store's record
      */
-    public static byte[] stored(final RolloutRecord record) {
+    public static byte[] encodeStored(final RolloutRecord record) {
         return RolloutRecordEntry.newBuilder()
                 .setService(record.service())
                 .setVersion(record.version())
@@ -105,14 +105,15 @@
     }
 
     /**
-     * Reads what the store keeps of a roll-out.
+     * Decodes a rollout record of the store.
      *
-     * @param value the record's value
-     * @return the roll-out
-     * @throws InvalidProtocolBufferException if it can't be understood
-     * @throws IllegalArgumentException if a part of it is missing
+     * @param value the value of the store's record
+     * @return the rollout
+     * @throws InvalidProtocolBufferException if the value is not readable
+     * @throws IllegalArgumentException if a part is missing or the state is unknown
      */
-    public static RolloutRecord stored(final byte[] value) throws InvalidProtocolBufferException {
+    public static RolloutRecord decodeStored(final byte[] value)
+            throws InvalidProtocolBufferException {
         final RolloutRecordEntry entry = RolloutRecordEntry.parseFrom(value);
         return new RolloutRecord(
                 entry.getService(),
@@ -135,7 +136,7 @@
             case RUNNING -> RolloutState.RUNNING;
             case COMPLETED -> RolloutState.COMPLETED;
             case ROLLED_BACK -> RolloutState.ROLLED_BACK;
-            default -> throw new IllegalArgumentException("unknown state of a roll-out");
+            default -> throw new IllegalArgumentException("unknown rollout state");
         };
     }
 }
--- a/gateway/src/main/java/org/whinhead/gateway/peers/RolloutMessageListener.java
+++ b/gateway/src/main/java/org/whinhead/gateway/peers/RolloutMessageListener.java
@@ -4,21 +4,21 @@
 import org.whinhead.serving.rollout.RolloutEvidence;
 import org.whinhead.serving.rollout.RolloutStep;
 
-/** Hears what other daemons say of roll-outs. */
+/** Receives rollout messages of other daemons. */
 public interface RolloutMessageListener {
 
     /**
-     * Takes a step.
+     * Handles a step of the lease holder.
      *
      * @param step the step
-     * @param holder where the daemon that sent it listens
+     * @param holder the address where the sender listens
      */
     void onStep(RolloutStep step, InetSocketAddress holder);
 
     /**
-     * Takes what a daemon has seen.
+     * Handles the evidence of a daemon.
      *
-     * @param evidence its counts
+     * @param evidence the counts of that daemon since the order
      */
     void onEvidence(RolloutEvidence evidence);
 }
--- a/gateway/src/main/java/org/whinhead/gateway/peers/package-info.java
+++ b/gateway/src/main/java/org/whinhead/gateway/peers/package-info.java
@@ -1,2 +1,4 @@
-/** Reports between daemons: who is up, what is under way, spent and counted. */
+/**
+ * Datagrams between daemons: membership, load, usage, store digests, rollout and quota messages.
+ */
 package org.whinhead.gateway.peers;
--- a/gateway/src/main/java/org/whinhead/gateway/quota/DatagramQuotaTransport.java
+++ b/gateway/src/main/java/org/whinhead/gateway/quota/DatagramQuotaTransport.java
@@ -12,7 +12,7 @@
 import org.whinhead.serving.quota.QuotaTransport;
 import org.whinhead.serving.quota.TokenAsk;
 
-/** Carries asks for tokens as datagrams, and answers those of the other daemons. */
+/** Sends this daemon's asks for tokens as datagrams, and answers the asks of other daemons. */
 public final class DatagramQuotaTransport implements QuotaTransport {
 
     private final EventLoop mLoop;
@@ -21,10 +21,10 @@
     private BiConsumer<InetSocketAddress, Datagram> mSender = (receiver, datagram) -> {};
 
     /**
-     * Makes a messenger that is not connected yet.
+     * Creates a transport that is not connected.
      *
-     * @param loop where everything runs
-     * @param incarnation this daemon's incarnation
+     * @param loop the event loop that runs all calls
+     * @param incarnation the id of this daemon's process
      */
     public DatagramQuotaTransport(final EventLoop loop, final String incarnation) {
         mLoop = loop;
@@ -32,10 +32,10 @@
     }
 
     /**
-     * Connects the messenger.
+     * Connects the transport.
      *
      * @param state the quotas and the clocks
-     * @param sender sends a datagram to a daemon
+     * @param sender sends a datagram to the address of a daemon
      */
     public void connect(
             final ServingState state, final BiConsumer<InetSocketAddress, Datagram> sender) {
@@ -66,10 +66,10 @@
     }
 
     /**
-     * Takes a datagram of another daemon.
+     * Handles a datagram of another daemon.
      *
-     * @param datagram an ask, an answer, or tokens that are given back
-     * @param sender where it came from
+     * @param datagram an ask, an answer or a return of tokens
+     * @param sender the address of that daemon
      */
     public void receive(final Datagram datagram, final InetSocketAddress sender) {
         if (datagram.hasTokenAsk()) {
@@ -99,7 +99,7 @@
         mSender.accept(claimant, Datagram.newBuilder().setTokenAnswer(answer).build());
     }
 
-    /** An answer to the process that was here before has a number that may be in use again. */
+    /** Ignores answers to an earlier process of this daemon, as their ids may be in use again. */
     private void applyAnswer(final TokenAnswerRecord record) {
         if (record.getClaimant().equals(mIncarnation)) {
             mState.quotas().answered(QuotaCodec.decode(record), mState.moment());
--- a/gateway/src/main/java/org/whinhead/gateway/quota/QuotaCodec.java
+++ b/gateway/src/main/java/org/whinhead/gateway/quota/QuotaCodec.java
@@ -13,7 +13,7 @@
 import org.whinhead.serving.quota.TokenAnswer;
 import org.whinhead.serving.quota.TokenAsk;
 
-/** Spells claims of tokens and the table of shares as bytes. */
+/** Encodes and decodes asks for tokens, their answers and the table of shares. */
 final class QuotaCodec {
 
     private QuotaCodec() {}
@@ -68,7 +68,7 @@
                 record.getLevel());
     }
 
-    /** An outcome that a later version may send issues nothing that this one could spend. */
+    /** Treats an outcome of a later version as not held, so that no tokens are spent for it. */
     private static TokenAnswer.Outcome decode(final TokenOutcomeRecord record) {
         return switch (record) {
             case ISSUED -> TokenAnswer.Outcome.ISSUED;
--- a/gateway/src/main/java/org/whinhead/gateway/quota/ShareTableSynchronizer.java
+++ b/gateway/src/main/java/org/whinhead/gateway/quota/ShareTableSynchronizer.java
@@ -32,11 +32,12 @@
 import org.whinhead.serving.quota.ShareTable;
 
 /**
- * Reads the table of shares from the store, and writes it where this daemon holds the duties.
+ * Reads the table of shares from the store, and writes it while this daemon holds the lease. The
+ * table assigns the shares of the customers' quotas to daemons.
  *
- * <p>It is written once, when the daemons have found each other, and again only if one of its
- * holders is gone for long. So it costs a read at a start, and nothing depends on who holds the
- * duties or on whether the store is there.
+ * <p>The table is written once the set of daemons is stable, and again only if a holder of shares
+ * is gone for long. So a start costs one read, and the quotas depend neither on the lease holder
+ * nor on the store's availability.
  */
 public final class ShareTableSynchronizer {
 
@@ -44,22 +45,25 @@
 
     private static final String TABLE_KEY = "shares";
 
-    /** How often the table is read, so that a holder learns long before it must that it is one. */
+    /**
+     * Interval between reads of the table; a new holder reads it long before its shares become
+     * active.
+     */
     private static final Duration READ_INTERVAL = Duration.ofMinutes(5);
 
-    /** The pause before a read that failed, or found no table, is repeated. */
+    /** Pause before a read that failed or found no table is repeated. */
     private static final Duration RETRY_PAUSE = Duration.ofMillis(1_000);
 
-    /** The reads of all daemons that hear of a new table are spread over this time. */
+    /** Maximum random delay of the reads that a newer version causes at all daemons. */
     private static final Duration MAX_READ_JITTER = Duration.ofMillis(400);
 
-    /** How long no new daemon must have been heard of before the first table is written. */
+    /** Time without a change of the daemons' addresses before the first table is written. */
     private static final Duration SETTLE_TIME = Duration.ofMillis(2_000);
 
-    /** How long a holder is silent before its shares are given to others. */
+    /** Time without a sign of a holder after which its shares are reassigned. */
     private static final Duration HOLDER_TIMEOUT = Duration.ofMinutes(5);
 
-    /** What the daemons' clocks may differ by at a change of holders. */
+    /** Maximum difference of the daemons' clocks at a change of holders. */
     private static final Duration CLOCK_MARGIN = Duration.ofMinutes(1);
 
     private final EventLoop mLoop;
@@ -77,13 +81,13 @@
     private ScheduledFuture<?> mNextRead;
 
     /**
-     * Makes a keeper that has read nothing yet.
+     * Creates a synchronizer that is not started.
      *
-     * @param loop where everything runs
+     * @param loop the event loop that runs all calls
      * @param state the quotas and the clocks
-     * @param members the daemons
-     * @param store where the table is kept
-     * @param holdsDuties tells whether this daemon may write it
+     * @param members the known daemons
+     * @param store the store of the table
+     * @param holdsDuties returns whether this daemon holds the lease and may write the table
      */
     public ShareTableSynchronizer(
             final EventLoop loop,
@@ -98,16 +102,16 @@
         mHoldsDuties = holdsDuties;
     }
 
-    /** Starts to read. */
+    /** Starts to read the table. */
     public void start() {
         mMembersChangedAt = mState.clock().instant();
         read();
     }
 
     /**
-     * Takes the version that another daemon goes by.
+     * Handles the table version that another daemon reports, and schedules a read if it is newer.
      *
-     * @param version its version; 0 if it has none
+     * @param version the version; 0 if that daemon has no table
      */
     public void onPeerVersion(final long version) {
         if (version > knownVersion()) {
@@ -123,7 +127,7 @@
         return mState.quotas().held().table();
     }
 
-    /** Reads after a time, unless a read is due before. */
+    /** Schedules a read, unless an earlier one is scheduled. */
     private void scheduleRead(final Duration delay) {
         if (mNextRead != null) {
             if (mNextRead.getDelay(TimeUnit.MILLISECONDS) <= delay.toMillis()) {
@@ -141,13 +145,13 @@
             return;
         }
         mCallPending = true;
-        final Moment before = mState.moment();
+        final Moment startedAt = mState.moment();
         mStore.newest(StoreTopic.SHARES)
                 .whenComplete(
                         (page, failure) -> {
                             mCallPending = false;
                             if (failure == null) {
-                                applyPage(page, before);
+                                applyPage(page, startedAt);
                             }
                             scheduleRead(table().isPresent() ? READ_INTERVAL : RETRY_PAUSE);
                         });
@@ -155,14 +159,14 @@
 
     private void applyPage(final StorePage page, final Moment readAt) {
         mTopicEnd = OptionalLong.of(page.end());
-        final Optional<ShareTable> stored = decodeStoredTable(page);
-        mStoredVersion = stored.map(ShareTable::version).orElse(0L);
-        final long known = knownVersion();
-        stored.ifPresent(table -> mState.quotas().held().tableRead(table, readAt));
-        if (stored.isPresent() && stored.get().version() > known) {
+        final Optional<ShareTable> storedTable = decodeStoredTable(page);
+        mStoredVersion = storedTable.map(ShareTable::version).orElse(0L);
+        final long knownVersion = knownVersion();
+        storedTable.ifPresent(table -> mState.quotas().held().tableRead(table, readAt));
+        if (storedTable.isPresent() && storedTable.get().version() > knownVersion) {
             LOG.atInfo()
-                    .addKeyValue("version", stored.get().version())
-                    .addKeyValue("before", known)
+                    .addKeyValue("version", storedTable.get().version())
+                    .addKeyValue("before", knownVersion)
                     .log("table of shares in force");
         }
     }
@@ -173,14 +177,17 @@
                 try {
                     return Optional.of(QuotaCodec.decodeTable(record.value().get()));
                 } catch (InvalidProtocolBufferException | IllegalArgumentException e) {
-                    LOG.error("table of shares not understood, the one before stays in force", e);
+                    LOG.error("table of shares not readable, the previous one stays in force", e);
                 }
             }
         }
         return Optional.empty();
     }
 
-    /** Writes the table if it is missing or names daemons that are gone; to be called often. */
+    /**
+     * Writes the table if it is missing or contains daemons that are gone; called several times a
+     * second.
+     */
     public void tick() {
         final Instant now = mState.clock().instant();
         if (mMembers.addressChanges() != mMembersVersion) {
@@ -202,7 +209,7 @@
                     : Optional.of(ShareTable.first(ShareHolders.inOrder(members())));
         }
         if (mStoredVersion < table.get().version()) {
-            // The store came back from an older copy; what is in force is written again.
+            // The store was restored from an older copy: writes the table in force again.
             return table;
         }
         final ShareTable next = replaceGoneHolders(table.get(), now);
@@ -250,7 +257,8 @@
                                     .addKeyValue("written", failure == null && end.isPresent())
                                     .addKeyValue("failure", String.valueOf(failure))
                                     .log("table of shares written");
-                            // Only what was read is in force: the answer may be lost.
+                            // Only a table that was read is in force, as the answer to the write
+                            // may be lost.
                             scheduleRead(Duration.ZERO);
                         });
     }
--- a/gateway/src/main/java/org/whinhead/gateway/quota/package-info.java
+++ b/gateway/src/main/java/org/whinhead/gateway/quota/package-info.java
@@ -1,5 +1,5 @@
 /**
- * Carries claims of customers' tokens between daemons, and keeps the table that says who holds
- * which shares.
+ * Messages between daemons that claim tokens of customers' quotas, and the table of the daemons
+ * that hold the shares of these quotas.
  */
 package org.whinhead.gateway.quota;
--- a/gateway/src/main/java/org/whinhead/gateway/rollout/RolloutCoordinator.java
+++ b/gateway/src/main/java/org/whinhead/gateway/rollout/RolloutCoordinator.java
@@ -20,22 +20,30 @@
 import org.whinhead.serving.rollout.RolloutStep;
 
 /**
- * Decides roll-outs while this daemon holds the duties.
+ * Coordinates rollouts while this daemon holds the lease.
  *
- * <p>A holder first reads what the one before has recorded. It records an end before it tells
- * anybody, so that no two holders end an order differently.
+ * <p>A lease holder first reads the records of its predecessor. It records a final state before it
+ * announces it, so that no two holders end an order differently.
  */
 final class RolloutCoordinator {
 
     private static final Logger LOG = LoggerFactory.getLogger(RolloutCoordinator.class);
 
-    /** How long daemons are told of an end; those that miss all of it read the store. */
+    /**
+     * Time for which a final state is announced; daemons that miss all announcements read the
+     * store.
+     */
     private static final Duration END_ANNOUNCED_FOR = Duration.ofSeconds(5);
 
-    /** The least pause between two steps; daemons that hear none for 1.5 s stop the trial. */
+    /**
+     * Minimum interval between two steps; a daemon that receives no step for 1.5 s stops the trial.
+     */
     private static final Duration MIN_STEP_INTERVAL = Duration.ofMillis(200);
 
-    /** What each daemon adds to the pause, so that the holder sends a thousand steps a second. */
+    /**
+     * Addition to the interval per daemon, so that the holder sends at most a thousand steps a
+     * second.
+     */
     private static final Duration STEP_INTERVAL_PER_DAEMON = Duration.ofMillis(1);
 
     private final ServingState mState;
@@ -53,52 +61,55 @@
             final ServingState state,
             final RolloutLimits limits,
             final RolloutStore store,
-            final Consumer<RolloutStep> tell) {
+            final Consumer<RolloutStep> sendStep) {
         mState = state;
         mLimits = limits;
         mStore = store;
-        mSendStep = tell;
+        mSendStep = sendStep;
     }
 
     void addEvidence(final RolloutEvidence evidence) {
         Optional.ofNullable(mRollouts.get(evidence.service()))
-                .ifPresent(held -> held.controller().evidence(evidence));
+                .ifPresent(rollout -> rollout.controller().evidence(evidence));
     }
 
-    /** Tells whether there is something left to decide or to tell. */
+    /** Returns whether any rollout is left to decide or to announce. */
     boolean hasRollouts() {
         return !mRollouts.isEmpty();
     }
 
-    /** Forgets what was held: another daemon holds the duties. */
+    /** Clears all rollouts, as another daemon holds the lease. */
     void reset() {
         mRollouts.clear();
         mRecordsRead = false;
         mFencingToken = -1;
     }
 
-    /** Does what is due; to be called some times a second while the duties are held. */
-    void tick(final long token, final int daemons) {
-        if (token != mFencingToken) {
+    /**
+     * Performs the work that is due; called several times a second while this daemon holds the
+     * lease.
+     */
+    void tick(final long fencingToken, final int daemons) {
+        if (fencingToken != mFencingToken) {
             reset();
-            mFencingToken = token;
+            mFencingToken = fencingToken;
             mSequence = 0;
         }
         if (!mRecordsRead) {
-            readRecords(token);
+            readRecords(fencingToken);
             return;
         }
         final Instant now = now();
         mState.rollouts().open().forEach(order -> track(order, now));
-        for (final TrackedRollout held : mRollouts.values()) {
-            decide(held, now);
-            write(held, now);
+        for (final TrackedRollout rollout : mRollouts.values()) {
+            decide(rollout, now);
+            write(rollout, now);
         }
-        sendSteps(token, daemons, now);
-        mRollouts.values().removeIf(held -> held.isFinished(END_ANNOUNCED_FOR, now));
+        sendSteps(fencingToken, daemons, now);
+        mRollouts.values().removeIf(rollout -> rollout.isFinished(END_ANNOUNCED_FOR, now));
     }
 
-    private void readRecords(final long token) {
+    private void readRecords(final long fencingToken) {
         if (mCallPending) {
             return;
         }
@@ -108,7 +119,7 @@
                 .whenComplete(
                         (records, failure) -> {
                             mCallPending = false;
-                            if (failure == null && token == mFencingToken) {
+                            if (failure == null && fencingToken == mFencingToken) {
                                 resume(records);
                             }
                         });
@@ -130,13 +141,13 @@
         final Duration elapsed = since.isNegative() ? Duration.ZERO : since;
         final RolloutController controller =
                 new RolloutController(order, mLimits, now.minus(elapsed), now);
-        final TrackedRollout held = new TrackedRollout(controller, record);
-        held.markRecorded(record);
+        final TrackedRollout rollout = new TrackedRollout(controller, record);
+        rollout.markRecorded(record);
         if (record.state().isFinal()) {
             controller.ended(record.state());
             mState.rollouts().recorded(record);
         }
-        mRollouts.put(order.service(), held);
+        mRollouts.put(order.service(), rollout);
         LOG.atInfo()
                 .addKeyValue("service", order.service())
                 .addKeyValue("version", order.version())
@@ -146,8 +157,8 @@
     }
 
     private void track(final RolloutOrder order, final Instant now) {
-        final TrackedRollout held = mRollouts.get(order.service());
-        if (held != null && held.controller().order().offset() == order.offset()) {
+        final TrackedRollout rollout = mRollouts.get(order.service());
+        if (rollout != null && rollout.controller().order().offset() == order.offset()) {
             return;
         }
         mRollouts.put(
@@ -162,19 +173,21 @@
                                 RolloutState.RUNNING)));
     }
 
-    private void decide(final TrackedRollout held, final Instant now) {
-        final RolloutOrder order = held.controller().order();
+    private void decide(final TrackedRollout rollout, final Instant now) {
+        final RolloutOrder order = rollout.controller().order();
         final List<EndpointEntry> usable = mState.endpoints().usable(order.service());
-        final int trial =
+        final int onTrial =
                 (int)
                         usable.stream()
                                 .filter(entry -> entry.version().equals(order.version()))
                                 .count();
         final RolloutController.Decision decision =
-                held.controller()
-                        .decide(new RolloutController.Endpoints(usable.size() - trial, trial), now);
-        if (held.applyDecision(decision)) {
-            final RolloutController.Basis basis = held.controller().basis();
+                rollout.controller()
+                        .decide(
+                                new RolloutController.Endpoints(usable.size() - onTrial, onTrial),
+                                now);
+        if (rollout.applyDecision(decision)) {
+            final RolloutController.Basis basis = rollout.controller().basis();
             LOG.atInfo()
                     .addKeyValue("service", order.service())
                     .addKeyValue("version", order.version())
@@ -182,8 +195,8 @@
                     .addKeyValue("reason", decision.reason())
                     .addKeyValue("share", decision.share())
                     .addKeyValue("routes", decision.routes())
-                    .addKeyValue("endpointsOld", usable.size() - trial)
-                    .addKeyValue("endpointsOnTrial", trial)
+                    .addKeyValue("endpointsOld", usable.size() - onTrial)
+                    .addKeyValue("endpointsOnTrial", onTrial)
                     .addKeyValue("requests", basis.requests())
                     .addKeyValue("exposed", basis.exposed())
                     .addKeyValue("answers", basis.answers())
@@ -194,108 +207,111 @@
         }
     }
 
-    /** Records a state first, and tells operators once it is recorded; one call at a time. */
-    private void write(final TrackedRollout held, final Instant now) {
-        if (mCallPending || (held.isRecorded() && held.isPublished())) {
+    /** Records the state first and then publishes it to operators; one store call at a time. */
+    private void write(final TrackedRollout rollout, final Instant now) {
+        if (mCallPending || (rollout.isRecorded() && rollout.isPublished())) {
             return;
         }
         mCallPending = true;
-        final RolloutRecord record = held.pendingRecord();
-        if (held.isRecorded()) {
+        final RolloutRecord record = rollout.pendingRecord();
+        if (rollout.isRecorded()) {
             mStore.writeStatus(record)
                     .whenComplete(
                             (newest, failure) ->
-                                    handleStatusWritten(held, record, newest, failure));
+                                    handleStatusWritten(rollout, record, newest, failure));
         } else {
             mStore.writeRecord(record)
                     .whenComplete(
                             (newest, failure) ->
-                                    handleRecordWritten(held, record, newest, failure));
+                                    handleRecordWritten(rollout, record, newest, failure));
         }
     }
 
     private void handleRecordWritten(
-            final TrackedRollout held,
+            final TrackedRollout rollout,
             final RolloutRecord record,
             final Boolean newest,
             final Throwable failure) {
         mCallPending = false;
         if (failure == null && newest) {
-            held.markRecorded(record);
+            rollout.markRecorded(record);
             mState.rollouts().recorded(record);
             mNextStepAt = Instant.EPOCH;
-            write(held, now());
+            write(rollout, now());
         } else {
             rereadAfterFailure("record of a roll-out not written", record, failure);
         }
     }
 
     private void handleStatusWritten(
-            final TrackedRollout held,
+            final TrackedRollout rollout,
             final RolloutRecord record,
             final Boolean newest,
             final Throwable failure) {
         mCallPending = false;
         if (failure == null && newest) {
-            held.markPublished(record, now());
+            rollout.markPublished(record, now());
         } else {
             rereadAfterFailure("status of a roll-out not written", record, failure);
         }
     }
 
     /**
-     * Reads both topics again before the next write. A write without an answer may have landed, and
-     * another daemon may have written; either way their ends are not known any more.
+     * Reads both topics again before the next write. A write without an answer may have been
+     * carried out, and another daemon may have written; either way the ends of the topics are
+     * unknown.
      */
     private void rereadAfterFailure(
-            final String what, final RolloutRecord record, final Throwable failure) {
+            final String event, final RolloutRecord record, final Throwable failure) {
         LOG.atWarn()
                 .addKeyValue("service", record.service())
                 .addKeyValue("state", record.state())
-                .addKeyValue("cause", failure == null ? "another end" : failure.getMessage())
-                .log(what);
+                .addKeyValue(
+                        "cause", failure == null ? "topic has another end" : failure.getMessage())
+                .log(event);
         mCallPending = true;
         mStore.readRecords()
                 .thenCombine(mStore.readStatusEnd(), (records, none) -> records)
                 .whenComplete(
-                        (records, again) -> {
+                        (records, rereadFailure) -> {
                             mCallPending = false;
-                            if (again == null) {
+                            if (rereadFailure == null) {
                                 applyStoredRecords(records);
                             }
                         });
     }
 
-    /** Takes what is recorded as it is: a decision of this daemon that landed, or another one's. */
+    /** Adopts the stored records, written by this daemon or by another one. */
     private void applyStoredRecords(final Map<String, RolloutRecord> records) {
-        for (final TrackedRollout held : mRollouts.values()) {
-            final RolloutRecord record = records.get(held.pendingRecord().service());
-            if (record != null && record.order() == held.pendingRecord().order()) {
-                held.markRecorded(record);
+        for (final TrackedRollout rollout : mRollouts.values()) {
+            final RolloutRecord record = records.get(rollout.pendingRecord().service());
+            if (record != null && record.order() == rollout.pendingRecord().order()) {
+                rollout.markRecorded(record);
                 if (record.state().isFinal()) {
-                    held.controller().ended(record.state());
+                    rollout.controller().ended(record.state());
                     mState.rollouts().recorded(record);
                 }
             }
         }
     }
 
-    private void sendSteps(final long token, final int daemons, final Instant now) {
+    private void sendSteps(final long fencingToken, final int daemons, final Instant now) {
         if (now.isBefore(mNextStepAt)) {
             return;
         }
-        final Duration grown = STEP_INTERVAL_PER_DAEMON.multipliedBy(daemons);
-        mNextStepAt = now.plus(grown.compareTo(MIN_STEP_INTERVAL) > 0 ? grown : MIN_STEP_INTERVAL);
-        for (final TrackedRollout held : mRollouts.values()) {
+        final Duration interval = STEP_INTERVAL_PER_DAEMON.multipliedBy(daemons);
+        mNextStepAt =
+                now.plus(interval.compareTo(MIN_STEP_INTERVAL) > 0 ? interval : MIN_STEP_INTERVAL);
+        for (final TrackedRollout rollout : mRollouts.values()) {
             mSequence++;
-            final RolloutController.Decision decision = held.decision();
+            final RolloutController.Decision decision = rollout.decision();
             mSendStep.accept(
                     new RolloutStep(
-                            held.pendingRecord().service(),
-                            held.pendingRecord().order(),
-                            token,
+                            rollout.pendingRecord().service(),
+                            rollout.pendingRecord().order(),
+                            fencingToken,
                             mSequence,
-                            held.announcedState(),
+                            rollout.announcedState(),
                             decision.share(),
                             decision.routes(),
                             decision.oldStopsIn()));
--- a/gateway/src/main/java/org/whinhead/gateway/rollout/RolloutParticipant.java
+++ b/gateway/src/main/java/org/whinhead/gateway/rollout/RolloutParticipant.java
@@ -25,23 +25,29 @@
 import org.whinhead.serving.rollout.RolloutStep;
 
 /**
- * A daemon's part in roll-outs: it follows the holder's steps, tells it what it sees, and decides
- * itself while it is the holder.
+ * Takes part in rollouts: applies the lease holder's steps, sends it this daemon's evidence, and
+ * coordinates the rollouts while this daemon holds the lease.
  */
 public final class RolloutParticipant implements RolloutMessageListener {
 
     private static final Logger LOG = LoggerFactory.getLogger(RolloutParticipant.class);
 
-    /** The least pause between two reports of a daemon to the holder. */
+    /** Minimum interval between two evidence reports to the lease holder. */
     private static final Duration MIN_EVIDENCE_INTERVAL = Duration.ofMillis(300);
 
-    /** What each daemon adds to it, so that the holder gets 500 of them a second at most. */
+    /**
+     * Addition to the interval per daemon, so that the holder receives at most 500 reports a
+     * second.
+     */
     private static final Duration EVIDENCE_INTERVAL_PER_DAEMON = Duration.ofMillis(2);
 
-    /** The same while the new version takes over, which is decided within some 0.8 s. */
+    /**
+     * Interval between reports while the new version takes over, which is decided within about 0.8
+     * s.
+     */
     private static final Duration TAKEOVER_EVIDENCE_INTERVAL = Duration.ofMillis(150);
 
-    /** The pause between two reads of the store while it is not known what became of an order. */
+    /** Interval between reads of the store while the outcome of an order is not known. */
     private static final Duration STORE_READ_INTERVAL = Duration.ofMillis(500);
 
     private final ServingState mState;
@@ -60,15 +66,15 @@
     private boolean mTakeoverRunning;
 
     /**
-     * Makes a duty that knows no order.
+     * Creates a participant without orders.
      *
-     * @param state the decision objects
-     * @param members the daemons
-     * @param peers reaches the other daemons
-     * @param ports the store, and how operators spell orders
-     * @param limits what a bad version may get
-     * @param token the fencing token, while this daemon holds the duties
-     * @param moveRuns has the runs at an endpoint moved before it stops
+     * @param state the endpoints, the rollouts and the clocks
+     * @param members the known daemons
+     * @param peers sends datagrams to the other daemons
+     * @param ports the store and the codec of operators' records
+     * @param limits the exposure limits of a faulty version
+     * @param fencingToken returns the fencing token; empty unless this daemon holds the lease
+     * @param moveRuns moves the runs off an endpoint, given its id and the time until it stops
      */
     public RolloutParticipant(
             final ServingState state,
@@ -76,27 +82,27 @@
             final PeerDatagramChannel peers,
             final Ports ports,
             final RolloutLimits limits,
-            final Supplier<Optional<Long>> token,
+            final Supplier<Optional<Long>> fencingToken,
             final BiConsumer<String, Optional<Duration>> moveRuns) {
         mState = state;
         mMembers = members;
         mPeers = peers;
         mStore = new RolloutStore(ports.store(), ports.codec());
-        mFencingToken = token;
+        mFencingToken = fencingToken;
         mMoveRuns = moveRuns;
         mCoordinator = new RolloutCoordinator(state, limits, mStore, this::broadcastStep);
     }
 
     /**
-     * What the adapter of the platform supplies.
+     * The parts that the platform's adapter supplies.
      *
      * @param store the store
-     * @param protocol how operators spell orders
+     * @param codec the codec of operators' orders and of their statuses
      */
     public record Ports(MetadataStore store, OperatorRolloutCodec codec) {}
 
     /**
-     * Takes an order that may have been decided before this daemon read it.
+     * Records an order that may have been decided before this daemon read it.
      *
      * @param order the order
      */
@@ -104,7 +110,7 @@
         mUncertainServices.add(order.service());
     }
 
-    /** Does what is due; to be called some times a second. */
+    /** Performs the work that is due; called several times a second. */
     public void tick() {
         final List<RolloutOrder> open = mState.rollouts().open();
         if (open.isEmpty() && !mCoordinator.hasRollouts()) {
@@ -123,16 +129,17 @@
     }
 
     /**
-     * Suspects that an order has ended unheard: a completed one stops all old endpoints at once,
-     * and requests would be refused here though the new ones serve.
+     * Marks an order as uncertain if only endpoints of its new version are left. The completion of
+     * a rollout stops all old endpoints at once; a daemon that missed it would refuse requests
+     * although the new endpoints serve.
      */
     private void checkForMissedEnd(final RolloutOrder order) {
         final List<EndpointEntry> usable = mState.endpoints().usable(order.service());
-        final boolean onlyNew =
+        final boolean onlyNewVersion =
                 !usable.isEmpty()
                         && usable.stream()
                                 .allMatch(entry -> entry.version().equals(order.version()));
-        if (onlyNew) {
+        if (onlyNewVersion) {
             mUncertainServices.add(order.service());
         }
     }
@@ -151,7 +158,7 @@
                             } else {
                                 LOG.atWarn()
                                         .addKeyValue("cause", failure.getMessage())
-                                        .log("records of roll-outs not read");
+                                        .log("rollout records not read");
                             }
                         });
     }
@@ -162,25 +169,26 @@
 
     private void reportEvidence(final boolean isHolder, final Instant now) {
         final String self = mMembers.self().incarnation();
-        final List<RolloutEvidence> all = mState.rollouts().evidence(self);
+        final List<RolloutEvidence> evidenceList = mState.rollouts().evidence(self);
         if (isHolder) {
-            all.forEach(mCoordinator::addEvidence);
+            evidenceList.forEach(mCoordinator::addEvidence);
             return;
         }
-        final long bad = all.stream().mapToLong(RolloutEvidence::failedOnTrial).sum();
+        final long failures = evidenceList.stream().mapToLong(RolloutEvidence::failedOnTrial).sum();
         if (mHolderAddress.isEmpty()
-                || (now.isBefore(mNextEvidenceAt) && bad == mReportedFailures)) {
+                || (now.isBefore(mNextEvidenceAt) && failures == mReportedFailures)) {
             return;
         }
-        mReportedFailures = bad;
+        mReportedFailures = failures;
         mNextEvidenceAt =
                 now.plus(mTakeoverRunning ? TAKEOVER_EVIDENCE_INTERVAL : evidenceInterval());
-        all.forEach(evidence -> mPeers.sendRolloutEvidence(evidence, mHolderAddress.get()));
+        evidenceList.forEach(
+                evidence -> mPeers.sendRolloutEvidence(evidence, mHolderAddress.get()));
     }
 
     private Duration evidenceInterval() {
-        final Duration grown = EVIDENCE_INTERVAL_PER_DAEMON.multipliedBy(mMembers.knownCount());
-        return grown.compareTo(MIN_EVIDENCE_INTERVAL) > 0 ? grown : MIN_EVIDENCE_INTERVAL;
+        final Duration interval = EVIDENCE_INTERVAL_PER_DAEMON.multipliedBy(mMembers.knownCount());
+        return interval.compareTo(MIN_EVIDENCE_INTERVAL) > 0 ? interval : MIN_EVIDENCE_INTERVAL;
     }
 
     private void broadcastStep(final RolloutStep step) {
@@ -202,7 +210,7 @@
         }
     }
 
-    /** Has the runs at old endpoints moved: those stop without waiting for what they work on. */
+    /** Moves the runs off the old endpoints, which stop without completing them. */
     private void moveRuns(final RolloutStep step) {
         mState.rollouts()
                 .replaced(step.service(), mState.endpoints().usable(step.service()))
--- a/gateway/src/main/java/org/whinhead/gateway/rollout/RolloutStore.java
+++ b/gateway/src/main/java/org/whinhead/gateway/rollout/RolloutStore.java
@@ -15,11 +15,11 @@
 import org.whinhead.serving.rollout.RolloutRecord;
 
 /**
- * What the store keeps of roll-outs.
+ * Reads and writes the records of rollouts and their statuses for operators.
  *
- * <p>Both topics are appended to only where they end as this daemon last saw them end. A holder
- * that was paused while another one decided otherwise can't write its own decision behind that, and
- * a write that the store carries out seconds late finds another end.
+ * <p>A write to either topic succeeds only if the topic still ends where this daemon last saw its
+ * end. So a holder that was paused while another one decided differently can't append its own
+ * decision, and a write that the store carries out seconds late has no effect.
  */
 final class RolloutStore {
 
@@ -52,34 +52,39 @@
     }
 
     private static void decodeInto(
-            final StoreRecord record, final Map<String, RolloutRecord> into) {
+            final StoreRecord record, final Map<String, RolloutRecord> records) {
         try {
-            into.put(record.key(), RolloutCodec.stored(record.value().get()));
+            records.put(record.key(), RolloutCodec.decodeStored(record.value().get()));
         } catch (InvalidProtocolBufferException | IllegalArgumentException e) {
-            LOG.error("record of a roll-out not understood, it is written anew", e);
+            LOG.error("rollout record not readable, it is written again", e);
         }
     }
 
-    /** Reads where what operators read ends, before anything is written there. */
+    /** Reads the end of the status topic; required before the first status is written. */
     CompletableFuture<Void> readStatusEnd() {
         return mStore.newest(StoreTopic.STATUS).thenAccept(page -> mStatusEnd = page.end());
     }
 
-    /** Writes a record, and tells whether this daemon's view of the topic was the newest. */
+    /**
+     * Writes a record and returns whether the topic still ended where this daemon last saw its end.
+     */
     CompletableFuture<Boolean> writeRecord(final RolloutRecord record) {
         return mStore.appendAt(
                         StoreTopic.ROLLOUTS,
                         record.service(),
-                        RolloutCodec.stored(record),
+                        RolloutCodec.encodeStored(record),
                         mRecordsEnd)
                 .thenApply(
                         end -> {
-                            end.ifPresent(known -> mRecordsEnd = known);
+                            end.ifPresent(newEnd -> mRecordsEnd = newEnd);
                             return end.isPresent();
                         });
     }
 
-    /** Tells operators, if this daemon's view of the topic is the newest. */
+    /**
+     * Writes a status for operators and returns whether the topic still ended where this daemon
+     * last saw its end.
+     */
     CompletableFuture<Boolean> writeStatus(final RolloutRecord record) {
         return mStore.appendAt(
                         StoreTopic.STATUS,
@@ -88,7 +93,7 @@
                         mStatusEnd)
                 .thenApply(
                         end -> {
-                            end.ifPresent(known -> mStatusEnd = known);
+                            end.ifPresent(newEnd -> mStatusEnd = newEnd);
                             return end.isPresent();
                         });
     }
--- a/gateway/src/main/java/org/whinhead/gateway/rollout/TrackedRollout.java
+++ b/gateway/src/main/java/org/whinhead/gateway/rollout/TrackedRollout.java
@@ -7,7 +7,10 @@
 import org.whinhead.serving.rollout.RolloutRecord;
 import org.whinhead.serving.rollout.RolloutState;
 
-/** One roll-out at the holder: what is recorded of it, and what operators were told. */
+/**
+ * One rollout at the lease holder: its latest decision, its recorded state and the state that
+ * operators have received.
+ */
 final class TrackedRollout {
 
     private final RolloutController mController;
@@ -26,7 +29,7 @@
         return mController;
     }
 
-    /** Takes a decision, and tells whether it differs from the one before. */
+    /** Applies a decision and returns whether its state or reason differs from the previous one. */
     boolean applyDecision(final RolloutController.Decision decision) {
         final boolean changed =
                 mDecision == null
@@ -49,7 +52,7 @@
         return mDecision;
     }
 
-    /** Returns what has to be recorded, or told operators, next. */
+    /** Returns the record to write to the store and to publish to operators next. */
     RolloutRecord pendingRecord() {
         return mPendingRecord;
     }
@@ -71,17 +74,20 @@
         mPublishedAt = now;
     }
 
-    /** Returns the state that daemons may be told: an end only once it is recorded. */
+    /** Returns the state to announce to daemons: a final state only once it is recorded. */
     RolloutState announcedState() {
         return isRecorded() ? mPendingRecord.state() : RolloutState.RUNNING;
     }
 
-    /** Tells whether the end is recorded, and was told everybody for long enough. */
-    boolean isFinished(final Duration toldFor, final Instant now) {
+    /**
+     * Returns whether the final state is published and was announced to the daemons for the given
+     * time.
+     */
+    boolean isFinished(final Duration announcedFor, final Instant now) {
         return mPendingRecord.state().isFinal()
                 && isPublished()
                 && Optional.ofNullable(mPublishedAt)
-                        .filter(at -> now.isAfter(at.plus(toldFor)))
+                        .filter(at -> now.isAfter(at.plus(announcedFor)))
                         .isPresent();
     }
 }
--- a/gateway/src/main/java/org/whinhead/gateway/rollout/package-info.java
+++ b/gateway/src/main/java/org/whinhead/gateway/rollout/package-info.java
@@ -1,4 +1,5 @@
 /**
- * Carries roll-outs out: evidence to the holder of the duties, its steps to all, ends to the store.
+ * Rollouts of new service versions: evidence to the lease holder, its steps to all daemons, and
+ * final states to the store.
  */
 package org.whinhead.gateway.rollout;
--- a/gateway/src/main/java/org/whinhead/gateway/store/ConfigurationDecoder.java
+++ b/gateway/src/main/java/org/whinhead/gateway/store/ConfigurationDecoder.java
@@ -2,15 +2,15 @@
 
 import org.whinhead.serving.configuration.ServingConfiguration;
 
-/** Reads a configuration as the operator wrote it. */
+/** Decodes the operator's configuration. */
 public interface ConfigurationDecoder {
 
     /**
-     * Reads a configuration.
+     * Decodes a configuration.
      *
-     * @param value the record's value
+     * @param value the value of the store's record
      * @return the configuration
-     * @throws UnreadableRecordException if it can't be understood
+     * @throws UnreadableRecordException if the value is not readable
      */
     ServingConfiguration decode(byte[] value) throws UnreadableRecordException;
 }
--- a/gateway/src/main/java/org/whinhead/gateway/store/ConfigurationTopicListener.java
+++ b/gateway/src/main/java/org/whinhead/gateway/store/ConfigurationTopicListener.java
@@ -9,7 +9,7 @@
 import org.whinhead.serving.configuration.ServingConfiguration;
 import org.whinhead.serving.rollout.RolloutOrder;
 
-/** Puts the operator's configuration and orders in force as the store shows them. */
+/** Applies the operator's configuration and rollout orders as they are read from the store. */
 public final class ConfigurationTopicListener implements TopicListener {
 
     private static final Logger LOG = LoggerFactory.getLogger(ConfigurationTopicListener.class);
@@ -23,47 +23,47 @@
     private Runnable mOnChange = () -> {};
 
     /**
-     * Makes a watch.
+     * Creates a listener.
      *
-     * @param state gets the configuration
-     * @param decoder reads it
-     * @param key the key of the record that holds it
-     * @param rollouts reads orders of roll-outs
+     * @param state receives the configuration and the orders
+     * @param decoder decodes the configuration
+     * @param configurationKey the key of the configuration's record
+     * @param rolloutCodec decodes rollout orders
      */
     public ConfigurationTopicListener(
             final ServingState state,
             final ConfigurationDecoder decoder,
-            final String key,
-            final OperatorRolloutCodec rollouts) {
+            final String configurationKey,
+            final OperatorRolloutCodec rolloutCodec) {
         mState = state;
         mDecoder = decoder;
-        mConfigurationKey = key;
-        mRolloutCodec = rollouts;
+        mConfigurationKey = configurationKey;
+        mRolloutCodec = rolloutCodec;
     }
 
     /**
-     * Sets what is done with an order that is older than this daemon's reading of the store, and
-     * may have been decided.
+     * Sets the handler of orders that were placed before this daemon first read the store, and may
+     * have been decided.
      *
-     * @param onEarlierOrder takes the order
+     * @param onEarlierOrder receives the order
      */
     public void onEarlierOrder(final Consumer<RolloutOrder> onEarlierOrder) {
         mOnEarlierOrder = onEarlierOrder;
     }
 
     /**
-     * Sets what is done behind each read.
+     * Sets the action after each read.
      *
-     * @param onRead runs after a read, whatever it found
+     * @param onRead runs after a read, also if nothing was new
      */
     public void onRead(final Runnable onRead) {
         mOnRead = onRead;
     }
 
     /**
-     * Sets what is done when another version is in force.
+     * Sets the action after a change of the configuration.
      *
-     * @param onChange runs after it came in force
+     * @param onChange runs once the new version is in force
      */
     public void onChange(final Runnable onChange) {
         mOnChange = onChange;
@@ -97,7 +97,7 @@
                                 ifNew.accept(order);
                             });
         } catch (UnreadableRecordException e) {
-            LOG.error("order of a roll-out not understood, nothing is done for it", e);
+            LOG.error("rollout order not readable, ignored", e);
         }
     }
 
@@ -117,7 +117,7 @@
         try {
             configuration = mDecoder.decode(value);
         } catch (UnreadableRecordException e) {
-            LOG.error("configuration not understood, the one before stays in force", e);
+            LOG.error("configuration not readable, the previous one stays in force", e);
             return;
         }
         if (mState.configuration().offer(configuration)) {
@@ -131,6 +131,6 @@
 
     @Override
     public void onUnreachable(final Throwable cause) {
-        // The configuration in force stays; the follower has logged the outage.
+        // The configuration in force stays; the follower logs the outage.
     }
 }
--- a/gateway/src/main/java/org/whinhead/gateway/store/EndpointDecoder.java
+++ b/gateway/src/main/java/org/whinhead/gateway/store/EndpointDecoder.java
@@ -2,16 +2,16 @@
 
 import org.whinhead.serving.endpoint.EndpointEntry;
 
-/** Reads an entry as an endpoint wrote it. */
+/** Decodes the entry that an endpoint has written to the store. */
 public interface EndpointDecoder {
 
     /**
-     * Reads an entry.
+     * Decodes an entry.
      *
-     * @param id the endpoint's id, which is the record's key
-     * @param value the record's value
+     * @param id the endpoint's id, which is the key of the store's record
+     * @param value the value of that record
      * @return the entry
-     * @throws UnreadableRecordException if it can't be understood
+     * @throws UnreadableRecordException if the value is not readable
      */
     EndpointEntry decode(String id, byte[] value) throws UnreadableRecordException;
 }
--- a/gateway/src/main/java/org/whinhead/gateway/store/EndpointTopicListener.java
+++ b/gateway/src/main/java/org/whinhead/gateway/store/EndpointTopicListener.java
@@ -17,12 +17,18 @@
 import org.whinhead.serving.endpoint.EndpointRegistry;
 import org.whinhead.serving.endpoint.EntryEffect;
 
-/** Keeps the registry of endpoints as the store shows them. */
+/**
+ * Updates the endpoint registry from the store's records and from changes that other daemons have
+ * read.
+ */
 public final class EndpointTopicListener implements TopicListener {
 
     private static final Logger LOG = LoggerFactory.getLogger(EndpointTopicListener.class);
 
-    /** Ids of unreadable entries that were logged; each is logged once, until there are many. */
+    /**
+     * Maximum number of ids of logged unreadable entries; beyond it, the ids are forgotten and may
+     * be logged again.
+     */
     private static final int MAX_LOGGED_UNREADABLE = 200;
 
     private final Set<String> mLoggedUnreadable = new HashSet<>();
@@ -37,11 +43,11 @@
     private boolean mLoaded;
 
     /**
-     * Makes a watch.
+     * Creates a listener.
      *
-     * @param state gets the endpoints
-     * @param connections drops connections to endpoints that are gone
-     * @param decoder reads their entries
+     * @param state receives the endpoints
+     * @param connections the connections to endpoints, dropped for those that are gone
+     * @param decoder decodes the endpoints' entries
      */
     public EndpointTopicListener(
             final ServingState state,
@@ -53,54 +59,55 @@
     }
 
     /**
-     * Sets what is done when an endpoint came, is leaving or is gone.
+     * Sets the action after an endpoint was added, has announced that it is leaving or was removed.
      *
-     * @param onChange runs after the registry has changed
+     * @param onChange runs after the change of the registry
      */
     public void onChange(final Runnable onChange) {
         mOnChange = onChange;
     }
 
     /**
-     * Sets what is done when an endpoint announces to leave, or is gone from the store.
+     * Sets the handler of endpoints that announce that they are leaving, or whose entry was removed
+     * from the store.
      *
-     * @param onLeaving takes the endpoint's last entry
+     * @param onLeaving receives the endpoint's last entry
      */
     public void onLeaving(final Consumer<EndpointEntry> onLeaving) {
         mOnLeaving = onLeaving;
     }
 
     /**
-     * Sets what is done behind each read.
+     * Sets the action after each read.
      *
-     * @param onRead runs after the registry was brought up to date
+     * @param onRead runs after the update of the registry
      */
     public void onRead(final Runnable onRead) {
         mOnRead = onRead;
     }
 
     /**
-     * Tells whether the endpoints were read once.
+     * Returns whether all endpoints were read at least once.
      *
-     * @return whether they are known
+     * @return whether the endpoints are known
      */
     public boolean isLoaded() {
         return mLoaded;
     }
 
     /**
-     * Tells how far the store was read.
+     * Returns how far the topic was read.
      *
-     * @return the offset behind the last record
+     * @return the offset behind the last record read
      */
     public long end() {
         return mEnd;
     }
 
     /**
-     * Hands out what the last reads found to have changed.
+     * Returns and clears the changes of the last reads.
      *
-     * @return the changes in order; a snapshot's are not among them
+     * @return the changes in order, without those of a snapshot
      */
     public List<EndpointChange> drainChanges() {
         final List<EndpointChange> changes = List.copyOf(mChanges);
@@ -109,10 +116,10 @@
     }
 
     /**
-     * Takes changes that another daemon has read. They may come twice, late or not at all; whether
-     * anything is missing shows in the reader's digest. A removal holds also while the store turns
-     * this daemon away: the reader has read it from a store that is there. A daemon that doubted it
-     * went on sending to endpoints that were gone, and ordered none in their place.
+     * Applies changes that another daemon has read. They may arrive twice, late or not at all; the
+     * reader's digest shows whether any are missing. A removal also applies while the store refuses
+     * this daemon, as the reader has read it from a reachable store. A daemon that ignored such
+     * removals continued to send requests to endpoints that were gone, and ordered no replacements.
      *
      * @param changes the changes in order
      */
@@ -169,8 +176,8 @@
         }
         final EndpointChange change = new EndpointChange(record.key(), record.offset(), entry);
         final boolean changed = apply(change);
-        final boolean doubted = entry.isEmpty() && registry().find(record.key()).isPresent();
-        if (changed && !doubted) {
+        final boolean kept = entry.isEmpty() && registry().find(record.key()).isPresent();
+        if (changed && !kept) {
             mChanges.add(change);
         }
         return changed;
@@ -185,7 +192,7 @@
                     .addKeyValue("offset", record.offset())
                     .addKeyValue("wasUsable", wasUsable)
                     .addKeyValue("cause", String.valueOf(cause.getMessage()))
-                    .log("entry of an endpoint not understood, it gets no work");
+                    .log("endpoint entry not readable, endpoint receives no requests");
         }
         if (mLoggedUnreadable.size() > MAX_LOGGED_UNREADABLE) {
             mLoggedUnreadable.clear();
@@ -223,21 +230,21 @@
     }
 
     private boolean remove(final EndpointChange change) {
-        final Optional<EndpointEntry> before = registry().find(change.id());
+        final Optional<EndpointEntry> previous = registry().find(change.id());
         return registry().remove(change.id(), change.offset(), now())
-                && finishRemoval(change, before);
+                && finishRemoval(change, previous);
     }
 
     private boolean removeReadByPeer(final EndpointChange change) {
-        final Optional<EndpointEntry> before = registry().find(change.id());
+        final Optional<EndpointEntry> previous = registry().find(change.id());
         return registry().removedForOthers(change.id(), change.offset())
-                && finishRemoval(change, before);
+                && finishRemoval(change, previous);
     }
 
     private boolean finishRemoval(
-            final EndpointChange change, final Optional<EndpointEntry> before) {
+            final EndpointChange change, final Optional<EndpointEntry> previous) {
         mState.leaving().gone(change.id());
-        before.ifPresent(mOnLeaving);
+        previous.ifPresent(mOnLeaving);
         LOG.atInfo()
                 .addKeyValue("endpoint", change.id())
                 .addKeyValue("offset", change.offset())
@@ -255,8 +262,8 @@
     }
 
     /**
-     * Drops entries that stayed missing after an outage. It must run at a steady pace: while other
-     * daemons read for this one, no read of its own comes by to do it.
+     * Removes entries that are still missing some time after an outage. Must be called regularly:
+     * while other daemons read for this one, no read of its own triggers the removal.
      */
     public void removeLapsedEntries() {
         registry()
--- a/gateway/src/main/java/org/whinhead/gateway/store/MetadataStore.java
+++ b/gateway/src/main/java/org/whinhead/gateway/store/MetadataStore.java
@@ -5,8 +5,8 @@
 import java.util.concurrent.CompletableFuture;
 
 /**
- * The platform's store. Futures complete on the event loop; one that fails says nothing of whether
- * the call was carried out.
+ * The platform's metadata store: topics of keyed records with offsets. Futures complete on the
+ * event loop; a call whose future fails may still have been carried out.
  */
 public interface MetadataStore {
 
@@ -14,38 +14,38 @@
      * Reads the newest record of each key.
      *
      * @param topic the topic
-     * @return the records and the end
+     * @return the records, and the offset that the topic's next record gets
      */
     CompletableFuture<StorePage> newest(StoreTopic topic);
 
     /**
-     * Reads records as they were appended.
+     * Reads records in the order in which they were appended.
      *
      * @param topic the topic
-     * @param from the first offset
-     * @param wait how long the store may wait for a record
-     * @return the records and the end
+     * @param from the first offset to read
+     * @param wait maximum time that the store waits for a record if there is none
+     * @return the records, and the offset that the topic's next record gets
      */
     CompletableFuture<StorePage> read(StoreTopic topic, long from, Duration wait);
 
     /**
-     * Appends a record.
+     * Appends a record unconditionally.
      *
      * @param topic the topic
-     * @param key its key
-     * @param value its value
-     * @return the end behind it
+     * @param key the record's key
+     * @param value the record's value
+     * @return the offset behind the record
      */
     CompletableFuture<Long> append(StoreTopic topic, String key, byte[] value);
 
     /**
-     * Appends a record if the topic ends where it is thought to end.
+     * Appends a record if the topic ends at the given offset.
      *
      * @param topic the topic
-     * @param key its key
-     * @param value its value
-     * @param end the offset that the record is to get
-     * @return the end behind it; empty if the topic ends elsewhere
+     * @param key the record's key
+     * @param value the record's value
+     * @param end the expected end of the topic, which becomes the record's offset
+     * @return the offset behind the record; empty if the topic ends at another offset
      */
     CompletableFuture<OptionalLong> appendAt(StoreTopic topic, String key, byte[] value, long end);
 }
--- a/gateway/src/main/java/org/whinhead/gateway/store/OperatorRolloutCodec.java
+++ b/gateway/src/main/java/org/whinhead/gateway/store/OperatorRolloutCodec.java
@@ -4,31 +4,31 @@
 import org.whinhead.serving.rollout.RolloutOrder;
 import org.whinhead.serving.rollout.RolloutRecord;
 
-/** How operators spell orders of roll-outs, and read what became of them. */
+/** Decodes the rollout orders of operators and encodes the status that operators read. */
 public interface OperatorRolloutCodec {
 
     /**
-     * Reads an order.
+     * Decodes an order.
      *
-     * @param record a record of the operator's
-     * @return the order; empty if the record is another one
-     * @throws UnreadableRecordException if it is an order that can't be understood
+     * @param record a record that an operator has written
+     * @return the order; empty if the record is not an order
+     * @throws UnreadableRecordException if the record is an order that is not readable
      */
     Optional<RolloutOrder> decodeOrder(StoreRecord record) throws UnreadableRecordException;
 
     /**
-     * Names the record that tells operators of a service's roll-out.
+     * Returns the key of the status record of a service's rollout.
      *
      * @param service the service
-     * @return the record's key
+     * @return the key
      */
     String statusKey(String service);
 
     /**
-     * Spells how far a roll-out is.
+     * Encodes the status of a rollout.
      *
-     * @param record the roll-out
-     * @return the record's value
+     * @param record the rollout
+     * @return the value of the status record
      */
     byte[] encodeStatus(RolloutRecord record);
 }
--- a/gateway/src/main/java/org/whinhead/gateway/store/ReadCoordinator.java
+++ b/gateway/src/main/java/org/whinhead/gateway/store/ReadCoordinator.java
@@ -1,20 +1,21 @@
 package org.whinhead.gateway.store;
 
-/** Tells a follower whether other daemons read the store for this one. */
+/** Decides whether this daemon reads the store itself or relies on the reads of others. */
 public interface ReadCoordinator {
 
     /**
-     * Tells whether this daemon is one of those that read for all.
+     * Returns whether this daemon is one of those that read for all.
      *
-     * @return whether it reads in any case
+     * @return whether this daemon reads in any case
      */
     boolean isReader();
 
     /**
-     * Tells whether another daemon has read a topic just now and seen what this one has seen.
+     * Returns whether another daemon has just read a topic and found nothing that is new to this
+     * one.
      *
      * @param topic the topic
-     * @return whether a read of this daemon would bring nothing new
+     * @return whether this daemon needs no read of its own
      */
     boolean isCovered(StoreTopic topic);
 }
--- a/gateway/src/main/java/org/whinhead/gateway/store/StoreRecord.java
+++ b/gateway/src/main/java/org/whinhead/gateway/store/StoreRecord.java
@@ -11,11 +11,11 @@
     private final long mOffset;
 
     /**
-     * Makes a record.
+     * Creates a record.
      *
-     * @param key its key
-     * @param value its value; none drops the key
-     * @param offset its place in the topic
+     * @param key the key
+     * @param value the value; an empty one removes the key
+     * @param offset the record's position in the topic
      */
     public StoreRecord(final String key, final Optional<byte[]> value, final long offset) {
         mKey = Objects.requireNonNull(key, "key");
@@ -28,9 +28,9 @@
     }
 
     /**
-     * Copies the value.
+     * Returns a copy of the value.
      *
-     * @return the value, unless this record drops its key
+     * @return the value; empty if this record removes its key
      */
     public Optional<byte[]> value() {
         return mValue.map(byte[]::clone);
--- a/gateway/src/main/java/org/whinhead/gateway/store/StoreTopic.java
+++ b/gateway/src/main/java/org/whinhead/gateway/store/StoreTopic.java
@@ -1,19 +1,19 @@
 package org.whinhead.gateway.store;
 
-/** What the store keeps the newest record of each key of. */
+/** Topics of the store, which keeps the newest record of each key. */
 public enum StoreTopic {
     /** The operator's configuration. */
     CONFIGURATION,
-    /** Entries that endpoints write of themselves. */
+    /** Entries that endpoints write about themselves. */
     ENDPOINTS,
-    /** Entries that daemons write of themselves. */
+    /** Addresses that daemons announce. */
     MEMBERS,
-    /** The lease of the duties, with its holders' decisions. */
+    /** The lease, with the usage decisions of its holders. */
     DUTIES,
-    /** Which daemon holds which shares of the customers' allowances. */
+    /** The table of the daemons that hold the shares of the customers' quotas. */
     SHARES,
-    /** How far roll-outs are, for the next holder of the duties. */
+    /** The states of rollouts, for the next lease holder. */
     ROLLOUTS,
-    /** How far roll-outs are, for operators. */
+    /** The states of rollouts, for operators. */
     STATUS
 }
--- a/gateway/src/main/java/org/whinhead/gateway/store/TopicFollower.java
+++ b/gateway/src/main/java/org/whinhead/gateway/store/TopicFollower.java
@@ -9,22 +9,29 @@
 import org.slf4j.LoggerFactory;
 
 /**
- * Follows a topic: the newest records first, then each record as it comes.
+ * Reads a topic continuously: the newest record of each key first, then new records as they are
+ * appended.
  *
- * <p>A read that finds its records dropped starts over with the newest ones. Reads that hang or
- * fail are repeated at a steady pace, as the store's calls are limited and billed.
+ * <p>If the store has dropped records that were not read yet, the follower starts again with the
+ * newest ones. It repeats a failed read after a fixed pause, as the store's calls are limited and
+ * billed.
  */
 public final class TopicFollower {
 
     private static final Logger LOG = LoggerFactory.getLogger(TopicFollower.class);
 
-    /** The pause after a failed call: a store that is back is noticed within it. */
+    /**
+     * Pause after a failed call of a reader, and thus the delay until it notices a recovered store.
+     */
     private static final Duration READER_RETRY_PAUSE = Duration.ofMillis(400);
 
-    /** The same for daemons that don't read for others: together they would flood the store. */
+    /**
+     * The same for daemons that don't read for others; longer, as together they would overload the
+     * store.
+     */
     private static final Duration NON_READER_RETRY_PAUSE = Duration.ofMillis(1_000);
 
-    /** How often a daemon for which others read checks that they still do. */
+    /** Interval at which a daemon checks that others still read for it. */
     private static final Duration COVERAGE_CHECK_PAUSE = Duration.ofMillis(200);
 
     private final EventLoop mLoop;
@@ -39,40 +46,43 @@
     private boolean mReachable = true;
 
     /**
-     * Makes a follower that follows nothing yet.
+     * Creates a follower that is not started.
      *
-     * @param loop where everything runs
+     * @param loop the event loop that runs all calls
      * @param store the store
      * @param topic the topic
-     * @param listener hears what is read
-     * @param pace how it is read
-     * @param sharing tells whether others read
+     * @param listener receives the records
+     * @param schedule how often and how long to read
+     * @param readCoordinator decides whether this daemon reads itself
      */
     public TopicFollower(
             final EventLoop loop,
             final MetadataStore store,
             final StoreTopic topic,
             final TopicListener listener,
-            final PollSchedule pace,
-            final ReadCoordinator sharing) {
+            final PollSchedule schedule,
+            final ReadCoordinator readCoordinator) {
         mLoop = loop;
         mStore = store;
         mTopic = topic;
         mListener = listener;
-        mMaxWait = pace.maxWait();
-        mPause = pace.pause();
-        mReadCoordinator = sharing;
+        mMaxWait = schedule.maxWait();
+        mPause = schedule.pause();
+        mReadCoordinator = readCoordinator;
     }
 
     /**
-     * How often a topic is read.
+     * The timing of reads.
      *
-     * @param longestWait how long the store may wait for a record
-     * @param pause the pause between two reads
+     * @param maxWait maximum time that the store waits for a record
+     * @param pause pause between two reads
      */
     public record PollSchedule(Duration maxWait, Duration pause) {}
 
-    /** Starts to follow. */
+    /**
+     * Reads the topic unless other daemons read for this one, and schedules the next read; called
+     * once to start, then by the timer.
+     */
     public void start() {
         mTimer = null;
         if (mNextOffset >= 0 && mReachable && mReadCoordinator.isCovered(mTopic)) {
@@ -85,11 +95,11 @@
     }
 
     /**
-     * Reads at once, as another daemon has seen something new.
+     * Reads at once, because another daemon has read new records.
      *
-     * <p>Not while the store turns this daemon away: digests of what it can't read come several
-     * times a second, and each refused call is billed. Twenty daemons that were cut off for nine
-     * seconds while keys were revoked made a thousand of them.
+     * <p>Does nothing while the store refuses this daemon: digests of records that it can't read
+     * arrive several times a second, and each refused call is billed. Twenty daemons that were
+     * refused for nine seconds while keys were revoked made a thousand calls.
      */
     public void readNow() {
         if (mReachable && mTimer != null && mTimer.cancel(false)) {
@@ -98,9 +108,9 @@
     }
 
     /**
-     * Skips records that were read by another daemon and changed nothing here.
+     * Skips records that another daemon has read and that change nothing for this one.
      *
-     * @param end the offset behind the last of them
+     * @param end the offset behind the last of these records
      */
     public void skipTo(final long end) {
         if (mNextOffset >= 0) {
@@ -126,7 +136,9 @@
         }
         markReachable();
         if (page.truncated()) {
-            LOG.atInfo().addKeyValue("topic", mTopic).log("records dropped, reading the newest");
+            LOG.atInfo()
+                    .addKeyValue("topic", mTopic)
+                    .log("store dropped unread records, reading the newest ones");
             mNextOffset = -1;
             start();
             return;
@@ -146,7 +158,7 @@
     private void markReachable() {
         if (!mReachable) {
             mReachable = true;
-            // Whatever was dropped while the store was away has no record that could be read.
+            // Keys that the store dropped during the outage have no record that shows it.
             mNextOffset = -1;
             LOG.atInfo().addKeyValue("topic", mTopic).log("store reachable again");
         }
--- a/gateway/src/main/java/org/whinhead/gateway/store/TopicListener.java
+++ b/gateway/src/main/java/org/whinhead/gateway/store/TopicListener.java
@@ -2,28 +2,28 @@
 
 import java.util.List;
 
-/** Hears what a follower reads; always on the event loop. */
+/** Receives what a topic follower reads; called on the event loop. */
 public interface TopicListener {
 
     /**
-     * All newest records were read.
+     * Handles the newest record of each key.
      *
-     * @param records one record a key
-     * @param end the topic's end
+     * @param records one record per key
+     * @param end the offset that the topic's next record gets
      */
     void onSnapshot(List<StoreRecord> records, long end);
 
     /**
-     * New records were read.
+     * Handles newly read records.
      *
-     * @param records the records in order; none if nothing was appended
+     * @param records the records in order; empty if nothing was appended
      */
     void onAppended(List<StoreRecord> records);
 
     /**
-     * The store did not answer.
+     * Handles a failed read.
      *
-     * @param cause why
+     * @param cause the cause of the failure
      */
     void onUnreachable(Throwable cause);
 }
--- a/gateway/src/main/java/org/whinhead/gateway/store/UnreadableRecordException.java
+++ b/gateway/src/main/java/org/whinhead/gateway/store/UnreadableRecordException.java
@@ -1,15 +1,15 @@
 package org.whinhead.gateway.store;
 
-/** A record of the store can't be understood. */
+/** Thrown if a record of the store is not readable. */
 public final class UnreadableRecordException extends Exception {
 
     private static final long serialVersionUID = 1L;
 
     /**
-     * Makes the exception.
+     * Creates the exception.
      *
-     * @param message what can't be understood
-     * @param cause what the reader found
+     * @param message the part that is not readable
+     * @param cause the error of the decoder
      */
     public UnreadableRecordException(final String message, final Throwable cause) {
         super(message, cause);
--- a/gateway/src/main/java/org/whinhead/gateway/store/package-info.java
+++ b/gateway/src/main/java/org/whinhead/gateway/store/package-info.java
@@ -1,2 +1,2 @@
-/** The platform's metadata store as the product uses it, and the duties that follow its topics. */
+/** The interface to the platform's metadata store, and the listeners of its topics. */
 package org.whinhead.gateway.store;
