--- a/gateway/src/test/java/org/whinhead/gateway/duty/DutyLeaseManagerTest.java
+++ b/gateway/src/test/java/org/whinhead/gateway/duty/DutyLeaseManagerTest.java
@@ -38,7 +38,7 @@
 
     private static final Duration TERM = Duration.ofSeconds(3);
 
-    /** One endpoint on demand in the only domain, as many as may be. */
+    /** A service that may have one or two endpoints in its only failure domain. */
     private static final ServiceSpec POOL =
             new ServiceSpec(
                     "pool",
@@ -56,7 +56,7 @@
     private final ServingState mState = TestServing.state(() -> mNow);
     private DutyLeaseManager mLeaseManager;
 
-    /** A store that takes a record, refuses it, or says that another daemon has written. */
+    /** Accepts writes, refuses them or reports that another daemon has written. */
     private static final class FakeStore implements MetadataStore {
         private boolean mRefuses;
         private boolean mWrittenByAnother;
@@ -85,9 +85,9 @@
             if (mRefuses) {
                 return CompletableFuture.failedFuture(new IllegalStateException("refused"));
             }
-            final boolean taken = !mWrittenByAnother && end == mEnd;
+            final boolean accepted = !mWrittenByAnother && end == mEnd;
             return CompletableFuture.completedFuture(
-                    taken ? OptionalLong.of(++mEnd) : OptionalLong.empty());
+                    accepted ? OptionalLong.of(++mEnd) : OptionalLong.empty());
         }
     }
 
@@ -157,9 +157,10 @@
         mLeaseManager.autoscaler().orderEndpoints();
     }
 
-    // Nothing is served for eight seconds. The store turned the lease holder away, the last
-    // endpoints were reclaimed half a second later, and nobody ordered others: the holder had given
-    // its lease up at the first refusal, and its successor had to wait until it surely had.
+    // Guards against an outage of eight seconds: the store refused the lease holder, and half a
+    // second later the last endpoints were reclaimed. The holder had given up its lease at the
+    // first refusal, so nobody ordered replacements until its successor could be sure that the
+    // lease had expired.
     @Test
     void refusedHolderOrdersWhileItsLeaseIsValid() {
         mStore.mRefuses = true;
@@ -177,8 +178,9 @@
         assertThat(mCloud.mOrders).isEmpty();
     }
 
-    // Two daemons order by turns. One was turned away by the store, another took the lease when its
-    // term was over, and the first learned that from its next claim.
+    // Guards against two daemons that place orders at the same time: the store refused the first
+    // one, the second one took the lease after its term, and the first one finds that out with its
+    // next claim.
     @Test
     void holderStopsAtOnceWhenAnotherDaemonWroteLease() {
         mStore.mWrittenByAnother = true;
--- a/gateway/src/test/java/org/whinhead/gateway/peers/DigestReadCoordinatorTest.java
+++ b/gateway/src/test/java/org/whinhead/gateway/peers/DigestReadCoordinatorTest.java
@@ -49,8 +49,9 @@
         return digests;
     }
 
-    // Every change of an endpoint cost each daemon two reads of the store: one as the first reader
-    // told of it, and one more as the second reader, which had not seen it yet, told otherwise.
+    // Guards against a second read of the store per endpoint change: one was caused by the first
+    // reader's digest, another by the digest of the second reader, which had not read the change
+    // yet.
     @Test
     void olderDigestCausesNoRead() {
         final ServingState own = state();
--- a/gateway/src/test/java/org/whinhead/gateway/peers/EndpointChangeCodecTest.java
+++ b/gateway/src/test/java/org/whinhead/gateway/peers/EndpointChangeCodecTest.java
@@ -27,13 +27,13 @@
                         .leaving(leavesIn.isPresent(), leavesIn)
                         .reclaimable(true)
                         .started(
-                                leavesIn.map(left -> Instant.ofEpochMilli(1_768_185_459_223L)),
+                                leavesIn.map(remaining -> Instant.ofEpochMilli(1_768_185_459_223L)),
                                 Duration.ofMillis(250))
                         .build();
         return new EndpointChange(entry.id(), number, Optional.of(entry));
     }
 
-    /** Finds what a receiver knew of an endpoint before it left. */
+    /** Returns the entry that a receiver knew of an endpoint before it left. */
     private static Optional<EndpointEntry> findEntry(
             final String id, final List<EndpointChange> changes) {
         return changes.stream()
@@ -45,10 +45,10 @@
     private static List<EndpointChange> encodeAndDecode(final List<EndpointChange> changes)
             throws InvalidProtocolBufferException {
         final List<EndpointChange> received = new ArrayList<>();
-        for (final EndpointNews news : EndpointChangeCodec.encode(changes)) {
+        for (final EndpointNews message : EndpointChangeCodec.encode(changes)) {
             received.addAll(
                     EndpointChangeCodec.decode(
-                            EndpointNews.parseFrom(news.toByteArray()),
+                            EndpointNews.parseFrom(message.toByteArray()),
                             id -> findEntry(id, changes)));
         }
         return received;
@@ -65,8 +65,9 @@
         assertThat(encodeAndDecode(changes)).isEqualTo(changes);
     }
 
-    // A whole failure domain is reclaimed, and no daemon hears of it until it reads the store: the
-    // news did not fit into one packet, and one of its pieces was lost.
+    // Guards against lost changes when a whole failure domain is reclaimed: a datagram larger than
+    // one packet was fragmented, one fragment was lost, and daemons missed the reclaim until they
+    // read the store.
     @Test
     void eachDatagramOfLargeReclaimFitsIntoOnePacket() throws InvalidProtocolBufferException {
         final List<EndpointChange> changes = new ArrayList<>();
@@ -74,13 +75,13 @@
             changes.add(change(number, Optional.of(Duration.ofMillis(1_300))));
         }
         assertThat(EndpointChangeCodec.encode(changes))
-                .allMatch(news -> news.getSerializedSize() < 1_400);
+                .allMatch(message -> message.getSerializedSize() < 1_400);
         assertThat(encodeAndDecode(changes)).isEqualTo(changes);
     }
 
-    // For two seconds after each reclaim most daemons sent requests to endpoints that were gone:
-    // the
-    // readers' news of it was more than their links took at once, and its second half was lost.
+    // Guards against requests to endpoints that are gone: the readers' changes of a reclaim
+    // exceeded the capacity of their links and the second half was lost, so most daemons missed it
+    // for two seconds.
     @Test
     void changesOfReclaimFitIntoOneDatagram() {
         final List<EndpointChange> changes = new ArrayList<>();
@@ -101,8 +102,8 @@
                 .isEmpty();
     }
 
-    // An endpoint that has started again gets no requests for good: the news that it left before
-    // reaches a daemon that knows its next start.
+    // Guards against a restarted endpoint that never gets requests again: the leaving notice of its
+    // earlier start reaches a daemon that already knows the next start.
     @Test
     void leavingNoticeOfEarlierStartIsIgnored() {
         final List<EndpointChange> changes = List.of(change(1, Optional.of(Duration.ZERO)));
--- a/gateway/src/test/java/org/whinhead/gateway/quota/ShareTableSynchronizerTest.java
+++ b/gateway/src/test/java/org/whinhead/gateway/quota/ShareTableSynchronizerTest.java
@@ -36,7 +36,10 @@
     private boolean mHoldsDuties = true;
     private ShareTableSynchronizer mSynchronizer;
 
-    /** A store that keeps the table, and may be away. */
+    /**
+     * Stores the table in memory; can be unavailable, and can lose answers to writes that it
+     * carries out.
+     */
     private static final class FakeStore implements MetadataStore {
         private Optional<byte[]> mValue = Optional.empty();
         private long mEnd;
@@ -48,7 +51,7 @@
         public CompletableFuture<StorePage> newest(final StoreTopic topic) {
             mReads++;
             if (mUnavailable) {
-                return CompletableFuture.failedFuture(new IllegalStateException("away"));
+                return CompletableFuture.failedFuture(new IllegalStateException("unavailable"));
             }
             final List<StoreRecord> records =
                     mValue.map(value -> List.of(record(value))).orElse(List.of());
@@ -68,7 +71,7 @@
         @Override
         public CompletableFuture<Long> append(
                 final StoreTopic topic, final String key, final byte[] value) {
-            throw new IllegalStateException("not conditional");
+            throw new IllegalStateException("unconditional write");
         }
 
         @Override
@@ -98,7 +101,7 @@
                         mChannel.eventLoop(), mState, mMembers, mStore, () -> mHoldsDuties);
     }
 
-    /** Lets time pass; all daemons but those named are heard of. */
+    /** Advances the time in steps of 200 ms; the given daemons report at each step. */
     private void advance(final Duration time, final int... heard) {
         final Instant end = mNow.plus(time);
         while (mNow.isBefore(end)) {
@@ -136,8 +139,8 @@
         assertThat(mStore.mValue).isEmpty();
     }
 
-    // The store takes the table and its answer is lost. A daemon that went by what it had meant to
-    // write could issue shares that another one holds; what counts is what is read.
+    // Guards against a share issued by two daemons: the answer to the write of the table is lost,
+    // so a daemon must use the table that it reads, not the one that it tried to write.
     @Test
     void tableIsReadAfterLostWriteAnswer() {
         mStore.mLosesAnswers = true;
@@ -147,8 +150,8 @@
         assertThat(mStore.mEnd).isEqualTo(1);
     }
 
-    // Two daemons take themselves for the holder of the duties and write a first table each. Both
-    // would issue the same shares.
+    // Guards against a share issued by two daemons: two daemons that both believe to hold the lease
+    // write a first table each.
     @Test
     void tableOfAnotherDaemonIsNotReplaced() {
         mSynchronizer.start();
@@ -184,8 +187,8 @@
         assertThat(mStore.mReads).isGreaterThan(reads);
     }
 
-    // A VM is gone for good. Its shares of every allowance would be lost; others get them, but only
-    // once the one that may merely be cut off has surely stopped.
+    // Guards against the permanent loss of the shares of a VM that is gone. Other daemons get them,
+    // but only after the holder, which may merely be cut off, has certainly stopped issuing tokens.
     @Test
     void sharesOfGoneDaemonAreReassignedWithDelay() {
         mSynchronizer.start();
@@ -208,8 +211,8 @@
         assertThat(table().orElseThrow().version()).isEqualTo(1);
     }
 
-    // The store comes back from an older copy, without the table. Daemons that start then would
-    // find none; the holder of the duties writes what is in force again.
+    // Guards against a missing table after the store is restored from an older copy: daemons that
+    // start then would find none, so the lease holder writes the table in force again.
     @Test
     void tableLostByStoreIsWrittenAgain() {
         mSynchronizer.start();
--- a/gateway/src/test/java/org/whinhead/gateway/rollout/RolloutCoordinatorTest.java
+++ b/gateway/src/test/java/org/whinhead/gateway/rollout/RolloutCoordinatorTest.java
@@ -47,7 +47,10 @@
                 steps::add);
     }
 
-    /** Keeps records in memory; can be away, and can lose answers of writes that it carries out. */
+    /**
+     * Stores records in memory; can be unavailable, and can lose answers to writes that it carries
+     * out.
+     */
     private static final class FakeStore implements MetadataStore {
         private final Map<StoreTopic, List<StoreRecord>> mTopics = new EnumMap<>(StoreTopic.class);
         private boolean mUnavailable;
@@ -66,7 +69,7 @@
         @Override
         public CompletableFuture<StorePage> newest(final StoreTopic topic) {
             if (mUnavailable) {
-                return CompletableFuture.failedFuture(new IllegalStateException("away"));
+                return CompletableFuture.failedFuture(new IllegalStateException("unavailable"));
             }
             final List<StoreRecord> all = records(topic);
             return CompletableFuture.completedFuture(
@@ -82,7 +85,7 @@
         @Override
         public CompletableFuture<Long> append(
                 final StoreTopic topic, final String key, final byte[] value) {
-            throw new IllegalStateException("a write without a condition");
+            throw new IllegalStateException("unconditional write");
         }
 
         @Override
@@ -90,7 +93,7 @@
                 final StoreTopic topic, final String key, final byte[] value, final long end) {
             final List<StoreRecord> all = records(topic);
             if (mUnavailable) {
-                return CompletableFuture.failedFuture(new IllegalStateException("away"));
+                return CompletableFuture.failedFuture(new IllegalStateException("unavailable"));
             }
             if (end != all.size()) {
                 return CompletableFuture.completedFuture(OptionalLong.empty());
@@ -102,7 +105,7 @@
         }
     }
 
-    /** Spells a state by its name. */
+    /** Encodes a status as the name of its state. */
     private static final class StateNameCodec implements OperatorRolloutCodec {
         @Override
         public Optional<RolloutOrder> decodeOrder(final StoreRecord record) {
@@ -147,8 +150,8 @@
     }
 
     /**
-     * Some daemons hold a roll-out for ended while the next holder goes on with it. The store is
-     * away as this holder decides; nobody may be told an end that is not recorded.
+     * Guards against a rollout that some daemons treat as ended while the next holder continues it:
+     * the store is unavailable when this holder decides, so the final state is not recorded.
      */
     @Test
     void endIsNotAnnouncedBeforeItIsRecorded() {
@@ -165,7 +168,10 @@
                 .containsExactly(RolloutState.RUNNING, RolloutState.ROLLED_BACK);
     }
 
-    /** Operators read two ends of one order: the write of the first landed, its answer was lost. */
+    /**
+     * Guards against two final states of one order: the first write was carried out, but its answer
+     * was lost.
+     */
     @Test
     void writeWithLostAnswerIsNotRepeated() {
         tickUntil(mCoordinator, 1, 5_000);
@@ -179,8 +185,8 @@
     }
 
     /**
-     * A roll-out that was turned back is completed a second later. Its holder was paused just
-     * before it wrote its decision, and another one has decided meanwhile.
+     * Guards against the completion of a rollout one second after its rollback: a holder was paused
+     * just before it wrote its decision, and another holder decided in the meantime.
      */
     @Test
     void pausedHolderAdoptsRecordedEnd() {
@@ -199,7 +205,10 @@
         assertThat(mState.rollouts().open()).isEmpty();
     }
 
-    /** The next holder counts the time budget from the order, not from its own start. */
+    /**
+     * Guards against a time budget that starts again with each holder instead of running from the
+     * order.
+     */
     @Test
     void nextHolderKeepsTheTimeBudget() {
         tickUntil(mCoordinator, 1, 8_000);
--- a/gateway/src/test/java/org/whinhead/gateway/store/EndpointTopicListenerTest.java
+++ b/gateway/src/test/java/org/whinhead/gateway/store/EndpointTopicListenerTest.java
@@ -38,9 +38,9 @@
         return new StoreRecord("e1", Optional.of(value.getBytes(StandardCharsets.UTF_8)), offset);
     }
 
-    // A request reaches a server three seconds after its entry was removed. The daemon had kept it
-    // as
-    // lapsed around an outage; then others read the store for it, and nothing looked at it again.
+    // Guards against requests to an endpoint three seconds after its entry was removed: the daemon
+    // kept the entry around an outage, then other daemons read the store for it, and nothing
+    // expired the entry.
     @Test
     void lapsedEntryIsRemovedWithoutOwnReads() {
         mListener.onSnapshot(List.of(record("ready", 0)), 1);
@@ -53,8 +53,8 @@
         assertThat(mState.endpoints().usable("pool")).isEmpty();
     }
 
-    // All model requests fail until the daemon restarts: one damaged record among the endpoints'
-    // entries stopped the reading of all others.
+    // Guards against the failure of all model requests until a restart: one unreadable record among
+    // the endpoints' entries stopped the reading of all others.
     @Test
     void unreadableRecordDisablesOnlyItsOwnEndpoint() {
         mListener.onSnapshot(
@@ -95,8 +95,8 @@
         assertThat(other.mState.endpoints().summary()).isEqualTo(mState.endpoints().summary());
     }
 
-    // A server is back under its old entry although it was removed: a daemon learned of the removal
-    // from another one, and then read the older records itself.
+    // Guards against the return of a removed endpoint: a daemon received the removal from another
+    // one and then read the older records itself.
     @Test
     void recordsOlderThanPeerChangesAreIgnored() {
         mListener.onSnapshot(List.of(record("ready", 0)), 1);
@@ -105,20 +105,18 @@
         assertThat(mState.endpoints().usable("pool")).isEmpty();
     }
 
-    // Requests go to endpoints that were reclaimed, and none are ordered in their place. The store
-    // turns
-    // this daemon away, and it took the removals that a reader passed on for lapses of the store.
+    // Guards against requests to reclaimed endpoints and missing replacements: while the store
+    // refused this daemon, it treated the removals sent by a reader as an effect of the outage.
     @Test
     void peerRemovalAppliesWhileStoreRefusesThisDaemon() {
         mListener.onSnapshot(List.of(record("ready", 0)), 1);
-        mListener.onUnreachable(new IllegalStateException("turned away"));
+        mListener.onUnreachable(new IllegalStateException("refused"));
         mListener.applyPeerChanges(List.of(new EndpointChange("e1", 5, Optional.empty())));
         assertThat(mState.endpoints().usable("pool")).isEmpty();
     }
 
-    // A service stands without endpoints for two seconds after an outage of the store: a reader
-    // passed
-    // on that their entries had lapsed, and the others believed it.
+    // Guards against a service without endpoints for two seconds after an outage of the store: a
+    // reader passed on that entries had lapsed in the outage, and the others removed them.
     @Test
     void removalReadAfterOutageIsNotPassedOn() {
         mListener.onSnapshot(List.of(record("ready", 0)), 1);
--- a/gateway/src/test/java/org/whinhead/gateway/store/TopicFollowerTest.java
+++ b/gateway/src/test/java/org/whinhead/gateway/store/TopicFollowerTest.java
@@ -24,7 +24,7 @@
                     new TopicFollower.PollSchedule(Duration.ZERO, Duration.ofMillis(400)),
                     new SoleReader());
 
-    /** Counts calls, and refuses them while it is away. */
+    /** Counts the calls and can refuse them. */
     private static final class CountingStore implements MetadataStore {
         private boolean mRefuses;
         private int mCalls;
@@ -46,30 +46,30 @@
         @Override
         public CompletableFuture<Long> append(
                 final StoreTopic topic, final String key, final byte[] value) {
-            throw new IllegalStateException("a follower writes nothing");
+            throw new IllegalStateException("a follower must not write");
         }
 
         @Override
         public CompletableFuture<OptionalLong> appendAt(
                 final StoreTopic topic, final String key, final byte[] value, final long end) {
-            throw new IllegalStateException("a follower writes nothing");
+            throw new IllegalStateException("a follower must not write");
         }
     }
 
     private static final class IgnoringListener implements TopicListener {
         @Override
         public void onSnapshot(final List<StoreRecord> records, final long end) {
-            // What was read does not matter here.
+            // These tests only count calls.
         }
 
         @Override
         public void onAppended(final List<StoreRecord> records) {
-            // What was read does not matter here.
+            // These tests only count calls.
         }
 
         @Override
         public void onUnreachable(final Throwable cause) {
-            // The calls are counted by the store.
+            // These tests only count calls.
         }
     }
 
@@ -107,8 +107,9 @@
     }
 
     /**
-     * The store turns a third of the daemons away while keys are revoked. The readers tell them
-     * five times a second that there is something new; each of them called as often, for nothing.
+     * Guards against useless billed calls: while keys are revoked, the store refuses a third of the
+     * daemons. The readers' digests report new records five times a second, and each refused daemon
+     * called the store as often.
      */
     @Test
     void refusedDaemonKeepsRetryPause() {
