--- a/gateway/src/main/java/org/whinhead/gateway/duty/DutyLeaseManager.java
+++ b/gateway/src/main/java/org/whinhead/gateway/duty/DutyLeaseManager.java
@@ -26,10 +26,9 @@
 import org.whinhead.serving.member.MemberTable;
 
 /**
- * Acquires and renews the lease, and performs the tasks of the lease holder: usage reports and
- * endpoint orders.
+ * Acquires and renews the lease, and performs the duties of its holder.
  *
- * <p>Only the two daemons with the first names in order are candidates; the others neither read nor
+ * <p>The two daemons with the first names in order are candidates; the others neither read nor
  * write the lease, so that its cost doesn't grow with the number of daemons.
  */
 public final class DutyLeaseManager {
@@ -61,8 +60,8 @@
     /**
      * Creates a manager that doesn't hold the lease.
      *
-     * @param loop the event loop that runs all calls
-     * @param state the endpoints, the usage, the configuration and the clocks
+     * @param loop the event loop
+     * @param state the usage, the endpoints and the clocks
      * @param members the known daemons
      * @param store the store of the lease
      * @param cloud receives usage reports and endpoint orders
@@ -135,7 +134,7 @@
 
     private void tick() {
         // Every daemon records the demand: one that takes the lease just after most endpoints were
-        // lost would otherwise underestimate it from the few requests that are still served.
+        // lost would otherwise see only the few requests that are still served.
         mAutoscaler.recordDemand();
         if (mCallPending || mStopped) {
             return;
@@ -233,10 +232,10 @@
 
     /**
      * Continues under the last renewal while it is valid. The store may refuse the holder just as
-     * endpoints are reclaimed; a holder that gave up the lease at the first refusal left nobody to
-     * order replacements until its successor's wait was over, 3.4 s later. Continuing is safe:
-     * nobody else takes the lease before its term has passed since the last record. The claim may
-     * have been written all the same; the next claim then finds another end of the topic.
+     * its endpoints are reclaimed; a holder that gave up at the first refusal left nobody to order
+     * replacements until its successor's wait was over, 3.4 s later. It is safe: nobody else takes
+     * the lease before its term has passed since the last record. If the claim was written all the
+     * same, the next one finds another end.
      */
     private void handleUnansweredClaim(final Throwable failure) {
         final boolean stillHeld = fencingToken().isPresent();
@@ -268,7 +267,7 @@
     /**
      * Returns the fencing token while this daemon may act as the lease holder.
      *
-     * @return the fencing token; empty if this daemon may not act
+     * @return the fencing token, or empty
      */
     public Optional<Long> fencingToken() {
         return mLease.tokenToAct(mState.clock().instant(), mState.timeOfDay().instant());
--- a/gateway/src/main/java/org/whinhead/gateway/duty/EndpointAutoscaler.java
+++ b/gateway/src/main/java/org/whinhead/gateway/duty/EndpointAutoscaler.java
@@ -17,17 +17,14 @@
 import org.whinhead.serving.configuration.ServingConfiguration;
 import org.whinhead.serving.endpoint.EndpointEntry;
 
-/**
- * Orders endpoints while this daemon holds the lease; otherwise only tracks the existing ones, to
- * be able to take over.
- */
+/** Orders endpoints while this daemon holds the lease; otherwise only observes them. */
 public final class EndpointAutoscaler {
 
     private static final Logger LOG = LoggerFactory.getLogger(EndpointAutoscaler.class);
 
     private static final int MILLIS_PER_SECOND = 1_000;
 
-    /** Time for which refusals of one round of orders are collected; an answer takes about 4 ms. */
+    /** Time to collect the refusals of a round of orders; an answer takes about 4 ms. */
     private static final int REFUSAL_BATCH_MILLIS = 30;
 
     private final EventLoop mLoop;
@@ -62,8 +59,7 @@
     }
 
     /**
-     * Records an order of the lease holder, so that this daemon plans with it if it takes over.
-     * Does nothing if this daemon holds the lease or the service is not configured.
+     * Records an order of the lease holder, for the case that this daemon takes over the lease.
      *
      * @param order an order that the platform has accepted
      */
@@ -78,8 +74,8 @@
     }
 
     /**
-     * Plans and orders endpoints at once if this daemon holds the lease, as a reclaim leaves only
-     * seconds; otherwise only records the existing endpoints.
+     * Orders endpoints at once if this daemon holds the lease, as a reclaim leaves only seconds;
+     * otherwise only observes them.
      */
     public void orderEndpoints() {
         final Optional<ServingConfiguration> configuration = mState.configuration().current();
@@ -111,9 +107,8 @@
     }
 
     /**
-     * Returns whether an order releases endpoints. During a rollout a service has twice the
-     * endpoints that it needs, and the platform would choose which of them to release, whatever
-     * their version.
+     * Returns whether an order releases endpoints. During a rollout a service has twice what it
+     * needs, and the platform would choose which ones, of any version, to release.
      */
     private static boolean reducesEndpoints(
             final CapacityOrder order, final List<EndpointEntry> endpoints) {
@@ -131,9 +126,7 @@
         }
     }
 
-    /**
-     * Records the tokens that callers have requested so far; called at each tick of every daemon.
-     */
+    /** Records the tokens requested so far; called at each tick of every daemon. */
     void recordDemand() {
         mDemand.total(
                 mState.quotas().offered().byAll(),
@@ -149,9 +142,9 @@
     }
 
     /**
-     * Schedules one new round of orders for all refusals of a round. In a wave of reclaims several
-     * domains have no capacity left at once; a holder that waited for its next regular round lost
-     * one of the two or three seconds that a reclaim notice gives.
+     * Orders replacements once for all refusals of a round. In a wave of reclaims several domains
+     * run out of capacity together; a holder that waited for its next round lost one of the two or
+     * three seconds that a notice gives.
      */
     private void scheduleReplacementOrders() {
         if (!mReorderScheduled) {
--- a/gateway/src/main/java/org/whinhead/gateway/duty/FencedCloudClient.java
+++ b/gateway/src/main/java/org/whinhead/gateway/duty/FencedCloudClient.java
@@ -5,8 +5,7 @@
 import org.whinhead.serving.duty.UsageDecision;
 
 /**
- * The platform calls that only the lease holder makes, each with its fencing token. A call whose
- * future fails may still have been accepted.
+ * The platform calls that only the lease holder makes. A call that fails may have been accepted.
  */
 public interface FencedCloudClient {
 
@@ -14,8 +13,8 @@
      * Reports the usage of a window.
      *
      * @param token the fencing token
-     * @param decision the window and its request counts by customer
-     * @return whether the platform has accepted the report
+     * @param decision the counts
+     * @return whether the platform has accepted it
      */
     CompletableFuture<Boolean> reportUsage(long token, UsageDecision decision);
 
@@ -24,7 +23,7 @@
      *
      * @param token the fencing token
      * @param order the order
-     * @return whether the platform has accepted the order
+     * @return whether the platform has accepted it
      */
     CompletableFuture<Boolean> order(long token, CapacityOrder order);
 }
--- a/gateway/src/main/java/org/whinhead/gateway/metrics/RequestMetrics.java
+++ b/gateway/src/main/java/org/whinhead/gateway/metrics/RequestMetrics.java
@@ -37,8 +37,8 @@
     }
 
     /**
-     * Counts the tokens of an admitted request. The customer's quota bounds the growth of this
-     * counter within a window, summed over all daemons.
+     * Counts the tokens of an admitted request. Summed over all daemons, the growth within a window
+     * is bounded by the customer's quota.
      *
      * @param customer the customer's name
      * @param tokens the cost of the request in tokens
@@ -58,7 +58,7 @@
     }
 
     /**
-     * Counts a run that was moved off a leaving endpoint, successfully or not.
+     * Counts a run that was moved, or should have been.
      *
      * @param answered whether the endpoint answered
      */
@@ -71,7 +71,7 @@
      *
      * @param kind the kind of the request's route
      * @param outcome the outcome
-     * @param duration the time from the request to its end
+     * @param duration the time that it took
      */
     public void recordFinished(
             final RouteKind kind, final String outcome, final Duration duration) {
--- a/gateway/src/main/java/org/whinhead/gateway/peers/DigestReadCoordinator.java
+++ b/gateway/src/main/java/org/whinhead/gateway/peers/DigestReadCoordinator.java
@@ -14,19 +14,19 @@
 import org.whinhead.serving.member.MemberTable;
 
 /**
- * Coordinates reads so that a few daemons read the store for all.
+ * Lets a few daemons read the store for all.
  *
  * <p>Each call to the store is billed and counts against a limit that all daemons share. The two
- * daemons with the first names in order read at a fixed interval. After each read they send the
- * changes and a digest of their view to the others. The other daemons read only if a digest that is
- * not older than their own view differs from it, or if no digest has arrived for a while.
+ * daemons with the first names in order read at a fixed interval, and send the changes and a digest
+ * of their view after each read. The others read only if a digest that is not older than their own
+ * view differs from it, or if none arrives for a while.
  */
 public final class DigestReadCoordinator implements ReadCoordinator {
 
     /** Number of daemons that read for all: one may be cut off from the store unnoticed. */
     private static final int READER_COUNT = 2;
 
-    /** Allows for two lost digests; a leaving endpoint must be noticed within two seconds. */
+    /** Covers two lost digests; a leaving endpoint must be noticed within two seconds. */
     private static final Duration DIGEST_MAX_AGE = Duration.ofMillis(900);
 
     /** A configuration read waits up to one second at the store. */
@@ -43,7 +43,7 @@
     /**
      * Creates a coordinator that has received no digest.
      *
-     * @param state this daemon's view of endpoints, configuration and rollouts
+     * @param state this daemon's view
      * @param members the known daemons
      */
     public DigestReadCoordinator(final ServingState state, final MemberTable members) {
@@ -52,7 +52,7 @@
     }
 
     /**
-     * Sets the handler for records that another daemon has read and this one has not.
+     * Sets the handler of records that only another daemon has read.
      *
      * @param onNewRecords receives the topic to read
      */
@@ -61,8 +61,7 @@
     }
 
     /**
-     * Sets the handler for endpoint records that another daemon has read and that change nothing
-     * for this one.
+     * Sets the handler of endpoint records of other daemons that change nothing here.
      *
      * @param onSkippableEndpoints receives the offset behind the last such record
      */
@@ -73,7 +72,7 @@
     /**
      * Records how far this daemon has read the endpoints.
      *
-     * @param end the offset behind the last record read
+     * @param end the offset behind the last record
      */
     public void recordEndpointsRead(final long end) {
         mEndpointsEnd = Math.max(mEndpointsEnd, end);
--- a/gateway/src/main/java/org/whinhead/gateway/peers/EndpointChangeCodec.java
+++ b/gateway/src/main/java/org/whinhead/gateway/peers/EndpointChangeCodec.java
@@ -14,17 +14,13 @@
 /**
  * Encodes endpoint changes for other daemons and decodes them.
  *
- * <p>The record of a leaving endpoint omits what the other daemons already know of it. A reclaim
- * changes all entries of a failure domain at once, and each reader of the store sends the changes
- * to every daemon over a link of 10 Mbit/s: complete entries saturated that link, and half of the
- * changes of each reclaim were lost.
+ * <p>The record of a leaving endpoint omits what other daemons know. A reclaim changes all entries
+ * of a failure domain at once, and each reader sends them to every daemon over a link of 10 Mbit/s:
+ * complete entries saturated it, and half of the changes were lost.
  */
 final class EndpointChangeCodec {
 
-    /**
-     * Maximum size of the changes in one datagram, in bytes, so that the datagram fits into one
-     * packet.
-     */
+    /** Maximum size of the changes in a datagram, so that it fits into one packet. */
     private static final int MAX_BYTES_PER_DATAGRAM = 1_150;
 
     private EndpointChangeCodec() {}
--- a/gateway/src/main/java/org/whinhead/gateway/peers/MemberDiscovery.java
+++ b/gateway/src/main/java/org/whinhead/gateway/peers/MemberDiscovery.java
@@ -15,10 +15,10 @@
 import org.whinhead.serving.member.Member;
 
 /**
- * Announces this daemon's address in the store and reads the addresses of other daemons from it.
+ * Announces this daemon's address in the store and reads those of others.
  *
- * <p>All addresses in the settings may belong to daemons that are down, so each daemon writes its
- * own address to the store once and then reads those of the others once.
+ * <p>The addresses in the settings may all be of daemons that are down. So each daemon writes its
+ * own to the store once and then reads the others once.
  */
 public final class MemberDiscovery {
 
@@ -34,7 +34,7 @@
     /**
      * Creates a discovery that is not started.
      *
-     * @param loop the event loop that runs all calls
+     * @param loop the event loop
      * @param store the store of the announcements
      * @param self this daemon
      * @param onContact receives the address of each announced daemon
@@ -50,10 +50,7 @@
         mOnContact = onContact;
     }
 
-    /**
-     * Announces this daemon and then reads the announcements of the others; repeats a step that
-     * fails.
-     */
+    /** Announces this daemon, then reads the other announcements; repeats what fails. */
     public void start() {
         final byte[] value =
                 MemberRecord.newBuilder()
--- a/gateway/src/main/java/org/whinhead/gateway/peers/PeerDatagramChannel.java
+++ b/gateway/src/main/java/org/whinhead/gateway/peers/PeerDatagramChannel.java
@@ -37,39 +37,33 @@
  * Exchanges datagrams with the other daemons: periodic reports, store digests, endpoint changes,
  * rollout messages, capacity orders and token messages.
  *
- * <p>Reports contain totals rather than changes, so that the next report makes up for a lost one.
- * The report interval grows with the number of daemons, so that each daemon receives about the same
- * number of reports a second at any size of the deployment.
+ * <p>Reports contain totals, so that the next one makes up for a lost one. Their interval grows
+ * with the number of daemons, so that each receives about the same number a second in any
+ * deployment.
  */
 public final class PeerDatagramChannel {
 
     private static final Logger LOG = LoggerFactory.getLogger(PeerDatagramChannel.class);
 
-    /**
-     * Interval between two sends; each send covers a part of the receivers, so that no link is
-     * saturated.
-     */
+    /** Interval between sends, each to a part of the receivers, so that no link is saturated. */
     private static final int SEND_INTERVAL_MILLIS = 200;
 
     /**
-     * Pause per receiver between two datagrams to all receivers: the time that one of 1,200 bytes
-     * takes on a link of 10 Mbit/s. Without the pause, the second and later datagrams were lost.
+     * Pause per receiver between datagrams to all: the time of 1,200 bytes on a link of 10 Mbit/s.
+     * Without it, the second and later ones were lost.
      */
     private static final long BROADCAST_PAUSE_MICROS_PER_RECEIVER = 1_000;
 
-    /**
-     * Maximum number of known addresses in a report; a new daemon learns all of them within a few
-     * reports.
-     */
+    /** Maximum number of addresses in a report; a new daemon learns all within a few reports. */
     private static final int CONTACTS_PER_REPORT = 12;
 
-    /** Number of report rounds per round that contains addresses, as only new daemons need them. */
+    /** One round of reports in so many contains addresses, which only new daemons need. */
     private static final int REPORTS_PER_CONTACT_LIST = 5;
 
     private final EventLoop mLoop;
     private final ServingState mState;
     private final MemberTable mMembers;
-    private final DigestReadCoordinator mDigests;
+    private final DigestReadCoordinator mReadCoordinator;
     private final PeerReportHandler mReportHandler;
     private final Set<InetSocketAddress> mContacts = new HashSet<>();
     private Consumer<List<EndpointChange>> mOnEndpointChanges = changes -> {};
@@ -86,20 +80,20 @@
     /**
      * Creates a channel that is not started.
      *
-     * @param loop the event loop that runs all calls
-     * @param state the source of this daemon's reports, updated by the reports of others
+     * @param loop the event loop
+     * @param state the content of reports
      * @param members the known daemons
-     * @param digests creates and receives digests of what was read from the store
+     * @param readCoordinator creates and receives store digests
      */
     public PeerDatagramChannel(
             final EventLoop loop,
             final ServingState state,
             final MemberTable members,
-            final DigestReadCoordinator digests) {
+            final DigestReadCoordinator readCoordinator) {
         mLoop = loop;
         mState = state;
         mMembers = members;
-        mDigests = digests;
+        mReadCoordinator = readCoordinator;
         mReportHandler = new PeerReportHandler(state, members, this::addContact);
     }
 
@@ -145,9 +139,7 @@
         mLoop.schedule(this::tick, SEND_INTERVAL_MILLIS, TimeUnit.MILLISECONDS);
     }
 
-    /**
-     * Sends a report to the next part of the receivers; all receive one within the report interval.
-     */
+    /** Sends a report to the next part of the receivers; all get one within the report interval. */
     private void sendToNextReceivers() {
         final List<InetSocketAddress> receivers = sortedReceivers();
         if (receivers.isEmpty()) {
@@ -165,8 +157,7 @@
     }
 
     /**
-     * Returns the receivers in a fixed order. Sorts only when their set changes, as sorting formats
-     * every address many times.
+     * Returns the receivers in order; sorts only a changed set, as it formats each address often.
      */
     private List<InetSocketAddress> sortedReceivers() {
         final long changes = mMembers.addressChanges() + mContacts.size();
@@ -194,13 +185,12 @@
     }
 
     /**
-     * Sends endpoint changes and then a digest to all daemons, if this daemon reads the store for
-     * the others.
+     * Sends endpoint changes and then a digest, if this daemon reads for the others.
      *
-     * @param changes the changes that were read, in order
+     * @param changes the changes in order
      */
     public void sendEndpointChanges(final List<EndpointChange> changes) {
-        if (!mDigests.isReader()) {
+        if (!mReadCoordinator.isReader()) {
             return;
         }
         final List<EndpointNews> messages = EndpointChangeCodec.encode(changes);
@@ -209,7 +199,7 @@
             final Datagram datagram = Datagram.newBuilder().setNews(messages.get(index)).build();
             runAfterMicros(index * pauseMicros, () -> sendToAll(datagram));
         }
-        // After all changes: a daemon that has not received them yet would read the store itself.
+        // After all changes: a daemon without them would read the store itself.
         runAfterMicros(Math.max(messages.size() - 1, 0) * pauseMicros, this::sendDigest);
     }
 
@@ -222,16 +212,16 @@
     }
 
     /**
-     * Sets the handler of endpoint orders placed by another daemon.
+     * Sets the handler of other daemons' endpoint orders.
      *
-     * @param onCapacityOrder receives an order that the platform has accepted
+     * @param onCapacityOrder receives an accepted order
      */
     public void onCapacityOrder(final Consumer<CapacityOrder> onCapacityOrder) {
         mOnCapacityOrder = onCapacityOrder;
     }
 
     /**
-     * Sends an endpoint order to all daemons, as any of them may place the next one.
+     * Sends an endpoint order to all daemons, as any may place the next one.
      *
      * @param order an order that the platform has accepted
      */
@@ -276,8 +266,8 @@
     /**
      * Sends this daemon's evidence of a rollout to the lease holder.
      *
-     * @param evidence the counts of this daemon
-     * @param holder the address where the lease holder listens
+     * @param evidence the counts
+     * @param holder the address of the lease holder
      */
     public void sendRolloutEvidence(
             final RolloutEvidence evidence, final InetSocketAddress holder) {
@@ -287,18 +277,18 @@
     }
 
     /**
-     * Sets the handler of the share table version that another daemon reports.
+     * Sets the handler of other daemons' share table versions.
      *
-     * @param onShareTableVersion receives the version; 0 if that daemon has no table
+     * @param onShareTableVersion receives the version; 0 without a table
      */
     public void onShareTableVersion(final LongConsumer onShareTableVersion) {
         mReportHandler.onShareTableVersion(onShareTableVersion);
     }
 
     /**
-     * Sets the handler of datagrams that ask for tokens, answer such an ask or return tokens.
+     * Sets the handler of asks for tokens, their answers and returned tokens.
      *
-     * @param onTokenDatagram receives the datagram and the address of its sender
+     * @param onTokenDatagram receives the datagram and its sender
      */
     public void onTokenDatagram(final BiConsumer<Datagram, InetSocketAddress> onTokenDatagram) {
         mOnTokenDatagram = onTokenDatagram;
@@ -307,7 +297,7 @@
     /**
      * Sends a datagram to one daemon.
      *
-     * @param receiver the address where that daemon listens
+     * @param receiver the address of that daemon
      * @param datagram the datagram
      */
     public void send(final InetSocketAddress receiver, final Datagram datagram) {
@@ -315,13 +305,10 @@
         mChannel.flush();
     }
 
-    /**
-     * Sends a digest of the last reads to all daemons, if this daemon reads the store for the
-     * others.
-     */
+    /** Sends a digest of the store to all, if this daemon reads for the others. */
     public void sendDigest() {
-        if (mDigests.isReader()) {
-            sendToAll(Datagram.newBuilder().setDigest(mDigests.createDigest()).build());
+        if (mReadCoordinator.isReader()) {
+            sendToAll(Datagram.newBuilder().setDigest(mReadCoordinator.createDigest()).build());
         }
     }
 
@@ -340,7 +327,7 @@
         return mState.clock().instant();
     }
 
-    /** Logs rollout messages that arrive although no listener is set. */
+    /** Logs rollout messages that arrive without a listener. */
     private static final class UnexpectedRolloutListener implements RolloutMessageListener {
         @Override
         public void onStep(final RolloutStep step, final InetSocketAddress holder) {
@@ -370,7 +357,8 @@
                                     datagram.getNews(), mState.endpoints()::find));
                 }
                 if (datagram.hasDigest()) {
-                    mDigests.receive(Addresses.format(packet.sender()), datagram.getDigest());
+                    mReadCoordinator.receive(
+                            Addresses.format(packet.sender()), datagram.getDigest());
                 }
                 if (datagram.hasCapacityOrder()) {
                     mOnCapacityOrder.accept(decode(datagram.getCapacityOrder()));
--- a/gateway/src/main/java/org/whinhead/gateway/peers/PeerReportHandler.java
+++ b/gateway/src/main/java/org/whinhead/gateway/peers/PeerReportHandler.java
@@ -35,10 +35,7 @@
         mOnContact = onContact;
     }
 
-    /**
-     * Sets the handler of the share table version that another daemon reports; 0 if it has no
-     * table.
-     */
+    /** Sets the handler of other daemons' share table versions; 0 without a table. */
     void onShareTableVersion(final LongConsumer onShareTable) {
         mOnShareTableVersion = onShareTable;
     }
@@ -47,7 +44,7 @@
      * Creates a report of this daemon.
      *
      * @param leaving whether this daemon is about to stop
-     * @param maxContacts maximum number of other daemons' addresses in the report
+     * @param maxContacts maximum number of daemon addresses in the report
      */
     PeerReport createReport(final boolean leaving, final int maxContacts) {
         final Member self = mMembers.self();
--- a/gateway/src/main/java/org/whinhead/gateway/peers/RolloutMessageListener.java
+++ b/gateway/src/main/java/org/whinhead/gateway/peers/RolloutMessageListener.java
@@ -11,14 +11,14 @@
      * Handles a step of the lease holder.
      *
      * @param step the step
-     * @param holder the address where the sender listens
+     * @param holder the address of the lease holder
      */
     void onStep(RolloutStep step, InetSocketAddress holder);
 
     /**
      * Handles the evidence of a daemon.
      *
-     * @param evidence the counts of that daemon since the order
+     * @param evidence the counts since the order
      */
     void onEvidence(RolloutEvidence evidence);
 }
--- a/gateway/src/main/java/org/whinhead/gateway/quota/DatagramQuotaTransport.java
+++ b/gateway/src/main/java/org/whinhead/gateway/quota/DatagramQuotaTransport.java
@@ -23,7 +23,7 @@
     /**
      * Creates a transport that is not connected.
      *
-     * @param loop the event loop that runs all calls
+     * @param loop the event loop
      * @param incarnation the id of this daemon's process
      */
     public DatagramQuotaTransport(final EventLoop loop, final String incarnation) {
@@ -35,7 +35,7 @@
      * Connects the transport.
      *
      * @param state the quotas and the clocks
-     * @param sender sends a datagram to the address of a daemon
+     * @param sender sends a datagram to an address
      */
     public void connect(
             final ServingState state, final BiConsumer<InetSocketAddress, Datagram> sender) {
@@ -99,7 +99,7 @@
         mSender.accept(claimant, Datagram.newBuilder().setTokenAnswer(answer).build());
     }
 
-    /** Ignores answers to an earlier process of this daemon, as their ids may be in use again. */
+    /** Ignores answers to an earlier process, as their ids may be in use again. */
     private void applyAnswer(final TokenAnswerRecord record) {
         if (record.getClaimant().equals(mIncarnation)) {
             mState.quotas().answered(QuotaCodec.decode(record), mState.moment());
--- a/gateway/src/main/java/org/whinhead/gateway/quota/ShareTableSynchronizer.java
+++ b/gateway/src/main/java/org/whinhead/gateway/quota/ShareTableSynchronizer.java
@@ -32,12 +32,11 @@
 import org.whinhead.serving.quota.ShareTable;
 
 /**
- * Reads the table of shares from the store, and writes it while this daemon holds the lease. The
- * table assigns the shares of the customers' quotas to daemons.
+ * Reads the table of shares from the store, and writes it while this daemon holds the lease.
  *
- * <p>The table is written once the set of daemons is stable, and again only if a holder of shares
- * is gone for long. So a start costs one read, and the quotas depend neither on the lease holder
- * nor on the store's availability.
+ * <p>The table is written once the set of daemons is stable, and again only if a holder is gone for
+ * long. So it costs one read at a start, and depends neither on the lease holder nor on the store's
+ * availability.
  */
 public final class ShareTableSynchronizer {
 
@@ -54,13 +53,13 @@
     /** Pause before a read that failed or found no table is repeated. */
     private static final Duration RETRY_PAUSE = Duration.ofMillis(1_000);
 
-    /** Maximum random delay of the reads that a newer version causes at all daemons. */
+    /** Maximum random delay of a read, as all daemons read a newer version at once. */
     private static final Duration MAX_READ_JITTER = Duration.ofMillis(400);
 
-    /** Time without a change of the daemons' addresses before the first table is written. */
+    /** Time without a change of members before the first table is written. */
     private static final Duration SETTLE_TIME = Duration.ofMillis(2_000);
 
-    /** Time without a sign of a holder after which its shares are reassigned. */
+    /** Time without a report of a holder until its shares are reassigned. */
     private static final Duration HOLDER_TIMEOUT = Duration.ofMinutes(5);
 
     /** Maximum difference of the daemons' clocks at a change of holders. */
@@ -83,11 +82,11 @@
     /**
      * Creates a synchronizer that is not started.
      *
-     * @param loop the event loop that runs all calls
+     * @param loop the event loop
      * @param state the quotas and the clocks
      * @param members the known daemons
      * @param store the store of the table
-     * @param holdsDuties returns whether this daemon holds the lease and may write the table
+     * @param holdsDuties whether this daemon holds the lease
      */
     public ShareTableSynchronizer(
             final EventLoop loop,
@@ -109,9 +108,9 @@
     }
 
     /**
-     * Handles the table version that another daemon reports, and schedules a read if it is newer.
+     * Schedules a read if another daemon has a newer table.
      *
-     * @param version the version; 0 if that daemon has no table
+     * @param version its version; 0 without a table
      */
     public void onPeerVersion(final long version) {
         if (version > knownVersion()) {
@@ -185,8 +184,7 @@
     }
 
     /**
-     * Writes the table if it is missing or contains daemons that are gone; called several times a
-     * second.
+     * Writes the table if it is missing or contains gone daemons; called several times a second.
      */
     public void tick() {
         final Instant now = mState.clock().instant();
@@ -257,8 +255,7 @@
                                     .addKeyValue("written", failure == null && end.isPresent())
                                     .addKeyValue("failure", String.valueOf(failure))
                                     .log("table of shares written");
-                            // Only a table that was read is in force, as the answer to the write
-                            // may be lost.
+                            // Only a table that was read is in force: the answer may be lost.
                             scheduleRead(Duration.ZERO);
                         });
     }
--- a/gateway/src/main/java/org/whinhead/gateway/rollout/RolloutCoordinator.java
+++ b/gateway/src/main/java/org/whinhead/gateway/rollout/RolloutCoordinator.java
@@ -29,10 +29,7 @@
 
     private static final Logger LOG = LoggerFactory.getLogger(RolloutCoordinator.class);
 
-    /**
-     * Time for which a final state is announced; daemons that miss all announcements read the
-     * store.
-     */
+    /** Time for which a final state is announced; daemons that miss it read the store. */
     private static final Duration END_ANNOUNCED_FOR = Duration.ofSeconds(5);
 
     /**
@@ -40,10 +37,7 @@
      */
     private static final Duration MIN_STEP_INTERVAL = Duration.ofMillis(200);
 
-    /**
-     * Addition to the interval per daemon, so that the holder sends at most a thousand steps a
-     * second.
-     */
+    /** Interval per known daemon, so that the holder sends at most a thousand steps a second. */
     private static final Duration STEP_INTERVAL_PER_DAEMON = Duration.ofMillis(1);
 
     private final ServingState mState;
@@ -85,10 +79,7 @@
         mFencingToken = -1;
     }
 
-    /**
-     * Performs the work that is due; called several times a second while this daemon holds the
-     * lease.
-     */
+    /** Performs the work that is due; called several times a second by the lease holder. */
     void tick(final long fencingToken, final int daemons) {
         if (fencingToken != mFencingToken) {
             reset();
@@ -207,7 +198,7 @@
         }
     }
 
-    /** Records the state first and then publishes it to operators; one store call at a time. */
+    /** Records the state first, then publishes it to operators; one call at a time. */
     private void write(final TrackedRollout rollout, final Instant now) {
         if (mCallPending || (rollout.isRecorded() && rollout.isPublished())) {
             return;
--- a/gateway/src/main/java/org/whinhead/gateway/rollout/RolloutParticipant.java
+++ b/gateway/src/main/java/org/whinhead/gateway/rollout/RolloutParticipant.java
@@ -25,8 +25,8 @@
 import org.whinhead.serving.rollout.RolloutStep;
 
 /**
- * Takes part in rollouts: applies the lease holder's steps, sends it this daemon's evidence, and
- * coordinates the rollouts while this daemon holds the lease.
+ * Applies the lease holder's rollout steps, sends it this daemon's evidence, and coordinates
+ * rollouts while this daemon holds the lease.
  */
 public final class RolloutParticipant implements RolloutMessageListener {
 
@@ -35,19 +35,13 @@
     /** Minimum interval between two evidence reports to the lease holder. */
     private static final Duration MIN_EVIDENCE_INTERVAL = Duration.ofMillis(300);
 
-    /**
-     * Addition to the interval per daemon, so that the holder receives at most 500 reports a
-     * second.
-     */
+    /** Interval per known daemon, so that the holder receives at most 500 reports a second. */
     private static final Duration EVIDENCE_INTERVAL_PER_DAEMON = Duration.ofMillis(2);
 
-    /**
-     * Interval between reports while the new version takes over, which is decided within about 0.8
-     * s.
-     */
+    /** Interval while the new version takes over, which is decided within about 0.8 s. */
     private static final Duration TAKEOVER_EVIDENCE_INTERVAL = Duration.ofMillis(150);
 
-    /** Interval between reads of the store while the outcome of an order is not known. */
+    /** Interval between reads of the store while the outcome of an order is unknown. */
     private static final Duration STORE_READ_INTERVAL = Duration.ofMillis(500);
 
     private final ServingState mState;
@@ -73,8 +67,8 @@
      * @param peers sends datagrams to the other daemons
      * @param ports the store and the codec of operators' records
      * @param limits the exposure limits of a faulty version
-     * @param fencingToken returns the fencing token; empty unless this daemon holds the lease
-     * @param moveRuns moves the runs off an endpoint, given its id and the time until it stops
+     * @param fencingToken the fencing token while this daemon holds the lease
+     * @param moveRuns moves the runs off an endpoint before it stops
      */
     public RolloutParticipant(
             final ServingState state,
@@ -97,7 +91,7 @@
      * The parts that the platform's adapter supplies.
      *
      * @param store the store
-     * @param codec the codec of operators' orders and of their statuses
+     * @param codec the codec of operators' records
      */
     public record Ports(MetadataStore store, OperatorRolloutCodec codec) {}
 
@@ -129,9 +123,9 @@
     }
 
     /**
-     * Marks an order as uncertain if only endpoints of its new version are left. The completion of
-     * a rollout stops all old endpoints at once; a daemon that missed it would refuse requests
-     * although the new endpoints serve.
+     * Marks a service as uncertain if only endpoints of the new version are left: the old ones stop
+     * at once on completion, and a daemon that missed it would refuse requests that the new ones
+     * could serve.
      */
     private void checkForMissedEnd(final RolloutOrder order) {
         final List<EndpointEntry> usable = mState.endpoints().usable(order.service());
--- a/gateway/src/main/java/org/whinhead/gateway/rollout/RolloutStore.java
+++ b/gateway/src/main/java/org/whinhead/gateway/rollout/RolloutStore.java
@@ -15,11 +15,11 @@
 import org.whinhead.serving.rollout.RolloutRecord;
 
 /**
- * Reads and writes the records of rollouts and their statuses for operators.
+ * Reads and writes rollout records and their statuses for operators.
  *
- * <p>A write to either topic succeeds only if the topic still ends where this daemon last saw its
- * end. So a holder that was paused while another one decided differently can't append its own
- * decision, and a write that the store carries out seconds late has no effect.
+ * <p>A write succeeds only if the topic still has the end that this daemon last read. So a holder
+ * that was paused while another one decided otherwise can't append its own decision, and a write
+ * that the store carries out seconds late has no effect.
  */
 final class RolloutStore {
 
@@ -65,9 +65,7 @@
         return mStore.newest(StoreTopic.STATUS).thenAccept(page -> mStatusEnd = page.end());
     }
 
-    /**
-     * Writes a record and returns whether the topic still ended where this daemon last saw its end.
-     */
+    /** Writes a record and returns whether the topic had the expected end. */
     CompletableFuture<Boolean> writeRecord(final RolloutRecord record) {
         return mStore.appendAt(
                         StoreTopic.ROLLOUTS,
@@ -81,10 +79,7 @@
                         });
     }
 
-    /**
-     * Writes a status for operators and returns whether the topic still ended where this daemon
-     * last saw its end.
-     */
+    /** Writes a status for operators and returns whether the topic had the expected end. */
     CompletableFuture<Boolean> writeStatus(final RolloutRecord record) {
         return mStore.appendAt(
                         StoreTopic.STATUS,
--- a/gateway/src/main/java/org/whinhead/gateway/rollout/TrackedRollout.java
+++ b/gateway/src/main/java/org/whinhead/gateway/rollout/TrackedRollout.java
@@ -7,10 +7,7 @@
 import org.whinhead.serving.rollout.RolloutRecord;
 import org.whinhead.serving.rollout.RolloutState;
 
-/**
- * One rollout at the lease holder: its latest decision, its recorded state and the state that
- * operators have received.
- */
+/** One rollout at the lease holder, with its recorded and its published state. */
 final class TrackedRollout {
 
     private final RolloutController mController;
@@ -29,7 +26,7 @@
         return mController;
     }
 
-    /** Applies a decision and returns whether its state or reason differs from the previous one. */
+    /** Applies a decision and returns whether it differs from the previous one. */
     boolean applyDecision(final RolloutController.Decision decision) {
         final boolean changed =
                 mDecision == null
@@ -52,7 +49,7 @@
         return mDecision;
     }
 
-    /** Returns the record to write to the store and to publish to operators next. */
+    /** Returns the record to write, or to publish to operators, next. */
     RolloutRecord pendingRecord() {
         return mPendingRecord;
     }
@@ -79,10 +76,7 @@
         return isRecorded() ? mPendingRecord.state() : RolloutState.RUNNING;
     }
 
-    /**
-     * Returns whether the final state is published and was announced to the daemons for the given
-     * time.
-     */
+    /** Returns whether the final state was published more than the given time ago. */
     boolean isFinished(final Duration announcedFor, final Instant now) {
         return mPendingRecord.state().isFinal()
                 && isPublished()
--- a/gateway/src/main/java/org/whinhead/gateway/store/ConfigurationTopicListener.java
+++ b/gateway/src/main/java/org/whinhead/gateway/store/ConfigurationTopicListener.java
@@ -9,7 +9,7 @@
 import org.whinhead.serving.configuration.ServingConfiguration;
 import org.whinhead.serving.rollout.RolloutOrder;
 
-/** Applies the operator's configuration and rollout orders as they are read from the store. */
+/** Applies the operator's configuration and rollout orders from the store. */
 public final class ConfigurationTopicListener implements TopicListener {
 
     private static final Logger LOG = LoggerFactory.getLogger(ConfigurationTopicListener.class);
@@ -42,8 +42,7 @@
     }
 
     /**
-     * Sets the handler of orders that were placed before this daemon first read the store, and may
-     * have been decided.
+     * Sets the handler of orders older than this daemon's first read, which may be decided.
      *
      * @param onEarlierOrder receives the order
      */
--- a/gateway/src/main/java/org/whinhead/gateway/store/EndpointTopicListener.java
+++ b/gateway/src/main/java/org/whinhead/gateway/store/EndpointTopicListener.java
@@ -17,18 +17,12 @@
 import org.whinhead.serving.endpoint.EndpointRegistry;
 import org.whinhead.serving.endpoint.EntryEffect;
 
-/**
- * Updates the endpoint registry from the store's records and from changes that other daemons have
- * read.
- */
+/** Updates the endpoint registry from the store and from other daemons' changes. */
 public final class EndpointTopicListener implements TopicListener {
 
     private static final Logger LOG = LoggerFactory.getLogger(EndpointTopicListener.class);
 
-    /**
-     * Maximum number of ids of logged unreadable entries; beyond it, the ids are forgotten and may
-     * be logged again.
-     */
+    /** Maximum number of remembered unreadable entries; each is logged once until then. */
     private static final int MAX_LOGGED_UNREADABLE = 200;
 
     private final Set<String> mLoggedUnreadable = new HashSet<>();
@@ -46,7 +40,7 @@
      * Creates a listener.
      *
      * @param state receives the endpoints
-     * @param connections the connections to endpoints, dropped for those that are gone
+     * @param connections the connections to close for removed endpoints
      * @param decoder decodes the endpoints' entries
      */
     public EndpointTopicListener(
@@ -59,7 +53,7 @@
     }
 
     /**
-     * Sets the action after an endpoint was added, has announced that it is leaving or was removed.
+     * Sets the action after an endpoint was added, is leaving or was removed.
      *
      * @param onChange runs after the change of the registry
      */
@@ -68,8 +62,7 @@
     }
 
     /**
-     * Sets the handler of endpoints that announce that they are leaving, or whose entry was removed
-     * from the store.
+     * Sets the handler of endpoints that announce to leave or were removed.
      *
      * @param onLeaving receives the endpoint's last entry
      */
@@ -98,7 +91,7 @@
     /**
      * Returns how far the topic was read.
      *
-     * @return the offset behind the last record read
+     * @return the offset behind the last record
      */
     public long end() {
         return mEnd;
@@ -117,9 +110,9 @@
 
     /**
      * Applies changes that another daemon has read. They may arrive twice, late or not at all; the
-     * reader's digest shows whether any are missing. A removal also applies while the store refuses
-     * this daemon, as the reader has read it from a reachable store. A daemon that ignored such
-     * removals continued to send requests to endpoints that were gone, and ordered no replacements.
+     * reader's digest shows whether any are missing. A removal applies also while the store refuses
+     * this daemon, as its reader reaches the store: a daemon that ignored it continued to use
+     * endpoints that were gone, and ordered no replacements.
      *
      * @param changes the changes in order
      */
@@ -262,8 +255,8 @@
     }
 
     /**
-     * Removes entries that are still missing some time after an outage. Must be called regularly:
-     * while other daemons read for this one, no read of its own triggers the removal.
+     * Removes entries that are still missing after an outage. Must be called regularly: while
+     * others read for this daemon, no read of its own does it.
      */
     public void removeLapsedEntries() {
         registry()
--- a/gateway/src/main/java/org/whinhead/gateway/store/MetadataStore.java
+++ b/gateway/src/main/java/org/whinhead/gateway/store/MetadataStore.java
@@ -5,8 +5,8 @@
 import java.util.concurrent.CompletableFuture;
 
 /**
- * The platform's metadata store: topics of keyed records with offsets. Futures complete on the
- * event loop; a call whose future fails may still have been carried out.
+ * The platform's store of keyed records. Futures complete on the event loop; a call that fails may
+ * have been carried out.
  */
 public interface MetadataStore {
 
@@ -14,17 +14,17 @@
      * Reads the newest record of each key.
      *
      * @param topic the topic
-     * @return the records, and the offset that the topic's next record gets
+     * @return the records and the topic's end
      */
     CompletableFuture<StorePage> newest(StoreTopic topic);
 
     /**
-     * Reads records in the order in which they were appended.
+     * Reads records in the order of their offsets.
      *
      * @param topic the topic
      * @param from the first offset to read
-     * @param wait maximum time that the store waits for a record if there is none
-     * @return the records, and the offset that the topic's next record gets
+     * @param wait maximum time to wait for a record
+     * @return the records and the topic's end
      */
     CompletableFuture<StorePage> read(StoreTopic topic, long from, Duration wait);
 
@@ -34,18 +34,18 @@
      * @param topic the topic
      * @param key the record's key
      * @param value the record's value
-     * @return the offset behind the record
+     * @return the new end
      */
     CompletableFuture<Long> append(StoreTopic topic, String key, byte[] value);
 
     /**
-     * Appends a record if the topic ends at the given offset.
+     * Appends a record if the topic has the expected end.
      *
      * @param topic the topic
      * @param key the record's key
      * @param value the record's value
-     * @param end the expected end of the topic, which becomes the record's offset
-     * @return the offset behind the record; empty if the topic ends at another offset
+     * @param end the expected end, which becomes the record's offset
+     * @return the new end; empty if the topic has another end
      */
     CompletableFuture<OptionalLong> appendAt(StoreTopic topic, String key, byte[] value, long end);
 }
--- a/gateway/src/main/java/org/whinhead/gateway/store/TopicFollower.java
+++ b/gateway/src/main/java/org/whinhead/gateway/store/TopicFollower.java
@@ -9,26 +9,19 @@
 import org.slf4j.LoggerFactory;
 
 /**
- * Reads a topic continuously: the newest record of each key first, then new records as they are
- * appended.
+ * Reads a topic continuously: the newest records first, then appended ones.
  *
- * <p>If the store has dropped records that were not read yet, the follower starts again with the
- * newest ones. It repeats a failed read after a fixed pause, as the store's calls are limited and
- * billed.
+ * <p>If the store has dropped unread records, the follower starts again with the newest ones.
+ * Failed reads are repeated at a fixed pause, as calls are limited and billed.
  */
 public final class TopicFollower {
 
     private static final Logger LOG = LoggerFactory.getLogger(TopicFollower.class);
 
-    /**
-     * Pause after a failed call of a reader, and thus the delay until it notices a recovered store.
-     */
+    /** Pause after a failed call: a recovered store is noticed within it. */
     private static final Duration READER_RETRY_PAUSE = Duration.ofMillis(400);
 
-    /**
-     * The same for daemons that don't read for others; longer, as together they would overload the
-     * store.
-     */
+    /** The same for daemons that don't read for others: together they would overload the store. */
     private static final Duration NON_READER_RETRY_PAUSE = Duration.ofMillis(1_000);
 
     /** Interval at which a daemon checks that others still read for it. */
@@ -48,11 +41,11 @@
     /**
      * Creates a follower that is not started.
      *
-     * @param loop the event loop that runs all calls
+     * @param loop the event loop
      * @param store the store
      * @param topic the topic
      * @param listener receives the records
-     * @param schedule how often and how long to read
+     * @param schedule the timing of reads
      * @param readCoordinator decides whether this daemon reads itself
      */
     public TopicFollower(
@@ -79,10 +72,7 @@
      */
     public record PollSchedule(Duration maxWait, Duration pause) {}
 
-    /**
-     * Reads the topic unless other daemons read for this one, and schedules the next read; called
-     * once to start, then by the timer.
-     */
+    /** Reads the topic unless others read for this daemon, and schedules the next read. */
     public void start() {
         mTimer = null;
         if (mNextOffset >= 0 && mReachable && mReadCoordinator.isCovered(mTopic)) {
@@ -97,9 +87,9 @@
     /**
      * Reads at once, because another daemon has read new records.
      *
-     * <p>Does nothing while the store refuses this daemon: digests of records that it can't read
-     * arrive several times a second, and each refused call is billed. Twenty daemons that were
-     * refused for nine seconds while keys were revoked made a thousand calls.
+     * <p>Does nothing while the store refuses this daemon: digests with new records arrive several
+     * times a second, and each refused call is billed. Twenty daemons that were refused for nine
+     * seconds while keys were revoked made a thousand calls.
      */
     public void readNow() {
         if (mReachable && mTimer != null && mTimer.cancel(false)) {
@@ -158,7 +148,7 @@
     private void markReachable() {
         if (!mReachable) {
             mReachable = true;
-            // Keys that the store dropped during the outage have no record that shows it.
+            // Reads the newest records again: keys dropped in the outage have no record.
             mNextOffset = -1;
             LOG.atInfo().addKeyValue("topic", mTopic).log("store reachable again");
         }
--- a/gateway/src/main/java/org/whinhead/gateway/store/TopicListener.java
+++ b/gateway/src/main/java/org/whinhead/gateway/store/TopicListener.java
@@ -2,14 +2,14 @@
 
 import java.util.List;
 
-/** Receives what a topic follower reads; called on the event loop. */
+/** Receives the records of a follower on the event loop. */
 public interface TopicListener {
 
     /**
      * Handles the newest record of each key.
      *
      * @param records one record per key
-     * @param end the offset that the topic's next record gets
+     * @param end the topic's end
      */
     void onSnapshot(List<StoreRecord> records, long end);
 
--- a/gateway/src/test/java/org/whinhead/gateway/duty/DutyLeaseManagerTest.java
+++ b/gateway/src/test/java/org/whinhead/gateway/duty/DutyLeaseManagerTest.java
@@ -158,9 +158,8 @@
     }
 
     // Guards against an outage of eight seconds: the store refused the lease holder, and half a
-    // second later the last endpoints were reclaimed. The holder had given up its lease at the
-    // first refusal, so nobody ordered replacements until its successor could be sure that the
-    // lease had expired.
+    // second later the last endpoints were reclaimed. The holder gave up its lease at the first
+    // refusal, and nobody ordered replacements until its successor could be sure of that.
     @Test
     void refusedHolderOrdersWhileItsLeaseIsValid() {
         mStore.mRefuses = true;
@@ -178,9 +177,8 @@
         assertThat(mCloud.mOrders).isEmpty();
     }
 
-    // Guards against two daemons that place orders at the same time: the store refused the first
-    // one, the second one took the lease after its term, and the first one finds that out with its
-    // next claim.
+    // Guards against two daemons that place orders alternately: the store refuses one, another
+    // takes the lease after its term, and the first one learns that from its next claim.
     @Test
     void holderStopsAtOnceWhenAnotherDaemonWroteLease() {
         mStore.mWrittenByAnother = true;
--- a/gateway/src/test/java/org/whinhead/gateway/peers/EndpointChangeCodecTest.java
+++ b/gateway/src/test/java/org/whinhead/gateway/peers/EndpointChangeCodecTest.java
@@ -65,9 +65,8 @@
         assertThat(encodeAndDecode(changes)).isEqualTo(changes);
     }
 
-    // Guards against lost changes when a whole failure domain is reclaimed: a datagram larger than
-    // one packet was fragmented, one fragment was lost, and daemons missed the reclaim until they
-    // read the store.
+    // Guards against a missed reclaim of a failure domain: the changes did not fit into one packet,
+    // one fragment was lost, and daemons learned nothing until they read the store.
     @Test
     void eachDatagramOfLargeReclaimFitsIntoOnePacket() throws InvalidProtocolBufferException {
         final List<EndpointChange> changes = new ArrayList<>();
@@ -79,9 +78,8 @@
         assertThat(encodeAndDecode(changes)).isEqualTo(changes);
     }
 
-    // Guards against requests to endpoints that are gone: the readers' changes of a reclaim
-    // exceeded the capacity of their links and the second half was lost, so most daemons missed it
-    // for two seconds.
+    // Guards against two seconds of requests to reclaimed endpoints: the readers' changes exceeded
+    // the capacity of their links, and the second half was lost.
     @Test
     void changesOfReclaimFitIntoOneDatagram() {
         final List<EndpointChange> changes = new ArrayList<>();
@@ -102,8 +100,8 @@
                 .isEmpty();
     }
 
-    // Guards against a restarted endpoint that never gets requests again: the leaving notice of its
-    // earlier start reaches a daemon that already knows the next start.
+    // Guards against a restarted endpoint that never gets requests: the notice that it left before
+    // reaches a daemon that knows its next start.
     @Test
     void leavingNoticeOfEarlierStartIsIgnored() {
         final List<EndpointChange> changes = List.of(change(1, Optional.of(Duration.ZERO)));
--- a/gateway/src/test/java/org/whinhead/gateway/quota/ShareTableSynchronizerTest.java
+++ b/gateway/src/test/java/org/whinhead/gateway/quota/ShareTableSynchronizerTest.java
@@ -139,8 +139,8 @@
         assertThat(mStore.mValue).isEmpty();
     }
 
-    // Guards against a share issued by two daemons: the answer to the write of the table is lost,
-    // so a daemon must use the table that it reads, not the one that it tried to write.
+    // Guards against a share with two issuers: the answer to the write is lost, so a daemon must
+    // use the table that it reads, not the one that it meant to write.
     @Test
     void tableIsReadAfterLostWriteAnswer() {
         mStore.mLosesAnswers = true;
@@ -150,7 +150,7 @@
         assertThat(mStore.mEnd).isEqualTo(1);
     }
 
-    // Guards against a share issued by two daemons: two daemons that both believe to hold the lease
+    // Guards against a share with two issuers: two daemons that both assume they hold the lease
     // write a first table each.
     @Test
     void tableOfAnotherDaemonIsNotReplaced() {
@@ -187,8 +187,8 @@
         assertThat(mStore.mReads).isGreaterThan(reads);
     }
 
-    // Guards against the permanent loss of the shares of a VM that is gone. Other daemons get them,
-    // but only after the holder, which may merely be cut off, has certainly stopped issuing tokens.
+    // Guards against the loss of a gone VM's shares. Others get them, but only once a holder that
+    // is merely cut off has certainly stopped issuing tokens.
     @Test
     void sharesOfGoneDaemonAreReassignedWithDelay() {
         mSynchronizer.start();
@@ -211,8 +211,8 @@
         assertThat(table().orElseThrow().version()).isEqualTo(1);
     }
 
-    // Guards against a missing table after the store is restored from an older copy: daemons that
-    // start then would find none, so the lease holder writes the table in force again.
+    // Guards against a missing table for daemons that start after the store was restored from an
+    // older copy: the lease holder writes the table in force again.
     @Test
     void tableLostByStoreIsWrittenAgain() {
         mSynchronizer.start();
--- a/gateway/src/test/java/org/whinhead/gateway/rollout/RolloutCoordinatorTest.java
+++ b/gateway/src/test/java/org/whinhead/gateway/rollout/RolloutCoordinatorTest.java
@@ -151,7 +151,7 @@
 
     /**
      * Guards against a rollout that some daemons treat as ended while the next holder continues it:
-     * the store is unavailable when this holder decides, so the final state is not recorded.
+     * the store is unavailable when this holder decides.
      */
     @Test
     void endIsNotAnnouncedBeforeItIsRecorded() {
@@ -169,8 +169,7 @@
     }
 
     /**
-     * Guards against two final states of one order: the first write was carried out, but its answer
-     * was lost.
+     * Guards against two final states of one order: the first write lands, but its answer is lost.
      */
     @Test
     void writeWithLostAnswerIsNotRepeated() {
@@ -185,8 +184,8 @@
     }
 
     /**
-     * Guards against the completion of a rollout one second after its rollback: a holder was paused
-     * just before it wrote its decision, and another holder decided in the meantime.
+     * Guards against a rollout that is completed a second after its rollback: its holder was paused
+     * just before it wrote its decision, and another one decided meanwhile.
      */
     @Test
     void pausedHolderAdoptsRecordedEnd() {
@@ -205,10 +204,7 @@
         assertThat(mState.rollouts().open()).isEmpty();
     }
 
-    /**
-     * Guards against a time budget that starts again with each holder instead of running from the
-     * order.
-     */
+    /** Guards against a time budget that starts again with each holder. */
     @Test
     void nextHolderKeepsTheTimeBudget() {
         tickUntil(mCoordinator, 1, 8_000);
