--- a/gateway/src/main/java/org/whinhead/gateway/duty/FencedCloudClient.java
+++ b/gateway/src/main/java/org/whinhead/gateway/duty/FencedCloudClient.java
@@ -4,7 +4,9 @@
 import org.whinhead.serving.capacity.CapacityOrder;
 import org.whinhead.serving.duty.UsageDecision;
 
-/** The platform's calls that one daemon makes for all. A future that fails may have been taken. */
+/**
+ * The platform calls that only the lease holder makes. A call that fails may have been accepted.
+ */
 public interface FencedCloudClient {
 
     /**
@@ -12,7 +14,7 @@
      *
      * @param token the fencing token
      * @param decision the counts
-     * @return whether the platform took it
+     * @return whether the platform has accepted it
      */
     CompletableFuture<Boolean> reportUsage(long token, UsageDecision decision);
 
@@ -21,7 +23,7 @@
      *
      * @param token the fencing token
      * @param order the order
-     * @return whether the platform took it
+     * @return whether the platform has accepted it
      */
     CompletableFuture<Boolean> order(long token, CapacityOrder order);
 }
--- a/gateway/src/main/java/org/whinhead/gateway/store/MetadataStore.java
+++ b/gateway/src/main/java/org/whinhead/gateway/store/MetadataStore.java
@@ -5,8 +5,8 @@
 import java.util.concurrent.CompletableFuture;
 
 /**
- * The platform's store. Futures complete on the event loop; one that fails says nothing of whether
- * the call was carried out.
+ * The platform's store of keyed records. Futures complete on the event loop; a call that fails may
+ * have been carried out.
  */
 public interface MetadataStore {
 
@@ -14,38 +14,38 @@
      * Reads the newest record of each key.
      *
      * @param topic the topic
-     * @return the records and the end
+     * @return the records and the topic's end
      */
     CompletableFuture<StorePage> newest(StoreTopic topic);
 
     /**
-     * Reads records as they were appended.
+     * Reads records in the order of their offsets.
      *
      * @param topic the topic
-     * @param from the first offset
-     * @param wait how long the store may wait for a record
-     * @return the records and the end
+     * @param from the first offset to read
+     * @param wait maximum time to wait for a record
+     * @return the records and the topic's end
      */
     CompletableFuture<StorePage> read(StoreTopic topic, long from, Duration wait);
 
     /**
-     * Appends a record.
+     * Appends a record unconditionally.
      *
      * @param topic the topic
-     * @param key its key
-     * @param value its value
-     * @return the end behind it
+     * @param key the record's key
+     * @param value the record's value
+     * @return the new end
      */
     CompletableFuture<Long> append(StoreTopic topic, String key, byte[] value);
 
     /**
-     * Appends a record if the topic ends where it is thought to end.
+     * Appends a record if the topic has the expected end.
      *
      * @param topic the topic
-     * @param key its key
-     * @param value its value
-     * @param end the offset that the record is to get
-     * @return the end behind it; empty if the topic ends elsewhere
+     * @param key the record's key
+     * @param value the record's value
+     * @param end the expected end, which becomes the record's offset
+     * @return the new end; empty if the topic has another end
      */
     CompletableFuture<OptionalLong> appendAt(StoreTopic topic, String key, byte[] value, long end);
 }
