--- a/gateway/src/main/java/org/whinhead/gateway/rollout/RolloutParticipant.java
+++ b/gateway/src/main/java/org/whinhead/gateway/rollout/RolloutParticipant.java
@@ -168,7 +168,8 @@
             evidenceList.forEach(mCoordinator::addEvidence);
             return;
         }
-        final long failures = evidenceList.stream().mapToLong(RolloutEvidence::canaryFailures).sum();
+        final long failures =
+                evidenceList.stream().mapToLong(RolloutEvidence::canaryFailures).sum();
         if (mHolderAddress.isEmpty()
                 || (now.isBefore(mNextEvidenceAt) && failures == mReportedFailures)) {
             return;
