--- a/bench/src/main/java/org/whinhead/bench/capacity/FleetCost.java
+++ b/bench/src/main/java/org/whinhead/bench/capacity/FleetCost.java
@@ -9,8 +9,8 @@
 import org.whinhead.fleet.FleetReconciler;
 import org.whinhead.fleet.FleetSettings;
 import org.whinhead.fleet.FleetView;
-import org.whinhead.fleet.Member;
 import org.whinhead.fleet.Pool;
+import org.whinhead.fleet.PoolMember;
 import org.whinhead.fleet.PoolName;
 import org.whinhead.fleet.Supply;
 
@@ -73,11 +73,12 @@
                             (int) (wanted * surviving),
                             supplies()));
         }
-        final List<Member> members = new ArrayList<>();
+        final List<PoolMember> members = new ArrayList<>();
         int number = 0;
         for (final Endpoint endpoint : Fixtures.endpoints(size)) {
             final Supply supply = supplies().get(number % Fixtures.DOMAINS);
-            members.add(new Member(name(number / Fixtures.DOMAINS % pools), endpoint, supply, 12));
+            members.add(
+                    new PoolMember(name(number / Fixtures.DOMAINS % pools), endpoint, supply, 12));
             number++;
         }
         return new FleetView(wantedPools, members, List.of(), 1);
--- a/bench/src/main/java/org/whinhead/bench/capacity/RequestsCost.java
+++ b/bench/src/main/java/org/whinhead/bench/capacity/RequestsCost.java
@@ -114,7 +114,7 @@
         List<AttemptId> begin(final List<RequestSpec> specs) {
             final List<AttemptId> attempts = new ArrayList<>();
             for (final RequestSpec spec : specs) {
-                mCoordinator.arrived(spec, Fixtures.START);
+                mCoordinator.submit(spec, Fixtures.START);
                 final AttemptId attempt = mActions.nextStarted();
                 attempts.add(attempt);
                 happened(new AttemptEvent.Opened(attempt, "stream-" + attempt.request()));
@@ -143,7 +143,7 @@
         }
 
         private void happened(final AttemptEvent event) {
-            mCoordinator.attemptEvent(event, Fixtures.START);
+            mCoordinator.onAttemptEvent(event, Fixtures.START);
         }
     }
 }
--- a/bench/src/main/java/org/whinhead/bench/retries/SimulatedDaemon.java
+++ b/bench/src/main/java/org/whinhead/bench/retries/SimulatedDaemon.java
@@ -103,12 +103,12 @@
 
     void arrived(final RequestSpec spec, final int answerTokens) {
         mWork.put(spec.id(), new Work(spec, answerTokens));
-        mCoordinator.arrived(spec, mSimulation.now());
+        mCoordinator.submit(spec, mSimulation.now());
     }
 
     void callerLeft(final RequestId request) {
         mWork.remove(request);
-        mCoordinator.callerLeft(request, mSimulation.now());
+        mCoordinator.onCallerDisconnected(request, mSimulation.now());
     }
 
     @Override
@@ -132,7 +132,7 @@
     }
 
     private void happened(final AttemptEvent event) {
-        mCoordinator.attemptEvent(event, mSimulation.now());
+        mCoordinator.onAttemptEvent(event, mSimulation.now());
     }
 
     /** A stream whose connection broke is gone in this model. */
--- a/daemon/src/main/java/org/whinhead/daemon/Daemon.java
+++ b/daemon/src/main/java/org/whinhead/daemon/Daemon.java
@@ -268,7 +268,7 @@
 
     private CompletionStage<List<Decision>> decisions(final String id) {
         final CompletableFuture<List<Decision>> found = new CompletableFuture<>();
-        final Runnable look = () -> found.complete(mCoordinator.decisions().endingWith(id));
+        final Runnable look = () -> found.complete(mCoordinator.decisionLog().findByName(id));
         if (!mLoop.offerNew(new DecisionEvent.Update(look))) {
             found.completeExceptionally(new IllegalStateException("the decision ring is full"));
         }
--- a/daemon/src/main/java/org/whinhead/daemon/decision/DecisionEvent.java
+++ b/daemon/src/main/java/org/whinhead/daemon/decision/DecisionEvent.java
@@ -45,7 +45,7 @@
                 request.reply().refuse(inProgress());
                 return;
             }
-            if (!coordinator.arrived(request.spec(), now)) {
+            if (!coordinator.submit(request.spec(), now)) {
                 requests.remove(request);
                 request.reply().refuse(inProgress());
             }
@@ -77,7 +77,7 @@
                 final LiveRequests requests,
                 final Instant now) {
             requests.replace(request);
-            coordinator.returned(request.spec(), ticket, haveTokens, haveText, now);
+            coordinator.resume(request.spec(), ticket, haveTokens, haveText, now);
         }
     }
 
@@ -94,7 +94,7 @@
                 final LiveRequests requests,
                 final Instant now) {
             if (requests.remove(request)) {
-                coordinator.callerLeft(request.spec().id(), now);
+                coordinator.onCallerDisconnected(request.spec().id(), now);
             }
         }
     }
@@ -115,7 +115,7 @@
                 final RequestCoordinator coordinator,
                 final LiveRequests requests,
                 final Instant now) {
-            coordinator.attemptEvent(event, now);
+            coordinator.onAttemptEvent(event, now);
         }
     }
 
@@ -136,7 +136,7 @@
             // Guards against a pause between the decision and this event, after which the key may
             // have been given anew: a grant that is over is none, and the request does not run.
             final boolean over = outcome == ClaimOutcome.GRANTED && !now.isBefore(dispatchBy);
-            coordinator.claimDecided(request, over ? ClaimOutcome.UNAVAILABLE : outcome, now);
+            coordinator.onClaimDecided(request, over ? ClaimOutcome.UNAVAILABLE : outcome, now);
         }
     }
 
@@ -152,7 +152,7 @@
                 final RequestCoordinator coordinator,
                 final LiveRequests requests,
                 final Instant now) {
-            coordinator.endpointLeaving(endpoint, goneBy, now);
+            coordinator.onEndpointLeaving(endpoint, goneBy, now);
         }
     }
 
@@ -167,7 +167,7 @@
                 final RequestCoordinator coordinator,
                 final LiveRequests requests,
                 final Instant now) {
-            coordinator.stopping(goneBy, now);
+            coordinator.beginShutdown(goneBy, now);
         }
     }
 
--- a/faults/src/main/java/org/whinhead/faults/world/FakeDaemon.java
+++ b/faults/src/main/java/org/whinhead/faults/world/FakeDaemon.java
@@ -100,9 +100,9 @@
 
     /** Returns what is left over once all requests have ended. */
     String leftovers() {
-        return mCoordinator.inProgress() == 0 && mRouter.open().isEmpty() && mLinks.isEmpty()
+        return mCoordinator.requestCount() == 0 && mRouter.open().isEmpty() && mLinks.isEmpty()
                 ? ""
-                : mCoordinator.inProgress() + " requests, " + mRouter.open() + mLinks.keySet();
+                : mCoordinator.requestCount() + " requests, " + mRouter.open() + mLinks.keySet();
     }
 
     void arrived(final FakeCaller caller) {
@@ -116,7 +116,7 @@
                         return;
                     }
                     mConnections.put(caller.id(), new FakeConnection(caller, 0));
-                    mCoordinator.arrived(caller.spec(), now);
+                    mCoordinator.submit(caller.spec(), now);
                 });
     }
 
@@ -126,7 +126,7 @@
                 now -> {
                     if (caller.wants(this)) {
                         mConnections.put(caller.id(), new FakeConnection(caller, have));
-                        mCoordinator.returned(caller.spec(), ticket, have, text, now);
+                        mCoordinator.resume(caller.spec(), ticket, have, text, now);
                     }
                 });
     }
@@ -135,7 +135,7 @@
         mProcess.post(
                 now -> {
                     mConnections.remove(request);
-                    mCoordinator.callerLeft(request, now);
+                    mCoordinator.onCallerDisconnected(request, now);
                 });
     }
 
@@ -143,12 +143,12 @@
         mProcess.post(
                 now -> {
                     mRouter.leaving(endpoint);
-                    mCoordinator.endpointLeaving(endpoint, goneBy, now);
+                    mCoordinator.onEndpointLeaving(endpoint, goneBy, now);
                 });
     }
 
     void claimDecided(final RequestId request, final ClaimOutcome outcome) {
-        mProcess.post(now -> mCoordinator.claimDecided(request, outcome, now));
+        mProcess.post(now -> mCoordinator.onClaimDecided(request, outcome, now));
     }
 
     void handle(final AttemptEvent event) {
@@ -159,7 +159,7 @@
         if (last) {
             mLinks.remove(event.attempt());
         }
-        mProcess.post(now -> mCoordinator.attemptEvent(event, now));
+        mProcess.post(now -> mCoordinator.onAttemptEvent(event, now));
     }
 
     /** Stops handling events for a while; what arrives waits. */
@@ -171,7 +171,7 @@
     public void stop(final long noticeMillis) {
         mStopping = true;
         final Instant goneBy = mWorld.time().now().plusMillis(noticeMillis);
-        mProcess.post(now -> mCoordinator.stopping(goneBy, now));
+        mProcess.post(now -> mCoordinator.beginShutdown(goneBy, now));
         mWorld.time().after(noticeMillis, () -> endOfStop(goneBy));
     }
 
@@ -319,7 +319,7 @@
 
     private void endOfStop(final Instant goneBy) {
         final boolean wasPaused = goneBy.minusMillis(TICK_MILLIS).isBefore(mProcess.pausedUntil());
-        if (isAlive() && !wasPaused && mCoordinator.inProgress() > 0) {
+        if (isAlive() && !wasPaused && mCoordinator.requestCount() > 0) {
             throw new AssertionError("a planned stop cut requests: " + leftovers());
         }
         die();
--- a/faults/src/main/java/org/whinhead/faults/world/FakeWorld.java
+++ b/faults/src/main/java/org/whinhead/faults/world/FakeWorld.java
@@ -185,7 +185,13 @@
     /** Tells whether a daemon decided something about a caller's request. */
     public boolean wasDecided(final FakeCaller caller, final DecisionKind kind) {
         return mDaemons.stream()
-                .flatMap(daemon -> daemon.coordinator().decisions().of(caller.id()).stream())
+                .flatMap(
+                        daemon ->
+                                daemon
+                                        .coordinator()
+                                        .decisionLog()
+                                        .findByRequest(caller.id())
+                                        .stream())
                 .anyMatch(decision -> decision.kind() == kind);
     }
 
--- a/faults/src/main/java/org/whinhead/faults/world/FleetDuty.java
+++ b/faults/src/main/java/org/whinhead/faults/world/FleetDuty.java
@@ -12,9 +12,9 @@
 import org.whinhead.fleet.FleetReconciler;
 import org.whinhead.fleet.FleetSettings;
 import org.whinhead.fleet.FleetView;
-import org.whinhead.fleet.Member;
 import org.whinhead.fleet.OrderId;
 import org.whinhead.fleet.Pool;
+import org.whinhead.fleet.PoolMember;
 import org.whinhead.state.fold.FoldState;
 import org.whinhead.state.record.LogRecord;
 
@@ -81,15 +81,15 @@
                 FakeFleet.domains().stream().map(OrderNotes::supply).toList());
     }
 
-    private List<Member> members() {
+    private List<PoolMember> members() {
         return mWorld.fleet().vmList().shown().stream()
                 .filter(endpoint -> endpoint.kind().streams())
                 .map(this::member)
                 .toList();
     }
 
-    private Member member(final Endpoint endpoint) {
-        return new Member(
+    private PoolMember member(final Endpoint endpoint) {
+        return new PoolMember(
                 OrderNotes.POOL,
                 endpoint,
                 OrderNotes.supply(endpoint.vm().domain()),
@@ -133,7 +133,7 @@
 
     private void answered(final FleetOrder order, final boolean refused, final Instant now) {
         if (order instanceof FleetOrder.StartVm start && refused) {
-            mReconciler.startRefused(start.supply(), now);
+            mReconciler.recordRefusedStart(start.supply(), now);
             mAnswered.put(order.id(), Instant.MIN);
         } else {
             mAnswered.put(order.id(), now);
--- a/faults/src/main/java/org/whinhead/faults/world/RequestOracle.java
+++ b/faults/src/main/java/org/whinhead/faults/world/RequestOracle.java
@@ -58,8 +58,8 @@
         for (final FakeDaemon daemon : mWorld.daemons()) {
             text.append("\n daemon ").append(mWorld.daemons().indexOf(daemon));
             daemon.coordinator()
-                    .decisions()
-                    .of(request)
+                    .decisionLog()
+                    .findByRequest(request)
                     .forEach(decision -> text.append("\n  ").append(decision));
         }
         return text.toString();
--- a/fleet/src/main/java/org/whinhead/fleet/Plan.java
+++ b/fleet/src/main/java/org/whinhead/fleet/CapacityPlan.java
@@ -12,16 +12,16 @@
  * @param counts VMs by supply; supplies with none are left out
  * @param needed VMs that must remain after the largest domain is lost
  */
-public record Plan(SortedMap<Supply, Integer> counts, int needed) {
+public record CapacityPlan(SortedMap<Supply, Integer> counts, int needed) {
 
     /** Copies the map. */
-    public Plan {
+    public CapacityPlan {
         Objects.requireNonNull(counts, "counts");
         counts = Collections.unmodifiableSortedMap(new TreeMap<>(counts));
     }
 
     /** Returns the number of VMs in all. */
-    public int total() {
+    public int vmCount() {
         return counts.values().stream().mapToInt(Integer::intValue).sum();
     }
 
@@ -33,7 +33,7 @@
     }
 
     /** Returns the number of VMs in the domain that has most. */
-    public int largestDomain() {
+    public int largestDomainVmCount() {
         final SortedMap<FailureDomain, Integer> byDomain = new TreeMap<>();
         counts.forEach((supply, count) -> byDomain.merge(supply.domain(), count, Integer::sum));
         return byDomain.values().stream().mapToInt(Integer::intValue).max().orElse(0);
@@ -41,6 +41,6 @@
 
     /** Returns how many VMs are lacking after the largest domain is lost; 0 if the plan holds. */
     public int shortfall() {
-        return Math.max(0, needed - (total() - largestDomain()));
+        return Math.max(0, needed - (vmCount() - largestDomainVmCount()));
     }
 }
--- a/fleet/src/main/java/org/whinhead/fleet/CapacityPlanner.java
+++ b/fleet/src/main/java/org/whinhead/fleet/CapacityPlanner.java
@@ -28,13 +28,13 @@
      * @param limits the most VMs to be had of a supply; a supply without an entry has no limit
      * @return the cheapest plan that suffices or, if none does, the one that lacks least
      */
-    public static Plan plan(
+    public static CapacityPlan plan(
             final int needed, final List<Supply> supplies, final Map<Supply, Integer> limits) {
         Arguments.requireAtLeast(needed, 0, "needed");
         final List<Supply> byPrice = supplies.stream().sorted().toList();
-        Plan best = new Plan(new TreeMap<>(), needed);
+        CapacityPlan best = new CapacityPlan(new TreeMap<>(), needed);
         for (int largest = 1; largest <= needed; largest++) {
-            final Plan candidate = fill(needed, largest, byPrice, limits);
+            final CapacityPlan candidate = fillByPrice(needed, largest, byPrice, limits);
             if (isBetter(candidate, best)) {
                 best = candidate;
             }
@@ -42,7 +42,7 @@
         return best;
     }
 
-    private static Plan fill(
+    private static CapacityPlan fillByPrice(
             final int needed,
             final int largest,
             final List<Supply> byPrice,
@@ -60,10 +60,10 @@
                 missing -= taken;
             }
         }
-        return new Plan(counts, needed);
+        return new CapacityPlan(counts, needed);
     }
 
-    private static boolean isBetter(final Plan candidate, final Plan best) {
+    private static boolean isBetter(final CapacityPlan candidate, final CapacityPlan best) {
         if (candidate.shortfall() != best.shortfall()) {
             return candidate.shortfall() < best.shortfall();
         }
--- a/fleet/src/main/java/org/whinhead/fleet/FleetReconciler.java
+++ b/fleet/src/main/java/org/whinhead/fleet/FleetReconciler.java
@@ -23,8 +23,8 @@
 public final class FleetReconciler {
 
     private final FleetSettings mSettings;
-    private final RefusedStarts mRefusedStarts;
-    private final LoadPacer mLoadPacer;
+    private final StartBackoff mRefusedStarts;
+    private final ModelLoadRateLimiter mLoadPacer;
 
     /**
      * Makes a reconciler.
@@ -33,8 +33,8 @@
      */
     public FleetReconciler(final FleetSettings settings) {
         mSettings = settings;
-        mRefusedStarts = new RefusedStarts(settings.firstRest());
-        mLoadPacer = new LoadPacer(settings.weightBytesPerSecond());
+        mRefusedStarts = new StartBackoff(settings.firstRest());
+        mLoadPacer = new ModelLoadRateLimiter(settings.weightBytesPerSecond());
     }
 
     /**
@@ -43,8 +43,8 @@
      * @param supply what was asked for
      * @param now the time
      */
-    public void startRefused(final Supply supply, final Instant now) {
-        mRefusedStarts.refused(supply, now);
+    public void recordRefusedStart(final Supply supply, final Instant now) {
+        mRefusedStarts.recordRefusal(supply, now);
     }
 
     /**
@@ -52,8 +52,8 @@
      *
      * @param supply what was asked for
      */
-    public void started(final Supply supply) {
-        mRefusedStarts.started(supply);
+    public void recordStartedVm(final Supply supply) {
+        mRefusedStarts.reset(supply);
     }
 
     /**
@@ -66,20 +66,20 @@
     public List<FleetOrder> reconcile(final FleetView view, final Instant now) {
         final List<FleetOrder> orders = new ArrayList<>();
         for (final Pool pool : view.pools()) {
-            final Plan plan = planFor(pool, view, now);
+            final CapacityPlan plan = planFor(pool, view, now);
             startMissing(pool, plan, view, orders);
-            retireSurplus(pool, plan, view, orders);
+            drainSurplus(pool, plan, view, orders);
             stopDrained(pool, view, orders);
             loadModels(pool, view, now, orders);
         }
         return orders;
     }
 
-    private Plan planFor(final Pool pool, final FleetView view, final Instant now) {
+    private CapacityPlan planFor(final Pool pool, final FleetView view, final Instant now) {
         final Map<Supply, Integer> limits = new HashMap<>();
-        final Map<Supply, Integer> present = present(pool, view);
+        final Map<Supply, Integer> present = countPresentBySupply(pool, view);
         for (final Supply supply : pool.supplies()) {
-            if (mRefusedStarts.rests(supply, now)) {
+            if (mRefusedStarts.isBackingOff(supply, now)) {
                 limits.put(supply, present.getOrDefault(supply, 0));
             }
         }
@@ -87,10 +87,11 @@
     }
 
     /** Counts members and open starts, so that an order on its way is not given twice. */
-    private static Map<Supply, Integer> present(final Pool pool, final FleetView view) {
+    private static Map<Supply, Integer> countPresentBySupply(
+            final Pool pool, final FleetView view) {
         final Map<Supply, Integer> present = new TreeMap<>();
-        for (final Member member : view.membersOf(pool.name())) {
-            if (member.counts()) {
+        for (final PoolMember member : view.membersOf(pool.name())) {
+            if (member.countsTowardPlan()) {
                 present.merge(member.supply(), 1, Integer::sum);
             }
         }
@@ -101,8 +102,11 @@
     }
 
     private void startMissing(
-            final Pool pool, final Plan plan, final FleetView view, final List<FleetOrder> orders) {
-        final Map<Supply, Integer> present = present(pool, view);
+            final Pool pool,
+            final CapacityPlan plan,
+            final FleetView view,
+            final List<FleetOrder> orders) {
+        final Map<Supply, Integer> present = countPresentBySupply(pool, view);
         int left = mSettings.mostStartsPerRound();
         for (final Map.Entry<Supply, Integer> wanted : plan.counts().entrySet()) {
             final Supply supply = wanted.getKey();
@@ -123,19 +127,22 @@
      * latency target is missed during the change. A surplus VM goes only if the VMs that have the
      * model loaded, less this one, still suffice after the largest domain is lost.
      */
-    private void retireSurplus(
-            final Pool pool, final Plan plan, final FleetView view, final List<FleetOrder> orders) {
-        final Map<Supply, Integer> surplus = new HashMap<>(present(pool, view));
+    private void drainSurplus(
+            final Pool pool,
+            final CapacityPlan plan,
+            final FleetView view,
+            final List<FleetOrder> orders) {
+        final Map<Supply, Integer> surplus = new HashMap<>(countPresentBySupply(pool, view));
         plan.counts().forEach((supply, count) -> surplus.merge(supply, -count, Integer::sum));
-        final TreeMap<Supply, Integer> serving = serving(pool, view);
-        final List<Member> emptiestFirst =
+        final TreeMap<Supply, Integer> serving = countServingBySupply(pool, view);
+        final List<PoolMember> emptiestFirst =
                 view.membersOf(pool.name()).stream()
-                        .filter(Member::counts)
+                        .filter(PoolMember::countsTowardPlan)
                         .sorted(
-                                Comparator.comparingInt(Member::inProgress)
+                                Comparator.comparingInt(PoolMember::inProgress)
                                         .thenComparing(member -> member.endpoint().id()))
                         .toList();
-        for (final Member member : emptiestFirst) {
+        for (final PoolMember member : emptiestFirst) {
             final boolean isSurplus = surplus.getOrDefault(member.supply(), 0) > 0;
             if (isSurplus && sufficesWithout(member, serving, pool)) {
                 if (serves(member, pool)) {
@@ -149,9 +156,10 @@
         }
     }
 
-    private static TreeMap<Supply, Integer> serving(final Pool pool, final FleetView view) {
+    private static TreeMap<Supply, Integer> countServingBySupply(
+            final Pool pool, final FleetView view) {
         final TreeMap<Supply, Integer> serving = new TreeMap<>();
-        for (final Member member : view.membersOf(pool.name())) {
+        for (final PoolMember member : view.membersOf(pool.name())) {
             if (serves(member, pool)) {
                 serving.merge(member.supply(), 1, Integer::sum);
             }
@@ -159,17 +167,17 @@
         return serving;
     }
 
-    private static boolean serves(final Member member, final Pool pool) {
-        return member.counts() && member.endpoint().models().contains(pool.model());
+    private static boolean serves(final PoolMember member, final Pool pool) {
+        return member.countsTowardPlan() && member.endpoint().models().contains(pool.model());
     }
 
     private static boolean sufficesWithout(
-            final Member leaving, final TreeMap<Supply, Integer> serving, final Pool pool) {
+            final PoolMember leaving, final TreeMap<Supply, Integer> serving, final Pool pool) {
         final TreeMap<Supply, Integer> left = new TreeMap<>(serving);
         if (serves(leaving, pool)) {
             left.merge(leaving.supply(), -1, Integer::sum);
         }
-        return new Plan(left, pool.needed()).shortfall() == 0;
+        return new CapacityPlan(left, pool.needed()).shortfall() == 0;
     }
 
     /** Stops drained VMs once no request is in progress on them, so that the stop cuts none. */
@@ -180,7 +188,7 @@
                 ordered.add(stop.vm());
             }
         }
-        for (final Member member : view.membersOf(pool.name())) {
+        for (final PoolMember member : view.membersOf(pool.name())) {
             final VmId vm = member.endpoint().vm().id();
             final boolean isLeaving = member.endpoint().vm().state() == VmState.LEAVING;
             if (isLeaving && member.inProgress() == 0 && !ordered.contains(vm)) {
@@ -208,22 +216,22 @@
                 loading.add(load.endpoint());
             }
         }
-        final List<Member> lacking =
+        final List<PoolMember> lacking =
                 view.membersOf(pool.name()).stream()
-                        .filter(Member::counts)
+                        .filter(PoolMember::countsTowardPlan)
                         .filter(member -> !member.endpoint().models().contains(pool.model()))
                         .filter(member -> !loading.contains(member.endpoint().id()))
                         .sorted(
                                 Comparator.comparingInt(
-                                                (Member member) ->
+                                                (PoolMember member) ->
                                                         member.endpoint().models().size())
                                         .thenComparing(member -> member.endpoint().id()))
                         .toList();
         int inTransition = loading.size();
-        for (final Member member : lacking) {
+        for (final PoolMember member : lacking) {
             final boolean isIdle = member.endpoint().models().isEmpty();
             final boolean mayBegin = isIdle || inTransition < mSettings.mostInTransition();
-            if (!mayBegin || !mLoadPacer.tryBegin(pool.modelBytes(), now)) {
+            if (!mayBegin || !mLoadPacer.tryAcquire(pool.modelBytes(), now)) {
                 return;
             }
             inTransition++;
@@ -239,7 +247,7 @@
         return new OrderId(kind + "-" + pool.name() + "-" + view.round() + "-" + index);
     }
 
-    private static String reason(final Plan plan) {
+    private static String reason(final CapacityPlan plan) {
         return plan.needed() + " must remain after the largest domain is lost";
     }
 }
--- a/fleet/src/main/java/org/whinhead/fleet/FleetView.java
+++ b/fleet/src/main/java/org/whinhead/fleet/FleetView.java
@@ -11,7 +11,8 @@
  * @param open orders on the log that have no outcome there yet, in log order
  * @param round a number that grows with each round on the log, so that order names differ
  */
-public record FleetView(List<Pool> pools, List<Member> members, List<FleetOrder> open, long round) {
+public record FleetView(
+        List<Pool> pools, List<PoolMember> members, List<FleetOrder> open, long round) {
 
     /** Copies the lists. */
     public FleetView {
@@ -22,7 +23,7 @@
     }
 
     /** Returns the members of one pool. */
-    List<Member> membersOf(final PoolName pool) {
+    List<PoolMember> membersOf(final PoolName pool) {
         return members.stream().filter(member -> member.pool().equals(pool)).toList();
     }
 
--- a/fleet/src/main/java/org/whinhead/fleet/LoadPacer.java
+++ b/fleet/src/main/java/org/whinhead/fleet/ModelLoadRateLimiter.java
@@ -11,7 +11,7 @@
  * of the rate, and none serves for a long time. One load after the other brings the first engine
  * back soonest, and the last no later.
  */
-public final class LoadPacer {
+public final class ModelLoadRateLimiter {
 
     private static final long MILLIS_PER_SECOND = 1_000;
 
@@ -23,7 +23,7 @@
      *
      * @param bytesPerSecond the weight store's rate
      */
-    public LoadPacer(final long bytesPerSecond) {
+    public ModelLoadRateLimiter(final long bytesPerSecond) {
         mBytesPerSecond = Arguments.requireAtLeast(bytesPerSecond, 1, "bytesPerSecond");
     }
 
@@ -34,7 +34,7 @@
      * @param now the time
      * @return true if the load may begin now; its share of the rate is then taken
      */
-    public boolean tryBegin(final long bytes, final Instant now) {
+    public boolean tryAcquire(final long bytes, final Instant now) {
         if (now.isBefore(mBusyUntil)) {
             return false;
         }
--- a/fleet/src/main/java/org/whinhead/fleet/Member.java
+++ b/fleet/src/main/java/org/whinhead/fleet/PoolMember.java
@@ -13,10 +13,10 @@
  * @param supply what it was bought as
  * @param inProgress requests in progress on it, over all daemons; an overestimate is safe
  */
-public record Member(PoolName pool, Endpoint endpoint, Supply supply, int inProgress) {
+public record PoolMember(PoolName pool, Endpoint endpoint, Supply supply, int inProgress) {
 
     /** Checks every part. */
-    public Member {
+    public PoolMember {
         Objects.requireNonNull(pool, "pool");
         Objects.requireNonNull(endpoint, "endpoint");
         Objects.requireNonNull(supply, "supply");
@@ -24,7 +24,7 @@
     }
 
     /** Tells whether the VM counts towards the plan: it is neither leaving nor gone. */
-    public boolean counts() {
+    public boolean countsTowardPlan() {
         final VmState state = endpoint.vm().state();
         return state == VmState.LIVE || state == VmState.SUSPECT;
     }
--- a/fleet/src/main/java/org/whinhead/fleet/RefusedStarts.java
+++ b/fleet/src/main/java/org/whinhead/fleet/StartBackoff.java
@@ -13,7 +13,7 @@
  * stays short although VMs are to be had elsewhere. While a supply rests, plans count only the VMs
  * that it already gave; after the rest it is tried again.
  */
-public final class RefusedStarts {
+public final class StartBackoff {
 
     private static final int MOST_DOUBLINGS = 6;
 
@@ -27,7 +27,7 @@
      *
      * @param firstRest how long a supply rests after a first refusal; doubles with each further one
      */
-    public RefusedStarts(final Duration firstRest) {
+    public StartBackoff(final Duration firstRest) {
         mFirstRest = Arguments.requirePositive(firstRest, "firstRest");
     }
 
@@ -37,7 +37,7 @@
      * @param supply what was asked for
      * @param now the time
      */
-    public void refused(final Supply supply, final Instant now) {
+    public void recordRefusal(final Supply supply, final Instant now) {
         final Rest last = mRests.get(supply);
         final int refusals = last == null ? 1 : last.refusals() + 1;
         final int doublings = Math.min(refusals - 1, MOST_DOUBLINGS);
@@ -50,7 +50,7 @@
      *
      * @param supply what was asked for
      */
-    public void started(final Supply supply) {
+    public void reset(final Supply supply) {
         mRests.remove(supply);
     }
 
@@ -61,7 +61,7 @@
      * @param now the time
      * @return true if it should not be asked for now
      */
-    public boolean rests(final Supply supply, final Instant now) {
+    public boolean isBackingOff(final Supply supply, final Instant now) {
         final Rest rest = mRests.get(supply);
         return rest != null && now.isBefore(rest.until());
     }
--- a/fleet/src/test/java/org/whinhead/fleet/CapacityPlannerTest.java
+++ b/fleet/src/test/java/org/whinhead/fleet/CapacityPlannerTest.java
@@ -25,7 +25,7 @@
         final Supply cheap = supply("kg-gasabo", 1.0);
         final Supply dear = supply("kg-kicukiro", 3.0);
 
-        final Plan plan = CapacityPlanner.plan(4, List.of(cheap, dear), Map.of());
+        final CapacityPlan plan = CapacityPlanner.plan(4, List.of(cheap, dear), Map.of());
 
         assertThat(plan.counts()).isEqualTo(Map.of(cheap, 4, dear, 4));
         assertThat(plan.shortfall()).isZero();
@@ -35,10 +35,10 @@
     void spreadsWiderWhenPricesAreNearEachOther() {
         final List<Supply> supplies = List.of(supply("a", 1.0), supply("b", 1.1), supply("c", 1.2));
 
-        final Plan plan = CapacityPlanner.plan(4, supplies, Map.of());
+        final CapacityPlan plan = CapacityPlanner.plan(4, supplies, Map.of());
 
-        assertThat(plan.total()).isEqualTo(6);
-        assertThat(plan.largestDomain()).isEqualTo(2);
+        assertThat(plan.vmCount()).isEqualTo(6);
+        assertThat(plan.largestDomainVmCount()).isEqualTo(2);
     }
 
     @Test
@@ -46,7 +46,8 @@
         final Supply only = supply("a", 1.0);
         final Supply refused = supply("b", 1.0);
 
-        final Plan plan = CapacityPlanner.plan(3, List.of(only, refused), Map.of(refused, 1));
+        final CapacityPlan plan =
+                CapacityPlanner.plan(3, List.of(only, refused), Map.of(refused, 1));
 
         assertThat(plan.shortfall()).isEqualTo(2);
     }
@@ -62,28 +63,28 @@
         }
         final Map<Supply, Integer> limits = Map.of(supplies.get(0), firstLimit);
 
-        final Plan found = CapacityPlanner.plan(needed, supplies, limits);
-        final Plan oracle = tryAll(needed, supplies, limits, 0, new TreeMap<>());
+        final CapacityPlan found = CapacityPlanner.plan(needed, supplies, limits);
+        final CapacityPlan oracle = tryAll(needed, supplies, limits, 0, new TreeMap<>());
 
         assertThat(found.shortfall()).isEqualTo(oracle.shortfall());
         assertThat(found.pricePerHour()).isLessThanOrEqualTo(oracle.pricePerHour());
     }
 
-    private static Plan tryAll(
+    private static CapacityPlan tryAll(
             final int needed,
             final List<Supply> supplies,
             final Map<Supply, Integer> limits,
             final int index,
             final SortedMap<Supply, Integer> counts) {
         if (index == supplies.size()) {
-            return new Plan(counts, needed);
+            return new CapacityPlan(counts, needed);
         }
-        Plan best = null;
+        CapacityPlan best = null;
         final Supply supply = supplies.get(index);
         final int most = Math.min(2 * needed, limits.getOrDefault(supply, Integer.MAX_VALUE));
         for (int count = 0; count <= most; count++) {
             counts.put(supply, count);
-            final Plan plan = tryAll(needed, supplies, limits, index + 1, counts);
+            final CapacityPlan plan = tryAll(needed, supplies, limits, index + 1, counts);
             if (best == null
                     || plan.shortfall() < best.shortfall()
                     || (plan.shortfall() == best.shortfall()
--- a/fleet/src/test/java/org/whinhead/fleet/FleetReconcilerTest.java
+++ b/fleet/src/test/java/org/whinhead/fleet/FleetReconcilerTest.java
@@ -44,7 +44,7 @@
     // The cloud refuses each start in the reclaimed domain, and the same start is ordered again.
     @Test
     void refusedStartsAreReplacedInOtherDomains() {
-        mReconciler.startRefused(GASABO, START);
+        mReconciler.recordRefusedStart(GASABO, START);
 
         final List<FleetOrder> orders = reconcile(pool(OLD, 2), List.of(), List.of());
 
@@ -55,8 +55,8 @@
 
     @Test
     void leavingVmIsReplacedBeforeItIsGone() {
-        final List<Member> members = servingMembers(OLD);
-        final Member leaving = members.remove(0);
+        final List<PoolMember> members = servingMembers(OLD);
+        final PoolMember leaving = members.remove(0);
         members.add(withState(leaving, VmState.LEAVING));
 
         final List<FleetOrder> orders = reconcile(pool(OLD, 2), members, List.of());
@@ -72,9 +72,9 @@
     // Order of events: the pool shrinks, the VM is drained, a long answer still runs on it.
     @Test
     void drainedVmIsStoppedOnlyWhenEmpty() {
-        final List<Member> members = servingMembers(OLD);
-        final Member busy = withState(members.remove(0), VmState.LEAVING);
-        members.add(new Member(busy.pool(), busy.endpoint(), busy.supply(), 1));
+        final List<PoolMember> members = servingMembers(OLD);
+        final PoolMember busy = withState(members.remove(0), VmState.LEAVING);
+        members.add(new PoolMember(busy.pool(), busy.endpoint(), busy.supply(), 1));
 
         assertThat(reconcile(pool(OLD, 1), members, List.of()))
                 .noneMatch(FleetOrder.StopVm.class::isInstance);
@@ -99,7 +99,7 @@
                         1_000,
                         2,
                         List.of(GASABO, KICUKIRO, NYARUGENGE, cheap));
-        final List<Member> members = servingMembers(OLD);
+        final List<PoolMember> members = servingMembers(OLD);
         members.add(member("new", cheap, Set.of()));
 
         final List<FleetOrder> before = reconcile(pool, members, List.of());
@@ -126,7 +126,7 @@
 
     @Test
     void loadsKeepWithinTheWeightStoresRate() {
-        final List<Member> members = new ArrayList<>();
+        final List<PoolMember> members = new ArrayList<>();
         members.add(member("a", GASABO, Set.of()));
         members.add(member("b", KICUKIRO, Set.of()));
         members.add(member("c", NYARUGENGE, Set.of()));
@@ -142,12 +142,12 @@
     }
 
     private List<FleetOrder> reconcile(
-            final Pool pool, final List<Member> members, final List<FleetOrder> open) {
+            final Pool pool, final List<PoolMember> members, final List<FleetOrder> open) {
         return mReconciler.reconcile(view(pool, members, open), START);
     }
 
     private static FleetView view(
-            final Pool pool, final List<Member> members, final List<FleetOrder> open) {
+            final Pool pool, final List<PoolMember> members, final List<FleetOrder> open) {
         return new FleetView(List.of(pool), members, open, 7);
     }
 
@@ -155,15 +155,15 @@
         return new Pool(new PoolName("summary"), model, 1_000, needed, SUPPLIES);
     }
 
-    private static List<Member> servingMembers(final ModelRef model) {
-        final List<Member> members = new ArrayList<>();
+    private static List<PoolMember> servingMembers(final ModelRef model) {
+        final List<PoolMember> members = new ArrayList<>();
         for (final Supply supply : SUPPLIES) {
             members.add(member(supply.domain().name(), supply, Set.of(model)));
         }
         return members;
     }
 
-    private static Member member(
+    private static PoolMember member(
             final String name, final Supply supply, final Set<ModelRef> models) {
         final Vm vm =
                 new Vm(
@@ -179,11 +179,12 @@
                         .uri(URI.create("http://127.0.0.1:1"))
                         .models(models)
                         .build();
-        return new Member(new PoolName("summary"), endpoint, supply, 0);
+        return new PoolMember(new PoolName("summary"), endpoint, supply, 0);
     }
 
-    private static Member withState(final Member member, final VmState state) {
-        return new Member(member.pool(), member.endpoint().withVmState(state), member.supply(), 0);
+    private static PoolMember withState(final PoolMember member, final VmState state) {
+        return new PoolMember(
+                member.pool(), member.endpoint().withVmState(state), member.supply(), 0);
     }
 
     private static Supply supply(final String domain, final double price) {
--- a/requests/src/main/java/org/whinhead/requests/AbandonedAttempts.java
+++ b/requests/src/main/java/org/whinhead/requests/AbandonedAttempts.java
@@ -28,7 +28,7 @@
     }
 
     /** Takes out the endpoint of an attempt whose stream has got a name after all. */
-    Optional<Endpoint> take(final AttemptId attempt) {
+    Optional<Endpoint> remove(final AttemptId attempt) {
         return Optional.ofNullable(mEndpoints.remove(attempt));
     }
 }
--- a/requests/src/main/java/org/whinhead/requests/Endings.java
+++ b/requests/src/main/java/org/whinhead/requests/ActiveRequests.java
@@ -13,13 +13,13 @@
 import org.whinhead.api.verdict.Verdict;
 
 /** Holds the requests in progress and is the one place where a request or an attempt ends. */
-final class Endings {
+final class ActiveRequests {
 
-    private final Wiring mWiring;
+    private final CoordinatorContext mWiring;
     private final Map<RequestId, RequestState> mStates = new HashMap<>();
     private final AbandonedAttempts mAbandoned = new AbandonedAttempts();
 
-    Endings(final Wiring wiring) {
+    ActiveRequests(final CoordinatorContext wiring) {
         mWiring = wiring;
     }
 
@@ -41,11 +41,11 @@
     }
 
     /** Tells whether a request has not ended since the caller of this method looked it up. */
-    boolean isOpen(final RequestState state) {
+    boolean isActive(final RequestState state) {
         return mStates.get(state.id()) == state;
     }
 
-    AbandonedAttempts abandoned() {
+    AbandonedAttempts abandonedAttempts() {
         return mAbandoned;
     }
 
@@ -59,7 +59,7 @@
             state.addVerdict(Verdict.MAY_HAVE_RUN);
         }
         final Verdict verdict = state.verdict();
-        final Refusal refusal = new Refusal(code, verdict, detail, comeBackAfter(state, verdict));
+        final Refusal refusal = new Refusal(code, verdict, detail, retryAfter(state, verdict));
         refuse(state, refusal, now);
     }
 
@@ -75,7 +75,7 @@
     }
 
     /** Ends a request whose caller hung up. */
-    void callerLeft(final RequestState state, final Instant now) {
+    void endOnDisconnect(final RequestState state, final Instant now) {
         cancelAttempts(state, now);
         remove(state, now);
         mWiring.log().add(state, DecisionKind.CALLER_LEFT, "", now);
@@ -93,13 +93,13 @@
                         state.delivered().tokens(),
                         state.recomputedTokens(),
                         state.attempts());
-        succeeded(state, now);
+        endSuccessfully(state, now);
         mWiring.actions().complete(state.id(), completion);
     }
 
     /** Ends a plain service's answer. */
-    void answer(final RequestState state, final PlainAnswer answer, final Instant now) {
-        succeeded(state, now);
+    void completeCall(final RequestState state, final PlainAnswer answer, final Instant now) {
+        endSuccessfully(state, now);
         mWiring.actions().answer(state.id(), answer);
     }
 
@@ -109,62 +109,62 @@
             final Ticket ticket,
             final Refusal refusal,
             final Instant now) {
-        leaveStreams(state, now);
+        releaseStreams(state, now);
         remove(state, now);
         mWiring.log().add(state, DecisionKind.HANDED_BACK, ticket.endpoint().value(), now);
         mWiring.actions().handBack(state.id(), ticket, refusal);
     }
 
     /** Forgets a request whose caller has come back on a new connection. */
-    void replace(final RequestState state, final Instant now) {
-        leaveStreams(state, now);
+    void supersede(final RequestState state, final Instant now) {
+        releaseStreams(state, now);
         remove(state, now);
     }
 
     /** Ends an attempt that its endpoint has ended, or that cannot be reached. */
-    void ended(final RequestState state, final Attempt attempt, final Instant now) {
+    void endAttempt(final RequestState state, final Attempt attempt, final Instant now) {
         mWiring.router().ended(attempt.endpoint().id(), state.spec(), now);
-        forget(state, attempt);
+        clearAttempt(state, attempt);
     }
 
     /** Ends an attempt here and at its endpoint. */
-    void cancel(final RequestState state, final Attempt attempt, final Instant now) {
-        ended(state, attempt, now);
+    void cancelAttempt(final RequestState state, final Attempt attempt, final Instant now) {
+        endAttempt(state, attempt, now);
         if (!attempt.hasStream()) {
             mAbandoned.add(attempt);
         }
         mWiring.actions().cancel(attempt.id(), attempt.endpoint(), attempt.streamId());
     }
 
-    private void succeeded(final RequestState state, final Instant now) {
+    private void endSuccessfully(final RequestState state, final Instant now) {
         final Attempt attempt = state.live().orElseThrow();
         mWiring.router().succeeded(attempt.endpoint().id(), state.spec(), now);
         mWiring.log().add(attempt, DecisionKind.COMPLETED, "", now);
-        ended(state, attempt, now);
+        endAttempt(state, attempt, now);
         cancelAttempts(state, now);
         remove(state, now);
     }
 
     private void cancelAttempts(final RequestState state, final Instant now) {
-        state.move().ifPresent(move -> cancel(state, move, now));
-        state.live().ifPresent(live -> cancel(state, live, now));
+        state.move().ifPresent(move -> cancelAttempt(state, move, now));
+        state.live().ifPresent(live -> cancelAttempt(state, live, now));
     }
 
-    private void leaveStreams(final RequestState state, final Instant now) {
-        state.move().ifPresent(move -> cancel(state, move, now));
-        state.live().ifPresent(live -> leaveStream(state, live, now));
+    private void releaseStreams(final RequestState state, final Instant now) {
+        state.move().ifPresent(move -> cancelAttempt(state, move, now));
+        state.live().ifPresent(live -> releaseStream(state, live, now));
     }
 
-    private void leaveStream(final RequestState state, final Attempt live, final Instant now) {
+    private void releaseStream(final RequestState state, final Attempt live, final Instant now) {
         if (live.hasStream()) {
-            ended(state, live, now);
+            endAttempt(state, live, now);
             mWiring.actions().release(live.id());
         } else {
-            cancel(state, live, now);
+            cancelAttempt(state, live, now);
         }
     }
 
-    private void forget(final RequestState state, final Attempt attempt) {
+    private void clearAttempt(final RequestState state, final Attempt attempt) {
         state.setLive(state.live().filter(live -> live != attempt));
         state.setMove(state.move().filter(move -> move != attempt));
     }
@@ -176,7 +176,7 @@
         }
     }
 
-    private Optional<Duration> comeBackAfter(final RequestState state, final Verdict verdict) {
+    private Optional<Duration> retryAfter(final RequestState state, final Verdict verdict) {
         return verdict.allowsAnotherAttempt(state.spec().idempotent())
                 ? Optional.of(mWiring.settings().comeBackAfter())
                 : Optional.empty();
--- a/requests/src/main/java/org/whinhead/requests/Attempt.java
+++ b/requests/src/main/java/org/whinhead/requests/Attempt.java
@@ -88,15 +88,15 @@
     }
 
     /** Returns how many tokens this attempt brought. */
-    long tokens() {
+    long receivedTokens() {
         return mTokens;
     }
 
-    Instant heardAt() {
+    Instant lastEventAt() {
         return mHeardAt;
     }
 
-    void heard(final Instant now) {
+    void recordEvent(final Instant now) {
         mHeardAt = now;
     }
 
@@ -106,21 +106,21 @@
     }
 
     /** Returns how many tokens this attempt computes again, before caches are taken off. */
-    long recomputed() {
+    long recomputedTokens() {
         return mRecomputed;
     }
 
-    void setRecomputed(final RecoveryCause cause, final long tokens) {
+    void setRecomputedTokens(final RecoveryCause cause, final long tokens) {
         mCause = Optional.of(cause);
         mRecomputed = tokens;
     }
 
     /** Returns the end of the stream, if it has overtaken tokens that are still missing. */
-    Optional<AttemptEvent.Finished> heldEnd() {
+    Optional<AttemptEvent.Finished> deferredEnd() {
         return mHeldEnd;
     }
 
-    void holdEnd(final AttemptEvent.Finished end) {
+    void deferEnd(final AttemptEvent.Finished end) {
         mHeldEnd = Optional.of(end);
     }
 
@@ -130,26 +130,26 @@
     }
 
     /** Tells whether the stream began at index 0 and its repetition is still being compared. */
-    boolean isChecking() {
+    boolean isComparingText() {
         return mChecking;
     }
 
-    void stopChecking() {
+    void stopComparingText() {
         mChecking = false;
     }
 
-    void checked(final int characters) {
+    void addCheckedCharacters(final int characters) {
         mCheckedCharacters += characters;
     }
 
     /** Keeps a token that overtook others; returns how many are kept. */
-    int keepEarly(final long index, final String text) {
+    int bufferEarlyToken(final long index, final String text) {
         mEarly.put(index, text);
         return mEarly.size();
     }
 
     /** Takes out the kept token that comes next, or null. */
-    String takeNextEarly() {
+    String removeNextEarlyToken() {
         return mEarly.remove(mNextIndex);
     }
 }
--- a/requests/src/main/java/org/whinhead/requests/AttemptEventHandler.java
+++ b/requests/src/main/java/org/whinhead/requests/AttemptEventHandler.java
@@ -12,19 +12,19 @@
  */
 final class AttemptEventHandler {
 
-    private final Wiring mWiring;
-    private final Endings mEndings;
+    private final CoordinatorContext mWiring;
+    private final ActiveRequests mEndings;
     private final Recovery mRecovery;
-    private final Tickets mTickets;
-    private final Departures mDepartures;
+    private final TicketHandler mTickets;
+    private final EndpointDrainer mDepartures;
     private final StreamDelivery mDelivery;
 
     AttemptEventHandler(
-            final Wiring wiring,
-            final Endings endings,
+            final CoordinatorContext wiring,
+            final ActiveRequests endings,
             final Recovery recovery,
-            final Tickets tickets,
-            final Departures departures) {
+            final TicketHandler tickets,
+            final EndpointDrainer departures) {
         mWiring = wiring;
         mEndings = endings;
         mRecovery = recovery;
@@ -34,97 +34,97 @@
     }
 
     /** Something happened to an attempt of a request that may have ended. */
-    void happened(final Optional<RequestState> state, final AttemptEvent event, final Instant now) {
-        final Optional<Attempt> live = state.flatMap(s -> current(s.live(), event));
-        final Optional<Attempt> move = state.flatMap(s -> current(s.move(), event));
+    void handle(final Optional<RequestState> state, final AttemptEvent event, final Instant now) {
+        final Optional<Attempt> live = state.flatMap(s -> matchAttempt(s.live(), event));
+        final Optional<Attempt> move = state.flatMap(s -> matchAttempt(s.move(), event));
         if (live.isPresent()) {
-            liveEvent(state.get(), live.get(), event, now);
+            handleLiveEvent(state.get(), live.get(), event, now);
         } else if (move.isPresent()) {
-            moveEvent(state.get(), move.get(), event, now);
+            handleMoveEvent(state.get(), move.get(), event, now);
         } else {
-            lateEvent(event, now);
+            handleLateEvent(event, now);
         }
     }
 
-    private static Optional<Attempt> current(
+    private static Optional<Attempt> matchAttempt(
             final Optional<Attempt> attempt, final AttemptEvent event) {
         return attempt.filter(known -> known.id().equals(event.attempt()));
     }
 
-    private void liveEvent(
+    private void handleLiveEvent(
             final RequestState state,
             final Attempt attempt,
             final AttemptEvent event,
             final Instant now) {
         if (event instanceof AttemptEvent.Opened opened) {
-            opened(state, attempt, opened, now);
+            handleOpened(state, attempt, opened, now);
         } else if (event instanceof AttemptEvent.Token token) {
-            mDelivery.token(state, attempt, token, now);
+            mDelivery.handleToken(state, attempt, token, now);
         } else if (event instanceof AttemptEvent.Finished finished) {
-            mDelivery.finished(state, attempt, finished, now);
+            mDelivery.handleFinished(state, attempt, finished, now);
         } else if (event instanceof AttemptEvent.Answered answered) {
-            mEndings.answer(state, answered.answer(), now);
+            mEndings.completeCall(state, answered.answer(), now);
         } else if (event instanceof AttemptEvent.Failed failed) {
-            failed(state, attempt, failed, now);
+            handleFailed(state, attempt, failed, now);
         }
     }
 
-    private void opened(
+    private void handleOpened(
             final RequestState state,
             final Attempt attempt,
             final AttemptEvent.Opened opened,
             final Instant now) {
-        attempt.heard(now);
+        attempt.recordEvent(now);
         state.setBlockedSince(Optional.empty());
         if (attempt.kind().isDispatch()) {
-            mWiring.settings().retryScope().answerBegan(state, now);
+            mWiring.settings().retryScope().onAnswerBegan(state, now);
         }
         final boolean named = !opened.streamId().isEmpty();
         if (named && (attempt.kind().isDispatch() || attempt.kind() == AttemptKind.RESUME)) {
             attempt.setStreamId(opened.streamId());
             mTickets.issue(state, attempt);
-            mDepartures.look(state, now);
+            mDepartures.drainIfNeeded(state, now);
         }
     }
 
-    private void failed(
+    private void handleFailed(
             final RequestState state,
             final Attempt attempt,
             final AttemptEvent.Failed failed,
             final Instant now) {
         if (state.move().isPresent()) {
-            mDepartures.sourceFailed(state, attempt, now);
+            mDepartures.handleSourceFailure(state, attempt, now);
         } else {
-            mRecovery.failed(state, attempt, failed.failure(), failed.detail(), now);
+            mRecovery.handleFailure(state, attempt, failed.failure(), failed.detail(), now);
         }
     }
 
-    private void moveEvent(
+    private void handleMoveEvent(
             final RequestState state,
             final Attempt move,
             final AttemptEvent event,
             final Instant now) {
         if (event instanceof AttemptEvent.Moved moved) {
-            mDepartures.moved(state, move, moved.streamId(), now);
+            mDepartures.completeMove(state, move, moved.streamId(), now);
         } else if (event instanceof AttemptEvent.Failed failed) {
-            mDepartures.giveUpMove(state, move, failed.detail(), now);
+            mDepartures.abortMove(state, move, failed.detail(), now);
         }
     }
 
     /** An attempt that is over opened a stream after all: nobody reads it, so it is cancelled. */
-    private void lateEvent(final AttemptEvent event, final Instant now) {
-        final String streamId = streamOf(event);
+    private void handleLateEvent(final AttemptEvent event, final Instant now) {
+        final String streamId = streamIdOf(event);
         if (!streamId.isEmpty()) {
-            mEndings.abandoned()
-                    .take(event.attempt())
+            mEndings.abandonedAttempts()
+                    .remove(event.attempt())
                     .ifPresent(
                             endpoint ->
                                     mWiring.actions().cancel(event.attempt(), endpoint, streamId));
         }
-        mWiring.log().addLate(event, now);
+        mWiring.log().addLateEvent(event, now);
     }
 
-    private static String streamOf(final AttemptEvent event) {
+    private static String streamIdOf(final AttemptEvent event) {
         if (event instanceof AttemptEvent.Opened opened) {
             return opened.streamId();
         }
--- a/requests/src/main/java/org/whinhead/requests/AttemptLauncher.java
+++ b/requests/src/main/java/org/whinhead/requests/AttemptLauncher.java
@@ -12,12 +12,15 @@
 /** Starts attempts: chooses the endpoint, keeps to the budgets, and waits where there is none. */
 final class AttemptLauncher {
 
-    private final Wiring mWiring;
-    private final Endings mEndings;
+    private final CoordinatorContext mWiring;
+    private final ActiveRequests mEndings;
     private final LeavingEndpoints mLeaving;
     private final Backoff mBackoff;
 
-    AttemptLauncher(final Wiring wiring, final Endings endings, final LeavingEndpoints leaving) {
+    AttemptLauncher(
+            final CoordinatorContext wiring,
+            final ActiveRequests endings,
+            final LeavingEndpoints leaving) {
         mWiring = wiring;
         mEndings = endings;
         mLeaving = leaving;
@@ -26,29 +29,29 @@
 
     /** Sends a request out, or lets it wait if nothing is open to it. */
     void dispatch(final RequestState state, final Instant now) {
-        if (state.isLate(now)) {
+        if (state.isPastDeadline(now)) {
             mEndings.giveUp(state, ErrorCode.DEADLINE_PASSED, "before dispatch", now);
             return;
         }
-        final boolean charged = isCharged(state);
-        if (charged && !mWiring.budget().allows(now)) {
-            block(state, ErrorCode.RETRIES_SPENT, now);
+        final boolean charged = isChargedToBudget(state);
+        if (charged && !mWiring.budget().canRetry(now)) {
+            retryWithinPatience(state, ErrorCode.RETRIES_SPENT, now);
             return;
         }
-        final Optional<Endpoint> endpoint = choose(state, now);
+        final Optional<Endpoint> endpoint = chooseEndpoint(state, now);
         if (endpoint.isEmpty()) {
-            block(state, ErrorCode.NO_ENDPOINT, now);
+            retryWithinPatience(state, ErrorCode.NO_ENDPOINT, now);
             return;
         }
         if (charged) {
-            mWiring.budget().spend();
+            mWiring.budget().recordRetry();
         }
-        send(state, endpoint.get(), now);
+        dispatchTo(state, endpoint.get(), now);
     }
 
     /** Lets a request wait for its next try, or gives it up at once if the deadline comes first. */
     void retryLater(final RequestState state, final ErrorCode code, final Instant now) {
-        final Duration wait = mBackoff.next(Math.max(1, state.dispatches()));
+        final Duration wait = mBackoff.nextDelay(Math.max(1, state.dispatches()));
         if (!now.plus(wait).isBefore(state.deadline())) {
             mEndings.giveUp(state, code, "the deadline comes before the next try", now);
             return;
@@ -58,11 +61,11 @@
     }
 
     /** Chooses an endpoint that the request has not been at, or else one that it has. */
-    Optional<Endpoint> choose(final RequestState state, final Instant now) {
-        final Set<EndpointId> excluded = new HashSet<>(state.tried());
+    Optional<Endpoint> chooseEndpoint(final RequestState state, final Instant now) {
+        final Set<EndpointId> excluded = new HashSet<>(state.triedEndpoints());
         excluded.addAll(mLeaving.all());
         final Optional<Endpoint> fresh = mWiring.router().choose(state.spec(), excluded, now);
-        if (fresh.isPresent() || state.tried().isEmpty()) {
+        if (fresh.isPresent() || state.triedEndpoints().isEmpty()) {
             return fresh;
         }
         return mWiring.router().choose(state.spec(), Set.copyOf(mLeaving.all()), now);
@@ -77,28 +80,28 @@
             final Instant now) {
         final Attempt attempt =
                 new Attempt(
-                        state.newAttempt(),
+                        state.nextAttemptId(),
                         endpoint,
                         AttemptKind.RESUME,
                         firstIndex,
                         state.delivered().tokens(),
                         now);
         attempt.setStreamId(streamId);
-        start(state, attempt);
+        setLiveAttempt(state, attempt);
         mWiring.log().add(attempt, DecisionKind.RESUMED, streamId, now);
         mWiring.actions().resume(attempt.id(), endpoint, streamId, attempt.nextIndex());
     }
 
-    private boolean isCharged(final RequestState state) {
-        return state.dispatches() > 0 && !state.isDispatchFree();
+    private boolean isChargedToBudget(final RequestState state) {
+        return state.dispatches() > 0 && !state.isExemptFromRetryBudget();
     }
 
-    private void send(final RequestState state, final Endpoint endpoint, final Instant now) {
+    private void dispatchTo(final RequestState state, final Endpoint endpoint, final Instant now) {
         if (state.dispatches() == 0) {
-            mWiring.budget().firstDispatch();
+            mWiring.budget().recordFirstDispatch();
         }
         state.countDispatch();
-        state.setDispatchFree(false);
+        state.setExemptFromRetryBudget(false);
         state.setResumeTried(false);
         state.setMoveTried(false);
         if (state.spec().kind().streams()) {
@@ -112,13 +115,13 @@
         final DeliveredText delivered = state.delivered();
         final boolean goOn =
                 delivered.tokens() > 0
-                        && !state.isStartOver()
+                        && !state.isStartOverRequired()
                         && mWiring.settings().recovery().keepsWork();
         final long from = goOn ? delivered.tokens() : 0;
         final AttemptKind kind = goOn ? AttemptKind.CONTINUE : AttemptKind.START;
-        final Attempt attempt = new Attempt(state.newAttempt(), endpoint, kind, from, from, now);
+        final Attempt attempt = new Attempt(state.nextAttemptId(), endpoint, kind, from, from, now);
         countRecomputed(state, attempt);
-        start(state, attempt);
+        setLiveAttempt(state, attempt);
         mWiring.log().add(attempt, DecisionKind.DISPATCHED, describe(attempt), now);
         final String text = goOn ? delivered.text() : "";
         mWiring.actions().generate(attempt.id(), endpoint, text, from);
@@ -126,13 +129,13 @@
 
     private void call(final RequestState state, final Endpoint endpoint, final Instant now) {
         final Attempt attempt =
-                new Attempt(state.newAttempt(), endpoint, AttemptKind.START, 0, 0, now);
-        start(state, attempt);
+                new Attempt(state.nextAttemptId(), endpoint, AttemptKind.START, 0, 0, now);
+        setLiveAttempt(state, attempt);
         mWiring.log().add(attempt, DecisionKind.DISPATCHED, describe(attempt), now);
         mWiring.actions().call(attempt.id(), endpoint);
     }
 
-    private static void start(final RequestState state, final Attempt attempt) {
+    private static void setLiveAttempt(final RequestState state, final Attempt attempt) {
         state.setLive(Optional.of(attempt));
         state.setPhase(RequestState.Phase.RUNNING);
     }
@@ -142,8 +145,8 @@
             return;
         }
         final long tokens = state.spec().promptTokens() + state.delivered().tokens();
-        attempt.setRecomputed(state.cause().get(), tokens);
-        state.addRecomputed(tokens);
+        attempt.setRecomputedTokens(state.cause().get(), tokens);
+        state.addRecomputedTokens(tokens);
         mWiring.counters().add(state.cause().get(), tokens);
         state.setCause(Optional.empty());
     }
@@ -158,7 +161,7 @@
      * <p>Guards against giving up answers in a reclaim wave: the engines that are left refuse for a
      * second or two, and a few quick refusals would end a request that half its caller has read.
      */
-    void block(final RequestState state, final ErrorCode code, final Instant now) {
+    void retryWithinPatience(final RequestState state, final ErrorCode code, final Instant now) {
         final Instant since = state.blockedSince().orElse(now);
         state.setBlockedSince(Optional.of(since));
         if (now.isBefore(since.plus(mWiring.settings().patience()))) {
--- a/requests/src/main/java/org/whinhead/requests/Backoff.java
+++ b/requests/src/main/java/org/whinhead/requests/Backoff.java
@@ -17,7 +17,7 @@
     }
 
     /** Returns the wait before the try that follows a number of failed ones. */
-    Duration next(final int failures) {
+    Duration nextDelay(final int failures) {
         final int doublings = Math.min(MAX_DOUBLINGS, failures - 1);
         final long whole = mSettings.firstBackoff().toNanos() << doublings;
         final long bounded = Math.min(whole, mSettings.maxBackoff().toNanos());
--- a/requests/src/main/java/org/whinhead/requests/ClaimGate.java
+++ b/requests/src/main/java/org/whinhead/requests/ClaimGate.java
@@ -14,19 +14,22 @@
  */
 final class ClaimGate {
 
-    private final Wiring mWiring;
-    private final Endings mEndings;
+    private final CoordinatorContext mWiring;
+    private final ActiveRequests mEndings;
     private final AttemptLauncher mLauncher;
 
-    ClaimGate(final Wiring wiring, final Endings endings, final AttemptLauncher launcher) {
+    ClaimGate(
+            final CoordinatorContext wiring,
+            final ActiveRequests endings,
+            final AttemptLauncher launcher) {
         mWiring = wiring;
         mEndings = endings;
         mLauncher = launcher;
     }
 
     /** Takes in an admitted request. */
-    void admitted(final RequestState state, final Instant now) {
-        if (state.isLate(now)) {
+    void handleAdmitted(final RequestState state, final Instant now) {
+        if (state.isPastDeadline(now)) {
             mEndings.giveUp(state, ErrorCode.DEADLINE_PASSED, "while waiting", now);
         } else if (state.spec().idempotent()) {
             mLauncher.dispatch(state, now);
@@ -44,7 +47,7 @@
      * dispatch twice. A granted claim of a request that has ended is not given up either: the grant
      * may be a late copy of one whose dispatch ran.
      */
-    void decided(final RequestState state, final ClaimOutcome outcome, final Instant now) {
+    void handleOutcome(final RequestState state, final ClaimOutcome outcome, final Instant now) {
         if (state.phase() != RequestState.Phase.CLAIMING) {
             return;
         }
--- a/requests/src/main/java/org/whinhead/requests/Wiring.java
+++ b/requests/src/main/java/org/whinhead/requests/CoordinatorContext.java
@@ -17,7 +17,7 @@
  * @param counters the recomputed tokens
  * @param budget the retry budget
  */
-record Wiring(
+record CoordinatorContext(
         Router router,
         Admission admission,
         RequestActions actions,
@@ -27,7 +27,7 @@
         RecoveryCounters counters,
         RetryBudget budget) {
 
-    Wiring {
+    CoordinatorContext {
         Objects.requireNonNull(router, "router");
         Objects.requireNonNull(admission, "admission");
         Objects.requireNonNull(actions, "actions");
--- a/requests/src/main/java/org/whinhead/requests/DecisionLog.java
+++ b/requests/src/main/java/org/whinhead/requests/DecisionLog.java
@@ -30,8 +30,8 @@
      * @param request the request
      * @return its decisions
      */
-    public List<Decision> of(final RequestId request) {
-        return matching(request::equals);
+    public List<Decision> findByRequest(final RequestId request) {
+        return findMatching(request::equals);
     }
 
     /**
@@ -40,11 +40,11 @@
      * @param name an identity, or its end after a slash
      * @return their decisions
      */
-    public List<Decision> endingWith(final String name) {
-        return matching(id -> id.value().equals(name) || id.value().endsWith("/" + name));
+    public List<Decision> findByName(final String name) {
+        return findMatching(id -> id.value().equals(name) || id.value().endsWith("/" + name));
     }
 
-    private List<Decision> matching(final Predicate<RequestId> wanted) {
+    private List<Decision> findMatching(final Predicate<RequestId> wanted) {
         final List<Decision> found = new ArrayList<>();
         final long oldest = Math.max(0, mWritten - mRing.length);
         for (long place = oldest; place < mWritten; place++) {
@@ -84,7 +84,7 @@
     }
 
     /** Records that an event of an attempt that is over was ignored; tokens would fill the ring. */
-    void addLate(final AttemptEvent event, final Instant now) {
+    void addLateEvent(final AttemptEvent event, final Instant now) {
         if (event instanceof AttemptEvent.Token) {
             return;
         }
--- a/requests/src/main/java/org/whinhead/requests/DefaultRequestCoordinator.java
+++ b/requests/src/main/java/org/whinhead/requests/DefaultRequestCoordinator.java
@@ -17,26 +17,27 @@
 /** Hands each event to the part that decides on it. */
 public final class DefaultRequestCoordinator implements RequestCoordinator {
 
-    private final Wiring mWiring;
-    private final Endings mEndings;
+    private final CoordinatorContext mWiring;
+    private final ActiveRequests mEndings;
     private final AttemptLauncher mLauncher;
     private final ClaimGate mClaimGate;
     private final Recovery mRecovery;
-    private final Tickets mTickets;
+    private final TicketHandler mTickets;
     private final AttemptEventHandler mEvents;
-    private final Departures mDepartures;
+    private final EndpointDrainer mDepartures;
     private final Shutdown mShutdown;
     private final StallDetector mStalls;
     private final LeavingEndpoints mLeaving = new LeavingEndpoints();
 
-    private DefaultRequestCoordinator(final Wiring wiring) {
+    private DefaultRequestCoordinator(final CoordinatorContext wiring) {
         mWiring = wiring;
-        mEndings = new Endings(wiring);
+        mEndings = new ActiveRequests(wiring);
         mLauncher = new AttemptLauncher(wiring, mEndings, mLeaving);
         mClaimGate = new ClaimGate(wiring, mEndings, mLauncher);
         mRecovery = new Recovery(wiring, mEndings, mLauncher, mLeaving);
-        mTickets = new Tickets(wiring, mEndings, mLauncher, mRecovery);
-        mDepartures = new Departures(wiring, mEndings, mLauncher, mRecovery, mTickets, mLeaving);
+        mTickets = new TicketHandler(wiring, mEndings, mLauncher, mRecovery);
+        mDepartures =
+                new EndpointDrainer(wiring, mEndings, mLauncher, mRecovery, mTickets, mLeaving);
         mEvents = new AttemptEventHandler(wiring, mEndings, mRecovery, mTickets, mDepartures);
         mShutdown = new Shutdown(wiring, mEndings);
         mStalls = new StallDetector(wiring.settings());
@@ -48,7 +49,7 @@
     }
 
     @Override
-    public boolean arrived(final RequestSpec spec, final Instant now) {
+    public boolean submit(final RequestSpec spec, final Instant now) {
         if (mEndings.find(spec.id()).isPresent()) {
             return false;
         }
@@ -62,12 +63,12 @@
         }
         state.setOffered();
         mWiring.log().add(state, DecisionKind.OFFERED, spec.tier().name(), now);
-        admit(now);
+        admitWaiting(now);
         return true;
     }
 
     @Override
-    public void returned(
+    public void resume(
             final RequestSpec spec,
             final Ticket ticket,
             final long haveTokens,
@@ -75,7 +76,8 @@
             final Instant now) {
         Arguments.requireAtLeast(haveTokens, 0, "haveTokens");
         final Optional<Refusal> refusal =
-                Tickets.check(spec, ticket).or(() -> mShutdown.refusal(Verdict.MAY_HAVE_RUN));
+                TicketHandler.validate(spec, ticket)
+                        .or(() -> mShutdown.refusalIfStopping(Verdict.MAY_HAVE_RUN));
         if (refusal.isPresent()) {
             mWiring.actions().refuse(spec.id(), refusal.get());
             return;
@@ -84,116 +86,116 @@
         final Instant deadline = ticketFirst ? ticket.deadline() : spec.deadline();
         final DeliveredText delivered = new DeliveredText(haveText, haveTokens);
         final RequestState state = new RequestState(spec, deadline, delivered);
-        mTickets.returned(state, ticket, mEndings.find(spec.id()), now);
+        mTickets.handleReturn(state, ticket, mEndings.find(spec.id()), now);
     }
 
     @Override
-    public void callerLeft(final RequestId request, final Instant now) {
-        mEndings.find(request).ifPresent(state -> mEndings.callerLeft(state, now));
-        admit(now);
+    public void onCallerDisconnected(final RequestId request, final Instant now) {
+        mEndings.find(request).ifPresent(state -> mEndings.endOnDisconnect(state, now));
+        admitWaiting(now);
     }
 
     @Override
-    public void attemptEvent(final AttemptEvent event, final Instant now) {
+    public void onAttemptEvent(final AttemptEvent event, final Instant now) {
         final Optional<RequestState> state = mEndings.find(event.attempt().request());
-        mEvents.happened(state, event, now);
-        if (state.isPresent() && !mEndings.isOpen(state.get())) {
-            admit(now);
+        mEvents.handle(state, event, now);
+        if (state.isPresent() && !mEndings.isActive(state.get())) {
+            admitWaiting(now);
         }
     }
 
     @Override
-    public void claimDecided(
+    public void onClaimDecided(
             final RequestId request, final ClaimOutcome outcome, final Instant now) {
-        mEndings.find(request).ifPresent(state -> mClaimGate.decided(state, outcome, now));
+        mEndings.find(request).ifPresent(state -> mClaimGate.handleOutcome(state, outcome, now));
     }
 
     @Override
-    public void endpointLeaving(
+    public void onEndpointLeaving(
             final EndpointId endpoint, final Instant goneBy, final Instant now) {
-        mDepartures.endpointLeaving(endpoint, goneBy, now);
+        mDepartures.startDrain(endpoint, goneBy, now);
     }
 
     @Override
-    public void stopping(final Instant goneBy, final Instant now) {
+    public void beginShutdown(final Instant goneBy, final Instant now) {
         mShutdown.begin(goneBy);
-        mShutdown.tick(now);
+        mShutdown.endDueRequests(now);
     }
 
     @Override
     public void tick(final Instant now) {
-        mLeaving.forgetOld(now);
-        admit(now);
+        mLeaving.removeExpired(now);
+        admitWaiting(now);
         for (final RequestState state : mEndings.all()) {
-            look(state, now);
+            checkRequest(state, now);
         }
-        mShutdown.tick(now);
+        mShutdown.endDueRequests(now);
     }
 
     @Override
-    public int inProgress() {
+    public int requestCount() {
         return mEndings.count();
     }
 
     /** Returns the records of what was decided. */
-    public DecisionLog decisions() {
+    public DecisionLog decisionLog() {
         return mWiring.log();
     }
 
     /** Returns the counts of recomputed tokens. */
-    public RecoveryCounters recoveries() {
+    public RecoveryCounters recoveryCounters() {
         return mWiring.counters();
     }
 
     private Optional<Refusal> refusalOnArrival(final RequestState state, final Instant now) {
-        if (state.isLate(now)) {
+        if (state.isPastDeadline(now)) {
             return Optional.of(Refusal.notRun(ErrorCode.DEADLINE_PASSED, "on arrival"));
         }
         return mShutdown
-                .refusal(Verdict.NOT_RUN)
+                .refusalIfStopping(Verdict.NOT_RUN)
                 .or(() -> mWiring.admission().offer(state.spec(), now));
     }
 
-    private void admit(final Instant now) {
+    private void admitWaiting(final Instant now) {
         for (final Admission.Shed shed : mWiring.admission().shed(now)) {
-            waiting(shed.spec()).ifPresent(state -> mEndings.refuse(state, shed.refusal(), now));
+            findWaiting(shed.spec())
+                    .ifPresent(state -> mEndings.refuse(state, shed.refusal(), now));
         }
         for (final RequestSpec spec : mWiring.admission().admitted(now)) {
-            waiting(spec).ifPresent(state -> mClaimGate.admitted(state, now));
+            findWaiting(spec).ifPresent(state -> mClaimGate.handleAdmitted(state, now));
         }
     }
 
-    private Optional<RequestState> waiting(final RequestSpec spec) {
+    private Optional<RequestState> findWaiting(final RequestSpec spec) {
         return mEndings.find(spec.id())
                 .filter(state -> state.phase() == RequestState.Phase.WAITING);
     }
 
-    private void look(final RequestState state, final Instant now) {
-        if (!mEndings.isOpen(state)) {
+    private void checkRequest(final RequestState state, final Instant now) {
+        if (!mEndings.isActive(state)) {
             return;
         }
-        if (state.isLate(now)) {
+        if (state.isPastDeadline(now)) {
             mEndings.giveUp(state, ErrorCode.DEADLINE_PASSED, "before the whole answer", now);
             return;
         }
-        if (state.phase() == RequestState.Phase.PAUSED && !now.isBefore(state.nextTry())) {
+        if (state.phase() == RequestState.Phase.PAUSED && !now.isBefore(state.retryAt())) {
             mLauncher.dispatch(state, now);
             return;
         }
-        mDepartures.look(state, now);
-        if (mEndings.isOpen(state) && state.move().isEmpty()) {
-            state.live().ifPresent(attempt -> lookForSilence(state, attempt, now));
+        mDepartures.drainIfNeeded(state, now);
+        if (mEndings.isActive(state) && state.move().isEmpty()) {
+            state.live().ifPresent(attempt -> checkForStall(state, attempt, now));
         }
     }
 
-    private void lookForSilence(
-            final RequestState state, final Attempt attempt, final Instant now) {
+    private void checkForStall(final RequestState state, final Attempt attempt, final Instant now) {
         if (mStalls.hasLostTokens(attempt, now)) {
             final String detail = "tokens are missing before the end";
-            mRecovery.failed(state, attempt, AttemptFailure.CUT_DURING_ANSWER, detail, now);
+            mRecovery.handleFailure(state, attempt, AttemptFailure.CUT_DURING_ANSWER, detail, now);
         } else if (mStalls.isSilent(state, attempt, now)) {
             final String detail = "no token in time";
-            mRecovery.failed(state, attempt, AttemptFailure.SILENT, detail, now);
+            mRecovery.handleFailure(state, attempt, AttemptFailure.SILENT, detail, now);
         }
     }
 
@@ -253,7 +255,7 @@
             final RetryBudget budget =
                     new RetryBudget(mSettings.retryShare(), mSettings.retryBurst());
             return new DefaultRequestCoordinator(
-                    new Wiring(
+                    new CoordinatorContext(
                             mRouter,
                             mAdmission,
                             mActions,
--- a/requests/src/main/java/org/whinhead/requests/DeliveredText.java
+++ b/requests/src/main/java/org/whinhead/requests/DeliveredText.java
@@ -36,7 +36,7 @@
     }
 
     /** Tells whether a token repeats the delivered text from a position on. */
-    boolean hasAt(final int position, final String token) {
+    boolean matchesAt(final int position, final String token) {
         final int end = position + token.length();
         return end <= mText.length() && mText.substring(position, end).equals(token);
     }
--- a/requests/src/main/java/org/whinhead/requests/Departures.java
+++ b/requests/src/main/java/org/whinhead/requests/EndpointDrainer.java
@@ -16,21 +16,21 @@
  * tokens: only the live attempt delivers, a move becomes live in the one step that ends the old
  * attempt, and a move that was given up is cancelled as soon as its stream has a name.
  */
-final class Departures {
+final class EndpointDrainer {
 
-    private final Wiring mWiring;
-    private final Endings mEndings;
+    private final CoordinatorContext mWiring;
+    private final ActiveRequests mEndings;
     private final AttemptLauncher mLauncher;
     private final Recovery mRecovery;
-    private final Tickets mTickets;
+    private final TicketHandler mTickets;
     private final LeavingEndpoints mLeaving;
 
-    Departures(
-            final Wiring wiring,
-            final Endings endings,
+    EndpointDrainer(
+            final CoordinatorContext wiring,
+            final ActiveRequests endings,
             final AttemptLauncher launcher,
             final Recovery recovery,
-            final Tickets tickets,
+            final TicketHandler tickets,
             final LeavingEndpoints leaving) {
         mWiring = wiring;
         mEndings = endings;
@@ -40,22 +40,22 @@
         mLeaving = leaving;
     }
 
-    void endpointLeaving(final EndpointId endpoint, final Instant goneBy, final Instant now) {
+    void startDrain(final EndpointId endpoint, final Instant goneBy, final Instant now) {
         mLeaving.add(endpoint, goneBy);
         for (final RequestState state : mEndings.all()) {
-            look(state, now);
+            drainIfNeeded(state, now);
         }
     }
 
     /** Looks at one request: a move that takes too long, or a live attempt that must leave. */
-    void look(final RequestState state, final Instant now) {
+    void drainIfNeeded(final RequestState state, final Instant now) {
         if (!mWiring.settings().recovery().keepsWork()) {
             return;
         }
         if (state.move().isPresent()) {
             final Attempt move = state.move().get();
             if (!now.isBefore(move.startedAt().plus(mWiring.settings().moveTime()))) {
-                giveUpMove(state, move, "too late", now);
+                abortMove(state, move, "too late", now);
             }
             return;
         }
@@ -63,24 +63,24 @@
         final Optional<Instant> goneBy =
                 live.flatMap(attempt -> mLeaving.goneBy(attempt.endpoint().id()));
         if (goneBy.isPresent()) {
-            leave(state, live.get(), goneBy.get(), now);
+            leaveEndpoint(state, live.get(), goneBy.get(), now);
         }
     }
 
     /** The live attempt failed while its KV cache is being moved: the export has stopped it. */
-    void sourceFailed(final RequestState state, final Attempt live, final Instant now) {
+    void handleSourceFailure(final RequestState state, final Attempt live, final Instant now) {
         state.addVerdict(Verdict.MAY_HAVE_RUN);
         mWiring.actions().release(live.id());
-        mEndings.ended(state, live, now);
+        mEndings.endAttempt(state, live, now);
     }
 
     /** The KV cache has arrived. */
-    void moved(
+    void completeMove(
             final RequestState state,
             final Attempt move,
             final String streamId,
             final Instant now) {
-        state.live().ifPresent(old -> mEndings.cancel(state, old, now));
+        state.live().ifPresent(old -> mEndings.cancelAttempt(state, old, now));
         state.setMove(Optional.empty());
         final long next = state.delivered().tokens();
         final Attempt live =
@@ -96,25 +96,25 @@
     }
 
     /** A move failed, perhaps after a part of it took effect. */
-    void giveUpMove(
+    void abortMove(
             final RequestState state, final Attempt move, final String detail, final Instant now) {
         mWiring.log().add(move, DecisionKind.MOVE_GIVEN_UP, detail, now);
-        mEndings.cancel(state, move, now);
+        mEndings.cancelAttempt(state, move, now);
         if (state.live().isPresent()) {
-            leaveUnlessLastChance(state, state.live().get(), now);
+            abandonIfIdempotent(state, state.live().get(), now);
             return;
         }
         state.setCause(Optional.of(RecoveryCause.ENGINE_LEFT));
-        state.setDispatchFree(true);
-        mRecovery.carryOn(state, detail, now);
+        state.setExemptFromRetryBudget(true);
+        mRecovery.redispatchIfAllowed(state, detail, now);
     }
 
-    private void leave(
+    private void leaveEndpoint(
             final RequestState state, final Attempt live, final Instant goneBy, final Instant now) {
         if (!live.hasStream() || !now.isBefore(goneBy)) {
-            leaveUnlessLastChance(state, live, now);
-        } else if (!state.isMoveTried() && !willEndInTime(state, live, goneBy, now)) {
-            move(state, live, now);
+            abandonIfIdempotent(state, live, now);
+        } else if (!state.isMoveTried() && !willFinishInTime(state, live, goneBy, now)) {
+            startMove(state, live, now);
         }
     }
 
@@ -122,24 +122,24 @@
      * A request that must not run again stays until its connection breaks, since the engine may
      * still finish it.
      */
-    private void leaveUnlessLastChance(
+    private void abandonIfIdempotent(
             final RequestState state, final Attempt live, final Instant now) {
         if (state.spec().idempotent()) {
             mRecovery.abandon(state, live, RecoveryCause.ENGINE_LEFT, now);
         }
     }
 
-    private void move(final RequestState state, final Attempt live, final Instant now) {
-        final boolean repeatsText = live.isChecking() && state.delivered().tokens() > 0;
+    private void startMove(final RequestState state, final Attempt live, final Instant now) {
+        final boolean repeatsText = live.isComparingText() && state.delivered().tokens() > 0;
         final Optional<Endpoint> target =
-                repeatsText ? Optional.empty() : mLauncher.choose(state, now);
+                repeatsText ? Optional.empty() : mLauncher.chooseEndpoint(state, now);
         if (target.isEmpty()) {
             return;
         }
         state.setMoveTried(true);
         final Attempt move =
                 new Attempt(
-                        state.newAttempt(),
+                        state.nextAttemptId(),
                         target.get(),
                         AttemptKind.MOVE,
                         live.firstIndex(),
@@ -152,13 +152,14 @@
     }
 
     /** Tells whether the rest, at the pace so far, ends well before the engine does. */
-    private boolean willEndInTime(
+    private boolean willFinishInTime(
             final RequestState state, final Attempt live, final Instant goneBy, final Instant now) {
         final int most = state.spec().maxTokens();
-        if (live.tokens() == 0 || most == 0) {
+        if (live.receivedTokens() == 0 || most == 0) {
             return false;
         }
-        final Duration pace = Duration.between(live.startedAt(), now).dividedBy(live.tokens());
+        final Duration pace =
+                Duration.between(live.startedAt(), now).dividedBy(live.receivedTokens());
         final long rest = Math.max(0, most - state.delivered().tokens());
         final Instant end = now.plus(pace.multipliedBy(rest));
         return end.plus(mWiring.settings().moveTime()).isBefore(goneBy);
--- a/requests/src/main/java/org/whinhead/requests/LeavingEndpoints.java
+++ b/requests/src/main/java/org/whinhead/requests/LeavingEndpoints.java
@@ -28,7 +28,7 @@
         return mGoneBy.keySet();
     }
 
-    void forgetOld(final Instant now) {
+    void removeExpired(final Instant now) {
         mGoneBy.values().removeIf(goneBy -> goneBy.plus(KEPT_AFTER_END).isBefore(now));
     }
 }
--- a/requests/src/main/java/org/whinhead/requests/Recovery.java
+++ b/requests/src/main/java/org/whinhead/requests/Recovery.java
@@ -18,15 +18,15 @@
                     AttemptFailure.CUT_DURING_ANSWER,
                     AttemptFailure.SILENT);
 
-    private final Wiring mWiring;
-    private final Endings mEndings;
+    private final CoordinatorContext mWiring;
+    private final ActiveRequests mEndings;
     private final AttemptLauncher mLauncher;
     private final LeavingEndpoints mLeaving;
     private final RecoveryPlanner mPlanner;
 
     Recovery(
-            final Wiring wiring,
-            final Endings endings,
+            final CoordinatorContext wiring,
+            final ActiveRequests endings,
             final AttemptLauncher launcher,
             final LeavingEndpoints leaving) {
         mWiring = wiring;
@@ -37,7 +37,7 @@
     }
 
     /** The live attempt failed. */
-    void failed(
+    void handleFailure(
             final RequestState state,
             final Attempt attempt,
             final AttemptFailure failure,
@@ -54,10 +54,10 @@
             return;
         }
         endAttempt(state, attempt, failure, now);
-        noteCause(state, attempt, failure);
+        recordCause(state, attempt, failure);
         switch (step) {
             case START_OVER -> {
-                state.setStartOver();
+                state.requireStartOver();
                 mLauncher.retryLater(state, ErrorCode.ENDPOINT_LOST, now);
             }
             case REDISPATCH -> redispatch(state, attempt, failure, now);
@@ -77,15 +77,15 @@
             final Instant now) {
         mWiring.log().add(attempt, DecisionKind.ATTEMPT_FAILED, cause.name(), now);
         state.addVerdict(Verdict.MAY_HAVE_RUN);
-        state.tried().add(attempt.endpoint().id());
-        mEndings.cancel(state, attempt, now);
+        state.triedEndpoints().add(attempt.endpoint().id());
+        mEndings.cancelAttempt(state, attempt, now);
         state.setCause(Optional.of(cause));
-        state.setDispatchFree(cause.isDeparture());
-        carryOn(state, cause.name(), now);
+        state.setExemptFromRetryBudget(cause.isExemptFromRetryBudget());
+        redispatchIfAllowed(state, cause.name(), now);
     }
 
     /** Sends a request out again that has no attempt in progress, if it may be. */
-    void carryOn(final RequestState state, final String detail, final Instant now) {
+    void redispatchIfAllowed(final RequestState state, final String detail, final Instant now) {
         if (!state.verdict().allowsAnotherAttempt(state.spec().idempotent())) {
             mEndings.giveUp(state, ErrorCode.ENDPOINT_LOST, detail, now);
         } else if (state.possibleRuns() >= mWiring.settings().maxDispatches()) {
@@ -103,7 +103,7 @@
     private static void addVerdict(
             final RequestState state, final Attempt attempt, final AttemptFailure failure) {
         if (didNotRun(attempt, failure)) {
-            state.withdrawRun();
+            state.subtractPossibleRun();
         }
         if (attempt.kind() == AttemptKind.START) {
             state.addVerdict(failure.verdict());
@@ -124,30 +124,30 @@
             final Attempt attempt,
             final AttemptFailure failure,
             final Instant now) {
-        state.tried().add(attempt.endpoint().id());
+        state.triedEndpoints().add(attempt.endpoint().id());
         if (MAY_RUN_ON.contains(failure)) {
-            mEndings.cancel(state, attempt, now);
+            mEndings.cancelAttempt(state, attempt, now);
         } else {
-            mEndings.ended(state, attempt, now);
+            mEndings.endAttempt(state, attempt, now);
         }
     }
 
     /**
      * Notes why the next dispatch repeats work; nothing is repeated if this attempt did not run.
      */
-    private void noteCause(
+    private void recordCause(
             final RequestState state, final Attempt attempt, final AttemptFailure failure) {
         if (didNotRun(attempt, failure)) {
-            attempt.cause().ifPresent(cause -> takeBack(state, attempt, cause));
+            attempt.cause().ifPresent(cause -> revertRecomputedTokens(state, attempt, cause));
             return;
         }
         state.setCause(Optional.of(causeOf(state, attempt, failure)));
     }
 
-    private void takeBack(
+    private void revertRecomputedTokens(
             final RequestState state, final Attempt attempt, final RecoveryCause cause) {
-        state.addRecomputed(-attempt.recomputed());
-        mWiring.counters().takeBack(cause, attempt.recomputed());
+        state.addRecomputedTokens(-attempt.recomputedTokens());
+        mWiring.counters().subtract(cause, attempt.recomputedTokens());
         state.setCause(Optional.of(cause));
     }
 
@@ -174,11 +174,11 @@
             final AttemptFailure failure,
             final Instant now) {
         if (didNotRun(attempt, failure)) {
-            mLauncher.block(state, ErrorCode.RETRIES_SPENT, now);
+            mLauncher.retryWithinPatience(state, ErrorCode.RETRIES_SPENT, now);
             return;
         }
         if (mLeaving.goneBy(attempt.endpoint().id()).isPresent()) {
-            state.setDispatchFree(true);
+            state.setExemptFromRetryBudget(true);
             mLauncher.dispatch(state, now);
             return;
         }
--- a/requests/src/main/java/org/whinhead/requests/RecoveryCause.java
+++ b/requests/src/main/java/org/whinhead/requests/RecoveryCause.java
@@ -20,7 +20,7 @@
     }
 
     /** Tells whether one dispatch is free of the retry budget, since nothing failed. */
-    boolean isDeparture() {
+    boolean isExemptFromRetryBudget() {
         return mDeparture;
     }
 }
--- a/requests/src/main/java/org/whinhead/requests/RecoveryCounters.java
+++ b/requests/src/main/java/org/whinhead/requests/RecoveryCounters.java
@@ -35,7 +35,7 @@
     }
 
     /** Takes back tokens that turned out not to be computed again. */
-    void takeBack(final RecoveryCause cause, final long tokens) {
+    void subtract(final RecoveryCause cause, final long tokens) {
         mTokens.merge(cause, -tokens, Long::sum);
     }
 }
--- a/requests/src/main/java/org/whinhead/requests/RecoveryPlanner.java
+++ b/requests/src/main/java/org/whinhead/requests/RecoveryPlanner.java
@@ -42,7 +42,7 @@
                     ? redispatch(state, Step.START_OVER)
                     : Step.ANSWER_ERROR;
         }
-        if (mayResume(state, attempt, failure)) {
+        if (canResume(state, attempt, failure)) {
             return Step.RESUME;
         }
         return redispatch(state, Step.REDISPATCH);
@@ -60,7 +60,7 @@
      * progress, so that an engine which accepts connections and then cuts them is left in the end.
      * A silent engine is only asked again when the request may not run elsewhere.
      */
-    private boolean mayResume(
+    private boolean canResume(
             final RequestState state, final Attempt attempt, final AttemptFailure failure) {
         final boolean worthwhile =
                 CONNECTION_ALONE.contains(failure)
@@ -68,13 +68,13 @@
         return worthwhile
                 && mKeepsWork
                 && attempt.hasStream()
-                && !repeatsText(state, attempt)
+                && !isComparingText(state, attempt)
                 && !state.isResumeTried()
                 && mLeaving.goneBy(attempt.endpoint().id()).isEmpty();
     }
 
     /** Tells whether a restarted stream is still being compared, which a resumption would skip. */
-    private static boolean repeatsText(final RequestState state, final Attempt attempt) {
-        return attempt.isChecking() && state.delivered().tokens() > 0;
+    private static boolean isComparingText(final RequestState state, final Attempt attempt) {
+        return attempt.isComparingText() && state.delivered().tokens() > 0;
     }
 }
--- a/requests/src/main/java/org/whinhead/requests/RequestCoordinator.java
+++ b/requests/src/main/java/org/whinhead/requests/RequestCoordinator.java
@@ -18,7 +18,7 @@
      * @param now the time
      * @return false, with nothing done, if a request of that identity is in progress here
      */
-    boolean arrived(RequestSpec spec, Instant now);
+    boolean submit(RequestSpec spec, Instant now);
 
     /**
      * Takes in a caller that comes back for the rest of an answer. If the request is still in
@@ -30,7 +30,7 @@
      * @param haveText their text
      * @param now the time
      */
-    void returned(RequestSpec spec, Ticket ticket, long haveTokens, String haveText, Instant now);
+    void resume(RequestSpec spec, Ticket ticket, long haveTokens, String haveText, Instant now);
 
     /**
      * The caller hung up.
@@ -38,7 +38,7 @@
      * @param request the request
      * @param now the time
      */
-    void callerLeft(RequestId request, Instant now);
+    void onCallerDisconnected(RequestId request, Instant now);
 
     /**
      * Something happened to an attempt.
@@ -46,7 +46,7 @@
      * @param event what happened
      * @param now the time
      */
-    void attemptEvent(AttemptEvent event, Instant now);
+    void onAttemptEvent(AttemptEvent event, Instant now);
 
     /**
      * A claim was decided.
@@ -55,7 +55,7 @@
      * @param outcome the decision
      * @param now the time
      */
-    void claimDecided(RequestId request, ClaimOutcome outcome, Instant now);
+    void onClaimDecided(RequestId request, ClaimOutcome outcome, Instant now);
 
     /**
      * An endpoint was announced to leave: its streams move away while it still answers.
@@ -64,7 +64,7 @@
      * @param goneBy when it stops answering
      * @param now the time
      */
-    void endpointLeaving(EndpointId endpoint, Instant goneBy, Instant now);
+    void onEndpointLeaving(EndpointId endpoint, Instant goneBy, Instant now);
 
     /**
      * This daemon was told to stop: new requests are refused, those in progress run on, and callers
@@ -73,7 +73,7 @@
      * @param goneBy when the daemon stops answering
      * @param now the time
      */
-    void stopping(Instant goneBy, Instant now);
+    void beginShutdown(Instant goneBy, Instant now);
 
     /**
      * Time passed; called at least every 50 ms.
@@ -83,5 +83,5 @@
     void tick(Instant now);
 
     /** Returns how many requests are in progress. */
-    int inProgress();
+    int requestCount();
 }
--- a/requests/src/main/java/org/whinhead/requests/RequestState.java
+++ b/requests/src/main/java/org/whinhead/requests/RequestState.java
@@ -68,7 +68,7 @@
         return mDeadline;
     }
 
-    boolean isLate(final Instant now) {
+    boolean isPastDeadline(final Instant now) {
         return !now.isBefore(mDeadline);
     }
 
@@ -82,7 +82,7 @@
         return mDelivered;
     }
 
-    Set<EndpointId> tried() {
+    Set<EndpointId> triedEndpoints() {
         return mTried;
     }
 
@@ -145,7 +145,7 @@
         mLastTicket = Optional.of(ticket);
     }
 
-    Instant nextTry() {
+    Instant retryAt() {
         return mNextTry;
     }
 
@@ -155,18 +155,18 @@
     }
 
     /** Names the next attempt. */
-    AttemptId newAttempt() {
+    AttemptId nextAttemptId() {
         mLastNumber++;
         mAttempts++;
         return new AttemptId(mSpec.id(), mLastNumber);
     }
 
     /** Makes attempt numbers go on after those that another daemon used. */
-    void numberAfter(final int number) {
+    void skipAttemptNumbers(final int number) {
         mLastNumber = Math.max(mLastNumber, number);
     }
 
-    int lastNumber() {
+    int lastAttemptNumber() {
         return mLastNumber;
     }
 
@@ -189,7 +189,7 @@
         return mPossibleRuns;
     }
 
-    void withdrawRun() {
+    void subtractPossibleRun() {
         mPossibleRuns--;
     }
 
@@ -197,7 +197,7 @@
         return mRecomputedTokens;
     }
 
-    void addRecomputed(final long tokens) {
+    void addRecomputedTokens(final long tokens) {
         mRecomputedTokens += tokens;
     }
 
@@ -234,20 +234,20 @@
     }
 
     /** Tells whether the next dispatch must not continue from text, which an engine rejected. */
-    boolean isStartOver() {
+    boolean isStartOverRequired() {
         return mStartOver;
     }
 
-    void setStartOver() {
+    void requireStartOver() {
         mStartOver = true;
     }
 
     /** Tells whether the next dispatch follows a departure and so is not charged as a retry. */
-    boolean isDispatchFree() {
+    boolean isExemptFromRetryBudget() {
         return mDispatchFree;
     }
 
-    void setDispatchFree(final boolean free) {
+    void setExemptFromRetryBudget(final boolean free) {
         mDispatchFree = free;
     }
 }
--- a/requests/src/main/java/org/whinhead/requests/RetryBudget.java
+++ b/requests/src/main/java/org/whinhead/requests/RetryBudget.java
@@ -28,22 +28,22 @@
     }
 
     /** Counts a first dispatch. */
-    void firstDispatch() {
+    void recordFirstDispatch() {
         mSaved = Math.min(mBurst, mSaved + mShare);
     }
 
     /** Tells whether a retry may be sent now. */
-    boolean allows(final Instant now) {
-        fill(now);
+    boolean canRetry(final Instant now) {
+        refill(now);
         return mSaved >= 1;
     }
 
     /** Counts a retry that was sent. */
-    void spend() {
+    void recordRetry() {
         mSaved--;
     }
 
-    private void fill(final Instant now) {
+    private void refill(final Instant now) {
         if (mFilledAt.equals(Instant.MIN)) {
             mFilledAt = now;
         }
--- a/requests/src/main/java/org/whinhead/requests/RetryScope.java
+++ b/requests/src/main/java/org/whinhead/requests/RetryScope.java
@@ -7,17 +7,17 @@
     /** The whole request, whether an attempt fails before its answer or in it; the default. */
     REQUEST {
         @Override
-        void answerBegan(final RequestState state, final Instant now) {
+        void onAnswerBegan(final RequestState state, final Instant now) {
             // The bounds of the request hold on.
         }
     },
     /** One attempt: once its answer has begun, deadline and count start anew. */
     ATTEMPT {
         @Override
-        void answerBegan(final RequestState state, final Instant now) {
+        void onAnswerBegan(final RequestState state, final Instant now) {
             state.restartBounds(now);
         }
     };
 
-    abstract void answerBegan(RequestState state, Instant now);
+    abstract void onAnswerBegan(RequestState state, Instant now);
 }
--- a/requests/src/main/java/org/whinhead/requests/Shutdown.java
+++ b/requests/src/main/java/org/whinhead/requests/Shutdown.java
@@ -16,11 +16,11 @@
 
     private static final String DETAIL = "the rest is to be had from another daemon";
 
-    private final Wiring mWiring;
-    private final Endings mEndings;
+    private final CoordinatorContext mWiring;
+    private final ActiveRequests mEndings;
     private Optional<Instant> mGoneBy = Optional.empty();
 
-    Shutdown(final Wiring wiring, final Endings endings) {
+    Shutdown(final CoordinatorContext wiring, final ActiveRequests endings) {
         mWiring = wiring;
         mEndings = endings;
     }
@@ -32,36 +32,36 @@
     }
 
     /** Returns the refusal for a caller that comes now, if the daemon is stopping. */
-    Optional<Refusal> refusal(final Verdict verdict) {
+    Optional<Refusal> refusalIfStopping(final Verdict verdict) {
         return mGoneBy.map(goneBy -> refusalOf(verdict));
     }
 
     /** Sends callers away whose time has come. */
-    void tick(final Instant now) {
+    void endDueRequests(final Instant now) {
         if (mGoneBy.isEmpty()) {
             return;
         }
         final Duration margin = mWiring.settings().stopMargin();
         for (final RequestState state : mEndings.all()) {
-            final Duration left = mayOnlyEndHere(state) ? margin.dividedBy(2) : margin;
+            final Duration left = canOnlyFinishHere(state) ? margin.dividedBy(2) : margin;
             if (!now.isBefore(mGoneBy.get().minus(left))) {
-                sendAway(state, now);
+                endRequest(state, now);
             }
         }
     }
 
     /** Tells whether a request has no way to go on elsewhere, so that it is given more time. */
-    private static boolean mayOnlyEndHere(final RequestState state) {
+    private static boolean canOnlyFinishHere(final RequestState state) {
         final RequestSpec spec = state.spec();
         return !spec.idempotent() && !spec.kind().streams() && state.live().isPresent();
     }
 
-    private void sendAway(final RequestState state, final Instant now) {
+    private void endRequest(final RequestState state, final Instant now) {
         final boolean runs = state.live().isPresent() || state.move().isPresent();
         if (runs) {
             state.addVerdict(Verdict.MAY_HAVE_RUN);
         }
-        final Optional<Ticket> ticket = Tickets.current(state);
+        final Optional<Ticket> ticket = TicketHandler.currentTicket(state);
         if (ticket.isPresent()) {
             mEndings.handBack(state, ticket.get(), refusalOf(Verdict.MAY_HAVE_RUN), now);
         } else {
--- a/requests/src/main/java/org/whinhead/requests/StallDetector.java
+++ b/requests/src/main/java/org/whinhead/requests/StallDetector.java
@@ -27,13 +27,13 @@
         if (!state.spec().kind().streams() && !state.spec().idempotent()) {
             return false;
         }
-        return !now.isBefore(attempt.heardAt().plus(bound(state, attempt)));
+        return !now.isBefore(attempt.lastEventAt().plus(silenceBound(state, attempt)));
     }
 
     /** Tells whether tokens are missing from a stream whose end arrived a while ago. */
     boolean hasLostTokens(final Attempt attempt, final Instant now) {
-        return attempt.heldEnd().isPresent()
-                && !now.isBefore(attempt.heardAt().plus(MISSING_BEFORE_END));
+        return attempt.deferredEnd().isPresent()
+                && !now.isBefore(attempt.lastEventAt().plus(MISSING_BEFORE_END));
     }
 
     /**
@@ -43,7 +43,7 @@
      * open may rightly wait long for its first token, one that never opens waits for nothing. The
      * caller's deadline would come first, and the engine would go on getting work.
      */
-    private Duration bound(final RequestState state, final Attempt attempt) {
+    private Duration silenceBound(final RequestState state, final Attempt attempt) {
         final Duration bound = tierBound(state, attempt);
         final Duration open = mSettings.openTimeout();
         final boolean opens = state.spec().kind().streams() && !attempt.hasStream();
@@ -53,7 +53,9 @@
     private Duration tierBound(final RequestState state, final Attempt attempt) {
         final Tier tier = state.spec().tier();
         final Duration target =
-                attempt.tokens() == 0 ? tier.firstTokenTarget() : tier.betweenTokensTarget();
+                attempt.receivedTokens() == 0
+                        ? tier.firstTokenTarget()
+                        : tier.betweenTokensTarget();
         final Duration bound = target.multipliedBy(mSettings.silenceFactor());
         final Duration least = mSettings.leastSilence();
         return bound.compareTo(least) < 0 ? least : bound;
--- a/requests/src/main/java/org/whinhead/requests/StreamDelivery.java
+++ b/requests/src/main/java/org/whinhead/requests/StreamDelivery.java
@@ -15,16 +15,16 @@
     /** More tokens than this that overtook others mean that one is lost. */
     private static final int MAX_EARLY_TOKENS = 256;
 
-    private final Wiring mWiring;
-    private final Endings mEndings;
+    private final CoordinatorContext mWiring;
+    private final ActiveRequests mEndings;
     private final Recovery mRecovery;
-    private final Tickets mTickets;
+    private final TicketHandler mTickets;
 
     StreamDelivery(
-            final Wiring wiring,
-            final Endings endings,
+            final CoordinatorContext wiring,
+            final ActiveRequests endings,
             final Recovery recovery,
-            final Tickets tickets) {
+            final TicketHandler tickets) {
         mWiring = wiring;
         mEndings = endings;
         mRecovery = recovery;
@@ -32,29 +32,29 @@
     }
 
     /** A token of the live attempt arrived. */
-    void token(
+    void handleToken(
             final RequestState state,
             final Attempt attempt,
             final AttemptEvent.Token token,
             final Instant now) {
-        attempt.heard(now);
+        attempt.recordEvent(now);
         if (token.index() < attempt.nextIndex()) {
             return;
         }
         if (token.index() > attempt.nextIndex()) {
-            keepEarly(state, attempt, token, now);
+            bufferEarlyToken(state, attempt, token, now);
             return;
         }
         String text = token.text();
         while (text != null) {
-            if (!accept(state, attempt, text)) {
+            if (!compareOrDeliver(state, attempt, text)) {
                 mRecovery.abandon(state, attempt, RecoveryCause.FOREIGN_STREAM, now);
                 return;
             }
-            text = attempt.takeNextEarly();
+            text = attempt.removeNextEarlyToken();
         }
-        if (attempt.heldEnd().isPresent()) {
-            finished(state, attempt, attempt.heldEnd().get(), now);
+        if (attempt.deferredEnd().isPresent()) {
+            handleFinished(state, attempt, attempt.deferredEnd().get(), now);
         }
     }
 
@@ -65,48 +65,49 @@
      * would be short. The end is held until all tokens are there; {@link StallDetector} gives up on
      * those that stay away, and the stream is then read again from the first missing one.
      */
-    void finished(
+    void handleFinished(
             final RequestState state,
             final Attempt attempt,
             final AttemptEvent.Finished finished,
             final Instant now) {
         if (attempt.nextIndex() < finished.answerTokens()) {
-            attempt.heard(now);
-            attempt.holdEnd(finished);
+            attempt.recordEvent(now);
+            attempt.deferEnd(finished);
             return;
         }
         if (finished.answerTokens() < state.delivered().tokens()) {
             mRecovery.abandon(state, attempt, RecoveryCause.FOREIGN_STREAM, now);
             return;
         }
-        takeOffCached(state, attempt, finished);
+        subtractCachedTokens(state, attempt, finished);
         mEndings.complete(state, finished, now);
     }
 
-    private void keepEarly(
+    private void bufferEarlyToken(
             final RequestState state,
             final Attempt attempt,
             final AttemptEvent.Token token,
             final Instant now) {
-        if (attempt.keepEarly(token.index(), token.text()) > MAX_EARLY_TOKENS) {
+        if (attempt.bufferEarlyToken(token.index(), token.text()) > MAX_EARLY_TOKENS) {
             final String detail = "a token is missing";
-            mRecovery.failed(state, attempt, AttemptFailure.CUT_DURING_ANSWER, detail, now);
+            mRecovery.handleFailure(state, attempt, AttemptFailure.CUT_DURING_ANSWER, detail, now);
         }
     }
 
-    private boolean accept(final RequestState state, final Attempt attempt, final String text) {
+    private boolean compareOrDeliver(
+            final RequestState state, final Attempt attempt, final String text) {
         final DeliveredText delivered = state.delivered();
         final long index = attempt.nextIndex();
         if (index < delivered.tokens()) {
-            if (!delivered.hasAt(attempt.checkedCharacters(), text)) {
+            if (!delivered.matchesAt(attempt.checkedCharacters(), text)) {
                 return false;
             }
-            attempt.checked(text.length());
+            attempt.addCheckedCharacters(text.length());
         } else {
-            if (attempt.isChecking() && attempt.checkedCharacters() != delivered.length()) {
+            if (attempt.isComparingText() && attempt.checkedCharacters() != delivered.length()) {
                 return false;
             }
-            attempt.stopChecking();
+            attempt.stopComparingText();
             mTickets.issueBeforeFirstToken(state, attempt);
             delivered.append(text);
             state.setResumeTried(false);
@@ -116,12 +117,12 @@
         return true;
     }
 
-    private void takeOffCached(
+    private void subtractCachedTokens(
             final RequestState state, final Attempt attempt, final AttemptEvent.Finished finished) {
         if (attempt.cause().isPresent()) {
-            final long cached = Math.min(finished.cachedTokens(), attempt.recomputed());
-            state.addRecomputed(-cached);
-            mWiring.counters().takeBack(attempt.cause().get(), cached);
+            final long cached = Math.min(finished.cachedTokens(), attempt.recomputedTokens());
+            state.addRecomputedTokens(-cached);
+            mWiring.counters().subtract(attempt.cause().get(), cached);
         }
     }
 }
--- a/requests/src/main/java/org/whinhead/requests/TicketCodec.java
+++ b/requests/src/main/java/org/whinhead/requests/TicketCodec.java
@@ -85,32 +85,32 @@
      */
     public Ticket read(final String text, final CustomerId caller, final Instant now)
             throws RequestException {
-        final Ticket ticket = verified(text);
+        final Ticket ticket = verify(text);
         if (!ticket.customer().equals(caller)) {
-            throw refused("it belongs to another customer");
+            throw refusal("it belongs to another customer");
         }
         if (!now.isBefore(ticket.deadline())) {
-            throw refused("it has expired");
+            throw refusal("it has expired");
         }
         return ticket;
     }
 
-    private Ticket verified(final String text) throws RequestException {
+    private Ticket verify(final String text) throws RequestException {
         final int end = text.lastIndexOf(SEPARATOR);
         final String[] parts = text.split("\\" + SEPARATOR, -1);
         if (text.length() > MAX_LENGTH || parts.length != PARTS || !FORMAT.equals(parts[0])) {
-            throw refused("it is malformed");
+            throw refusal("it is malformed");
         }
         try {
             final String name = new String(decode(parts[1]), StandardCharsets.UTF_8);
             final Optional<TicketKey> key = Optional.ofNullable(mKeys.get(name));
             final String payload = text.substring(0, end);
             if (key.isEmpty() || !isSigned(key.get(), payload, parts[PARTS - 1])) {
-                throw refused("its signature is not valid");
+                throw refusal("its signature is not valid");
             }
             return fromJson(MAPPER.readTree(decode(parts[2])));
         } catch (final IOException | IllegalArgumentException | DateTimeException e) {
-            throw refused("it is malformed");
+            throw refusal("it is malformed");
         }
     }
 
@@ -168,7 +168,7 @@
         return Base64.getUrlDecoder().decode(text);
     }
 
-    private static RequestException refused(final String why) {
+    private static RequestException refusal(final String why) {
         return new RequestException(
                 new Refusal(ErrorCode.BAD_TICKET, Verdict.MAY_HAVE_RUN, why, Optional.empty()));
     }
--- a/requests/src/main/java/org/whinhead/requests/Tickets.java
+++ b/requests/src/main/java/org/whinhead/requests/TicketHandler.java
@@ -9,18 +9,18 @@
 import org.whinhead.api.verdict.Verdict;
 
 /** Issues tickets for streams and takes in the callers that come back with them. */
-final class Tickets {
+final class TicketHandler {
 
     private static final String NO_STREAM = "";
 
-    private final Wiring mWiring;
-    private final Endings mEndings;
+    private final CoordinatorContext mWiring;
+    private final ActiveRequests mEndings;
     private final AttemptLauncher mLauncher;
     private final Recovery mRecovery;
 
-    Tickets(
-            final Wiring wiring,
-            final Endings endings,
+    TicketHandler(
+            final CoordinatorContext wiring,
+            final ActiveRequests endings,
             final AttemptLauncher launcher,
             final Recovery recovery) {
         mWiring = wiring;
@@ -48,40 +48,40 @@
     }
 
     /** Returns a ticket for what there is: the live stream, or only the caller's text. */
-    static Optional<Ticket> current(final RequestState state) {
+    static Optional<Ticket> currentTicket(final RequestState state) {
         final Optional<Attempt> live = state.live().filter(Attempt::hasStream);
         if (live.isPresent()) {
             return Optional.of(ticketFor(state, live.get()));
         }
-        return state.lastTicket().map(Tickets::withoutStream);
+        return state.lastTicket().map(TicketHandler::withoutStream);
     }
 
     /** Takes in a caller that came back. */
-    void returned(
+    void handleReturn(
             final RequestState state,
             final Ticket ticket,
             final Optional<RequestState> former,
             final Instant now) {
-        final Ticket latest = former.flatMap(Tickets::current).orElse(ticket);
-        former.ifPresent(old -> mEndings.replace(old, now));
+        final Ticket latest = former.flatMap(TicketHandler::currentTicket).orElse(ticket);
+        former.ifPresent(old -> mEndings.supersede(old, now));
         state.addVerdict(Verdict.MAY_HAVE_RUN);
-        state.numberAfter(ticket.attempt().number());
-        former.ifPresent(old -> state.numberAfter(old.lastNumber()));
+        state.skipAttemptNumbers(ticket.attempt().number());
+        former.ifPresent(old -> state.skipAttemptNumbers(old.lastAttemptNumber()));
         state.setLastTicket(latest);
         mEndings.add(state);
         final long rest = Math.max(0, state.spec().maxTokens() - state.delivered().tokens());
         mWiring.admission().returned(state.spec(), rest, now);
         state.setOffered();
         mWiring.log().add(state, DecisionKind.CALLER_RETURNED, latest.endpoint().value(), now);
-        if (state.isLate(now)) {
+        if (state.isPastDeadline(now)) {
             mEndings.giveUp(state, ErrorCode.DEADLINE_PASSED, "before the caller came back", now);
         } else {
-            goOn(state, latest, now);
+            resumeOrRedispatch(state, latest, now);
         }
     }
 
     /** Refuses a ticket that is not this caller's; what it names may have run all the same. */
-    static Optional<Refusal> check(final RequestSpec spec, final Ticket ticket) {
+    static Optional<Refusal> validate(final RequestSpec spec, final Ticket ticket) {
         final boolean fits =
                 ticket.attempt().request().equals(spec.id())
                         && ticket.customer().equals(spec.customer())
@@ -97,7 +97,8 @@
                                 Optional.empty()));
     }
 
-    private void goOn(final RequestState state, final Ticket ticket, final Instant now) {
+    private void resumeOrRedispatch(
+            final RequestState state, final Ticket ticket, final Instant now) {
         final boolean holdsRest =
                 mWiring.settings().recovery().keepsWork()
                         && !ticket.streamId().isEmpty()
@@ -113,7 +114,7 @@
             return;
         }
         state.setCause(Optional.of(RecoveryCause.CALLER_RETURNED));
-        mRecovery.carryOn(state, "no engine holds the stream", now);
+        mRecovery.redispatchIfAllowed(state, "no engine holds the stream", now);
     }
 
     private static Ticket ticketFor(final RequestState state, final Attempt attempt) {
--- a/requests/src/test/java/org/whinhead/requests/AtMostOnceTest.java
+++ b/requests/src/test/java/org/whinhead/requests/AtMostOnceTest.java
@@ -9,7 +9,7 @@
 /** Each place where a non-idempotent request could run twice; the numbers are those of the note. */
 class AtMostOnceTest {
 
-    private final Recorder mWorld = new Recorder("ab");
+    private final CoordinatorHarness mWorld = new CoordinatorHarness("ab");
 
     /**
      * Place 1. The claim is granted, but the daemon was paused meanwhile and wakes after the
@@ -28,7 +28,7 @@
      */
     @Test
     void grantAfterTheCallerLeftIsNotDispatched() {
-        mWorld.call(false).coordinator().callerLeft(Recorder.ID, mWorld.now());
+        mWorld.call(false).coordinator().onCallerDisconnected(CoordinatorHarness.ID, mWorld.now());
         mWorld.claim(ClaimOutcome.GRANTED);
         assertThat(mWorld.actions()).containsExactly("claim r");
     }
@@ -88,7 +88,7 @@
     void failedMoveIsNotReplacedByAnotherRun() {
         mWorld.chat(false).claim(ClaimOutcome.GRANTED).opened(1, "s1").token(1, 0, "x ");
         mWorld.coordinator()
-                .endpointLeaving(new EndpointId("a"), mWorld.now().plusSeconds(5), mWorld.now());
+                .onEndpointLeaving(new EndpointId("a"), mWorld.now().plusSeconds(5), mWorld.now());
         mWorld.failed(2, AttemptFailure.CUT_BEFORE_ANSWER).pass(Duration.ofSeconds(6)).tick();
         assertThat(mWorld.actions())
                 .containsExactly(
--- a/requests/src/test/java/org/whinhead/requests/Recorder.java
+++ b/requests/src/test/java/org/whinhead/requests/CoordinatorHarness.java
@@ -30,7 +30,7 @@
 import org.whinhead.routing.Router;
 
 /** A coordinator before endpoints a, b, c..., and the actions that it asked for, as short texts. */
-final class Recorder {
+final class CoordinatorHarness {
 
     static final Instant START = Instant.parse("2026-01-01T00:00:00Z");
     static final RequestId ID = new RequestId("r");
@@ -41,11 +41,12 @@
     private final DefaultRequestCoordinator mCoordinator;
     private Instant mNow = START;
 
-    Recorder(final RequestSettings settings, final String endpoints) {
+    CoordinatorHarness(final RequestSettings settings, final String endpoints) {
         this(settings, endpoints, 1000);
     }
 
-    Recorder(final RequestSettings settings, final String endpoints, final int maxRunning) {
+    CoordinatorHarness(
+            final RequestSettings settings, final String endpoints, final int maxRunning) {
         final InvocationHandler handler =
                 (proxy, method, arguments) -> {
                     mActions.add(method.getName() + describe(arguments));
@@ -53,7 +54,7 @@
                 };
         final Class<?>[] types = {RequestActions.class};
         final Object actions =
-                Proxy.newProxyInstance(Recorder.class.getClassLoader(), types, handler);
+                Proxy.newProxyInstance(CoordinatorHarness.class.getClassLoader(), types, handler);
         mCoordinator =
                 DefaultRequestCoordinator.builder()
                         .router(new FirstRouter(endpoints))
@@ -64,7 +65,7 @@
                         .build();
     }
 
-    Recorder(final String endpoints) {
+    CoordinatorHarness(final String endpoints) {
         this(RequestSettings.builder().build(), endpoints);
     }
 
@@ -84,60 +85,61 @@
         return actions;
     }
 
-    Recorder pass(final Duration time) {
+    CoordinatorHarness pass(final Duration time) {
         mNow = mNow.plus(time);
         return this;
     }
 
-    Recorder tick() {
+    CoordinatorHarness tick() {
         mCoordinator.tick(mNow);
         return this;
     }
 
-    Recorder chat(final boolean idempotent) {
-        mCoordinator.arrived(chatSpec(idempotent), mNow);
+    CoordinatorHarness chat(final boolean idempotent) {
+        mCoordinator.submit(chatSpec(idempotent), mNow);
         return this;
     }
 
-    Recorder call(final boolean idempotent) {
-        mCoordinator.arrived(spec(ID).service("filing").idempotent(idempotent).build(), mNow);
+    CoordinatorHarness call(final boolean idempotent) {
+        mCoordinator.submit(spec(ID).service("filing").idempotent(idempotent).build(), mNow);
         return this;
     }
 
-    Recorder claim(final ClaimOutcome outcome) {
-        mCoordinator.claimDecided(ID, outcome, mNow);
+    CoordinatorHarness claim(final ClaimOutcome outcome) {
+        mCoordinator.onClaimDecided(ID, outcome, mNow);
         return this;
     }
 
-    Recorder opened(final int attempt, final String stream) {
+    CoordinatorHarness opened(final int attempt, final String stream) {
         return event(new AttemptEvent.Opened(new AttemptId(ID, attempt), stream));
     }
 
-    Recorder token(final int attempt, final long index, final String text) {
+    CoordinatorHarness token(final int attempt, final long index, final String text) {
         return event(new AttemptEvent.Token(new AttemptId(ID, attempt), index, text));
     }
 
-    Recorder failed(final int attempt, final AttemptFailure failure) {
+    CoordinatorHarness failed(final int attempt, final AttemptFailure failure) {
         return event(new AttemptEvent.Failed(new AttemptId(ID, attempt), failure, "cause"));
     }
 
-    Recorder moved(final int attempt, final String stream) {
+    CoordinatorHarness moved(final int attempt, final String stream) {
         return event(new AttemptEvent.Moved(new AttemptId(ID, attempt), stream));
     }
 
-    Recorder event(final AttemptEvent event) {
-        mCoordinator.attemptEvent(event, mNow);
+    CoordinatorHarness event(final AttemptEvent event) {
+        mCoordinator.onAttemptEvent(event, mNow);
         return this;
     }
 
     /** The caller comes back with a ticket for stream s1 of attempt 1 at endpoint a. */
-    Recorder returned(final boolean idempotent, final long haveTokens, final String haveText) {
+    CoordinatorHarness returned(
+            final boolean idempotent, final long haveTokens, final String haveText) {
         final RequestSpec spec = chatSpec(idempotent);
         final AttemptId first = new AttemptId(ID, 1);
         final EndpointId holder = new EndpointId("a");
         final Ticket ticket =
                 new Ticket(first, spec.customer(), holder, "s1", 0, idempotent, spec.deadline());
-        mCoordinator.returned(spec, ticket, haveTokens, haveText, mNow);
+        mCoordinator.resume(spec, ticket, haveTokens, haveText, mNow);
         return this;
     }
 
@@ -156,7 +158,7 @@
 
     private static String describe(final Object... arguments) {
         return Arrays.stream(arguments)
-                .map(Recorder::describe)
+                .map(CoordinatorHarness::describe)
                 .collect(Collectors.joining(" ", " ", ""));
     }
 
--- a/requests/src/test/java/org/whinhead/requests/RecoveryTest.java
+++ b/requests/src/test/java/org/whinhead/requests/RecoveryTest.java
@@ -16,7 +16,7 @@
 
     private static final Predicate<String> REFUSED = action -> action.startsWith("refuse");
 
-    private final Recorder mWorld = new Recorder("ab");
+    private final CoordinatorHarness mWorld = new CoordinatorHarness("ab");
 
     /**
      * The connection breaks in the middle of an answer, and then the engine is gone. The caller
@@ -37,7 +37,10 @@
                         "generate r#3 b x  1",
                         "deliver r 1 y ",
                         "deliver r 2 z ");
-        assertThat(mWorld.coordinator().recoveries().recomputedTokens(RecoveryCause.ENGINE_FAILED))
+        assertThat(
+                        mWorld.coordinator()
+                                .recoveryCounters()
+                                .recomputedTokens(RecoveryCause.ENGINE_FAILED))
                 .isEqualTo(11);
     }
 
@@ -46,9 +49,9 @@
     void startingOverGeneratesFromTheStartAndDeliversOnlyTheRest() {
         final RequestSettings settings =
                 RequestSettings.builder().recovery(RecoveryMode.START_OVER).build();
-        final Recorder world = new Recorder(settings, "ab");
+        final CoordinatorHarness world = new CoordinatorHarness(settings, "ab");
         world.chat(true).opened(1, "s1").token(1, 0, "x ");
-        world.coordinator().endpointLeaving(new EndpointId("a"), world.now(), world.now());
+        world.coordinator().onEndpointLeaving(new EndpointId("a"), world.now(), world.now());
         world.failed(1, AttemptFailure.CUT_DURING_ANSWER).pass(SECOND).tick();
         world.opened(2, "s2").token(2, 0, "x ").token(2, 1, "y ");
         assertThat(world.actions())
@@ -70,7 +73,7 @@
     }
 
     private static long dispatchesOfDyingEngines(final RequestSettings.Builder settings) {
-        final Recorder world = new Recorder(settings.build(), "abcd");
+        final CoordinatorHarness world = new CoordinatorHarness(settings.build(), "abcd");
         world.chat(true);
         for (int attempt = 1; attempt <= 4; attempt++) {
             world.opened(attempt, "s" + attempt);
@@ -124,13 +127,14 @@
      */
     @Test
     void callerThatComesBackHoldsSlotUntilItsEnd() {
-        final Recorder world = new Recorder(RequestSettings.builder().build(), "ab", 1);
+        final CoordinatorHarness world =
+                new CoordinatorHarness(RequestSettings.builder().build(), "ab", 1);
         final RequestId next = new RequestId("next");
         world.returned(true, 1, "x ")
                 .coordinator()
-                .arrived(Recorder.spec(next).service("x").build(), world.now());
+                .submit(CoordinatorHarness.spec(next).service("x").build(), world.now());
         assertThat(world.actions()).containsExactly("resume r#2 a s1 1");
-        world.coordinator().callerLeft(Recorder.ID, world.now());
+        world.coordinator().onCallerDisconnected(CoordinatorHarness.ID, world.now());
         assertThat(world.actions()).containsExactly("cancel r#2 a s1", "call next#1 a");
     }
 
@@ -150,7 +154,7 @@
     void lateMoveIsCancelled() {
         mWorld.chat(true).opened(1, "s1").token(1, 0, "x ");
         mWorld.coordinator()
-                .endpointLeaving(new EndpointId("a"), mWorld.now().plusSeconds(9), mWorld.now());
+                .onEndpointLeaving(new EndpointId("a"), mWorld.now().plusSeconds(9), mWorld.now());
         mWorld.token(1, 1, "y ").pass(Duration.ofSeconds(2)).tick().moved(2, "s2");
         assertThat(mWorld.actions())
                 .containsExactly(
@@ -189,10 +193,11 @@
         final int requests = 1000;
         final RequestSettings settings =
                 RequestSettings.builder().retries(0.1, 10).patience(SECOND).build();
-        final Recorder world = new Recorder(settings, "ab");
+        final CoordinatorHarness world = new CoordinatorHarness(settings, "ab");
         for (int number = 0; number < requests; number++) {
             final RequestId id = new RequestId("r" + number);
-            world.coordinator().arrived(Recorder.spec(id).service("x").build(), world.now());
+            world.coordinator()
+                    .submit(CoordinatorHarness.spec(id).service("x").build(), world.now());
             world.event(failure(id, 1));
         }
         IntStream.range(0, 40).forEach(round -> world.pass(Duration.ofMillis(50)).tick());
@@ -200,7 +205,7 @@
                 world.actions().stream().filter(action -> action.startsWith("call")).count();
         // The burst of 10 is refilled by first dispatches and by one retry a second.
         assertThat(sent - requests).isBetween(1L, 10L + 2);
-        assertThat(world.coordinator().inProgress()).isEqualTo(sent - requests);
+        assertThat(world.coordinator().requestCount()).isEqualTo(sent - requests);
     }
 
     private static AttemptEvent failure(final RequestId request, final int attempt) {
