--- a/admission/src/main/java/org/whinhead/admission/Admission.java
+++ b/admission/src/main/java/org/whinhead/admission/Admission.java
@@ -27,7 +27,7 @@
      * @param now the time
      * @return the admitted requests
      */
-    List<RequestSpec> admitted(Instant now);
+    List<RequestSpec> takeAdmitted(Instant now);
 
     /**
      * Takes the waiting requests that can no longer be served in time.
@@ -35,7 +35,7 @@
      * @param now the time
      * @return each with its refusal, verdict "not run"
      */
-    List<Shed> shed(Instant now);
+    List<ShedRequest> takeShed(Instant now);
 
     /**
      * A caller came back with a ticket for the rest of its answer, and the request goes on here at
@@ -46,7 +46,7 @@
      * @param restTokens the most tokens that may still be generated
      * @param now the time
      */
-    default void returned(final RequestSpec spec, final long restTokens, final Instant now) {}
+    default void resume(final RequestSpec spec, final long restTokens, final Instant now) {}
 
     /**
      * A request that was offered or returned ended, or its caller left.
@@ -55,7 +55,7 @@
      * @param generatedTokens tokens that were generated for it
      * @param now the time
      */
-    void ended(RequestId request, long generatedTokens, Instant now);
+    void requestEnded(RequestId request, long generatedTokens, Instant now);
 
     /**
      * A waiting request that is refused.
@@ -63,5 +63,5 @@
      * @param spec the request
      * @param refusal what its caller is told
      */
-    record Shed(RequestSpec spec, Refusal refusal) {}
+    record ShedRequest(RequestSpec spec, Refusal refusal) {}
 }
--- a/admission/src/main/java/org/whinhead/admission/AdmissionSettings.java
+++ b/admission/src/main/java/org/whinhead/admission/AdmissionSettings.java
@@ -15,10 +15,10 @@
  */
 public record AdmissionSettings(
         int maxWaiting,
-        int startSlots,
+        int initialSlots,
         Duration dispatchAllowance,
-        Duration shortestRetry,
-        Duration longestRetry) {
+        Duration minRetryAfter,
+        Duration maxRetryAfter) {
 
     /** Bounds for an entry VM of today's size. */
     public static final AdmissionSettings DEFAULT =
@@ -32,9 +32,9 @@
     /** Checks every part. */
     public AdmissionSettings {
         Arguments.requireAtLeast(maxWaiting, 1, "maxWaiting");
-        Arguments.requireAtLeast(startSlots, 0, "startSlots");
+        Arguments.requireAtLeast(initialSlots, 0, "initialSlots");
         Arguments.requirePositive(dispatchAllowance, "dispatchAllowance");
-        Arguments.requirePositive(shortestRetry, "shortestRetry");
-        Arguments.requirePositive(longestRetry, "longestRetry");
+        Arguments.requirePositive(minRetryAfter, "minRetryAfter");
+        Arguments.requirePositive(maxRetryAfter, "maxRetryAfter");
     }
 }
--- a/admission/src/main/java/org/whinhead/admission/CustomerQueue.java
+++ b/admission/src/main/java/org/whinhead/admission/CustomerQueue.java
@@ -5,11 +5,11 @@
 /** The waiting requests of one customer in one tier, most urgent first. */
 final class CustomerQueue {
 
-    private final TreeSet<Waiter> mWaiters = new TreeSet<>();
+    private final TreeSet<QueuedRequest> mRequests = new TreeSet<>();
     private double mVirtualTime;
     private int mWeight = 1;
 
-    void weigh(final int weight) {
+    void setWeight(final int weight) {
         mWeight = weight;
     }
 
@@ -18,7 +18,7 @@
     }
 
     int size() {
-        return mWaiters.size();
+        return mRequests.size();
     }
 
     double virtualTime() {
@@ -26,11 +26,11 @@
     }
 
     double backlogPerWeight() {
-        return (double) mWaiters.size() / mWeight;
+        return (double) mRequests.size() / mWeight;
     }
 
-    Waiter first() {
-        return mWaiters.first();
+    QueuedRequest first() {
+        return mRequests.first();
     }
 
     /**
@@ -39,28 +39,28 @@
      * <p>Guards against a customer that saves up claims while idle and then shuts the others out:
      * on becoming busy it starts at the virtual time of those that were served meanwhile.
      */
-    void add(final Waiter waiter, final double tierTime) {
-        if (mWaiters.isEmpty()) {
+    void add(final QueuedRequest waiter, final double tierTime) {
+        if (mRequests.isEmpty()) {
             mVirtualTime = Math.max(mVirtualTime, tierTime);
         }
-        mWaiters.add(waiter);
+        mRequests.add(waiter);
     }
 
-    Waiter serve() {
-        final Waiter waiter = mWaiters.pollFirst();
-        mVirtualTime += waiter.work() / mWeight;
+    QueuedRequest pollNext() {
+        final QueuedRequest waiter = mRequests.pollFirst();
+        mVirtualTime += waiter.workTokens() / mWeight;
         return waiter;
     }
 
-    Waiter removeFirst() {
-        return mWaiters.pollFirst();
+    QueuedRequest removeFirst() {
+        return mRequests.pollFirst();
     }
 
-    Waiter removeLast() {
-        return mWaiters.pollLast();
+    QueuedRequest removeLast() {
+        return mRequests.pollLast();
     }
 
-    boolean remove(final Waiter waiter) {
-        return mWaiters.remove(waiter);
+    boolean remove(final QueuedRequest waiter) {
+        return mRequests.remove(waiter);
     }
 }
--- a/admission/src/main/java/org/whinhead/admission/SimpleAdmission.java
+++ b/admission/src/main/java/org/whinhead/admission/FifoAdmission.java
@@ -16,7 +16,7 @@
 import org.whinhead.api.verdict.Refusal;
 
 /** First come, first served, with a bound on running and on waiting requests; no tiers. */
-public final class SimpleAdmission implements Admission {
+public final class FifoAdmission implements Admission {
 
     private final int mMaxRunning;
     private final int mMaxWaiting;
@@ -29,7 +29,7 @@
      * @param maxRunning the most requests admitted at once
      * @param maxWaiting the most requests that wait
      */
-    public SimpleAdmission(final int maxRunning, final int maxWaiting) {
+    public FifoAdmission(final int maxRunning, final int maxWaiting) {
         Arguments.requireAtLeast(maxRunning, 1, "maxRunning");
         Arguments.requireAtLeast(maxWaiting, 1, "maxWaiting");
         mMaxRunning = maxRunning;
@@ -46,7 +46,7 @@
     }
 
     @Override
-    public List<RequestSpec> admitted(final Instant now) {
+    public List<RequestSpec> takeAdmitted(final Instant now) {
         final List<RequestSpec> admitted = new ArrayList<>();
         while (mRunning.size() < mMaxRunning && !mWaiting.isEmpty()) {
             final RequestSpec spec = mWaiting.remove();
@@ -57,25 +57,28 @@
     }
 
     @Override
-    public void returned(final RequestSpec spec, final long restTokens, final Instant now) {
+    public void resume(final RequestSpec spec, final long restTokens, final Instant now) {
         mRunning.add(spec.id());
     }
 
     @Override
-    public List<Shed> shed(final Instant now) {
-        final List<Shed> shed = new ArrayList<>();
+    public List<ShedRequest> takeShed(final Instant now) {
+        final List<ShedRequest> shed = new ArrayList<>();
         for (final Iterator<RequestSpec> all = mWaiting.iterator(); all.hasNext(); ) {
             final RequestSpec spec = all.next();
             if (!now.isBefore(spec.deadline())) {
                 all.remove();
-                shed.add(new Shed(spec, Refusal.notRun(ErrorCode.DEADLINE_PASSED, "in queue")));
+                shed.add(
+                        new ShedRequest(
+                                spec, Refusal.notRun(ErrorCode.DEADLINE_PASSED, "in queue")));
             }
         }
         return shed;
     }
 
     @Override
-    public void ended(final RequestId request, final long generatedTokens, final Instant now) {
+    public void requestEnded(
+            final RequestId request, final long generatedTokens, final Instant now) {
         if (!mRunning.remove(request)) {
             mWaiting.removeIf(spec -> spec.id().equals(request));
         }
--- a/admission/src/main/java/org/whinhead/admission/ServiceTimes.java
+++ b/admission/src/main/java/org/whinhead/admission/ServiceTimes.java
@@ -5,11 +5,11 @@
 /** Moving averages of what requests of one target take. */
 final class ServiceTimes {
 
-    private static final double NEW_SHARE = 0.1;
+    private static final double NEW_SAMPLE_SHARE = 0.1;
     private static final double NANOS_PER_SECOND = 1e9;
 
-    private double mTokens;
-    private double mSeconds;
+    private double mTokensPerRequest;
+    private double mSecondsPerRequest;
 
     /**
      * Takes in a request that ran.
@@ -22,18 +22,18 @@
         if (tokens <= 0 || seconds <= 0) {
             return;
         }
-        final double share = mSeconds == 0 ? 1 : NEW_SHARE;
-        mTokens += share * (tokens - mTokens);
-        mSeconds += share * (seconds - mSeconds);
+        final double share = mSecondsPerRequest == 0 ? 1 : NEW_SAMPLE_SHARE;
+        mTokensPerRequest += share * (tokens - mTokensPerRequest);
+        mSecondsPerRequest += share * (seconds - mSecondsPerRequest);
     }
 
     /** Returns tokens a second of one slot, or 0 if nothing ran yet. */
     double tokensPerSecond() {
-        return mSeconds == 0 ? 0 : mTokens / mSeconds;
+        return mSecondsPerRequest == 0 ? 0 : mTokensPerRequest / mSecondsPerRequest;
     }
 
     /** Returns the expected seconds that a request holds a slot, or 0 if nothing ran yet. */
-    double seconds() {
-        return mTokens == 0 ? 0 : mTokens / tokensPerSecond();
+    double secondsPerRequest() {
+        return mTokensPerRequest == 0 ? 0 : mTokensPerRequest / tokensPerSecond();
     }
 }
--- a/admission/src/main/java/org/whinhead/admission/Lane.java
+++ b/admission/src/main/java/org/whinhead/admission/TargetQueue.java
@@ -11,17 +11,17 @@
 import org.whinhead.api.model.CustomerId;
 
 /** The queues and the capacity of one target. */
-final class Lane {
+final class TargetQueue {
 
     private static final double NANOS_PER_SECOND = 1e9;
 
     private final NavigableMap<Integer, TierQueue> mTiers =
             new TreeMap<>(Comparator.reverseOrder());
-    private final ServiceTimes mTimes = new ServiceTimes();
+    private final ServiceTimes mServiceTimes = new ServiceTimes();
     private int mSlots;
     private int mRunning;
 
-    Lane(final int slots) {
+    TargetQueue(final int slots) {
         mSlots = slots;
     }
 
@@ -37,23 +37,23 @@
         return waiting;
     }
 
-    void add(final Waiter waiter, final int weight) {
+    void add(final QueuedRequest waiter, final int weight) {
         final int priority = waiter.spec().tier().priority();
         mTiers.computeIfAbsent(priority, key -> new TierQueue()).add(waiter, weight);
     }
 
-    boolean remove(final Waiter waiter) {
+    boolean remove(final QueuedRequest waiter) {
         final TierQueue queue = mTiers.get(waiter.spec().tier().priority());
         return queue != null && queue.remove(waiter);
     }
 
     /** Takes the next request if a slot is free; strictly by tier. */
-    Waiter serve(final Predicate<Waiter> gate) {
+    QueuedRequest pollNext(final Predicate<QueuedRequest> gate) {
         if (mRunning >= mSlots) {
             return null;
         }
         for (final TierQueue queue : mTiers.values()) {
-            final Waiter waiter = queue.serve(gate);
+            final QueuedRequest waiter = queue.pollNext(gate);
             if (waiter != null) {
                 mRunning++;
                 return waiter;
@@ -63,13 +63,13 @@
     }
 
     /** Counts a request that runs without having been served from the queue. */
-    void returned() {
+    void addRunning() {
         mRunning++;
     }
 
-    void ended(final long tokens, final Duration took) {
+    void requestEnded(final long tokens, final Duration took) {
         mRunning--;
-        mTimes.observe(tokens, took);
+        mServiceTimes.observe(tokens, took);
     }
 
     /** Returns how long one more request of a customer would wait for a slot. */
@@ -79,12 +79,12 @@
             ahead += queue.size();
         }
         final TierQueue own = mTiers.get(priority);
-        ahead += own == null ? 0 : own.ahead(customer, weight);
+        ahead += own == null ? 0 : own.requestsAhead(customer, weight);
         final double position = ahead + 1 - Math.max(0, mSlots - mRunning);
         if (position <= 0 || mSlots == 0) {
             return Duration.ZERO;
         }
-        final double seconds = position * mTimes.seconds() / mSlots;
+        final double seconds = position * mServiceTimes.secondsPerRequest() / mSlots;
         return Duration.ofNanos((long) (seconds * NANOS_PER_SECOND));
     }
 
@@ -92,7 +92,7 @@
      * Makes room for one more request: takes one of the lowest tier, or of the customer with the
      * largest backlog of the same tier; null if the newcomer itself is the one to refuse.
      */
-    Waiter evictFor(final int priority, final CustomerId customer, final int weight) {
+    QueuedRequest evictFor(final int priority, final CustomerId customer, final int weight) {
         for (final var tier : mTiers.descendingMap().entrySet()) {
             final TierQueue queue = tier.getValue();
             if (queue.size() == 0) {
@@ -108,10 +108,10 @@
         return null;
     }
 
-    List<Waiter> removeLate(final Instant now) {
-        final List<Waiter> late = new ArrayList<>();
+    List<QueuedRequest> removeOverdue(final Instant now) {
+        final List<QueuedRequest> late = new ArrayList<>();
         for (final TierQueue queue : mTiers.values()) {
-            queue.removeLate(now, late);
+            queue.removeOverdue(now, late);
         }
         return late;
     }
--- a/admission/src/main/java/org/whinhead/admission/TierQueue.java
+++ b/admission/src/main/java/org/whinhead/admission/TierQueue.java
@@ -19,15 +19,15 @@
         return mSize;
     }
 
-    void add(final Waiter waiter, final int weight) {
+    void add(final QueuedRequest waiter, final int weight) {
         final CustomerQueue queue =
                 mCustomers.computeIfAbsent(waiter.spec().customer(), id -> new CustomerQueue());
-        queue.weigh(weight);
+        queue.setWeight(weight);
         queue.add(waiter, mVirtualTime);
         mSize++;
     }
 
-    boolean remove(final Waiter waiter) {
+    boolean remove(final QueuedRequest waiter) {
         final CustomerQueue queue = mCustomers.get(waiter.spec().customer());
         final boolean removed = queue != null && queue.remove(waiter);
         mSize -= removed ? 1 : 0;
@@ -35,7 +35,7 @@
     }
 
     /** Takes the next request among customers whose first one passes a gate, or null. */
-    Waiter serve(final Predicate<Waiter> gate) {
+    QueuedRequest pollNext(final Predicate<QueuedRequest> gate) {
         CustomerQueue next = null;
         for (final CustomerQueue queue : mCustomers.values()) {
             final boolean isEarlier = next == null || queue.virtualTime() < next.virtualTime();
@@ -48,14 +48,14 @@
         }
         mVirtualTime = Math.max(mVirtualTime, next.virtualTime());
         mSize--;
-        return next.serve();
+        return next.pollNext();
     }
 
     /**
      * Returns how many of this tier go before one more request of a customer: all, or its own
      * backlog times its share's inverse if that is fewer.
      */
-    double ahead(final CustomerId customer, final int weight) {
+    double requestsAhead(final CustomerId customer, final int weight) {
         final CustomerQueue own = mCustomers.get(customer);
         double weights = own == null || own.size() == 0 ? weight : 0;
         for (final CustomerQueue queue : mCustomers.values()) {
@@ -80,7 +80,7 @@
     }
 
     /** Takes the least urgent request of the customer with the largest backlog per weight. */
-    Waiter evict() {
+    QueuedRequest evict() {
         CustomerQueue largest = null;
         for (final CustomerQueue queue : mCustomers.values()) {
             if (largest == null || queue.backlogPerWeight() > largest.backlogPerWeight()) {
@@ -95,7 +95,7 @@
     }
 
     /** Takes the requests whose target can no longer be met, and forgets idle customers. */
-    void removeLate(final Instant now, final List<Waiter> into) {
+    void removeOverdue(final Instant now, final List<QueuedRequest> into) {
         for (final Iterator<CustomerQueue> all = mCustomers.values().iterator(); all.hasNext(); ) {
             final CustomerQueue queue = all.next();
             while (queue.size() > 0 && queue.first().due().isBefore(now)) {
--- a/admission/src/main/java/org/whinhead/admission/TieredAdmission.java
+++ b/admission/src/main/java/org/whinhead/admission/TieredAdmission.java
@@ -23,18 +23,18 @@
  */
 public final class TieredAdmission implements Admission {
 
-    private static final int SPREAD_STEPS = 256;
+    private static final int RETRY_SPREAD_STEPS = 256;
 
     private final AdmissionSettings mSettings;
     private final Budget mBudget;
-    private final Map<Target, Lane> mLanes = new HashMap<>();
-    private final Map<RequestId, Waiter> mWaiting = new HashMap<>();
-    private final Map<RequestId, Running> mRunning = new HashMap<>();
-    private final List<Shed> mShed = new ArrayList<>();
+    private final Map<Target, TargetQueue> mQueues = new HashMap<>();
+    private final Map<RequestId, QueuedRequest> mWaiting = new HashMap<>();
+    private final Map<RequestId, RunningRequest> mRunning = new HashMap<>();
+    private final List<ShedRequest> mShed = new ArrayList<>();
     private Map<CustomerId, Customer> mCustomers = Map.of();
     private long mSequence;
-    private long mReturned;
-    private long mReturnedWithoutBudget;
+    private long mResumed;
+    private long mResumedWithoutBudget;
 
     /**
      * Makes empty queues.
@@ -68,12 +68,12 @@
      * @param slots this daemon's share of the slots of all endpoints that serve it
      */
     public void capacityChanged(final Target target, final int slots) {
-        lane(target).resize(slots);
+        queue(target).resize(slots);
     }
 
     @Override
     public Optional<Refusal> offer(final RequestSpec spec, final Instant now) {
-        final Lane lane = lane(Target.of(spec));
+        final TargetQueue lane = queue(Target.of(spec));
         final int weight = weight(spec.customer());
         final int priority = spec.tier().priority();
         final Instant due = due(spec);
@@ -86,39 +86,39 @@
             return Optional.of(budgetSpent(decision));
         }
         if (lane.waiting() >= mSettings.maxWaiting()) {
-            final Waiter evicted = lane.evictFor(priority, spec.customer(), weight);
+            final QueuedRequest evicted = lane.evictFor(priority, spec.customer(), weight);
             if (evicted == null) {
                 mBudget.settle(spec.id(), 0, now);
                 return Optional.of(overloaded(spec, wait));
             }
             shed(evicted, overloaded(evicted.spec(), wait), now);
         }
-        final Waiter waiter = new Waiter(spec, due, mSequence++);
+        final QueuedRequest waiter = new QueuedRequest(spec, due, mSequence++);
         lane.add(waiter, weight);
         mWaiting.put(spec.id(), waiter);
         return Optional.empty();
     }
 
     @Override
-    public List<RequestSpec> admitted(final Instant now) {
-        removeLate(now);
+    public List<RequestSpec> takeAdmitted(final Instant now) {
+        shedOverdue(now);
         final List<RequestSpec> admitted = new ArrayList<>();
-        for (final Lane lane : mLanes.values()) {
-            Waiter waiter = lane.serve(candidate -> hasBudget(candidate, now));
+        for (final TargetQueue lane : mQueues.values()) {
+            QueuedRequest waiter = lane.pollNext(candidate -> hasBudget(candidate, now));
             while (waiter != null) {
                 mWaiting.remove(waiter.spec().id());
-                mRunning.put(waiter.spec().id(), new Running(lane, now));
+                mRunning.put(waiter.spec().id(), new RunningRequest(lane, now));
                 admitted.add(waiter.spec());
-                waiter = lane.serve(candidate -> hasBudget(candidate, now));
+                waiter = lane.pollNext(candidate -> hasBudget(candidate, now));
             }
         }
         return admitted;
     }
 
     @Override
-    public List<Shed> shed(final Instant now) {
-        removeLate(now);
-        final List<Shed> shed = List.copyOf(mShed);
+    public List<ShedRequest> takeShed(final Instant now) {
+        shedOverdue(now);
+        final List<ShedRequest> shed = List.copyOf(mShed);
         mShed.clear();
         return shed;
     }
@@ -132,25 +132,26 @@
      * drained.
      */
     @Override
-    public void returned(final RequestSpec spec, final long restTokens, final Instant now) {
-        final Lane lane = lane(Target.of(spec));
-        lane.returned();
-        mRunning.put(spec.id(), new Running(lane, now));
-        mReturned++;
+    public void resume(final RequestSpec spec, final long restTokens, final Instant now) {
+        final TargetQueue lane = queue(Target.of(spec));
+        lane.addRunning();
+        mRunning.put(spec.id(), new RunningRequest(lane, now));
+        mResumed++;
         if (reserve(spec, restTokens, now).kind() != BudgetDecision.Kind.RESERVED) {
-            mReturnedWithoutBudget++;
+            mResumedWithoutBudget++;
         }
     }
 
     @Override
-    public void ended(final RequestId request, final long generatedTokens, final Instant now) {
-        final Running running = mRunning.remove(request);
-        final Waiter waiter = mWaiting.remove(request);
+    public void requestEnded(
+            final RequestId request, final long generatedTokens, final Instant now) {
+        final RunningRequest running = mRunning.remove(request);
+        final QueuedRequest waiter = mWaiting.remove(request);
         if (running != null) {
-            running.lane().ended(generatedTokens, Duration.between(running.since(), now));
+            running.queue().requestEnded(generatedTokens, Duration.between(running.since(), now));
             mBudget.settle(request, generatedTokens, now);
         } else if (waiter != null) {
-            lane(Target.of(waiter.spec())).remove(waiter);
+            queue(Target.of(waiter.spec())).remove(waiter);
             mBudget.settle(request, 0, now);
         }
     }
@@ -166,16 +167,16 @@
     }
 
     /** Returns how many requests came back with a ticket so far. */
-    public long returned() {
-        return mReturned;
+    public long resumed() {
+        return mResumed;
     }
 
     /** Returns how many of those found no budget left and went on all the same. */
-    public long returnedWithoutBudget() {
-        return mReturnedWithoutBudget;
+    public long resumedWithoutBudget() {
+        return mResumedWithoutBudget;
     }
 
-    private boolean hasBudget(final Waiter waiter, final Instant now) {
+    private boolean hasBudget(final QueuedRequest waiter, final Instant now) {
         return reserve(waiter.spec(), now).kind() == BudgetDecision.Kind.RESERVED;
     }
 
@@ -198,9 +199,9 @@
      * <p>Guards against work for nothing under overload: an answer that begins after its target
      * counts for nobody, and the slot that it takes makes the next one late as well.
      */
-    private void removeLate(final Instant now) {
-        for (final Lane lane : mLanes.values()) {
-            for (final Waiter waiter : lane.removeLate(now)) {
+    private void shedOverdue(final Instant now) {
+        for (final TargetQueue lane : mQueues.values()) {
+            for (final QueuedRequest waiter : lane.removeOverdue(now)) {
                 final BudgetDecision decision = reserve(waiter.spec(), now);
                 final boolean isSpent = decision.kind() != BudgetDecision.Kind.RESERVED;
                 final RequestSpec spec = waiter.spec();
@@ -212,15 +213,15 @@
         }
     }
 
-    private void shed(final Waiter waiter, final Refusal refusal, final Instant now) {
+    private void shed(final QueuedRequest waiter, final Refusal refusal, final Instant now) {
         mWaiting.remove(waiter.spec().id());
         mBudget.settle(waiter.spec().id(), 0, now);
-        mShed.add(new Shed(waiter.spec(), refusal));
+        mShed.add(new ShedRequest(waiter.spec(), refusal));
     }
 
     private Refusal budgetSpent(final BudgetDecision decision) {
         return Refusal.notRun(ErrorCode.BUDGET_SPENT, "team budget")
-                .comeBackAfter(clamp(decision.retryAfter()));
+                .comeBackAfter(clampRetryAfter(decision.retryAfter()));
     }
 
     /**
@@ -228,18 +229,18 @@
      * moment, so each is told a time of its own, up to half as long again.
      */
     private Refusal overloaded(final RequestSpec spec, final Duration wait) {
-        final int step = Math.floorMod(spec.id().hashCode(), SPREAD_STEPS);
-        final Duration base = clamp(wait);
-        final Duration spread = base.multipliedBy(step).dividedBy(2L * SPREAD_STEPS);
+        final int step = Math.floorMod(spec.id().hashCode(), RETRY_SPREAD_STEPS);
+        final Duration base = clampRetryAfter(wait);
+        final Duration spread = base.multipliedBy(step).dividedBy(2L * RETRY_SPREAD_STEPS);
         return Refusal.notRun(ErrorCode.OVERLOADED, "tier " + spec.tier().name())
                 .comeBackAfter(base.plus(spread));
     }
 
-    private Duration clamp(final Duration wait) {
-        if (wait.compareTo(mSettings.shortestRetry()) < 0) {
-            return mSettings.shortestRetry();
+    private Duration clampRetryAfter(final Duration wait) {
+        if (wait.compareTo(mSettings.minRetryAfter()) < 0) {
+            return mSettings.minRetryAfter();
         }
-        return wait.compareTo(mSettings.longestRetry()) > 0 ? mSettings.longestRetry() : wait;
+        return wait.compareTo(mSettings.maxRetryAfter()) > 0 ? mSettings.maxRetryAfter() : wait;
     }
 
     /**
@@ -264,10 +265,10 @@
         return customer == null ? 1 : customer.weight();
     }
 
-    private Lane lane(final Target target) {
-        return mLanes.computeIfAbsent(target, key -> new Lane(mSettings.startSlots()));
+    private TargetQueue queue(final Target target) {
+        return mQueues.computeIfAbsent(target, key -> new TargetQueue(mSettings.initialSlots()));
     }
 
     /** An admitted request. */
-    private record Running(Lane lane, Instant since) {}
+    private record RunningRequest(TargetQueue queue, Instant since) {}
 }
--- a/admission/src/main/java/org/whinhead/admission/budget/BudgetSettings.java
+++ b/admission/src/main/java/org/whinhead/admission/budget/BudgetSettings.java
@@ -17,9 +17,9 @@
         Duration window,
         Duration burst,
         Duration portionLife,
-        Duration answerTimeout,
+        Duration resendInterval,
         Duration holderTimeout,
-        double evenShare) {
+        double fallbackShare) {
 
     /** A record every five seconds at most; half the even share while the holder is away. */
     public static final BudgetSettings DEFAULT =
@@ -36,10 +36,10 @@
         Arguments.requirePositive(window, "window");
         Arguments.requirePositive(burst, "burst");
         Arguments.requirePositive(portionLife, "portionLife");
-        Arguments.requirePositive(answerTimeout, "answerTimeout");
+        Arguments.requirePositive(resendInterval, "resendInterval");
         Arguments.requirePositive(holderTimeout, "holderTimeout");
-        if (!(evenShare >= 0 && evenShare <= 1)) {
-            throw new IllegalArgumentException("evenShare is " + evenShare);
+        if (!(fallbackShare >= 0 && fallbackShare <= 1)) {
+            throw new IllegalArgumentException("fallbackShare is " + fallbackShare);
         }
     }
 }
--- a/admission/src/main/java/org/whinhead/admission/budget/EvenShareBudget.java
+++ b/admission/src/main/java/org/whinhead/admission/budget/EvenShareBudget.java
@@ -24,8 +24,8 @@
 public final class EvenShareBudget implements Budget {
 
     private final Duration mBurst;
-    private final Duration mUnknownTeamRetry;
-    private final Map<TeamId, Income> mIncomes = new HashMap<>();
+    private final Duration mUnknownTeamRetryAfter;
+    private final Map<TeamId, TokenBucket> mBuckets = new HashMap<>();
     private final Map<RequestId, Reservation> mReservations = new HashMap<>();
 
     /**
@@ -35,7 +35,7 @@
      */
     public EvenShareBudget(final BudgetSettings settings) {
         mBurst = settings.burst();
-        mUnknownTeamRetry = settings.portionLife();
+        mUnknownTeamRetryAfter = settings.portionLife();
     }
 
     /**
@@ -47,18 +47,18 @@
      */
     public void ratesChanged(final List<TeamRate> rates, final int daemons, final Instant now) {
         Arguments.requireAtLeast(daemons, 1, "daemons");
-        final Map<TeamId, Income> kept = new HashMap<>();
+        final Map<TeamId, TokenBucket> kept = new HashMap<>();
         for (final TeamRate rate : rates) {
-            final Income known = mIncomes.get(rate.team());
-            final Income income = known == null ? new Income(mBurst, now) : known;
-            income.rate((double) rate.tokensPerSecond() / daemons, now);
+            final TokenBucket known = mBuckets.get(rate.team());
+            final TokenBucket income = known == null ? new TokenBucket(mBurst, now) : known;
+            income.setRate((double) rate.tokensPerSecond() / daemons, now);
             if (known == null) {
                 income.fill();
             }
             kept.put(rate.team(), income);
         }
-        mIncomes.clear();
-        mIncomes.putAll(kept);
+        mBuckets.clear();
+        mBuckets.putAll(kept);
     }
 
     /**
@@ -73,11 +73,11 @@
         if (mReservations.containsKey(request)) {
             return BudgetDecision.RESERVED;
         }
-        final Income income = mIncomes.get(team);
+        final TokenBucket income = mBuckets.get(team);
         if (income == null) {
-            return BudgetDecision.refused(mUnknownTeamRetry);
+            return BudgetDecision.refused(mUnknownTeamRetryAfter);
         }
-        income.accrue(now);
+        income.refill(now);
         if (income.available() < tokens && !income.isFull()) {
             return BudgetDecision.refused(income.timeUntil(tokens));
         }
@@ -89,9 +89,9 @@
     @Override
     public void settle(final RequestId request, final long usedTokens, final Instant now) {
         final Reservation reservation = mReservations.remove(request);
-        final Income income = reservation == null ? null : mIncomes.get(reservation.team());
+        final TokenBucket income = reservation == null ? null : mBuckets.get(reservation.team());
         if (income != null) {
-            income.accrue(now);
+            income.refill(now);
             income.giveBack(Math.max(0, reservation.tokens() - usedTokens));
         }
     }
--- a/admission/src/main/java/org/whinhead/admission/budget/GrantHolder.java
+++ b/admission/src/main/java/org/whinhead/admission/budget/PortionAllocator.java
@@ -19,12 +19,12 @@
  * it in log order. A holder that was paused past its window finds that the window is over and gives
  * nothing; a new holder starts empty at the end of the last window, whatever was given out of it.
  */
-public final class GrantHolder {
+public final class PortionAllocator {
 
     private final DaemonId mOwn;
     private final BudgetSettings mSettings;
-    private final Map<TeamId, Income> mIncomes = new HashMap<>();
-    private final Map<Asker, Portion> mLastPortions = new HashMap<>();
+    private final Map<TeamId, TokenBucket> mBuckets = new HashMap<>();
+    private final Map<Requester, Portion> mLastPortions = new HashMap<>();
     private Instant mReservedUntil = Instant.MIN;
     private Instant mOwnFrom = Instant.MIN;
     private Instant mOwnUntil = Instant.MIN;
@@ -35,7 +35,7 @@
      * @param own this daemon
      * @param settings times and shares
      */
-    public GrantHolder(final DaemonId own, final BudgetSettings settings) {
+    public PortionAllocator(final DaemonId own, final BudgetSettings settings) {
         mOwn = Objects.requireNonNull(own, "own");
         mSettings = Objects.requireNonNull(settings, "settings");
     }
@@ -49,12 +49,13 @@
     public void ratesChanged(final List<TeamRate> rates, final Instant now) {
         final Map<TeamId, Long> byTeam = new HashMap<>();
         rates.forEach(rate -> byTeam.put(rate.team(), rate.tokensPerSecond()));
-        mIncomes.keySet().retainAll(byTeam.keySet());
+        mBuckets.keySet().retainAll(byTeam.keySet());
         final Instant from = now.isAfter(mOwnFrom) ? now : mOwnFrom;
         byTeam.forEach(
                 (team, rate) ->
-                        mIncomes.computeIfAbsent(team, key -> new Income(mSettings.burst(), from))
-                                .rate(rate, earlier(now, mOwnUntil)));
+                        mBuckets.computeIfAbsent(
+                                        team, key -> new TokenBucket(mSettings.burst(), from))
+                                .setRate(rate, earlier(now, mOwnUntil)));
     }
 
     /**
@@ -64,7 +65,7 @@
      * @return the window, or empty if the own one is good for long enough
      */
     public Optional<GrantWindow> nextWindow(final Instant now) {
-        final Instant renewAt = mOwnUntil.equals(Instant.MIN) ? now : mOwnUntil.minus(half());
+        final Instant renewAt = mOwnUntil.equals(Instant.MIN) ? now : mOwnUntil.minus(halfWindow());
         if (now.isBefore(renewAt)) {
             return Optional.empty();
         }
@@ -81,7 +82,7 @@
      *
      * @param window the window
      */
-    public void windowRead(final GrantWindow window) {
+    public void applyWindow(final GrantWindow window) {
         final Instant from =
                 window.from().isBefore(mReservedUntil) ? mReservedUntil : window.from();
         if (!window.until().isAfter(from)) {
@@ -94,7 +95,7 @@
         if (!from.equals(mOwnUntil)) {
             mOwnFrom = from;
             mLastPortions.clear();
-            mIncomes.values().forEach(income -> income.restart(from));
+            mBuckets.values().forEach(income -> income.restart(from));
         }
         mOwnUntil = window.until();
     }
@@ -114,7 +115,7 @@
         if (now.isBefore(mOwnFrom) || !now.isBefore(mOwnUntil)) {
             return Optional.empty();
         }
-        final Asker asker = new Asker(request.daemon(), request.team());
+        final Requester asker = new Requester(request.daemon(), request.team());
         final Portion last = mLastPortions.get(asker);
         if (last != null && last.number() >= request.number()) {
             return Optional.of(last).filter(portion -> portion.number() == request.number());
@@ -136,11 +137,11 @@
      * refused for ever. A full income gives it ahead of time and earns it back before the next.
      */
     private long take(final PortionRequest request, final Instant now) {
-        final Income income = mIncomes.get(request.team());
+        final TokenBucket income = mBuckets.get(request.team());
         if (income == null) {
             return 0;
         }
-        income.accrue(now);
+        income.refill(now);
         final long available = income.available();
         if (available < Math.max(1, request.least()) && !income.isFull()) {
             return 0;
@@ -150,7 +151,7 @@
         return tokens;
     }
 
-    private Duration half() {
+    private Duration halfWindow() {
         return mSettings.window().dividedBy(2);
     }
 
@@ -159,5 +160,5 @@
     }
 
     /** Who asked for which team. */
-    private record Asker(DaemonId daemon, TeamId team) {}
+    private record Requester(DaemonId daemon, TeamId team) {}
 }
--- a/admission/src/main/java/org/whinhead/admission/budget/BudgetLedger.java
+++ b/admission/src/main/java/org/whinhead/admission/budget/PortionedBudget.java
@@ -22,11 +22,11 @@
  * the holder and k daemons cut off from it for t seconds, all daemons together reserve in any T
  * seconds at most {@code r * (T + B + E) + (1 + h) * m + f * r * k / N * (t + B)} tokens.
  */
-public final class BudgetLedger implements Budget {
+public final class PortionedBudget implements Budget {
 
     private final DaemonId mOwn;
     private final BudgetSettings mSettings;
-    private final Map<TeamId, TeamPurse> mPurses = new HashMap<>();
+    private final Map<TeamId, TeamPortions> mTeams = new HashMap<>();
     private final Map<RequestId, Reservation> mReservations = new HashMap<>();
 
     /**
@@ -35,7 +35,7 @@
      * @param own this daemon
      * @param settings times and shares
      */
-    public BudgetLedger(final DaemonId own, final BudgetSettings settings) {
+    public PortionedBudget(final DaemonId own, final BudgetSettings settings) {
         mOwn = Objects.requireNonNull(own, "own");
         mSettings = Objects.requireNonNull(settings, "settings");
     }
@@ -49,15 +49,15 @@
      */
     public void ratesChanged(final List<TeamRate> rates, final int daemons, final Instant now) {
         Arguments.requireAtLeast(daemons, 1, "daemons");
-        final Map<TeamId, TeamPurse> kept = new HashMap<>();
+        final Map<TeamId, TeamPortions> kept = new HashMap<>();
         for (final TeamRate rate : rates) {
-            final TeamPurse old = mPurses.get(rate.team());
-            final TeamPurse purse = old == null ? new TeamPurse(mSettings, now) : old;
-            purse.evenRate((double) rate.tokensPerSecond() / daemons, now);
+            final TeamPortions old = mTeams.get(rate.team());
+            final TeamPortions purse = old == null ? new TeamPortions(mSettings, now) : old;
+            purse.setEvenRate((double) rate.tokensPerSecond() / daemons, now);
             kept.put(rate.team(), purse);
         }
-        mPurses.clear();
-        mPurses.putAll(kept);
+        mTeams.clear();
+        mTeams.putAll(kept);
     }
 
     @Override
@@ -66,7 +66,7 @@
         if (mReservations.containsKey(request)) {
             return BudgetDecision.RESERVED;
         }
-        final TeamPurse purse = mPurses.get(team);
+        final TeamPortions purse = mTeams.get(team);
         if (purse == null) {
             return BudgetDecision.refused(mSettings.portionLife());
         }
@@ -75,13 +75,13 @@
             mReservations.put(request, new Reservation(team, tokens, expires));
             return BudgetDecision.RESERVED;
         }
-        return purse.mayWait(now) ? BudgetDecision.PENDING : BudgetDecision.refused(comeBack());
+        return purse.canWait(now) ? BudgetDecision.PENDING : BudgetDecision.refused(retryAfter());
     }
 
     @Override
     public void settle(final RequestId request, final long usedTokens, final Instant now) {
         final Reservation reservation = mReservations.remove(request);
-        final TeamPurse purse = reservation == null ? null : mPurses.get(reservation.team());
+        final TeamPortions purse = reservation == null ? null : mTeams.get(reservation.team());
         if (purse != null) {
             purse.giveBack(reservation.tokens() - usedTokens, reservation.expires(), now);
         }
@@ -93,11 +93,11 @@
      * @param now the time
      * @return the questions, new and repeated
      */
-    public List<PortionRequest> questions(final Instant now) {
+    public List<PortionRequest> portionRequests(final Instant now) {
         final List<PortionRequest> questions = new ArrayList<>();
-        mPurses.forEach(
+        mTeams.forEach(
                 (team, purse) -> {
-                    final TeamPurse.Question question = purse.question(now);
+                    final TeamPortions.PendingRequest question = purse.nextRequest(now);
                     if (question != null) {
                         questions.add(
                                 new PortionRequest(
@@ -117,15 +117,15 @@
      * @param portion the portion
      * @param now the time
      */
-    public void portionArrived(final Portion portion, final Instant now) {
-        final TeamPurse purse = mPurses.get(portion.team());
+    public void portionReceived(final Portion portion, final Instant now) {
+        final TeamPortions purse = mTeams.get(portion.team());
         if (purse != null) {
-            purse.arrived(portion, now);
+            purse.portionReceived(portion, now);
         }
     }
 
-    private Duration comeBack() {
-        return mSettings.answerTimeout().multipliedBy(2);
+    private Duration retryAfter() {
+        return mSettings.resendInterval().multipliedBy(2);
     }
 
     /** Tokens kept for one request. */
--- a/admission/src/test/java/org/whinhead/admission/Requests.java
+++ b/admission/src/test/java/org/whinhead/admission/TestRequests.java
@@ -9,14 +9,14 @@
 import org.whinhead.api.request.RequestSpec;
 
 /** Requests for the tests of this module. */
-final class Requests {
+final class TestRequests {
     static final Instant START = Instant.parse("2026-01-01T00:00:00Z");
     static final Tier URGENT = tier("urgent", 2);
     static final Tier BATCH = tier("batch", 0);
 
     private static long sNext;
 
-    private Requests() {}
+    private TestRequests() {}
 
     static RequestSpec of(final String customer, final Tier tier, final Instant arrived) {
         return RequestSpec.builder(new RequestId("r" + sNext++))
--- a/admission/src/test/java/org/whinhead/admission/TieredAdmissionTest.java
+++ b/admission/src/test/java/org/whinhead/admission/TieredAdmissionTest.java
@@ -1,9 +1,9 @@
 package org.whinhead.admission;
 
 import static org.assertj.core.api.Assertions.assertThat;
-import static org.whinhead.admission.Requests.BATCH;
-import static org.whinhead.admission.Requests.START;
-import static org.whinhead.admission.Requests.URGENT;
+import static org.whinhead.admission.TestRequests.BATCH;
+import static org.whinhead.admission.TestRequests.START;
+import static org.whinhead.admission.TestRequests.URGENT;
 
 import java.time.Duration;
 import java.time.Instant;
@@ -25,7 +25,7 @@
 
 class TieredAdmissionTest {
 
-    private static final Target TARGET = Target.of(Requests.of("c", BATCH, START));
+    private static final Target TARGET = Target.of(TestRequests.of("c", BATCH, START));
 
     private final TieredAdmission mAdmission = admission(4);
 
@@ -34,17 +34,17 @@
     @Test
     void fullQueueShedsLowestTierFirst() {
         for (int i = 0; i < 4; i++) {
-            assertThat(mAdmission.offer(Requests.of("batch", BATCH, START), START)).isEmpty();
+            assertThat(mAdmission.offer(TestRequests.of("batch", BATCH, START), START)).isEmpty();
         }
-        assertThat(mAdmission.offer(Requests.of("batch", BATCH, START), START)).isPresent();
-        final RequestSpec urgent = Requests.of("clerk", URGENT, START);
+        assertThat(mAdmission.offer(TestRequests.of("batch", BATCH, START), START)).isPresent();
+        final RequestSpec urgent = TestRequests.of("clerk", URGENT, START);
         assertThat(mAdmission.offer(urgent, START)).isEmpty();
-        final List<Admission.Shed> shed = mAdmission.shed(START);
+        final List<Admission.ShedRequest> shed = mAdmission.takeShed(START);
         assertThat(shed).hasSize(1);
         assertThat(shed.get(0).spec().tier()).isEqualTo(BATCH);
         assertThat(shed.get(0).refusal().verdict()).isEqualTo(Verdict.NOT_RUN);
         assertThat(shed.get(0).refusal().retryAfter()).isPresent();
-        assertThat(mAdmission.admitted(START).get(0)).isEqualTo(urgent);
+        assertThat(mAdmission.takeAdmitted(START).get(0)).isEqualTo(urgent);
     }
 
     // One customer's job posts two hundred requests at once. A clerk of another customer asks once
@@ -54,13 +54,13 @@
         final TieredAdmission admission = admission(500);
         admission.capacityChanged(TARGET, 1);
         for (int i = 0; i < 200; i++) {
-            admission.offer(Requests.of("heavy", BATCH, START), START);
+            admission.offer(TestRequests.of("heavy", BATCH, START), START);
         }
-        final RequestSpec running = admission.admitted(START).get(0);
-        final RequestSpec light = Requests.of("light", BATCH, START);
+        final RequestSpec running = admission.takeAdmitted(START).get(0);
+        final RequestSpec light = TestRequests.of("light", BATCH, START);
         assertThat(admission.offer(light, START)).isEmpty();
-        admission.ended(running.id(), 10, START.plusMillis(5));
-        assertThat(admission.admitted(START.plusMillis(5))).containsExactly(light);
+        admission.requestEnded(running.id(), 10, START.plusMillis(5));
+        assertThat(admission.takeAdmitted(START.plusMillis(5))).containsExactly(light);
     }
 
     // A tier promises the first token in 100 ms, less than what is kept back for the way to it. Its
@@ -69,9 +69,9 @@
     void tierWithShortTargetIsServed() {
         final Duration target = Duration.ofMillis(100);
         final Tier tier = new Tier("lookup", 3, target, target, Duration.ofSeconds(1));
-        final RequestSpec request = Requests.of("clerk", tier, START);
+        final RequestSpec request = TestRequests.of("clerk", tier, START);
         assertThat(mAdmission.offer(request, START.plusMillis(20))).isEmpty();
-        assertThat(mAdmission.admitted(START.plusMillis(20))).containsExactly(request);
+        assertThat(mAdmission.takeAdmitted(START.plusMillis(20))).containsExactly(request);
     }
 
     // One customer worked all morning; another comes at noon with a pile. Its idle morning is no
@@ -81,14 +81,14 @@
         final TieredAdmission admission = admission(500);
         admission.capacityChanged(TARGET, 40);
         for (int i = 0; i < 50; i++) {
-            admission.offer(Requests.of("morning", BATCH, START), START);
+            admission.offer(TestRequests.of("morning", BATCH, START), START);
         }
-        assertThat(admission.admitted(START)).hasSize(40);
+        assertThat(admission.takeAdmitted(START)).hasSize(40);
         for (int i = 0; i < 50; i++) {
-            admission.offer(Requests.of("noon", BATCH, START), START);
+            admission.offer(TestRequests.of("noon", BATCH, START), START);
         }
         admission.capacityChanged(TARGET, 50);
-        assertThat(admission.admitted(START))
+        assertThat(admission.takeAdmitted(START))
                 .filteredOn(spec -> spec.customer().value().equals("noon"))
                 .hasSizeBetween(4, 6);
     }
@@ -98,11 +98,11 @@
         final TieredAdmission admission = admission(500);
         admission.customersChanged(List.of(customer("big", 3), customer("small", 1)));
         for (int i = 0; i < 100; i++) {
-            admission.offer(Requests.of("big", BATCH, START), START);
-            admission.offer(Requests.of("small", BATCH, START), START);
+            admission.offer(TestRequests.of("big", BATCH, START), START);
+            admission.offer(TestRequests.of("small", BATCH, START), START);
         }
         admission.capacityChanged(TARGET, 40);
-        assertThat(admission.admitted(START))
+        assertThat(admission.takeAdmitted(START))
                 .filteredOn(spec -> spec.customer().value().equals("big"))
                 .hasSize(30);
     }
@@ -113,13 +113,13 @@
     void returnedRequestHoldsItsSlotUntilItEnds() {
         final TieredAdmission admission = admission(4);
         admission.capacityChanged(TARGET, 1);
-        final RequestSpec returned = Requests.of("c", BATCH, START);
-        final RequestSpec next = Requests.of("c", BATCH, START);
-        admission.returned(returned, 10, START);
+        final RequestSpec returned = TestRequests.of("c", BATCH, START);
+        final RequestSpec next = TestRequests.of("c", BATCH, START);
+        admission.resume(returned, 10, START);
         admission.offer(next, START);
-        assertThat(admission.admitted(START)).isEmpty();
-        admission.ended(returned.id(), 10, START);
-        assertThat(admission.admitted(START)).containsExactly(next);
+        assertThat(admission.takeAdmitted(START)).isEmpty();
+        admission.requestEnded(returned.id(), 10, START);
+        assertThat(admission.takeAdmitted(START)).containsExactly(next);
     }
 
     // Requests take a second on the only slot and the target is two. The fourth in line can not be
@@ -128,15 +128,15 @@
     void refusesEarlyWhatCanNotMeetItsTarget() {
         final TieredAdmission admission = admission(500);
         admission.capacityChanged(TARGET, 1);
-        final RequestSpec sample = Requests.of("c", BATCH, START);
+        final RequestSpec sample = TestRequests.of("c", BATCH, START);
         admission.offer(sample, START);
-        admission.admitted(START);
+        admission.takeAdmitted(START);
         final Instant now = START.plusSeconds(1);
-        admission.ended(sample.id(), 100, now);
+        admission.requestEnded(sample.id(), 100, now);
         final List<Refusal> refusals = new ArrayList<>();
         for (int i = 0; i < 4; i++) {
-            admission.offer(Requests.of("c", BATCH, now), now).ifPresent(refusals::add);
-            admission.admitted(now);
+            admission.offer(TestRequests.of("c", BATCH, now), now).ifPresent(refusals::add);
+            admission.takeAdmitted(now);
         }
         assertThat(refusals).hasSize(2);
         assertThat(refusals.get(0).code()).isEqualTo(ErrorCode.OVERLOADED);
@@ -160,16 +160,16 @@
                 final Tier tier = step % 2 == 0 ? BATCH : URGENT;
                 offered++;
                 refused +=
-                        admission.offer(Requests.of("c" + step, tier, now), now).isPresent()
+                        admission.offer(TestRequests.of("c" + step, tier, now), now).isPresent()
                                 ? 1
                                 : 0;
             } else if (step == 4 && !running.isEmpty()) {
-                admission.ended(running.remove(0).id(), 50, now);
+                admission.requestEnded(running.remove(0).id(), 50, now);
             }
-            final List<RequestSpec> taken = admission.admitted(now);
+            final List<RequestSpec> taken = admission.takeAdmitted(now);
             admitted += taken.size();
             running.addAll(taken);
-            shed += admission.shed(now).size();
+            shed += admission.takeShed(now).size();
             assertThat(running).hasSizeLessThanOrEqualTo(2);
             assertThat(admission.waiting()).isLessThanOrEqualTo(6);
             assertThat(offered).isEqualTo(refused + shed + admitted + admission.waiting());
--- a/admission/src/test/java/org/whinhead/admission/budget/OverspendTest.java
+++ b/admission/src/test/java/org/whinhead/admission/budget/PortionedBudgetBoundTest.java
@@ -20,7 +20,7 @@
  * The stated overspend bound while holders die, wake up again and race, and questions and answers
  * are lost, doubled and late.
  */
-class OverspendTest {
+class PortionedBudgetBoundTest {
 
     private static final Instant START = Instant.parse("2026-01-01T00:00:00Z");
     private static final TeamId TEAM = new TeamId("clinics");
@@ -30,8 +30,8 @@
     private static final Duration TICK = Duration.ofMillis(100);
     private static final long LARGEST = 60;
 
-    private final List<GrantHolder> mHolders = new ArrayList<>();
-    private final List<BudgetLedger> mLedgers = new ArrayList<>();
+    private final List<PortionAllocator> mHolders = new ArrayList<>();
+    private final List<PortionedBudget> mLedgers = new ArrayList<>();
     private final List<Answer> mOnTheWay = new ArrayList<>();
     private final long[] mReserved = new long[TICKS];
     private Random mRandom;
@@ -57,9 +57,9 @@
         for (int i = 0; i < DAEMONS; i++) {
             final List<TeamRate> rates = List.of(new TeamRate(TEAM, RATE));
             final DaemonId id = new DaemonId("d" + i);
-            mHolders.add(new GrantHolder(id, settings));
+            mHolders.add(new PortionAllocator(id, settings));
             mHolders.get(i).ratesChanged(rates, START);
-            mLedgers.add(new BudgetLedger(id, settings));
+            mLedgers.add(new PortionedBudget(id, settings));
             mLedgers.get(i).ratesChanged(rates, DAEMONS, START);
         }
         for (int tick = 0; tick < TICKS; tick++) {
@@ -85,10 +85,10 @@
         if (mRandom.nextInt(4) > 0) {
             mHolders.get(mHolder)
                     .nextWindow(now)
-                    .ifPresent(window -> mHolders.forEach(holder -> holder.windowRead(window)));
+                    .ifPresent(window -> mHolders.forEach(holder -> holder.applyWindow(window)));
         }
         for (int daemon = 0; daemon < DAEMONS; daemon++) {
-            for (final PortionRequest question : mLedgers.get(daemon).questions(now)) {
+            for (final PortionRequest question : mLedgers.get(daemon).portionRequests(now)) {
                 ask(daemon, question, now, tick);
             }
         }
@@ -96,7 +96,7 @@
         for (int i = 0; i < 12; i++) {
             final long tokens = 1 + mRandom.nextInt((int) LARGEST);
             final RequestId request = new RequestId(tick + "-" + i);
-            final BudgetLedger ledger = mLedgers.get(mRandom.nextInt(DAEMONS));
+            final PortionedBudget ledger = mLedgers.get(mRandom.nextInt(DAEMONS));
             if (ledger.reserve(request, TEAM, tokens, now).equals(BudgetDecision.RESERVED)) {
                 mReserved[tick] += tokens;
             }
@@ -126,7 +126,7 @@
         for (final Answer answer : List.copyOf(mOnTheWay)) {
             if (answer.arrives() <= tick) {
                 mOnTheWay.remove(answer);
-                mLedgers.get(answer.daemon()).portionArrived(answer.portion(), now);
+                mLedgers.get(answer.daemon()).portionReceived(answer.portion(), now);
             }
         }
     }
@@ -134,7 +134,7 @@
     private void assertBound(final BudgetSettings settings) {
         final double saved = settings.burst().toMillis() / 1000.0;
         final double life = settings.portionLife().toMillis() / 1000.0;
-        final double evenRate = settings.evenShare() * RATE;
+        final double evenRate = settings.fallbackShare() * RATE;
         long total = 0;
         for (int from = 0; from < TICKS; from++) {
             long sum = 0;
--- a/admission/src/test/java/org/whinhead/admission/budget/BudgetTest.java
+++ b/admission/src/test/java/org/whinhead/admission/budget/PortionedBudgetTest.java
@@ -10,7 +10,7 @@
 import org.whinhead.api.model.TeamId;
 import org.whinhead.api.request.RequestId;
 
-class BudgetTest {
+class PortionedBudgetTest {
 
     private static final Instant START = Instant.parse("2026-01-01T00:00:00Z");
     private static final TeamId TEAM = new TeamId("clinics");
@@ -24,14 +24,14 @@
     // were it to start at once, the team would spend the same seconds twice.
     @Test
     void successorStartsWhereTheDeadHoldersWindowEnds() {
-        final GrantHolder first = holder(FIRST, START);
-        final GrantHolder second = holder(SECOND, START);
+        final PortionAllocator first = holder(FIRST, START);
+        final PortionAllocator second = holder(SECOND, START);
         final GrantWindow window = first.nextWindow(START).orElseThrow();
-        first.windowRead(window);
-        second.windowRead(window);
+        first.applyWindow(window);
+        second.applyWindow(window);
         final Instant death = START.plusSeconds(3);
         assertThat(first.grant(question(1, 10, 10), death)).isPresent();
-        second.windowRead(second.nextWindow(death).orElseThrow());
+        second.applyWindow(second.nextWindow(death).orElseThrow());
         assertThat(second.grant(question(2, 10, 10), death)).isEmpty();
         final Instant end = window.until();
         assertThat(second.grant(question(2, 10, 10), end).orElseThrow().tokens()).isZero();
@@ -42,9 +42,9 @@
     // The holder is paused past its window and wakes up in the belief that it still holds.
     @Test
     void holderThatWasPausedPastItsWindowGivesNothing() {
-        final GrantHolder holder = holder(FIRST, START);
+        final PortionAllocator holder = holder(FIRST, START);
         final GrantWindow window = holder.nextWindow(START).orElseThrow();
-        holder.windowRead(window);
+        holder.applyWindow(window);
         assertThat(holder.grant(question(1, 10, 10), window.until())).isEmpty();
     }
 
@@ -52,19 +52,19 @@
     // pays for one portion, and the daemon has one portion to spend.
     @Test
     void lostAndDoubledAnswersCountOnce() {
-        final GrantHolder holder = holder(FIRST, START);
-        holder.windowRead(holder.nextWindow(START).orElseThrow());
-        final BudgetLedger ledger = ledger();
+        final PortionAllocator holder = holder(FIRST, START);
+        holder.applyWindow(holder.nextWindow(START).orElseThrow());
+        final PortionedBudget ledger = ledger();
         final Instant now = START.plusSeconds(4);
         assertThat(reserve(ledger, "r1", 30, now)).isEqualTo(BudgetDecision.Kind.PENDING);
-        final PortionRequest asked = ledger.questions(now).get(0);
+        final PortionRequest asked = ledger.portionRequests(now).get(0);
         final Portion lost = holder.grant(asked, now).orElseThrow();
-        final Instant again = now.plus(SETTINGS.answerTimeout());
-        assertThat(ledger.questions(again)).containsExactly(asked);
+        final Instant again = now.plus(SETTINGS.resendInterval());
+        assertThat(ledger.portionRequests(again)).containsExactly(asked);
         final Portion answer = holder.grant(asked, again).orElseThrow();
         assertThat(answer).isEqualTo(lost);
-        ledger.portionArrived(answer, again);
-        ledger.portionArrived(answer, again);
+        ledger.portionReceived(answer, again);
+        ledger.portionReceived(answer, again);
         assertThat(reserve(ledger, "r1", answer.tokens(), again))
                 .isEqualTo(BudgetDecision.Kind.RESERVED);
         assertThat(reserve(ledger, "r2", 1, again)).isEqualTo(BudgetDecision.Kind.PENDING);
@@ -74,11 +74,11 @@
     // and are told when to come back for the rest, rather than nothing or without bound.
     @Test
     void withoutHolderTheEvenShareIsSpentAndTheRestRefused() {
-        final BudgetLedger ledger = ledger();
+        final PortionedBudget ledger = ledger();
         assertThat(reserve(ledger, "r0", 20, START)).isEqualTo(BudgetDecision.Kind.PENDING);
-        ledger.questions(START);
+        ledger.portionRequests(START);
         final Instant away = START.plus(SETTINGS.holderTimeout());
-        ledger.questions(away);
+        ledger.portionRequests(away);
         assertThat(reserve(ledger, "r1", 20, away)).isEqualTo(BudgetDecision.Kind.REFUSED);
         final Instant later = away.plusSeconds(1);
         assertThat(reserve(ledger, "r2", 20, later)).isEqualTo(BudgetDecision.Kind.RESERVED);
@@ -88,8 +88,8 @@
     // A summary may take more tokens than the team saves up in a burst. It is paid ahead, once.
     @Test
     void requestLargerThanTheBurstIsPaidAheadOnce() {
-        final GrantHolder holder = holder(FIRST, START);
-        holder.windowRead(holder.nextWindow(START).orElseThrow());
+        final PortionAllocator holder = holder(FIRST, START);
+        holder.applyWindow(holder.nextWindow(START).orElseThrow());
         final Instant full = START.plus(SETTINGS.burst());
         assertThat(holder.grant(question(1, 800, 800), full).orElseThrow().tokens()).isEqualTo(800);
         assertThat(holder.grant(question(2, 1, 1), full.plusSeconds(2)).orElseThrow().tokens())
@@ -98,10 +98,10 @@
 
     @Test
     void unusedTokensAreSpentAgainUntilThePortionExpires() {
-        final BudgetLedger ledger = ledger();
+        final PortionedBudget ledger = ledger();
         reserve(ledger, "r1", 30, START);
-        final long number = ledger.questions(START).get(0).number();
-        ledger.portionArrived(
+        final long number = ledger.portionRequests(START).get(0).number();
+        ledger.portionReceived(
                 new Portion(TEAM, number, 35, START.plus(SETTINGS.portionLife())), START);
         reserve(ledger, "r1", 30, START);
         ledger.settle(new RequestId("r1"), 10, START);
@@ -111,14 +111,14 @@
                 .isEqualTo(BudgetDecision.Kind.PENDING);
     }
 
-    private static GrantHolder holder(final DaemonId own, final Instant now) {
-        final GrantHolder holder = new GrantHolder(own, SETTINGS);
+    private static PortionAllocator holder(final DaemonId own, final Instant now) {
+        final PortionAllocator holder = new PortionAllocator(own, SETTINGS);
         holder.ratesChanged(RATES, now);
         return holder;
     }
 
-    private static BudgetLedger ledger() {
-        final BudgetLedger ledger = new BudgetLedger(FIRST, SETTINGS);
+    private static PortionedBudget ledger() {
+        final PortionedBudget ledger = new PortionedBudget(FIRST, SETTINGS);
         ledger.ratesChanged(RATES, 2, START);
         return ledger;
     }
@@ -128,7 +128,10 @@
     }
 
     private static BudgetDecision.Kind reserve(
-            final BudgetLedger ledger, final String request, final long tokens, final Instant now) {
+            final PortionedBudget ledger,
+            final String request,
+            final long tokens,
+            final Instant now) {
         return ledger.reserve(new RequestId(request), TEAM, tokens, now).kind();
     }
 }
--- a/bench/src/main/java/org/whinhead/bench/capacity/RoutingCost.java
+++ b/bench/src/main/java/org/whinhead/bench/capacity/RoutingCost.java
@@ -80,7 +80,7 @@
             final Random random,
             final int count) {
         for (int i = 0; i < count; i++) {
-            router.cacheEvent(
+            router.cacheChanged(
                     new CacheEvent(
                             endpoints.get(i % endpoints.size()).id(),
                             CacheEvent.Kind.STORED,
@@ -109,7 +109,8 @@
     private static long decide(final AffinityRouter router, final List<RequestSpec> requests) {
         for (final RequestSpec spec : requests) {
             router.choose(spec, Set.of(), Fixtures.START)
-                    .ifPresent(endpoint -> router.ended(endpoint.id(), spec, Fixtures.START));
+                    .ifPresent(
+                            endpoint -> router.attemptEnded(endpoint.id(), spec, Fixtures.START));
         }
         return requests.size();
     }
--- a/bench/src/main/java/org/whinhead/bench/capacity/WatchCost.java
+++ b/bench/src/main/java/org/whinhead/bench/capacity/WatchCost.java
@@ -7,7 +7,7 @@
 import org.whinhead.api.model.Endpoint;
 import org.whinhead.api.model.EndpointId;
 import org.whinhead.peer.generated.PeerProto;
-import org.whinhead.routing.DaemonPlace;
+import org.whinhead.routing.DaemonLocation;
 import org.whinhead.routing.WatchPlan;
 
 /** Which endpoints a daemon polls, whom it tells, and the bytes of what it tells. */
@@ -36,13 +36,13 @@
         final Series most = new Series("endpoints polled, most", "daemons", "endpoints");
         final Series peers = new Series("peers told", "daemons", "peers");
         for (final int size : DAEMONS) {
-            final List<DaemonPlace> daemons = daemons(size);
+            final List<DaemonLocation> daemons = daemons(size);
             final List<Endpoint> endpoints =
                     Fixtures.endpoints(size * ENDPOINTS_AT_FULL_SIZE / DAEMONS_AT_FULL_SIZE);
             plan.add(size, meter.nanos(() -> plan(daemons.get(0), daemons, endpoints)));
             int sum = 0;
             int highest = 0;
-            for (final DaemonPlace daemon : daemons) {
+            for (final DaemonLocation daemon : daemons) {
                 final WatchPlan made =
                         WatchPlan.of(daemon, daemons, endpoints, WatchPlan.Limits.DEFAULT);
                 sum += made.polled().size();
@@ -72,7 +72,9 @@
     }
 
     private static long plan(
-            final DaemonPlace own, final List<DaemonPlace> daemons, final List<Endpoint> all) {
+            final DaemonLocation own,
+            final List<DaemonLocation> daemons,
+            final List<Endpoint> all) {
         return WatchPlan.of(own, daemons, all, WatchPlan.Limits.DEFAULT).watched().isEmpty()
                 ? 0
                 : 1;
@@ -105,10 +107,10 @@
                 .toByteArray();
     }
 
-    private static List<DaemonPlace> daemons(final int count) {
-        final List<DaemonPlace> daemons = new ArrayList<>();
+    private static List<DaemonLocation> daemons(final int count) {
+        final List<DaemonLocation> daemons = new ArrayList<>();
         for (int i = 0; i < count; i++) {
-            daemons.add(new DaemonPlace(new DaemonId("entry-" + i), Fixtures.domain(i)));
+            daemons.add(new DaemonLocation(new DaemonId("entry-" + i), Fixtures.domain(i)));
         }
         return daemons;
     }
--- a/bench/src/main/java/org/whinhead/bench/engine/Cluster.java
+++ b/bench/src/main/java/org/whinhead/bench/engine/Cluster.java
@@ -124,8 +124,8 @@
     public void finished(final int engine, final Sequence sequence) {
         final int router = mRouterOf.remove(sequence.spec().id());
         final EndpointId id = mEndpoints.get(engine).id();
-        mRouters.get(router).succeeded(id, sequence.spec(), mSimulation.now());
-        mRouters.get(router).ended(id, sequence.spec(), mSimulation.now());
+        mRouters.get(router).attemptSucceeded(id, sequence.spec(), mSimulation.now());
+        mRouters.get(router).attemptEnded(id, sequence.spec(), mSimulation.now());
         mFinished.accept(sequence);
     }
 
@@ -133,7 +133,7 @@
     public void cacheChanged(final CacheEvent event) {
         if (mRandom.nextDouble() >= EVENT_LOSS) {
             mSimulation.after(
-                    EVENT_LAG, () -> mRouters.forEach(router -> router.cacheEvent(event)));
+                    EVENT_LAG, () -> mRouters.forEach(router -> router.cacheChanged(event)));
         }
     }
 
--- a/bench/src/main/java/org/whinhead/bench/goodput/GoodputBenchmark.java
+++ b/bench/src/main/java/org/whinhead/bench/goodput/GoodputBenchmark.java
@@ -5,7 +5,7 @@
 import org.whinhead.admission.Admission;
 import org.whinhead.admission.AdmissionSettings;
 import org.whinhead.admission.Budget;
-import org.whinhead.admission.SimpleAdmission;
+import org.whinhead.admission.FifoAdmission;
 import org.whinhead.admission.Target;
 import org.whinhead.admission.TieredAdmission;
 import org.whinhead.api.model.EndpointKind;
@@ -78,7 +78,7 @@
     }
 
     private static Admission noLimits() {
-        return new SimpleAdmission(Integer.MAX_VALUE, Integer.MAX_VALUE);
+        return new FifoAdmission(Integer.MAX_VALUE, Integer.MAX_VALUE);
     }
 
     private static Admission tiered() {
@@ -86,10 +86,10 @@
         final AdmissionSettings settings =
                 new AdmissionSettings(
                         defaults.maxWaiting(),
-                        defaults.startSlots(),
+                        defaults.initialSlots(),
                         Duration.ofMillis(600),
-                        defaults.shortestRetry(),
-                        defaults.longestRetry());
+                        defaults.minRetryAfter(),
+                        defaults.maxRetryAfter());
         final TieredAdmission admission = new TieredAdmission(settings, Budget.UNLIMITED);
         final int slots = EngineSettings.DEFAULT.slots() * GoodputRun.SIZES.engines();
         admission.capacityChanged(TARGET, slots);
--- a/bench/src/main/java/org/whinhead/bench/goodput/GoodputRun.java
+++ b/bench/src/main/java/org/whinhead/bench/goodput/GoodputRun.java
@@ -76,8 +76,8 @@
 
     private void dispatch() {
         final Instant now = mSimulation.now();
-        mAdmission.shed(now).forEach(shed -> mOutputs.remove(shed.spec().id()));
-        for (final RequestSpec spec : mAdmission.admitted(now)) {
+        mAdmission.takeShed(now).forEach(shed -> mOutputs.remove(shed.spec().id()));
+        for (final RequestSpec spec : mAdmission.takeAdmitted(now)) {
             mCluster.send(new Sequence(spec, mOutputs.remove(spec.id())), 0);
         }
     }
@@ -85,7 +85,7 @@
     private void finished(final Sequence sequence) {
         final Instant now = mSimulation.now();
         final RequestSpec spec = sequence.spec();
-        mAdmission.ended(spec.id(), sequence.generated(), now);
+        mAdmission.requestEnded(spec.id(), sequence.generated(), now);
         if (!isMeasured(now)) {
             return;
         }
--- a/bench/src/main/java/org/whinhead/bench/retries/OutageRun.java
+++ b/bench/src/main/java/org/whinhead/bench/retries/OutageRun.java
@@ -99,7 +99,7 @@
 
     private void cacheChanged(final CacheEvent event) {
         mSimulation.after(
-                EVENT_LAG, () -> mDaemons.forEach(daemon -> daemon.router().cacheEvent(event)));
+                EVENT_LAG, () -> mDaemons.forEach(daemon -> daemon.router().cacheChanged(event)));
     }
 
     private long dispatches() {
--- a/bench/src/main/java/org/whinhead/bench/retries/SimulatedDaemon.java
+++ b/bench/src/main/java/org/whinhead/bench/retries/SimulatedDaemon.java
@@ -80,10 +80,10 @@
         return new TieredAdmission(
                 new AdmissionSettings(
                         usual.maxWaiting(),
-                        usual.startSlots(),
+                        usual.initialSlots(),
                         DISPATCH_ALLOWANCE,
-                        usual.shortestRetry(),
-                        usual.longestRetry()),
+                        usual.minRetryAfter(),
+                        usual.maxRetryAfter()),
                 Budget.UNLIMITED);
     }
 
--- a/bench/src/main/java/org/whinhead/bench/routing/DecisionRate.java
+++ b/bench/src/main/java/org/whinhead/bench/routing/DecisionRate.java
@@ -89,7 +89,8 @@
         for (int i = 0; i < count; i++) {
             final RequestSpec spec = requests.get(i % REQUESTS);
             router.choose(spec, Set.of(), Simulation.START)
-                    .ifPresent(endpoint -> router.ended(endpoint.id(), spec, Simulation.START));
+                    .ifPresent(
+                            endpoint -> router.attemptEnded(endpoint.id(), spec, Simulation.START));
         }
     }
 }
--- a/daemon/src/main/java/org/whinhead/daemon/Daemon.java
+++ b/daemon/src/main/java/org/whinhead/daemon/Daemon.java
@@ -59,7 +59,7 @@
     private final DaemonSettings mSettings;
     private final DaemonOptions mOptions;
     private final LiveRequests mRequests = new LiveRequests();
-    private final LimitBoard mLimits = new LimitBoard(AdmissionSettings.DEFAULT.startSlots());
+    private final LimitBoard mLimits = new LimitBoard(AdmissionSettings.DEFAULT.initialSlots());
     private final DaemonAdmission mAdmission =
             new DaemonAdmission(mLimits, AdmissionSettings.DEFAULT);
     private final Standing mStanding;
--- a/daemon/src/main/java/org/whinhead/daemon/PeerWiring.java
+++ b/daemon/src/main/java/org/whinhead/daemon/PeerWiring.java
@@ -126,7 +126,7 @@
 
     @Override
     public boolean endpointLeaving(final EndpointId endpoint, final Instant goneBy) {
-        return mLoop.offer(new DecisionEvent.Update(() -> mRouter.leaving(endpoint)))
+        return mLoop.offer(new DecisionEvent.Update(() -> mRouter.endpointLeaving(endpoint)))
                 && mLoop.offer(new DecisionEvent.EndpointLeaving(endpoint, goneBy));
     }
 
--- a/daemon/src/main/java/org/whinhead/daemon/limits/DaemonAdmission.java
+++ b/daemon/src/main/java/org/whinhead/daemon/limits/DaemonAdmission.java
@@ -62,33 +62,34 @@
     }
 
     @Override
-    public List<RequestSpec> admitted(final Instant now) {
+    public List<RequestSpec> takeAdmitted(final Instant now) {
         refresh(now);
-        final List<RequestSpec> admitted = mAdmission.admitted(now);
+        final List<RequestSpec> admitted = mAdmission.takeAdmitted(now);
         mCounts =
                 new LimitCounts(
                         mAdmission.waiting(),
                         mAdmission.running(),
-                        mAdmission.returned(),
-                        mAdmission.returnedWithoutBudget());
+                        mAdmission.resumed(),
+                        mAdmission.resumedWithoutBudget());
         return admitted;
     }
 
     @Override
-    public List<Shed> shed(final Instant now) {
+    public List<ShedRequest> takeShed(final Instant now) {
         refresh(now);
-        return mAdmission.shed(now);
+        return mAdmission.takeShed(now);
     }
 
     @Override
-    public void returned(final RequestSpec spec, final long restTokens, final Instant now) {
+    public void resume(final RequestSpec spec, final long restTokens, final Instant now) {
         refresh(now);
-        mAdmission.returned(spec, restTokens, now);
+        mAdmission.resume(spec, restTokens, now);
     }
 
     @Override
-    public void ended(final RequestId request, final long generatedTokens, final Instant now) {
-        mAdmission.ended(request, generatedTokens, now);
+    public void requestEnded(
+            final RequestId request, final long generatedTokens, final Instant now) {
+        mAdmission.requestEnded(request, generatedTokens, now);
     }
 
     /** Returns the counts as of the last look, from any thread. */
--- a/daemon/src/main/java/org/whinhead/daemon/peers/LoadSharing.java
+++ b/daemon/src/main/java/org/whinhead/daemon/peers/LoadSharing.java
@@ -17,7 +17,7 @@
 import org.whinhead.membership.MembershipView;
 import org.whinhead.peer.generated.PeerProto;
 import org.whinhead.peer.generated.PeerProto.Envelope;
-import org.whinhead.routing.DaemonPlace;
+import org.whinhead.routing.DaemonLocation;
 import org.whinhead.routing.LoadReport;
 import org.whinhead.routing.WatchPlan;
 
@@ -48,7 +48,7 @@
     }
 
     void viewChanged(final MembershipView view) {
-        final List<DaemonPlace> places = new ArrayList<>();
+        final List<DaemonLocation> places = new ArrayList<>();
         for (final DaemonMember member : view.daemons()) {
             if (member.vm().state() == VmState.LIVE) {
                 places.add(place(member));
@@ -70,8 +70,8 @@
     }
 
     /** All daemons name each other by their VMs, so that they agree on who polls what. */
-    private static DaemonPlace place(final DaemonMember member) {
-        return new DaemonPlace(new DaemonId(member.id().value()), member.vm().domain());
+    private static DaemonLocation place(final DaemonMember member) {
+        return new DaemonLocation(new DaemonId(member.id().value()), member.vm().domain());
     }
 
     void polled(final LoadReport report) {
--- a/daemon/src/test/java/org/whinhead/daemon/limits/DaemonAdmissionTest.java
+++ b/daemon/src/test/java/org/whinhead/daemon/limits/DaemonAdmissionTest.java
@@ -85,9 +85,9 @@
         for (int i = 0; i < 12; i++) {
             mAdmission.offer(request(1), START);
         }
-        assertThat(mAdmission.admitted(START)).hasSize(5);
+        assertThat(mAdmission.takeAdmitted(START)).hasSize(5);
         mBoard.endpointsChanged(List.of());
-        assertThat(mAdmission.admitted(START)).isEmpty();
+        assertThat(mAdmission.takeAdmitted(START)).isEmpty();
         assertThat(mAdmission.counts()).isEqualTo(new LimitCounts(7, 5, 0, 0));
         mBoard.daemonsChanged(1);
         assertThat(mBoard.inputs().slots()).containsValue(2);
@@ -99,14 +99,14 @@
     void returnedRequestsTakeSlotsAndBudget() {
         mBoard.settingsChanged(settings());
         final RequestSpec first = request(400);
-        mAdmission.returned(first, 300, START);
-        mAdmission.returned(request(400), 400, START);
-        mAdmission.returned(request(50), 50, START);
+        mAdmission.resume(first, 300, START);
+        mAdmission.resume(request(400), 400, START);
+        mAdmission.resume(request(50), 50, START);
         assertThat(mAdmission.offer(request(50), START)).isEmpty();
-        assertThat(mAdmission.admitted(START)).hasSize(1);
+        assertThat(mAdmission.takeAdmitted(START)).hasSize(1);
         mBoard.endpointsChanged(List.of(engine(VmState.LIVE)));
         assertThat(mAdmission.counts()).isEqualTo(new LimitCounts(0, 4, 3, 1));
-        mAdmission.ended(first.id(), 0, START);
+        mAdmission.requestEnded(first.id(), 0, START);
         assertThat(mAdmission.offer(request(300), START)).isEmpty();
     }
 
--- a/faults/src/main/java/org/whinhead/faults/world/FakeDaemon.java
+++ b/faults/src/main/java/org/whinhead/faults/world/FakeDaemon.java
@@ -5,7 +5,7 @@
 import java.util.Map;
 import java.util.Optional;
 import java.util.SplittableRandom;
-import org.whinhead.admission.SimpleAdmission;
+import org.whinhead.admission.FifoAdmission;
 import org.whinhead.api.model.DaemonId;
 import org.whinhead.api.model.Endpoint;
 import org.whinhead.api.model.EndpointId;
@@ -53,7 +53,7 @@
         mCoordinator =
                 DefaultRequestCoordinator.builder()
                         .router(mRouter)
-                        .admission(new SimpleAdmission(40, 10))
+                        .admission(new FifoAdmission(40, 10))
                         .actions(this)
                         .settings(world.settings())
                         .random(new SplittableRandom(seed))
--- a/faults/src/main/java/org/whinhead/faults/world/FakeRouter.java
+++ b/faults/src/main/java/org/whinhead/faults/world/FakeRouter.java
@@ -44,11 +44,11 @@
     }
 
     void leaving(final EndpointId endpoint) {
-        mRouter.leaving(endpoint);
+        mRouter.endpointLeaving(endpoint);
     }
 
     int inProgressAt(final EndpointId endpoint) {
-        return mRouter.inProgressAt(endpoint);
+        return mRouter.inFlightAt(endpoint);
     }
 
     @Override
@@ -58,27 +58,29 @@
     }
 
     @Override
-    public Optional<Endpoint> find(
+    public Optional<Endpoint> dispatchTo(
             final EndpointId endpoint, final RequestSpec spec, final Instant now) {
-        return noted(mRouter.find(endpoint, spec, now), spec);
+        return noted(mRouter.dispatchTo(endpoint, spec, now), spec);
     }
 
     @Override
-    public void succeeded(final EndpointId endpoint, final RequestSpec spec, final Instant now) {
-        mRouter.succeeded(endpoint, spec, now);
+    public void attemptSucceeded(
+            final EndpointId endpoint, final RequestSpec spec, final Instant now) {
+        mRouter.attemptSucceeded(endpoint, spec, now);
     }
 
     @Override
-    public void failed(final EndpointId endpoint, final RequestSpec spec, final Instant now) {
-        mRouter.failed(endpoint, spec, now);
+    public void attemptFailed(
+            final EndpointId endpoint, final RequestSpec spec, final Instant now) {
+        mRouter.attemptFailed(endpoint, spec, now);
     }
 
     @Override
-    public void ended(final EndpointId endpoint, final RequestSpec spec, final Instant now) {
+    public void attemptEnded(final EndpointId endpoint, final RequestSpec spec, final Instant now) {
         if (!mSends.remove(new Send(spec.id(), endpoint))) {
             throw new AssertionError("ended without a send: " + spec.id() + " at " + endpoint);
         }
-        mRouter.ended(endpoint, spec, now);
+        mRouter.attemptEnded(endpoint, spec, now);
     }
 
     /** Returns the sends that were never ended. */
--- a/requests/src/main/java/org/whinhead/requests/DefaultRequestCoordinator.java
+++ b/requests/src/main/java/org/whinhead/requests/DefaultRequestCoordinator.java
@@ -155,10 +155,10 @@
     }
 
     private void admit(final Instant now) {
-        for (final Admission.Shed shed : mWiring.admission().shed(now)) {
+        for (final Admission.ShedRequest shed : mWiring.admission().takeShed(now)) {
             waiting(shed.spec()).ifPresent(state -> mEndings.refuse(state, shed.refusal(), now));
         }
-        for (final RequestSpec spec : mWiring.admission().admitted(now)) {
+        for (final RequestSpec spec : mWiring.admission().takeAdmitted(now)) {
             waiting(spec).ifPresent(state -> mClaimGate.admitted(state, now));
         }
     }
--- a/requests/src/main/java/org/whinhead/requests/Endings.java
+++ b/requests/src/main/java/org/whinhead/requests/Endings.java
@@ -123,7 +123,7 @@
 
     /** Ends an attempt that its endpoint has ended, or that cannot be reached. */
     void ended(final RequestState state, final Attempt attempt, final Instant now) {
-        mWiring.router().ended(attempt.endpoint().id(), state.spec(), now);
+        mWiring.router().attemptEnded(attempt.endpoint().id(), state.spec(), now);
         forget(state, attempt);
     }
 
@@ -138,7 +138,7 @@
 
     private void succeeded(final RequestState state, final Instant now) {
         final Attempt attempt = state.live().orElseThrow();
-        mWiring.router().succeeded(attempt.endpoint().id(), state.spec(), now);
+        mWiring.router().attemptSucceeded(attempt.endpoint().id(), state.spec(), now);
         mWiring.log().add(attempt, DecisionKind.COMPLETED, "", now);
         ended(state, attempt, now);
         cancelAttempts(state, now);
@@ -172,7 +172,7 @@
     private void remove(final RequestState state, final Instant now) {
         mStates.remove(state.id(), state);
         if (state.isOffered()) {
-            mWiring.admission().ended(state.id(), state.delivered().addedTokens(), now);
+            mWiring.admission().requestEnded(state.id(), state.delivered().addedTokens(), now);
         }
     }
 
--- a/requests/src/main/java/org/whinhead/requests/Recovery.java
+++ b/requests/src/main/java/org/whinhead/requests/Recovery.java
@@ -45,7 +45,7 @@
             final Instant now) {
         mWiring.log().add(attempt, DecisionKind.ATTEMPT_FAILED, failure + " " + detail, now);
         if (failure.countsAgainstEndpoint()) {
-            mWiring.router().failed(attempt.endpoint().id(), state.spec(), now);
+            mWiring.router().attemptFailed(attempt.endpoint().id(), state.spec(), now);
         }
         addVerdict(state, attempt, failure);
         final RecoveryPlanner.Step step = mPlanner.plan(state, attempt, failure);
--- a/requests/src/main/java/org/whinhead/requests/Tickets.java
+++ b/requests/src/main/java/org/whinhead/requests/Tickets.java
@@ -70,7 +70,7 @@
         state.setLastTicket(latest);
         mEndings.add(state);
         final long rest = Math.max(0, state.spec().maxTokens() - state.delivered().tokens());
-        mWiring.admission().returned(state.spec(), rest, now);
+        mWiring.admission().resume(state.spec(), rest, now);
         state.setOffered();
         mWiring.log().add(state, DecisionKind.CALLER_RETURNED, latest.endpoint().value(), now);
         if (state.isLate(now)) {
@@ -104,7 +104,7 @@
                         && state.delivered().tokens() >= ticket.indexOffset();
         final Optional<Endpoint> holder =
                 holdsRest
-                        ? mWiring.router().find(ticket.endpoint(), state.spec(), now)
+                        ? mWiring.router().dispatchTo(ticket.endpoint(), state.spec(), now)
                         : Optional.empty();
         if (holder.isPresent()) {
             state.setResumeTried(true);
--- a/requests/src/test/java/org/whinhead/requests/Recorder.java
+++ b/requests/src/test/java/org/whinhead/requests/Recorder.java
@@ -12,7 +12,7 @@
 import java.util.Set;
 import java.util.SplittableRandom;
 import java.util.stream.Collectors;
-import org.whinhead.admission.SimpleAdmission;
+import org.whinhead.admission.FifoAdmission;
 import org.whinhead.api.model.Billing;
 import org.whinhead.api.model.CustomerId;
 import org.whinhead.api.model.Endpoint;
@@ -57,7 +57,7 @@
         mCoordinator =
                 DefaultRequestCoordinator.builder()
                         .router(new FirstRouter(endpoints))
-                        .admission(new SimpleAdmission(maxRunning, 1000))
+                        .admission(new FifoAdmission(maxRunning, 1000))
                         .actions((RequestActions) actions)
                         .settings(settings)
                         .random(new SplittableRandom(1))
@@ -186,13 +186,14 @@
         }
 
         @Override
-        public Optional<Endpoint> find(
+        public Optional<Endpoint> dispatchTo(
                 final EndpointId endpoint, final RequestSpec spec, final Instant now) {
             return Optional.of(endpoint(endpoint, spec));
         }
 
         @Override
-        public void ended(final EndpointId endpoint, final RequestSpec spec, final Instant now) {}
+        public void attemptEnded(
+                final EndpointId endpoint, final RequestSpec spec, final Instant now) {}
 
         private static Endpoint endpoint(final EndpointId id, final RequestSpec spec) {
             final FailureDomain domain = new FailureDomain("kigali", "kg-gasabo");
--- a/routing/src/main/java/org/whinhead/routing/AffinityPicker.java
+++ b/routing/src/main/java/org/whinhead/routing/AffinityPicker.java
@@ -11,22 +11,22 @@
  */
 final class AffinityPicker implements Picker {
 
-    private static final int HOLDERS = 4;
+    private static final int MAX_HOLDERS = 4;
     private static final int ANCHOR_BLOCKS = 4;
-    private static final int STEP_DIVISOR = 3;
-    private static final double ASSUMED_OWNER_SHARE = 0.5;
-    private static final double OWNED_SLOT_SHARE = 0.5;
+    private static final int STEP_GROWTH_DIVISOR = 3;
+    private static final double ASSUMED_CACHED_SHARE = 0.5;
+    private static final double MIN_BOUND_SLOT_SHARE = 0.5;
     private static final double MICROS_PER_MILLI = 1000.0;
 
     private final RoutingSettings.Costs mCosts;
     private final RandomGenerator mRandom;
     private final PrefixIndex mPrefixes;
-    private final ScanPicker mFallback;
-    private final EndpointState[] mHolders = new EndpointState[HOLDERS];
-    private final double[] mShares = new double[HOLDERS];
+    private final LowestCostPicker mFallback;
+    private final EndpointState[] mHolders = new EndpointState[MAX_HOLDERS];
+    private final double[] mCachedShares = new double[MAX_HOLDERS];
     private int mHolderCount;
     private EndpointState mBest;
-    private double mBestCost;
+    private double mBestCostMillis;
 
     AffinityPicker(
             final RoutingSettings.Costs costs,
@@ -35,16 +35,16 @@
         mCosts = costs;
         mRandom = random;
         mPrefixes = prefixes;
-        mFallback = new ScanPicker(random::nextInt, state -> queueMillis(state));
+        mFallback = new LowestCostPicker(random::nextInt, state -> queueCostMillis(state));
     }
 
     @Override
-    public EndpointState pick(final Pool pool, final RouteQuery query) {
+    public EndpointState pick(final EndpointPool pool, final RouteQuery query) {
         mBest = null;
-        mBestCost = Double.POSITIVE_INFINITY;
+        mBestCostMillis = Double.POSITIVE_INFINITY;
         findHolders(query.spec().prefixHashes());
         for (int i = 0; i < mHolderCount; i++) {
-            considerBounded(mHolders[i], mShares[i], pool, query);
+            considerBelowLoadBound(mHolders[i], mCachedShares[i], pool, query);
         }
         considerOwners(pool, query);
         considerSamples(pool, query);
@@ -58,47 +58,49 @@
     private void findHolders(final List<Long> prefixes) {
         mHolderCount = 0;
         int low = 0;
-        int high = PrefixIndex.marks(prefixes);
+        int high = PrefixIndex.levels(prefixes);
         while (low < high) {
             final int middle = (low + high + 1) / 2;
             final boolean isKnown = mPrefixes.holders(prefixes, middle) != null;
             low = isKnown ? middle : low;
             high = isKnown ? high : middle - 1;
         }
-        for (int mark = low; mark > 0 && mHolderCount < HOLDERS; mark -= 1 + mark / STEP_DIVISOR) {
+        for (int mark = low;
+                mark > 0 && mHolderCount < MAX_HOLDERS;
+                mark -= 1 + mark / STEP_GROWTH_DIVISOR) {
             final PrefixIndex.Holders holders = mPrefixes.holders(prefixes, mark);
             if (holders != null) {
-                addHolders(holders, PrefixIndex.share(prefixes, mark));
+                addHolders(holders, PrefixIndex.promptShare(prefixes, mark));
             }
         }
     }
 
     private void addHolders(final PrefixIndex.Holders holders, final double share) {
-        for (int i = 0; i < holders.most() && mHolderCount < HOLDERS; i++) {
+        for (int i = 0; i < holders.capacity() && mHolderCount < MAX_HOLDERS; i++) {
             final EndpointState state = holders.get(i);
-            if (state != null && knownShare(state) == 0) {
+            if (state != null && cachedShare(state) == 0) {
                 mHolders[mHolderCount] = state;
-                mShares[mHolderCount] = share;
+                mCachedShares[mHolderCount] = share;
                 mHolderCount++;
             }
         }
     }
 
     /** Two different ones at random, so that many daemons with one stale report spread out. */
-    private void considerSamples(final Pool pool, final RouteQuery query) {
+    private void considerSamples(final EndpointPool pool, final RouteQuery query) {
         final int size = pool.size();
         final int first = mRandom.nextInt(size);
-        considerBounded(pool.get(first), knownShare(pool.get(first)), pool, query);
+        considerBelowLoadBound(pool.get(first), cachedShare(pool.get(first)), pool, query);
         if (size > 1) {
             final int second = (first + 1 + mRandom.nextInt(size - 1)) % size;
-            considerBounded(pool.get(second), knownShare(pool.get(second)), pool, query);
+            considerBelowLoadBound(pool.get(second), cachedShare(pool.get(second)), pool, query);
         }
     }
 
-    private double knownShare(final EndpointState state) {
+    private double cachedShare(final EndpointState state) {
         for (int i = 0; i < mHolderCount; i++) {
             if (mHolders[i] == state) {
-                return mShares[i];
+                return mCachedShares[i];
             }
         }
         return 0;
@@ -108,7 +110,7 @@
      * The first owner probably holds what other daemons sent it under the same anchor, so a share
      * of the prompt is assumed to be cached there even if this daemon knows nothing of it.
      */
-    private void considerOwners(final Pool pool, final RouteQuery query) {
+    private void considerOwners(final EndpointPool pool, final RouteQuery query) {
         final List<Long> prefixes = query.spec().prefixHashes();
         if (prefixes.isEmpty()) {
             return;
@@ -117,9 +119,9 @@
         final int[] owners = pool.owners(anchor);
         for (int rank = 0; rank < owners.length; rank++) {
             final EndpointState owner = pool.get(owners[rank]);
-            final double known = knownShare(owner);
-            final double assumed = ASSUMED_OWNER_SHARE / (rank + 1);
-            considerBounded(owner, Math.max(known, assumed), pool, query);
+            final double known = cachedShare(owner);
+            final double assumed = ASSUMED_CACHED_SHARE / (rank + 1);
+            considerBelowLoadBound(owner, Math.max(known, assumed), pool, query);
         }
     }
 
@@ -127,15 +129,15 @@
      * Guards against a hot prefix that drowns its owner while others idle: affinity fills an
      * endpoint only up to a factor of the pool's mean load, or half its slots if that is more.
      */
-    private void considerBounded(
+    private void considerBelowLoadBound(
             final EndpointState state,
             final double share,
-            final Pool pool,
+            final EndpointPool pool,
             final RouteQuery query) {
         final double bound =
                 Math.max(
                         mCosts.loadFactor() * pool.meanLoad(),
-                        OWNED_SLOT_SHARE * state.endpoint().slots());
+                        MIN_BOUND_SLOT_SHARE * state.endpoint().slots());
         if (state.load().requests() < bound) {
             consider(state, share, query);
         }
@@ -144,19 +146,20 @@
     private void consider(final EndpointState state, final double share, final RouteQuery query) {
         final double uncached = (1 - share) * query.spec().promptTokens();
         final double cost =
-                queueMillis(state) + uncached * mCosts.prefillMicrosPerToken() / MICROS_PER_MILLI;
-        if (cost < mBestCost && query.allows(state)) {
+                queueCostMillis(state)
+                        + uncached * mCosts.prefillMicrosPerToken() / MICROS_PER_MILLI;
+        if (cost < mBestCostMillis && query.allows(state)) {
             mBest = state;
-            mBestCost = cost;
+            mBestCostMillis = cost;
         }
     }
 
-    private double queueMillis(final EndpointState state) {
+    private double queueCostMillis(final EndpointState state) {
         final int slots = state.endpoint().slots();
         final int requests = state.load().requests();
         final double batch = mCosts.fullBatchMillis() * Math.min(requests, slots) / slots;
         return batch
                 + mCosts.queuedMillis() * Math.max(0, requests - slots + 1)
-                + state.placeMillis();
+                + state.locationCostMillis();
     }
 }
--- a/routing/src/main/java/org/whinhead/routing/AffinityRouter.java
+++ b/routing/src/main/java/org/whinhead/routing/AffinityRouter.java
@@ -22,7 +22,7 @@
     private static final int PREFIX_CAPACITY = 65_536;
 
     /** One more request in progress at a plain service weighs as much as this many milliseconds. */
-    private static final double PLACE_SCALE = 10;
+    private static final double MILLIS_PER_REQUEST = 10;
 
     private final RoutingSettings mSettings;
     private final RandomGenerator mRandom;
@@ -41,12 +41,14 @@
     public AffinityRouter(final RoutingSettings settings, final RandomGenerator random) {
         mSettings = Objects.requireNonNull(settings, "settings");
         mRandom = Objects.requireNonNull(random, "random");
-        mTable = new EndpointTable(this::newState, this::placeMillis);
+        mTable = new EndpointTable(this::newState, this::locationCostMillis);
         mEnginePicker = settings.strategy().create(settings, random, mPrefixes);
         mServicePicker =
-                new ScanPicker(
+                new LowestCostPicker(
                         random::nextInt,
-                        state -> state.load().ownInFlight() + state.placeMillis() / PLACE_SCALE);
+                        state ->
+                                state.load().ownInFlight()
+                                        + state.locationCostMillis() / MILLIS_PER_REQUEST);
     }
 
     /**
@@ -72,7 +74,7 @@
      *
      * @param endpoint the endpoint
      */
-    public void endpointGone(final EndpointId endpoint) {
+    public void endpointRemoved(final EndpointId endpoint) {
         mTable.remove(endpoint);
     }
 
@@ -81,8 +83,8 @@
      *
      * @param endpoint the endpoint
      */
-    public void leaving(final EndpointId endpoint) {
-        mTable.leaving(endpoint);
+    public void endpointLeaving(final EndpointId endpoint) {
+        mTable.excludeLeaving(endpoint);
     }
 
     /**
@@ -94,8 +96,8 @@
     public void loadReported(final LoadReport report, final Instant now) {
         final EndpointState state = mTable.state(report.endpoint());
         if (state != null) {
-            state.load().report(report, now);
-            state.loadChanged();
+            state.load().applyReport(report, now);
+            state.updatePoolLoads();
         }
     }
 
@@ -104,17 +106,17 @@
      *
      * @param event the event
      */
-    public void cacheEvent(final CacheEvent event) {
+    public void cacheChanged(final CacheEvent event) {
         final EndpointState state = mTable.state(event.endpoint());
         if (state == null) {
             return;
         }
         switch (event.kind()) {
             case STORED:
-                mPrefixes.stored(event.prefixHash(), state);
+                mPrefixes.addHolder(event.prefixHash(), state);
                 break;
             case EVICTED:
-                mPrefixes.evicted(event.prefixHash(), state);
+                mPrefixes.removeHolder(event.prefixHash(), state);
                 break;
             default:
                 throw new IllegalArgumentException("unknown kind " + event.kind());
@@ -124,7 +126,7 @@
     @Override
     public Optional<Endpoint> choose(
             final RequestSpec spec, final Set<EndpointId> excluded, final Instant now) {
-        final Pool pool = mTable.pool(spec);
+        final EndpointPool pool = mTable.pool(spec);
         if (pool == null) {
             return Optional.empty();
         }
@@ -135,11 +137,12 @@
             return Optional.empty();
         }
         dispatch(state, spec, now);
-        return state.chosen();
+        return state.asOptional();
     }
 
     @Override
-    public void succeeded(final EndpointId endpoint, final RequestSpec spec, final Instant now) {
+    public void attemptSucceeded(
+            final EndpointId endpoint, final RequestSpec spec, final Instant now) {
         final InFlight attempt = mInFlight.get(new Dispatch(spec.id(), endpoint));
         if (attempt != null) {
             attempt.state().health().succeeded(attempt.revision());
@@ -147,7 +150,8 @@
     }
 
     @Override
-    public void failed(final EndpointId endpoint, final RequestSpec spec, final Instant now) {
+    public void attemptFailed(
+            final EndpointId endpoint, final RequestSpec spec, final Instant now) {
         final InFlight attempt = mInFlight.get(new Dispatch(spec.id(), endpoint));
         if (attempt != null) {
             attempt.state().health().failed(attempt.revision(), now);
@@ -162,11 +166,11 @@
      * than it is. The attempt keeps the state that it was counted against and is forgotten here.
      */
     @Override
-    public void ended(final EndpointId endpoint, final RequestSpec spec, final Instant now) {
+    public void attemptEnded(final EndpointId endpoint, final RequestSpec spec, final Instant now) {
         final InFlight attempt = mInFlight.remove(new Dispatch(spec.id(), endpoint));
         if (attempt != null) {
-            attempt.state().load().ended(now);
-            attempt.state().loadChanged();
+            attempt.state().load().requestEnded(now);
+            attempt.state().updatePoolLoads();
         }
     }
 
@@ -176,7 +180,7 @@
      * @param endpoint the endpoint
      * @return the number; 0 if the endpoint is not known
      */
-    public int inProgressAt(final EndpointId endpoint) {
+    public int inFlightAt(final EndpointId endpoint) {
         final EndpointState state = mTable.state(endpoint);
         return state == null ? 0 : state.load().ownInFlight();
     }
@@ -193,24 +197,24 @@
     }
 
     @Override
-    public Optional<Endpoint> find(
+    public Optional<Endpoint> dispatchTo(
             final EndpointId endpoint, final RequestSpec spec, final Instant now) {
         final EndpointState state = mTable.state(endpoint);
         if (state == null || !state.endpoint().vm().state().mayStillAnswer()) {
             return Optional.empty();
         }
         dispatch(state, spec, now);
-        return state.chosen();
+        return state.asOptional();
     }
 
     private void dispatch(final EndpointState state, final RequestSpec spec, final Instant now) {
         final Dispatch dispatch = new Dispatch(spec.id(), state.endpoint().id());
         final long revision = state.health().dispatched(now);
-        mPrefixes.sent(spec.prefixHashes(), state);
+        mPrefixes.recordSend(spec.prefixHashes(), state);
         final InFlight before = mInFlight.put(dispatch, new InFlight(state, revision));
         if (before == null) {
-            state.load().sent(now);
-            state.loadChanged();
+            state.load().requestSent(now);
+            state.updatePoolLoads();
         }
     }
 
@@ -222,7 +226,7 @@
                 new LoadEstimate(transitNanos));
     }
 
-    private double placeMillis(final Endpoint endpoint) {
+    private double locationCostMillis(final Endpoint endpoint) {
         final RoutingSettings.Costs costs = mSettings.costs();
         final FailureDomain domain = endpoint.vm().domain();
         final double price =
--- a/routing/src/main/java/org/whinhead/routing/DaemonPlace.java
+++ b/routing/src/main/java/org/whinhead/routing/DaemonLocation.java
@@ -10,10 +10,10 @@
  * @param id the daemon
  * @param domain its failure domain
  */
-public record DaemonPlace(DaemonId id, FailureDomain domain) {
+public record DaemonLocation(DaemonId id, FailureDomain domain) {
 
     /** Checks both parts. */
-    public DaemonPlace {
+    public DaemonLocation {
         Objects.requireNonNull(id, "id");
         Objects.requireNonNull(domain, "domain");
     }
--- a/routing/src/main/java/org/whinhead/routing/EndpointHealth.java
+++ b/routing/src/main/java/org/whinhead/routing/EndpointHealth.java
@@ -13,16 +13,16 @@
  */
 public final class EndpointHealth {
 
-    private static final int MAX_DOUBLINGS = 16;
+    private static final int MAX_COOLDOWN_DOUBLINGS = 16;
 
     private final HealthSettings mSettings;
     private final RandomGenerator mRandom;
     private long mRevision;
     private long mSuspectRevision;
-    private int mFailures;
-    private int mDoublings;
+    private int mConsecutiveFailures;
+    private int mCooldownDoublings;
     private boolean mSuspect;
-    private Instant mClosedUntil = Instant.MIN;
+    private Instant mBlockedUntil = Instant.MIN;
 
     /**
      * Starts healthy.
@@ -46,8 +46,8 @@
      * @param now the time
      * @return true if it may
      */
-    public boolean isOpen(final Instant now) {
-        return !mSuspect || !now.isBefore(mClosedUntil);
+    public boolean canDispatch(final Instant now) {
+        return !mSuspect || !now.isBefore(mBlockedUntil);
     }
 
     /**
@@ -61,7 +61,7 @@
      */
     public long dispatched(final Instant now) {
         if (mSuspect) {
-            mClosedUntil = now.plus(mSettings.probeTimeout());
+            mBlockedUntil = now.plus(mSettings.probeTimeout());
         }
         return mRevision;
     }
@@ -80,8 +80,8 @@
             return;
         }
         mSuspect = false;
-        mFailures = 0;
-        mDoublings = 0;
+        mConsecutiveFailures = 0;
+        mCooldownDoublings = 0;
     }
 
     /**
@@ -99,21 +99,21 @@
             return;
         }
         mRevision++;
-        mFailures++;
-        if (mSuspect || mFailures >= mSettings.failuresToSuspect()) {
-            becomeSuspect(now);
+        mConsecutiveFailures++;
+        if (mSuspect || mConsecutiveFailures >= mSettings.failuresToSuspect()) {
+            markSuspect(now);
         }
     }
 
-    private void becomeSuspect(final Instant now) {
+    private void markSuspect(final Instant now) {
         mSuspect = true;
         mSuspectRevision = mRevision;
-        mClosedUntil = now.plus(cooldown());
-        mDoublings = Math.min(mDoublings + 1, MAX_DOUBLINGS);
+        mBlockedUntil = now.plus(nextCooldown());
+        mCooldownDoublings = Math.min(mCooldownDoublings + 1, MAX_COOLDOWN_DOUBLINGS);
     }
 
-    private Duration cooldown() {
-        final long doubled = mSettings.cooldown().toMillis() << mDoublings;
+    private Duration nextCooldown() {
+        final long doubled = mSettings.cooldown().toMillis() << mCooldownDoublings;
         final long base = Math.min(doubled, mSettings.longestCooldown().toMillis());
         return Duration.ofMillis(base + (long) (base * mSettings.jitter() * mRandom.nextDouble()));
     }
--- a/routing/src/main/java/org/whinhead/routing/Pool.java
+++ b/routing/src/main/java/org/whinhead/routing/EndpointPool.java
@@ -5,10 +5,10 @@
 import java.util.Map;
 
 /** The endpoints that serve one model or plain service and accept new work, as plain arrays. */
-final class Pool {
+final class EndpointPool {
 
-    private static final int OWNERS = 3;
-    private static final int KEYS = 4096;
+    private static final int MAX_OWNERS = 3;
+    private static final int MAX_CACHED_KEYS = 4096;
     private static final float LOAD_FACTOR = 0.75f;
 
     private final EndpointState[] mMembers;
@@ -19,12 +19,12 @@
 
                 @Override
                 protected boolean removeEldestEntry(final Map.Entry<Long, int[]> eldest) {
-                    return size() > KEYS;
+                    return size() > MAX_CACHED_KEYS;
                 }
             };
     private long mTotalLoad;
 
-    Pool(final List<EndpointState> members) {
+    EndpointPool(final List<EndpointState> members) {
         mMembers = members.toArray(new EndpointState[0]);
         mHashes = new long[mMembers.length];
         for (int i = 0; i < mMembers.length; i++) {
@@ -58,18 +58,18 @@
     int[] owners(final Long key) {
         int[] owners = mOwners.get(key);
         if (owners == null) {
-            owners = highest(key);
+            owners = highestScoring(key);
             mOwners.put(key, owners);
         }
         return owners;
     }
 
-    private int[] highest(final long key) {
-        final int[] owners = new int[Math.min(OWNERS, mMembers.length)];
+    private int[] highestScoring(final long key) {
+        final int[] owners = new int[Math.min(MAX_OWNERS, mMembers.length)];
         final long[] scores = new long[owners.length];
         int size = 0;
         for (int i = 0; i < mHashes.length; i++) {
-            final long score = Rendezvous.score(mHashes[i], key);
+            final long score = RendezvousHash.score(mHashes[i], key);
             if (size == owners.length && score <= scores[size - 1]) {
                 continue;
             }
--- a/routing/src/main/java/org/whinhead/routing/EndpointState.java
+++ b/routing/src/main/java/org/whinhead/routing/EndpointState.java
@@ -12,33 +12,33 @@
     private final long mHash;
     private final EndpointHealth mHealth;
     private final LoadEstimate mLoad;
-    private final List<Pool> mPools = new ArrayList<>();
+    private final List<EndpointPool> mPools = new ArrayList<>();
     private Endpoint mEndpoint;
-    private Optional<Endpoint> mChosen;
-    private double mPlaceMillis;
-    private boolean mClosed;
-    private int mCounted;
+    private Optional<Endpoint> mOptionalEndpoint;
+    private double mLocationCostMillis;
+    private boolean mExcluded;
+    private int mPooledRequests;
 
     EndpointState(final Endpoint endpoint, final EndpointHealth health, final LoadEstimate load) {
-        mHash = Rendezvous.hash(endpoint.id().value());
+        mHash = RendezvousHash.hash(endpoint.id().value());
         mHealth = health;
         mLoad = load;
         mEndpoint = endpoint;
-        mChosen = Optional.of(endpoint);
+        mOptionalEndpoint = Optional.of(endpoint);
     }
 
     void update(final Endpoint endpoint, final double placeMillis) {
         mEndpoint = endpoint;
-        mChosen = Optional.of(endpoint);
-        mPlaceMillis = placeMillis;
+        mOptionalEndpoint = Optional.of(endpoint);
+        mLocationCostMillis = placeMillis;
     }
 
     Endpoint endpoint() {
         return mEndpoint;
     }
 
-    Optional<Endpoint> chosen() {
-        return mChosen;
+    Optional<Endpoint> asOptional() {
+        return mOptionalEndpoint;
     }
 
     long hash() {
@@ -53,36 +53,36 @@
         return mLoad;
     }
 
-    double placeMillis() {
-        return mPlaceMillis;
+    double locationCostMillis() {
+        return mLocationCostMillis;
     }
 
     /** Shuts the endpoint out for good: it is leaving or gone. */
-    void close() {
-        mClosed = true;
+    void exclude() {
+        mExcluded = true;
     }
 
     boolean acceptsNewWork() {
-        return !mClosed && mEndpoint.vm().state().acceptsNewWork();
+        return !mExcluded && mEndpoint.vm().state().acceptsNewWork();
     }
 
-    boolean isOpen(final Instant now) {
-        return acceptsNewWork() && mHealth.isOpen(now);
+    boolean canDispatch(final Instant now) {
+        return acceptsNewWork() && mHealth.canDispatch(now);
     }
 
-    void leavePools() {
+    void leaveAllPools() {
         mPools.clear();
-        mCounted = mLoad.requests();
+        mPooledRequests = mLoad.requests();
     }
 
-    void joinPool(final Pool pool) {
+    void joinPool(final EndpointPool pool) {
         mPools.add(pool);
     }
 
     /** Carries a change of the estimate into the totals of the pools. */
-    void loadChanged() {
-        final int delta = mLoad.requests() - mCounted;
-        mCounted += delta;
+    void updatePoolLoads() {
+        final int delta = mLoad.requests() - mPooledRequests;
+        mPooledRequests += delta;
         for (int i = 0; i < mPools.size(); i++) {
             mPools.get(i).addLoad(delta);
         }
--- a/routing/src/main/java/org/whinhead/routing/EndpointTable.java
+++ b/routing/src/main/java/org/whinhead/routing/EndpointTable.java
@@ -17,21 +17,21 @@
 /** The endpoints that a router knows, and for each model and service the pool that serves it. */
 final class EndpointTable {
 
-    private static final int MAX_LEFT = 8192;
+    private static final int MAX_LEAVING = 8192;
 
     private final Function<Endpoint, EndpointState> mNewState;
-    private final Function<Endpoint, Double> mPlaceMillis;
+    private final Function<Endpoint, Double> mLocationCostMillis;
     private final Map<EndpointId, EndpointState> mStates = new HashMap<>();
-    private final Map<ModelRef, Pool> mModelPools = new HashMap<>();
-    private final Map<String, Pool> mServicePools = new HashMap<>();
-    private final Set<EndpointId> mLeft = new LinkedHashSet<>();
-    private boolean mStale;
+    private final Map<ModelRef, EndpointPool> mModelPools = new HashMap<>();
+    private final Map<String, EndpointPool> mServicePools = new HashMap<>();
+    private final Set<EndpointId> mLeaving = new LinkedHashSet<>();
+    private boolean mPoolsStale;
 
     EndpointTable(
             final Function<Endpoint, EndpointState> newState,
             final Function<Endpoint, Double> placeMillis) {
         mNewState = newState;
-        mPlaceMillis = placeMillis;
+        mLocationCostMillis = placeMillis;
     }
 
     void replaceAll(final List<Endpoint> endpoints) {
@@ -56,18 +56,18 @@
             state = mNewState.apply(endpoint);
             mStates.put(endpoint.id(), state);
         }
-        state.update(endpoint, mPlaceMillis.apply(endpoint));
-        if (mLeft.contains(endpoint.id())) {
-            state.close();
+        state.update(endpoint, mLocationCostMillis.apply(endpoint));
+        if (mLeaving.contains(endpoint.id())) {
+            state.exclude();
         }
-        mStale = true;
+        mPoolsStale = true;
     }
 
     void remove(final EndpointId id) {
         final EndpointState state = mStates.remove(id);
         if (state != null) {
-            state.close();
-            mStale = true;
+            state.exclude();
+            mPoolsStale = true;
         }
     }
 
@@ -78,15 +78,15 @@
      * after its notice and would bring it back: the identity is remembered, and a replacement has
      * another one.
      */
-    void leaving(final EndpointId id) {
-        mLeft.add(id);
-        if (mLeft.size() > MAX_LEFT) {
-            mLeft.remove(mLeft.iterator().next());
+    void excludeLeaving(final EndpointId id) {
+        mLeaving.add(id);
+        if (mLeaving.size() > MAX_LEAVING) {
+            mLeaving.remove(mLeaving.iterator().next());
         }
         final EndpointState state = mStates.get(id);
         if (state != null) {
-            state.close();
-            mStale = true;
+            state.exclude();
+            mPoolsStale = true;
         }
     }
 
@@ -96,9 +96,9 @@
     }
 
     /** Returns the pool that fits a request, or null. */
-    Pool pool(final RequestSpec spec) {
-        if (mStale) {
-            rebuild();
+    EndpointPool pool(final RequestSpec spec) {
+        if (mPoolsStale) {
+            rebuildPools();
         }
         if (spec.kind() == EndpointKind.PLAIN_SERVICE) {
             return mServicePools.get(spec.service());
@@ -106,20 +106,21 @@
         return spec.model().isPresent() ? mModelPools.get(spec.model().get()) : null;
     }
 
-    private void rebuild() {
+    private void rebuildPools() {
         final Map<ModelRef, List<EndpointState>> byModel = new HashMap<>();
         final Map<String, List<EndpointState>> byService = new HashMap<>();
         for (final EndpointState state : mStates.values()) {
-            state.leavePools();
+            state.leaveAllPools();
             if (state.acceptsNewWork()) {
                 group(state, byModel, byService);
             }
         }
         mModelPools.clear();
         mServicePools.clear();
-        byModel.forEach((model, members) -> mModelPools.put(model, new Pool(members)));
-        byService.forEach((service, members) -> mServicePools.put(service, new Pool(members)));
-        mStale = false;
+        byModel.forEach((model, members) -> mModelPools.put(model, new EndpointPool(members)));
+        byService.forEach(
+                (service, members) -> mServicePools.put(service, new EndpointPool(members)));
+        mPoolsStale = false;
     }
 
     private static void group(
--- a/routing/src/main/java/org/whinhead/routing/LoadEstimate.java
+++ b/routing/src/main/java/org/whinhead/routing/LoadEstimate.java
@@ -8,18 +8,18 @@
  */
 final class LoadEstimate {
 
-    private static final int CAPACITY = 256;
+    private static final int MAX_CHANGES = 256;
     private static final long NANOS_PER_SECOND = 1_000_000_000L;
 
-    private final long[] mTimes = new long[CAPACITY];
-    private final int[] mDeltas = new int[CAPACITY];
+    private final long[] mChangeNanos = new long[MAX_CHANGES];
+    private final int[] mChangeDeltas = new int[MAX_CHANGES];
     private final long mTransitNanos;
     private int mHead;
     private int mSize;
-    private int mSinceReport;
-    private int mReported;
+    private int mDeltaSinceReport;
+    private int mReportedRequests;
     private int mOwnInFlight;
-    private long mAsOf = Long.MIN_VALUE;
+    private long mReportAsOfNanos = Long.MIN_VALUE;
 
     LoadEstimate(final long transitNanos) {
         mTransitNanos = transitNanos;
@@ -27,25 +27,25 @@
 
     /** Returns the estimate; never below the own requests in progress, which are known for sure. */
     int requests() {
-        return Math.max(mOwnInFlight, mReported + mSinceReport);
+        return Math.max(mOwnInFlight, mReportedRequests + mDeltaSinceReport);
     }
 
-    int reported() {
-        return mReported;
+    int reportedRequests() {
+        return mReportedRequests;
     }
 
     int ownInFlight() {
         return mOwnInFlight;
     }
 
-    void sent(final Instant now) {
+    void requestSent(final Instant now) {
         mOwnInFlight++;
-        note(nanos(now), 1);
+        recordChange(epochNanos(now), 1);
     }
 
-    void ended(final Instant now) {
+    void requestEnded(final Instant now) {
         mOwnInFlight--;
-        note(nanos(now), -1);
+        recordChange(epochNanos(now), -1);
     }
 
     /**
@@ -55,39 +55,39 @@
      * measured had not arrived there yet, and an endpoint whose clock is ahead dates its report
      * after them. Only what is older than the report by the transit time is taken as included.
      */
-    void report(final LoadReport report, final Instant now) {
-        final long asOf = Math.min(nanos(report.asOf()), nanos(now));
-        if (asOf < mAsOf) {
+    void applyReport(final LoadReport report, final Instant now) {
+        final long asOf = Math.min(epochNanos(report.asOf()), epochNanos(now));
+        if (asOf < mReportAsOfNanos) {
             return;
         }
-        mAsOf = asOf;
-        mReported = report.running() + report.waiting();
-        while (mSize > 0 && mTimes[mHead] <= asOf - mTransitNanos) {
+        mReportAsOfNanos = asOf;
+        mReportedRequests = report.running() + report.waiting();
+        while (mSize > 0 && mChangeNanos[mHead] <= asOf - mTransitNanos) {
             dropOldest();
         }
-        mSinceReport = 0;
+        mDeltaSinceReport = 0;
         for (int i = 0; i < mSize; i++) {
-            mSinceReport += mDeltas[(mHead + i) % CAPACITY];
+            mDeltaSinceReport += mChangeDeltas[(mHead + i) % MAX_CHANGES];
         }
     }
 
-    private void note(final long time, final int delta) {
-        if (mSize == CAPACITY) {
+    private void recordChange(final long time, final int delta) {
+        if (mSize == MAX_CHANGES) {
             dropOldest();
         }
-        final int tail = (mHead + mSize) % CAPACITY;
-        mTimes[tail] = time;
-        mDeltas[tail] = delta;
+        final int tail = (mHead + mSize) % MAX_CHANGES;
+        mChangeNanos[tail] = time;
+        mChangeDeltas[tail] = delta;
         mSize++;
-        mSinceReport += delta;
+        mDeltaSinceReport += delta;
     }
 
     private void dropOldest() {
-        mHead = (mHead + 1) % CAPACITY;
+        mHead = (mHead + 1) % MAX_CHANGES;
         mSize--;
     }
 
-    private static long nanos(final Instant time) {
+    private static long epochNanos(final Instant time) {
         return time.getEpochSecond() * NANOS_PER_SECOND + time.getNano();
     }
 }
--- a/routing/src/main/java/org/whinhead/routing/ScanPicker.java
+++ b/routing/src/main/java/org/whinhead/routing/LowestCostPicker.java
@@ -4,23 +4,24 @@
 import java.util.function.ToDoubleFunction;
 
 /** Looks at every endpoint of a pool, from a starting place, and takes the first of least cost. */
-final class ScanPicker implements Picker {
+final class LowestCostPicker implements Picker {
 
     private final IntUnaryOperator mStart;
     private final ToDoubleFunction<EndpointState> mCost;
 
-    ScanPicker(final IntUnaryOperator start, final ToDoubleFunction<EndpointState> cost) {
+    LowestCostPicker(final IntUnaryOperator start, final ToDoubleFunction<EndpointState> cost) {
         mStart = start;
         mCost = cost;
     }
 
     @Override
-    public EndpointState pick(final Pool pool, final RouteQuery query) {
+    public EndpointState pick(final EndpointPool pool, final RouteQuery query) {
         final EndpointState healthy = scan(pool, query, false);
         return healthy != null ? healthy : scan(pool, query, true);
     }
 
-    private EndpointState scan(final Pool pool, final RouteQuery query, final boolean asProbe) {
+    private EndpointState scan(
+            final EndpointPool pool, final RouteQuery query, final boolean asProbe) {
         final int size = pool.size();
         final int start = mStart.applyAsInt(size);
         EndpointState best = null;
@@ -41,6 +42,6 @@
 
     private static boolean isAllowed(
             final EndpointState state, final RouteQuery query, final boolean asProbe) {
-        return asProbe ? query.allowsAsProbe(state) : query.allows(state);
+        return asProbe ? query.allowsIncludingProbe(state) : query.allows(state);
     }
 }
--- a/routing/src/main/java/org/whinhead/routing/Picker.java
+++ b/routing/src/main/java/org/whinhead/routing/Picker.java
@@ -4,5 +4,5 @@
 interface Picker {
 
     /** Returns the chosen endpoint, or null if none is open; null spares an allocation. */
-    EndpointState pick(Pool pool, RouteQuery query);
+    EndpointState pick(EndpointPool pool, RouteQuery query);
 }
--- a/routing/src/main/java/org/whinhead/routing/PrefixIndex.java
+++ b/routing/src/main/java/org/whinhead/routing/PrefixIndex.java
@@ -13,8 +13,8 @@
     private static final float LOAD_FACTOR = 0.75f;
     private static final int INITIAL_CAPACITY = 1024;
 
-    private static final int MARK_BLOCKS = 4;
-    private static final int REFRESH_PERIOD = 8;
+    private static final int BLOCKS_PER_LEVEL = 4;
+    private static final int REFRESH_PERIOD_SENDS = 8;
 
     private final Map<Long, Holders> mHolders;
     private long mSends;
@@ -31,7 +31,7 @@
                 };
     }
 
-    void stored(final Long prefix, final EndpointState state) {
+    void addHolder(final Long prefix, final EndpointState state) {
         final Holders holders = mHolders.get(prefix);
         if (holders == null) {
             mHolders.put(prefix, new Holders(state));
@@ -40,7 +40,7 @@
         }
     }
 
-    void evicted(final Long prefix, final EndpointState state) {
+    void removeHolder(final Long prefix, final EndpointState state) {
         final Holders holders = mHolders.get(prefix);
         if (holders != null && holders.remove(state)) {
             mHolders.remove(prefix);
@@ -54,11 +54,11 @@
      * it then holds the shorter ones too; now and then it goes on, so that short prefixes which
      * many prompts share are not forgotten as unused.
      */
-    void sent(final List<Long> prefixes, final EndpointState state) {
+    void recordSend(final List<Long> prefixes, final EndpointState state) {
         mSends++;
-        final boolean isRefresh = mSends % REFRESH_PERIOD == 0;
-        for (int mark = marks(prefixes); mark > 0; mark--) {
-            final Long prefix = prefixes.get(depth(prefixes, mark) - 1);
+        final boolean isRefresh = mSends % REFRESH_PERIOD_SENDS == 0;
+        for (int mark = levels(prefixes); mark > 0; mark--) {
+            final Long prefix = prefixes.get(blocks(prefixes, mark) - 1);
             final Holders holders = mHolders.get(prefix);
             if (holders == null) {
                 mHolders.put(prefix, new Holders(state));
@@ -72,28 +72,28 @@
 
     /** Returns who holds a prompt's prefix up to a mark, or null. */
     Holders holders(final List<Long> prefixes, final int mark) {
-        return mHolders.get(prefixes.get(depth(prefixes, mark) - 1));
+        return mHolders.get(prefixes.get(blocks(prefixes, mark) - 1));
     }
 
     /** Returns how many of a prompt's prefixes are looked at: each fourth and the whole. */
-    static int marks(final List<Long> prefixes) {
-        return (prefixes.size() + MARK_BLOCKS - 1) / MARK_BLOCKS;
+    static int levels(final List<Long> prefixes) {
+        return (prefixes.size() + BLOCKS_PER_LEVEL - 1) / BLOCKS_PER_LEVEL;
     }
 
     /** Returns the share of a prompt that its prefix up to a mark is. */
-    static double share(final List<Long> prefixes, final int mark) {
-        return (double) depth(prefixes, mark) / prefixes.size();
+    static double promptShare(final List<Long> prefixes, final int mark) {
+        return (double) blocks(prefixes, mark) / prefixes.size();
     }
 
-    private static int depth(final List<Long> prefixes, final int mark) {
-        return Math.min(mark * MARK_BLOCKS, prefixes.size());
+    private static int blocks(final List<Long> prefixes, final int mark) {
+        return Math.min(mark * BLOCKS_PER_LEVEL, prefixes.size());
     }
 
     /** The few endpoints that held a prefix most lately. */
     static final class Holders {
-        private static final int MOST = 3;
+        private static final int MAX_HOLDERS = 3;
 
-        private final EndpointState[] mStates = new EndpointState[MOST];
+        private final EndpointState[] mStates = new EndpointState[MAX_HOLDERS];
 
         private Holders(final EndpointState first) {
             mStates[0] = first;
@@ -103,13 +103,13 @@
             return mStates[index];
         }
 
-        int most() {
-            return MOST;
+        int capacity() {
+            return MAX_HOLDERS;
         }
 
         private boolean contains(final EndpointState state) {
             boolean found = false;
-            for (int i = 0; i < MOST; i++) {
+            for (int i = 0; i < MAX_HOLDERS; i++) {
                 found |= mStates[i] == state;
             }
             return found;
@@ -117,7 +117,7 @@
 
         private void add(final EndpointState state) {
             int at = 0;
-            while (at < MOST - 1 && mStates[at] != state) {
+            while (at < MAX_HOLDERS - 1 && mStates[at] != state) {
                 at++;
             }
             for (; at > 0; at--) {
@@ -128,7 +128,7 @@
 
         private boolean remove(final EndpointState state) {
             boolean empty = true;
-            for (int i = 0; i < MOST; i++) {
+            for (int i = 0; i < MAX_HOLDERS; i++) {
                 if (mStates[i] == state) {
                     mStates[i] = null;
                 }
--- a/routing/src/main/java/org/whinhead/routing/Rendezvous.java
+++ b/routing/src/main/java/org/whinhead/routing/RendezvousHash.java
@@ -6,7 +6,7 @@
  * Rendezvous hashing: each pair of a member and a key has a score, and the members of highest score
  * own the key. All daemons agree without talking, and a member that goes moves only its own keys.
  */
-final class Rendezvous {
+final class RendezvousHash {
 
     private static final LongHashFunction TEXT_HASH = LongHashFunction.xx3();
     private static final long FIRST_FACTOR = 0xbf58476d1ce4e5b9L;
@@ -14,7 +14,7 @@
     private static final int FIRST_SHIFT = 30;
     private static final int SECOND_SHIFT = 27;
 
-    private Rendezvous() {}
+    private RendezvousHash() {}
 
     static long hash(final String text) {
         return TEXT_HASH.hashChars(text);
--- a/routing/src/main/java/org/whinhead/routing/RouteQuery.java
+++ b/routing/src/main/java/org/whinhead/routing/RouteQuery.java
@@ -16,11 +16,11 @@
 
     /** Tells whether an endpoint may be chosen; a recovery probe needs an idempotent request. */
     boolean allows(final EndpointState state) {
-        return allowsAsProbe(state) && (spec.idempotent() || !state.health().isSuspect());
+        return allowsIncludingProbe(state) && (spec.idempotent() || !state.health().isSuspect());
     }
 
     /** Tells whether an endpoint may be chosen when no healthy one is left. */
-    boolean allowsAsProbe(final EndpointState state) {
-        return state.isOpen(now) && !excluded.contains(state.endpoint().id());
+    boolean allowsIncludingProbe(final EndpointState state) {
+        return state.canDispatch(now) && !excluded.contains(state.endpoint().id());
     }
 }
--- a/routing/src/main/java/org/whinhead/routing/Router.java
+++ b/routing/src/main/java/org/whinhead/routing/Router.java
@@ -27,7 +27,7 @@
      * @param spec the request
      * @param now the time
      */
-    void ended(EndpointId endpoint, RequestSpec spec, Instant now);
+    void attemptEnded(EndpointId endpoint, RequestSpec spec, Instant now);
 
     /**
      * An attempt at an endpoint brought its answer; told before {@link #ended}.
@@ -36,7 +36,8 @@
      * @param spec the request
      * @param now the time
      */
-    default void succeeded(final EndpointId endpoint, final RequestSpec spec, final Instant now) {}
+    default void attemptSucceeded(
+            final EndpointId endpoint, final RequestSpec spec, final Instant now) {}
 
     /**
      * An attempt failed in a way that counts against its endpoint; told before {@link #ended}.
@@ -45,7 +46,8 @@
      * @param spec the request
      * @param now the time
      */
-    default void failed(final EndpointId endpoint, final RequestSpec spec, final Instant now) {}
+    default void attemptFailed(
+            final EndpointId endpoint, final RequestSpec spec, final Instant now) {}
 
     /**
      * Finds one endpoint by name, if it may still answer, and counts a send against it; used to
@@ -56,7 +58,7 @@
      * @param now the time
      * @return the endpoint, or empty if it is not known or gone
      */
-    default Optional<Endpoint> find(
+    default Optional<Endpoint> dispatchTo(
             final EndpointId endpoint, final RequestSpec spec, final Instant now) {
         return Optional.empty();
     }
--- a/routing/src/main/java/org/whinhead/routing/RoutingStrategy.java
+++ b/routing/src/main/java/org/whinhead/routing/RoutingStrategy.java
@@ -12,7 +12,7 @@
                 final RoutingSettings settings,
                 final RandomGenerator random,
                 final PrefixIndex prefixes) {
-            return new ScanPicker(size -> random.nextInt(size), state -> 0);
+            return new LowestCostPicker(size -> random.nextInt(size), state -> 0);
         }
     },
     /** Each open endpoint in turn. */
@@ -22,7 +22,7 @@
                 final RoutingSettings settings,
                 final RandomGenerator random,
                 final PrefixIndex prefixes) {
-            return new ScanPicker(new Turn(), state -> 0);
+            return new LowestCostPicker(new RoundRobinIndex(), state -> 0);
         }
     },
     /** The endpoint whose last report names the fewest requests. */
@@ -32,7 +32,8 @@
                 final RoutingSettings settings,
                 final RandomGenerator random,
                 final PrefixIndex prefixes) {
-            return new ScanPicker(size -> random.nextInt(size), state -> state.load().reported());
+            return new LowestCostPicker(
+                    size -> random.nextInt(size), state -> state.load().reportedRequests());
         }
     },
     /** The endpoint with the least expected time to the first token, cached prefixes counted. */
@@ -49,7 +50,7 @@
     abstract Picker create(RoutingSettings settings, RandomGenerator random, PrefixIndex prefixes);
 
     /** Counts through the members of a pool. */
-    private static final class Turn implements IntUnaryOperator {
+    private static final class RoundRobinIndex implements IntUnaryOperator {
         private int mNext;
 
         @Override
--- a/routing/src/main/java/org/whinhead/routing/WatchPlan.java
+++ b/routing/src/main/java/org/whinhead/routing/WatchPlan.java
@@ -45,26 +45,26 @@
      * @return the plan
      */
     public static WatchPlan of(
-            final DaemonPlace own,
-            final List<DaemonPlace> daemons,
+            final DaemonLocation own,
+            final List<DaemonLocation> daemons,
             final List<Endpoint> endpoints,
             final Limits limits) {
-        final List<DaemonId> group = group(own, daemons, limits);
+        final List<DaemonId> group = peers(own, daemons, limits);
         final List<Endpoint> watched = watched(own.domain(), endpoints, limits);
         final List<EndpointId> polled = new ArrayList<>();
         for (final Endpoint endpoint : watched) {
-            if (rank(own.id(), group, endpoint.id()) < limits.pollers()) {
+            if (rendezvousRank(own.id(), group, endpoint.id()) < limits.pollers()) {
                 polled.add(endpoint.id());
             }
         }
         return new WatchPlan(watched, polled, group);
     }
 
-    private static List<DaemonId> group(
-            final DaemonPlace own, final List<DaemonPlace> daemons, final Limits limits) {
+    private static List<DaemonId> peers(
+            final DaemonLocation own, final List<DaemonLocation> daemons, final Limits limits) {
         final boolean isSmall = daemons.size() <= limits.maxPeers();
         final List<DaemonId> group = new ArrayList<>();
-        for (final DaemonPlace daemon : daemons) {
+        for (final DaemonLocation daemon : daemons) {
             final boolean isNear = isSmall || daemon.domain().equals(own.domain());
             if (isNear && !daemon.id().equals(own.id())) {
                 group.add(daemon.id());
@@ -78,12 +78,12 @@
         if (endpoints.size() <= limits.maxWatched()) {
             return endpoints;
         }
-        final long key = Rendezvous.hash(domain.toString());
+        final long key = RendezvousHash.hash(domain.toString());
         final List<Endpoint> ordered = new ArrayList<>(endpoints);
         ordered.sort(
                 Comparator.<Endpoint>comparingInt(endpoint -> distance(domain, endpoint))
                         .thenComparingLong(endpoint -> score(key, endpoint.id().value())));
-        final Set<Endpoint> chosen = fewOfEachTarget(ordered, limits.minPerTarget());
+        final Set<Endpoint> chosen = minimumOfEachTarget(ordered, limits.minPerTarget());
         for (final Endpoint endpoint : ordered) {
             if (chosen.size() >= limits.maxWatched()) {
                 break;
@@ -97,7 +97,7 @@
      * Guards against a model that no near endpoint serves: its requests would be refused here while
      * far endpoints idle. A few endpoints of each model and service come first.
      */
-    private static Set<Endpoint> fewOfEachTarget(final List<Endpoint> ordered, final int few) {
+    private static Set<Endpoint> minimumOfEachTarget(final List<Endpoint> ordered, final int few) {
         final Map<Object, Integer> counts = new HashMap<>();
         final Set<Endpoint> chosen = new LinkedHashSet<>();
         for (final Endpoint endpoint : ordered) {
@@ -127,9 +127,9 @@
         return domain.region().equals(from.region()) ? 1 : 2;
     }
 
-    private static int rank(
+    private static int rendezvousRank(
             final DaemonId own, final List<DaemonId> others, final EndpointId endpoint) {
-        final long key = Rendezvous.hash(endpoint.value());
+        final long key = RendezvousHash.hash(endpoint.value());
         final long ownScore = score(key, own.value());
         int rank = 0;
         for (final DaemonId other : others) {
@@ -141,7 +141,7 @@
     }
 
     private static long score(final long key, final String member) {
-        return Rendezvous.score(Rendezvous.hash(member), key);
+        return RendezvousHash.score(RendezvousHash.hash(member), key);
     }
 
     /**
--- a/routing/src/test/java/org/whinhead/routing/AffinityRouterTest.java
+++ b/routing/src/test/java/org/whinhead/routing/AffinityRouterTest.java
@@ -98,12 +98,12 @@
         final Set<EndpointId> left = new HashSet<>();
         for (final int step : steps) {
             if (step < 3) {
-                router.leaving(id(step));
+                router.endpointLeaving(id(step));
                 left.add(id(step));
             } else if (step == 3) {
                 router.endpointsChanged(engines(8));
             } else if (step == 4) {
-                router.endpointGone(id(0));
+                router.endpointRemoved(id(0));
                 router.endpointChanged(engine(0, Fixtures.GASABO));
             }
             for (long prefix = 0; prefix < 8; prefix++) {
@@ -130,7 +130,7 @@
         final RequestSpec probe = request(1L);
         assertThat(router.choose(probe, other, cooled)).isPresent();
         assertThat(router.choose(request(1L), other, cooled)).isEmpty();
-        router.succeeded(dead, probe, cooled);
+        router.attemptSucceeded(dead, probe, cooled);
         assertThat(router.choose(request(1L), other, cooled)).isPresent();
     }
 
@@ -139,8 +139,8 @@
         for (int i = 0; i < 2; i++) {
             final RequestSpec spec = request(1L);
             dead = chosen(router, spec);
-            router.failed(dead, spec, START);
-            router.ended(dead, spec, START);
+            router.attemptFailed(dead, spec, START);
+            router.attemptEnded(dead, spec, START);
         }
         return dead;
     }
@@ -157,11 +157,11 @@
         router.endpointsChanged(engines(1));
         final RequestSpec late = request();
         router.choose(late, Set.of(), START);
-        router.ended(id(0), early, START);
-        assertThat(router.inProgressAt(id(0))).isEqualTo(1);
-        router.ended(id(0), late, START);
-        router.ended(id(0), late, START);
-        assertThat(router.inProgressAt(id(0))).isZero();
+        router.attemptEnded(id(0), early, START);
+        assertThat(router.inFlightAt(id(0))).isEqualTo(1);
+        router.attemptEnded(id(0), late, START);
+        router.attemptEnded(id(0), late, START);
+        assertThat(router.inFlightAt(id(0))).isZero();
     }
 
     @Test
--- a/routing/src/test/java/org/whinhead/routing/EndpointHealthTest.java
+++ b/routing/src/test/java/org/whinhead/routing/EndpointHealthTest.java
@@ -32,7 +32,7 @@
         mHealth.failed(late, START);
         mHealth.succeeded(early);
         assertThat(mHealth.isSuspect()).isTrue();
-        assertThat(mHealth.isOpen(START)).isFalse();
+        assertThat(mHealth.canDispatch(START)).isFalse();
     }
 
     // Many callers wait when a dead engine's cooldown ends. Only one may try it: were all of them
@@ -41,10 +41,10 @@
     void oneProbeOnlyAndLostProbeDoesNotCloseForGood() {
         mHealth.failed(mHealth.dispatched(START), START);
         final Instant cooled = START.plusMillis(1500);
-        assertThat(mHealth.isOpen(cooled)).isTrue();
+        assertThat(mHealth.canDispatch(cooled)).isTrue();
         mHealth.dispatched(cooled);
-        assertThat(mHealth.isOpen(cooled)).isFalse();
-        assertThat(mHealth.isOpen(cooled.plus(SETTINGS.probeTimeout()))).isTrue();
+        assertThat(mHealth.canDispatch(cooled)).isFalse();
+        assertThat(mHealth.canDispatch(cooled.plus(SETTINGS.probeTimeout()))).isTrue();
     }
 
     // An engine is away for a minute and every probe fails. When it is back, callers must not wait
@@ -57,8 +57,9 @@
             now = now.plusSeconds(60);
         }
         final Instant last = now.minusSeconds(60);
-        assertThat(mHealth.isOpen(last.plus(SETTINGS.longestCooldown().dividedBy(2)))).isFalse();
-        assertThat(mHealth.isOpen(last.plusMillis(6000))).isTrue();
+        assertThat(mHealth.canDispatch(last.plus(SETTINGS.longestCooldown().dividedBy(2))))
+                .isFalse();
+        assertThat(mHealth.canDispatch(last.plusMillis(6000))).isTrue();
     }
 
     // An engine with many streams dies: all of them fail, most after the first probe has gone out.
@@ -84,7 +85,7 @@
         Instant lastProbe = Instant.MIN;
         for (final int step : steps) {
             now = now.plusMillis(700);
-            if (step < 2 && health.isOpen(now)) {
+            if (step < 2 && health.canDispatch(now)) {
                 if (health.isSuspect()) {
                     assertThat(now).isAfterOrEqualTo(lastProbe);
                     lastProbe = now.plus(SETTINGS.probeTimeout());
--- a/routing/src/test/java/org/whinhead/routing/WatchPlanTest.java
+++ b/routing/src/test/java/org/whinhead/routing/WatchPlanTest.java
@@ -20,11 +20,11 @@
 
     @Test
     void twoYearSizeStaysBoundedAndEveryWatchedEndpointIsPolledTwice() {
-        final List<DaemonPlace> daemons = daemons(330);
+        final List<DaemonLocation> daemons = daemons(330);
         final List<Endpoint> endpoints = endpoints(1800);
         final Map<EndpointId, Integer> polls = new HashMap<>();
         WatchPlan last = null;
-        for (final DaemonPlace daemon : daemons) {
+        for (final DaemonLocation daemon : daemons) {
             if (!daemon.domain().equals(domain(0))) {
                 continue;
             }
@@ -53,10 +53,10 @@
         assertThat(plan.watched()).contains(far);
     }
 
-    private static List<DaemonPlace> daemons(final int count) {
-        final List<DaemonPlace> daemons = new ArrayList<>();
+    private static List<DaemonLocation> daemons(final int count) {
+        final List<DaemonLocation> daemons = new ArrayList<>();
         for (int i = 0; i < count; i++) {
-            daemons.add(new DaemonPlace(new DaemonId("d" + i), domain(i)));
+            daemons.add(new DaemonLocation(new DaemonId("d" + i), domain(i)));
         }
         return daemons;
     }
