--- a/requests/src/main/java/org/whinhead/requests/DefaultRequestCoordinator.java
+++ b/requests/src/main/java/org/whinhead/requests/DefaultRequestCoordinator.java
@@ -157,11 +157,11 @@
     }
 
     private void admitWaiting(final Instant now) {
-        for (final Admission.Shed shed : mWiring.admission().shed(now)) {
+        for (final Admission.ShedRequest shed : mWiring.admission().takeShed(now)) {
             findWaiting(shed.spec())
                     .ifPresent(state -> mEndings.refuse(state, shed.refusal(), now));
         }
-        for (final RequestSpec spec : mWiring.admission().admitted(now)) {
+        for (final RequestSpec spec : mWiring.admission().takeAdmitted(now)) {
             findWaiting(spec).ifPresent(state -> mClaimGate.handleAdmitted(state, now));
         }
     }
