--- a/gateway/src/main/java/org/whinhead/gateway/Gateway.java
+++ b/gateway/src/main/java/org/whinhead/gateway/Gateway.java
@@ -10,24 +10,24 @@
 import java.util.concurrent.TimeUnit;
 import org.slf4j.Logger;
 import org.slf4j.LoggerFactory;
-import org.whinhead.gateway.caller.CallerListener;
-import org.whinhead.gateway.duty.DutyHolder;
+import org.whinhead.gateway.caller.CallerHttpServer;
+import org.whinhead.gateway.duty.DutyLeaseManager;
 import org.whinhead.gateway.endpoint.EndpointConnections;
 import org.whinhead.gateway.exchange.Exchanges;
-import org.whinhead.gateway.exchange.RequestJournal;
+import org.whinhead.gateway.exchange.RequestLogger;
 import org.whinhead.gateway.exchange.ServingState;
 import org.whinhead.gateway.http.HttpReply;
-import org.whinhead.gateway.http.SmallHttpServer;
-import org.whinhead.gateway.metrics.RequestCounts;
+import org.whinhead.gateway.http.SimpleHttpServer;
+import org.whinhead.gateway.metrics.RequestMetrics;
 import org.whinhead.gateway.peers.Addresses;
-import org.whinhead.gateway.peers.MemberAnnouncement;
-import org.whinhead.gateway.peers.PeerReports;
-import org.whinhead.gateway.peers.StoreDigests;
-import org.whinhead.gateway.quota.ShareTableKeeper;
-import org.whinhead.gateway.quota.TokenMessenger;
-import org.whinhead.gateway.rollout.RolloutDuty;
-import org.whinhead.gateway.store.ConfigurationWatch;
-import org.whinhead.gateway.store.EndpointWatch;
+import org.whinhead.gateway.peers.DigestReadCoordinator;
+import org.whinhead.gateway.peers.MemberDiscovery;
+import org.whinhead.gateway.peers.PeerDatagramChannel;
+import org.whinhead.gateway.quota.DatagramQuotaTransport;
+import org.whinhead.gateway.quota.ShareTableSynchronizer;
+import org.whinhead.gateway.rollout.RolloutParticipant;
+import org.whinhead.gateway.store.ConfigurationTopicListener;
+import org.whinhead.gateway.store.EndpointTopicListener;
 import org.whinhead.gateway.store.StoreTopic;
 import org.whinhead.gateway.store.TopicFollower;
 import org.whinhead.gateway.store.TopicListener;
@@ -36,13 +36,13 @@
 import org.whinhead.serving.configuration.CallerLimits;
 import org.whinhead.serving.configuration.ServingConfiguration;
 import org.whinhead.serving.duty.DutyLease;
-import org.whinhead.serving.duty.UsagePlan;
+import org.whinhead.serving.duty.UsageDecider;
 import org.whinhead.serving.limit.RetryBudget;
 import org.whinhead.serving.member.Member;
 import org.whinhead.serving.member.MemberTable;
+import org.whinhead.serving.quota.ClockReading;
 import org.whinhead.serving.quota.CustomerQuotas;
 import org.whinhead.serving.quota.HeldShares;
-import org.whinhead.serving.quota.Moment;
 import org.whinhead.serving.rollout.RolloutLimits;
 import org.whinhead.serving.usage.UsageLedger;
 import org.whinhead.serving.usage.UsageWindows;
@@ -57,19 +57,19 @@
 
     private static final Logger LOG = LoggerFactory.getLogger(Gateway.class);
 
-    private static final int READY = 200;
-    private static final int NOT_READY = 503;
+    private static final int HTTP_OK = 200;
+    private static final int HTTP_SERVICE_UNAVAILABLE = 503;
 
     /** How long callers keep an answer of the directory; some keep it three times as long. */
-    private static final Duration DIRECTORY_KEEP = Duration.ofSeconds(1);
+    private static final Duration DIRECTORY_CACHE_TIME = Duration.ofSeconds(1);
 
     /** Wait and pause of the configuration's reads: a read that hangs is given up in time. */
-    private static final TopicFollower.Pace CONFIGURATION_PACE =
-            new TopicFollower.Pace(Duration.ofMillis(1_000), Duration.ofMillis(20));
+    private static final TopicFollower.PollSchedule CONFIGURATION_PACE =
+            new TopicFollower.PollSchedule(Duration.ofMillis(1_000), Duration.ofMillis(20));
 
     /** Endpoints write several times a second, so reads need not wait but must be paced. */
-    private static final TopicFollower.Pace ENDPOINT_PACE =
-            new TopicFollower.Pace(Duration.ZERO, Duration.ofMillis(400));
+    private static final TopicFollower.PollSchedule ENDPOINT_PACE =
+            new TopicFollower.PollSchedule(Duration.ZERO, Duration.ofMillis(400));
 
     /** From the signal on: when connections without a request are closed. */
     private static final Duration CLOSE_IDLE_AFTER = Duration.ofMillis(300);
@@ -80,29 +80,29 @@
     /**
      * From the signal on: when callers have learnt not to connect here, and an idle daemon ends.
      */
-    private static final Duration LEAST_STOP = Duration.ofMillis(4_000);
+    private static final Duration MIN_STOP_TIME = Duration.ofMillis(4_000);
 
     /** What is left of the grace when the daemon ends with requests under way. */
     private static final Duration STOP_MARGIN = Duration.ofMillis(500);
 
-    private static final int STOP_CHECK_MILLIS = 100;
+    private static final int STOP_CHECK_INTERVAL_MILLIS = 100;
 
     private final EventLoop mLoop;
     private final GatewaySettings mSettings;
     private final ServingState mState;
     private final MemberTable mMembers;
-    private final CallerListener mCallers;
+    private final CallerHttpServer mCallerServer;
     private final Exchanges mExchanges;
-    private final EndpointWatch mEndpointWatch;
-    private final ConfigurationWatch mConfigurationWatch;
-    private final StoreDigests mDigests;
-    private final PeerReports mPeers;
-    private final MemberAnnouncement mAnnouncement;
-    private final DutyHolder mDuties;
-    private final ShareTableKeeper mShareTable;
-    private final Optional<RolloutDuty> mRollouts;
+    private final EndpointTopicListener mEndpointWatch;
+    private final ConfigurationTopicListener mConfigurationWatch;
+    private final DigestReadCoordinator mDigests;
+    private final PeerDatagramChannel mPeers;
+    private final MemberDiscovery mAnnouncement;
+    private final DutyLeaseManager mDuties;
+    private final ShareTableSynchronizer mShareTable;
+    private final Optional<RolloutParticipant> mRollouts;
     private final GatewayPorts mPorts;
-    private final RequestCounts mCounts = new RequestCounts();
+    private final RequestMetrics mCounts = new RequestMetrics();
     private boolean mStopping;
 
     /**
@@ -123,8 +123,9 @@
         mLoop = loop;
         mSettings = settings;
         mPorts = ports;
-        final TokenMessenger tokens = new TokenMessenger(loop, settings.self().incarnation());
-        mState = state(settings, tokens, clock, timeOfDay);
+        final DatagramQuotaTransport tokens =
+                new DatagramQuotaTransport(loop, settings.self().incarnation());
+        mState = createState(settings, tokens, clock, timeOfDay);
         mMembers = new MemberTable(settings.self());
         final EndpointConnections connections =
                 new EndpointConnections(loop, clock, ports.endpoints());
@@ -134,47 +135,51 @@
                         mState,
                         connections,
                         ports.endpoints(),
-                        new RequestJournal(clock, mCounts),
+                        new RequestLogger(clock, mCounts),
                         ports.mover());
-        mCallers = new CallerListener(loop, ports.callers(), mExchanges, this::limits);
+        mCallerServer = new CallerHttpServer(loop, ports.callers(), mExchanges, this::limits);
         mConfigurationWatch =
-                new ConfigurationWatch(
+                new ConfigurationTopicListener(
                         mState, ports.configurations(), ports.configurationKey(), ports.rollouts());
-        mEndpointWatch = new EndpointWatch(mState, connections, ports.entries());
-        mDigests = new StoreDigests(mState, mMembers);
-        mPeers = new PeerReports(loop, mState, mMembers, mDigests);
+        mEndpointWatch = new EndpointTopicListener(mState, connections, ports.entries());
+        mDigests = new DigestReadCoordinator(mState, mMembers);
+        mPeers = new PeerDatagramChannel(loop, mState, mMembers, mDigests);
         tokens.connect(mState, mPeers::send);
-        mPeers.onTokens(tokens::take);
+        mPeers.onTokenDatagram(tokens::receive);
         mAnnouncement =
-                new MemberAnnouncement(loop, ports.store(), settings.self(), mPeers::addContact);
+                new MemberDiscovery(loop, ports.store(), settings.self(), mPeers::addContact);
         mDuties =
-                new DutyHolder(
+                new DutyLeaseManager(
                         loop,
                         mState,
                         mMembers,
                         ports.store(),
                         ports.cloud(),
-                        new DutyHolder.Duties(
+                        new DutyLeaseManager.Duties(
                                 new DutyLease(settings.self().incarnation(), settings.leaseTerm()),
-                                new UsagePlan(
+                                new UsageDecider(
                                         mState.usageWindows(), mState.usage(), timeOfDay.instant()),
                                 new CapacityPlanner(settings.capacity())));
         mShareTable =
-                new ShareTableKeeper(
-                        loop, mState, mMembers, ports.store(), () -> mDuties.token().isPresent());
-        mPeers.onShareTable(mShareTable::heardVersion);
-        mRollouts = settings.rollouts().map(limits -> rolloutDuty(limits, ports));
-        mRollouts.ifPresent(mPeers::onRolloutNews);
-        mRollouts.ifPresent(duty -> mConfigurationWatch.onEarlierOrder(duty::earlierOrder));
-        mEndpointWatch.onLeaving(entry -> mExchanges.endpointLeaves(entry.id(), entry.leavesIn()));
-        mEndpointWatch.onChange(mDuties.capacity()::orderEndpoints);
-        mDuties.capacity().onOrdered(mPeers::sendOrder);
-        mPeers.onOrder(mDuties.capacity()::orderedElsewhere);
+                new ShareTableSynchronizer(
+                        loop,
+                        mState,
+                        mMembers,
+                        ports.store(),
+                        () -> mDuties.fencingToken().isPresent());
+        mPeers.onShareTableVersion(mShareTable::onPeerVersion);
+        mRollouts = settings.rollouts().map(limits -> createRolloutDuty(limits, ports));
+        mRollouts.ifPresent(mPeers::onRolloutMessages);
+        mRollouts.ifPresent(duty -> mConfigurationWatch.onEarlierOrder(duty::recordEarlierOrder));
+        mEndpointWatch.onLeaving(entry -> mExchanges.endpointLeaving(entry.id(), entry.leavesIn()));
+        mEndpointWatch.onChange(mDuties.autoscaler()::orderEndpoints);
+        mDuties.autoscaler().onOrdered(mPeers::sendCapacityOrder);
+        mPeers.onCapacityOrder(mDuties.autoscaler()::recordPeerOrder);
     }
 
-    private static ServingState state(
+    private static ServingState createState(
             final GatewaySettings settings,
-            final TokenMessenger tokens,
+            final DatagramQuotaTransport tokens,
             final InstantSource clock,
             final InstantSource timeOfDay) {
         final Member self = settings.self();
@@ -182,7 +187,7 @@
                 new HeldShares(
                         self.peerAddress(),
                         settings.quotaTolerance(),
-                        new Moment(clock.instant(), timeOfDay.instant()));
+                        new ClockReading(clock.instant(), timeOfDay.instant()));
         return ServingState.builder()
                 .clocks(clock, timeOfDay)
                 .chooser(new EndpointChooser(self.domain(), new Random()))
@@ -199,15 +204,16 @@
                 .build();
     }
 
-    private RolloutDuty rolloutDuty(final RolloutLimits limits, final GatewayPorts ports) {
-        return new RolloutDuty(
+    private RolloutParticipant createRolloutDuty(
+            final RolloutLimits limits, final GatewayPorts ports) {
+        return new RolloutParticipant(
                 mState,
                 mMembers,
                 mPeers,
-                new RolloutDuty.Ports(ports.store(), ports.rollouts()),
+                new RolloutParticipant.Ports(ports.store(), ports.rollouts()),
                 limits,
-                mDuties::token,
-                mExchanges::endpointLeaves);
+                mDuties::fencingToken,
+                mExchanges::endpointLeaving);
     }
 
     private CallerLimits limits() {
@@ -219,11 +225,11 @@
 
     /** Starts to listen and to follow the store; to be called on the event loop. */
     public void start() {
-        final SmallHttpServer small = new SmallHttpServer(mLoop);
+        final SimpleHttpServer small = new SimpleHttpServer(mLoop);
         small.listen(mSettings.readinessAddress(), "text/plain", target -> readiness());
         small.listen(mSettings.directoryAddress(), "application/json", this::addresses);
         small.listen(mSettings.metricsAddress(), "text/plain", target -> metrics());
-        mCallers.listen(mSettings.self().callerAddress());
+        mCallerServer.listen(mSettings.self().callerAddress());
         mSettings.contacts().forEach(mPeers::addContact);
         mPeers.start();
         followStore();
@@ -242,69 +248,71 @@
                 follower(StoreTopic.CONFIGURATION, mConfigurationWatch, CONFIGURATION_PACE);
         final TopicFollower endpoints =
                 follower(StoreTopic.ENDPOINTS, mEndpointWatch, ENDPOINT_PACE);
-        mConfigurationWatch.onRead(mDigests::configurationRead);
+        mConfigurationWatch.onRead(mDigests::recordConfigurationRead);
         mConfigurationWatch.onChange(mPeers::sendDigest);
-        mEndpointWatch.onRead(this::passOnEndpoints);
-        mPeers.onEndpointNews(mEndpointWatch::passedOn);
-        mDigests.onSameEndpoints(endpoints::skipTo);
-        mDigests.onNews(
+        mEndpointWatch.onRead(this::publishEndpointChanges);
+        mPeers.onEndpointChanges(mEndpointWatch::applyPeerChanges);
+        mDigests.onSkippableEndpoints(endpoints::skipTo);
+        mDigests.onNewRecords(
                 topic -> {
                     if (topic == StoreTopic.CONFIGURATION) {
-                        configuration.wake();
+                        configuration.readNow();
                     } else {
-                        endpoints.wake();
+                        endpoints.readNow();
                     }
                 });
         configuration.start();
         endpoints.start();
-        final long pace = Exchanges.LAG_MEASURED_EACH.toMillis();
-        mLoop.scheduleWithFixedDelay(this::check, pace, pace, TimeUnit.MILLISECONDS);
+        final long pace = Exchanges.LAG_MEASUREMENT_INTERVAL.toMillis();
+        mLoop.scheduleWithFixedDelay(this::runPeriodicTasks, pace, pace, TimeUnit.MILLISECONDS);
     }
 
     /** What must be looked at some times a second; one timer serves all of it. */
-    private void check() {
+    private void runPeriodicTasks() {
         mExchanges.measureLag();
-        mEndpointWatch.dropLapsed();
+        mEndpointWatch.removeLapsedEntries();
         mShareTable.tick();
-        mRollouts.ifPresent(RolloutDuty::tick);
+        mRollouts.ifPresent(RolloutParticipant::tick);
     }
 
-    private void passOnEndpoints() {
-        mDigests.endpointsRead(mEndpointWatch.end());
-        mPeers.sendEndpoints(mEndpointWatch.takeChanges());
+    private void publishEndpointChanges() {
+        mDigests.recordEndpointsRead(mEndpointWatch.end());
+        mPeers.sendEndpointChanges(mEndpointWatch.drainChanges());
     }
 
     private TopicFollower follower(
-            final StoreTopic topic, final TopicListener listener, final TopicFollower.Pace pace) {
+            final StoreTopic topic,
+            final TopicListener listener,
+            final TopicFollower.PollSchedule pace) {
         return new TopicFollower(mLoop, mPorts.store(), topic, listener, pace, mDigests);
     }
 
     private HttpReply readiness() {
-        final boolean ready = isReady();
-        return new HttpReply(ready ? READY : NOT_READY, new byte[0]);
+        final boolean ready = updateReadiness();
+        return new HttpReply(ready ? HTTP_OK : HTTP_SERVICE_UNAVAILABLE, new byte[0]);
     }
 
     private HttpReply metrics() {
-        return new HttpReply(READY, mCounts.page().getBytes(StandardCharsets.UTF_8));
+        return new HttpReply(HTTP_OK, mCounts.renderPage().getBytes(StandardCharsets.UTF_8));
     }
 
-    private boolean isReady() {
+    private boolean updateReadiness() {
         final boolean ready =
                 !mStopping
                         && mState.configuration().current().isPresent()
                         && mState.quotas().isReady()
                         && mEndpointWatch.isLoaded();
-        mMembers.selfReady(ready);
+        mMembers.setSelfReady(ready);
         return ready;
     }
 
     private HttpReply addresses(final String target) {
-        isReady();
+        updateReadiness();
         return mPorts.directory()
                 .answer(
                         target,
                         domain -> mMembers.addressesFor(domain, mState.clock().instant()),
-                        DIRECTORY_KEEP);
+                        DIRECTORY_CACHE_TIME);
     }
 
     /**
@@ -328,27 +336,27 @@
         }
         mStopping = true;
         LOG.info("stopping");
-        mMembers.selfReady(false);
-        mPeers.leave();
+        mMembers.setSelfReady(false);
+        mPeers.announceLeaving();
         mDuties.stop();
         final Instant start = mState.clock().instant();
-        later(CLOSE_IDLE_AFTER, mCallers::stopGently);
-        later(REFUSE_STREAMS_AFTER, mExchanges::closeForStreams);
+        schedule(CLOSE_IDLE_AFTER, mCallerServer::drain);
+        schedule(REFUSE_STREAMS_AFTER, mExchanges::refuseStreams);
         mLoop.scheduleWithFixedDelay(
                 () -> checkStopped(start, ended),
-                LEAST_STOP.toMillis(),
-                STOP_CHECK_MILLIS,
+                MIN_STOP_TIME.toMillis(),
+                STOP_CHECK_INTERVAL_MILLIS,
                 TimeUnit.MILLISECONDS);
     }
 
-    private void later(final Duration delay, final Runnable step) {
+    private void schedule(final Duration delay, final Runnable step) {
         mLoop.schedule(step, delay.toMillis(), TimeUnit.MILLISECONDS);
     }
 
     private void checkStopped(final Instant start, final Runnable ended) {
-        mCallers.stopAccepting();
+        mCallerServer.stopAccepting();
         final Duration spent = Duration.between(start, mState.clock().instant());
-        final int busy = mCallers.busyConnections();
+        final int busy = mCallerServer.busyConnectionCount();
         if (busy == 0 || spent.compareTo(mSettings.stopGrace().minus(STOP_MARGIN)) > 0) {
             LOG.atInfo().addKeyValue("requestsCut", busy).log("stopped");
             ended.run();
--- /dev/null
+++ b/gateway/src/test/java/org/whinhead/gateway/peers/DigestReadCoordinatorTest.java
@@ -0,0 +1,82 @@
+package org.whinhead.gateway.peers;
+
+import static org.assertj.core.api.Assertions.assertThat;
+
+import java.net.InetSocketAddress;
+import java.time.Instant;
+import java.util.ArrayList;
+import java.util.List;
+import org.junit.jupiter.api.Test;
+import org.whinhead.gateway.exchange.ServingState;
+import org.whinhead.gateway.exchange.TestServing;
+import org.whinhead.gateway.store.StoreTopic;
+import org.whinhead.serving.member.Member;
+import org.whinhead.serving.member.MemberTable;
+
+class DigestReadCoordinatorTest {
+
+    private final Instant mNow = Instant.parse("2026-01-01T00:00:00Z");
+    private final List<StoreTopic> mTopicsToRead = new ArrayList<>();
+    private final List<Long> mSkippedTo = new ArrayList<>();
+
+    private ServingState state() {
+        return TestServing.state(() -> mNow);
+    }
+
+    private static Member member(final String name) {
+        final InetSocketAddress address = new InetSocketAddress("127.0.0.1", 7600);
+        return new Member(name, "i-" + name, "domain-a", address, address);
+    }
+
+    private static void putEndpoint(final ServingState state, final String id, final long offset) {
+        state.endpoints().put(TestServing.endpoint(id, false), offset);
+    }
+
+    private DigestReadCoordinator nonReader(final ServingState state) {
+        final MemberTable members = new MemberTable(member("z"));
+        members.recordReport(member("a"), true, false, mNow);
+        members.recordReport(member("b"), true, false, mNow);
+        final DigestReadCoordinator digests = new DigestReadCoordinator(state, members);
+        digests.onNewRecords(mTopicsToRead::add);
+        digests.onSkippableEndpoints(mSkippedTo::add);
+        return digests;
+    }
+
+    private DigestReadCoordinator reader(final ServingState state, final long end) {
+        final DigestReadCoordinator digests =
+                new DigestReadCoordinator(state, new MemberTable(member("a")));
+        digests.recordEndpointsRead(end);
+        return digests;
+    }
+
+    // Every change of an endpoint cost each daemon two reads of the store: one as the first reader
+    // told of it, and one more as the second reader, which had not seen it yet, told otherwise.
+    @Test
+    void olderDigestCausesNoRead() {
+        final ServingState own = state();
+        putEndpoint(own, "e-1", 4);
+        final DigestReadCoordinator digests = nonReader(own);
+        digests.recordEndpointsRead(5);
+        digests.receive("b", reader(state(), 3).createDigest());
+        assertThat(mTopicsToRead).isEmpty();
+        assertThat(digests.isCovered(StoreTopic.ENDPOINTS)).isTrue();
+    }
+
+    @Test
+    void newerDigestCausesRead() {
+        final ServingState readers = state();
+        putEndpoint(readers, "e-1", 4);
+        final DigestReadCoordinator digests = nonReader(state());
+        digests.receive("a", reader(readers, 5).createDigest());
+        assertThat(mTopicsToRead).containsExactly(StoreTopic.ENDPOINTS);
+        assertThat(digests.isCovered(StoreTopic.ENDPOINTS)).isFalse();
+    }
+
+    @Test
+    void recordsThatChangedNothingAreSkipped() {
+        final DigestReadCoordinator digests = nonReader(state());
+        digests.receive("a", reader(state(), 90).createDigest());
+        assertThat(mTopicsToRead).isEmpty();
+        assertThat(mSkippedTo).containsExactly(90L);
+    }
+}
