--- a/gateway/src/main/java/org/whinhead/gateway/Gateway.java
+++ b/gateway/src/main/java/org/whinhead/gateway/Gateway.java
@@ -11,23 +11,23 @@
 import org.slf4j.Logger;
 import org.slf4j.LoggerFactory;
 import org.whinhead.gateway.caller.CallerHttpServer;
-import org.whinhead.gateway.duty.DutyHolder;
+import org.whinhead.gateway.duty.DutyLeaseManager;
 import org.whinhead.gateway.endpoint.EndpointConnections;
 import org.whinhead.gateway.exchange.Exchanges;
 import org.whinhead.gateway.exchange.RequestLogger;
 import org.whinhead.gateway.exchange.ServingState;
 import org.whinhead.gateway.http.HttpReply;
 import org.whinhead.gateway.http.SimpleHttpServer;
-import org.whinhead.gateway.metrics.RequestCounts;
+import org.whinhead.gateway.metrics.RequestMetrics;
 import org.whinhead.gateway.peers.Addresses;
-import org.whinhead.gateway.peers.MemberAnnouncement;
-import org.whinhead.gateway.peers.PeerReports;
-import org.whinhead.gateway.peers.StoreDigests;
-import org.whinhead.gateway.quota.ShareTableKeeper;
-import org.whinhead.gateway.quota.TokenMessenger;
-import org.whinhead.gateway.rollout.RolloutDuty;
-import org.whinhead.gateway.store.ConfigurationWatch;
-import org.whinhead.gateway.store.EndpointWatch;
+import org.whinhead.gateway.peers.DigestReadCoordinator;
+import org.whinhead.gateway.peers.MemberDiscovery;
+import org.whinhead.gateway.peers.PeerDatagramChannel;
+import org.whinhead.gateway.quota.DatagramQuotaTransport;
+import org.whinhead.gateway.quota.ShareTableSynchronizer;
+import org.whinhead.gateway.rollout.RolloutParticipant;
+import org.whinhead.gateway.store.ConfigurationTopicListener;
+import org.whinhead.gateway.store.EndpointTopicListener;
 import org.whinhead.gateway.store.StoreTopic;
 import org.whinhead.gateway.store.TopicFollower;
 import org.whinhead.gateway.store.TopicListener;
@@ -36,13 +36,13 @@
 import org.whinhead.serving.configuration.CallerLimits;
 import org.whinhead.serving.configuration.ServingConfiguration;
 import org.whinhead.serving.duty.DutyLease;
-import org.whinhead.serving.duty.UsagePlan;
+import org.whinhead.serving.duty.UsageDecider;
 import org.whinhead.serving.limit.RetryBudget;
 import org.whinhead.serving.member.Member;
 import org.whinhead.serving.member.MemberTable;
+import org.whinhead.serving.quota.ClockReading;
 import org.whinhead.serving.quota.CustomerQuotas;
 import org.whinhead.serving.quota.HeldShares;
-import org.whinhead.serving.quota.Moment;
 import org.whinhead.serving.rollout.RolloutLimits;
 import org.whinhead.serving.usage.UsageLedger;
 import org.whinhead.serving.usage.UsageWindows;
@@ -65,12 +65,12 @@
     private static final Duration DIRECTORY_CACHE_TIME = Duration.ofSeconds(1);
 
     /** Wait and pause of configuration reads, so short that a hanging read is given up in time. */
-    private static final TopicFollower.Pace CONFIGURATION_PACE =
-            new TopicFollower.Pace(Duration.ofMillis(1_000), Duration.ofMillis(20));
+    private static final TopicFollower.PollSchedule CONFIGURATION_PACE =
+            new TopicFollower.PollSchedule(Duration.ofMillis(1_000), Duration.ofMillis(20));
 
     /** Endpoints write several times per second, so reads need a pause but no wait. */
-    private static final TopicFollower.Pace ENDPOINT_PACE =
-            new TopicFollower.Pace(Duration.ZERO, Duration.ofMillis(400));
+    private static final TopicFollower.PollSchedule ENDPOINT_PACE =
+            new TopicFollower.PollSchedule(Duration.ZERO, Duration.ofMillis(400));
 
     /** The delay from the stop signal until connections without a request are closed. */
     private static final Duration CLOSE_IDLE_AFTER = Duration.ofMillis(300);
@@ -95,16 +95,16 @@
     private final MemberTable mMembers;
     private final CallerHttpServer mCallerServer;
     private final Exchanges mExchanges;
-    private final EndpointWatch mEndpointWatch;
-    private final ConfigurationWatch mConfigurationWatch;
-    private final StoreDigests mDigests;
-    private final PeerReports mPeers;
-    private final MemberAnnouncement mAnnouncement;
-    private final DutyHolder mDuties;
-    private final ShareTableKeeper mShareTable;
-    private final Optional<RolloutDuty> mRollouts;
+    private final EndpointTopicListener mEndpointWatch;
+    private final ConfigurationTopicListener mConfigurationWatch;
+    private final DigestReadCoordinator mDigests;
+    private final PeerDatagramChannel mPeers;
+    private final MemberDiscovery mAnnouncement;
+    private final DutyLeaseManager mDuties;
+    private final ShareTableSynchronizer mShareTable;
+    private final Optional<RolloutParticipant> mRollouts;
     private final GatewayPorts mPorts;
-    private final RequestCounts mCounts = new RequestCounts();
+    private final RequestMetrics mCounts = new RequestMetrics();
     private boolean mStopping;
 
     /**
@@ -125,7 +125,8 @@
         mLoop = loop;
         mSettings = settings;
         mPorts = ports;
-        final TokenMessenger tokens = new TokenMessenger(loop, settings.self().incarnation());
+        final DatagramQuotaTransport tokens =
+                new DatagramQuotaTransport(loop, settings.self().incarnation());
         mState = createState(settings, tokens, clock, timeOfDay);
         mMembers = new MemberTable(settings.self());
         final EndpointConnections connections =
@@ -140,43 +141,47 @@
                         ports.mover());
         mCallerServer = new CallerHttpServer(loop, ports.callers(), mExchanges, this::limits);
         mConfigurationWatch =
-                new ConfigurationWatch(
+                new ConfigurationTopicListener(
                         mState, ports.configurations(), ports.configurationKey(), ports.rollouts());
-        mEndpointWatch = new EndpointWatch(mState, connections, ports.entries());
-        mDigests = new StoreDigests(mState, mMembers);
-        mPeers = new PeerReports(loop, mState, mMembers, mDigests);
+        mEndpointWatch = new EndpointTopicListener(mState, connections, ports.entries());
+        mDigests = new DigestReadCoordinator(mState, mMembers);
+        mPeers = new PeerDatagramChannel(loop, mState, mMembers, mDigests);
         tokens.connect(mState, mPeers::send);
-        mPeers.onTokens(tokens::take);
+        mPeers.onTokenDatagram(tokens::receive);
         mAnnouncement =
-                new MemberAnnouncement(loop, ports.store(), settings.self(), mPeers::addContact);
+                new MemberDiscovery(loop, ports.store(), settings.self(), mPeers::addContact);
         mDuties =
-                new DutyHolder(
+                new DutyLeaseManager(
                         loop,
                         mState,
                         mMembers,
                         ports.store(),
                         ports.cloud(),
-                        new DutyHolder.Duties(
+                        new DutyLeaseManager.Duties(
                                 new DutyLease(settings.self().incarnation(), settings.leaseTerm()),
-                                new UsagePlan(
+                                new UsageDecider(
                                         mState.usageWindows(), mState.usage(), timeOfDay.instant()),
                                 new CapacityPlanner(settings.capacity())));
         mShareTable =
-                new ShareTableKeeper(
-                        loop, mState, mMembers, ports.store(), () -> mDuties.token().isPresent());
-        mPeers.onShareTable(mShareTable::heardVersion);
+                new ShareTableSynchronizer(
+                        loop,
+                        mState,
+                        mMembers,
+                        ports.store(),
+                        () -> mDuties.fencingToken().isPresent());
+        mPeers.onShareTableVersion(mShareTable::onPeerVersion);
         mRollouts = settings.rollouts().map(limits -> createRolloutDuty(limits, ports));
-        mRollouts.ifPresent(mPeers::onRolloutNews);
-        mRollouts.ifPresent(duty -> mConfigurationWatch.onEarlierOrder(duty::earlierOrder));
+        mRollouts.ifPresent(mPeers::onRolloutMessages);
+        mRollouts.ifPresent(duty -> mConfigurationWatch.onEarlierOrder(duty::recordEarlierOrder));
         mEndpointWatch.onLeaving(entry -> mExchanges.endpointLeaving(entry.id(), entry.leavesIn()));
-        mEndpointWatch.onChange(mDuties.capacity()::orderEndpoints);
-        mDuties.capacity().onOrdered(mPeers::sendOrder);
-        mPeers.onOrder(mDuties.capacity()::orderedElsewhere);
+        mEndpointWatch.onChange(mDuties.autoscaler()::orderEndpoints);
+        mDuties.autoscaler().onOrdered(mPeers::sendCapacityOrder);
+        mPeers.onCapacityOrder(mDuties.autoscaler()::recordPeerOrder);
     }
 
     private static ServingState createState(
             final GatewaySettings settings,
-            final TokenMessenger tokens,
+            final DatagramQuotaTransport tokens,
             final InstantSource clock,
             final InstantSource timeOfDay) {
         final Member self = settings.self();
@@ -184,7 +189,7 @@
                 new HeldShares(
                         self.peerAddress(),
                         settings.quotaTolerance(),
-                        new Moment(clock.instant(), timeOfDay.instant()));
+                        new ClockReading(clock.instant(), timeOfDay.instant()));
         return ServingState.builder()
                 .clocks(clock, timeOfDay)
                 .chooser(new EndpointChooser(self.domain(), new Random()))
@@ -201,14 +206,15 @@
                 .build();
     }
 
-    private RolloutDuty createRolloutDuty(final RolloutLimits limits, final GatewayPorts ports) {
-        return new RolloutDuty(
+    private RolloutParticipant createRolloutDuty(
+            final RolloutLimits limits, final GatewayPorts ports) {
+        return new RolloutParticipant(
                 mState,
                 mMembers,
                 mPeers,
-                new RolloutDuty.Ports(ports.store(), ports.rollouts()),
+                new RolloutParticipant.Ports(ports.store(), ports.rollouts()),
                 limits,
-                mDuties::token,
+                mDuties::fencingToken,
                 mExchanges::endpointLeaving);
     }
 
@@ -244,17 +250,17 @@
                 follower(StoreTopic.CONFIGURATION, mConfigurationWatch, CONFIGURATION_PACE);
         final TopicFollower endpoints =
                 follower(StoreTopic.ENDPOINTS, mEndpointWatch, ENDPOINT_PACE);
-        mConfigurationWatch.onRead(mDigests::configurationRead);
+        mConfigurationWatch.onRead(mDigests::recordConfigurationRead);
         mConfigurationWatch.onChange(mPeers::sendDigest);
         mEndpointWatch.onRead(this::publishEndpointChanges);
-        mPeers.onEndpointNews(mEndpointWatch::passedOn);
-        mDigests.onSameEndpoints(endpoints::skipTo);
-        mDigests.onNews(
+        mPeers.onEndpointChanges(mEndpointWatch::applyPeerChanges);
+        mDigests.onSkippableEndpoints(endpoints::skipTo);
+        mDigests.onNewRecords(
                 topic -> {
                     if (topic == StoreTopic.CONFIGURATION) {
-                        configuration.wake();
+                        configuration.readNow();
                     } else {
-                        endpoints.wake();
+                        endpoints.readNow();
                     }
                 });
         configuration.start();
@@ -267,21 +273,21 @@
     /** Runs the checks that are due several times per second; one timer serves all of them. */
     private void runPeriodicTasks() {
         mExchanges.measureLag();
-        mEndpointWatch.dropLapsed();
+        mEndpointWatch.removeLapsedEntries();
         mShareTable.tick();
-        mRollouts.ifPresent(RolloutDuty::tick);
+        mRollouts.ifPresent(RolloutParticipant::tick);
     }
 
     private void publishEndpointChanges() {
-        mDigests.endpointsRead(mEndpointWatch.end());
-        mPeers.sendEndpoints(mEndpointWatch.takeChanges());
+        mDigests.recordEndpointsRead(mEndpointWatch.end());
+        mPeers.sendEndpointChanges(mEndpointWatch.drainChanges());
     }
 
     private TopicFollower follower(
             final StoreTopic topic,
             final TopicListener listener,
-            final TopicFollower.Pace interval) {
-        return new TopicFollower(mLoop, mPorts.store(), topic, listener, interval, mDigests);
+            final TopicFollower.PollSchedule schedule) {
+        return new TopicFollower(mLoop, mPorts.store(), topic, listener, schedule, mDigests);
     }
 
     private HttpReply readiness() {
@@ -290,7 +296,7 @@
     }
 
     private HttpReply metrics() {
-        return new HttpReply(HTTP_OK, mCounts.page().getBytes(StandardCharsets.UTF_8));
+        return new HttpReply(HTTP_OK, mCounts.renderPage().getBytes(StandardCharsets.UTF_8));
     }
 
     /** Returns whether this daemon can serve, and updates its entry in the member table. */
@@ -300,7 +306,7 @@
                         && mState.configuration().current().isPresent()
                         && mState.quotas().isReady()
                         && mEndpointWatch.isLoaded();
-        mMembers.selfReady(ready);
+        mMembers.setSelfReady(ready);
         return ready;
     }
 
@@ -336,8 +342,8 @@
         }
         mStopping = true;
         LOG.info("stopping");
-        mMembers.selfReady(false);
-        mPeers.leave();
+        mMembers.setSelfReady(false);
+        mPeers.announceLeaving();
         mDuties.stop();
         final Instant start = mState.clock().instant();
         schedule(CLOSE_IDLE_AFTER, mCallerServer::drain);
--- a/gateway/src/main/java/org/whinhead/gateway/exchange/Exchange.java
+++ b/gateway/src/main/java/org/whinhead/gateway/exchange/Exchange.java
@@ -73,7 +73,7 @@
         mAdmission = admission;
         mBody = body;
         mResponse = response;
-        mService = admission.route().service(admission.request().id().hashCode());
+        mService = admission.route().selectService(admission.request().id().hashCode());
         mRelay =
                 new ResponseRelay(
                         response,
@@ -87,7 +87,7 @@
     }
 
     void start() {
-        mExchanges.state().retryBudget().request(mService, now());
+        mExchanges.state().retryBudget().recordRequest(mService, now());
         mTimers.startDeadline(timeLeft(), this::deadlinePassed);
         if (timeLeft().compareTo(MIN_TIME_LEFT) < 0) {
             refuse(TOO_LATE, mRefusals.givenUpRefusal(TOO_LATE));
@@ -169,7 +169,7 @@
 
     private void startAttemptTimeout() {
         final Route route = mAdmission.route();
-        if (!route.mayRunAgain() || route.kind().isStream() || mSends >= route.maxAttempts()) {
+        if (!route.canRunAgain() || route.kind().isStream() || mSends >= route.maxAttempts()) {
             return;
         }
         final int attemptId = mAttemptId;
@@ -180,7 +180,7 @@
         if (mFinished || attemptId != mAttemptId || mRelay.head() != null || !acquireRetry()) {
             return;
         }
-        mPlacement.load().outcome(true);
+        mPlacement.load().recordOutcome(true);
         mTrial.attemptAbandoned();
         mRefusals.markMayHaveRun();
         endAttempt();
@@ -191,8 +191,8 @@
         if (mFinished || attemptId != mAttemptId) {
             return;
         }
-        mPlacement.load().unreachable(now());
-        mPlacement.ended();
+        mPlacement.load().recordUnreachable(now());
+        mPlacement.release();
         mConnectFailures++;
         if (mConnectFailures >= MAX_CONNECT_FAILURES) {
             giveUp("endpoints not reachable");
@@ -204,18 +204,18 @@
     @Override
     public void headReceived(final EndpointResponse response) {
         if (response.isFromOtherEndpoint()) {
-            mExchanges.state().endpoints().replacedAtAddress(mPlacement.endpoint().id());
+            mExchanges.state().endpoints().markReplaced(mPlacement.endpoint().id());
         }
         final Optional<EndpointResponseFault> fault =
                 EndpointResponseFault.of(response, mAdmission.request().id(), mRelay.isStarted());
         if (fault.isPresent()) {
             mTrial.responseRejected(fault.get().verdict());
             attemptFailed(fault.get().verdict(), fault.get().reason());
-        } else if (response.isServerError() && mAdmission.route().mayRunAgain() && acquireRetry()) {
+        } else if (response.isServerError() && mAdmission.route().canRunAgain() && acquireRetry()) {
             mUsage.recordRun(mSentAt);
             mTrial.answered(true);
             mRefusals.markMayHaveRun();
-            mPlacement.load().outcome(true);
+            mPlacement.load().recordOutcome(true);
             endAttempt();
             dispatch();
         } else {
@@ -230,7 +230,7 @@
 
     @Override
     public void generationStarted() {
-        mPlacement.firstToken(now());
+        mPlacement.recordFirstToken(now());
         mTrial.firstToken();
         mUsage.recordRun(mSentAt);
     }
@@ -258,7 +258,7 @@
         cancelMove();
         mUsage.recordRun(mSentAt);
         mRelay.flush();
-        mPlacement.load().outcome(head.isServerError());
+        mPlacement.load().recordOutcome(head.isServerError());
         mTrial.answered(head.isServerError());
         finish(head.isSuccess() ? "answered" : "answered with a failure", head.status().code());
         mResponse.finish();
@@ -276,7 +276,7 @@
     }
 
     private void attemptFailed(final Verdict verdict, final String reason) {
-        mPlacement.load().outcome(true);
+        mPlacement.load().recordOutcome(true);
         if (verdict != Verdict.NOT_RUN) {
             mRefusals.markMayHaveRun();
         }
@@ -285,7 +285,7 @@
                 .attemptFailed(mAdmission, mPlacement.endpoint(), verdict, reason);
         endAttempt();
         final boolean mayHaveRun = mRelay.isStarted() || verdict != Verdict.NOT_RUN;
-        final boolean allowed = !mayHaveRun || mAdmission.route().mayRunAgain();
+        final boolean allowed = !mayHaveRun || mAdmission.route().canRunAgain();
         if (allowed && acquireRetry()) {
             dispatch();
         } else {
@@ -325,7 +325,7 @@
         final boolean hasUntriedEndpoint =
                 mExchanges.state().retryCandidates(mService, mAdmission.request().id()).stream()
                         .anyMatch(candidate -> !mTriedEndpoints.contains(candidate.id()));
-        if (hasUntriedEndpoint && mAdmission.route().mayRunAgain() && acquireRetry()) {
+        if (hasUntriedEndpoint && mAdmission.route().canRunAgain() && acquireRetry()) {
             mRefusals.markMayHaveRun();
             endAttempt();
             dispatch();
@@ -337,7 +337,7 @@
         mMove = null;
         endAttempt();
         mPlacement = at;
-        at.promptHeld();
+        at.skipPrefill();
         mTriedEndpoints.add(at.endpoint().id());
         mContinuedRun = run;
         connect();
@@ -374,7 +374,7 @@
             mConnection = null;
         }
         if (mPlacement != null) {
-            mPlacement.ended();
+            mPlacement.release();
         }
         mTrial.attemptEnded();
         mAttemptId++;
--- a/gateway/src/main/java/org/whinhead/gateway/exchange/PendingAdmission.java
+++ b/gateway/src/main/java/org/whinhead/gateway/exchange/PendingAdmission.java
@@ -10,7 +10,7 @@
 import org.whinhead.gateway.caller.Refusal;
 import org.whinhead.serving.configuration.CustomerAccount;
 import org.whinhead.serving.quota.TokenClaimListener;
-import org.whinhead.serving.quota.TokenSpend;
+import org.whinhead.serving.quota.TokenGrant;
 import org.whinhead.serving.route.Route;
 
 /** A request that waits for its customer's tokens and is then started or refused. */
@@ -67,7 +67,7 @@
             CallerRequest request, Route route, CustomerAccount customer, Instant arrivedAt) {}
 
     @Override
-    public void granted(final TokenSpend spend) {
+    public void granted(final TokenGrant spend) {
         mExchanges.requestLogger().admitted(mCandidate.customer(), mTokens);
         final Admission admission =
                 new Admission(
@@ -88,7 +88,7 @@
     }
 
     @Override
-    public void unknown(final Duration retryAfter) {
+    public void unavailable(final Duration retryAfter) {
         refuse(Refusal.notRun("allowance not known", retryAfter));
     }
 
--- a/gateway/src/main/java/org/whinhead/gateway/exchange/TrialRecorder.java
+++ b/gateway/src/main/java/org/whinhead/gateway/exchange/TrialRecorder.java
@@ -6,7 +6,7 @@
 import org.whinhead.api.verdict.Verdict;
 import org.whinhead.gateway.endpoint.EndpointFailure;
 import org.whinhead.serving.balance.Placement;
-import org.whinhead.serving.rollout.Trial;
+import org.whinhead.serving.rollout.RolloutAttempt;
 import org.whinhead.serving.route.Route;
 
 /** Reports the outcomes of a request's attempts that depend on the version to the roll-out. */
@@ -14,7 +14,7 @@
 
     private final ServingState mState;
     private final Route mRoute;
-    private Optional<Trial> mTrial = Optional.empty();
+    private Optional<RolloutAttempt> mTrial = Optional.empty();
     private Instant mSentAt;
     private Duration mExpectedPromptTime = Duration.ZERO;
 
@@ -25,8 +25,8 @@
 
     void attemptSent(final Placement placement) {
         mSentAt = mState.clock().instant();
-        mTrial = mState.rollouts().sent(mRoute.name(), placement.endpoint());
-        mExpectedPromptTime = placement.expectedReading();
+        mTrial = mState.rollouts().startAttempt(mRoute.name(), placement.endpoint());
+        mExpectedPromptTime = placement.expectedPrefill();
     }
 
     /**
@@ -40,7 +40,7 @@
     /** Records a complete response. */
     void answered(final boolean failure) {
         if (failure) {
-            mTrial.ifPresent(Trial::failed);
+            mTrial.ifPresent(RolloutAttempt::recordFailure);
         } else {
             recordLatency(elapsed());
         }
@@ -49,14 +49,14 @@
     /** Records a response that can't be forwarded to the caller. */
     void responseRejected(final Verdict verdict) {
         if (verdict != Verdict.NOT_RUN) {
-            mTrial.ifPresent(Trial::failed);
+            mTrial.ifPresent(RolloutAttempt::recordFailure);
         }
     }
 
     /** Records the loss of a connection; only bytes that are not HTTP count against the version. */
     void connectionFailed(final EndpointFailure failure) {
         if (failure == EndpointFailure.NOT_HTTP) {
-            mTrial.ifPresent(Trial::failed);
+            mTrial.ifPresent(RolloutAttempt::recordFailure);
         }
     }
 
@@ -73,7 +73,7 @@
     }
 
     private void recordLatency(final Duration taken) {
-        mTrial.ifPresent(trial -> trial.answered(taken.isNegative() ? Duration.ZERO : taken));
+        mTrial.ifPresent(trial -> trial.recordAnswer(taken.isNegative() ? Duration.ZERO : taken));
     }
 
     private Duration elapsed() {
--- a/gateway/src/main/java/org/whinhead/gateway/exchange/UsageRecorder.java
+++ b/gateway/src/main/java/org/whinhead/gateway/exchange/UsageRecorder.java
@@ -36,6 +36,8 @@
                 .customerName()
                 .ifPresent(
                         customer ->
-                                mState.usage().began(mState.usageWindows().at(began), customer));
+                                mState.usage()
+                                        .recordStart(
+                                                mState.usageWindows().windowAt(began), customer));
     }
 }
--- a/gateway/src/main/java/org/whinhead/gateway/peers/ReportContent.java
+++ b/gateway/src/main/java/org/whinhead/gateway/peers/PeerReportHandler.java
@@ -17,16 +17,16 @@
 import org.whinhead.serving.usage.UsageCount;
 
 /** What a report between daemons holds, and what it changes where it arrives. */
-final class ReportContent {
+final class PeerReportHandler {
 
-    private static final Logger LOG = LoggerFactory.getLogger(ReportContent.class);
+    private static final Logger LOG = LoggerFactory.getLogger(PeerReportHandler.class);
 
     private final ServingState mState;
     private final MemberTable mMembers;
     private final Consumer<InetSocketAddress> mOnContact;
-    private LongConsumer mOnShareTable = version -> {};
+    private LongConsumer mOnShareTableVersion = version -> {};
 
-    ReportContent(
+    PeerReportHandler(
             final ServingState state,
             final MemberTable members,
             final Consumer<InetSocketAddress> onContact) {
@@ -36,8 +36,8 @@
     }
 
     /** Sets what is done with the version of the table of shares that another daemon goes by. */
-    void onShareTable(final LongConsumer onShareTable) {
-        mOnShareTable = onShareTable;
+    void onShareTableVersion(final LongConsumer onShareTable) {
+        mOnShareTableVersion = onShareTable;
     }
 
     /**
@@ -46,7 +46,7 @@
      * @param leaving whether it is about to stop
      * @param contacts how many addresses of other daemons are passed on
      */
-    PeerReport report(final boolean leaving, final int contacts) {
+    PeerReport createReport(final boolean leaving, final int contacts) {
         final Member self = mMembers.self();
         final PeerReport.Builder report =
                 PeerReport.newBuilder()
@@ -61,9 +61,9 @@
         mState.configuration()
                 .current()
                 .ifPresent(current -> report.setConfigurationVersion(current.version()));
-        report.setOfferedTokens(mState.quotas().offered().own());
+        report.setOfferedTokens(mState.quotas().offeredLoad().ownTokens());
         mState.quotas()
-                .held()
+                .heldShares()
                 .table()
                 .ifPresent(table -> report.setShareTableVersion(table.version()));
         for (final Map.Entry<String, EndpointLoad> load : mState.chooser().loads().entrySet()) {
@@ -75,7 +75,7 @@
                                 .setPromptTokens(load.getValue().ownPromptTokens()));
             }
         }
-        for (final UsageCount count : mState.usage().own()) {
+        for (final UsageCount count : mState.usage().ownCounts()) {
             report.addUsage(
                     UsageEntry.newBuilder()
                             .setWindow(count.window())
@@ -89,7 +89,7 @@
     }
 
     /** Takes what another daemon says. */
-    void take(final PeerReport report) {
+    void applyReport(final PeerReport report) {
         if (report.getName().equals(mMembers.self().name())) {
             return;
         }
@@ -101,7 +101,7 @@
                         report.getDomain(),
                         Addresses.parse(report.getCallerAddress()),
                         Addresses.parse(report.getPeerAddress()));
-        mMembers.heard(member, report.getReady(), report.getLeaving(), now)
+        mMembers.recordReport(member, report.getReady(), report.getLeaving(), now)
                 .ifPresent(
                         before ->
                                 LOG.atInfo()
@@ -110,15 +110,18 @@
                                         .log("daemon was restarted"));
         if (report.getTimeOfDayMillis() > 0) {
             mState.usageClock()
-                    .heard(report.getName(), Instant.ofEpochMilli(report.getTimeOfDayMillis()));
+                    .recordPeerTime(
+                            report.getName(), Instant.ofEpochMilli(report.getTimeOfDayMillis()));
         }
         report.getContactsList().forEach(contact -> mOnContact.accept(Addresses.parse(contact)));
-        mState.quotas().offered().peer(report.getIncarnation(), report.getOfferedTokens());
-        mOnShareTable.accept(report.getShareTableVersion());
+        mState.quotas()
+                .offeredLoad()
+                .updatePeer(report.getIncarnation(), report.getOfferedTokens());
+        mOnShareTableVersion.accept(report.getShareTableVersion());
         mState.chooser().forgetPeer(report.getName());
         for (final EndpointShare share : report.getSharesList()) {
             mState.chooser()
-                    .peerLoad(
+                    .updatePeerLoad(
                             report.getName(),
                             share.getEndpoint(),
                             share.getRunning(),
@@ -126,7 +129,7 @@
         }
         for (final UsageEntry entry : report.getUsageList()) {
             mState.usage()
-                    .peerCount(
+                    .mergePeerCount(
                             report.getIncarnation(),
                             new UsageCount(
                                     entry.getWindow(), entry.getCustomer(), entry.getRequests()));
