--- a/gateway/src/main/java/org/whinhead/gateway/Gateway.java
+++ b/gateway/src/main/java/org/whinhead/gateway/Gateway.java
@@ -286,8 +286,8 @@
     private TopicFollower follower(
             final StoreTopic topic,
             final TopicListener listener,
-            final TopicFollower.PollSchedule interval) {
-        return new TopicFollower(mLoop, mPorts.store(), topic, listener, interval, mDigests);
+            final TopicFollower.PollSchedule schedule) {
+        return new TopicFollower(mLoop, mPorts.store(), topic, listener, schedule, mDigests);
     }
 
     private HttpReply readiness() {
