--- a/gateway/src/main/java/org/whinhead/gateway/exchange/TrialMark.java
+++ b/gateway/src/main/java/org/whinhead/gateway/exchange/TrialRecorder.java
@@ -6,27 +6,27 @@
 import org.whinhead.api.verdict.Verdict;
 import org.whinhead.gateway.endpoint.EndpointFailure;
 import org.whinhead.serving.balance.Placement;
-import org.whinhead.serving.rollout.Trial;
+import org.whinhead.serving.rollout.RolloutAttempt;
 import org.whinhead.serving.route.Route;
 
 /** Tells a roll-out what became of one request's sends, as far as that speaks of a version. */
-final class TrialMark {
+final class TrialRecorder {
 
     private final ServingState mState;
     private final Route mRoute;
-    private Optional<Trial> mTrial = Optional.empty();
+    private Optional<RolloutAttempt> mTrial = Optional.empty();
     private Instant mSentAt;
-    private Duration mReading = Duration.ZERO;
+    private Duration mExpectedPromptTime = Duration.ZERO;
 
-    TrialMark(final ServingState state, final Route route) {
+    TrialRecorder(final ServingState state, final Route route) {
         mState = state;
         mRoute = route;
     }
 
-    void sent(final Placement placement) {
+    void attemptSent(final Placement placement) {
         mSentAt = mState.clock().instant();
-        mTrial = mState.rollouts().sent(mRoute.name(), placement.endpoint());
-        mReading = placement.expectedReading();
+        mTrial = mState.rollouts().startAttempt(mRoute.name(), placement.endpoint());
+        mExpectedPromptTime = placement.expectedPrefill();
     }
 
     /**
@@ -34,46 +34,46 @@
      * that have just been started have no prompt cached, at any version.
      */
     void firstToken() {
-        answeredIn(elapsed().minus(mReading));
+        recordLatency(elapsed().minus(mExpectedPromptTime));
     }
 
     /** Notes a whole answer. */
     void answered(final boolean failure) {
         if (failure) {
-            mTrial.ifPresent(Trial::failed);
+            mTrial.ifPresent(RolloutAttempt::recordFailure);
         } else {
-            answeredIn(elapsed());
+            recordLatency(elapsed());
         }
     }
 
     /** Notes an answer that can't go to the caller. */
-    void spoiled(final Verdict verdict) {
+    void responseRejected(final Verdict verdict) {
         if (verdict != Verdict.NOT_RUN) {
-            mTrial.ifPresent(Trial::failed);
+            mTrial.ifPresent(RolloutAttempt::recordFailure);
         }
     }
 
     /** Notes the end of a connection; only bytes that are no answer speak of the version. */
     void connectionFailed(final EndpointFailure failure) {
         if (failure == EndpointFailure.NOT_HTTP) {
-            mTrial.ifPresent(Trial::failed);
+            mTrial.ifPresent(RolloutAttempt::recordFailure);
         }
     }
 
     /** Notes that nobody waits any longer for an answer that should have come by now. */
-    void outOfPatience() {
+    void attemptAbandoned() {
         if (mSentAt != null && elapsed().compareTo(mRoute.targetLatency()) > 0) {
-            answeredIn(elapsed());
+            recordLatency(elapsed());
         }
     }
 
     /** Notes that the endpoint no longer works on the request; what comes later is not its own. */
-    void left() {
+    void attemptEnded() {
         mTrial = Optional.empty();
     }
 
-    private void answeredIn(final Duration taken) {
-        mTrial.ifPresent(trial -> trial.answered(taken.isNegative() ? Duration.ZERO : taken));
+    private void recordLatency(final Duration taken) {
+        mTrial.ifPresent(trial -> trial.recordAnswer(taken.isNegative() ? Duration.ZERO : taken));
     }
 
     private Duration elapsed() {
--- a/gateway/src/main/java/org/whinhead/gateway/quota/TokenMessenger.java
+++ b/gateway/src/main/java/org/whinhead/gateway/quota/DatagramQuotaTransport.java
@@ -10,10 +10,10 @@
 import org.whinhead.gateway.generated.GatewayProto.TokenAnswerRecord;
 import org.whinhead.gateway.generated.GatewayProto.TokenAskRecord;
 import org.whinhead.serving.quota.QuotaTransport;
-import org.whinhead.serving.quota.TokenAsk;
+import org.whinhead.serving.quota.TokenRequest;
 
 /** Carries asks for tokens as datagrams, and answers those of the other daemons. */
-public final class TokenMessenger implements QuotaTransport {
+public final class DatagramQuotaTransport implements QuotaTransport {
 
     private final EventLoop mLoop;
     private final String mIncarnation;
@@ -26,7 +26,7 @@
      * @param loop where everything runs
      * @param incarnation this daemon's incarnation
      */
-    public TokenMessenger(final EventLoop loop, final String incarnation) {
+    public DatagramQuotaTransport(final EventLoop loop, final String incarnation) {
         mLoop = loop;
         mIncarnation = incarnation;
     }
@@ -44,25 +44,23 @@
     }
 
     @Override
-    public void ask(final InetSocketAddress holder, final TokenAsk ask) {
+    public void sendRequest(final InetSocketAddress holder, final TokenRequest ask) {
         mSender.accept(
                 holder,
-                Datagram.newBuilder().setTokenAsk(QuotaMessages.encode(mIncarnation, ask)).build());
+                Datagram.newBuilder().setTokenAsk(QuotaCodec.encode(mIncarnation, ask)).build());
     }
 
     @Override
-    public void giveBack(final InetSocketAddress holder, final TokenAsk ask) {
+    public void sendReturn(final InetSocketAddress holder, final TokenRequest ask) {
         mSender.accept(
                 holder,
-                Datagram.newBuilder()
-                        .setTokenReturn(QuotaMessages.encode(mIncarnation, ask))
-                        .build());
+                Datagram.newBuilder().setTokenReturn(QuotaCodec.encode(mIncarnation, ask)).build());
     }
 
     @Override
-    public void checkAfter(final Duration delay) {
+    public void scheduleTimeoutCheck(final Duration delay) {
         mLoop.schedule(
-                () -> mState.quotas().checkAnswers(mState.moment()),
+                () -> mState.quotas().checkTimeouts(mState.moment()),
                 delay.toMillis(),
                 TimeUnit.MILLISECONDS);
     }
@@ -73,38 +71,38 @@
      * @param datagram an ask, an answer, or tokens that are given back
      * @param sender where it came from
      */
-    public void take(final Datagram datagram, final InetSocketAddress sender) {
+    public void receive(final Datagram datagram, final InetSocketAddress sender) {
         if (datagram.hasTokenAsk()) {
-            answer(datagram.getTokenAsk(), sender);
+            sendAnswer(datagram.getTokenAsk(), sender);
         }
         if (datagram.hasTokenReturn()) {
             final TokenAskRecord record = datagram.getTokenReturn();
             mState.quotas()
-                    .held()
-                    .giveBack(record.getClaimant(), QuotaMessages.decode(record), mState.moment());
+                    .heldShares()
+                    .returnTokens(record.getClaimant(), QuotaCodec.decode(record), mState.moment());
         }
         if (datagram.hasTokenAnswer()) {
-            answered(datagram.getTokenAnswer());
+            applyAnswer(datagram.getTokenAnswer());
         }
     }
 
-    private void answer(final TokenAskRecord record, final InetSocketAddress claimant) {
+    private void sendAnswer(final TokenAskRecord record, final InetSocketAddress claimant) {
         final TokenAnswerRecord answer =
-                QuotaMessages.encode(
+                QuotaCodec.encode(
                         record.getClaimant(),
                         mState.quotas()
-                                .held()
-                                .answer(
+                                .heldShares()
+                                .handleRequest(
                                         record.getClaimant(),
-                                        QuotaMessages.decode(record),
+                                        QuotaCodec.decode(record),
                                         mState.moment()));
         mSender.accept(claimant, Datagram.newBuilder().setTokenAnswer(answer).build());
     }
 
     /** An answer to the process that was here before has a number that may be in use again. */
-    private void answered(final TokenAnswerRecord record) {
+    private void applyAnswer(final TokenAnswerRecord record) {
         if (record.getClaimant().equals(mIncarnation)) {
-            mState.quotas().answered(QuotaMessages.decode(record), mState.moment());
+            mState.quotas().handleResponse(QuotaCodec.decode(record), mState.moment());
         }
     }
 }
--- /dev/null
+++ b/gateway/src/test/java/org/whinhead/gateway/quota/QuotaCodecTest.java
@@ -0,0 +1,48 @@
+package org.whinhead.gateway.quota;
+
+import static org.assertj.core.api.Assertions.assertThat;
+import static org.assertj.core.api.Assertions.assertThatThrownBy;
+
+import com.google.protobuf.InvalidProtocolBufferException;
+import java.net.InetSocketAddress;
+import java.time.Instant;
+import java.util.List;
+import org.junit.jupiter.api.Test;
+import org.whinhead.serving.quota.ShareTable;
+import org.whinhead.serving.quota.TokenRequest;
+import org.whinhead.serving.quota.TokenResponse;
+
+class QuotaCodecTest {
+
+    private static final InetSocketAddress FIRST = new InetSocketAddress("127.0.0.1", 7600);
+    private static final InetSocketAddress SECOND = new InetSocketAddress("127.0.0.2", 7600);
+
+    @Test
+    void asksAndAnswersSurviveRoundTrip() {
+        final TokenRequest ask = new TokenRequest(7, "clinic", 12, 4_000, true);
+        assertThat(QuotaCodec.decode(QuotaCodec.encode("i-1", ask))).isEqualTo(ask);
+        final TokenRequest part = new TokenRequest(8, "clinic", 12, 4_000, 9_000, false);
+        assertThat(QuotaCodec.decode(QuotaCodec.encode("i-1", part))).isEqualTo(part);
+        for (final TokenResponse.Outcome outcome : TokenResponse.Outcome.values()) {
+            final TokenResponse answer = new TokenResponse(7, "clinic", 12, outcome, -350);
+            assertThat(QuotaCodec.decode(QuotaCodec.encode("i-1", answer))).isEqualTo(answer);
+        }
+    }
+
+    @Test
+    void shareTableSurvivesRoundTrip() throws InvalidProtocolBufferException {
+        final ShareTable table =
+                ShareTable.initial(List.of(FIRST, SECOND))
+                        .reassign(
+                                FIRST::equals,
+                                List.of(SECOND),
+                                Instant.parse("2026-01-01T01:31:00Z"));
+        assertThat(QuotaCodec.decodeTable(QuotaCodec.encode(table))).isEqualTo(table);
+    }
+
+    @Test
+    void recordWithoutSlotsIsRejected() {
+        assertThatThrownBy(() -> QuotaCodec.decodeTable(new byte[0]))
+                .isInstanceOf(IllegalArgumentException.class);
+    }
+}
