--- a/gateway/src/main/java/org/whinhead/gateway/Gateway.java
+++ b/gateway/src/main/java/org/whinhead/gateway/Gateway.java
@@ -10,14 +10,14 @@
 import java.util.concurrent.TimeUnit;
 import org.slf4j.Logger;
 import org.slf4j.LoggerFactory;
-import org.whinhead.gateway.caller.CallerListener;
+import org.whinhead.gateway.caller.CallerHttpServer;
 import org.whinhead.gateway.duty.DutyLeaseManager;
 import org.whinhead.gateway.endpoint.EndpointConnections;
 import org.whinhead.gateway.exchange.Exchanges;
-import org.whinhead.gateway.exchange.RequestJournal;
+import org.whinhead.gateway.exchange.RequestLogger;
 import org.whinhead.gateway.exchange.ServingState;
 import org.whinhead.gateway.http.HttpReply;
-import org.whinhead.gateway.http.SmallHttpServer;
+import org.whinhead.gateway.http.SimpleHttpServer;
 import org.whinhead.gateway.metrics.RequestMetrics;
 import org.whinhead.gateway.peers.Addresses;
 import org.whinhead.gateway.peers.DigestReadCoordinator;
@@ -36,13 +36,13 @@
 import org.whinhead.serving.configuration.CallerLimits;
 import org.whinhead.serving.configuration.ServingConfiguration;
 import org.whinhead.serving.duty.DutyLease;
-import org.whinhead.serving.duty.UsagePlan;
+import org.whinhead.serving.duty.UsageDecider;
 import org.whinhead.serving.limit.RetryBudget;
 import org.whinhead.serving.member.Member;
 import org.whinhead.serving.member.MemberTable;
+import org.whinhead.serving.quota.ClockReading;
 import org.whinhead.serving.quota.CustomerQuotas;
 import org.whinhead.serving.quota.HeldShares;
-import org.whinhead.serving.quota.Moment;
 import org.whinhead.serving.rollout.RolloutLimits;
 import org.whinhead.serving.usage.UsageLedger;
 import org.whinhead.serving.usage.UsageWindows;
@@ -57,11 +57,11 @@
 
     private static final Logger LOG = LoggerFactory.getLogger(Gateway.class);
 
-    private static final int READY = 200;
-    private static final int NOT_READY = 503;
+    private static final int HTTP_OK = 200;
+    private static final int HTTP_SERVICE_UNAVAILABLE = 503;
 
     /** How long callers keep an answer of the directory; some keep it three times as long. */
-    private static final Duration DIRECTORY_KEEP = Duration.ofSeconds(1);
+    private static final Duration DIRECTORY_CACHE_TIME = Duration.ofSeconds(1);
 
     /** Wait and pause of the configuration's reads: a read that hangs is given up in time. */
     private static final TopicFollower.PollSchedule CONFIGURATION_PACE =
@@ -80,18 +80,18 @@
     /**
      * From the signal on: when callers have learnt not to connect here, and an idle daemon ends.
      */
-    private static final Duration LEAST_STOP = Duration.ofMillis(4_000);
+    private static final Duration MIN_STOP_TIME = Duration.ofMillis(4_000);
 
     /** What is left of the grace when the daemon ends with requests under way. */
     private static final Duration STOP_MARGIN = Duration.ofMillis(500);
 
-    private static final int STOP_CHECK_MILLIS = 100;
+    private static final int STOP_CHECK_INTERVAL_MILLIS = 100;
 
     private final EventLoop mLoop;
     private final GatewaySettings mSettings;
     private final ServingState mState;
     private final MemberTable mMembers;
-    private final CallerListener mCallers;
+    private final CallerHttpServer mCallerServer;
     private final Exchanges mExchanges;
     private final EndpointTopicListener mEndpointWatch;
     private final ConfigurationTopicListener mConfigurationWatch;
@@ -125,7 +125,7 @@
         mPorts = ports;
         final DatagramQuotaTransport tokens =
                 new DatagramQuotaTransport(loop, settings.self().incarnation());
-        mState = state(settings, tokens, clock, timeOfDay);
+        mState = createState(settings, tokens, clock, timeOfDay);
         mMembers = new MemberTable(settings.self());
         final EndpointConnections connections =
                 new EndpointConnections(loop, clock, ports.endpoints());
@@ -135,9 +135,9 @@
                         mState,
                         connections,
                         ports.endpoints(),
-                        new RequestJournal(clock, mCounts),
+                        new RequestLogger(clock, mCounts),
                         ports.mover());
-        mCallers = new CallerListener(loop, ports.callers(), mExchanges, this::limits);
+        mCallerServer = new CallerHttpServer(loop, ports.callers(), mExchanges, this::limits);
         mConfigurationWatch =
                 new ConfigurationTopicListener(
                         mState, ports.configurations(), ports.configurationKey(), ports.rollouts());
@@ -157,7 +157,7 @@
                         ports.cloud(),
                         new DutyLeaseManager.Duties(
                                 new DutyLease(settings.self().incarnation(), settings.leaseTerm()),
-                                new UsagePlan(
+                                new UsageDecider(
                                         mState.usageWindows(), mState.usage(), timeOfDay.instant()),
                                 new CapacityPlanner(settings.capacity())));
         mShareTable =
@@ -168,16 +168,16 @@
                         ports.store(),
                         () -> mDuties.fencingToken().isPresent());
         mPeers.onShareTableVersion(mShareTable::onPeerVersion);
-        mRollouts = settings.rollouts().map(limits -> rolloutDuty(limits, ports));
+        mRollouts = settings.rollouts().map(limits -> createRolloutDuty(limits, ports));
         mRollouts.ifPresent(mPeers::onRolloutMessages);
         mRollouts.ifPresent(duty -> mConfigurationWatch.onEarlierOrder(duty::recordEarlierOrder));
-        mEndpointWatch.onLeaving(entry -> mExchanges.endpointLeaves(entry.id(), entry.leavesIn()));
+        mEndpointWatch.onLeaving(entry -> mExchanges.endpointLeaving(entry.id(), entry.leavesIn()));
         mEndpointWatch.onChange(mDuties.autoscaler()::orderEndpoints);
         mDuties.autoscaler().onOrdered(mPeers::sendCapacityOrder);
         mPeers.onCapacityOrder(mDuties.autoscaler()::recordPeerOrder);
     }
 
-    private static ServingState state(
+    private static ServingState createState(
             final GatewaySettings settings,
             final DatagramQuotaTransport tokens,
             final InstantSource clock,
@@ -187,7 +187,7 @@
                 new HeldShares(
                         self.peerAddress(),
                         settings.quotaTolerance(),
-                        new Moment(clock.instant(), timeOfDay.instant()));
+                        new ClockReading(clock.instant(), timeOfDay.instant()));
         return ServingState.builder()
                 .clocks(clock, timeOfDay)
                 .chooser(new EndpointChooser(self.domain(), new Random()))
@@ -204,7 +204,8 @@
                 .build();
     }
 
-    private RolloutParticipant rolloutDuty(final RolloutLimits limits, final GatewayPorts ports) {
+    private RolloutParticipant createRolloutDuty(
+            final RolloutLimits limits, final GatewayPorts ports) {
         return new RolloutParticipant(
                 mState,
                 mMembers,
@@ -212,7 +213,7 @@
                 new RolloutParticipant.Ports(ports.store(), ports.rollouts()),
                 limits,
                 mDuties::fencingToken,
-                mExchanges::endpointLeaves);
+                mExchanges::endpointLeaving);
     }
 
     private CallerLimits limits() {
@@ -224,11 +225,11 @@
 
     /** Starts to listen and to follow the store; to be called on the event loop. */
     public void start() {
-        final SmallHttpServer small = new SmallHttpServer(mLoop);
+        final SimpleHttpServer small = new SimpleHttpServer(mLoop);
         small.listen(mSettings.readinessAddress(), "text/plain", target -> readiness());
         small.listen(mSettings.directoryAddress(), "application/json", this::addresses);
         small.listen(mSettings.metricsAddress(), "text/plain", target -> metrics());
-        mCallers.listen(mSettings.self().callerAddress());
+        mCallerServer.listen(mSettings.self().callerAddress());
         mSettings.contacts().forEach(mPeers::addContact);
         mPeers.start();
         followStore();
@@ -249,7 +250,7 @@
                 follower(StoreTopic.ENDPOINTS, mEndpointWatch, ENDPOINT_PACE);
         mConfigurationWatch.onRead(mDigests::recordConfigurationRead);
         mConfigurationWatch.onChange(mPeers::sendDigest);
-        mEndpointWatch.onRead(this::passOnEndpoints);
+        mEndpointWatch.onRead(this::publishEndpointChanges);
         mPeers.onEndpointChanges(mEndpointWatch::applyPeerChanges);
         mDigests.onSkippableEndpoints(endpoints::skipTo);
         mDigests.onNewRecords(
@@ -262,19 +263,19 @@
                 });
         configuration.start();
         endpoints.start();
-        final long pace = Exchanges.LAG_MEASURED_EACH.toMillis();
-        mLoop.scheduleWithFixedDelay(this::check, pace, pace, TimeUnit.MILLISECONDS);
+        final long pace = Exchanges.LAG_MEASUREMENT_INTERVAL.toMillis();
+        mLoop.scheduleWithFixedDelay(this::runPeriodicTasks, pace, pace, TimeUnit.MILLISECONDS);
     }
 
     /** What must be looked at some times a second; one timer serves all of it. */
-    private void check() {
+    private void runPeriodicTasks() {
         mExchanges.measureLag();
         mEndpointWatch.removeLapsedEntries();
         mShareTable.tick();
         mRollouts.ifPresent(RolloutParticipant::tick);
     }
 
-    private void passOnEndpoints() {
+    private void publishEndpointChanges() {
         mDigests.recordEndpointsRead(mEndpointWatch.end());
         mPeers.sendEndpointChanges(mEndpointWatch.drainChanges());
     }
@@ -287,31 +288,31 @@
     }
 
     private HttpReply readiness() {
-        final boolean ready = isReady();
-        return new HttpReply(ready ? READY : NOT_READY, new byte[0]);
+        final boolean ready = updateReadiness();
+        return new HttpReply(ready ? HTTP_OK : HTTP_SERVICE_UNAVAILABLE, new byte[0]);
     }
 
     private HttpReply metrics() {
-        return new HttpReply(READY, mCounts.renderPage().getBytes(StandardCharsets.UTF_8));
+        return new HttpReply(HTTP_OK, mCounts.renderPage().getBytes(StandardCharsets.UTF_8));
     }
 
-    private boolean isReady() {
+    private boolean updateReadiness() {
         final boolean ready =
                 !mStopping
                         && mState.configuration().current().isPresent()
                         && mState.quotas().isReady()
                         && mEndpointWatch.isLoaded();
-        mMembers.selfReady(ready);
+        mMembers.setSelfReady(ready);
         return ready;
     }
 
     private HttpReply addresses(final String target) {
-        isReady();
+        updateReadiness();
         return mPorts.directory()
                 .answer(
                         target,
                         domain -> mMembers.addressesFor(domain, mState.clock().instant()),
-                        DIRECTORY_KEEP);
+                        DIRECTORY_CACHE_TIME);
     }
 
     /**
@@ -335,27 +336,27 @@
         }
         mStopping = true;
         LOG.info("stopping");
-        mMembers.selfReady(false);
+        mMembers.setSelfReady(false);
         mPeers.announceLeaving();
         mDuties.stop();
         final Instant start = mState.clock().instant();
-        later(CLOSE_IDLE_AFTER, mCallers::stopGently);
-        later(REFUSE_STREAMS_AFTER, mExchanges::closeForStreams);
+        schedule(CLOSE_IDLE_AFTER, mCallerServer::drain);
+        schedule(REFUSE_STREAMS_AFTER, mExchanges::refuseStreams);
         mLoop.scheduleWithFixedDelay(
                 () -> checkStopped(start, ended),
-                LEAST_STOP.toMillis(),
-                STOP_CHECK_MILLIS,
+                MIN_STOP_TIME.toMillis(),
+                STOP_CHECK_INTERVAL_MILLIS,
                 TimeUnit.MILLISECONDS);
     }
 
-    private void later(final Duration delay, final Runnable step) {
+    private void schedule(final Duration delay, final Runnable step) {
         mLoop.schedule(step, delay.toMillis(), TimeUnit.MILLISECONDS);
     }
 
     private void checkStopped(final Instant start, final Runnable ended) {
-        mCallers.stopAccepting();
+        mCallerServer.stopAccepting();
         final Duration spent = Duration.between(start, mState.clock().instant());
-        final int busy = mCallers.busyConnections();
+        final int busy = mCallerServer.busyConnectionCount();
         if (busy == 0 || spent.compareTo(mSettings.stopGrace().minus(STOP_MARGIN)) > 0) {
             LOG.atInfo().addKeyValue("requestsCut", busy).log("stopped");
             ended.run();
--- a/gateway/src/main/java/org/whinhead/gateway/duty/DutyLeaseManager.java
+++ b/gateway/src/main/java/org/whinhead/gateway/duty/DutyLeaseManager.java
@@ -21,8 +21,8 @@
 import org.whinhead.serving.duty.DutyLease;
 import org.whinhead.serving.duty.LeaseRecord;
 import org.whinhead.serving.duty.StoredLease;
+import org.whinhead.serving.duty.UsageDecider;
 import org.whinhead.serving.duty.UsageDecision;
-import org.whinhead.serving.duty.UsagePlan;
 import org.whinhead.serving.member.MemberTable;
 
 /**
@@ -49,7 +49,7 @@
     private final FencedCloudClient mCloud;
     private final EndpointAutoscaler mAutoscaler;
     private final DutyLease mLease;
-    private final UsagePlan mUsagePlan;
+    private final UsageDecider mUsagePlan;
     private final Set<Long> mDeliveredWindows = new HashSet<>();
     private LeaseRecord mClaimedRecord;
     private Instant mClaimedAt;
@@ -92,7 +92,7 @@
      * @param usagePlan decides which usage windows to report
      * @param planner decides which endpoints to order
      */
-    public record Duties(DutyLease lease, UsagePlan usagePlan, CapacityPlanner planner) {}
+    public record Duties(DutyLease lease, UsageDecider usagePlan, CapacityPlanner planner) {}
 
     /**
      * Returns the autoscaler that orders endpoints under the lease.
@@ -116,13 +116,13 @@
     public void stop() {
         mStopped = true;
         if (mLease.isHeld()) {
-            final LeaseRecord release = mLease.release();
-            mLease.lost();
+            final LeaseRecord release = mLease.releaseRecord();
+            mLease.recordLost();
             mStore.appendAt(
                             StoreTopic.DUTIES,
                             LEASE_KEY,
                             LeaseRecordCodec.encode(release),
-                            mLease.end())
+                            mLease.endOffset())
                     .whenComplete(
                             (end, failure) ->
                                     LOG.atInfo()
@@ -167,8 +167,8 @@
             LOG.error("lease record not readable, lease not claimed", e);
             return;
         }
-        mLease.seen(new StoredLease(record, page.end()), readAt);
-        if (mLease.isFree(mState.clock().instant()) && !mStopped) {
+        mLease.recordRead(new StoredLease(record, page.end()), readAt);
+        if (mLease.canClaim(mState.clock().instant()) && !mStopped) {
             claim();
         }
     }
@@ -189,14 +189,14 @@
         final Instant timeOfDay = mState.timeOfDay().instant();
         final List<UsageDecision> decisions =
                 mUsagePlan.decide(markDelivered(mLease.decisions()), mState.usageClock().instant());
-        mClaimedRecord = mLease.claim(decisions);
+        mClaimedRecord = mLease.claimRecord(decisions);
         mClaimedAt = mState.clock().instant();
         mClaimedAtTimeOfDay = timeOfDay;
         mStore.appendAt(
                         StoreTopic.DUTIES,
                         LEASE_KEY,
                         LeaseRecordCodec.encode(mClaimedRecord),
-                        mLease.end())
+                        mLease.endOffset())
                 .whenComplete(
                         (end, failure) -> {
                             mCallPending = false;
@@ -220,7 +220,7 @@
         if (failure != null) {
             handleUnansweredClaim(failure);
         } else if (end.isEmpty()) {
-            mLease.lost();
+            mLease.recordLost();
             LOG.info("lease is held by another daemon");
         } else {
             if (!renewal) {
@@ -240,7 +240,7 @@
     private void handleUnansweredClaim(final Throwable failure) {
         final boolean stillHeld = fencingToken().isPresent();
         if (!stillHeld) {
-            mLease.lost();
+            mLease.recordLost();
         }
         LOG.atWarn()
                 .addKeyValue("token", mClaimedRecord.token())
@@ -251,7 +251,7 @@
     }
 
     private void handleGranted(final long end) {
-        mLease.granted(mClaimedRecord, end, mClaimedAt, mClaimedAtTimeOfDay);
+        mLease.recordGranted(mClaimedRecord, end, mClaimedAt, mClaimedAtTimeOfDay);
         performDuties();
     }
 
@@ -270,7 +270,7 @@
      * @return the fencing token, or empty
      */
     public Optional<Long> fencingToken() {
-        return mLease.tokenToAct(mState.clock().instant(), mState.timeOfDay().instant());
+        return mLease.fencingToken(mState.clock().instant(), mState.timeOfDay().instant());
     }
 
     private void reportUsage(final long fencingToken, final UsageDecision decision) {
--- a/gateway/src/main/java/org/whinhead/gateway/duty/EndpointAutoscaler.java
+++ b/gateway/src/main/java/org/whinhead/gateway/duty/EndpointAutoscaler.java
@@ -69,7 +69,7 @@
                         .current()
                         .flatMap(configuration -> configuration.service(order.service()));
         if (service.isPresent() && mFencingToken.get().isEmpty()) {
-            mPlanner.orderedElsewhere(service.get(), order, mState.clock().instant());
+            mPlanner.recordPeerOrder(service.get(), order, mState.clock().instant());
         }
     }
 
@@ -103,7 +103,7 @@
     }
 
     private List<EndpointEntry> countedEndpoints(final String service) {
-        return mState.rollouts().capacity(service, mState.endpoints().usable(service));
+        return mState.rollouts().capacityEndpoints(service, mState.endpoints().usable(service));
     }
 
     /**
@@ -128,17 +128,17 @@
 
     /** Records the tokens requested so far; called at each tick of every daemon. */
     void recordDemand() {
-        mDemand.total(
-                mState.quotas().offered().byAll(),
-                mState.quotas().offered().usualTokens(),
+        mDemand.addTotal(
+                mState.quotas().offeredLoad().fleetTokens(),
+                mState.quotas().offeredLoad().meanRequestTokens(),
                 mState.clock().instant());
     }
 
     private CapacityPlanner.Load load(final String service) {
         return new CapacityPlanner.Load(
                 mDemand.tokensPerSecond(),
-                mDemand.atLeast(),
-                mState.chooser().speed(service).tokensPerMillisecond() * MILLIS_PER_SECOND);
+                mDemand.minimumTokensPerSecond(),
+                mState.chooser().prefillRate(service).tokensPerMillisecond() * MILLIS_PER_SECOND);
     }
 
     /**
@@ -164,7 +164,7 @@
                 .whenComplete(
                         (accepted, failure) -> {
                             if (failure == null) {
-                                mPlanner.answered(order, accepted);
+                                mPlanner.recordAnswer(order, accepted);
                             }
                             if (failure == null && accepted) {
                                 mOnOrdered.accept(order);
--- a/gateway/src/main/java/org/whinhead/gateway/peers/DigestReadCoordinator.java
+++ b/gateway/src/main/java/org/whinhead/gateway/peers/DigestReadCoordinator.java
@@ -107,13 +107,13 @@
             case CONFIGURATION ->
                     digest.getConfigurationFresh()
                             && digest.getConfigurationVersion() <= configurationVersion()
-                            && digest.getRolloutOffset() <= mState.rollouts().newestOffset();
+                            && digest.getRolloutOffset() <= mState.rollouts().newestOrderOffset();
             default -> false;
         };
     }
 
     private boolean hasSameEndpoints(final StoreDigest digest) {
-        return digest.getEndpointsHash() == mState.endpoints().summary();
+        return digest.getEndpointsHash() == mState.endpoints().digest();
     }
 
     private long configurationVersion() {
@@ -131,10 +131,10 @@
      */
     StoreDigest createDigest() {
         return StoreDigest.newBuilder()
-                .setEndpointsHash(mState.endpoints().summary())
+                .setEndpointsHash(mState.endpoints().digest())
                 .setEndpointsEnd(mEndpointsEnd)
                 .setConfigurationVersion(configurationVersion())
-                .setRolloutOffset(mState.rollouts().newestOffset())
+                .setRolloutOffset(mState.rollouts().newestOrderOffset())
                 .setConfigurationFresh(
                         mConfigurationReadAt.isAfter(now().minus(CONFIGURATION_READ_MAX_AGE)))
                 .build();
@@ -155,7 +155,7 @@
             mOnSkippableEndpoints.accept(mEndpointsEnd);
         }
         if (digest.getConfigurationVersion() > configurationVersion()
-                || digest.getRolloutOffset() > mState.rollouts().newestOffset()) {
+                || digest.getRolloutOffset() > mState.rollouts().newestOrderOffset()) {
             mOnNewRecords.accept(StoreTopic.CONFIGURATION);
         }
     }
--- a/gateway/src/main/java/org/whinhead/gateway/peers/PeerDatagramChannel.java
+++ b/gateway/src/main/java/org/whinhead/gateway/peers/PeerDatagramChannel.java
@@ -129,12 +129,12 @@
     private void tick() {
         final Instant now = now();
         mMembers.expire(now);
-        mMembers.silent(now).forEach(mState.chooser()::forgetPeer);
-        mState.usageClock().compare();
+        mMembers.silentMemberNames(now).forEach(mState.chooser()::forgetPeer);
+        mState.usageClock().syncWithPeers();
         mState.retryBudget()
-                .daemons(
+                .setDaemonCount(
                         mMembers.knownCount(),
-                        mState.quotas().held().table().map(ShareTable::daemons).orElse(0));
+                        mState.quotas().heldShares().table().map(ShareTable::daemons).orElse(0));
         sendToNextReceivers();
         mLoop.schedule(this::tick, SEND_INTERVAL_MILLIS, TimeUnit.MILLISECONDS);
     }
@@ -160,7 +160,7 @@
      * Returns the receivers in order; sorts only a changed set, as it formats each address often.
      */
     private List<InetSocketAddress> sortedReceivers() {
-        final long changes = mMembers.addressChanges() + mContacts.size();
+        final long changes = mMembers.addressChangeCount() + mContacts.size();
         if (changes != mReceiversVersion) {
             mReceiversVersion = changes;
             final Set<InetSocketAddress> receivers = new HashSet<>(mContacts);
--- a/gateway/src/main/java/org/whinhead/gateway/quota/DatagramQuotaTransport.java
+++ b/gateway/src/main/java/org/whinhead/gateway/quota/DatagramQuotaTransport.java
@@ -10,7 +10,7 @@
 import org.whinhead.gateway.generated.GatewayProto.TokenAnswerRecord;
 import org.whinhead.gateway.generated.GatewayProto.TokenAskRecord;
 import org.whinhead.serving.quota.QuotaTransport;
-import org.whinhead.serving.quota.TokenAsk;
+import org.whinhead.serving.quota.TokenRequest;
 
 /** Sends this daemon's asks for tokens as datagrams, and answers the asks of other daemons. */
 public final class DatagramQuotaTransport implements QuotaTransport {
@@ -44,23 +44,23 @@
     }
 
     @Override
-    public void ask(final InetSocketAddress holder, final TokenAsk ask) {
+    public void sendRequest(final InetSocketAddress holder, final TokenRequest ask) {
         mSender.accept(
                 holder,
                 Datagram.newBuilder().setTokenAsk(QuotaCodec.encode(mIncarnation, ask)).build());
     }
 
     @Override
-    public void giveBack(final InetSocketAddress holder, final TokenAsk ask) {
+    public void sendReturn(final InetSocketAddress holder, final TokenRequest ask) {
         mSender.accept(
                 holder,
                 Datagram.newBuilder().setTokenReturn(QuotaCodec.encode(mIncarnation, ask)).build());
     }
 
     @Override
-    public void checkAfter(final Duration delay) {
+    public void scheduleTimeoutCheck(final Duration delay) {
         mLoop.schedule(
-                () -> mState.quotas().checkAnswers(mState.moment()),
+                () -> mState.quotas().checkTimeouts(mState.moment()),
                 delay.toMillis(),
                 TimeUnit.MILLISECONDS);
     }
@@ -78,8 +78,8 @@
         if (datagram.hasTokenReturn()) {
             final TokenAskRecord record = datagram.getTokenReturn();
             mState.quotas()
-                    .held()
-                    .giveBack(record.getClaimant(), QuotaCodec.decode(record), mState.moment());
+                    .heldShares()
+                    .returnTokens(record.getClaimant(), QuotaCodec.decode(record), mState.moment());
         }
         if (datagram.hasTokenAnswer()) {
             applyAnswer(datagram.getTokenAnswer());
@@ -91,8 +91,8 @@
                 QuotaCodec.encode(
                         record.getClaimant(),
                         mState.quotas()
-                                .held()
-                                .answer(
+                                .heldShares()
+                                .handleRequest(
                                         record.getClaimant(),
                                         QuotaCodec.decode(record),
                                         mState.moment()));
@@ -102,7 +102,7 @@
     /** Ignores answers to an earlier process, as their ids may be in use again. */
     private void applyAnswer(final TokenAnswerRecord record) {
         if (record.getClaimant().equals(mIncarnation)) {
-            mState.quotas().answered(QuotaCodec.decode(record), mState.moment());
+            mState.quotas().handleResponse(QuotaCodec.decode(record), mState.moment());
         }
     }
 }
--- a/gateway/src/main/java/org/whinhead/gateway/quota/ShareTableSynchronizer.java
+++ b/gateway/src/main/java/org/whinhead/gateway/quota/ShareTableSynchronizer.java
@@ -26,8 +26,8 @@
 import org.whinhead.gateway.store.StoreTopic;
 import org.whinhead.serving.member.Member;
 import org.whinhead.serving.member.MemberTable;
+import org.whinhead.serving.quota.ClockReading;
 import org.whinhead.serving.quota.HeldShares;
-import org.whinhead.serving.quota.Moment;
 import org.whinhead.serving.quota.ShareHolders;
 import org.whinhead.serving.quota.ShareTable;
 
@@ -123,7 +123,7 @@
     }
 
     private Optional<ShareTable> table() {
-        return mState.quotas().held().table();
+        return mState.quotas().heldShares().table();
     }
 
     /** Schedules a read, unless an earlier one is scheduled. */
@@ -144,7 +144,7 @@
             return;
         }
         mCallPending = true;
-        final Moment startedAt = mState.moment();
+        final ClockReading startedAt = mState.moment();
         mStore.newest(StoreTopic.SHARES)
                 .whenComplete(
                         (page, failure) -> {
@@ -156,12 +156,12 @@
                         });
     }
 
-    private void applyPage(final StorePage page, final Moment readAt) {
+    private void applyPage(final StorePage page, final ClockReading readAt) {
         mTopicEnd = OptionalLong.of(page.end());
         final Optional<ShareTable> storedTable = decodeStoredTable(page);
         mStoredVersion = storedTable.map(ShareTable::version).orElse(0L);
         final long knownVersion = knownVersion();
-        storedTable.ifPresent(table -> mState.quotas().held().tableRead(table, readAt));
+        storedTable.ifPresent(table -> mState.quotas().heldShares().updateTable(table, readAt));
         if (storedTable.isPresent() && storedTable.get().version() > knownVersion) {
             LOG.atInfo()
                     .addKeyValue("version", storedTable.get().version())
@@ -188,8 +188,8 @@
      */
     public void tick() {
         final Instant now = mState.clock().instant();
-        if (mMembers.addressChanges() != mMembersVersion) {
-            mMembersVersion = mMembers.addressChanges();
+        if (mMembers.addressChangeCount() != mMembersVersion) {
+            mMembersVersion = mMembers.addressChangeCount();
             mMembersChangedAt = now;
         }
         if (mTopicEnd.isEmpty() || mCallPending || !mHoldsDuties.getAsBoolean()) {
@@ -204,7 +204,7 @@
         if (table.isEmpty()) {
             return Duration.between(mMembersChangedAt, now).compareTo(SETTLE_TIME) < 0
                     ? Optional.empty()
-                    : Optional.of(ShareTable.first(ShareHolders.inOrder(members())));
+                    : Optional.of(ShareTable.initial(ShareHolders.interleaveDomains(members())));
         }
         if (mStoredVersion < table.get().version()) {
             // The store was restored from an older copy: writes the table in force again.
@@ -225,13 +225,13 @@
         members().forEach(member -> present.add(member.peerAddress()));
         present.forEach(address -> mLastHeardAt.put(address, now));
         final List<InetSocketAddress> successors =
-                ShareHolders.inOrder(members()).stream()
-                        .filter(address -> !table.names(address))
+                ShareHolders.interleaveDomains(members()).stream()
+                        .filter(address -> !table.hasHolder(address))
                         .toList();
-        return table.replace(
+        return table.reassign(
                 holder -> isGone(holder, now),
-                successors.isEmpty() ? ShareHolders.inOrder(members()) : successors,
-                mState.timeOfDay().instant().plus(HeldShares.TABLE_VALID_FOR).plus(CLOCK_MARGIN));
+                successors.isEmpty() ? ShareHolders.interleaveDomains(members()) : successors,
+                mState.timeOfDay().instant().plus(HeldShares.TABLE_VALIDITY).plus(CLOCK_MARGIN));
     }
 
     private boolean isGone(final InetSocketAddress holder, final Instant now) {
--- a/gateway/src/main/java/org/whinhead/gateway/rollout/RolloutCoordinator.java
+++ b/gateway/src/main/java/org/whinhead/gateway/rollout/RolloutCoordinator.java
@@ -64,7 +64,7 @@
 
     void addEvidence(final RolloutEvidence evidence) {
         Optional.ofNullable(mRollouts.get(evidence.service()))
-                .ifPresent(rollout -> rollout.controller().evidence(evidence));
+                .ifPresent(rollout -> rollout.controller().addEvidence(evidence));
     }
 
     /** Returns whether any rollout is left to decide or to announce. */
@@ -91,7 +91,7 @@
             return;
         }
         final Instant now = now();
-        mState.rollouts().open().forEach(order -> track(order, now));
+        mState.rollouts().openOrders().forEach(order -> track(order, now));
         for (final TrackedRollout rollout : mRollouts.values()) {
             decide(rollout, now);
             write(rollout, now);
@@ -119,7 +119,7 @@
     private void resume(final Map<String, RolloutRecord> records) {
         mRecordsRead = true;
         final Instant now = now();
-        for (final RolloutOrder order : mState.rollouts().open()) {
+        for (final RolloutOrder order : mState.rollouts().openOrders()) {
             final RolloutRecord record = records.get(order.service());
             if (record != null && record.order() == order.offset()) {
                 resume(order, record, now);
@@ -135,8 +135,8 @@
         final TrackedRollout rollout = new TrackedRollout(controller, record);
         rollout.markRecorded(record);
         if (record.state().isFinal()) {
-            controller.ended(record.state());
-            mState.rollouts().recorded(record);
+            controller.adoptFinalState(record.state());
+            mState.rollouts().applyRecord(record);
         }
         mRollouts.put(order.service(), rollout);
         LOG.atInfo()
@@ -226,7 +226,7 @@
         mCallPending = false;
         if (failure == null && newest) {
             rollout.markRecorded(record);
-            mState.rollouts().recorded(record);
+            mState.rollouts().applyRecord(record);
             mNextStepAt = Instant.EPOCH;
             write(rollout, now());
         } else {
@@ -279,8 +279,8 @@
             if (record != null && record.order() == rollout.pendingRecord().order()) {
                 rollout.markRecorded(record);
                 if (record.state().isFinal()) {
-                    rollout.controller().ended(record.state());
-                    mState.rollouts().recorded(record);
+                    rollout.controller().adoptFinalState(record.state());
+                    mState.rollouts().applyRecord(record);
                 }
             }
         }
--- a/gateway/src/main/java/org/whinhead/gateway/rollout/RolloutParticipant.java
+++ b/gateway/src/main/java/org/whinhead/gateway/rollout/RolloutParticipant.java
@@ -106,7 +106,7 @@
 
     /** Performs the work that is due; called several times a second. */
     public void tick() {
-        final List<RolloutOrder> open = mState.rollouts().open();
+        final List<RolloutOrder> open = mState.rollouts().openOrders();
         if (open.isEmpty() && !mCoordinator.hasRollouts()) {
             return;
         }
@@ -158,17 +158,18 @@
     }
 
     private void applyRecord(final RolloutRecord record) {
-        mState.rollouts().recorded(record);
+        mState.rollouts().applyRecord(record);
     }
 
     private void reportEvidence(final boolean isHolder, final Instant now) {
         final String self = mMembers.self().incarnation();
-        final List<RolloutEvidence> evidenceList = mState.rollouts().evidence(self);
+        final List<RolloutEvidence> evidenceList = mState.rollouts().collectEvidence(self);
         if (isHolder) {
             evidenceList.forEach(mCoordinator::addEvidence);
             return;
         }
-        final long failures = evidenceList.stream().mapToLong(RolloutEvidence::failedOnTrial).sum();
+        final long failures =
+                evidenceList.stream().mapToLong(RolloutEvidence::canaryFailures).sum();
         if (mHolderAddress.isEmpty()
                 || (now.isBefore(mNextEvidenceAt) && failures == mReportedFailures)) {
             return;
@@ -197,7 +198,7 @@
     }
 
     private void applyStep(final RolloutStep step) {
-        mState.rollouts().step(step, mState.clock().instant());
+        mState.rollouts().applyStep(step, mState.clock().instant());
         mTakeoverRunning = !step.oldStopsIn().isZero();
         if (!step.oldStopsIn().isZero() && mMovedOrders.add(step.order())) {
             moveRuns(step);
@@ -207,7 +208,7 @@
     /** Moves the runs off the old endpoints, which stop without completing them. */
     private void moveRuns(final RolloutStep step) {
         mState.rollouts()
-                .replaced(step.service(), mState.endpoints().usable(step.service()))
+                .replacedEndpoints(step.service(), mState.endpoints().usable(step.service()))
                 .forEach(entry -> mMoveRuns.accept(entry.id(), Optional.of(step.oldStopsIn())));
     }
 
--- a/gateway/src/main/java/org/whinhead/gateway/store/ConfigurationTopicListener.java
+++ b/gateway/src/main/java/org/whinhead/gateway/store/ConfigurationTopicListener.java
@@ -84,7 +84,7 @@
         try {
             mRolloutCodec
                     .decodeOrder(record)
-                    .filter(mState.rollouts()::ordered)
+                    .filter(mState.rollouts()::addOrder)
                     .ifPresent(
                             order -> {
                                 LOG.atInfo()
--- a/gateway/src/main/java/org/whinhead/gateway/store/EndpointTopicListener.java
+++ b/gateway/src/main/java/org/whinhead/gateway/store/EndpointTopicListener.java
@@ -178,7 +178,7 @@
 
     private boolean applyUnreadable(
             final StoreRecord record, final UnreadableRecordException cause) {
-        final boolean wasUsable = registry().unreadable(record.key(), record.offset());
+        final boolean wasUsable = registry().markUnreadable(record.key(), record.offset());
         if (wasUsable || mLoggedUnreadable.add(record.key())) {
             LOG.atWarn()
                     .addKeyValue("endpoint", record.key())
@@ -201,7 +201,7 @@
         final EntryEffect effect = registry().put(entry, change.offset());
         if (effect == EntryEffect.RESTARTED) {
             mState.chooser().forgetEndpoint(entry.id());
-            mConnections.restarted(entry.id());
+            mConnections.endpointRestarted(entry.id());
         }
         if (effect.isChange()) {
             LOG.atInfo()
@@ -215,7 +215,7 @@
                     .addKeyValue("offset", change.offset())
                     .log("endpoint changed");
             if (entry.leaving()) {
-                mState.leaving().noticed(entry, now());
+                mState.leaving().addNotice(entry, now());
                 mOnLeaving.accept(entry);
             }
         }
@@ -230,13 +230,13 @@
 
     private boolean removeReadByPeer(final EndpointChange change) {
         final Optional<EndpointEntry> previous = registry().find(change.id());
-        return registry().removedForOthers(change.id(), change.offset())
+        return registry().removeConfirmed(change.id(), change.offset())
                 && finishRemoval(change, previous);
     }
 
     private boolean finishRemoval(
             final EndpointChange change, final Optional<EndpointEntry> previous) {
-        mState.leaving().gone(change.id());
+        mState.leaving().remove(change.id());
         previous.ifPresent(mOnLeaving);
         LOG.atInfo()
                 .addKeyValue("endpoint", change.id())
@@ -250,8 +250,8 @@
         final Set<String> known =
                 registry().all().stream().map(EndpointEntry::id).collect(Collectors.toSet());
         mState.chooser().retain(known);
-        mConnections.retain(known);
-        mState.rollouts().listed(registry().all(), now());
+        mConnections.retainEndpoints(known);
+        mState.rollouts().observeEndpoints(registry().all(), now());
     }
 
     /**
@@ -266,7 +266,7 @@
 
     @Override
     public void onUnreachable(final Throwable cause) {
-        registry().storeUnreachable(now());
+        registry().recordOutage(now());
     }
 
     private EndpointRegistry registry() {
--- a/gateway/src/test/java/org/whinhead/gateway/peers/DigestReadCoordinatorTest.java
+++ b/gateway/src/test/java/org/whinhead/gateway/peers/DigestReadCoordinatorTest.java
@@ -34,8 +34,8 @@
 
     private DigestReadCoordinator nonReader(final ServingState state) {
         final MemberTable members = new MemberTable(member("z"));
-        members.heard(member("a"), true, false, mNow);
-        members.heard(member("b"), true, false, mNow);
+        members.recordReport(member("a"), true, false, mNow);
+        members.recordReport(member("b"), true, false, mNow);
         final DigestReadCoordinator digests = new DigestReadCoordinator(state, members);
         digests.onNewRecords(mTopicsToRead::add);
         digests.onSkippableEndpoints(mSkippedTo::add);
--- a/gateway/src/test/java/org/whinhead/gateway/quota/ShareTableSynchronizerTest.java
+++ b/gateway/src/test/java/org/whinhead/gateway/quota/ShareTableSynchronizerTest.java
@@ -109,7 +109,7 @@
             mChannel.advanceTimeBy(200, TimeUnit.MILLISECONDS);
             mChannel.runScheduledPendingTasks();
             for (final int number : heard) {
-                mMembers.heard(member(number), true, false, mNow);
+                mMembers.recordReport(member(number), true, false, mNow);
             }
             mMembers.expire(mNow);
             mSynchronizer.tick();
@@ -117,7 +117,7 @@
     }
 
     private Optional<ShareTable> table() {
-        return mState.quotas().held().table();
+        return mState.quotas().heldShares().table();
     }
 
     @Test
@@ -128,7 +128,7 @@
         advance(Duration.ofSeconds(4), 2, 3);
         assertThat(table().orElseThrow().version()).isEqualTo(1);
         assertThat(table().orElseThrow().daemons()).isEqualTo(3);
-        assertThat(table().orElseThrow().names(member(3).peerAddress())).isTrue();
+        assertThat(table().orElseThrow().hasHolder(member(3).peerAddress())).isTrue();
     }
 
     @Test
@@ -157,10 +157,11 @@
         mSynchronizer.start();
         advance(Duration.ofMillis(600));
         mStore.mValue =
-                Optional.of(QuotaCodec.encode(ShareTable.first(List.of(member(9).peerAddress()))));
+                Optional.of(
+                        QuotaCodec.encode(ShareTable.initial(List.of(member(9).peerAddress()))));
         mStore.mEnd = 1;
         advance(Duration.ofSeconds(5), 2);
-        assertThat(table().orElseThrow().names(member(9).peerAddress())).isTrue();
+        assertThat(table().orElseThrow().hasHolder(member(9).peerAddress())).isTrue();
         assertThat(mStore.mEnd).isEqualTo(1);
     }
 
@@ -169,7 +170,8 @@
         mHoldsDuties = false;
         mSynchronizer.start();
         mStore.mValue =
-                Optional.of(QuotaCodec.encode(ShareTable.first(List.of(member(2).peerAddress()))));
+                Optional.of(
+                        QuotaCodec.encode(ShareTable.initial(List.of(member(2).peerAddress()))));
         mStore.mEnd = 1;
         mSynchronizer.onPeerVersion(1);
         advance(Duration.ofMillis(600));
@@ -196,8 +198,8 @@
         advance(Duration.ofMinutes(7), 2);
         final ShareTable table = table().orElseThrow();
         assertThat(table.version()).isEqualTo(2);
-        assertThat(table.names(member(3).peerAddress())).isFalse();
-        final Instant later = START.plus(HeldShares.TABLE_VALID_FOR);
+        assertThat(table.hasHolder(member(3).peerAddress())).isFalse();
+        final Instant later = START.plus(HeldShares.TABLE_VALIDITY);
         assertThat(table.slots().stream().filter(slot -> slot.activeFrom().isAfter(later)))
                 .isNotEmpty();
     }
--- a/gateway/src/test/java/org/whinhead/gateway/rollout/RolloutCoordinatorTest.java
+++ b/gateway/src/test/java/org/whinhead/gateway/rollout/RolloutCoordinatorTest.java
@@ -125,7 +125,7 @@
 
     @BeforeEach
     void registerOrder() {
-        mState.rollouts().ordered(ORDER);
+        mState.rollouts().addOrder(ORDER);
     }
 
     private void tickUntil(final RolloutCoordinator holder, final long token, final long millis) {
@@ -191,7 +191,7 @@
     void pausedHolderAdoptsRecordedEnd() {
         tickUntil(mCoordinator, 1, 5_000);
         final ServingState otherState = TestServing.state(() -> mNow);
-        otherState.rollouts().ordered(ORDER);
+        otherState.rollouts().addOrder(ORDER);
         final List<RolloutStep> otherSteps = new ArrayList<>();
         final RolloutCoordinator other = coordinator(otherState, otherSteps);
         tickUntil(other, 2, 13_000);
@@ -201,7 +201,7 @@
         tickUntil(mCoordinator, 1, 14_000);
 
         assertThat(mStore.records(StoreTopic.ROLLOUTS)).hasSize(2);
-        assertThat(mState.rollouts().open()).isEmpty();
+        assertThat(mState.rollouts().openOrders()).isEmpty();
     }
 
     /** Guards against a time budget that starts again with each holder. */
@@ -209,7 +209,7 @@
     void nextHolderKeepsTheTimeBudget() {
         tickUntil(mCoordinator, 1, 8_000);
         final ServingState otherState = TestServing.state(() -> mNow);
-        otherState.rollouts().ordered(ORDER);
+        otherState.rollouts().addOrder(ORDER);
         final RolloutCoordinator other = coordinator(otherState, new ArrayList<>());
         tickUntil(other, 2, 12_400);
 
--- a/gateway/src/test/java/org/whinhead/gateway/store/EndpointTopicListenerTest.java
+++ b/gateway/src/test/java/org/whinhead/gateway/store/EndpointTopicListenerTest.java
@@ -92,7 +92,7 @@
         other.mListener.applyPeerChanges(changes);
         other.mListener.applyPeerChanges(changes);
         assertThat(other.mLeaving).containsExactly("e1");
-        assertThat(other.mState.endpoints().summary()).isEqualTo(mState.endpoints().summary());
+        assertThat(other.mState.endpoints().digest()).isEqualTo(mState.endpoints().digest());
     }
 
     // Guards against the return of a removed endpoint: a daemon received the removal from another
