--- a/gateway/src/main/java/org/whinhead/gateway/peers/PeerDatagramChannel.java
+++ b/gateway/src/main/java/org/whinhead/gateway/peers/PeerDatagramChannel.java
@@ -286,7 +286,7 @@
     }
 
     /**
-     * Sets the handler of asks for tokens, their answers and returned tokens.
+     * Sets the handler of token requests, responses and returns.
      *
      * @param onTokenDatagram receives the datagram and its sender
      */
--- a/gateway/src/main/java/org/whinhead/gateway/quota/DatagramQuotaTransport.java
+++ b/gateway/src/main/java/org/whinhead/gateway/quota/DatagramQuotaTransport.java
@@ -12,7 +12,7 @@
 import org.whinhead.serving.quota.QuotaTransport;
 import org.whinhead.serving.quota.TokenRequest;
 
-/** Sends this daemon's asks for tokens as datagrams, and answers the asks of other daemons. */
+/** Sends token requests as datagrams, and answers those of other daemons. */
 public final class DatagramQuotaTransport implements QuotaTransport {
 
     private final EventLoop mLoop;
@@ -44,17 +44,21 @@
     }
 
     @Override
-    public void sendRequest(final InetSocketAddress holder, final TokenRequest ask) {
+    public void sendRequest(final InetSocketAddress holder, final TokenRequest request) {
         mSender.accept(
                 holder,
-                Datagram.newBuilder().setTokenAsk(QuotaCodec.encode(mIncarnation, ask)).build());
+                Datagram.newBuilder()
+                        .setTokenAsk(QuotaCodec.encode(mIncarnation, request))
+                        .build());
     }
 
     @Override
-    public void sendReturn(final InetSocketAddress holder, final TokenRequest ask) {
+    public void sendReturn(final InetSocketAddress holder, final TokenRequest request) {
         mSender.accept(
                 holder,
-                Datagram.newBuilder().setTokenReturn(QuotaCodec.encode(mIncarnation, ask)).build());
+                Datagram.newBuilder()
+                        .setTokenReturn(QuotaCodec.encode(mIncarnation, request))
+                        .build());
     }
 
     @Override
@@ -68,7 +72,7 @@
     /**
      * Handles a datagram of another daemon.
      *
-     * @param datagram an ask, an answer or a return of tokens
+     * @param datagram a token request, a response or a return of tokens
      * @param sender the address of that daemon
      */
     public void receive(final Datagram datagram, final InetSocketAddress sender) {
@@ -99,7 +103,7 @@
         mSender.accept(claimant, Datagram.newBuilder().setTokenAnswer(answer).build());
     }
 
-    /** Ignores answers to an earlier process, as their ids may be in use again. */
+    /** Ignores responses to an earlier process, as their ids may be in use again. */
     private void applyAnswer(final TokenAnswerRecord record) {
         if (record.getClaimant().equals(mIncarnation)) {
             mState.quotas().handleResponse(QuotaCodec.decode(record), mState.moment());
--- a/gateway/src/main/java/org/whinhead/gateway/quota/QuotaCodec.java
+++ b/gateway/src/main/java/org/whinhead/gateway/quota/QuotaCodec.java
@@ -13,20 +13,20 @@
 import org.whinhead.serving.quota.TokenRequest;
 import org.whinhead.serving.quota.TokenResponse;
 
-/** Encodes and decodes asks for tokens, their answers and the table of shares. */
+/** Encodes and decodes token requests, their responses and the table of shares. */
 final class QuotaCodec {
 
     private QuotaCodec() {}
 
-    static TokenAskRecord encode(final String claimant, final TokenRequest ask) {
+    static TokenAskRecord encode(final String claimant, final TokenRequest request) {
         return TokenAskRecord.newBuilder()
                 .setClaimant(claimant)
-                .setId(ask.id())
-                .setCustomer(ask.customer())
-                .setSlot(ask.slot())
-                .setTokens(ask.tokens())
-                .setLight(ask.light())
-                .setClaimTokens(ask.claimTokens())
+                .setId(request.id())
+                .setCustomer(request.customer())
+                .setSlot(request.slot())
+                .setTokens(request.tokens())
+                .setLight(request.light())
+                .setClaimTokens(request.claimTokens())
                 .build();
     }
 
@@ -40,14 +40,14 @@
                 record.getLight());
     }
 
-    static TokenAnswerRecord encode(final String claimant, final TokenResponse answer) {
+    static TokenAnswerRecord encode(final String claimant, final TokenResponse response) {
         return TokenAnswerRecord.newBuilder()
                 .setClaimant(claimant)
-                .setId(answer.id())
-                .setCustomer(answer.customer())
-                .setSlot(answer.slot())
-                .setOutcome(encode(answer.outcome()))
-                .setLevel(answer.level())
+                .setId(response.id())
+                .setCustomer(response.customer())
+                .setSlot(response.slot())
+                .setOutcome(encode(response.outcome()))
+                .setLevel(response.level())
                 .build();
     }
 
--- a/gateway/src/test/java/org/whinhead/gateway/quota/DatagramQuotaTransportTest.java
+++ b/gateway/src/test/java/org/whinhead/gateway/quota/DatagramQuotaTransportTest.java
@@ -36,10 +36,11 @@
     }
 
     @Test
-    void answerIsSentToClaimant() {
-        final TokenRequest ask = new TokenRequest(3, "clinic", 5, 100, false);
+    void responseIsSentToClaimant() {
+        final TokenRequest request = new TokenRequest(3, "clinic", 5, 100, false);
         mTransport.receive(
-                Datagram.newBuilder().setTokenAsk(QuotaCodec.encode("other", ask)).build(), OTHER);
+                Datagram.newBuilder().setTokenAsk(QuotaCodec.encode("other", request)).build(),
+                OTHER);
         assertThat(mSent).hasSize(1);
         assertThat(mSent.get(0).getTokenAnswer().getClaimant()).isEqualTo("other");
         assertThat(QuotaCodec.decode(mSent.get(0).getTokenAnswer()).outcome())
@@ -47,10 +48,10 @@
     }
 
     @Test
-    void asksAndReturnsCarryClaimant() {
-        final TokenRequest ask = new TokenRequest(3, "clinic", 5, 100, false);
-        mTransport.sendRequest(OTHER, ask);
-        mTransport.sendReturn(OTHER, ask);
+    void requestsAndReturnsCarryClaimant() {
+        final TokenRequest request = new TokenRequest(3, "clinic", 5, 100, false);
+        mTransport.sendRequest(OTHER, request);
+        mTransport.sendReturn(OTHER, request);
         assertThat(mSent.get(0).getTokenAsk().getClaimant()).isEqualTo("self");
         assertThat(mSent.get(1).getTokenReturn()).isEqualTo(mSent.get(0).getTokenAsk());
     }
--- a/gateway/src/test/java/org/whinhead/gateway/quota/QuotaCodecTest.java
+++ b/gateway/src/test/java/org/whinhead/gateway/quota/QuotaCodecTest.java
@@ -18,14 +18,14 @@
     private static final InetSocketAddress SECOND = new InetSocketAddress("127.0.0.2", 7600);
 
     @Test
-    void asksAndAnswersSurviveRoundTrip() {
-        final TokenRequest ask = new TokenRequest(7, "clinic", 12, 4_000, true);
-        assertThat(QuotaCodec.decode(QuotaCodec.encode("i-1", ask))).isEqualTo(ask);
+    void requestsAndResponsesSurviveRoundTrip() {
+        final TokenRequest request = new TokenRequest(7, "clinic", 12, 4_000, true);
+        assertThat(QuotaCodec.decode(QuotaCodec.encode("i-1", request))).isEqualTo(request);
         final TokenRequest part = new TokenRequest(8, "clinic", 12, 4_000, 9_000, false);
         assertThat(QuotaCodec.decode(QuotaCodec.encode("i-1", part))).isEqualTo(part);
         for (final TokenResponse.Outcome outcome : TokenResponse.Outcome.values()) {
-            final TokenResponse answer = new TokenResponse(7, "clinic", 12, outcome, -350);
-            assertThat(QuotaCodec.decode(QuotaCodec.encode("i-1", answer))).isEqualTo(answer);
+            final TokenResponse response = new TokenResponse(7, "clinic", 12, outcome, -350);
+            assertThat(QuotaCodec.decode(QuotaCodec.encode("i-1", response))).isEqualTo(response);
         }
     }
 
