--- a/fleet/src/main/java/org/whinhead/fleet/CapacityPlan.java
+++ b/fleet/src/main/java/org/whinhead/fleet/CapacityPlan.java
@@ -7,10 +7,10 @@
 import org.whinhead.api.model.FailureDomain;
 
 /**
- * How many VMs to hold of each supply.
+ * The number of VMs to run of each supply.
  *
- * @param counts VMs by supply; supplies with none are left out
- * @param needed VMs that must remain after the largest domain is lost
+ * @param counts the number of VMs by supply; supplies without VMs are omitted
+ * @param needed the number of VMs that must remain after the largest domain is lost
  */
 public record CapacityPlan(SortedMap<Supply, Integer> counts, int needed) {
 
@@ -20,26 +20,28 @@
         counts = Collections.unmodifiableSortedMap(new TreeMap<>(counts));
     }
 
-    /** Returns the number of VMs in all. */
+    /** Returns the total number of VMs. */
     public int vmCount() {
         return counts.values().stream().mapToInt(Integer::intValue).sum();
     }
 
-    /** Returns the price of all VMs an hour. */
+    /** Returns the price of all VMs per hour. */
     public double pricePerHour() {
         return counts.entrySet().stream()
                 .mapToDouble(entry -> entry.getKey().pricePerHour() * entry.getValue())
                 .sum();
     }
 
-    /** Returns the number of VMs in the domain that has most. */
+    /** Returns the number of VMs in the largest domain. */
     public int largestDomainVmCount() {
         final SortedMap<FailureDomain, Integer> byDomain = new TreeMap<>();
         counts.forEach((supply, count) -> byDomain.merge(supply.domain(), count, Integer::sum));
         return byDomain.values().stream().mapToInt(Integer::intValue).max().orElse(0);
     }
 
-    /** Returns how many VMs are lacking after the largest domain is lost; 0 if the plan holds. */
+    /**
+     * Returns the number of VMs missing after the largest domain is lost; 0 if the plan suffices.
+     */
     public int shortfall() {
         return Math.max(0, needed - (vmCount() - largestDomainVmCount()));
     }
--- a/fleet/src/main/java/org/whinhead/fleet/CapacityPlanner.java
+++ b/fleet/src/main/java/org/whinhead/fleet/CapacityPlanner.java
@@ -9,10 +9,11 @@
 import org.whinhead.api.model.FailureDomain;
 
 /**
- * Finds the cheapest VMs that still suffice after the largest failure domain is lost.
+ * Computes the cheapest set of VMs that still suffices after the loss of its largest failure
+ * domain.
  *
  * <p>If no domain may hold more than {@code m} VMs, {@code needed + m} in all suffice, and for a
- * given {@code m} the cheapest choice takes supplies in order of price up to {@code m} a domain.
+ * given {@code m} the cheapest choice takes supplies in order of price, up to {@code m} per domain.
  * Trying every {@code m} from 1 to {@code needed} finds the optimum: its largest domain has some
  * size {@code m}, and for that {@code m} no choice is cheaper than the one in order of price.
  */
@@ -21,12 +22,13 @@
     private CapacityPlanner() {}
 
     /**
-     * Plans one pool of like VMs.
+     * Plans one pool of equivalent VMs.
      *
-     * @param needed VMs that must remain after the largest domain is lost
-     * @param supplies what can be bought
-     * @param limits the most VMs to be had of a supply; a supply without an entry has no limit
-     * @return the cheapest plan that suffices or, if none does, the one that lacks least
+     * @param needed the number of VMs that must remain after the largest domain is lost, at least 0
+     * @param supplies the supplies to choose from
+     * @param limits the maximum number of VMs per supply; a supply without an entry has no limit
+     * @return the cheapest sufficient plan or, if none suffices, the cheapest with the smallest
+     *     shortfall
      */
     public static CapacityPlan plan(
             final int needed, final List<Supply> supplies, final Map<Supply, Integer> limits) {
@@ -48,16 +50,16 @@
             final List<Supply> byPrice,
             final Map<Supply, Integer> limits) {
         final SortedMap<Supply, Integer> counts = new TreeMap<>();
-        final Map<FailureDomain, Integer> used = new HashMap<>();
-        int missing = needed + largest;
+        final Map<FailureDomain, Integer> countByDomain = new HashMap<>();
+        int remaining = needed + largest;
         for (final Supply supply : byPrice) {
-            final int room = largest - used.getOrDefault(supply.domain(), 0);
+            final int domainRoom = largest - countByDomain.getOrDefault(supply.domain(), 0);
             final int limit = limits.getOrDefault(supply, Integer.MAX_VALUE);
-            final int taken = Math.min(missing, Math.min(room, limit));
-            if (taken > 0) {
-                counts.put(supply, taken);
-                used.merge(supply.domain(), taken, Integer::sum);
-                missing -= taken;
+            final int added = Math.min(remaining, Math.min(domainRoom, limit));
+            if (added > 0) {
+                counts.put(supply, added);
+                countByDomain.merge(supply.domain(), added, Integer::sum);
+                remaining -= added;
             }
         }
         return new CapacityPlan(counts, needed);
--- a/fleet/src/main/java/org/whinhead/fleet/FleetOrder.java
+++ b/fleet/src/main/java/org/whinhead/fleet/FleetOrder.java
@@ -6,29 +6,29 @@
 import org.whinhead.api.model.VmId;
 
 /**
- * One command to the cloud or to an endpoint.
+ * A command to the cloud or to an endpoint.
  *
- * <p>An order is put on the log before it is sent. A holder that takes over sends the open ones
- * again under the same identity, so an order whose answer was lost takes effect once.
+ * <p>An order is appended to the log before it is sent. A new lease holder sends the open orders
+ * again under the same IDs, so an order whose response was lost takes effect only once.
  */
 public sealed interface FleetOrder {
 
-    /** Returns the order's identity. */
+    /** Returns the ID of the order. */
     OrderId id();
 
-    /** Returns why the order was given, for people. */
+    /** Returns the human-readable reason for the order. */
     String reason();
 
     /**
      * Starts a VM.
      *
-     * @param id the order's identity
-     * @param pool the pool that it is for
-     * @param supply what to start
-     * @param reason why
+     * @param id the ID of the order
+     * @param pool the name of the pool of the VM
+     * @param supply the supply of which to start a VM
+     * @param reason the human-readable reason
      */
     record StartVm(OrderId id, PoolName pool, Supply supply, String reason) implements FleetOrder {
-        /** Checks every part. */
+        /** Validates the components. */
         public StartVm {
             Objects.requireNonNull(id, "id");
             Objects.requireNonNull(pool, "pool");
@@ -38,14 +38,14 @@
     }
 
     /**
-     * Shuts a VM out from new work, so that it can be stopped without cutting a request.
+     * Drains a VM: it receives no new requests, so that it can be stopped without losing any.
      *
-     * @param id the order's identity
-     * @param vm the VM
-     * @param reason why
+     * @param id the ID of the order
+     * @param vm the ID of the VM
+     * @param reason the human-readable reason
      */
     record DrainVm(OrderId id, VmId vm, String reason) implements FleetOrder {
-        /** Checks every part. */
+        /** Validates the components. */
         public DrainVm {
             Objects.requireNonNull(id, "id");
             Objects.requireNonNull(vm, "vm");
@@ -54,14 +54,14 @@
     }
 
     /**
-     * Stops a VM that is empty of work.
+     * Stops a VM that has no requests in progress.
      *
-     * @param id the order's identity
-     * @param vm the VM
-     * @param reason why
+     * @param id the ID of the order
+     * @param vm the ID of the VM
+     * @param reason the human-readable reason
      */
     record StopVm(OrderId id, VmId vm, String reason) implements FleetOrder {
-        /** Checks every part. */
+        /** Validates the components. */
         public StopVm {
             Objects.requireNonNull(id, "id");
             Objects.requireNonNull(vm, "vm");
@@ -72,14 +72,14 @@
     /**
      * Loads a model into an engine.
      *
-     * @param id the order's identity
-     * @param endpoint the engine
-     * @param model what to load
-     * @param reason why
+     * @param id the ID of the order
+     * @param endpoint the ID of the engine
+     * @param model the model to load
+     * @param reason the human-readable reason
      */
     record LoadModel(OrderId id, EndpointId endpoint, ModelRef model, String reason)
             implements FleetOrder {
-        /** Checks every part. */
+        /** Validates the components. */
         public LoadModel {
             Objects.requireNonNull(id, "id");
             Objects.requireNonNull(endpoint, "endpoint");
--- a/fleet/src/main/java/org/whinhead/fleet/FleetReconciler.java
+++ b/fleet/src/main/java/org/whinhead/fleet/FleetReconciler.java
@@ -14,54 +14,54 @@
 import org.whinhead.api.model.VmState;
 
 /**
- * Turns what the settings want and what is there into orders, round by round.
+ * Computes, in rounds, the orders that bring the fleet from its observed to its desired state.
  *
- * <p>Single-threaded. Whoever holds the fleet's lease runs it; the orders of a round go to the log
- * before they are sent. What it remembers between rounds (refused starts, the pace of loads) only
- * saves futile orders; a new holder that starts without it gives right orders too.
+ * <p>Single-threaded; runs at the holder of the fleet's lease. The orders of a round are appended
+ * to the log before they are sent. The state kept between rounds (refused starts, the rate of model
+ * loads) only avoids futile orders; the orders of a new holder without that state are correct too.
  */
 public final class FleetReconciler {
 
     private final FleetSettings mSettings;
-    private final StartBackoff mRefusedStarts;
-    private final ModelLoadRateLimiter mLoadPacer;
+    private final StartBackoff mStartBackoff;
+    private final ModelLoadRateLimiter mLoadRateLimiter;
 
     /**
-     * Makes a reconciler.
+     * Creates a reconciler.
      *
-     * @param settings its tunables
+     * @param settings the settings of the reconciler
      */
     public FleetReconciler(final FleetSettings settings) {
         mSettings = settings;
-        mRefusedStarts = new StartBackoff(settings.firstRest());
-        mLoadPacer = new ModelLoadRateLimiter(settings.weightBytesPerSecond());
+        mStartBackoff = new StartBackoff(settings.firstRest());
+        mLoadRateLimiter = new ModelLoadRateLimiter(settings.weightBytesPerSecond());
     }
 
     /**
-     * The cloud refused a start.
+     * Records that the cloud refused to start a VM.
      *
-     * @param supply what was asked for
-     * @param now the time
+     * @param supply the supply of the VM
+     * @param now the current time
      */
     public void recordRefusedStart(final Supply supply, final Instant now) {
-        mRefusedStarts.recordRefusal(supply, now);
+        mStartBackoff.recordRefusal(supply, now);
     }
 
     /**
-     * The cloud started a VM.
+     * Records that the cloud started a VM.
      *
-     * @param supply what was asked for
+     * @param supply the supply of the VM
      */
     public void recordStartedVm(final Supply supply) {
-        mRefusedStarts.reset(supply);
+        mStartBackoff.reset(supply);
     }
 
     /**
-     * Gives the orders of one round.
+     * Computes the orders of one round.
      *
-     * @param view what is wanted and what is there
-     * @param now the time
-     * @return the orders, to be put on the log and then sent
+     * @param view the desired and the observed state
+     * @param now the current time
+     * @return the orders, to be appended to the log and then sent
      */
     public List<FleetOrder> reconcile(final FleetView view, final Instant now) {
         final List<FleetOrder> orders = new ArrayList<>();
@@ -79,14 +79,14 @@
         final Map<Supply, Integer> limits = new HashMap<>();
         final Map<Supply, Integer> present = countPresentBySupply(pool, view);
         for (final Supply supply : pool.supplies()) {
-            if (mRefusedStarts.isBackingOff(supply, now)) {
+            if (mStartBackoff.isBackingOff(supply, now)) {
                 limits.put(supply, present.getOrDefault(supply, 0));
             }
         }
         return CapacityPlanner.plan(pool.needed(), pool.supplies(), limits);
     }
 
-    /** Counts members and open starts, so that an order on its way is not given twice. */
+    /** Counts members and open start orders, so that no VM is ordered twice. */
     private static Map<Supply, Integer> countPresentBySupply(
             final Pool pool, final FleetView view) {
         final Map<Supply, Integer> present = new TreeMap<>();
@@ -107,25 +107,25 @@
             final FleetView view,
             final List<FleetOrder> orders) {
         final Map<Supply, Integer> present = countPresentBySupply(pool, view);
-        int left = mSettings.mostStartsPerRound();
+        int startsLeft = mSettings.mostStartsPerRound();
         for (final Map.Entry<Supply, Integer> wanted : plan.counts().entrySet()) {
             final Supply supply = wanted.getKey();
             int missing = wanted.getValue() - present.getOrDefault(supply, 0);
-            while (missing > 0 && left > 0) {
+            while (missing > 0 && startsLeft > 0) {
                 final OrderId id = orderId(view, pool, "start", orders.size());
                 orders.add(new FleetOrder.StartVm(id, pool.name(), supply, reason(plan)));
                 missing--;
-                left--;
+                startsLeft--;
             }
         }
     }
 
     /**
-     * Drains what the plan does not hold, but only while enough remains.
+     * Drains the VMs that the plan does not include, as long as enough serving VMs remain.
      *
-     * <p>Guards against a cheaper plan that stops serving VMs before their successors serve: the
-     * latency target is missed during the change. A surplus VM goes only if the VMs that have the
-     * model loaded, less this one, still suffice after the largest domain is lost.
+     * <p>Guards against a cheaper plan that stops serving VMs before their replacements serve, so
+     * that the latency target is missed meanwhile. A surplus VM is drained only if the other VMs
+     * that have the model loaded still suffice after the largest domain is lost.
      */
     private void drainSurplus(
             final Pool pool,
@@ -135,14 +135,14 @@
         final Map<Supply, Integer> surplus = new HashMap<>(countPresentBySupply(pool, view));
         plan.counts().forEach((supply, count) -> surplus.merge(supply, -count, Integer::sum));
         final TreeMap<Supply, Integer> serving = countServingBySupply(pool, view);
-        final List<PoolMember> emptiestFirst =
+        final List<PoolMember> leastLoadedFirst =
                 view.membersOf(pool.name()).stream()
                         .filter(PoolMember::countsTowardPlan)
                         .sorted(
                                 Comparator.comparingInt(PoolMember::inProgress)
                                         .thenComparing(member -> member.endpoint().id()))
                         .toList();
-        for (final PoolMember member : emptiestFirst) {
+        for (final PoolMember member : leastLoadedFirst) {
             final boolean isSurplus = surplus.getOrDefault(member.supply(), 0) > 0;
             if (isSurplus && sufficesWithout(member, serving, pool)) {
                 if (serves(member, pool)) {
@@ -151,7 +151,8 @@
                 surplus.merge(member.supply(), -1, Integer::sum);
                 final OrderId id = orderId(view, pool, "drain", orders.size());
                 orders.add(
-                        new FleetOrder.DrainVm(id, member.endpoint().vm().id(), "not in the plan"));
+                        new FleetOrder.DrainVm(
+                                id, member.endpoint().vm().id(), "not in the capacity plan"));
             }
         }
     }
@@ -173,25 +174,25 @@
 
     private static boolean sufficesWithout(
             final PoolMember leaving, final TreeMap<Supply, Integer> serving, final Pool pool) {
-        final TreeMap<Supply, Integer> left = new TreeMap<>(serving);
+        final TreeMap<Supply, Integer> remaining = new TreeMap<>(serving);
         if (serves(leaving, pool)) {
-            left.merge(leaving.supply(), -1, Integer::sum);
+            remaining.merge(leaving.supply(), -1, Integer::sum);
         }
-        return new CapacityPlan(left, pool.needed()).shortfall() == 0;
+        return new CapacityPlan(remaining, pool.needed()).shortfall() == 0;
     }
 
-    /** Stops drained VMs once no request is in progress on them, so that the stop cuts none. */
+    /** Stops drained VMs once they have no requests in progress, so that the stop loses none. */
     private void stopDrained(final Pool pool, final FleetView view, final List<FleetOrder> orders) {
-        final Set<VmId> ordered = new HashSet<>();
+        final Set<VmId> stopOrdered = new HashSet<>();
         for (final FleetOrder order : view.open()) {
             if (order instanceof FleetOrder.StopVm stop) {
-                ordered.add(stop.vm());
+                stopOrdered.add(stop.vm());
             }
         }
         for (final PoolMember member : view.membersOf(pool.name())) {
             final VmId vm = member.endpoint().vm().id();
             final boolean isLeaving = member.endpoint().vm().state() == VmState.LEAVING;
-            if (isLeaving && member.inProgress() == 0 && !ordered.contains(vm)) {
+            if (isLeaving && member.inProgress() == 0 && !stopOrdered.contains(vm)) {
                 final OrderId id = orderId(view, pool, "stop", orders.size());
                 orders.add(new FleetOrder.StopVm(id, vm, "drained"));
             }
@@ -199,11 +200,11 @@
     }
 
     /**
-     * Loads the pool's model where it is missing, a few engines at a time.
+     * Loads the pool's model on engines that lack it, a few engines at a time.
      *
-     * <p>Guards against a new version that takes every engine out of service at once: no request
-     * finds an endpoint. Engines without any model go first; those that serve another version
-     * follow only while few are in transition.
+     * <p>Guards against a new version that takes all engines out of service at once, so that no
+     * request finds an endpoint. Engines without any model load first; engines that serve another
+     * version follow only while few engines are in transition.
      */
     private void loadModels(
             final Pool pool,
@@ -216,7 +217,7 @@
                 loading.add(load.endpoint());
             }
         }
-        final List<PoolMember> lacking =
+        final List<PoolMember> lackingModel =
                 view.membersOf(pool.name()).stream()
                         .filter(PoolMember::countsTowardPlan)
                         .filter(member -> !member.endpoint().models().contains(pool.model()))
@@ -228,17 +229,17 @@
                                         .thenComparing(member -> member.endpoint().id()))
                         .toList();
         int inTransition = loading.size();
-        for (final PoolMember member : lacking) {
+        for (final PoolMember member : lackingModel) {
             final boolean isIdle = member.endpoint().models().isEmpty();
-            final boolean mayBegin = isIdle || inTransition < mSettings.mostInTransition();
-            if (!mayBegin || !mLoadPacer.tryAcquire(pool.modelBytes(), now)) {
+            final boolean canBegin = isIdle || inTransition < mSettings.mostInTransition();
+            if (!canBegin || !mLoadRateLimiter.tryAcquire(pool.modelBytes(), now)) {
                 return;
             }
             inTransition++;
             final OrderId id = orderId(view, pool, "load", orders.size());
             orders.add(
                     new FleetOrder.LoadModel(
-                            id, member.endpoint().id(), pool.model(), "wanted by the pool"));
+                            id, member.endpoint().id(), pool.model(), "required by the pool"));
         }
     }
 
--- a/fleet/src/main/java/org/whinhead/fleet/FleetSettings.java
+++ b/fleet/src/main/java/org/whinhead/fleet/FleetSettings.java
@@ -4,13 +4,13 @@
 import org.whinhead.api.Arguments;
 
 /**
- * Tunables of the reconciler.
+ * The settings of the reconciler.
  *
- * @param firstRest how long a refused supply rests at first
- * @param weightBytesPerSecond the weight store's rate
- * @param mostInTransition engines of a pool that may be without the wanted version at once during a
- *     rollout, beyond those that lack it when the rollout begins
- * @param mostStartsPerRound starts ordered in one round
+ * @param firstRest the backoff of a supply after its first refused start
+ * @param weightBytesPerSecond the transfer rate of the weight store, in bytes per second
+ * @param mostInTransition the maximum number of engines of a pool that load the wanted version at
+ *     once during a rollout; does not limit engines without any model
+ * @param mostStartsPerRound the maximum number of VM starts per pool in one round
  */
 public record FleetSettings(
         Duration firstRest,
@@ -18,7 +18,7 @@
         int mostInTransition,
         int mostStartsPerRound) {
 
-    /** Checks every part. */
+    /** Validates the components. */
     public FleetSettings {
         Arguments.requirePositive(firstRest, "firstRest");
         Arguments.requireAtLeast(weightBytesPerSecond, 1, "weightBytesPerSecond");
--- a/fleet/src/main/java/org/whinhead/fleet/FleetView.java
+++ b/fleet/src/main/java/org/whinhead/fleet/FleetView.java
@@ -4,12 +4,13 @@
 import java.util.Objects;
 
 /**
- * All that one round of reconciling looks at.
+ * The input of one reconciliation round.
  *
- * @param pools what the settings want
- * @param members the engines that are seen; the VM list behind it lags
- * @param open orders on the log that have no outcome there yet, in log order
- * @param round a number that grows with each round on the log, so that order names differ
+ * @param pools the desired state of each pool
+ * @param members the observed engines; the underlying VM list lags
+ * @param open the orders on the log without an outcome yet, in log order
+ * @param round the number of the round, which increases with each round on the log so that order
+ *     IDs are unique
  */
 public record FleetView(
         List<Pool> pools, List<PoolMember> members, List<FleetOrder> open, long round) {
@@ -27,7 +28,7 @@
         return members.stream().filter(member -> member.pool().equals(pool)).toList();
     }
 
-    /** Returns the open starts for one pool. */
+    /** Returns the open start orders of one pool. */
     List<FleetOrder.StartVm> startsOf(final PoolName pool) {
         return open.stream()
                 .filter(FleetOrder.StartVm.class::isInstance)
--- a/fleet/src/main/java/org/whinhead/fleet/ModelLoadRateLimiter.java
+++ b/fleet/src/main/java/org/whinhead/fleet/ModelLoadRateLimiter.java
@@ -5,11 +5,11 @@
 import org.whinhead.api.Arguments;
 
 /**
- * Spaces out model loads so that together they stay within the weight store's rate.
+ * Rate limiter that spaces out model loads to stay within the weight store's transfer rate.
  *
- * <p>Guards against a whole domain's replacements all reading weights at once: each gets a sliver
- * of the rate, and none serves for a long time. One load after the other brings the first engine
- * back soonest, and the last no later.
+ * <p>Guards against a whole domain's replacements reading weights at the same time: each receives a
+ * small share of the rate, and none serves for a long time. Sequential loads make the first engine
+ * available soonest, and the last no later.
  */
 public final class ModelLoadRateLimiter {
 
@@ -19,20 +19,20 @@
     private Instant mBusyUntil = Instant.MIN;
 
     /**
-     * Makes a pacer.
+     * Creates a rate limiter that permits the first load immediately.
      *
-     * @param bytesPerSecond the weight store's rate
+     * @param bytesPerSecond the transfer rate of the weight store, at least 1 byte per second
      */
     public ModelLoadRateLimiter(final long bytesPerSecond) {
         mBytesPerSecond = Arguments.requireAtLeast(bytesPerSecond, 1, "bytesPerSecond");
     }
 
     /**
-     * Tries to begin a load.
+     * Tries to start a load.
      *
-     * @param bytes the size of the weights
-     * @param now the time
-     * @return true if the load may begin now; its share of the rate is then taken
+     * @param bytes the size of the weights in bytes
+     * @param now the current time
+     * @return true if the load may start now; its expected duration is then reserved
      */
     public boolean tryAcquire(final long bytes, final Instant now) {
         if (now.isBefore(mBusyUntil)) {
--- a/fleet/src/main/java/org/whinhead/fleet/OrderId.java
+++ b/fleet/src/main/java/org/whinhead/fleet/OrderId.java
@@ -3,13 +3,13 @@
 import org.whinhead.api.Arguments;
 
 /**
- * Names one order; an order sent again under its name has no second effect.
+ * The ID of an order; an order sent again with the same ID has no second effect.
  *
- * @param value the identity as text
+ * @param value the ID as text, not empty
  */
 public record OrderId(String value) implements Comparable<OrderId> {
 
-    /** Checks the text. */
+    /** Validates the ID. */
     public OrderId {
         Arguments.requireText(value, "orderId");
     }
--- a/fleet/src/main/java/org/whinhead/fleet/Pool.java
+++ b/fleet/src/main/java/org/whinhead/fleet/Pool.java
@@ -6,18 +6,18 @@
 import org.whinhead.api.model.ModelRef;
 
 /**
- * What the settings want of a pool.
+ * The desired state of a pool, from the settings.
  *
  * @param name the pool's name
  * @param model the model, version and adapter that each of its engines serves
- * @param modelBytes the size of the model's weights
- * @param needed VMs that must remain after the largest domain is lost
- * @param supplies what may be bought for it
+ * @param modelBytes the size of the model's weights in bytes
+ * @param needed the number of VMs that must remain after the largest domain is lost
+ * @param supplies the supplies that the pool may use
  */
 public record Pool(
         PoolName name, ModelRef model, long modelBytes, int needed, List<Supply> supplies) {
 
-    /** Checks every part and copies the list. */
+    /** Validates the components and copies the list. */
     public Pool {
         Objects.requireNonNull(name, "name");
         Objects.requireNonNull(model, "model");
--- a/fleet/src/main/java/org/whinhead/fleet/PoolMember.java
+++ b/fleet/src/main/java/org/whinhead/fleet/PoolMember.java
@@ -6,16 +6,17 @@
 import org.whinhead.api.model.VmState;
 
 /**
- * One engine of a pool, as the reconciler sees it.
+ * An engine of a pool, as observed by the reconciler.
  *
- * @param pool the pool
+ * @param pool the name of the pool
  * @param endpoint the engine with its VM and loaded models
- * @param supply what it was bought as
- * @param inProgress requests in progress on it, over all daemons; an overestimate is safe
+ * @param supply the supply that the VM was started from
+ * @param inProgress the number of requests in progress on the engine, from all daemons; an
+ *     overestimate is safe
  */
 public record PoolMember(PoolName pool, Endpoint endpoint, Supply supply, int inProgress) {
 
-    /** Checks every part. */
+    /** Validates the components. */
     public PoolMember {
         Objects.requireNonNull(pool, "pool");
         Objects.requireNonNull(endpoint, "endpoint");
@@ -23,7 +24,7 @@
         Arguments.requireAtLeast(inProgress, 0, "inProgress");
     }
 
-    /** Tells whether the VM counts towards the plan: it is neither leaving nor gone. */
+    /** Returns whether the VM counts toward the plan: it is neither leaving nor gone. */
     public boolean countsTowardPlan() {
         final VmState state = endpoint.vm().state();
         return state == VmState.LIVE || state == VmState.SUSPECT;
--- a/fleet/src/main/java/org/whinhead/fleet/PoolName.java
+++ b/fleet/src/main/java/org/whinhead/fleet/PoolName.java
@@ -3,13 +3,13 @@
 import org.whinhead.api.Arguments;
 
 /**
- * Names a pool of like engines.
+ * The name of a pool of equivalent engines.
  *
- * @param value the name
+ * @param value the name, not empty
  */
 public record PoolName(String value) implements Comparable<PoolName> {
 
-    /** Checks the text. */
+    /** Validates the name. */
     public PoolName {
         Arguments.requireText(value, "pool");
     }
--- a/fleet/src/main/java/org/whinhead/fleet/StartBackoff.java
+++ b/fleet/src/main/java/org/whinhead/fleet/StartBackoff.java
@@ -7,62 +7,63 @@
 import org.whinhead.api.Arguments;
 
 /**
- * Remembers which supplies the cloud refused, for longer with each refusal in a row.
+ * Exponential backoff per supply after refused VM starts.
  *
- * <p>Guards against asking a sold-out domain over and over while another could deliver: the fleet
- * stays short although VMs are to be had elsewhere. While a supply rests, plans count only the VMs
- * that it already gave; after the rest it is tried again.
+ * <p>Guards against repeated requests to a sold-out domain while another one has capacity: the
+ * fleet would lack VMs that are available elsewhere. During the backoff of a supply, plans count
+ * only its existing VMs; after the backoff, starts are tried again.
  */
 public final class StartBackoff {
 
-    private static final int MOST_DOUBLINGS = 6;
+    private static final int MAX_DOUBLINGS = 6;
 
-    private final Duration mFirstRest;
-    private final Map<Supply, Rest> mRests = new HashMap<>();
+    private final Duration mFirstBackoff;
+    private final Map<Supply, Backoff> mBackoffs = new HashMap<>();
 
-    private record Rest(Instant until, int refusals) {}
+    private record Backoff(Instant until, int refusals) {}
 
     /**
-     * Makes an empty memory.
+     * Creates an instance without any refusals.
      *
-     * @param firstRest how long a supply rests after a first refusal; doubles with each further one
+     * @param firstBackoff the backoff after a first refusal; doubles with each further consecutive
+     *     one
      */
-    public StartBackoff(final Duration firstRest) {
-        mFirstRest = Arguments.requirePositive(firstRest, "firstRest");
+    public StartBackoff(final Duration firstBackoff) {
+        mFirstBackoff = Arguments.requirePositive(firstBackoff, "firstRest");
     }
 
     /**
-     * The cloud refused a start.
+     * Records that the cloud refused to start a VM.
      *
-     * @param supply what was asked for
-     * @param now the time
+     * @param supply the supply of the VM
+     * @param now the current time
      */
     public void recordRefusal(final Supply supply, final Instant now) {
-        final Rest last = mRests.get(supply);
+        final Backoff last = mBackoffs.get(supply);
         final int refusals = last == null ? 1 : last.refusals() + 1;
-        final int doublings = Math.min(refusals - 1, MOST_DOUBLINGS);
-        final Instant until = now.plus(mFirstRest.multipliedBy(1L << doublings));
-        mRests.put(supply, new Rest(until, refusals));
+        final int doublings = Math.min(refusals - 1, MAX_DOUBLINGS);
+        final Instant until = now.plus(mFirstBackoff.multipliedBy(1L << doublings));
+        mBackoffs.put(supply, new Backoff(until, refusals));
     }
 
     /**
-     * The cloud started a VM.
+     * Ends the backoff of a supply after the cloud started a VM.
      *
-     * @param supply what was asked for
+     * @param supply the supply of the VM
      */
     public void reset(final Supply supply) {
-        mRests.remove(supply);
+        mBackoffs.remove(supply);
     }
 
     /**
-     * Tells whether a supply rests.
+     * Returns whether a supply is in backoff.
      *
      * @param supply the supply
-     * @param now the time
-     * @return true if it should not be asked for now
+     * @param now the current time
+     * @return true if no VM of the supply should be started now
      */
     public boolean isBackingOff(final Supply supply, final Instant now) {
-        final Rest rest = mRests.get(supply);
-        return rest != null && now.isBefore(rest.until());
+        final Backoff backoff = mBackoffs.get(supply);
+        return backoff != null && now.isBefore(backoff.until());
     }
 }
--- a/fleet/src/main/java/org/whinhead/fleet/Supply.java
+++ b/fleet/src/main/java/org/whinhead/fleet/Supply.java
@@ -6,28 +6,31 @@
 import org.whinhead.api.model.FailureDomain;
 
 /**
- * One way to buy capacity: a machine class in a failure domain, billed one way.
+ * An offer of VMs: a machine class in a failure domain with a billing model.
  *
  * @param domain the failure domain
- * @param machineClass the cloud's name for the machine's size
- * @param billing how it is paid for
- * @param pricePerHour what one VM costs an hour
+ * @param machineClass the cloud provider's name for the VM size
+ * @param billing the billing model
+ * @param pricePerHour the price of one VM per hour, at least 0
  */
 public record Supply(
         FailureDomain domain, String machineClass, Billing billing, double pricePerHour)
         implements Comparable<Supply> {
 
-    /** Checks every part. */
+    /** Validates the components. */
     public Supply {
         Objects.requireNonNull(domain, "domain");
         Arguments.requireText(machineClass, "machineClass");
         Objects.requireNonNull(billing, "billing");
         if (!(pricePerHour >= 0)) {
-            throw new IllegalArgumentException("pricePerHour is " + pricePerHour);
+            throw new IllegalArgumentException("pricePerHour must be at least 0: " + pricePerHour);
         }
     }
 
-    /** Orders by price, then by names, so that every planner fills in the same order. */
+    /**
+     * Orders by price, then by domain, machine class and billing, so that all planners use one
+     * order.
+     */
     @Override
     public int compareTo(final Supply other) {
         int order = Double.compare(pricePerHour, other.pricePerHour);
--- a/fleet/src/main/java/org/whinhead/fleet/package-info.java
+++ b/fleet/src/main/java/org/whinhead/fleet/package-info.java
@@ -1,2 +1,4 @@
-/** How many VMs of which class in which domain, and the orders that get there. */
+/**
+ * Capacity planning: the VMs per class and domain, and the orders that start, drain and stop them.
+ */
 package org.whinhead.fleet;
--- a/fleet/src/test/java/org/whinhead/fleet/CapacityPlannerTest.java
+++ b/fleet/src/test/java/org/whinhead/fleet/CapacityPlannerTest.java
@@ -17,22 +17,21 @@
 
 class CapacityPlannerTest {
 
-    // Clerks wait in line for an hour: a whole domain was reclaimed and the rest could not carry
-    // on.
-    // The planner had bought all VMs in the cheapest domain.
+    // Guards against a plan with all VMs in the cheapest domain: if that domain is reclaimed, the
+    // remaining capacity does not suffice, and requests wait for an hour.
     @Test
-    void cheapestDomainAloneIsNotEnough() {
+    void planDoesNotRelyOnCheapestDomainAlone() {
         final Supply cheap = supply("kg-gasabo", 1.0);
-        final Supply dear = supply("kg-kicukiro", 3.0);
+        final Supply expensive = supply("kg-kicukiro", 3.0);
 
-        final CapacityPlan plan = CapacityPlanner.plan(4, List.of(cheap, dear), Map.of());
+        final CapacityPlan plan = CapacityPlanner.plan(4, List.of(cheap, expensive), Map.of());
 
-        assertThat(plan.counts()).isEqualTo(Map.of(cheap, 4, dear, 4));
+        assertThat(plan.counts()).isEqualTo(Map.of(cheap, 4, expensive, 4));
         assertThat(plan.shortfall()).isZero();
     }
 
     @Test
-    void spreadsWiderWhenPricesAreNearEachOther() {
+    void similarPricesSpreadVmsOverMoreDomains() {
         final List<Supply> supplies = List.of(supply("a", 1.0), supply("b", 1.1), supply("c", 1.2));
 
         final CapacityPlan plan = CapacityPlanner.plan(4, supplies, Map.of());
@@ -42,7 +41,7 @@
     }
 
     @Test
-    void saysWhatIsLackingWhenStartsAreRefused() {
+    void limitedSupplyIsReportedAsShortfall() {
         final Supply only = supply("a", 1.0);
         final Supply refused = supply("b", 1.0);
 
@@ -53,7 +52,7 @@
     }
 
     @Property(seed = "20261203", tries = 150)
-    void noPlanThatSufficesIsCheaper(
+    void planIsAsCheapAsTheBestOfAllPlans(
             @ForAll @IntRange(min = 1, max = 4) final int needed,
             @ForAll @Size(min = 2, max = 3) final List<@IntRange(min = 1, max = 9) Integer> prices,
             @ForAll @IntRange(min = 0, max = 5) final int firstLimit) {
@@ -64,13 +63,14 @@
         final Map<Supply, Integer> limits = Map.of(supplies.get(0), firstLimit);
 
         final CapacityPlan found = CapacityPlanner.plan(needed, supplies, limits);
-        final CapacityPlan oracle = tryAll(needed, supplies, limits, 0, new TreeMap<>());
+        final CapacityPlan expected =
+                planExhaustively(needed, supplies, limits, 0, new TreeMap<>());
 
-        assertThat(found.shortfall()).isEqualTo(oracle.shortfall());
-        assertThat(found.pricePerHour()).isLessThanOrEqualTo(oracle.pricePerHour());
+        assertThat(found.shortfall()).isEqualTo(expected.shortfall());
+        assertThat(found.pricePerHour()).isLessThanOrEqualTo(expected.pricePerHour());
     }
 
-    private static CapacityPlan tryAll(
+    private static CapacityPlan planExhaustively(
             final int needed,
             final List<Supply> supplies,
             final Map<Supply, Integer> limits,
@@ -81,10 +81,10 @@
         }
         CapacityPlan best = null;
         final Supply supply = supplies.get(index);
-        final int most = Math.min(2 * needed, limits.getOrDefault(supply, Integer.MAX_VALUE));
-        for (int count = 0; count <= most; count++) {
+        final int maxCount = Math.min(2 * needed, limits.getOrDefault(supply, Integer.MAX_VALUE));
+        for (int count = 0; count <= maxCount; count++) {
             counts.put(supply, count);
-            final CapacityPlan plan = tryAll(needed, supplies, limits, index + 1, counts);
+            final CapacityPlan plan = planExhaustively(needed, supplies, limits, index + 1, counts);
             if (best == null
                     || plan.shortfall() < best.shortfall()
                     || (plan.shortfall() == best.shortfall()
--- a/fleet/src/test/java/org/whinhead/fleet/FleetReconcilerTest.java
+++ b/fleet/src/test/java/org/whinhead/fleet/FleetReconcilerTest.java
@@ -32,7 +32,7 @@
             new FleetReconciler(new FleetSettings(Duration.ofSeconds(30), 100, 1, 10));
 
     @Test
-    void startsWhatThePlanLacksOnceOnly() {
+    void missingVmsAreStartedOnlyOnce() {
         final List<FleetOrder> first = reconcile(pool(OLD, 4), List.of(), List.of());
 
         assertThat(first).hasSize(6).allMatch(FleetOrder.StartVm.class::isInstance);
@@ -40,8 +40,8 @@
         assertThat(reconcile(pool(OLD, 4), List.of(), first)).isEmpty();
     }
 
-    // After a reclaim the fleet stays short for an hour though two domains have VMs to sell.
-    // The cloud refuses each start in the reclaimed domain, and the same start is ordered again.
+    // Guards against a fleet that lacks VMs for an hour after a reclaim although two domains have
+    // capacity: the cloud refuses each start in the reclaimed domain, and it is ordered again.
     @Test
     void refusedStartsAreReplacedInOtherDomains() {
         mReconciler.recordRefusedStart(GASABO, START);
@@ -54,7 +54,7 @@
     }
 
     @Test
-    void leavingVmIsReplacedBeforeItIsGone() {
+    void leavingVmIsReplacedBeforeItStops() {
         final List<PoolMember> members = servingMembers(OLD);
         final PoolMember leaving = members.remove(0);
         members.add(withState(leaving, VmState.LEAVING));
@@ -68,10 +68,10 @@
                 .isEqualTo(leaving.endpoint().vm().id());
     }
 
-    // A clerk's summary breaks off during a scale-in: the VM was stopped with work in progress.
-    // Order of events: the pool shrinks, the VM is drained, a long answer still runs on it.
+    // Guards against an answer cut off during a scale-in: the pool shrinks, a VM is drained, and it
+    // is stopped while a long answer is still in progress on it.
     @Test
-    void drainedVmIsStoppedOnlyWhenEmpty() {
+    void drainedVmIsStoppedOnlyWithoutRequestsInProgress() {
         final List<PoolMember> members = servingMembers(OLD);
         final PoolMember busy = withState(members.remove(0), VmState.LEAVING);
         members.add(new PoolMember(busy.pool(), busy.endpoint(), busy.supply(), 1));
@@ -87,10 +87,11 @@
                 .isEqualTo(busy.endpoint().vm().id());
     }
 
-    // The latency target is missed after a price change: the old VMs were drained at once, while
-    // the cheaper ones were still loading weights.
+    // Guards against a missed latency target after a price change: the old VMs are drained while
+    // the
+    // cheaper ones are still loading weights.
     @Test
-    void surplusStaysUntilItsSuccessorsServe() {
+    void surplusVmsAreKeptUntilTheirReplacementsServe() {
         final Supply cheap = supply("kg-new", 0.1);
         final Pool pool =
                 new Pool(
@@ -112,10 +113,10 @@
                 .hasSize(1);
     }
 
-    // Every request of the model is refused for minutes after a version change: all engines
-    // loaded the new version at the same time.
+    // Guards against minutes of refused requests after a version change: all engines load the new
+    // version at the same time.
     @Test
-    void newVersionIsLoadedByOneEngineAfterTheOther() {
+    void newVersionIsLoadedByEnginesInSequence() {
         final List<FleetOrder> first = reconcile(pool(NEW, 2), servingMembers(OLD), List.of());
 
         assertThat(first).singleElement().isInstanceOf(FleetOrder.LoadModel.class);
@@ -125,14 +126,14 @@
     }
 
     @Test
-    void loadsKeepWithinTheWeightStoresRate() {
+    void loadsStayWithinTheRateOfTheWeightStore() {
         final List<PoolMember> members = new ArrayList<>();
         members.add(member("a", GASABO, Set.of()));
         members.add(member("b", KICUKIRO, Set.of()));
         members.add(member("c", NYARUGENGE, Set.of()));
 
         final List<FleetOrder> first = reconcile(pool(OLD, 2), members, List.of());
-        // 1,000 bytes at 100 bytes a second: the next load may begin ten seconds later.
+        // 1,000 bytes at 100 bytes a second: the next load may start ten seconds later.
         final Instant soon = START.plusSeconds(9);
         final Instant later = START.plusSeconds(10);
 
--- a/requests/src/main/java/org/whinhead/requests/AbandonedAttempts.java
+++ b/requests/src/main/java/org/whinhead/requests/AbandonedAttempts.java
@@ -7,12 +7,12 @@
 import org.whinhead.api.request.AttemptId;
 
 /**
- * Remembers attempts that were ended before their stream had a name.
+ * Records attempts that were cancelled before their stream ID was known.
  *
- * <p>Guards against a stream that nobody reads: the endpoint takes the request, or the moved KV
- * cache, after the attempt was ended, and generates to the end for nobody. It shows as an open or
- * move event of an ended attempt; the stream that it names is cancelled then. The oldest are
- * forgotten, which costs tokens and breaks no promise.
+ * <p>Guards against an unread stream: the endpoint accepts the request, or the moved KV cache,
+ * after the attempt was ended, and generates the whole answer for no reader. An open or move event
+ * of an ended attempt reveals such a stream, which is then cancelled. The oldest records are
+ * evicted, which can waste tokens but violates no guarantee.
  */
 final class AbandonedAttempts {
 
@@ -27,7 +27,7 @@
         }
     }
 
-    /** Takes out the endpoint of an attempt whose stream has got a name after all. */
+    /** Removes a recorded attempt and returns its endpoint, so that its stream can be cancelled. */
     Optional<Endpoint> remove(final AttemptId attempt) {
         return Optional.ofNullable(mEndpoints.remove(attempt));
     }
--- a/requests/src/main/java/org/whinhead/requests/ActiveRequests.java
+++ b/requests/src/main/java/org/whinhead/requests/ActiveRequests.java
@@ -12,37 +12,37 @@
 import org.whinhead.api.verdict.Refusal;
 import org.whinhead.api.verdict.Verdict;
 
-/** Holds the requests in progress and is the one place where a request or an attempt ends. */
+/** Holds the requests in progress; the only class that ends a request or an attempt. */
 final class ActiveRequests {
 
-    private final CoordinatorContext mWiring;
-    private final Map<RequestId, RequestState> mStates = new HashMap<>();
+    private final CoordinatorContext mContext;
+    private final Map<RequestId, RequestState> mRequests = new HashMap<>();
     private final AbandonedAttempts mAbandoned = new AbandonedAttempts();
 
-    ActiveRequests(final CoordinatorContext wiring) {
-        mWiring = wiring;
+    ActiveRequests(final CoordinatorContext context) {
+        mContext = context;
     }
 
     Optional<RequestState> find(final RequestId request) {
-        return Optional.ofNullable(mStates.get(request));
+        return Optional.ofNullable(mRequests.get(request));
     }
 
     void add(final RequestState state) {
-        mStates.put(state.id(), state);
+        mRequests.put(state.id(), state);
     }
 
-    /** Returns a copy, because handling one request may end it. */
+    /** Returns a copy of the active requests, because handling a request may end it. */
     List<RequestState> all() {
-        return new ArrayList<>(mStates.values());
+        return new ArrayList<>(mRequests.values());
     }
 
     int count() {
-        return mStates.size();
+        return mRequests.size();
     }
 
-    /** Tells whether a request has not ended since the caller of this method looked it up. */
+    /** Returns whether a request has not ended since it was looked up. */
     boolean isActive(final RequestState state) {
-        return mStates.get(state.id()) == state;
+        return mRequests.get(state.id()) == state;
     }
 
     AbandonedAttempts abandonedAttempts() {
@@ -63,25 +63,25 @@
         refuse(state, refusal, now);
     }
 
-    /** Ends a request with a refusal that was decided elsewhere. */
+    /** Ends a request with the given refusal. */
     void refuse(final RequestState state, final Refusal refusal, final Instant now) {
         cancelAttempts(state, now);
         remove(state, now);
         if (state.isClaimHeld() && refusal.verdict() == Verdict.NOT_RUN) {
-            mWiring.actions().unclaim(state.id());
+            mContext.actions().unclaim(state.id());
         }
-        mWiring.log().add(state, DecisionKind.REFUSED, refusal.code().wireName(), now);
-        mWiring.actions().refuse(state.id(), refusal);
+        mContext.log().add(state, DecisionKind.REFUSED, refusal.code().wireName(), now);
+        mContext.actions().refuse(state.id(), refusal);
     }
 
-    /** Ends a request whose caller hung up. */
+    /** Ends a request whose caller disconnected. */
     void endOnDisconnect(final RequestState state, final Instant now) {
         cancelAttempts(state, now);
         remove(state, now);
-        mWiring.log().add(state, DecisionKind.CALLER_LEFT, "", now);
+        mContext.log().add(state, DecisionKind.CALLER_LEFT, "", now);
     }
 
-    /** Ends a generated answer. */
+    /** Ends a request whose generated answer is complete. */
     void complete(
             final RequestState state, final AttemptEvent.Finished finished, final Instant now) {
         final boolean first = state.attempts() == 1;
@@ -94,16 +94,16 @@
                         state.recomputedTokens(),
                         state.attempts());
         endSuccessfully(state, now);
-        mWiring.actions().complete(state.id(), completion);
+        mContext.actions().complete(state.id(), completion);
     }
 
-    /** Ends a plain service's answer. */
+    /** Ends a request with the answer of a plain service. */
     void completeCall(final RequestState state, final PlainAnswer answer, final Instant now) {
         endSuccessfully(state, now);
-        mWiring.actions().answer(state.id(), answer);
+        mContext.actions().answer(state.id(), answer);
     }
 
-    /** Sends a caller away with a ticket; the engine's stream runs on. */
+    /** Ends a request with a ticket for another daemon; the engine's stream continues. */
     void handBack(
             final RequestState state,
             final Ticket ticket,
@@ -111,35 +111,35 @@
             final Instant now) {
         releaseStreams(state, now);
         remove(state, now);
-        mWiring.log().add(state, DecisionKind.HANDED_BACK, ticket.endpoint().value(), now);
-        mWiring.actions().handBack(state.id(), ticket, refusal);
+        mContext.log().add(state, DecisionKind.HANDED_BACK, ticket.endpoint().value(), now);
+        mContext.actions().handBack(state.id(), ticket, refusal);
     }
 
-    /** Forgets a request whose caller has come back on a new connection. */
+    /** Ends a request whose caller has returned on a new connection; its stream continues. */
     void supersede(final RequestState state, final Instant now) {
         releaseStreams(state, now);
         remove(state, now);
     }
 
-    /** Ends an attempt that its endpoint has ended, or that cannot be reached. */
+    /** Ends an attempt whose endpoint has ended it or is unreachable. */
     void endAttempt(final RequestState state, final Attempt attempt, final Instant now) {
-        mWiring.router().ended(attempt.endpoint().id(), state.spec(), now);
+        mContext.router().ended(attempt.endpoint().id(), state.spec(), now);
         clearAttempt(state, attempt);
     }
 
-    /** Ends an attempt here and at its endpoint. */
+    /** Ends an attempt locally and cancels it at its endpoint. */
     void cancelAttempt(final RequestState state, final Attempt attempt, final Instant now) {
         endAttempt(state, attempt, now);
         if (!attempt.hasStream()) {
             mAbandoned.add(attempt);
         }
-        mWiring.actions().cancel(attempt.id(), attempt.endpoint(), attempt.streamId());
+        mContext.actions().cancel(attempt.id(), attempt.endpoint(), attempt.streamId());
     }
 
     private void endSuccessfully(final RequestState state, final Instant now) {
         final Attempt attempt = state.live().orElseThrow();
-        mWiring.router().succeeded(attempt.endpoint().id(), state.spec(), now);
-        mWiring.log().add(attempt, DecisionKind.COMPLETED, "", now);
+        mContext.router().succeeded(attempt.endpoint().id(), state.spec(), now);
+        mContext.log().add(attempt, DecisionKind.COMPLETED, "", now);
         endAttempt(state, attempt, now);
         cancelAttempts(state, now);
         remove(state, now);
@@ -158,7 +158,7 @@
     private void releaseStream(final RequestState state, final Attempt live, final Instant now) {
         if (live.hasStream()) {
             endAttempt(state, live, now);
-            mWiring.actions().release(live.id());
+            mContext.actions().release(live.id());
         } else {
             cancelAttempt(state, live, now);
         }
@@ -170,15 +170,15 @@
     }
 
     private void remove(final RequestState state, final Instant now) {
-        mStates.remove(state.id(), state);
+        mRequests.remove(state.id(), state);
         if (state.isOffered()) {
-            mWiring.admission().ended(state.id(), state.delivered().addedTokens(), now);
+            mContext.admission().ended(state.id(), state.delivered().addedTokens(), now);
         }
     }
 
     private Optional<Duration> retryAfter(final RequestState state, final Verdict verdict) {
         return verdict.allowsAnotherAttempt(state.spec().idempotent())
-                ? Optional.of(mWiring.settings().comeBackAfter())
+                ? Optional.of(mContext.settings().comeBackAfter())
                 : Optional.empty();
     }
 }
--- a/requests/src/main/java/org/whinhead/requests/Attempt.java
+++ b/requests/src/main/java/org/whinhead/requests/Attempt.java
@@ -7,7 +7,7 @@
 import org.whinhead.api.model.Endpoint;
 import org.whinhead.api.request.AttemptId;
 
-/** One attempt in progress, with its place in the answer. */
+/** An attempt in progress, with its position in the answer. */
 final class Attempt {
 
     private final AttemptId mId;
@@ -15,16 +15,16 @@
     private final AttemptKind mKind;
     private final Instant mStartedAt;
     private final long mFirstIndex;
-    private final Map<Long, String> mEarly = new HashMap<>();
+    private final Map<Long, String> mEarlyTokens = new HashMap<>();
     private String mStreamId = "";
     private long mNextIndex;
     private int mCheckedCharacters;
-    private boolean mChecking;
-    private long mTokens;
-    private Instant mHeardAt;
+    private boolean mComparingText;
+    private long mReceivedTokens;
+    private Instant mLastEventAt;
     private Optional<RecoveryCause> mCause = Optional.empty();
-    private long mRecomputed;
-    private Optional<AttemptEvent.Finished> mHeldEnd = Optional.empty();
+    private long mRecomputedTokens;
+    private Optional<AttemptEvent.Finished> mDeferredEnd = Optional.empty();
 
     Attempt(
             final AttemptId id,
@@ -39,8 +39,8 @@
         mFirstIndex = firstIndex;
         mNextIndex = nextIndex;
         mStartedAt = startedAt;
-        mHeardAt = startedAt;
-        mChecking = kind == AttemptKind.START;
+        mLastEventAt = startedAt;
+        mComparingText = kind == AttemptKind.START;
     }
 
     AttemptId id() {
@@ -59,7 +59,7 @@
         return mStartedAt;
     }
 
-    /** Returns the first index of the answer that the stream holds. */
+    /** Returns the answer index of the first token in the stream. */
     long firstIndex() {
         return mFirstIndex;
     }
@@ -76,80 +76,82 @@
         mStreamId = streamId;
     }
 
-    /** Returns the index of the token that comes next. */
+    /** Returns the answer index of the next expected token. */
     long nextIndex() {
         return mNextIndex;
     }
 
-    /** Moves on by one token. */
+    /** Advances the position by one token. */
     void advance() {
         mNextIndex++;
-        mTokens++;
+        mReceivedTokens++;
     }
 
-    /** Returns how many tokens this attempt brought. */
+    /** Returns the number of tokens accepted from this attempt. */
     long receivedTokens() {
-        return mTokens;
+        return mReceivedTokens;
     }
 
     Instant lastEventAt() {
-        return mHeardAt;
+        return mLastEventAt;
     }
 
     void recordEvent(final Instant now) {
-        mHeardAt = now;
+        mLastEventAt = now;
     }
 
-    /** Returns why this attempt repeats work, if it does. */
+    /** Returns the reason why this attempt repeats work, if it does. */
     Optional<RecoveryCause> cause() {
         return mCause;
     }
 
-    /** Returns how many tokens this attempt computes again, before caches are taken off. */
+    /** Returns the number of recomputed tokens, before cached tokens are subtracted. */
     long recomputedTokens() {
-        return mRecomputed;
+        return mRecomputedTokens;
     }
 
     void setRecomputedTokens(final RecoveryCause cause, final long tokens) {
         mCause = Optional.of(cause);
-        mRecomputed = tokens;
+        mRecomputedTokens = tokens;
     }
 
-    /** Returns the end of the stream, if it has overtaken tokens that are still missing. */
+    /** Returns the end of the stream, if it arrived before some of the tokens. */
     Optional<AttemptEvent.Finished> deferredEnd() {
-        return mHeldEnd;
+        return mDeferredEnd;
     }
 
     void deferEnd(final AttemptEvent.Finished end) {
-        mHeldEnd = Optional.of(end);
+        mDeferredEnd = Optional.of(end);
     }
 
-    /** Returns how much of the delivered text a restarted answer has repeated so far. */
+    /** Returns the number of delivered characters that a restarted answer has repeated so far. */
     int checkedCharacters() {
         return mCheckedCharacters;
     }
 
-    /** Tells whether the stream began at index 0 and its repetition is still being compared. */
+    /**
+     * Returns whether the stream began at index 0 and is still compared with the delivered text.
+     */
     boolean isComparingText() {
-        return mChecking;
+        return mComparingText;
     }
 
     void stopComparingText() {
-        mChecking = false;
+        mComparingText = false;
     }
 
     void addCheckedCharacters(final int characters) {
         mCheckedCharacters += characters;
     }
 
-    /** Keeps a token that overtook others; returns how many are kept. */
+    /** Buffers a token that arrived out of order; returns the number of buffered tokens. */
     int bufferEarlyToken(final long index, final String text) {
-        mEarly.put(index, text);
-        return mEarly.size();
+        mEarlyTokens.put(index, text);
+        return mEarlyTokens.size();
     }
 
-    /** Takes out the kept token that comes next, or null. */
+    /** Removes and returns the text of the next expected token, or null if it is not buffered. */
     String removeNextEarlyToken() {
-        return mEarly.remove(mNextIndex);
+        return mEarlyTokens.remove(mNextIndex);
     }
 }
--- a/requests/src/main/java/org/whinhead/requests/AttemptEvent.java
+++ b/requests/src/main/java/org/whinhead/requests/AttemptEvent.java
@@ -3,20 +3,22 @@
 import java.util.Objects;
 import org.whinhead.api.request.AttemptId;
 
-/** What a transport reports of one attempt; handed to the coordinator on its own thread. */
+/**
+ * An event that a transport reports for an attempt; the coordinator handles it on its own thread.
+ */
 public sealed interface AttemptEvent {
 
-    /** Returns the attempt that the event belongs to. */
+    /** Returns the ID of the attempt that the event belongs to. */
     AttemptId attempt();
 
     /**
-     * The endpoint took the request and named its stream.
+     * The endpoint accepted the request and assigned a stream ID.
      *
-     * @param attempt the attempt
-     * @param streamId the endpoint's name for the stream; empty for a plain service
+     * @param attempt the ID of the attempt
+     * @param streamId the stream's ID at the endpoint; empty for a plain service
      */
     record Opened(AttemptId attempt, String streamId) implements AttemptEvent {
-        /** Checks every part. */
+        /** Validates the components. */
         public Opened {
             Objects.requireNonNull(attempt, "attempt");
             Objects.requireNonNull(streamId, "streamId");
@@ -26,13 +28,13 @@
     /**
      * One token arrived.
      *
-     * @param attempt the attempt
+     * @param attempt the ID of the attempt
      * @param index the token's index in the caller's whole answer, from 0; a stream that continues
-     *     delivered text starts at that text's length
+     *     delivered text starts at the number of delivered tokens
      * @param text the token's text
      */
     record Token(AttemptId attempt, long index, String text) implements AttemptEvent {
-        /** Checks every part. */
+        /** Validates the components. */
         public Token {
             Objects.requireNonNull(attempt, "attempt");
             Objects.requireNonNull(text, "text");
@@ -40,13 +42,13 @@
     }
 
     /**
-     * The stream ended as it should.
+     * The stream ended normally.
      *
-     * @param attempt the attempt
-     * @param finishReason the engine's reason, for example {@code stop} or {@code length}
-     * @param promptTokens prompt tokens that the engine counted
-     * @param cachedTokens prompt tokens that it found in its cache
-     * @param answerTokens the whole answer's length: the index after its last token
+     * @param attempt the ID of the attempt
+     * @param finishReason the engine's finish reason, for example {@code stop} or {@code length}
+     * @param promptTokens the number of prompt tokens that the engine counted
+     * @param cachedTokens the number of prompt tokens that the engine found in its cache
+     * @param answerTokens the length of the whole answer in tokens: the index after its last token
      */
     record Finished(
             AttemptId attempt,
@@ -55,7 +57,7 @@
             int cachedTokens,
             long answerTokens)
             implements AttemptEvent {
-        /** Checks every part. */
+        /** Validates the components. */
         public Finished {
             Objects.requireNonNull(attempt, "attempt");
             Objects.requireNonNull(finishReason, "finishReason");
@@ -63,13 +65,13 @@
     }
 
     /**
-     * A plain service answered whole.
+     * A plain service returned its whole answer.
      *
-     * @param attempt the attempt
+     * @param attempt the ID of the attempt
      * @param answer the answer
      */
     record Answered(AttemptId attempt, PlainAnswer answer) implements AttemptEvent {
-        /** Checks every part. */
+        /** Validates the components. */
         public Answered {
             Objects.requireNonNull(attempt, "attempt");
             Objects.requireNonNull(answer, "answer");
@@ -79,13 +81,13 @@
     /**
      * The attempt ended without a whole answer.
      *
-     * @param attempt the attempt
-     * @param failure how it ended
-     * @param detail the cause, for people
+     * @param attempt the ID of the attempt
+     * @param failure the kind of failure
+     * @param detail a human-readable cause
      */
     record Failed(AttemptId attempt, AttemptFailure failure, String detail)
             implements AttemptEvent {
-        /** Checks every part. */
+        /** Validates the components. */
         public Failed {
             Objects.requireNonNull(attempt, "attempt");
             Objects.requireNonNull(failure, "failure");
@@ -94,13 +96,13 @@
     }
 
     /**
-     * The stream's KV cache was moved to another endpoint, which waits for the stream's resumption.
+     * The stream's KV cache was moved to another endpoint, where the stream can be resumed.
      *
-     * @param attempt the new attempt, at the receiving endpoint
-     * @param streamId the receiving endpoint's name for the stream
+     * @param attempt the ID of the new attempt, at the receiving endpoint
+     * @param streamId the stream's ID at the receiving endpoint
      */
     record Moved(AttemptId attempt, String streamId) implements AttemptEvent {
-        /** Checks every part. */
+        /** Validates the components. */
         public Moved {
             Objects.requireNonNull(attempt, "attempt");
             Objects.requireNonNull(streamId, "streamId");
--- a/requests/src/main/java/org/whinhead/requests/AttemptEventHandler.java
+++ b/requests/src/main/java/org/whinhead/requests/AttemptEventHandler.java
@@ -4,36 +4,35 @@
 import java.util.Optional;
 
 /**
- * Hands what happened to an attempt to the part that decides on it.
+ * Dispatches attempt events to the components that handle them.
  *
- * <p>Guards against events of attempts that are over: they arrive late or twice and would deliver
- * or end a request a second time. Only an event whose attempt is the live one, or the move under
- * way, has an effect.
+ * <p>Guards against late or repeated events of ended attempts, which would deliver tokens or end a
+ * request a second time. Only events of the live attempt or of the move in progress have an effect.
  */
 final class AttemptEventHandler {
 
-    private final CoordinatorContext mWiring;
-    private final ActiveRequests mEndings;
+    private final CoordinatorContext mContext;
+    private final ActiveRequests mActiveRequests;
     private final Recovery mRecovery;
-    private final TicketHandler mTickets;
-    private final EndpointDrainer mDepartures;
+    private final TicketHandler mTicketHandler;
+    private final EndpointDrainer mEndpointDrainer;
     private final StreamDelivery mDelivery;
 
     AttemptEventHandler(
-            final CoordinatorContext wiring,
-            final ActiveRequests endings,
+            final CoordinatorContext context,
+            final ActiveRequests activeRequests,
             final Recovery recovery,
-            final TicketHandler tickets,
-            final EndpointDrainer departures) {
-        mWiring = wiring;
-        mEndings = endings;
+            final TicketHandler ticketHandler,
+            final EndpointDrainer endpointDrainer) {
+        mContext = context;
+        mActiveRequests = activeRequests;
         mRecovery = recovery;
-        mTickets = tickets;
-        mDepartures = departures;
-        mDelivery = new StreamDelivery(wiring, endings, recovery, tickets);
+        mTicketHandler = ticketHandler;
+        mEndpointDrainer = endpointDrainer;
+        mDelivery = new StreamDelivery(context, activeRequests, recovery, ticketHandler);
     }
 
-    /** Something happened to an attempt of a request that may have ended. */
+    /** Handles an event of an attempt whose request may have ended. */
     void handle(final Optional<RequestState> state, final AttemptEvent event, final Instant now) {
         final Optional<Attempt> live = state.flatMap(s -> matchAttempt(s.live(), event));
         final Optional<Attempt> move = state.flatMap(s -> matchAttempt(s.move(), event));
@@ -63,7 +62,7 @@
         } else if (event instanceof AttemptEvent.Finished finished) {
             mDelivery.handleFinished(state, attempt, finished, now);
         } else if (event instanceof AttemptEvent.Answered answered) {
-            mEndings.completeCall(state, answered.answer(), now);
+            mActiveRequests.completeCall(state, answered.answer(), now);
         } else if (event instanceof AttemptEvent.Failed failed) {
             handleFailed(state, attempt, failed, now);
         }
@@ -77,13 +76,13 @@
         attempt.recordEvent(now);
         state.setBlockedSince(Optional.empty());
         if (attempt.kind().isDispatch()) {
-            mWiring.settings().retryScope().onAnswerBegan(state, now);
+            mContext.settings().retryScope().onAnswerBegan(state, now);
         }
         final boolean named = !opened.streamId().isEmpty();
         if (named && (attempt.kind().isDispatch() || attempt.kind() == AttemptKind.RESUME)) {
             attempt.setStreamId(opened.streamId());
-            mTickets.issue(state, attempt);
-            mDepartures.drainIfNeeded(state, now);
+            mTicketHandler.issue(state, attempt);
+            mEndpointDrainer.drainIfNeeded(state, now);
         }
     }
 
@@ -93,7 +92,7 @@
             final AttemptEvent.Failed failed,
             final Instant now) {
         if (state.move().isPresent()) {
-            mDepartures.handleSourceFailure(state, attempt, now);
+            mEndpointDrainer.handleSourceFailure(state, attempt, now);
         } else {
             mRecovery.handleFailure(state, attempt, failed.failure(), failed.detail(), now);
         }
@@ -105,23 +104,24 @@
             final AttemptEvent event,
             final Instant now) {
         if (event instanceof AttemptEvent.Moved moved) {
-            mDepartures.completeMove(state, move, moved.streamId(), now);
+            mEndpointDrainer.completeMove(state, move, moved.streamId(), now);
         } else if (event instanceof AttemptEvent.Failed failed) {
-            mDepartures.abortMove(state, move, failed.detail(), now);
+            mEndpointDrainer.abortMove(state, move, failed.detail(), now);
         }
     }
 
-    /** An attempt that is over opened a stream after all: nobody reads it, so it is cancelled. */
+    /** Cancels the stream that an already ended attempt has opened, since it has no reader. */
     private void handleLateEvent(final AttemptEvent event, final Instant now) {
         final String streamId = streamIdOf(event);
         if (!streamId.isEmpty()) {
-            mEndings.abandonedAttempts()
+            mActiveRequests
+                    .abandonedAttempts()
                     .remove(event.attempt())
                     .ifPresent(
                             endpoint ->
-                                    mWiring.actions().cancel(event.attempt(), endpoint, streamId));
+                                    mContext.actions().cancel(event.attempt(), endpoint, streamId));
         }
-        mWiring.log().addLateEvent(event, now);
+        mContext.log().addLateEvent(event, now);
     }
 
     private static String streamIdOf(final AttemptEvent event) {
--- a/requests/src/main/java/org/whinhead/requests/AttemptFailure.java
+++ b/requests/src/main/java/org/whinhead/requests/AttemptFailure.java
@@ -2,23 +2,23 @@
 
 import org.whinhead.api.verdict.Verdict;
 
-/** How one attempt ended without a whole answer, and what that says about having run. */
+/** The kind of failure of an attempt, and whether the request may have run. */
 public enum AttemptFailure {
-    /** No connection was made, so no byte of the request left the daemon. */
+    /** No connection was made, so the daemon sent no byte of the request. */
     CONNECT_FAILED(Verdict.NOT_RUN, true),
-    /** The endpoint said that it did not start the request (status 429 or 503). */
+    /** The endpoint reported that it did not start the request (status 429 or 503). */
     REFUSED_BY_ENDPOINT(Verdict.NOT_RUN, false),
-    /** The connection broke while the request was sent or before the answer began. */
+    /** The connection failed while the request was sent or before the answer began. */
     CUT_BEFORE_ANSWER(Verdict.MAY_HAVE_RUN, true),
-    /** The answer began and its stream broke. */
+    /** The stream failed after the answer began. */
     CUT_DURING_ANSWER(Verdict.MAY_HAVE_RUN, true),
-    /** Nothing arrived for too long. */
+    /** The endpoint sent nothing within the silence limit. */
     SILENT(Verdict.MAY_HAVE_RUN, true),
-    /** The endpoint does not know the stream that was to be resumed. */
+    /** The endpoint does not know the stream to be resumed. */
     STREAM_UNKNOWN(Verdict.MAY_HAVE_RUN, false),
-    /** The endpoint answered with an error that another endpoint would repeat (status 4xx). */
+    /** The endpoint returned an error that any other endpoint would return too (status 4xx). */
     REJECTED(Verdict.RAN, false),
-    /** The endpoint answered with a fault of its own (status 5xx but not 503). */
+    /** The endpoint returned a server error (status 5xx except 503). */
     FAULTED(Verdict.MAY_HAVE_RUN, true);
 
     private final Verdict mVerdict;
@@ -29,12 +29,12 @@
         mCountsAgainstEndpoint = countsAgainstEndpoint;
     }
 
-    /** Returns whether this attempt may have run. */
+    /** Returns the verdict on whether this attempt ran. */
     public Verdict verdict() {
         return mVerdict;
     }
 
-    /** Tells whether the endpoint's health is put in doubt. */
+    /** Returns whether the failure is evidence that the endpoint is unhealthy. */
     public boolean countsAgainstEndpoint() {
         return mCountsAgainstEndpoint;
     }
--- a/requests/src/main/java/org/whinhead/requests/AttemptKind.java
+++ b/requests/src/main/java/org/whinhead/requests/AttemptKind.java
@@ -1,14 +1,14 @@
 package org.whinhead.requests;
 
-/** How an attempt gets its answer. */
+/** The way in which an attempt obtains its answer. */
 enum AttemptKind {
     /** Runs the request from its start. */
     START(true),
-    /** Generates on from text that the caller has. */
+    /** Continues generation from the text that the caller has. */
     CONTINUE(true),
-    /** Reads on in a stream that an engine holds. */
+    /** Resumes reading a stream that an engine holds. */
     RESUME(false),
-    /** Reads on in a stream whose KV cache came from another engine. */
+    /** Resumes reading a stream whose KV cache was moved from another engine. */
     MOVE(false);
 
     private final boolean mDispatch;
@@ -17,7 +17,7 @@
         mDispatch = dispatch;
     }
 
-    /** Tells whether the attempt makes an endpoint begin a new run. */
+    /** Returns whether the attempt starts a new run at an endpoint. */
     boolean isDispatch() {
         return mDispatch;
     }
--- a/requests/src/main/java/org/whinhead/requests/AttemptLauncher.java
+++ b/requests/src/main/java/org/whinhead/requests/AttemptLauncher.java
@@ -9,32 +9,32 @@
 import org.whinhead.api.model.EndpointId;
 import org.whinhead.api.verdict.ErrorCode;
 
-/** Starts attempts: chooses the endpoint, keeps to the budgets, and waits where there is none. */
+/** Starts attempts: chooses the endpoint, enforces the retry budget, and schedules retries. */
 final class AttemptLauncher {
 
-    private final CoordinatorContext mWiring;
-    private final ActiveRequests mEndings;
+    private final CoordinatorContext mContext;
+    private final ActiveRequests mActiveRequests;
     private final LeavingEndpoints mLeaving;
     private final Backoff mBackoff;
 
     AttemptLauncher(
-            final CoordinatorContext wiring,
-            final ActiveRequests endings,
+            final CoordinatorContext context,
+            final ActiveRequests activeRequests,
             final LeavingEndpoints leaving) {
-        mWiring = wiring;
-        mEndings = endings;
+        mContext = context;
+        mActiveRequests = activeRequests;
         mLeaving = leaving;
-        mBackoff = new Backoff(wiring.settings(), wiring.random());
+        mBackoff = new Backoff(context.settings(), context.random());
     }
 
-    /** Sends a request out, or lets it wait if nothing is open to it. */
+    /** Dispatches a request, or schedules a retry if no endpoint or retry budget is available. */
     void dispatch(final RequestState state, final Instant now) {
         if (state.isPastDeadline(now)) {
-            mEndings.giveUp(state, ErrorCode.DEADLINE_PASSED, "before dispatch", now);
+            mActiveRequests.giveUp(state, ErrorCode.DEADLINE_PASSED, "before dispatch", now);
             return;
         }
         final boolean charged = isChargedToBudget(state);
-        if (charged && !mWiring.budget().canRetry(now)) {
+        if (charged && !mContext.budget().canRetry(now)) {
             retryWithinPatience(state, ErrorCode.RETRIES_SPENT, now);
             return;
         }
@@ -44,34 +44,34 @@
             return;
         }
         if (charged) {
-            mWiring.budget().recordRetry();
+            mContext.budget().recordRetry();
         }
         dispatchTo(state, endpoint.get(), now);
     }
 
-    /** Lets a request wait for its next try, or gives it up at once if the deadline comes first. */
+    /** Schedules a retry after a backoff, or ends the request if its deadline comes first. */
     void retryLater(final RequestState state, final ErrorCode code, final Instant now) {
         final Duration wait = mBackoff.nextDelay(Math.max(1, state.dispatches()));
         if (!now.plus(wait).isBefore(state.deadline())) {
-            mEndings.giveUp(state, code, "the deadline comes before the next try", now);
+            mActiveRequests.giveUp(state, code, "the deadline precedes the next retry", now);
             return;
         }
-        mWiring.log().add(state, DecisionKind.PAUSED, code.wireName(), now);
+        mContext.log().add(state, DecisionKind.PAUSED, code.wireName(), now);
         state.pauseUntil(now.plus(wait));
     }
 
-    /** Chooses an endpoint that the request has not been at, or else one that it has. */
+    /** Chooses an endpoint that the request has not tried, or else one that it has tried. */
     Optional<Endpoint> chooseEndpoint(final RequestState state, final Instant now) {
         final Set<EndpointId> excluded = new HashSet<>(state.triedEndpoints());
         excluded.addAll(mLeaving.all());
-        final Optional<Endpoint> fresh = mWiring.router().choose(state.spec(), excluded, now);
-        if (fresh.isPresent() || state.triedEndpoints().isEmpty()) {
-            return fresh;
+        final Optional<Endpoint> untried = mContext.router().choose(state.spec(), excluded, now);
+        if (untried.isPresent() || state.triedEndpoints().isEmpty()) {
+            return untried;
         }
-        return mWiring.router().choose(state.spec(), Set.copyOf(mLeaving.all()), now);
+        return mContext.router().choose(state.spec(), Set.copyOf(mLeaving.all()), now);
     }
 
-    /** Reads a stream on at the engine that holds it. */
+    /** Resumes reading a stream at the engine that holds it. */
     void resume(
             final RequestState state,
             final Endpoint endpoint,
@@ -88,8 +88,8 @@
                         now);
         attempt.setStreamId(streamId);
         setLiveAttempt(state, attempt);
-        mWiring.log().add(attempt, DecisionKind.RESUMED, streamId, now);
-        mWiring.actions().resume(attempt.id(), endpoint, streamId, attempt.nextIndex());
+        mContext.log().add(attempt, DecisionKind.RESUMED, streamId, now);
+        mContext.actions().resume(attempt.id(), endpoint, streamId, attempt.nextIndex());
     }
 
     private boolean isChargedToBudget(final RequestState state) {
@@ -98,7 +98,7 @@
 
     private void dispatchTo(final RequestState state, final Endpoint endpoint, final Instant now) {
         if (state.dispatches() == 0) {
-            mWiring.budget().recordFirstDispatch();
+            mContext.budget().recordFirstDispatch();
         }
         state.countDispatch();
         state.setExemptFromRetryBudget(false);
@@ -113,26 +113,26 @@
 
     private void generate(final RequestState state, final Endpoint endpoint, final Instant now) {
         final DeliveredText delivered = state.delivered();
-        final boolean goOn =
+        final boolean continuing =
                 delivered.tokens() > 0
                         && !state.isStartOverRequired()
-                        && mWiring.settings().recovery().keepsWork();
-        final long from = goOn ? delivered.tokens() : 0;
-        final AttemptKind kind = goOn ? AttemptKind.CONTINUE : AttemptKind.START;
+                        && mContext.settings().recovery().keepsWork();
+        final long from = continuing ? delivered.tokens() : 0;
+        final AttemptKind kind = continuing ? AttemptKind.CONTINUE : AttemptKind.START;
         final Attempt attempt = new Attempt(state.nextAttemptId(), endpoint, kind, from, from, now);
         countRecomputed(state, attempt);
         setLiveAttempt(state, attempt);
-        mWiring.log().add(attempt, DecisionKind.DISPATCHED, describe(attempt), now);
-        final String text = goOn ? delivered.text() : "";
-        mWiring.actions().generate(attempt.id(), endpoint, text, from);
+        mContext.log().add(attempt, DecisionKind.DISPATCHED, describe(attempt), now);
+        final String text = continuing ? delivered.text() : "";
+        mContext.actions().generate(attempt.id(), endpoint, text, from);
     }
 
     private void call(final RequestState state, final Endpoint endpoint, final Instant now) {
         final Attempt attempt =
                 new Attempt(state.nextAttemptId(), endpoint, AttemptKind.START, 0, 0, now);
         setLiveAttempt(state, attempt);
-        mWiring.log().add(attempt, DecisionKind.DISPATCHED, describe(attempt), now);
-        mWiring.actions().call(attempt.id(), endpoint);
+        mContext.log().add(attempt, DecisionKind.DISPATCHED, describe(attempt), now);
+        mContext.actions().call(attempt.id(), endpoint);
     }
 
     private static void setLiveAttempt(final RequestState state, final Attempt attempt) {
@@ -147,7 +147,7 @@
         final long tokens = state.spec().promptTokens() + state.delivered().tokens();
         attempt.setRecomputedTokens(state.cause().get(), tokens);
         state.addRecomputedTokens(tokens);
-        mWiring.counters().add(state.cause().get(), tokens);
+        mContext.counters().add(state.cause().get(), tokens);
         state.setCause(Optional.empty());
     }
 
@@ -156,18 +156,20 @@
     }
 
     /**
-     * Lets a request wait that nothing takes now, with its patience counted from the first time.
+     * Schedules a retry if the request has been blocked for less than the patience; otherwise ends
+     * it.
      *
-     * <p>Guards against giving up answers in a reclaim wave: the engines that are left refuse for a
-     * second or two, and a few quick refusals would end a request that half its caller has read.
+     * <p>Guards against ending partly delivered answers when many engines are reclaimed: the
+     * remaining engines refuse for one or two seconds, and a few quick refusals would end the
+     * request.
      */
     void retryWithinPatience(final RequestState state, final ErrorCode code, final Instant now) {
         final Instant since = state.blockedSince().orElse(now);
         state.setBlockedSince(Optional.of(since));
-        if (now.isBefore(since.plus(mWiring.settings().patience()))) {
+        if (now.isBefore(since.plus(mContext.settings().patience()))) {
             retryLater(state, code, now);
         } else {
-            mEndings.giveUp(state, code, "nothing became free in time", now);
+            mActiveRequests.giveUp(state, code, "no capacity became available in time", now);
         }
     }
 }
--- a/requests/src/main/java/org/whinhead/requests/Backoff.java
+++ b/requests/src/main/java/org/whinhead/requests/Backoff.java
@@ -3,7 +3,7 @@
 import java.time.Duration;
 import java.util.random.RandomGenerator;
 
-/** Waits between tries that double up to a bound, each with jitter over its upper half. */
+/** Computes exponential backoff delays with a cap, and with jitter over the upper half of each. */
 final class Backoff {
 
     private static final int MAX_DOUBLINGS = 16;
@@ -16,11 +16,13 @@
         mRandom = random;
     }
 
-    /** Returns the wait before the try that follows a number of failed ones. */
+    /**
+     * Returns the delay before the retry that follows the given number of failures (at least 1).
+     */
     Duration nextDelay(final int failures) {
         final int doublings = Math.min(MAX_DOUBLINGS, failures - 1);
-        final long whole = mSettings.firstBackoff().toNanos() << doublings;
-        final long bounded = Math.min(whole, mSettings.maxBackoff().toNanos());
-        return Duration.ofNanos(bounded / 2 + mRandom.nextLong(bounded / 2 + 1));
+        final long uncapped = mSettings.firstBackoff().toNanos() << doublings;
+        final long capped = Math.min(uncapped, mSettings.maxBackoff().toNanos());
+        return Duration.ofNanos(capped / 2 + mRandom.nextLong(capped / 2 + 1));
     }
 }
--- a/requests/src/main/java/org/whinhead/requests/ClaimGate.java
+++ b/requests/src/main/java/org/whinhead/requests/ClaimGate.java
@@ -6,52 +6,53 @@
 import org.whinhead.api.verdict.Verdict;
 
 /**
- * Lets a non-idempotent request through to its first dispatch only with a granted claim.
+ * Dispatches a non-idempotent request for the first time only after its claim is granted.
  *
- * <p>Guards against a second run through another daemon, which would show as a doubled effect at
- * the service. The claim is first in the log's order, so at most one daemon is ever granted it; an
- * outcome is taken only by a request that still waits for it and is not late.
+ * <p>Guards against a second run through another daemon, which would double the request's effect at
+ * the service. The first claim in log order wins, so at most one daemon is ever granted it; a
+ * granted claim leads to a dispatch only if the request still waits for it and is not past its
+ * deadline.
  */
 final class ClaimGate {
 
-    private final CoordinatorContext mWiring;
-    private final ActiveRequests mEndings;
+    private final CoordinatorContext mContext;
+    private final ActiveRequests mActiveRequests;
     private final AttemptLauncher mLauncher;
 
     ClaimGate(
-            final CoordinatorContext wiring,
-            final ActiveRequests endings,
+            final CoordinatorContext context,
+            final ActiveRequests activeRequests,
             final AttemptLauncher launcher) {
-        mWiring = wiring;
-        mEndings = endings;
+        mContext = context;
+        mActiveRequests = activeRequests;
         mLauncher = launcher;
     }
 
-    /** Takes in an admitted request. */
+    /** Dispatches an admitted request, or asks for its claim first if it is not idempotent. */
     void handleAdmitted(final RequestState state, final Instant now) {
         if (state.isPastDeadline(now)) {
-            mEndings.giveUp(state, ErrorCode.DEADLINE_PASSED, "while waiting", now);
+            mActiveRequests.giveUp(state, ErrorCode.DEADLINE_PASSED, "while waiting", now);
         } else if (state.spec().idempotent()) {
             mLauncher.dispatch(state, now);
         } else {
             state.setPhase(RequestState.Phase.CLAIMING);
-            mWiring.log().add(state, DecisionKind.CLAIM_ASKED, "", now);
-            mWiring.actions().claim(state.id());
+            mContext.log().add(state, DecisionKind.CLAIM_ASKED, "", now);
+            mContext.actions().claim(state.id());
         }
     }
 
     /**
-     * A claim was decided.
+     * Handles the outcome of a claim.
      *
-     * <p>Outcomes for a request that does not wait for one are dropped, so a repeated grant cannot
-     * dispatch twice. A granted claim of a request that has ended is not given up either: the grant
-     * may be a late copy of one whose dispatch ran.
+     * <p>An outcome for a request that does not wait for one is ignored, so a repeated grant cannot
+     * cause a second dispatch. A granted claim of an ended request is not released either: the
+     * grant may be a late copy of one whose dispatch ran.
      */
     void handleOutcome(final RequestState state, final ClaimOutcome outcome, final Instant now) {
         if (state.phase() != RequestState.Phase.CLAIMING) {
             return;
         }
-        mWiring.log().add(state, DecisionKind.CLAIM_DECIDED, outcome.name(), now);
+        mContext.log().add(state, DecisionKind.CLAIM_DECIDED, outcome.name(), now);
         switch (outcome) {
             case GRANTED -> {
                 state.setClaimHeld();
@@ -59,15 +60,16 @@
             }
             case HELD_ELSEWHERE -> {
                 state.addVerdict(Verdict.MAY_HAVE_RUN);
-                mEndings.giveUp(state, ErrorCode.ALREADY_CLAIMED, state.id().value(), now);
+                mActiveRequests.giveUp(state, ErrorCode.ALREADY_CLAIMED, state.id().value(), now);
             }
             case UNAVAILABLE -> {
                 final Refusal refusal =
                         Refusal.notRun(ErrorCode.CLAIM_UNAVAILABLE, state.id().value());
-                final Refusal timed = refusal.comeBackAfter(mWiring.settings().comeBackAfter());
-                mEndings.refuse(state, timed, now);
+                final Refusal withDelay =
+                        refusal.comeBackAfter(mContext.settings().comeBackAfter());
+                mActiveRequests.refuse(state, withDelay, now);
             }
-            default -> throw new IllegalArgumentException("unknown outcome " + outcome);
+            default -> throw new IllegalArgumentException("unknown claim outcome " + outcome);
         }
     }
 }
--- a/requests/src/main/java/org/whinhead/requests/Completion.java
+++ b/requests/src/main/java/org/whinhead/requests/Completion.java
@@ -4,14 +4,14 @@
 import org.whinhead.api.Arguments;
 
 /**
- * How a generated answer came about.
+ * Statistics of a completed generated answer.
  *
- * @param finishReason the engine's reason, for example {@code stop}
- * @param promptTokens prompt tokens of the request
- * @param cachedTokens prompt tokens found in a cache by the first attempt
- * @param generatedTokens tokens in the answer
- * @param recomputedTokens tokens, of prompt and answer, that were computed again
- * @param attempts how many attempts were made
+ * @param finishReason the engine's finish reason, for example {@code stop}
+ * @param promptTokens the number of prompt tokens of the request
+ * @param cachedTokens the number of prompt tokens that the first attempt found in a cache
+ * @param generatedTokens the number of tokens in the answer
+ * @param recomputedTokens the number of prompt and answer tokens that were recomputed
+ * @param attempts the number of attempts, at least 1
  */
 public record Completion(
         String finishReason,
@@ -21,7 +21,7 @@
         long recomputedTokens,
         int attempts) {
 
-    /** Checks every part. */
+    /** Validates the components. */
     public Completion {
         Objects.requireNonNull(finishReason, "finishReason");
         Arguments.requireAtLeast(generatedTokens, 0, "generatedTokens");
--- a/requests/src/main/java/org/whinhead/requests/CoordinatorContext.java
+++ b/requests/src/main/java/org/whinhead/requests/CoordinatorContext.java
@@ -6,15 +6,15 @@
 import org.whinhead.routing.Router;
 
 /**
- * What the parts of one coordinator share.
+ * The dependencies that the components of a coordinator share.
  *
- * @param router chooses endpoints and learns how attempts ended
- * @param admission decides when a request runs
- * @param actions the outside
- * @param settings patience and limits
- * @param random jitter
- * @param log the decision records
- * @param counters the recomputed tokens
+ * @param router chooses endpoints and receives the outcomes of attempts
+ * @param admission the admission control
+ * @param actions the actions that the coordinator requests
+ * @param settings the timeouts and limits
+ * @param random the random generator for jitter
+ * @param log the log of decisions
+ * @param counters the counters of recoveries and recomputed tokens
  * @param budget the retry budget
  */
 record CoordinatorContext(
--- a/requests/src/main/java/org/whinhead/requests/Decision.java
+++ b/requests/src/main/java/org/whinhead/requests/Decision.java
@@ -7,14 +7,14 @@
 import org.whinhead.api.request.RequestId;
 
 /**
- * One decision about one request.
+ * A log record of one decision about a request.
  *
- * @param at when it was made
- * @param request the request
- * @param attempt the attempt's number; 0 if it concerns none
- * @param kind what was decided
- * @param endpoint the endpoint that it concerns, if any
- * @param cause why, in a few words
+ * @param at the time of the decision
+ * @param request the ID of the request
+ * @param attempt the number of the attempt; 0 if the decision concerns no attempt
+ * @param kind the kind of decision
+ * @param endpoint the endpoint that the decision concerns, if any
+ * @param cause a short human-readable reason
  */
 public record Decision(
         Instant at,
@@ -24,7 +24,7 @@
         Optional<EndpointId> endpoint,
         String cause) {
 
-    /** Checks every part. */
+    /** Validates the components. */
     public Decision {
         Objects.requireNonNull(at, "at");
         Objects.requireNonNull(request, "request");
--- a/requests/src/main/java/org/whinhead/requests/DecisionKind.java
+++ b/requests/src/main/java/org/whinhead/requests/DecisionKind.java
@@ -1,37 +1,37 @@
 package org.whinhead.requests;
 
-/** What was decided about a request. */
+/** The kinds of decisions about a request. */
 public enum DecisionKind {
-    /** It waits to be admitted. */
+    /** The request was offered for admission. */
     OFFERED,
-    /** It was refused with a final answer. */
+    /** The request was refused with a final response. */
     REFUSED,
-    /** An at-most-once claim was asked for. */
+    /** An at-most-once claim was requested. */
     CLAIM_ASKED,
     /** The at-most-once claim was decided. */
     CLAIM_DECIDED,
-    /** It was sent to an endpoint. */
+    /** The request was sent to an endpoint. */
     DISPATCHED,
-    /** Its stream is read on at the same engine. */
+    /** Reading of the stream was resumed. */
     RESUMED,
-    /** Its KV cache is being moved to another engine. */
+    /** A move of the KV cache to another engine was started. */
     MOVE_STARTED,
-    /** Its KV cache has been moved. */
+    /** The KV cache was moved. */
     MOVED,
-    /** A move was given up. */
+    /** A move of the KV cache was aborted. */
     MOVE_GIVEN_UP,
     /** An attempt failed. */
     ATTEMPT_FAILED,
-    /** It waits for its next try. */
+    /** A retry was scheduled. */
     PAUSED,
-    /** An event of an attempt that is over was ignored. */
+    /** An event of an ended attempt was ignored. */
     LATE_EVENT_IGNORED,
-    /** Its caller came back with a ticket. */
+    /** The caller returned with a ticket. */
     CALLER_RETURNED,
-    /** Its caller hung up. */
+    /** The caller disconnected. */
     CALLER_LEFT,
-    /** Its caller was sent away with a ticket. */
+    /** The caller received a ticket for another daemon. */
     HANDED_BACK,
-    /** Its whole answer reached the caller. */
+    /** The whole answer was delivered to the caller. */
     COMPLETED
 }
--- a/requests/src/main/java/org/whinhead/requests/DecisionLog.java
+++ b/requests/src/main/java/org/whinhead/requests/DecisionLog.java
@@ -8,16 +8,16 @@
 import org.whinhead.api.Arguments;
 import org.whinhead.api.request.RequestId;
 
-/** The latest decisions in a ring of fixed size; used by the coordinator's thread alone. */
+/** Keeps the latest decisions in a ring buffer; confined to the coordinator's thread. */
 public final class DecisionLog {
 
     private final Decision[] mRing;
     private long mWritten;
 
     /**
-     * Makes an empty log.
+     * Creates an empty log.
      *
-     * @param capacity how many decisions it keeps
+     * @param capacity the maximum number of decisions kept, at least 1
      */
     public DecisionLog(final int capacity) {
         Arguments.requireAtLeast(capacity, 1, "capacity");
@@ -25,20 +25,21 @@
     }
 
     /**
-     * Returns what is still kept about a request, oldest first.
+     * Returns the decisions about a request that the buffer still holds, oldest first.
      *
-     * @param request the request
-     * @return its decisions
+     * @param request the ID of the request
+     * @return the decisions about the request
      */
     public List<Decision> findByRequest(final RequestId request) {
         return findMatching(request::equals);
     }
 
     /**
-     * Returns what is still kept about the requests of a name, oldest first.
+     * Returns the decisions about all requests with a name that the buffer still holds, oldest
+     * first.
      *
-     * @param name an identity, or its end after a slash
-     * @return their decisions
+     * @param name a request ID, or the part of it after a slash
+     * @return the decisions about the requests
      */
     public List<Decision> findByName(final String name) {
         return findMatching(id -> id.value().equals(name) || id.value().endsWith("/" + name));
@@ -47,8 +48,8 @@
     private List<Decision> findMatching(final Predicate<RequestId> wanted) {
         final List<Decision> found = new ArrayList<>();
         final long oldest = Math.max(0, mWritten - mRing.length);
-        for (long place = oldest; place < mWritten; place++) {
-            final Decision decision = mRing[(int) (place % mRing.length)];
+        for (long position = oldest; position < mWritten; position++) {
+            final Decision decision = mRing[(int) (position % mRing.length)];
             if (wanted.test(decision.request())) {
                 found.add(decision);
             }
@@ -83,7 +84,7 @@
         mWritten++;
     }
 
-    /** Records that an event of an attempt that is over was ignored; tokens would fill the ring. */
+    /** Records an ignored event of an ended attempt; omits tokens, which would fill the buffer. */
     void addLateEvent(final AttemptEvent event, final Instant now) {
         if (event instanceof AttemptEvent.Token) {
             return;
--- a/requests/src/main/java/org/whinhead/requests/DefaultRequestCoordinator.java
+++ b/requests/src/main/java/org/whinhead/requests/DefaultRequestCoordinator.java
@@ -14,55 +14,58 @@
 import org.whinhead.api.verdict.Verdict;
 import org.whinhead.routing.Router;
 
-/** Hands each event to the part that decides on it. */
+/** Passes each event to the component that handles it. */
 public final class DefaultRequestCoordinator implements RequestCoordinator {
 
-    private final CoordinatorContext mWiring;
-    private final ActiveRequests mEndings;
+    private final CoordinatorContext mContext;
+    private final ActiveRequests mActiveRequests;
     private final AttemptLauncher mLauncher;
     private final ClaimGate mClaimGate;
     private final Recovery mRecovery;
-    private final TicketHandler mTickets;
-    private final AttemptEventHandler mEvents;
-    private final EndpointDrainer mDepartures;
+    private final TicketHandler mTicketHandler;
+    private final AttemptEventHandler mEventHandler;
+    private final EndpointDrainer mEndpointDrainer;
     private final Shutdown mShutdown;
-    private final StallDetector mStalls;
+    private final StallDetector mStallDetector;
     private final LeavingEndpoints mLeaving = new LeavingEndpoints();
 
-    private DefaultRequestCoordinator(final CoordinatorContext wiring) {
-        mWiring = wiring;
-        mEndings = new ActiveRequests(wiring);
-        mLauncher = new AttemptLauncher(wiring, mEndings, mLeaving);
-        mClaimGate = new ClaimGate(wiring, mEndings, mLauncher);
-        mRecovery = new Recovery(wiring, mEndings, mLauncher, mLeaving);
-        mTickets = new TicketHandler(wiring, mEndings, mLauncher, mRecovery);
-        mDepartures =
-                new EndpointDrainer(wiring, mEndings, mLauncher, mRecovery, mTickets, mLeaving);
-        mEvents = new AttemptEventHandler(wiring, mEndings, mRecovery, mTickets, mDepartures);
-        mShutdown = new Shutdown(wiring, mEndings);
-        mStalls = new StallDetector(wiring.settings());
+    private DefaultRequestCoordinator(final CoordinatorContext context) {
+        mContext = context;
+        mActiveRequests = new ActiveRequests(context);
+        mLauncher = new AttemptLauncher(context, mActiveRequests, mLeaving);
+        mClaimGate = new ClaimGate(context, mActiveRequests, mLauncher);
+        mRecovery = new Recovery(context, mActiveRequests, mLauncher, mLeaving);
+        mTicketHandler = new TicketHandler(context, mActiveRequests, mLauncher, mRecovery);
+        mEndpointDrainer =
+                new EndpointDrainer(
+                        context, mActiveRequests, mLauncher, mRecovery, mTicketHandler, mLeaving);
+        mEventHandler =
+                new AttemptEventHandler(
+                        context, mActiveRequests, mRecovery, mTicketHandler, mEndpointDrainer);
+        mShutdown = new Shutdown(context, mActiveRequests);
+        mStallDetector = new StallDetector(context.settings());
     }
 
-    /** Returns a builder. */
+    /** Returns a new builder. */
     public static Builder builder() {
         return new Builder();
     }
 
     @Override
     public boolean submit(final RequestSpec spec, final Instant now) {
-        if (mEndings.find(spec.id()).isPresent()) {
+        if (mActiveRequests.find(spec.id()).isPresent()) {
             return false;
         }
         final RequestState state =
                 new RequestState(spec, spec.deadline(), new DeliveredText("", 0));
-        mEndings.add(state);
+        mActiveRequests.add(state);
         final Optional<Refusal> refusal = refusalOnArrival(state, now);
         if (refusal.isPresent()) {
-            mEndings.refuse(state, refusal.get(), now);
+            mActiveRequests.refuse(state, refusal.get(), now);
             return true;
         }
         state.setOffered();
-        mWiring.log().add(state, DecisionKind.OFFERED, spec.tier().name(), now);
+        mContext.log().add(state, DecisionKind.OFFERED, spec.tier().name(), now);
         admitWaiting(now);
         return true;
     }
@@ -79,27 +82,29 @@
                 TicketHandler.validate(spec, ticket)
                         .or(() -> mShutdown.refusalIfStopping(Verdict.MAY_HAVE_RUN));
         if (refusal.isPresent()) {
-            mWiring.actions().refuse(spec.id(), refusal.get());
+            mContext.actions().refuse(spec.id(), refusal.get());
             return;
         }
-        final boolean ticketFirst = ticket.deadline().isBefore(spec.deadline());
-        final Instant deadline = ticketFirst ? ticket.deadline() : spec.deadline();
+        final boolean ticketEndsFirst = ticket.deadline().isBefore(spec.deadline());
+        final Instant deadline = ticketEndsFirst ? ticket.deadline() : spec.deadline();
         final DeliveredText delivered = new DeliveredText(haveText, haveTokens);
         final RequestState state = new RequestState(spec, deadline, delivered);
-        mTickets.handleReturn(state, ticket, mEndings.find(spec.id()), now);
+        mTicketHandler.handleReturn(state, ticket, mActiveRequests.find(spec.id()), now);
     }
 
     @Override
     public void onCallerDisconnected(final RequestId request, final Instant now) {
-        mEndings.find(request).ifPresent(state -> mEndings.endOnDisconnect(state, now));
+        mActiveRequests
+                .find(request)
+                .ifPresent(state -> mActiveRequests.endOnDisconnect(state, now));
         admitWaiting(now);
     }
 
     @Override
     public void onAttemptEvent(final AttemptEvent event, final Instant now) {
-        final Optional<RequestState> state = mEndings.find(event.attempt().request());
-        mEvents.handle(state, event, now);
-        if (state.isPresent() && !mEndings.isActive(state.get())) {
+        final Optional<RequestState> state = mActiveRequests.find(event.attempt().request());
+        mEventHandler.handle(state, event, now);
+        if (state.isPresent() && !mActiveRequests.isActive(state.get())) {
             admitWaiting(now);
         }
     }
@@ -107,13 +112,15 @@
     @Override
     public void onClaimDecided(
             final RequestId request, final ClaimOutcome outcome, final Instant now) {
-        mEndings.find(request).ifPresent(state -> mClaimGate.handleOutcome(state, outcome, now));
+        mActiveRequests
+                .find(request)
+                .ifPresent(state -> mClaimGate.handleOutcome(state, outcome, now));
     }
 
     @Override
     public void onEndpointLeaving(
             final EndpointId endpoint, final Instant goneBy, final Instant now) {
-        mDepartures.startDrain(endpoint, goneBy, now);
+        mEndpointDrainer.startDrain(endpoint, goneBy, now);
     }
 
     @Override
@@ -126,7 +133,7 @@
     public void tick(final Instant now) {
         mLeaving.removeExpired(now);
         admitWaiting(now);
-        for (final RequestState state : mEndings.all()) {
+        for (final RequestState state : mActiveRequests.all()) {
             checkRequest(state, now);
         }
         mShutdown.endDueRequests(now);
@@ -134,17 +141,17 @@
 
     @Override
     public int requestCount() {
-        return mEndings.count();
+        return mActiveRequests.count();
     }
 
-    /** Returns the records of what was decided. */
+    /** Returns the log of decisions. */
     public DecisionLog decisionLog() {
-        return mWiring.log();
+        return mContext.log();
     }
 
-    /** Returns the counts of recomputed tokens. */
+    /** Returns the counters of recoveries and recomputed tokens. */
     public RecoveryCounters recoveryCounters() {
-        return mWiring.counters();
+        return mContext.counters();
     }
 
     private Optional<Refusal> refusalOnArrival(final RequestState state, final Instant now) {
@@ -153,48 +160,50 @@
         }
         return mShutdown
                 .refusalIfStopping(Verdict.NOT_RUN)
-                .or(() -> mWiring.admission().offer(state.spec(), now));
+                .or(() -> mContext.admission().offer(state.spec(), now));
     }
 
     private void admitWaiting(final Instant now) {
-        for (final Admission.Shed shed : mWiring.admission().shed(now)) {
+        for (final Admission.Shed shed : mContext.admission().shed(now)) {
             findWaiting(shed.spec())
-                    .ifPresent(state -> mEndings.refuse(state, shed.refusal(), now));
+                    .ifPresent(state -> mActiveRequests.refuse(state, shed.refusal(), now));
         }
-        for (final RequestSpec spec : mWiring.admission().admitted(now)) {
+        for (final RequestSpec spec : mContext.admission().admitted(now)) {
             findWaiting(spec).ifPresent(state -> mClaimGate.handleAdmitted(state, now));
         }
     }
 
     private Optional<RequestState> findWaiting(final RequestSpec spec) {
-        return mEndings.find(spec.id())
+        return mActiveRequests
+                .find(spec.id())
                 .filter(state -> state.phase() == RequestState.Phase.WAITING);
     }
 
     private void checkRequest(final RequestState state, final Instant now) {
-        if (!mEndings.isActive(state)) {
+        if (!mActiveRequests.isActive(state)) {
             return;
         }
         if (state.isPastDeadline(now)) {
-            mEndings.giveUp(state, ErrorCode.DEADLINE_PASSED, "before the whole answer", now);
+            mActiveRequests.giveUp(
+                    state, ErrorCode.DEADLINE_PASSED, "before the whole answer", now);
             return;
         }
         if (state.phase() == RequestState.Phase.PAUSED && !now.isBefore(state.retryAt())) {
             mLauncher.dispatch(state, now);
             return;
         }
-        mDepartures.drainIfNeeded(state, now);
-        if (mEndings.isActive(state) && state.move().isEmpty()) {
+        mEndpointDrainer.drainIfNeeded(state, now);
+        if (mActiveRequests.isActive(state) && state.move().isEmpty()) {
             state.live().ifPresent(attempt -> checkForStall(state, attempt, now));
         }
     }
 
     private void checkForStall(final RequestState state, final Attempt attempt, final Instant now) {
-        if (mStalls.hasLostTokens(attempt, now)) {
+        if (mStallDetector.hasLostTokens(attempt, now)) {
             final String detail = "tokens are missing before the end";
             mRecovery.handleFailure(state, attempt, AttemptFailure.CUT_DURING_ANSWER, detail, now);
-        } else if (mStalls.isSilent(state, attempt, now)) {
-            final String detail = "no token in time";
+        } else if (mStallDetector.isSilent(state, attempt, now)) {
+            final String detail = "no token within the silence limit";
             mRecovery.handleFailure(state, attempt, AttemptFailure.SILENT, detail, now);
         }
     }
@@ -213,37 +222,37 @@
 
         private Builder() {}
 
-        /** Sets what chooses endpoints; required. */
+        /** Sets the router, which chooses endpoints; required. */
         public Builder router(final Router router) {
             mRouter = router;
             return this;
         }
 
-        /** Sets what admits requests; required. */
+        /** Sets the admission control; required. */
         public Builder admission(final Admission admission) {
             mAdmission = admission;
             return this;
         }
 
-        /** Sets what acts on the outside; required. */
+        /** Sets the actions that the coordinator calls; required. */
         public Builder actions(final RequestActions actions) {
             mActions = actions;
             return this;
         }
 
-        /** Sets patience and limits. */
+        /** Sets the timeouts and limits. */
         public Builder settings(final RequestSettings settings) {
             mSettings = settings;
             return this;
         }
 
-        /** Sets the seeded source of jitter; required. */
+        /** Sets the random generator for jitter; required. */
         public Builder random(final RandomGenerator random) {
             mRandom = random;
             return this;
         }
 
-        /** Sets how many decision records are kept. */
+        /** Sets the maximum number of decisions that the log keeps. */
         public Builder decisions(final int decisions) {
             mDecisions = decisions;
             return this;
--- a/requests/src/main/java/org/whinhead/requests/DeliveredText.java
+++ b/requests/src/main/java/org/whinhead/requests/DeliveredText.java
@@ -1,15 +1,15 @@
 package org.whinhead.requests;
 
-/** The part of an answer that the caller has. */
+/** The part of an answer that the caller has received. */
 final class DeliveredText {
 
     private final StringBuilder mText;
-    private final long mHadBefore;
+    private final long mInitialTokens;
     private long mTokens;
 
     DeliveredText(final String text, final long tokens) {
         mText = new StringBuilder(text);
-        mHadBefore = tokens;
+        mInitialTokens = tokens;
         mTokens = tokens;
     }
 
@@ -17,9 +17,9 @@
         return mTokens;
     }
 
-    /** Returns how many tokens this daemon added. */
+    /** Returns the number of tokens that this daemon delivered. */
     long addedTokens() {
-        return mTokens - mHadBefore;
+        return mTokens - mInitialTokens;
     }
 
     int length() {
@@ -35,7 +35,7 @@
         mTokens++;
     }
 
-    /** Tells whether a token repeats the delivered text from a position on. */
+    /** Returns whether the delivered text contains a token at a character position. */
     boolean matchesAt(final int position, final String token) {
         final int end = position + token.length();
         return end <= mText.length() && mText.substring(position, end).equals(token);
--- a/requests/src/main/java/org/whinhead/requests/EndpointDrainer.java
+++ b/requests/src/main/java/org/whinhead/requests/EndpointDrainer.java
@@ -8,54 +8,54 @@
 import org.whinhead.api.verdict.Verdict;
 
 /**
- * Takes streams away from engines that were announced to leave.
+ * Drains engines that were announced to leave by moving their streams to other engines.
  *
- * <p>A stream that will end in time stays; any other has its KV cache moved to another engine, and
- * while that goes on the old stream still delivers. Where the move fails or takes too long, the
- * answer is continued from the delivered text. Guards against two streams that deliver the same
- * tokens: only the live attempt delivers, a move becomes live in the one step that ends the old
- * attempt, and a move that was given up is cancelled as soon as its stream has a name.
+ * <p>A stream that will finish in time stays. For any other stream, the KV cache is moved to
+ * another engine while the old stream still delivers. If the move fails or times out, the answer is
+ * continued from the delivered text. Guards against two streams that deliver the same tokens: only
+ * the live attempt delivers, the step that makes a move live also ends the old attempt, and an
+ * aborted move is cancelled as soon as its stream ID is known.
  */
 final class EndpointDrainer {
 
-    private final CoordinatorContext mWiring;
-    private final ActiveRequests mEndings;
+    private final CoordinatorContext mContext;
+    private final ActiveRequests mActiveRequests;
     private final AttemptLauncher mLauncher;
     private final Recovery mRecovery;
-    private final TicketHandler mTickets;
+    private final TicketHandler mTicketHandler;
     private final LeavingEndpoints mLeaving;
 
     EndpointDrainer(
-            final CoordinatorContext wiring,
-            final ActiveRequests endings,
+            final CoordinatorContext context,
+            final ActiveRequests activeRequests,
             final AttemptLauncher launcher,
             final Recovery recovery,
-            final TicketHandler tickets,
+            final TicketHandler ticketHandler,
             final LeavingEndpoints leaving) {
-        mWiring = wiring;
-        mEndings = endings;
+        mContext = context;
+        mActiveRequests = activeRequests;
         mLauncher = launcher;
         mRecovery = recovery;
-        mTickets = tickets;
+        mTicketHandler = ticketHandler;
         mLeaving = leaving;
     }
 
     void startDrain(final EndpointId endpoint, final Instant goneBy, final Instant now) {
         mLeaving.add(endpoint, goneBy);
-        for (final RequestState state : mEndings.all()) {
+        for (final RequestState state : mActiveRequests.all()) {
             drainIfNeeded(state, now);
         }
     }
 
-    /** Looks at one request: a move that takes too long, or a live attempt that must leave. */
+    /** Aborts a move that timed out, or drains the live attempt if its endpoint is leaving. */
     void drainIfNeeded(final RequestState state, final Instant now) {
-        if (!mWiring.settings().recovery().keepsWork()) {
+        if (!mContext.settings().recovery().keepsWork()) {
             return;
         }
         if (state.move().isPresent()) {
             final Attempt move = state.move().get();
-            if (!now.isBefore(move.startedAt().plus(mWiring.settings().moveTime()))) {
-                abortMove(state, move, "too late", now);
+            if (!now.isBefore(move.startedAt().plus(mContext.settings().moveTime()))) {
+                abortMove(state, move, "move timed out", now);
             }
             return;
         }
@@ -67,20 +67,22 @@
         }
     }
 
-    /** The live attempt failed while its KV cache is being moved: the export has stopped it. */
+    /**
+     * Ends a live attempt that failed during a move: the export of the KV cache stops its stream.
+     */
     void handleSourceFailure(final RequestState state, final Attempt live, final Instant now) {
         state.addVerdict(Verdict.MAY_HAVE_RUN);
-        mWiring.actions().release(live.id());
-        mEndings.endAttempt(state, live, now);
+        mContext.actions().release(live.id());
+        mActiveRequests.endAttempt(state, live, now);
     }
 
-    /** The KV cache has arrived. */
+    /** Makes the moved stream the live attempt after the KV cache has arrived. */
     void completeMove(
             final RequestState state,
             final Attempt move,
             final String streamId,
             final Instant now) {
-        state.live().ifPresent(old -> mEndings.cancelAttempt(state, old, now));
+        state.live().ifPresent(old -> mActiveRequests.cancelAttempt(state, old, now));
         state.setMove(Optional.empty());
         final long next = state.delivered().tokens();
         final Attempt live =
@@ -90,16 +92,16 @@
         state.setLive(Optional.of(live));
         state.setResumeTried(false);
         state.setMoveTried(false);
-        mWiring.log().add(live, DecisionKind.MOVED, streamId, now);
-        mWiring.actions().resume(live.id(), live.endpoint(), streamId, next);
-        mTickets.issue(state, live);
+        mContext.log().add(live, DecisionKind.MOVED, streamId, now);
+        mContext.actions().resume(live.id(), live.endpoint(), streamId, next);
+        mTicketHandler.issue(state, live);
     }
 
-    /** A move failed, perhaps after a part of it took effect. */
+    /** Aborts a move that failed or timed out; part of the move may have taken effect. */
     void abortMove(
             final RequestState state, final Attempt move, final String detail, final Instant now) {
-        mWiring.log().add(move, DecisionKind.MOVE_GIVEN_UP, detail, now);
-        mEndings.cancelAttempt(state, move, now);
+        mContext.log().add(move, DecisionKind.MOVE_GIVEN_UP, detail, now);
+        mActiveRequests.cancelAttempt(state, move, now);
         if (state.live().isPresent()) {
             abandonIfIdempotent(state, state.live().get(), now);
             return;
@@ -119,8 +121,8 @@
     }
 
     /**
-     * A request that must not run again stays until its connection breaks, since the engine may
-     * still finish it.
+     * Abandons the attempt if the request is idempotent. A non-idempotent request stays until its
+     * connection breaks, since the engine may still finish it.
      */
     private void abandonIfIdempotent(
             final RequestState state, final Attempt live, final Instant now) {
@@ -130,9 +132,9 @@
     }
 
     private void startMove(final RequestState state, final Attempt live, final Instant now) {
-        final boolean repeatsText = live.isComparingText() && state.delivered().tokens() > 0;
+        final boolean comparingText = live.isComparingText() && state.delivered().tokens() > 0;
         final Optional<Endpoint> target =
-                repeatsText ? Optional.empty() : mLauncher.chooseEndpoint(state, now);
+                comparingText ? Optional.empty() : mLauncher.chooseEndpoint(state, now);
         if (target.isEmpty()) {
             return;
         }
@@ -146,22 +148,25 @@
                         live.nextIndex(),
                         now);
         state.setMove(Optional.of(move));
-        mWiring.log().add(move, DecisionKind.MOVE_STARTED, live.endpoint().id().value(), now);
+        mContext.log().add(move, DecisionKind.MOVE_STARTED, live.endpoint().id().value(), now);
         final Endpoint from = live.endpoint();
-        mWiring.actions().move(move.id(), from, live.streamId(), target.get());
+        mContext.actions().move(move.id(), from, live.streamId(), target.get());
     }
 
-    /** Tells whether the rest, at the pace so far, ends well before the engine does. */
+    /**
+     * Returns whether the rest of the answer, at the pace so far, ends before the engine leaves,
+     * with the time of a move to spare.
+     */
     private boolean willFinishInTime(
             final RequestState state, final Attempt live, final Instant goneBy, final Instant now) {
-        final int most = state.spec().maxTokens();
-        if (live.receivedTokens() == 0 || most == 0) {
+        final int maxTokens = state.spec().maxTokens();
+        if (live.receivedTokens() == 0 || maxTokens == 0) {
             return false;
         }
         final Duration pace =
                 Duration.between(live.startedAt(), now).dividedBy(live.receivedTokens());
-        final long rest = Math.max(0, most - state.delivered().tokens());
+        final long rest = Math.max(0, maxTokens - state.delivered().tokens());
         final Instant end = now.plus(pace.multipliedBy(rest));
-        return end.plus(mWiring.settings().moveTime()).isBefore(goneBy);
+        return end.plus(mContext.settings().moveTime()).isBefore(goneBy);
     }
 }
--- a/requests/src/main/java/org/whinhead/requests/LeavingEndpoints.java
+++ b/requests/src/main/java/org/whinhead/requests/LeavingEndpoints.java
@@ -8,14 +8,14 @@
 import java.util.Set;
 import org.whinhead.api.model.EndpointId;
 
-/** The endpoints that were announced to leave, until well after their end. */
+/** The endpoints that were announced to leave; removed one minute after they left. */
 final class LeavingEndpoints {
 
-    private static final Duration KEPT_AFTER_END = Duration.ofMinutes(1);
+    private static final Duration RETENTION = Duration.ofMinutes(1);
 
     private final Map<EndpointId, Instant> mGoneBy = new HashMap<>();
 
-    /** Notes an announcement; of several, the earliest end counts. */
+    /** Records an announcement; of several for an endpoint, the earliest time applies. */
     void add(final EndpointId endpoint, final Instant goneBy) {
         mGoneBy.merge(endpoint, goneBy, (a, b) -> a.isBefore(b) ? a : b);
     }
@@ -29,6 +29,6 @@
     }
 
     void removeExpired(final Instant now) {
-        mGoneBy.values().removeIf(goneBy -> goneBy.plus(KEPT_AFTER_END).isBefore(now));
+        mGoneBy.values().removeIf(goneBy -> goneBy.plus(RETENTION).isBefore(now));
     }
 }
--- a/requests/src/main/java/org/whinhead/requests/PlainAnswer.java
+++ b/requests/src/main/java/org/whinhead/requests/PlainAnswer.java
@@ -3,15 +3,15 @@
 import java.util.Objects;
 
 /**
- * A plain service's whole answer; its bytes are not copied, so they must not be changed.
+ * The whole answer of a plain service; the body is not copied and must not be modified.
  *
- * @param status the HTTP status
- * @param contentType the media type
- * @param body the body
+ * @param status the HTTP status code
+ * @param contentType the media type of the body
+ * @param body the bytes of the body
  */
 public record PlainAnswer(int status, String contentType, byte[] body) {
 
-    /** Checks every part. */
+    /** Validates the components. */
     public PlainAnswer {
         Objects.requireNonNull(contentType, "contentType");
         Objects.requireNonNull(body, "body");
--- a/requests/src/main/java/org/whinhead/requests/Recovery.java
+++ b/requests/src/main/java/org/whinhead/requests/Recovery.java
@@ -8,44 +8,44 @@
 import org.whinhead.api.verdict.ErrorCode;
 import org.whinhead.api.verdict.Verdict;
 
-/** Carries a request on after its live attempt failed. */
+/** Resumes, redispatches or ends a request after its live attempt failed. */
 final class Recovery {
 
-    /** Failures after which the endpoint may still work on the request. */
-    private static final Set<AttemptFailure> MAY_RUN_ON =
+    /** Failures after which the endpoint may still process the request. */
+    private static final Set<AttemptFailure> MAY_STILL_RUN =
             EnumSet.of(
                     AttemptFailure.CUT_BEFORE_ANSWER,
                     AttemptFailure.CUT_DURING_ANSWER,
                     AttemptFailure.SILENT);
 
-    private final CoordinatorContext mWiring;
-    private final ActiveRequests mEndings;
+    private final CoordinatorContext mContext;
+    private final ActiveRequests mActiveRequests;
     private final AttemptLauncher mLauncher;
     private final LeavingEndpoints mLeaving;
     private final RecoveryPlanner mPlanner;
 
     Recovery(
-            final CoordinatorContext wiring,
-            final ActiveRequests endings,
+            final CoordinatorContext context,
+            final ActiveRequests activeRequests,
             final AttemptLauncher launcher,
             final LeavingEndpoints leaving) {
-        mWiring = wiring;
-        mEndings = endings;
+        mContext = context;
+        mActiveRequests = activeRequests;
         mLauncher = launcher;
         mLeaving = leaving;
-        mPlanner = new RecoveryPlanner(wiring.settings(), leaving);
+        mPlanner = new RecoveryPlanner(context.settings(), leaving);
     }
 
-    /** The live attempt failed. */
+    /** Handles the failure of the live attempt. */
     void handleFailure(
             final RequestState state,
             final Attempt attempt,
             final AttemptFailure failure,
             final String detail,
             final Instant now) {
-        mWiring.log().add(attempt, DecisionKind.ATTEMPT_FAILED, failure + " " + detail, now);
+        mContext.log().add(attempt, DecisionKind.ATTEMPT_FAILED, failure + " " + detail, now);
         if (failure.countsAgainstEndpoint()) {
-            mWiring.router().failed(attempt.endpoint().id(), state.spec(), now);
+            mContext.router().failed(attempt.endpoint().id(), state.spec(), now);
         }
         addVerdict(state, attempt, failure);
         final RecoveryPlanner.Step step = mPlanner.plan(state, attempt, failure);
@@ -61,44 +61,49 @@
                 mLauncher.retryLater(state, ErrorCode.ENDPOINT_LOST, now);
             }
             case REDISPATCH -> redispatch(state, attempt, failure, now);
-            case ANSWER_ERROR -> mEndings.giveUp(state, ErrorCode.ENDPOINT_ERROR, detail, now);
-            case SPENT -> mEndings.giveUp(state, ErrorCode.RETRIES_SPENT, detail, now);
-            default -> mEndings.giveUp(state, ErrorCode.ENDPOINT_LOST, detail, now);
+            case ANSWER_ERROR ->
+                    mActiveRequests.giveUp(state, ErrorCode.ENDPOINT_ERROR, detail, now);
+            case SPENT -> mActiveRequests.giveUp(state, ErrorCode.RETRIES_SPENT, detail, now);
+            default -> mActiveRequests.giveUp(state, ErrorCode.ENDPOINT_LOST, detail, now);
         }
     }
 
     /**
-     * The live attempt must be left, because its engine leaves or its stream is not this answer's.
+     * Cancels the live attempt, because its engine leaves or its stream does not match the answer,
+     * and redispatches the request if allowed.
      */
     void abandon(
             final RequestState state,
             final Attempt attempt,
             final RecoveryCause cause,
             final Instant now) {
-        mWiring.log().add(attempt, DecisionKind.ATTEMPT_FAILED, cause.name(), now);
+        mContext.log().add(attempt, DecisionKind.ATTEMPT_FAILED, cause.name(), now);
         state.addVerdict(Verdict.MAY_HAVE_RUN);
         state.triedEndpoints().add(attempt.endpoint().id());
-        mEndings.cancelAttempt(state, attempt, now);
+        mActiveRequests.cancelAttempt(state, attempt, now);
         state.setCause(Optional.of(cause));
         state.setExemptFromRetryBudget(cause.isExemptFromRetryBudget());
         redispatchIfAllowed(state, cause.name(), now);
     }
 
-    /** Sends a request out again that has no attempt in progress, if it may be. */
+    /**
+     * Redispatches a request without an attempt in progress, or ends it if no dispatch is allowed.
+     */
     void redispatchIfAllowed(final RequestState state, final String detail, final Instant now) {
         if (!state.verdict().allowsAnotherAttempt(state.spec().idempotent())) {
-            mEndings.giveUp(state, ErrorCode.ENDPOINT_LOST, detail, now);
-        } else if (state.possibleRuns() >= mWiring.settings().maxDispatches()) {
-            mEndings.giveUp(state, ErrorCode.RETRIES_SPENT, detail, now);
+            mActiveRequests.giveUp(state, ErrorCode.ENDPOINT_LOST, detail, now);
+        } else if (state.possibleRuns() >= mContext.settings().maxDispatches()) {
+            mActiveRequests.giveUp(state, ErrorCode.RETRIES_SPENT, detail, now);
         } else {
             mLauncher.dispatch(state, now);
         }
     }
 
     /**
-     * Adds what the failure says of the whole request. Only a dispatch can say that nothing ran or
-     * that the request itself was rejected: a failed resumption says nothing about the run whose
-     * stream it wanted, and a rejected continuation nothing about the request.
+     * Updates the verdict on the request. Only a failed dispatch shows that nothing ran, and only a
+     * failed dispatch from the start shows that the request itself was rejected: a failed
+     * resumption is no evidence about the run of its stream, nor a rejected continuation about the
+     * request.
      */
     private static void addVerdict(
             final RequestState state, final Attempt attempt, final AttemptFailure failure) {
@@ -114,7 +119,7 @@
 
     private void resume(final RequestState state, final Attempt attempt, final Instant now) {
         state.setResumeTried(true);
-        mWiring.actions().release(attempt.id());
+        mContext.actions().release(attempt.id());
         final Endpoint endpoint = attempt.endpoint();
         mLauncher.resume(state, endpoint, attempt.streamId(), attempt.firstIndex(), now);
     }
@@ -125,15 +130,15 @@
             final AttemptFailure failure,
             final Instant now) {
         state.triedEndpoints().add(attempt.endpoint().id());
-        if (MAY_RUN_ON.contains(failure)) {
-            mEndings.cancelAttempt(state, attempt, now);
+        if (MAY_STILL_RUN.contains(failure)) {
+            mActiveRequests.cancelAttempt(state, attempt, now);
         } else {
-            mEndings.endAttempt(state, attempt, now);
+            mActiveRequests.endAttempt(state, attempt, now);
         }
     }
 
     /**
-     * Notes why the next dispatch repeats work; nothing is repeated if this attempt did not run.
+     * Records why the next dispatch repeats work; an attempt that did not run causes no repetition.
      */
     private void recordCause(
             final RequestState state, final Attempt attempt, final AttemptFailure failure) {
@@ -147,7 +152,7 @@
     private void revertRecomputedTokens(
             final RequestState state, final Attempt attempt, final RecoveryCause cause) {
         state.addRecomputedTokens(-attempt.recomputedTokens());
-        mWiring.counters().subtract(cause, attempt.recomputedTokens());
+        mContext.counters().subtract(cause, attempt.recomputedTokens());
         state.setCause(Optional.of(cause));
     }
 
--- a/requests/src/main/java/org/whinhead/requests/RecoveryCause.java
+++ b/requests/src/main/java/org/whinhead/requests/RecoveryCause.java
@@ -1,26 +1,26 @@
 package org.whinhead.requests;
 
-/** Why work was done again. */
+/** The reasons why work is repeated. */
 public enum RecoveryCause {
-    /** The engine was announced to leave and its stream could not be moved in time. */
+    /** The engine was announced to leave and the stream could not be moved in time. */
     ENGINE_LEFT(true),
     /** The engine or the connection to it failed. */
     ENGINE_FAILED(false),
-    /** The engine was silent for too long. */
+    /** The engine sent nothing within the silence limit. */
     ENGINE_SILENT(false),
-    /** The stream did not belong to the answer that the caller has. */
+    /** The stream did not match the text that the caller has. */
     FOREIGN_STREAM(false),
-    /** The caller came back and no engine held its stream any more. */
+    /** The caller returned and no engine held the stream any longer. */
     CALLER_RETURNED(true);
 
-    private final boolean mDeparture;
+    private final boolean mExemptFromRetryBudget;
 
-    RecoveryCause(final boolean departure) {
-        mDeparture = departure;
+    RecoveryCause(final boolean exemptFromRetryBudget) {
+        mExemptFromRetryBudget = exemptFromRetryBudget;
     }
 
-    /** Tells whether one dispatch is free of the retry budget, since nothing failed. */
+    /** Returns whether one dispatch is exempt from the retry budget, since nothing failed. */
     boolean isExemptFromRetryBudget() {
-        return mDeparture;
+        return mExemptFromRetryBudget;
     }
 }
--- a/requests/src/main/java/org/whinhead/requests/RecoveryMode.java
+++ b/requests/src/main/java/org/whinhead/requests/RecoveryMode.java
@@ -1,10 +1,10 @@
 package org.whinhead.requests;
 
-/** What is made of the work that a failed or leaving engine has done for an answer. */
+/** Whether the work of a failed or leaving engine is reused. */
 public enum RecoveryMode {
-    /** Streams are resumed, KV caches moved, and answers continued from the delivered text. */
+    /** Resume streams, move KV caches, and continue answers from the delivered text. */
     KEEP_WORK(true),
-    /** Every answer is generated again from its start; the baseline of measurements. */
+    /** Generate every answer again from its start; the baseline of measurements. */
     START_OVER(false);
 
     private final boolean mKeepsWork;
@@ -13,7 +13,7 @@
         mKeepsWork = keepsWork;
     }
 
-    /** Tells whether streams and delivered text are used. */
+    /** Returns whether streams and delivered text are reused. */
     boolean keepsWork() {
         return mKeepsWork;
     }
--- a/requests/src/main/java/org/whinhead/requests/RecoveryPlanner.java
+++ b/requests/src/main/java/org/whinhead/requests/RecoveryPlanner.java
@@ -3,26 +3,26 @@
 import java.util.EnumSet;
 import java.util.Set;
 
-/** Decides what follows a failed attempt. */
+/** Chooses the recovery step after a failed attempt. */
 final class RecoveryPlanner {
 
-    /** What follows. */
+    /** The recovery steps. */
     enum Step {
-        /** Read the stream on at the same engine. */
+        /** Resume the stream at the same engine. */
         RESUME,
-        /** Send the request out again, from the delivered text if there is any. */
+        /** Dispatch the request again, from the delivered text if there is any. */
         REDISPATCH,
-        /** Send the request out again from its start, because its text cannot be continued. */
+        /** Dispatch the request again from its start, because its text cannot be continued. */
         START_OVER,
-        /** Answer the caller now: the endpoint's error is final. */
+        /** End the request: the endpoint's error is final. */
         ANSWER_ERROR,
-        /** Answer the caller now: the request may have run and must not run again. */
+        /** End the request: it may have run and must not run again. */
         MUST_NOT_REPEAT,
-        /** Answer the caller now: it was sent out often enough. */
+        /** End the request: the maximum number of dispatches is reached. */
         SPENT
     }
 
-    private static final Set<AttemptFailure> CONNECTION_ALONE =
+    private static final Set<AttemptFailure> CONNECTION_FAILURES =
             EnumSet.of(AttemptFailure.CUT_BEFORE_ANSWER, AttemptFailure.CUT_DURING_ANSWER);
 
     private final int mMaxDispatches;
@@ -35,7 +35,7 @@
         mLeaving = leaving;
     }
 
-    /** Decides, after the failure's verdict was added to the request. */
+    /** Returns the step for a failure whose verdict has already been added to the request. */
     Step plan(final RequestState state, final Attempt attempt, final AttemptFailure failure) {
         if (failure == AttemptFailure.REJECTED) {
             return attempt.kind() == AttemptKind.CONTINUE && state.spec().idempotent()
@@ -56,14 +56,14 @@
     }
 
     /**
-     * Tells whether the stream may still be there. Only one resumption is tried for each piece of
-     * progress, so that an engine which accepts connections and then cuts them is left in the end.
-     * A silent engine is only asked again when the request may not run elsewhere.
+     * Returns whether to resume the stream. Only one resumption is tried until a new token arrives,
+     * so that an engine which accepts connections and then cuts them is eventually abandoned. A
+     * silent engine is only retried if the request is not idempotent and so must not run elsewhere.
      */
     private boolean canResume(
             final RequestState state, final Attempt attempt, final AttemptFailure failure) {
         final boolean worthwhile =
-                CONNECTION_ALONE.contains(failure)
+                CONNECTION_FAILURES.contains(failure)
                         || (failure == AttemptFailure.SILENT && !state.spec().idempotent());
         return worthwhile
                 && mKeepsWork
@@ -73,7 +73,9 @@
                 && mLeaving.goneBy(attempt.endpoint().id()).isEmpty();
     }
 
-    /** Tells whether a restarted stream is still being compared, which a resumption would skip. */
+    /**
+     * Returns whether a restarted stream is still being compared, which a resumption would skip.
+     */
     private static boolean isComparingText(final RequestState state, final Attempt attempt) {
         return attempt.isComparingText() && state.delivered().tokens() > 0;
     }
--- a/requests/src/main/java/org/whinhead/requests/RequestActions.java
+++ b/requests/src/main/java/org/whinhead/requests/RequestActions.java
@@ -6,38 +6,38 @@
 import org.whinhead.api.verdict.Refusal;
 
 /**
- * What the coordinator tells the outside to do; every call returns at once, and the outcome comes
- * back as an {@link AttemptEvent} or a claim outcome.
+ * The actions that the coordinator requests; every call returns immediately, and the outcome is
+ * reported as an {@link AttemptEvent} or a {@link ClaimOutcome}.
  */
 public interface RequestActions {
 
     /**
-     * Sends the request to an engine from its start.
+     * Sends the request to an engine, to generate its answer or the rest of it.
      *
-     * @param attempt the attempt
+     * @param attempt the ID of the attempt
      * @param endpoint the engine
      * @param deliveredText text that the caller already has and that the engine must continue;
      *     empty to start over
-     * @param deliveredTokens how many tokens that text has
+     * @param deliveredTokens the number of tokens in that text
      */
     void generate(AttemptId attempt, Endpoint endpoint, String deliveredText, long deliveredTokens);
 
     /**
      * Resumes a stream that an engine still holds.
      *
-     * @param attempt the attempt
+     * @param attempt the ID of the attempt
      * @param endpoint the engine
-     * @param streamId the engine's name for the stream
-     * @param fromIndex the first token wanted
+     * @param streamId the stream's ID at the engine
+     * @param fromIndex the answer index of the first token to send
      */
     void resume(AttemptId attempt, Endpoint endpoint, String streamId, long fromIndex);
 
     /**
      * Moves a stream's KV cache from a leaving engine to another one.
      *
-     * @param attempt the new attempt, at the receiving engine
+     * @param attempt the ID of the new attempt, at the receiving engine
      * @param from the leaving engine
-     * @param streamId the leaving engine's name for the stream
+     * @param streamId the stream's ID at the leaving engine
      * @param to the receiving engine
      */
     void move(AttemptId attempt, Endpoint from, String streamId, Endpoint to);
@@ -45,95 +45,95 @@
     /**
      * Calls a plain service.
      *
-     * @param attempt the attempt
+     * @param attempt the ID of the attempt
      * @param endpoint the service
      */
     void call(AttemptId attempt, Endpoint endpoint);
 
     /**
-     * Ends an attempt at its endpoint; no further event of it is wanted.
+     * Cancels an attempt at its endpoint; its further events are ignored.
      *
-     * @param attempt the attempt
-     * @param endpoint where it runs
-     * @param streamId the endpoint's name for the stream; empty if not known yet
+     * @param attempt the ID of the attempt
+     * @param endpoint the endpoint that runs the attempt
+     * @param streamId the stream's ID at the endpoint; empty if not known yet
      */
     void cancel(AttemptId attempt, Endpoint endpoint, String streamId);
 
     /**
-     * Asks for the at-most-once claim of a non-idempotent request.
+     * Requests the at-most-once claim for a non-idempotent request.
      *
-     * @param request the request
+     * @param request the ID of the request
      */
     void claim(RequestId request);
 
     /**
-     * Hands tokens to the caller, each index exactly once and in order.
+     * Delivers a token to the caller, each index exactly once and in order.
      *
-     * @param request the request
+     * @param request the ID of the request
      * @param index the token's index in the caller's answer, from 0
      * @param text the token's text
      */
     void deliver(RequestId request, long index, String text);
 
     /**
-     * Ends a generated answer; all its tokens were delivered before.
+     * Ends a generated answer after all its tokens were delivered.
      *
-     * @param request the request
-     * @param completion how it went
+     * @param request the ID of the request
+     * @param completion the statistics of the answer
      */
     void complete(RequestId request, Completion completion);
 
     /**
-     * Gives the caller a plain service's answer.
+     * Sends a plain service's answer to the caller.
      *
-     * @param request the request
+     * @param request the ID of the request
      * @param answer the answer
      */
     void answer(RequestId request, PlainAnswer answer);
 
     /**
-     * Gives the caller a final refusal, at once.
+     * Sends a final refusal to the caller.
      *
-     * @param request the request
-     * @param refusal why, and whether it may have run
+     * @param request the ID of the request
+     * @param refusal the reason, and the verdict on whether the request may have run
      */
     void refuse(RequestId request, Refusal refusal);
 
     /**
-     * Stops reading an attempt's stream without ending it at its endpoint; no further event of it
-     * is wanted.
+     * Stops reading an attempt's stream without cancelling it at its endpoint; further events of
+     * the attempt are ignored.
      *
-     * @param attempt the attempt
+     * @param attempt the ID of the attempt
      */
     void release(AttemptId attempt);
 
     /**
-     * Gives the caller a ticket, good from now on, with which it can fetch the rest of its answer
-     * from any daemon; a later ticket replaces it.
+     * Sends the caller a ticket with which it can fetch the rest of its answer from any daemon; a
+     * later ticket replaces it.
      *
-     * @param request the request
-     * @param ticket where the answer is being made
+     * @param request the ID of the request
+     * @param ticket the ticket, which names the stream of the answer
      */
     void ticket(RequestId request, Ticket ticket);
 
     /**
-     * Sends the caller away with a ticket because this daemon stops. A streamed answer ends with
-     * the ticket; a caller that waits for a whole answer gets the refusal and the ticket. The
-     * engine's stream runs on: it is neither cancelled nor read any more.
+     * Ends a request with a ticket because this daemon stops. A streamed answer ends with the
+     * ticket; a caller that waits for a whole answer receives the refusal and the ticket. The
+     * engine's stream continues: it is neither cancelled nor read any longer.
      *
-     * @param request the request
-     * @param ticket where the answer is being made
-     * @param refusal what is said beside it, with a time to come back
+     * @param request the ID of the request
+     * @param ticket the ticket, which names the stream of the answer
+     * @param refusal the refusal sent along with the ticket, with the time after which to retry
      */
     void handBack(RequestId request, Ticket ticket, Refusal refusal);
 
     /**
-     * Gives up a granted claim: its holder has ended the request and it certainly did not run, so
-     * that another daemon may claim it. Doing nothing is safe; the request then stays claimed.
+     * Releases a granted claim, so that another daemon can claim the request; only called after the
+     * request ended and certainly did not run. Doing nothing is safe: the request stays claimed.
      *
-     * @param request the request
+     * @param request the ID of the request
      */
     default void unclaim(final RequestId request) {
-        // A claim that is never given up only costs its caller a repeat under a new key.
+        // If a claim is never released, the caller only has to repeat the request under a new key.
     }
 }
--- a/requests/src/main/java/org/whinhead/requests/RequestCoordinator.java
+++ b/requests/src/main/java/org/whinhead/requests/RequestCoordinator.java
@@ -6,82 +6,83 @@
 import org.whinhead.api.request.RequestSpec;
 
 /**
- * Decides the life of every request of one daemon; single-threaded, without input or output, and
- * told the time with each event.
+ * Coordinates all requests of one daemon. Single-threaded; performs no I/O and reads no clock: each
+ * call passes the current time.
  */
 public interface RequestCoordinator {
 
     /**
-     * Takes in a new request.
+     * Accepts a new request.
      *
      * @param spec the request
-     * @param now the time
-     * @return false, with nothing done, if a request of that identity is in progress here
+     * @param now the current time
+     * @return false, without any effect, if a request with the same ID is in progress here
      */
     boolean submit(RequestSpec spec, Instant now);
 
     /**
-     * Takes in a caller that comes back for the rest of an answer. If the request is still in
-     * progress here, its former connection gets nothing more.
+     * Continues an answer for a caller that returned with a ticket. If the request is still in
+     * progress here, its former connection receives nothing more.
      *
      * @param spec the request, rebuilt from the caller's repeated body
-     * @param ticket where the answer was being made
-     * @param haveTokens how many tokens the caller already has
-     * @param haveText their text
-     * @param now the time
+     * @param ticket the ticket, which names the stream of the answer
+     * @param haveTokens the number of tokens that the caller already has
+     * @param haveText the text of those tokens
+     * @param now the current time
      */
     void resume(RequestSpec spec, Ticket ticket, long haveTokens, String haveText, Instant now);
 
     /**
-     * The caller hung up.
+     * Ends a request whose caller disconnected.
      *
-     * @param request the request
-     * @param now the time
+     * @param request the ID of the request
+     * @param now the current time
      */
     void onCallerDisconnected(RequestId request, Instant now);
 
     /**
-     * Something happened to an attempt.
+     * Handles an event of an attempt.
      *
-     * @param event what happened
-     * @param now the time
+     * @param event the event
+     * @param now the current time
      */
     void onAttemptEvent(AttemptEvent event, Instant now);
 
     /**
-     * A claim was decided.
+     * Handles the outcome of an at-most-once claim.
      *
-     * @param request the request
-     * @param outcome the decision
-     * @param now the time
+     * @param request the ID of the request
+     * @param outcome the outcome of the claim
+     * @param now the current time
      */
     void onClaimDecided(RequestId request, ClaimOutcome outcome, Instant now);
 
     /**
-     * An endpoint was announced to leave: its streams move away while it still answers.
+     * Drains an endpoint that was announced to leave: its streams move to other endpoints while it
+     * still answers.
      *
-     * @param endpoint the endpoint
-     * @param goneBy when it stops answering
-     * @param now the time
+     * @param endpoint the ID of the endpoint
+     * @param goneBy the time when the endpoint stops answering
+     * @param now the current time
      */
     void onEndpointLeaving(EndpointId endpoint, Instant goneBy, Instant now);
 
     /**
-     * This daemon was told to stop: new requests are refused, those in progress run on, and callers
-     * whose answer is not whole shortly before the end are sent away with a ticket.
+     * Begins the shutdown of this daemon: refuses new requests and continues those in progress;
+     * callers whose answer is incomplete shortly before the end receive a ticket instead.
      *
-     * @param goneBy when the daemon stops answering
-     * @param now the time
+     * @param goneBy the time when the daemon stops answering
+     * @param now the current time
      */
     void beginShutdown(Instant goneBy, Instant now);
 
     /**
-     * Time passed; called at least every 50 ms.
+     * Handles timeouts and due retries; called at least every 50 ms.
      *
-     * @param now the time
+     * @param now the current time
      */
     void tick(Instant now);
 
-    /** Returns how many requests are in progress. */
+    /** Returns the number of requests in progress. */
     int requestCount();
 }
--- a/requests/src/main/java/org/whinhead/requests/RequestSettings.java
+++ b/requests/src/main/java/org/whinhead/requests/RequestSettings.java
@@ -5,24 +5,26 @@
 import org.whinhead.api.Arguments;
 
 /**
- * How patient the coordinator is and how often it tries.
+ * The timeouts and limits of the coordinator.
  *
- * @param maxDispatches the most dispatches of one request that may have run; resumptions and those
- *     that certainly did not run do not count
- * @param firstBackoff the wait before the first retry, before jitter
- * @param maxBackoff the longest wait between two tries
- * @param retryShare retries allowed for each first dispatch, as a share
- * @param retryBurst retries that may be saved up
- * @param patience how long a request waits for an endpoint that takes it, or for the retry budget
- * @param silenceFactor how many times a tier's latency target an engine may be silent
- * @param leastSilence the shortest silence that counts as a failure
- * @param openTimeout how long an engine may take to open its stream, if that is shorter than the
- *     bound on silence before the first token
- * @param moveTime how long a move of KV cache may take
- * @param stopMargin how long before a daemon's end its callers are sent away
- * @param comeBackAfter the wait told to callers that are refused
- * @param recovery what is made of the work of failed and leaving engines
- * @param retryScope what one deadline and one count of runs cover; the whole request by default
+ * @param maxDispatches the maximum number of dispatches of a request that may have run; resumptions
+ *     and dispatches that certainly did not run are not counted
+ * @param firstBackoff the delay before the first retry, before jitter
+ * @param maxBackoff the maximum delay before a retry
+ * @param retryShare the number of retries allowed for each first dispatch (0 to 1)
+ * @param retryBurst the maximum number of unused retries that the retry budget accumulates
+ * @param patience the maximum time that a request waits for an available endpoint or for the retry
+ *     budget
+ * @param silenceFactor the silence limit of an attempt, as a multiple of its tier's latency target
+ * @param leastSilence the lower bound on the silence limit
+ * @param openTimeout the maximum time until an engine opens its stream, if that is shorter than the
+ *     silence limit before the first token
+ * @param moveTime the maximum duration of a KV cache move
+ * @param stopMargin the time before a daemon's end when its callers are handed back
+ * @param comeBackAfter the time after which refused callers are told to retry
+ * @param recovery whether the work of failed and leaving engines is reused
+ * @param retryScope the scope of the deadline and of the count of possible runs; the whole request
+ *     by default
  */
 public record RequestSettings(
         int maxDispatches,
@@ -40,7 +42,7 @@
         RecoveryMode recovery,
         RetryScope retryScope) {
 
-    /** Checks every part. */
+    /** Validates the components. */
     public RequestSettings {
         Arguments.requireAtLeast(maxDispatches, 1, "maxDispatches");
         Arguments.requirePositive(firstBackoff, "firstBackoff");
@@ -56,7 +58,7 @@
         Objects.requireNonNull(recovery, "recovery");
         Objects.requireNonNull(retryScope, "retryScope");
         if (!(retryShare >= 0 && retryShare <= 1)) {
-            throw new IllegalArgumentException("retryShare is not a share: " + retryShare);
+            throw new IllegalArgumentException("retryShare must be between 0 and 1: " + retryShare);
         }
     }
 
@@ -84,70 +86,70 @@
 
         private Builder() {}
 
-        /** Sets the most dispatches of one request that may have run. */
+        /** Sets the maximum number of dispatches of a request that may have run. */
         public Builder maxDispatches(final int maxDispatches) {
             mMaxDispatches = maxDispatches;
             return this;
         }
 
-        /** Sets the first and the longest wait between two tries. */
+        /** Sets the first and the maximum delay before a retry. */
         public Builder backoff(final Duration first, final Duration longest) {
             mFirstBackoff = first;
             mMaxBackoff = longest;
             return this;
         }
 
-        /** Sets the share of retries and how many may be saved up. */
+        /** Sets the number of retries for each first dispatch (0 to 1) and the burst. */
         public Builder retries(final double share, final int burst) {
             mRetryShare = share;
             mRetryBurst = burst;
             return this;
         }
 
-        /** Sets how long a request waits for an endpoint or for the retry budget. */
+        /** Sets the maximum time that a request waits for an endpoint or for the retry budget. */
         public Builder patience(final Duration patience) {
             mPatience = patience;
             return this;
         }
 
-        /** Sets the bound on silence: a multiple of the tier's target, but at least a duration. */
+        /** Sets the silence limit: a multiple of the tier's target, but at least a duration. */
         public Builder silence(final int factor, final Duration least) {
             mSilenceFactor = factor;
             mLeastSilence = least;
             return this;
         }
 
-        /** Sets how long an engine may take to open its stream. */
+        /** Sets the maximum time until an engine opens its stream. */
         public Builder openTimeout(final Duration openTimeout) {
             mOpenTimeout = openTimeout;
             return this;
         }
 
-        /** Sets how long a move of KV cache may take. */
+        /** Sets the maximum duration of a KV cache move. */
         public Builder moveTime(final Duration moveTime) {
             mMoveTime = moveTime;
             return this;
         }
 
-        /** Sets how long before a daemon's end its callers are sent away. */
+        /** Sets the time before a daemon's end when its callers are handed back. */
         public Builder stopMargin(final Duration stopMargin) {
             mStopMargin = stopMargin;
             return this;
         }
 
-        /** Sets the wait told to callers that are refused. */
+        /** Sets the time after which refused callers are told to retry. */
         public Builder comeBackAfter(final Duration comeBackAfter) {
             mComeBackAfter = comeBackAfter;
             return this;
         }
 
-        /** Sets what is made of the work of failed and leaving engines. */
+        /** Sets whether the work of failed and leaving engines is reused. */
         public Builder recovery(final RecoveryMode recovery) {
             mRecovery = recovery;
             return this;
         }
 
-        /** Sets what one deadline and one count of runs cover. */
+        /** Sets the scope of the deadline and of the count of possible runs. */
         public Builder retryScope(final RetryScope retryScope) {
             mRetryScope = retryScope;
             return this;
--- a/requests/src/main/java/org/whinhead/requests/RequestState.java
+++ b/requests/src/main/java/org/whinhead/requests/RequestState.java
@@ -10,16 +10,16 @@
 import org.whinhead.api.request.RequestSpec;
 import org.whinhead.api.verdict.Verdict;
 
-/** All that is known of one request in progress. */
+/** The state of one request in progress. */
 final class RequestState {
 
-    /** Where the request stands. */
+    /** The phases of a request. */
     enum Phase {
         /** Waits to be admitted. */
         WAITING,
         /** Waits for its at-most-once claim. */
         CLAIMING,
-        /** Waits for the time of its next try. */
+        /** Waits for the time of its next retry. */
         PAUSED,
         /** Has an attempt in progress. */
         RUNNING
@@ -28,7 +28,7 @@
     private final RequestSpec mSpec;
     private Instant mDeadline;
     private final DeliveredText mDelivered;
-    private final Set<EndpointId> mTried = new HashSet<>();
+    private final Set<EndpointId> mTriedEndpoints = new HashSet<>();
     private Phase mPhase = Phase.WAITING;
     private Verdict mVerdict = Verdict.NOT_RUN;
     private Optional<Attempt> mLive = Optional.empty();
@@ -36,8 +36,8 @@
     private Optional<Instant> mBlockedSince = Optional.empty();
     private Optional<RecoveryCause> mCause = Optional.empty();
     private Optional<Ticket> mLastTicket = Optional.empty();
-    private Instant mNextTry;
-    private int mLastNumber;
+    private Instant mRetryAt;
+    private int mLastAttemptNumber;
     private int mAttempts;
     private int mDispatches;
     private int mPossibleRuns;
@@ -46,14 +46,14 @@
     private boolean mClaimHeld;
     private boolean mResumeTried;
     private boolean mMoveTried;
-    private boolean mStartOver;
-    private boolean mDispatchFree;
+    private boolean mStartOverRequired;
+    private boolean mExemptFromRetryBudget;
 
     RequestState(final RequestSpec spec, final Instant deadline, final DeliveredText delivered) {
         mSpec = spec;
         mDeadline = deadline;
         mDelivered = delivered;
-        mNextTry = spec.arrived();
+        mRetryAt = spec.arrived();
     }
 
     RequestSpec spec() {
@@ -72,7 +72,9 @@
         return !now.isBefore(mDeadline);
     }
 
-    /** Starts the deadline and the count of possible runs anew, with the attempt in progress. */
+    /**
+     * Restarts the deadline, and restarts the count of possible runs with the attempt in progress.
+     */
     void restartBounds(final Instant now) {
         mDeadline = now.plus(mSpec.tier().requestTimeout());
         mPossibleRuns = 1;
@@ -83,7 +85,7 @@
     }
 
     Set<EndpointId> triedEndpoints() {
-        return mTried;
+        return mTriedEndpoints;
     }
 
     Phase phase() {
@@ -94,7 +96,7 @@
         mPhase = phase;
     }
 
-    /** Returns whether any ended attempt may have run. */
+    /** Returns the combined verdict on whether the ended attempts ran. */
     Verdict verdict() {
         return mVerdict;
     }
@@ -111,7 +113,7 @@
         mLive = live;
     }
 
-    /** Returns the move of KV cache that is under way, if any. */
+    /** Returns the KV cache move in progress, if any. */
     Optional<Attempt> move() {
         return mMove;
     }
@@ -128,7 +130,7 @@
         mBlockedSince = since;
     }
 
-    /** Returns why the next dispatch repeats work, if it does. */
+    /** Returns the reason why the next dispatch repeats work, if it does. */
     Optional<RecoveryCause> cause() {
         return mCause;
     }
@@ -146,28 +148,28 @@
     }
 
     Instant retryAt() {
-        return mNextTry;
+        return mRetryAt;
     }
 
-    void pauseUntil(final Instant nextTry) {
+    void pauseUntil(final Instant retryAt) {
         mPhase = Phase.PAUSED;
-        mNextTry = nextTry;
+        mRetryAt = retryAt;
     }
 
-    /** Names the next attempt. */
+    /** Assigns the ID of the next attempt. */
     AttemptId nextAttemptId() {
-        mLastNumber++;
+        mLastAttemptNumber++;
         mAttempts++;
-        return new AttemptId(mSpec.id(), mLastNumber);
+        return new AttemptId(mSpec.id(), mLastAttemptNumber);
     }
 
-    /** Makes attempt numbers go on after those that another daemon used. */
+    /** Skips the attempt numbers up to the given one, which another daemon used. */
     void skipAttemptNumbers(final int number) {
-        mLastNumber = Math.max(mLastNumber, number);
+        mLastAttemptNumber = Math.max(mLastAttemptNumber, number);
     }
 
     int lastAttemptNumber() {
-        return mLastNumber;
+        return mLastAttemptNumber;
     }
 
     int attempts() {
@@ -178,13 +180,13 @@
         return mDispatches;
     }
 
-    /** Counts a dispatch as a possible run, until it turns out not to have run. */
+    /** Counts a dispatch as a possible run, until it is known not to have run. */
     void countDispatch() {
         mDispatches++;
         mPossibleRuns++;
     }
 
-    /** Returns how many dispatches may have run. */
+    /** Returns the number of dispatches that may have run. */
     int possibleRuns() {
         return mPossibleRuns;
     }
@@ -233,21 +235,25 @@
         mMoveTried = tried;
     }
 
-    /** Tells whether the next dispatch must not continue from text, which an engine rejected. */
+    /**
+     * Returns whether the next dispatch must start over, because an engine rejected continuation.
+     */
     boolean isStartOverRequired() {
-        return mStartOver;
+        return mStartOverRequired;
     }
 
     void requireStartOver() {
-        mStartOver = true;
+        mStartOverRequired = true;
     }
 
-    /** Tells whether the next dispatch follows a departure and so is not charged as a retry. */
+    /**
+     * Returns whether the next dispatch is not charged to the retry budget, since nothing failed.
+     */
     boolean isExemptFromRetryBudget() {
-        return mDispatchFree;
+        return mExemptFromRetryBudget;
     }
 
-    void setExemptFromRetryBudget(final boolean free) {
-        mDispatchFree = free;
+    void setExemptFromRetryBudget(final boolean exempt) {
+        mExemptFromRetryBudget = exempt;
     }
 }
--- a/requests/src/main/java/org/whinhead/requests/RetryBudget.java
+++ b/requests/src/main/java/org/whinhead/requests/RetryBudget.java
@@ -4,53 +4,53 @@
 import java.time.Instant;
 
 /**
- * Caps retries at a share of first dispatches.
+ * Limits retries to a share of first dispatches with a token bucket.
  *
  * <p>Guards against a retry storm: when many endpoints fail, every request would be sent several
- * times and the rest of the fleet would go down too. It shows as dispatches that rise while
- * completions fall. The cap holds for the whole fleet because each daemon keeps to the share of its
- * own traffic. A slow trickle lets a daemon with hardly any traffic retry at all.
+ * times and overload the rest of the fleet; dispatches would rise while completions fall. The limit
+ * holds for the whole fleet because each daemon limits retries to a share of its own traffic. A
+ * slow constant refill permits retries on a daemon with hardly any traffic.
  */
 final class RetryBudget {
 
-    private static final double TRICKLE_PER_SECOND = 1.0;
+    private static final double REFILL_PER_SECOND = 1.0;
     private static final double NANOS_PER_SECOND = Duration.ofSeconds(1).toNanos();
 
     private final double mShare;
     private final double mBurst;
-    private double mSaved;
-    private Instant mFilledAt = Instant.MIN;
+    private double mAvailable;
+    private Instant mRefilledAt = Instant.MIN;
 
     RetryBudget(final double share, final int burst) {
         mShare = share;
         mBurst = burst;
-        mSaved = burst;
+        mAvailable = burst;
     }
 
-    /** Counts a first dispatch. */
+    /** Adds the share of a first dispatch to the bucket. */
     void recordFirstDispatch() {
-        mSaved = Math.min(mBurst, mSaved + mShare);
+        mAvailable = Math.min(mBurst, mAvailable + mShare);
     }
 
-    /** Tells whether a retry may be sent now. */
+    /** Returns whether a retry may be sent now. */
     boolean canRetry(final Instant now) {
         refill(now);
-        return mSaved >= 1;
+        return mAvailable >= 1;
     }
 
-    /** Counts a retry that was sent. */
+    /** Takes one retry from the bucket. */
     void recordRetry() {
-        mSaved--;
+        mAvailable--;
     }
 
     private void refill(final Instant now) {
-        if (mFilledAt.equals(Instant.MIN)) {
-            mFilledAt = now;
+        if (mRefilledAt.equals(Instant.MIN)) {
+            mRefilledAt = now;
         }
-        if (now.isAfter(mFilledAt)) {
-            final double seconds = Duration.between(mFilledAt, now).toNanos() / NANOS_PER_SECOND;
-            mSaved = Math.min(mBurst, mSaved + seconds * TRICKLE_PER_SECOND);
-            mFilledAt = now;
+        if (now.isAfter(mRefilledAt)) {
+            final double seconds = Duration.between(mRefilledAt, now).toNanos() / NANOS_PER_SECOND;
+            mAvailable = Math.min(mBurst, mAvailable + seconds * REFILL_PER_SECOND);
+            mRefilledAt = now;
         }
     }
 }
--- a/requests/src/main/java/org/whinhead/requests/RetryScope.java
+++ b/requests/src/main/java/org/whinhead/requests/RetryScope.java
@@ -2,16 +2,16 @@
 
 import java.time.Instant;
 
-/** What one deadline and one count of possible runs cover. */
+/** The scope of the deadline and of the count of possible runs. */
 public enum RetryScope {
-    /** The whole request, whether an attempt fails before its answer or in it; the default. */
+    /** The whole request, whether an attempt fails before or during its answer; the default. */
     REQUEST {
         @Override
         void onAnswerBegan(final RequestState state, final Instant now) {
-            // The bounds of the request hold on.
+            // The bounds of the request continue to apply.
         }
     },
-    /** One attempt: once its answer has begun, deadline and count start anew. */
+    /** One attempt: the deadline and the count restart when its answer begins. */
     ATTEMPT {
         @Override
         void onAnswerBegan(final RequestState state, final Instant now) {
--- a/requests/src/main/java/org/whinhead/requests/Shutdown.java
+++ b/requests/src/main/java/org/whinhead/requests/Shutdown.java
@@ -9,40 +9,40 @@
 import org.whinhead.api.verdict.Verdict;
 
 /**
- * Lets a daemon stop without cutting a request: no new ones, and those that are not done shortly
- * before the end are sent away with what they need to go on elsewhere.
+ * Stops a daemon without losing requests: refuses new ones, and hands back those that are
+ * unfinished shortly before the end, with a ticket to continue on another daemon.
  */
 final class Shutdown {
 
-    private static final String DETAIL = "the rest is to be had from another daemon";
+    private static final String DETAIL = "the rest of the answer is available from another daemon";
 
-    private final CoordinatorContext mWiring;
-    private final ActiveRequests mEndings;
+    private final CoordinatorContext mContext;
+    private final ActiveRequests mActiveRequests;
     private Optional<Instant> mGoneBy = Optional.empty();
 
-    Shutdown(final CoordinatorContext wiring, final ActiveRequests endings) {
-        mWiring = wiring;
-        mEndings = endings;
+    Shutdown(final CoordinatorContext context, final ActiveRequests activeRequests) {
+        mContext = context;
+        mActiveRequests = activeRequests;
     }
 
-    /** Notes the end; of several announcements the earliest counts. */
+    /** Begins the shutdown; of several announced end times, the earliest applies. */
     void begin(final Instant goneBy) {
         final Instant earliest = mGoneBy.filter(known -> known.isBefore(goneBy)).orElse(goneBy);
         mGoneBy = Optional.of(earliest);
     }
 
-    /** Returns the refusal for a caller that comes now, if the daemon is stopping. */
+    /** Returns the refusal for a new or returning caller, if the daemon is stopping. */
     Optional<Refusal> refusalIfStopping(final Verdict verdict) {
         return mGoneBy.map(goneBy -> refusalOf(verdict));
     }
 
-    /** Sends callers away whose time has come. */
+    /** Ends the requests whose time margin before the end has been reached. */
     void endDueRequests(final Instant now) {
         if (mGoneBy.isEmpty()) {
             return;
         }
-        final Duration margin = mWiring.settings().stopMargin();
-        for (final RequestState state : mEndings.all()) {
+        final Duration margin = mContext.settings().stopMargin();
+        for (final RequestState state : mActiveRequests.all()) {
             final Duration left = canOnlyFinishHere(state) ? margin.dividedBy(2) : margin;
             if (!now.isBefore(mGoneBy.get().minus(left))) {
                 endRequest(state, now);
@@ -50,7 +50,7 @@
         }
     }
 
-    /** Tells whether a request has no way to go on elsewhere, so that it is given more time. */
+    /** Returns whether a request cannot continue on another daemon and therefore gets more time. */
     private static boolean canOnlyFinishHere(final RequestState state) {
         final RequestSpec spec = state.spec();
         return !spec.idempotent() && !spec.kind().streams() && state.live().isPresent();
@@ -63,14 +63,14 @@
         }
         final Optional<Ticket> ticket = TicketHandler.currentTicket(state);
         if (ticket.isPresent()) {
-            mEndings.handBack(state, ticket.get(), refusalOf(Verdict.MAY_HAVE_RUN), now);
+            mActiveRequests.handBack(state, ticket.get(), refusalOf(Verdict.MAY_HAVE_RUN), now);
         } else {
-            mEndings.giveUp(state, ErrorCode.STOPPING, DETAIL, now);
+            mActiveRequests.giveUp(state, ErrorCode.STOPPING, DETAIL, now);
         }
     }
 
     private Refusal refusalOf(final Verdict verdict) {
-        final Optional<Duration> after = Optional.of(mWiring.settings().comeBackAfter());
+        final Optional<Duration> after = Optional.of(mContext.settings().comeBackAfter());
         return new Refusal(ErrorCode.STOPPING, verdict, DETAIL, after);
     }
 }
--- a/requests/src/main/java/org/whinhead/requests/StallDetector.java
+++ b/requests/src/main/java/org/whinhead/requests/StallDetector.java
@@ -5,16 +5,16 @@
 import org.whinhead.api.model.Tier;
 
 /**
- * Finds attempts from which nothing has come for too long.
+ * Detects stalled attempts: those that sent no event within the silence limit.
  *
- * <p>Guards against an endpoint that is frozen, or a connection that is half open: no failure is
- * ever reported, and the caller would wait until its deadline. The bound follows the tier's latency
- * targets, with a larger one before the first token.
+ * <p>Guards against a frozen endpoint or a half-open connection: no failure is ever reported, and
+ * the caller would wait until its deadline. The limit is a multiple of the tier's latency targets:
+ * of the first-token target before the first token, then of the target between tokens.
  */
 final class StallDetector {
 
-    /** How long tokens may be missing once the stream's end has arrived. */
-    private static final Duration MISSING_BEFORE_END = Duration.ofMillis(200);
+    /** The maximum time that tokens may be missing after the end of the stream arrived. */
+    private static final Duration MISSING_TOKENS_TIMEOUT = Duration.ofMillis(200);
 
     private final RequestSettings mSettings;
 
@@ -22,7 +22,7 @@
         mSettings = settings;
     }
 
-    /** Tells whether an attempt has been silent for too long. */
+    /** Returns whether an attempt has exceeded its silence limit. */
     boolean isSilent(final RequestState state, final Attempt attempt, final Instant now) {
         if (!state.spec().kind().streams() && !state.spec().idempotent()) {
             return false;
@@ -30,27 +30,27 @@
         return !now.isBefore(attempt.lastEventAt().plus(silenceBound(state, attempt)));
     }
 
-    /** Tells whether tokens are missing from a stream whose end arrived a while ago. */
+    /** Returns whether tokens are still missing some time after the end of the stream arrived. */
     boolean hasLostTokens(final Attempt attempt, final Instant now) {
         return attempt.deferredEnd().isPresent()
-                && !now.isBefore(attempt.lastEventAt().plus(MISSING_BEFORE_END));
+                && !now.isBefore(attempt.lastEventAt().plus(MISSING_TOKENS_TIMEOUT));
     }
 
     /**
-     * Returns how long an attempt may be silent.
+     * Returns the silence limit of an attempt.
      *
-     * <p>Guards against an engine that takes requests and gives no sign: while a stream that is
-     * open may rightly wait long for its first token, one that never opens waits for nothing. The
-     * caller's deadline would come first, and the engine would go on getting work.
+     * <p>Guards against an engine that accepts requests and never responds. An open stream may need
+     * long for its first token, but a stream should open quickly. Without the shorter limit, the
+     * caller's deadline would pass first, and the engine would continue to receive requests.
      */
     private Duration silenceBound(final RequestState state, final Attempt attempt) {
-        final Duration bound = tierBound(state, attempt);
+        final Duration bound = tierSilenceBound(state, attempt);
         final Duration open = mSettings.openTimeout();
-        final boolean opens = state.spec().kind().streams() && !attempt.hasStream();
-        return opens && open.compareTo(bound) < 0 ? open : bound;
+        final boolean opening = state.spec().kind().streams() && !attempt.hasStream();
+        return opening && open.compareTo(bound) < 0 ? open : bound;
     }
 
-    private Duration tierBound(final RequestState state, final Attempt attempt) {
+    private Duration tierSilenceBound(final RequestState state, final Attempt attempt) {
         final Tier tier = state.spec().tier();
         final Duration target =
                 attempt.receivedTokens() == 0
--- a/requests/src/main/java/org/whinhead/requests/StreamDelivery.java
+++ b/requests/src/main/java/org/whinhead/requests/StreamDelivery.java
@@ -3,35 +3,34 @@
 import java.time.Instant;
 
 /**
- * Hands an attempt's tokens to the caller, each index once and in order.
+ * Delivers an attempt's tokens to the caller, each index once and in order.
  *
- * <p>Guards against a mixed answer: a restarted or foreign stream whose text differs from what the
- * caller has. It would show as an answer that no single run gave. Indexes below the delivered count
- * are compared with the delivered text and never handed on, so a stream either repeats it exactly
- * or is left.
+ * <p>Guards against an answer mixed from several runs, from a restarted or foreign stream whose
+ * text differs from the delivered text. Tokens below the delivered count are compared with the
+ * delivered text and never delivered, so a stream either repeats the text exactly or is abandoned.
  */
 final class StreamDelivery {
 
-    /** More tokens than this that overtook others mean that one is lost. */
+    /** The maximum number of tokens buffered out of order; beyond that, a token counts as lost. */
     private static final int MAX_EARLY_TOKENS = 256;
 
-    private final CoordinatorContext mWiring;
-    private final ActiveRequests mEndings;
+    private final CoordinatorContext mContext;
+    private final ActiveRequests mActiveRequests;
     private final Recovery mRecovery;
-    private final TicketHandler mTickets;
+    private final TicketHandler mTicketHandler;
 
     StreamDelivery(
-            final CoordinatorContext wiring,
-            final ActiveRequests endings,
+            final CoordinatorContext context,
+            final ActiveRequests activeRequests,
             final Recovery recovery,
-            final TicketHandler tickets) {
-        mWiring = wiring;
-        mEndings = endings;
+            final TicketHandler ticketHandler) {
+        mContext = context;
+        mActiveRequests = activeRequests;
         mRecovery = recovery;
-        mTickets = tickets;
+        mTicketHandler = ticketHandler;
     }
 
-    /** A token of the live attempt arrived. */
+    /** Handles a token of the live attempt. */
     void handleToken(
             final RequestState state,
             final Attempt attempt,
@@ -59,11 +58,11 @@
     }
 
     /**
-     * The live attempt's stream ended as it should.
+     * Handles the normal end of the live attempt's stream.
      *
-     * <p>Guards against an end that overtakes the last tokens, or comes without them: the answer
-     * would be short. The end is held until all tokens are there; {@link StallDetector} gives up on
-     * those that stay away, and the stream is then read again from the first missing one.
+     * <p>Guards against an end that arrives before or without the last tokens: the answer would be
+     * truncated. The end is deferred until all tokens have arrived; if {@link StallDetector}
+     * detects that tokens are lost, the stream is read again from the first missing one.
      */
     void handleFinished(
             final RequestState state,
@@ -80,7 +79,7 @@
             return;
         }
         subtractCachedTokens(state, attempt, finished);
-        mEndings.complete(state, finished, now);
+        mActiveRequests.complete(state, finished, now);
     }
 
     private void bufferEarlyToken(
@@ -108,10 +107,10 @@
                 return false;
             }
             attempt.stopComparingText();
-            mTickets.issueBeforeFirstToken(state, attempt);
+            mTicketHandler.issueBeforeFirstToken(state, attempt);
             delivered.append(text);
             state.setResumeTried(false);
-            mWiring.actions().deliver(state.id(), index, text);
+            mContext.actions().deliver(state.id(), index, text);
         }
         attempt.advance();
         return true;
@@ -122,7 +121,7 @@
         if (attempt.cause().isPresent()) {
             final long cached = Math.min(finished.cachedTokens(), attempt.recomputedTokens());
             state.addRecomputedTokens(-cached);
-            mWiring.counters().subtract(attempt.cause().get(), cached);
+            mContext.counters().subtract(attempt.cause().get(), cached);
         }
     }
 }
--- a/requests/src/main/java/org/whinhead/requests/Ticket.java
+++ b/requests/src/main/java/org/whinhead/requests/Ticket.java
@@ -7,15 +7,15 @@
 import org.whinhead.api.request.AttemptId;
 
 /**
- * Where an answer is being made, carried by the caller so that any daemon can go on with it.
+ * The state that a caller presents to continue its answer through any daemon.
  *
- * @param attempt the attempt that the answer comes from
- * @param customer who asked; a ticket is good for nobody else
- * @param endpoint the engine that holds the stream
- * @param streamId the engine's name for the stream; empty if only the caller's text is left
- * @param indexOffset the first index of the answer that the stream holds
+ * @param attempt the ID of the attempt that produces the answer
+ * @param customer the customer that made the request; a ticket is valid for no other
+ * @param endpoint the ID of the engine that holds the stream
+ * @param streamId the stream's ID at the engine; empty if only the caller's text can be continued
+ * @param indexOffset the answer index of the first token in the stream
  * @param idempotent whether the request may run more than once
- * @param deadline when the whole answer is due
+ * @param deadline the time when the whole answer is due
  */
 public record Ticket(
         AttemptId attempt,
@@ -26,7 +26,7 @@
         boolean idempotent,
         Instant deadline) {
 
-    /** Checks every part. */
+    /** Validates the components. */
     public Ticket {
         Objects.requireNonNull(attempt, "attempt");
         Objects.requireNonNull(customer, "customer");
--- a/requests/src/main/java/org/whinhead/requests/TicketCodec.java
+++ b/requests/src/main/java/org/whinhead/requests/TicketCodec.java
@@ -28,12 +28,12 @@
 import org.whinhead.api.verdict.Verdict;
 
 /**
- * Writes tickets as signed text and reads them back.
+ * Encodes tickets as signed text and decodes them.
  *
- * <p>Guards against tickets that were made up, changed, kept too long or passed on, with which a
- * caller could read another customer's answer. The signature covers every part and the key's name;
- * the customer is compared with who asks now. A refused ticket has the verdict "may have run",
- * since the request that it stands for did start somewhere, if the ticket was ever a good one.
+ * <p>Guards against forged, modified, expired or shared tickets, with which a caller could read
+ * another customer's answer. The signature covers every field and the key's name, and the ticket's
+ * customer must match the caller. A refusal has the verdict "may have run", since the request of a
+ * ticket that was once valid did start somewhere.
  */
 public final class TicketCodec {
 
@@ -44,44 +44,44 @@
     private static final int MAX_LENGTH = 4096;
     private static final ObjectMapper MAPPER = new ObjectMapper();
 
-    private final TicketKey mSigning;
+    private final TicketKey mSigningKey;
     private final Map<String, TicketKey> mKeys = new LinkedHashMap<>();
 
     /**
-     * Makes a codec.
+     * Creates a codec.
      *
-     * @param keys the valid keys; the first one signs, all are accepted
+     * @param keys the valid keys, at least one; the first signs, all verify
      */
     public TicketCodec(final List<TicketKey> keys) {
         Arguments.requireAtLeast(keys.size(), 1, "number of keys");
-        mSigning = keys.get(0);
+        mSigningKey = keys.get(0);
         keys.forEach(key -> mKeys.put(key.name(), key));
     }
 
     /**
-     * Writes a ticket.
+     * Encodes and signs a ticket.
      *
      * @param ticket the ticket
-     * @return text that fits into a header
+     * @return the text, suitable as the value of a header
      */
     public String write(final Ticket ticket) {
         final String payload =
                 FORMAT
                         + SEPARATOR
-                        + encode(mSigning.name().getBytes(StandardCharsets.UTF_8))
+                        + encode(mSigningKey.name().getBytes(StandardCharsets.UTF_8))
                         + SEPARATOR
                         + encode(toJson(ticket));
-        return payload + SEPARATOR + encode(signature(mSigning, payload));
+        return payload + SEPARATOR + encode(signature(mSigningKey, payload));
     }
 
     /**
-     * Reads a ticket and checks that it is good for a caller now.
+     * Decodes a ticket and checks that it is valid for a caller at a time.
      *
      * @param text the text that the caller sent
-     * @param caller who asks
-     * @param now the time
+     * @param caller the customer that presents the ticket
+     * @param now the current time
      * @return the ticket
-     * @throws RequestException if it is forged, expired or another customer's
+     * @throws RequestException if the ticket is malformed, forged, expired or another customer's
      */
     public Ticket read(final String text, final CustomerId caller, final Instant now)
             throws RequestException {
@@ -105,7 +105,7 @@
             final String name = new String(decode(parts[1]), StandardCharsets.UTF_8);
             final Optional<TicketKey> key = Optional.ofNullable(mKeys.get(name));
             final String payload = text.substring(0, end);
-            if (key.isEmpty() || !isSigned(key.get(), payload, parts[PARTS - 1])) {
+            if (key.isEmpty() || !isSignatureValid(key.get(), payload, parts[PARTS - 1])) {
                 throw refusal("its signature is not valid");
             }
             return fromJson(MAPPER.readTree(decode(parts[2])));
@@ -127,7 +127,8 @@
         try {
             return MAPPER.writeValueAsBytes(node);
         } catch (final JsonProcessingException e) {
-            throw new IllegalStateException("a tree of texts and numbers is always writable", e);
+            throw new IllegalStateException(
+                    "a JSON tree of strings and numbers failed to serialize", e);
         }
     }
 
@@ -143,8 +144,9 @@
                 Instant.parse(node.path("deadline").asText()));
     }
 
-    /** Compares texts, since several texts decode to the same bytes. */
-    private static boolean isSigned(final TicketKey key, final String payload, final String given) {
+    /** Compares the encoded signatures, since several texts decode to the same bytes. */
+    private static boolean isSignatureValid(
+            final TicketKey key, final String payload, final String given) {
         return MessageDigest.isEqual(
                 encode(signature(key, payload)).getBytes(StandardCharsets.UTF_8),
                 given.getBytes(StandardCharsets.UTF_8));
@@ -156,7 +158,7 @@
             mac.init(new SecretKeySpec(key.secret(), ALGORITHM));
             return mac.doFinal(payload.getBytes(StandardCharsets.US_ASCII));
         } catch (final GeneralSecurityException e) {
-            throw new IllegalStateException("every Java platform has " + ALGORITHM, e);
+            throw new IllegalStateException("the Java platform must support " + ALGORITHM, e);
         }
     }
 
--- a/requests/src/main/java/org/whinhead/requests/TicketHandler.java
+++ b/requests/src/main/java/org/whinhead/requests/TicketHandler.java
@@ -8,38 +8,39 @@
 import org.whinhead.api.verdict.Refusal;
 import org.whinhead.api.verdict.Verdict;
 
-/** Issues tickets for streams and takes in the callers that come back with them. */
+/** Issues tickets for streams and continues the answers of callers that return with them. */
 final class TicketHandler {
 
     private static final String NO_STREAM = "";
 
-    private final CoordinatorContext mWiring;
-    private final ActiveRequests mEndings;
+    private final CoordinatorContext mContext;
+    private final ActiveRequests mActiveRequests;
     private final AttemptLauncher mLauncher;
     private final Recovery mRecovery;
 
     TicketHandler(
-            final CoordinatorContext wiring,
-            final ActiveRequests endings,
+            final CoordinatorContext context,
+            final ActiveRequests activeRequests,
             final AttemptLauncher launcher,
             final Recovery recovery) {
-        mWiring = wiring;
-        mEndings = endings;
+        mContext = context;
+        mActiveRequests = activeRequests;
         mLauncher = launcher;
         mRecovery = recovery;
     }
 
-    /** Gives the caller a ticket for the live attempt's stream. */
+    /** Sends the caller a ticket for the live attempt's stream. */
     void issue(final RequestState state, final Attempt attempt) {
         final Ticket ticket = ticketFor(state, attempt);
         state.setLastTicket(ticket);
-        mWiring.actions().ticket(state.id(), ticket);
+        mContext.actions().ticket(state.id(), ticket);
     }
 
     /**
-     * Guards against a caller that has part of an answer and nothing to ask for the rest with: the
-     * event that names the stream was lost or is late, tokens are delivered, and the daemon dies.
-     * So a ticket, if only for the text, goes out before the first token.
+     * Issues a ticket, possibly only for the text, before the first token is delivered.
+     *
+     * <p>Guards against a caller with a partial answer and no ticket: the event with the stream ID
+     * was lost or is late, tokens are delivered, and the daemon crashes.
      */
     void issueBeforeFirstToken(final RequestState state, final Attempt attempt) {
         if (state.lastTicket().isEmpty()) {
@@ -47,7 +48,7 @@
         }
     }
 
-    /** Returns a ticket for what there is: the live stream, or only the caller's text. */
+    /** Returns a ticket for the live stream or, without one, only for the caller's text. */
     static Optional<Ticket> currentTicket(final RequestState state) {
         final Optional<Attempt> live = state.live().filter(Attempt::hasStream);
         if (live.isPresent()) {
@@ -56,31 +57,32 @@
         return state.lastTicket().map(TicketHandler::withoutStream);
     }
 
-    /** Takes in a caller that came back. */
+    /** Continues the answer of a caller that returned with a ticket. */
     void handleReturn(
             final RequestState state,
             final Ticket ticket,
             final Optional<RequestState> former,
             final Instant now) {
         final Ticket latest = former.flatMap(TicketHandler::currentTicket).orElse(ticket);
-        former.ifPresent(old -> mEndings.supersede(old, now));
+        former.ifPresent(old -> mActiveRequests.supersede(old, now));
         state.addVerdict(Verdict.MAY_HAVE_RUN);
         state.skipAttemptNumbers(ticket.attempt().number());
         former.ifPresent(old -> state.skipAttemptNumbers(old.lastAttemptNumber()));
         state.setLastTicket(latest);
-        mEndings.add(state);
+        mActiveRequests.add(state);
         final long rest = Math.max(0, state.spec().maxTokens() - state.delivered().tokens());
-        mWiring.admission().returned(state.spec(), rest, now);
+        mContext.admission().returned(state.spec(), rest, now);
         state.setOffered();
-        mWiring.log().add(state, DecisionKind.CALLER_RETURNED, latest.endpoint().value(), now);
+        mContext.log().add(state, DecisionKind.CALLER_RETURNED, latest.endpoint().value(), now);
         if (state.isPastDeadline(now)) {
-            mEndings.giveUp(state, ErrorCode.DEADLINE_PASSED, "before the caller came back", now);
+            mActiveRequests.giveUp(
+                    state, ErrorCode.DEADLINE_PASSED, "before the caller returned", now);
         } else {
             resumeOrRedispatch(state, latest, now);
         }
     }
 
-    /** Refuses a ticket that is not this caller's; what it names may have run all the same. */
+    /** Returns a refusal if a ticket does not match the request; its own request may have run. */
     static Optional<Refusal> validate(final RequestSpec spec, final Ticket ticket) {
         final boolean fits =
                 ticket.attempt().request().equals(spec.id())
@@ -100,12 +102,12 @@
     private void resumeOrRedispatch(
             final RequestState state, final Ticket ticket, final Instant now) {
         final boolean holdsRest =
-                mWiring.settings().recovery().keepsWork()
+                mContext.settings().recovery().keepsWork()
                         && !ticket.streamId().isEmpty()
                         && state.delivered().tokens() >= ticket.indexOffset();
         final Optional<Endpoint> holder =
                 holdsRest
-                        ? mWiring.router().find(ticket.endpoint(), state.spec(), now)
+                        ? mContext.router().find(ticket.endpoint(), state.spec(), now)
                         : Optional.empty();
         if (holder.isPresent()) {
             state.setResumeTried(true);
--- a/requests/src/main/java/org/whinhead/requests/package-info.java
+++ b/requests/src/main/java/org/whinhead/requests/package-info.java
@@ -1,2 +1,2 @@
-/** The life of a request: attempts, retries, recovery and the at-most-once claim. */
+/** The request lifecycle: attempts, retries, recovery and at-most-once claims. */
 package org.whinhead.requests;
--- a/requests/src/test/java/org/whinhead/requests/CoordinatorHarness.java
+++ b/requests/src/test/java/org/whinhead/requests/CoordinatorHarness.java
@@ -29,7 +29,9 @@
 import org.whinhead.api.verdict.Refusal;
 import org.whinhead.routing.Router;
 
-/** A coordinator before endpoints a, b, c..., and the actions that it asked for, as short texts. */
+/**
+ * Runs a coordinator with endpoints a, b, c..., and records the actions that it requests as text.
+ */
 final class CoordinatorHarness {
 
     static final Instant START = Instant.parse("2026-01-01T00:00:00Z");
@@ -77,7 +79,7 @@
         return mNow;
     }
 
-    /** Returns the actions since the last call, without tickets. */
+    /** Returns the actions since the previous call, without tickets. */
     List<String> actions() {
         final List<String> actions =
                 mActions.stream().filter(text -> !text.startsWith("ticket")).toList();
@@ -131,7 +133,7 @@
         return this;
     }
 
-    /** The caller comes back with a ticket for stream s1 of attempt 1 at endpoint a. */
+    /** Simulates a caller that returns with a ticket for stream s1 of attempt 1 at endpoint a. */
     CoordinatorHarness returned(
             final boolean idempotent, final long haveTokens, final String haveText) {
         final RequestSpec spec = chatSpec(idempotent);
@@ -175,7 +177,7 @@
         return argument.toString();
     }
 
-    /** Gives the first endpoint that is not excluded. */
+    /** Chooses the first endpoint that is not excluded. */
     private record FirstRouter(String names) implements Router {
         @Override
         public Optional<Endpoint> choose(
--- a/requests/src/test/java/org/whinhead/requests/TicketCodecTest.java
+++ b/requests/src/test/java/org/whinhead/requests/TicketCodecTest.java
@@ -34,7 +34,7 @@
                     NOW.plusSeconds(30));
 
     @Test
-    void keyInRotationIsStillAccepted() throws RequestException {
+    void ticketOfRotatedKeyIsAcceptedUntilTheKeyIsRemoved() throws RequestException {
         final String text = new TicketCodec(List.of(OLD)).write(TICKET);
         final TicketCodec rotated = new TicketCodec(List.of(NEW, OLD));
         assertThat(rotated.read(text, CLINIC, NOW)).isEqualTo(TICKET);
@@ -43,11 +43,11 @@
     }
 
     /**
-     * A caller presents a ticket that another customer got, or one whose deadline is over. It would
-     * read an answer that is not its own, or wait for one that nobody makes.
+     * Guards against a ticket of another customer, with which a caller could read a foreign answer,
+     * and against an expired ticket, with which it would wait for an answer that never arrives.
      */
     @Test
-    void ticketIsGoodForItsCustomerUntilItsDeadline() {
+    void ticketIsValidOnlyForItsCustomerUntilItsDeadline() {
         final TicketCodec codec = new TicketCodec(List.of(NEW));
         final String text = codec.write(TICKET);
         assertThat(refusalOf(codec, text, new CustomerId("other"), NOW))
@@ -56,13 +56,13 @@
                 .isEqualTo("The ticket can not be used: it has expired");
     }
 
-    /** A caller changes one character of its ticket, to read a stream that is not its own. */
+    /** Guards against a caller that modifies its ticket to read another caller's stream. */
     @Property(seed = "20261202", tries = 300)
-    void noChangedTicketIsAccepted(
-            @ForAll @IntRange(min = 0, max = 400) final int place, @ForAll final char changed) {
+    void modifiedTicketIsRefused(
+            @ForAll @IntRange(min = 0, max = 400) final int position, @ForAll final char changed) {
         final TicketCodec codec = new TicketCodec(List.of(NEW));
         final StringBuilder text = new StringBuilder(codec.write(TICKET));
-        final int index = place % text.length();
+        final int index = position % text.length();
         if (text.charAt(index) != changed) {
             text.setCharAt(index, changed);
             assertThat(refusalOf(codec, text.toString(), CLINIC, NOW)).isNotEmpty();
@@ -70,9 +70,12 @@
     }
 
     private static String refusalOf(
-            final TicketCodec codec, final String text, final CustomerId who, final Instant now) {
+            final TicketCodec codec,
+            final String text,
+            final CustomerId caller,
+            final Instant now) {
         final RequestException refused =
-                catchThrowableOfType(RequestException.class, () -> codec.read(text, who, now));
+                catchThrowableOfType(RequestException.class, () -> codec.read(text, caller, now));
         assertThat(refused.verdict()).isEqualTo(Verdict.MAY_HAVE_RUN);
         return refused.getMessage();
     }
