--- a/requests/src/main/java/org/whinhead/requests/DecisionLog.java
+++ b/requests/src/main/java/org/whinhead/requests/DecisionLog.java
@@ -35,8 +35,7 @@
     }
 
     /**
-     * Returns the decisions about all requests with a name that the buffer still holds, oldest
-     * first.
+     * Returns the decisions still in the buffer about all requests with a name, oldest first.
      *
      * @param name a request ID, or the part of it after a slash
      * @return the decisions about the requests
--- a/requests/src/main/java/org/whinhead/requests/RequestSettings.java
+++ b/requests/src/main/java/org/whinhead/requests/RequestSettings.java
@@ -20,8 +20,8 @@
  * @param openTimeout the maximum time until an engine opens its stream, if that is shorter than the
  *     silence limit before the first token
  * @param moveTime the maximum duration of a KV cache move
- * @param stopMargin the time before a daemon's end when its callers are handed back
- * @param comeBackAfter the time after which refused callers are told to retry
+ * @param stopMargin the time before a daemon's end when its unfinished requests end
+ * @param comeBackAfter the delay before a retry that refusals suggest to callers
  * @param recovery whether the work of failed and leaving engines is reused
  * @param retryScope the scope of the deadline and of the count of possible runs; the whole request
  *     by default
@@ -131,13 +131,13 @@
             return this;
         }
 
-        /** Sets the time before a daemon's end when its callers are handed back. */
+        /** Sets the time before a daemon's end when its unfinished requests end. */
         public Builder stopMargin(final Duration stopMargin) {
             mStopMargin = stopMargin;
             return this;
         }
 
-        /** Sets the time after which refused callers are told to retry. */
+        /** Sets the delay before a retry that refusals suggest to callers. */
         public Builder comeBackAfter(final Duration comeBackAfter) {
             mComeBackAfter = comeBackAfter;
             return this;
--- a/requests/src/main/java/org/whinhead/requests/Shutdown.java
+++ b/requests/src/main/java/org/whinhead/requests/Shutdown.java
@@ -9,8 +9,8 @@
 import org.whinhead.api.verdict.Verdict;
 
 /**
- * Stops a daemon without losing requests: refuses new ones, and hands back those that are
- * unfinished shortly before the end, with a ticket to continue on another daemon.
+ * Stops a daemon without losing requests: refuses new ones, and ends those that are unfinished
+ * shortly before the end, with a ticket to continue on another daemon.
  */
 final class Shutdown {
 
--- a/requests/src/test/java/org/whinhead/requests/AtMostOnceTest.java
+++ b/requests/src/test/java/org/whinhead/requests/AtMostOnceTest.java
@@ -15,7 +15,7 @@
 
     /**
      * Place 1. The daemon is paused while its claim is granted, and resumes after the deadline. The
-     * caller was told to retry elsewhere, so a dispatch would be an unexpected second run.
+     * refusal lets the caller retry elsewhere, so a dispatch could be a second run.
      */
     @Test
     void grantAfterTheDeadlineIsNotDispatched() {
@@ -46,7 +46,7 @@
 
     /**
      * Place 4. The service accepts the request and the answer is lost. A retry would repeat the
-     * effect; the caller is told immediately that it may have run, and the claim stays held.
+     * effect; the caller is refused immediately as "may have run", and the claim stays held.
      */
     @Test
     void lostAnswerEndsTheRequest() {
