--- a/admission/src/main/java/org/whinhead/admission/Admission.java
+++ b/admission/src/main/java/org/whinhead/admission/Admission.java
@@ -7,61 +7,58 @@
 import org.whinhead.api.request.RequestSpec;
 import org.whinhead.api.verdict.Refusal;
 
-/**
- * Decides which requests run now, wait or are refused; single-threaded, without input or output.
- */
+/** Decides which requests run now, wait or are refused. Single-threaded; performs no I/O. */
 public interface Admission {
 
     /**
-     * Offers a new request.
+     * Queues a new request, or refuses it.
      *
      * @param spec the request
-     * @param now the time
-     * @return a refusal with the verdict "not run", or empty if the request waits to be admitted
+     * @param now the current time
+     * @return a refusal with the verdict "not run", or empty if the request is queued
      */
     Optional<Refusal> offer(RequestSpec spec, Instant now);
 
     /**
-     * Takes the requests that may be dispatched now, most urgent first.
+     * Removes and returns the queued requests that may be dispatched now, most urgent first.
      *
-     * @param now the time
+     * @param now the current time
      * @return the admitted requests
      */
     List<RequestSpec> takeAdmitted(Instant now);
 
     /**
-     * Takes the waiting requests that can no longer be served in time.
+     * Removes and returns the queued requests that were shed, for example as overdue.
      *
-     * @param now the time
-     * @return each with its refusal, verdict "not run"
+     * @param now the current time
+     * @return the shed requests, each with a refusal of the verdict "not run"
      */
     List<ShedRequest> takeShed(Instant now);
 
     /**
-     * A caller came back with a ticket for the rest of its answer, and the request goes on here at
-     * once. It was admitted before, by another daemon or this one, so it is neither queued nor
-     * refused; it is counted.
+     * Counts a request that its caller resumes with a ticket for the rest of the answer. A daemon
+     * has admitted the request before, so it is neither queued nor refused.
      *
      * @param spec the request
-     * @param restTokens the most tokens that may still be generated
-     * @param now the time
+     * @param restTokens the maximum number of tokens that may still be generated
+     * @param now the current time
      */
     default void resume(final RequestSpec spec, final long restTokens, final Instant now) {}
 
     /**
-     * A request that was offered or returned ended, or its caller left.
+     * Releases what an offered or resumed request holds, once it ended or its caller left.
      *
      * @param request the request
-     * @param generatedTokens tokens that were generated for it
-     * @param now the time
+     * @param generatedTokens the number of tokens that were generated for the request
+     * @param now the current time
      */
     void requestEnded(RequestId request, long generatedTokens, Instant now);
 
     /**
-     * A waiting request that is refused.
+     * A queued request that is refused.
      *
      * @param spec the request
-     * @param refusal what its caller is told
+     * @param refusal the refusal to send to the caller
      */
     record ShedRequest(RequestSpec spec, Refusal refusal) {}
 }
--- a/admission/src/main/java/org/whinhead/admission/AdmissionSettings.java
+++ b/admission/src/main/java/org/whinhead/admission/AdmissionSettings.java
@@ -6,12 +6,13 @@
 /**
  * Bounds of one daemon's queues.
  *
- * @param maxWaiting the most requests that wait for one model or service
- * @param startSlots concurrent requests for a target whose capacity is not known yet
- * @param dispatchAllowance time kept back from the target for the way to the first token after
- *     admission
- * @param shortestRetry the shortest time to come back that a caller is told
- * @param longestRetry the longest
+ * @param maxWaiting the maximum number of queued requests per model or service
+ * @param initialSlots the number of concurrent requests for a model or service of yet unknown
+ *     capacity
+ * @param dispatchAllowance the part of the first-token target reserved for the time from admission
+ *     to the first token
+ * @param minRetryAfter the shortest retry delay sent to a caller
+ * @param maxRetryAfter the longest retry delay sent to a caller, before jitter
  */
 public record AdmissionSettings(
         int maxWaiting,
@@ -20,7 +21,7 @@
         Duration minRetryAfter,
         Duration maxRetryAfter) {
 
-    /** Bounds for an entry VM of today's size. */
+    /** The bounds for an entry VM of the current size. */
     public static final AdmissionSettings DEFAULT =
             new AdmissionSettings(
                     512,
@@ -29,7 +30,7 @@
                     Duration.ofMillis(500),
                     Duration.ofSeconds(30));
 
-    /** Checks every part. */
+    /** Checks the ranges. */
     public AdmissionSettings {
         Arguments.requireAtLeast(maxWaiting, 1, "maxWaiting");
         Arguments.requireAtLeast(initialSlots, 0, "initialSlots");
--- a/admission/src/main/java/org/whinhead/admission/Budget.java
+++ b/admission/src/main/java/org/whinhead/admission/Budget.java
@@ -4,10 +4,10 @@
 import org.whinhead.api.model.TeamId;
 import org.whinhead.api.request.RequestId;
 
-/** Asked before a request is admitted, and told what it used. */
+/** Reserves tokens of a team for a request before admission and settles them afterwards. */
 public interface Budget {
 
-    /** Lets everything pass. */
+    /** A budget without limits. */
     Budget UNLIMITED =
             new Budget() {
                 @Override
@@ -30,19 +30,19 @@
      * Reserves tokens for a request.
      *
      * @param request the request
-     * @param team whose budget it is
-     * @param tokens the most that it may generate
-     * @param now the time
-     * @return whether they are reserved, may come soon, or are refused
+     * @param team the team whose budget is charged
+     * @param tokens the maximum number of tokens that the request may generate
+     * @param now the current time
+     * @return whether the tokens are reserved, pending or refused
      */
     BudgetDecision reserve(RequestId request, TeamId team, long tokens, Instant now);
 
     /**
-     * Gives back what a request reserved and did not use.
+     * Releases the tokens that a request reserved and did not use.
      *
      * @param request the request
-     * @param usedTokens what it generated; 0 if it was not run
-     * @param now the time
+     * @param usedTokens the number of generated tokens; 0 if the request was not run
+     * @param now the current time
      */
     void settle(RequestId request, long usedTokens, Instant now);
 }
--- a/admission/src/main/java/org/whinhead/admission/BudgetDecision.java
+++ b/admission/src/main/java/org/whinhead/admission/BudgetDecision.java
@@ -4,40 +4,40 @@
 import java.util.Objects;
 
 /**
- * What a budget says to a request.
+ * The result of a budget reservation.
  *
- * @param kind the answer
- * @param retryAfter when to come back; zero unless refused
+ * @param kind the result
+ * @param retryAfter the delay before a retry; zero unless refused
  */
 public record BudgetDecision(Kind kind, Duration retryAfter) {
 
-    /** The tokens are reserved. */
+    /** The decision that the tokens are reserved. */
     public static final BudgetDecision RESERVED = new BudgetDecision(Kind.RESERVED, Duration.ZERO);
 
-    /** The holder was asked; the request may wait for its answer. */
+    /** The decision that the request may wait for an answer of the budget holder. */
     public static final BudgetDecision PENDING = new BudgetDecision(Kind.PENDING, Duration.ZERO);
 
-    /** Checks both parts. */
+    /** Checks that both components are present. */
     public BudgetDecision {
         Objects.requireNonNull(kind, "kind");
         Objects.requireNonNull(retryAfter, "retryAfter");
     }
 
     /**
-     * Refuses.
+     * Returns a refusal.
      *
-     * @param retryAfter when to come back
+     * @param retryAfter the delay before a retry
      * @return the decision
      */
     public static BudgetDecision refused(final Duration retryAfter) {
         return new BudgetDecision(Kind.REFUSED, retryAfter);
     }
 
-    /** Kinds of answer. */
+    /** The kinds of result. */
     public enum Kind {
         /** The tokens are reserved. */
         RESERVED,
-        /** An answer of the holder is on its way. */
+        /** The budget holder has yet to answer a request for tokens. */
         PENDING,
         /** The budget is spent for now. */
         REFUSED
--- a/admission/src/main/java/org/whinhead/admission/CapacityShare.java
+++ b/admission/src/main/java/org/whinhead/admission/CapacityShare.java
@@ -6,7 +6,7 @@
 import org.whinhead.api.model.EndpointKind;
 import org.whinhead.api.model.ModelRef;
 
-/** Works out how many requests of a target one daemon runs at once. */
+/** Computes how many requests for a target one daemon may run concurrently. */
 public final class CapacityShare {
 
     private CapacityShare() {}
@@ -14,14 +14,15 @@
     /**
      * Returns a daemon's share of the slots of the endpoints that serve a target.
      *
-     * <p>An even share leaves slots idle when callers come to few daemons; a factor above 1 lets
-     * each daemon take more, and the endpoints queue what is too much at once.
+     * <p>An even share leaves slots idle when callers use only a few daemons. A factor above 1 lets
+     * each daemon use more slots; the endpoints queue the excess.
      *
-     * @param endpoints every endpoint
-     * @param target the target
-     * @param daemons how many daemons send to these endpoints
-     * @param factor how far above the even share a daemon may go
-     * @return the slots, at least 1 if any endpoint that accepts new work serves the target, or 0
+     * @param endpoints all endpoints
+     * @param target the model or service
+     * @param daemons the number of daemons that send to these endpoints, at least 1
+     * @param factor the daemon's share as a multiple of the even share
+     * @return the number of slots; at least 1 if an endpoint that accepts new work serves the
+     *     target, else 0
      */
     public static int slots(
             final Collection<Endpoint> endpoints,
--- a/admission/src/main/java/org/whinhead/admission/CustomerQueue.java
+++ b/admission/src/main/java/org/whinhead/admission/CustomerQueue.java
@@ -2,7 +2,7 @@
 
 import java.util.TreeSet;
 
-/** The waiting requests of one customer in one tier, most urgent first. */
+/** The queued requests of one customer in one tier, ordered by due time, for fair queuing. */
 final class CustomerQueue {
 
     private final TreeSet<QueuedRequest> mRequests = new TreeSet<>();
@@ -34,22 +34,22 @@
     }
 
     /**
-     * Adds a waiter.
+     * Adds a request.
      *
-     * <p>Guards against a customer that saves up claims while idle and then shuts the others out:
-     * on becoming busy it starts at the virtual time of those that were served meanwhile.
+     * <p>An idle customer that becomes busy starts at the tier's virtual time. Otherwise it would
+     * accumulate credit while idle and then starve the other customers.
      */
-    void add(final QueuedRequest waiter, final double tierTime) {
+    void add(final QueuedRequest request, final double tierVirtualTime) {
         if (mRequests.isEmpty()) {
-            mVirtualTime = Math.max(mVirtualTime, tierTime);
+            mVirtualTime = Math.max(mVirtualTime, tierVirtualTime);
         }
-        mRequests.add(waiter);
+        mRequests.add(request);
     }
 
     QueuedRequest pollNext() {
-        final QueuedRequest waiter = mRequests.pollFirst();
-        mVirtualTime += waiter.workTokens() / mWeight;
-        return waiter;
+        final QueuedRequest request = mRequests.pollFirst();
+        mVirtualTime += request.workTokens() / mWeight;
+        return request;
     }
 
     QueuedRequest removeFirst() {
@@ -60,7 +60,7 @@
         return mRequests.pollLast();
     }
 
-    boolean remove(final QueuedRequest waiter) {
-        return mRequests.remove(waiter);
+    boolean remove(final QueuedRequest request) {
+        return mRequests.remove(request);
     }
 }
--- a/admission/src/main/java/org/whinhead/admission/FifoAdmission.java
+++ b/admission/src/main/java/org/whinhead/admission/FifoAdmission.java
@@ -15,7 +15,7 @@
 import org.whinhead.api.verdict.ErrorCode;
 import org.whinhead.api.verdict.Refusal;
 
-/** First come, first served, with a bound on running and on waiting requests; no tiers. */
+/** A FIFO queue with bounds on running and on queued requests; ignores tiers and budgets. */
 public final class FifoAdmission implements Admission {
 
     private final int mMaxRunning;
@@ -24,10 +24,10 @@
     private final Set<RequestId> mRunning = new HashSet<>();
 
     /**
-     * Makes an empty queue.
+     * Creates an empty queue.
      *
-     * @param maxRunning the most requests admitted at once
-     * @param maxWaiting the most requests that wait
+     * @param maxRunning the maximum number of running requests, at least 1
+     * @param maxWaiting the maximum number of queued requests, at least 1
      */
     public FifoAdmission(final int maxRunning, final int maxWaiting) {
         Arguments.requireAtLeast(maxRunning, 1, "maxRunning");
@@ -64,10 +64,10 @@
     @Override
     public List<ShedRequest> takeShed(final Instant now) {
         final List<ShedRequest> shed = new ArrayList<>();
-        for (final Iterator<RequestSpec> all = mWaiting.iterator(); all.hasNext(); ) {
-            final RequestSpec spec = all.next();
+        for (final Iterator<RequestSpec> iterator = mWaiting.iterator(); iterator.hasNext(); ) {
+            final RequestSpec spec = iterator.next();
             if (!now.isBefore(spec.deadline())) {
-                all.remove();
+                iterator.remove();
                 shed.add(
                         new ShedRequest(
                                 spec, Refusal.notRun(ErrorCode.DEADLINE_PASSED, "in queue")));
--- a/admission/src/main/java/org/whinhead/admission/QueuedRequest.java
+++ b/admission/src/main/java/org/whinhead/admission/QueuedRequest.java
@@ -4,11 +4,11 @@
 import org.whinhead.api.request.RequestSpec;
 
 /**
- * A waiting request.
+ * A queued request, ordered by due time.
  *
  * @param spec the request
- * @param due the last moment at which admission still meets its target
- * @param sequence its place among requests of the same due time
+ * @param due the last moment at which admission still meets the first-token target
+ * @param sequence the order among requests of the same due time
  */
 record QueuedRequest(RequestSpec spec, Instant due, long sequence)
         implements Comparable<QueuedRequest> {
@@ -21,7 +21,7 @@
         return byDue != 0 ? byDue : Long.compare(sequence, other.sequence);
     }
 
-    /** Returns its share of an engine's work, in generated tokens; prompt tokens are cheaper. */
+    /** Returns the work for an engine, in generated tokens; prompt tokens are cheaper. */
     double workTokens() {
         return 1.0
                 + spec.maxTokens()
--- a/admission/src/main/java/org/whinhead/admission/ServiceTimes.java
+++ b/admission/src/main/java/org/whinhead/admission/ServiceTimes.java
@@ -2,7 +2,7 @@
 
 import java.time.Duration;
 
-/** Moving averages of what requests of one target take. */
+/** Moving averages of the tokens and the duration of requests for one model or service. */
 final class ServiceTimes {
 
     private static final double NEW_SAMPLE_SHARE = 0.1;
@@ -12,27 +12,26 @@
     private double mSecondsPerRequest;
 
     /**
-     * Takes in a request that ran.
+     * Adds the sample of a finished request.
      *
-     * <p>Guards against refusals that look like fast answers: requests that generated nothing say
-     * nothing about the service time, so they are left out.
+     * <p>Requests that generated nothing are left out: a refusal would count as a fast answer.
      */
-    void observe(final long tokens, final Duration took) {
-        final double seconds = took.toNanos() / NANOS_PER_SECOND;
+    void observe(final long tokens, final Duration duration) {
+        final double seconds = duration.toNanos() / NANOS_PER_SECOND;
         if (tokens <= 0 || seconds <= 0) {
             return;
         }
-        final double share = mSecondsPerRequest == 0 ? 1 : NEW_SAMPLE_SHARE;
-        mTokensPerRequest += share * (tokens - mTokensPerRequest);
-        mSecondsPerRequest += share * (seconds - mSecondsPerRequest);
+        final double weight = mSecondsPerRequest == 0 ? 1 : NEW_SAMPLE_SHARE;
+        mTokensPerRequest += weight * (tokens - mTokensPerRequest);
+        mSecondsPerRequest += weight * (seconds - mSecondsPerRequest);
     }
 
-    /** Returns tokens a second of one slot, or 0 if nothing ran yet. */
+    /** Returns the tokens per second of one slot, or 0 without a sample. */
     double tokensPerSecond() {
         return mSecondsPerRequest == 0 ? 0 : mTokensPerRequest / mSecondsPerRequest;
     }
 
-    /** Returns the expected seconds that a request holds a slot, or 0 if nothing ran yet. */
+    /** Returns the expected seconds that a request occupies a slot, or 0 without a sample. */
     double secondsPerRequest() {
         return mTokensPerRequest == 0 ? 0 : mTokensPerRequest / tokensPerSecond();
     }
--- a/admission/src/main/java/org/whinhead/admission/Target.java
+++ b/admission/src/main/java/org/whinhead/admission/Target.java
@@ -7,14 +7,14 @@
 import org.whinhead.api.request.RequestSpec;
 
 /**
- * What requests queue for: one model or one plain service.
+ * A model or plain service that requests are sent to.
  *
  * @param kind the kind of endpoint
- * @param name the model reference or the service's name
+ * @param name the model reference or the name of the service
  */
 public record Target(EndpointKind kind, String name) {
 
-    /** Checks both parts. */
+    /** Checks that both components are present. */
     public Target {
         Objects.requireNonNull(kind, "kind");
         Arguments.requireText(name, "name");
@@ -24,7 +24,7 @@
      * Returns the target of a request.
      *
      * @param spec the request
-     * @return its target
+     * @return the model or service that the request is for
      */
     public static Target of(final RequestSpec spec) {
         return new Target(spec.kind(), spec.model().map(ModelRef::toString).orElse(spec.service()));
--- a/admission/src/main/java/org/whinhead/admission/TargetQueue.java
+++ b/admission/src/main/java/org/whinhead/admission/TargetQueue.java
@@ -10,7 +10,7 @@
 import java.util.function.Predicate;
 import org.whinhead.api.model.CustomerId;
 
-/** The queues and the capacity of one target. */
+/** The tier queues of one model or service, with its slots and running requests. */
 final class TargetQueue {
 
     private static final double NANOS_PER_SECOND = 1e9;
@@ -37,50 +37,50 @@
         return waiting;
     }
 
-    void add(final QueuedRequest waiter, final int weight) {
-        final int priority = waiter.spec().tier().priority();
-        mTiers.computeIfAbsent(priority, key -> new TierQueue()).add(waiter, weight);
+    void add(final QueuedRequest request, final int weight) {
+        final int priority = request.spec().tier().priority();
+        mTiers.computeIfAbsent(priority, key -> new TierQueue()).add(request, weight);
     }
 
-    boolean remove(final QueuedRequest waiter) {
-        final TierQueue queue = mTiers.get(waiter.spec().tier().priority());
-        return queue != null && queue.remove(waiter);
+    boolean remove(final QueuedRequest request) {
+        final TierQueue queue = mTiers.get(request.spec().tier().priority());
+        return queue != null && queue.remove(request);
     }
 
-    /** Takes the next request if a slot is free; strictly by tier. */
-    QueuedRequest pollNext(final Predicate<QueuedRequest> gate) {
+    /** Removes and returns the next request, highest tier first; null if no slot is free. */
+    QueuedRequest pollNext(final Predicate<QueuedRequest> condition) {
         if (mRunning >= mSlots) {
             return null;
         }
         for (final TierQueue queue : mTiers.values()) {
-            final QueuedRequest waiter = queue.pollNext(gate);
-            if (waiter != null) {
+            final QueuedRequest request = queue.pollNext(condition);
+            if (request != null) {
                 mRunning++;
-                return waiter;
+                return request;
             }
         }
         return null;
     }
 
-    /** Counts a request that runs without having been served from the queue. */
+    /** Counts a running request that did not pass through the queue. */
     void addRunning() {
         mRunning++;
     }
 
-    void requestEnded(final long tokens, final Duration took) {
+    void requestEnded(final long tokens, final Duration duration) {
         mRunning--;
-        mServiceTimes.observe(tokens, took);
+        mServiceTimes.observe(tokens, duration);
     }
 
-    /** Returns how long one more request of a customer would wait for a slot. */
+    /** Returns the expected time that a new request of a customer waits for a slot. */
     Duration expectedWait(final int priority, final CustomerId customer, final int weight) {
-        double ahead = 0;
+        double requestsAhead = 0;
         for (final TierQueue queue : mTiers.headMap(priority, false).values()) {
-            ahead += queue.size();
+            requestsAhead += queue.size();
         }
         final TierQueue own = mTiers.get(priority);
-        ahead += own == null ? 0 : own.requestsAhead(customer, weight);
-        final double position = ahead + 1 - Math.max(0, mSlots - mRunning);
+        requestsAhead += own == null ? 0 : own.requestsAhead(customer, weight);
+        final double position = requestsAhead + 1 - Math.max(0, mSlots - mRunning);
         if (position <= 0 || mSlots == 0) {
             return Duration.ZERO;
         }
@@ -89,8 +89,9 @@
     }
 
     /**
-     * Makes room for one more request: takes one of the lowest tier, or of the customer with the
-     * largest backlog of the same tier; null if the newcomer itself is the one to refuse.
+     * Removes and returns a request to admit a new one to a full queue: one of the lowest tier, or
+     * of the customer with the largest backlog if that tier is the new request's own; null if the
+     * new request is to be refused.
      */
     QueuedRequest evictFor(final int priority, final CustomerId customer, final int weight) {
         for (final var tier : mTiers.descendingMap().entrySet()) {
@@ -101,18 +102,20 @@
             if (tier.getKey() < priority) {
                 return queue.evict();
             }
-            final boolean isSame = tier.getKey() == priority;
-            final double newcomer = queue.backlogPerWeight(customer, weight, 1);
-            return isSame && queue.largestBacklogPerWeight() > newcomer ? queue.evict() : null;
+            final boolean isSameTier = tier.getKey() == priority;
+            final double newBacklog = queue.backlogPerWeight(customer, weight, 1);
+            return isSameTier && queue.largestBacklogPerWeight() > newBacklog
+                    ? queue.evict()
+                    : null;
         }
         return null;
     }
 
     List<QueuedRequest> removeOverdue(final Instant now) {
-        final List<QueuedRequest> late = new ArrayList<>();
+        final List<QueuedRequest> overdue = new ArrayList<>();
         for (final TierQueue queue : mTiers.values()) {
-            queue.removeOverdue(now, late);
+            queue.removeOverdue(now, overdue);
         }
-        return late;
+        return overdue;
     }
 }
--- a/admission/src/main/java/org/whinhead/admission/TierQueue.java
+++ b/admission/src/main/java/org/whinhead/admission/TierQueue.java
@@ -8,7 +8,7 @@
 import java.util.function.Predicate;
 import org.whinhead.api.model.CustomerId;
 
-/** The waiting requests of one tier: fair between customers by weight, by due time within one. */
+/** The queued requests of one tier: weighted fair between customers, by due time within each. */
 final class TierQueue {
 
     private final Map<CustomerId, CustomerQueue> mCustomers = new HashMap<>();
@@ -19,27 +19,30 @@
         return mSize;
     }
 
-    void add(final QueuedRequest waiter, final int weight) {
+    void add(final QueuedRequest request, final int weight) {
         final CustomerQueue queue =
-                mCustomers.computeIfAbsent(waiter.spec().customer(), id -> new CustomerQueue());
+                mCustomers.computeIfAbsent(request.spec().customer(), id -> new CustomerQueue());
         queue.setWeight(weight);
-        queue.add(waiter, mVirtualTime);
+        queue.add(request, mVirtualTime);
         mSize++;
     }
 
-    boolean remove(final QueuedRequest waiter) {
-        final CustomerQueue queue = mCustomers.get(waiter.spec().customer());
-        final boolean removed = queue != null && queue.remove(waiter);
+    boolean remove(final QueuedRequest request) {
+        final CustomerQueue queue = mCustomers.get(request.spec().customer());
+        final boolean removed = queue != null && queue.remove(request);
         mSize -= removed ? 1 : 0;
         return removed;
     }
 
-    /** Takes the next request among customers whose first one passes a gate, or null. */
-    QueuedRequest pollNext(final Predicate<QueuedRequest> gate) {
+    /**
+     * Removes and returns the next request of the customer with the least virtual time among those
+     * whose first request meets a condition; null if there is none.
+     */
+    QueuedRequest pollNext(final Predicate<QueuedRequest> condition) {
         CustomerQueue next = null;
         for (final CustomerQueue queue : mCustomers.values()) {
-            final boolean isEarlier = next == null || queue.virtualTime() < next.virtualTime();
-            if (queue.size() > 0 && isEarlier && gate.test(queue.first())) {
+            final boolean isBehind = next == null || queue.virtualTime() < next.virtualTime();
+            if (queue.size() > 0 && isBehind && condition.test(queue.first())) {
                 next = queue;
             }
         }
@@ -52,8 +55,8 @@
     }
 
     /**
-     * Returns how many of this tier go before one more request of a customer: all, or its own
-     * backlog times its share's inverse if that is fewer.
+     * Returns the number of requests of this tier to be served before a new one of a customer: all,
+     * or the customer's backlog divided by its share of the weights if that is fewer.
      */
     double requestsAhead(final CustomerId customer, final int weight) {
         final CustomerQueue own = mCustomers.get(customer);
@@ -65,7 +68,7 @@
         return Math.min(mSize, (backlog + 1) * weights / weight - 1);
     }
 
-    /** Returns the backlog per weight of one customer, with so many more requests. */
+    /** Returns the backlog per weight of one customer after a number of further requests. */
     double backlogPerWeight(final CustomerId customer, final int weight, final int more) {
         final CustomerQueue queue = mCustomers.get(customer);
         return ((queue == null ? 0 : queue.size()) + (double) more) / weight;
@@ -79,7 +82,7 @@
                 .orElse(0);
     }
 
-    /** Takes the least urgent request of the customer with the largest backlog per weight. */
+    /** Removes the request due last of the customer with the largest backlog per weight. */
     QueuedRequest evict() {
         CustomerQueue largest = null;
         for (final CustomerQueue queue : mCustomers.values()) {
@@ -94,16 +97,17 @@
         return largest.removeLast();
     }
 
-    /** Takes the requests whose target can no longer be met, and forgets idle customers. */
-    void removeOverdue(final Instant now, final List<QueuedRequest> into) {
-        for (final Iterator<CustomerQueue> all = mCustomers.values().iterator(); all.hasNext(); ) {
-            final CustomerQueue queue = all.next();
+    /** Moves the requests past their due time to a list and removes idle customers. */
+    void removeOverdue(final Instant now, final List<QueuedRequest> overdue) {
+        for (final Iterator<CustomerQueue> iterator = mCustomers.values().iterator();
+                iterator.hasNext(); ) {
+            final CustomerQueue queue = iterator.next();
             while (queue.size() > 0 && queue.first().due().isBefore(now)) {
-                into.add(queue.removeFirst());
+                overdue.add(queue.removeFirst());
                 mSize--;
             }
             if (queue.size() == 0 && queue.virtualTime() <= mVirtualTime) {
-                all.remove();
+                iterator.remove();
             }
         }
     }
--- a/admission/src/main/java/org/whinhead/admission/TieredAdmission.java
+++ b/admission/src/main/java/org/whinhead/admission/TieredAdmission.java
@@ -18,8 +18,9 @@
 import org.whinhead.api.verdict.Refusal;
 
 /**
- * Queues for each model and service: strict between tiers, fair between customers, early refusal of
- * what can't meet its target, so that under overload the capacity goes to answers that are on time.
+ * A queue per model and service: strict priority between tiers, weighted fair queuing between
+ * customers, and early refusal of requests that can't meet their first-token target, so that under
+ * overload the capacity serves answers that are on time.
  */
 public final class TieredAdmission implements Admission {
 
@@ -37,10 +38,10 @@
     private long mResumedWithoutBudget;
 
     /**
-     * Makes empty queues.
+     * Creates an admission without queued requests.
      *
-     * @param settings bounds
-     * @param budget what teams may spend
+     * @param settings the bounds of the queues
+     * @param budget the token budgets of the teams
      */
     public TieredAdmission(final AdmissionSettings settings, final Budget budget) {
         mSettings = Objects.requireNonNull(settings, "settings");
@@ -48,12 +49,12 @@
     }
 
     /**
-     * Takes the customers of the settings, with their weights and teams.
+     * Replaces the customers, with their weights and teams.
      *
-     * <p>A request of a customer that is not among them has weight 1 and no budget to keep; whoever
-     * offers requests has checked their keys against the same settings.
+     * <p>A request of an unknown customer has weight 1 and no budget limit: the API keys of
+     * requests are checked against the same settings before the requests are offered.
      *
-     * @param customers every customer
+     * @param customers all customers
      */
     public void customersChanged(final Collection<Customer> customers) {
         final Map<CustomerId, Customer> byId = new HashMap<>();
@@ -62,10 +63,10 @@
     }
 
     /**
-     * Sets how many requests of a target this daemon runs at once.
+     * Sets how many requests for a target this daemon runs concurrently.
      *
-     * @param target the target
-     * @param slots this daemon's share of the slots of all endpoints that serve it
+     * @param target the model or service
+     * @param slots this daemon's share of the slots of all endpoints that serve the target
      */
     public void capacityChanged(final Target target, final int slots) {
         queue(target).resize(slots);
@@ -73,11 +74,11 @@
 
     @Override
     public Optional<Refusal> offer(final RequestSpec spec, final Instant now) {
-        final TargetQueue lane = queue(Target.of(spec));
+        final TargetQueue queue = queue(Target.of(spec));
         final int weight = weight(spec.customer());
         final int priority = spec.tier().priority();
         final Instant due = due(spec);
-        final Duration wait = lane.expectedWait(priority, spec.customer(), weight);
+        final Duration wait = queue.expectedWait(priority, spec.customer(), weight);
         if (now.plus(wait).isAfter(due)) {
             return Optional.of(overloaded(spec, wait));
         }
@@ -85,17 +86,17 @@
         if (decision.kind() == BudgetDecision.Kind.REFUSED) {
             return Optional.of(budgetSpent(decision));
         }
-        if (lane.waiting() >= mSettings.maxWaiting()) {
-            final QueuedRequest evicted = lane.evictFor(priority, spec.customer(), weight);
+        if (queue.waiting() >= mSettings.maxWaiting()) {
+            final QueuedRequest evicted = queue.evictFor(priority, spec.customer(), weight);
             if (evicted == null) {
                 mBudget.settle(spec.id(), 0, now);
                 return Optional.of(overloaded(spec, wait));
             }
             shed(evicted, overloaded(evicted.spec(), wait), now);
         }
-        final QueuedRequest waiter = new QueuedRequest(spec, due, mSequence++);
-        lane.add(waiter, weight);
-        mWaiting.put(spec.id(), waiter);
+        final QueuedRequest queued = new QueuedRequest(spec, due, mSequence++);
+        queue.add(queued, weight);
+        mWaiting.put(spec.id(), queued);
         return Optional.empty();
     }
 
@@ -103,13 +104,13 @@
     public List<RequestSpec> takeAdmitted(final Instant now) {
         shedOverdue(now);
         final List<RequestSpec> admitted = new ArrayList<>();
-        for (final TargetQueue lane : mQueues.values()) {
-            QueuedRequest waiter = lane.pollNext(candidate -> hasBudget(candidate, now));
-            while (waiter != null) {
-                mWaiting.remove(waiter.spec().id());
-                mRunning.put(waiter.spec().id(), new RunningRequest(lane, now));
-                admitted.add(waiter.spec());
-                waiter = lane.pollNext(candidate -> hasBudget(candidate, now));
+        for (final TargetQueue queue : mQueues.values()) {
+            QueuedRequest queued = queue.pollNext(candidate -> hasBudget(candidate, now));
+            while (queued != null) {
+                mWaiting.remove(queued.spec().id());
+                mRunning.put(queued.spec().id(), new RunningRequest(queue, now));
+                admitted.add(queued.spec());
+                queued = queue.pollNext(candidate -> hasBudget(candidate, now));
             }
         }
         return admitted;
@@ -124,18 +125,17 @@
     }
 
     /**
-     * Counts a request that came back against the slots and, as far as there is any, the budget.
+     * Counts a resumed request against the slots and, as far as tokens are left, the budget.
      *
-     * <p>Guards against work that nobody sees: after the loss of a daemon all its callers come back
-     * elsewhere at once, and a daemon that did not count them would admit as many new requests as
-     * before on top. The lane may hold more than its slots then, and admits nothing until it has
-     * drained.
+     * <p>After the loss of a daemon all its callers resume on other daemons at once. Without this
+     * count those daemons would admit as many new requests as before in addition. More requests may
+     * run than there are slots; none is admitted until enough have ended.
      */
     @Override
     public void resume(final RequestSpec spec, final long restTokens, final Instant now) {
-        final TargetQueue lane = queue(Target.of(spec));
-        lane.addRunning();
-        mRunning.put(spec.id(), new RunningRequest(lane, now));
+        final TargetQueue queue = queue(Target.of(spec));
+        queue.addRunning();
+        mRunning.put(spec.id(), new RunningRequest(queue, now));
         mResumed++;
         if (reserve(spec, restTokens, now).kind() != BudgetDecision.Kind.RESERVED) {
             mResumedWithoutBudget++;
@@ -146,38 +146,38 @@
     public void requestEnded(
             final RequestId request, final long generatedTokens, final Instant now) {
         final RunningRequest running = mRunning.remove(request);
-        final QueuedRequest waiter = mWaiting.remove(request);
+        final QueuedRequest queued = mWaiting.remove(request);
         if (running != null) {
             running.queue().requestEnded(generatedTokens, Duration.between(running.since(), now));
             mBudget.settle(request, generatedTokens, now);
-        } else if (waiter != null) {
-            queue(Target.of(waiter.spec())).remove(waiter);
+        } else if (queued != null) {
+            queue(Target.of(queued.spec())).remove(queued);
             mBudget.settle(request, 0, now);
         }
     }
 
-    /** Returns how many requests wait. */
+    /** Returns the number of queued requests. */
     public int waiting() {
         return mWaiting.size();
     }
 
-    /** Returns how many admitted requests have not ended. */
+    /** Returns the number of running requests, admitted or resumed. */
     public int running() {
         return mRunning.size();
     }
 
-    /** Returns how many requests came back with a ticket so far. */
+    /** Returns the number of requests that were resumed with a ticket so far. */
     public long resumed() {
         return mResumed;
     }
 
-    /** Returns how many of those found no budget left and went on all the same. */
+    /** Returns the number of requests so far that were resumed although no budget was left. */
     public long resumedWithoutBudget() {
         return mResumedWithoutBudget;
     }
 
-    private boolean hasBudget(final QueuedRequest waiter, final Instant now) {
-        return reserve(waiter.spec(), now).kind() == BudgetDecision.Kind.RESERVED;
+    private boolean hasBudget(final QueuedRequest queued, final Instant now) {
+        return reserve(queued.spec(), now).kind() == BudgetDecision.Kind.RESERVED;
     }
 
     private BudgetDecision reserve(final RequestSpec spec, final Instant now) {
@@ -194,29 +194,29 @@
     }
 
     /**
-     * Takes out the requests that are late already.
+     * Sheds the requests that are past their due time.
      *
-     * <p>Guards against work for nothing under overload: an answer that begins after its target
-     * counts for nobody, and the slot that it takes makes the next one late as well.
+     * <p>Under overload an answer that begins after its first-token target is of no use, and the
+     * slot it occupies makes the next answer late as well.
      */
     private void shedOverdue(final Instant now) {
-        for (final TargetQueue lane : mQueues.values()) {
-            for (final QueuedRequest waiter : lane.removeOverdue(now)) {
-                final BudgetDecision decision = reserve(waiter.spec(), now);
+        for (final TargetQueue queue : mQueues.values()) {
+            for (final QueuedRequest queued : queue.removeOverdue(now)) {
+                final BudgetDecision decision = reserve(queued.spec(), now);
                 final boolean isSpent = decision.kind() != BudgetDecision.Kind.RESERVED;
-                final RequestSpec spec = waiter.spec();
+                final RequestSpec spec = queued.spec();
                 final Duration wait =
-                        lane.expectedWait(
+                        queue.expectedWait(
                                 spec.tier().priority(), spec.customer(), weight(spec.customer()));
-                shed(waiter, isSpent ? budgetSpent(decision) : overloaded(spec, wait), now);
+                shed(queued, isSpent ? budgetSpent(decision) : overloaded(spec, wait), now);
             }
         }
     }
 
-    private void shed(final QueuedRequest waiter, final Refusal refusal, final Instant now) {
-        mWaiting.remove(waiter.spec().id());
-        mBudget.settle(waiter.spec().id(), 0, now);
-        mShed.add(new ShedRequest(waiter.spec(), refusal));
+    private void shed(final QueuedRequest queued, final Refusal refusal, final Instant now) {
+        mWaiting.remove(queued.spec().id());
+        mBudget.settle(queued.spec().id(), 0, now);
+        mShed.add(new ShedRequest(queued.spec(), refusal));
     }
 
     private Refusal budgetSpent(final BudgetDecision decision) {
@@ -225,8 +225,8 @@
     }
 
     /**
-     * Guards against a retry wave: callers refused in the same moment would come back in the same
-     * moment, so each is told a time of its own, up to half as long again.
+     * Returns a refusal with jitter of up to half the retry delay. Otherwise callers refused at the
+     * same moment would retry at the same moment.
      */
     private Refusal overloaded(final RequestSpec spec, final Duration wait) {
         final int step = Math.floorMod(spec.id().hashCode(), RETRY_SPREAD_STEPS);
@@ -244,18 +244,18 @@
     }
 
     /**
-     * Returns the last moment at which admission still meets a request's target.
+     * Returns the last moment at which admission still meets a request's first-token target.
      *
-     * <p>Guards against a tier whose target is not longer than the allowance: each of its requests
-     * would be late on arrival and refused for ever. Half the target is the most that is kept back.
+     * <p>At most half the target is reserved for dispatch. Otherwise all requests of a tier whose
+     * target is not longer than the allowance would be overdue on arrival and always refused.
      */
     private Instant due(final RequestSpec spec) {
-        final Duration promised = spec.tier().firstTokenTarget();
-        final Duration half = promised.dividedBy(2);
+        final Duration firstTokenTarget = spec.tier().firstTokenTarget();
+        final Duration half = firstTokenTarget.dividedBy(2);
         final Duration allowance = mSettings.dispatchAllowance();
         final Instant target =
                 spec.arrived()
-                        .plus(promised)
+                        .plus(firstTokenTarget)
                         .minus(allowance.compareTo(half) < 0 ? allowance : half);
         return target.isBefore(spec.deadline()) ? target : spec.deadline();
     }
@@ -269,6 +269,6 @@
         return mQueues.computeIfAbsent(target, key -> new TargetQueue(mSettings.initialSlots()));
     }
 
-    /** An admitted request. */
+    /** A running request. */
     private record RunningRequest(TargetQueue queue, Instant since) {}
 }
--- a/admission/src/main/java/org/whinhead/admission/budget/BudgetSettings.java
+++ b/admission/src/main/java/org/whinhead/admission/budget/BudgetSettings.java
@@ -4,14 +4,15 @@
 import org.whinhead.api.Arguments;
 
 /**
- * Times and shares of the budget protocol.
+ * Settings of the budget protocol.
  *
- * @param window how long a holder reserves ahead with one log record
- * @param burst how much unspent income a team may save up
- * @param portionLife how long a portion may be spent
- * @param answerTimeout when a question is asked again
- * @param holderTimeout when an unanswered question means that the holder is away
- * @param evenShare the part of its even share that a daemon spends while the holder is away, 0 to 1
+ * @param window the duration that a holder reserves in advance with one log record
+ * @param burst the capacity of a team's token bucket, as the time to fill it at the team's rate
+ * @param portionLife the time until a portion expires
+ * @param resendInterval the time after which an unanswered request is sent again
+ * @param holderTimeout the time without an answer after which the holder is treated as unavailable
+ * @param fallbackShare the share of its even share that a daemon spends while the holder is
+ *     unavailable, 0 to 1
  */
 public record BudgetSettings(
         Duration window,
@@ -21,7 +22,7 @@
         Duration holderTimeout,
         double fallbackShare) {
 
-    /** A record every five seconds at most; half the even share while the holder is away. */
+    /** A log record at most every five seconds; half the even share without a holder. */
     public static final BudgetSettings DEFAULT =
             new BudgetSettings(
                     Duration.ofSeconds(10),
@@ -31,7 +32,7 @@
                     Duration.ofMillis(1500),
                     0.5);
 
-    /** Checks every part. */
+    /** Checks the ranges. */
     public BudgetSettings {
         Arguments.requirePositive(window, "window");
         Arguments.requirePositive(burst, "burst");
@@ -39,7 +40,8 @@
         Arguments.requirePositive(resendInterval, "resendInterval");
         Arguments.requirePositive(holderTimeout, "holderTimeout");
         if (!(fallbackShare >= 0 && fallbackShare <= 1)) {
-            throw new IllegalArgumentException("fallbackShare is " + fallbackShare);
+            throw new IllegalArgumentException(
+                    "fallbackShare must be between 0 and 1, but is " + fallbackShare);
         }
     }
 }
--- a/admission/src/main/java/org/whinhead/admission/budget/EvenShareBudget.java
+++ b/admission/src/main/java/org/whinhead/admission/budget/EvenShareBudget.java
@@ -13,13 +13,13 @@
 import org.whinhead.api.request.RequestId;
 
 /**
- * A budget without any message: each daemon spends at most the team's rate divided by the number of
- * live daemons that it knows.
+ * A budget without messages between daemons: each daemon limits a team to its rate divided by the
+ * number of live daemons known to that daemon.
  *
  * <p>With rate r, burst B, largest request m and N daemons that all know N, one daemon reserves in
  * any T seconds at most {@code r / N * (T + B) + m} tokens and all together at most {@code r * (T +
- * B) + N * m}. A daemon that starts brings a full burst, {@code r / N * B}. While daemons know
- * different numbers, each of them keeps to its own.
+ * B) + N * m}. A daemon that starts adds a full burst, {@code r / N * B}. While daemons know
+ * different numbers, each uses its own.
  */
 public final class EvenShareBudget implements Budget {
 
@@ -29,9 +29,9 @@
     private final Map<RequestId, Reservation> mReservations = new HashMap<>();
 
     /**
-     * Makes a budget that knows no team yet.
+     * Creates a budget without teams.
      *
-     * @param settings the burst, and the time to come back where no team is known
+     * @param settings the burst, and the portion life as retry delay for unknown teams
      */
     public EvenShareBudget(final BudgetSettings settings) {
         mBurst = settings.burst();
@@ -39,33 +39,33 @@
     }
 
     /**
-     * Sets what each team may spend and how many daemons share it.
+     * Sets the rate of each team and the number of daemons that share it.
      *
-     * @param rates every team
-     * @param daemons the number of live daemons
-     * @param now the time
+     * @param rates the rates of all teams
+     * @param daemons the number of live daemons, at least 1
+     * @param now the current time
      */
     public void ratesChanged(final List<TeamRate> rates, final int daemons, final Instant now) {
         Arguments.requireAtLeast(daemons, 1, "daemons");
         final Map<TeamId, TokenBucket> kept = new HashMap<>();
         for (final TeamRate rate : rates) {
             final TokenBucket known = mBuckets.get(rate.team());
-            final TokenBucket income = known == null ? new TokenBucket(mBurst, now) : known;
-            income.setRate((double) rate.tokensPerSecond() / daemons, now);
+            final TokenBucket bucket = known == null ? new TokenBucket(mBurst, now) : known;
+            bucket.setRate((double) rate.tokensPerSecond() / daemons, now);
             if (known == null) {
-                income.fill();
+                bucket.fill();
             }
-            kept.put(rate.team(), income);
+            kept.put(rate.team(), bucket);
         }
         mBuckets.clear();
         mBuckets.putAll(kept);
     }
 
     /**
-     * Reserves tokens, or tells when there are enough.
+     * Reserves tokens, or refuses with the time until there are enough.
      *
-     * <p>Guards against a request that is larger than the burst and would be refused for ever: it
-     * is paid ahead by a full income, which then is in debt.
+     * <p>A request larger than the burst would always be refused, so a full bucket serves it in
+     * advance and then has a negative balance.
      */
     @Override
     public BudgetDecision reserve(
@@ -73,15 +73,15 @@
         if (mReservations.containsKey(request)) {
             return BudgetDecision.RESERVED;
         }
-        final TokenBucket income = mBuckets.get(team);
-        if (income == null) {
+        final TokenBucket bucket = mBuckets.get(team);
+        if (bucket == null) {
             return BudgetDecision.refused(mUnknownTeamRetryAfter);
         }
-        income.refill(now);
-        if (income.available() < tokens && !income.isFull()) {
-            return BudgetDecision.refused(income.timeUntil(tokens));
+        bucket.refill(now);
+        if (bucket.available() < tokens && !bucket.isFull()) {
+            return BudgetDecision.refused(bucket.timeUntil(tokens));
         }
-        income.take(tokens);
+        bucket.take(tokens);
         mReservations.put(request, new Reservation(team, tokens));
         return BudgetDecision.RESERVED;
     }
@@ -89,14 +89,14 @@
     @Override
     public void settle(final RequestId request, final long usedTokens, final Instant now) {
         final Reservation reservation = mReservations.remove(request);
-        final TokenBucket income = reservation == null ? null : mBuckets.get(reservation.team());
-        if (income != null) {
-            income.refill(now);
-            income.giveBack(Math.max(0, reservation.tokens() - usedTokens));
+        final TokenBucket bucket = reservation == null ? null : mBuckets.get(reservation.team());
+        if (bucket != null) {
+            bucket.refill(now);
+            bucket.giveBack(Math.max(0, reservation.tokens() - usedTokens));
         }
     }
 
-    /** Tokens kept for one request. */
+    /** The tokens reserved for one request. */
     private record Reservation(TeamId team, long tokens) {
         Reservation {
             Objects.requireNonNull(team, "team");
--- a/admission/src/main/java/org/whinhead/admission/budget/GrantWindow.java
+++ b/admission/src/main/java/org/whinhead/admission/budget/GrantWindow.java
@@ -5,16 +5,16 @@
 import org.whinhead.api.model.DaemonId;
 
 /**
- * A stretch of time whose whole income, of every team, one holder may give out; one log record, so
- * that it outlives the holder.
+ * A time window whose accrued tokens, of all teams, one holder may grant. It is a log record, so it
+ * outlives the holder.
  *
  * @param holder the holder
- * @param from the first moment
- * @param until the moment after the last
+ * @param from the start, inclusive
+ * @param until the end, exclusive
  */
 public record GrantWindow(DaemonId holder, Instant from, Instant until) {
 
-    /** Checks every part. */
+    /** Checks that all components are present. */
     public GrantWindow {
         Objects.requireNonNull(holder, "holder");
         Objects.requireNonNull(from, "from");
--- a/admission/src/main/java/org/whinhead/admission/budget/Portion.java
+++ b/admission/src/main/java/org/whinhead/admission/budget/Portion.java
@@ -6,16 +6,17 @@
 import org.whinhead.api.model.TeamId;
 
 /**
- * A holder's answer: tokens that a daemon may spend until they expire.
+ * A portion of a team's budget that a daemon may spend until it expires; the holder's answer to a
+ * {@link PortionRequest}.
  *
- * @param team whose budget
- * @param number the number of the question
- * @param tokens how many; 0 if the budget is spent for now
- * @param expires when what is left lapses
+ * @param team the team
+ * @param number the number of the request
+ * @param tokens the number of tokens; 0 if the budget is spent for now
+ * @param expires the time when unspent tokens expire
  */
 public record Portion(TeamId team, long number, long tokens, Instant expires) {
 
-    /** Checks every part. */
+    /** Checks the components. */
     public Portion {
         Objects.requireNonNull(team, "team");
         Arguments.requireAtLeast(tokens, 0, "tokens");
--- a/admission/src/main/java/org/whinhead/admission/budget/PortionAllocator.java
+++ b/admission/src/main/java/org/whinhead/admission/budget/PortionAllocator.java
@@ -11,13 +11,13 @@
 import org.whinhead.api.model.TeamId;
 
 /**
- * The holder's side: gives portions out of the income of the windows that it has reserved on the
- * log.
+ * The allocator of the budget holder: grants portions of the tokens that accrue in the windows it
+ * has reserved on the log.
  *
- * <p>Guards against double spending across holders: a holder gives out only the income of its own
- * windows, and windows never overlap, since each begins no earlier than the end of the one before
- * it in log order. A holder that was paused past its window finds that the window is over and gives
- * nothing; a new holder starts empty at the end of the last window, whatever was given out of it.
+ * <p>Windows prevent that two holders grant the same tokens: a holder grants only the tokens of its
+ * own windows, and windows never overlap, since each begins no earlier than the end of the previous
+ * one in log order. A holder paused past its window grants nothing. A new holder starts empty at
+ * the end of the last window, regardless of the portions granted from that window.
  */
 public final class PortionAllocator {
 
@@ -30,10 +30,10 @@
     private Instant mOwnUntil = Instant.MIN;
 
     /**
-     * Makes a holder without any window.
+     * Creates an allocator without a window.
      *
      * @param own this daemon
-     * @param settings times and shares
+     * @param settings the settings of the budget protocol
      */
     public PortionAllocator(final DaemonId own, final BudgetSettings settings) {
         mOwn = Objects.requireNonNull(own, "own");
@@ -41,10 +41,10 @@
     }
 
     /**
-     * Sets what each team may spend.
+     * Sets the rate of each team.
      *
-     * @param rates every team
-     * @param now the time
+     * @param rates the rates of all teams
+     * @param now the current time
      */
     public void ratesChanged(final List<TeamRate> rates, final Instant now) {
         final Map<TeamId, Long> byTeam = new HashMap<>();
@@ -59,10 +59,10 @@
     }
 
     /**
-     * Returns the window to append to the log now, while this daemon is to be the holder.
+     * Returns the window to append to the log now; called while this daemon is to be the holder.
      *
-     * @param now the time
-     * @return the window, or empty if the own one is good for long enough
+     * @param now the current time
+     * @return the window, or empty if at least half of the current one is left
      */
     public Optional<GrantWindow> nextWindow(final Instant now) {
         final Instant renewAt = mOwnUntil.equals(Instant.MIN) ? now : mOwnUntil.minus(halfWindow());
@@ -75,10 +75,10 @@
     }
 
     /**
-     * Takes a window from the log, of this daemon or another one, in log order.
+     * Applies a window of any daemon from the log, in log order.
      *
-     * <p>Guards against windows of two daemons that raced: the part that an earlier record already
-     * reserved is cut off, so the same moment is never given out twice.
+     * <p>When two daemons append windows concurrently, the part that an earlier record reserved is
+     * cut off, so the tokens of one moment are never granted twice.
      *
      * @param window the window
      */
@@ -95,28 +95,28 @@
         if (!from.equals(mOwnUntil)) {
             mOwnFrom = from;
             mLastPortions.clear();
-            mBuckets.values().forEach(income -> income.restart(from));
+            mBuckets.values().forEach(bucket -> bucket.restart(from));
         }
         mOwnUntil = window.until();
     }
 
     /**
-     * Answers a daemon's question.
+     * Grants a portion.
      *
-     * <p>Guards against lost and doubled questions and answers: the last portion of each daemon and
-     * team is remembered, so the same question gets the same portion and costs nothing more.
+     * <p>The last portion of each daemon and team is kept, so a request that is repeated after a
+     * lost or duplicated message gets the same portion and is charged once.
      *
-     * @param request the question
-     * @param now the time
+     * @param request the request of a daemon
+     * @param now the current time
      * @return the portion, of 0 tokens if the budget is spent; empty if this daemon holds no window
-     *     now or the question is an old one
+     *     now or the request is outdated
      */
     public Optional<Portion> grant(final PortionRequest request, final Instant now) {
         if (now.isBefore(mOwnFrom) || !now.isBefore(mOwnUntil)) {
             return Optional.empty();
         }
-        final Requester asker = new Requester(request.daemon(), request.team());
-        final Portion last = mLastPortions.get(asker);
+        final Requester requester = new Requester(request.daemon(), request.team());
+        final Portion last = mLastPortions.get(requester);
         if (last != null && last.number() >= request.number()) {
             return Optional.of(last).filter(portion -> portion.number() == request.number());
         }
@@ -126,28 +126,29 @@
                         request.number(),
                         take(request, now),
                         now.plus(mSettings.portionLife()));
-        mLastPortions.put(asker, portion);
+        mLastPortions.put(requester, portion);
         return Optional.of(portion);
     }
 
     /**
-     * Gives at most half of what is there, so that one daemon leaves something for the next.
+     * Removes the tokens of a portion: at most half of the bucket unless the requester needs more,
+     * so that other daemons get tokens as well.
      *
-     * <p>Guards against a request that is larger than all that a team may save up: it would be
-     * refused for ever. A full income gives it ahead of time and earns it back before the next.
+     * <p>A request larger than the bucket would always be refused, so a full bucket serves it in
+     * advance and refills before the next portion.
      */
     private long take(final PortionRequest request, final Instant now) {
-        final TokenBucket income = mBuckets.get(request.team());
-        if (income == null) {
+        final TokenBucket bucket = mBuckets.get(request.team());
+        if (bucket == null) {
             return 0;
         }
-        income.refill(now);
-        final long available = income.available();
-        if (available < Math.max(1, request.least()) && !income.isFull()) {
+        bucket.refill(now);
+        final long available = bucket.available();
+        if (available < Math.max(1, request.least()) && !bucket.isFull()) {
             return 0;
         }
         final long tokens = Math.min(request.wanted(), Math.max(request.least(), available / 2));
-        income.take(tokens);
+        bucket.take(tokens);
         return tokens;
     }
 
@@ -159,6 +160,6 @@
         return one.isBefore(other) ? one : other;
     }
 
-    /** Who asked for which team. */
+    /** A daemon that requests portions of a team. */
     private record Requester(DaemonId daemon, TeamId team) {}
 }
--- a/admission/src/main/java/org/whinhead/admission/budget/PortionRequest.java
+++ b/admission/src/main/java/org/whinhead/admission/budget/PortionRequest.java
@@ -6,17 +6,17 @@
 import org.whinhead.api.model.TeamId;
 
 /**
- * A daemon's question for a portion; asked again under the same number until it is answered.
+ * A daemon's request for a portion; sent again with the same number until it is answered.
  *
- * @param daemon who asks
- * @param team whose budget
- * @param number the question's number, rising for each daemon and team
- * @param least tokens without which the portion is of no use
- * @param wanted tokens that it expects to spend
+ * @param daemon the daemon
+ * @param team the team
+ * @param number the number of the request, increasing for each daemon and team
+ * @param least the minimum number of tokens for the portion to be of use
+ * @param wanted the number of tokens that the daemon expects to spend, at least {@code least}
  */
 public record PortionRequest(DaemonId daemon, TeamId team, long number, long least, long wanted) {
 
-    /** Checks every part. */
+    /** Checks the components. */
     public PortionRequest {
         Objects.requireNonNull(daemon, "daemon");
         Objects.requireNonNull(team, "team");
--- a/admission/src/main/java/org/whinhead/admission/budget/PortionedBudget.java
+++ b/admission/src/main/java/org/whinhead/admission/budget/PortionedBudget.java
@@ -15,8 +15,8 @@
 import org.whinhead.api.request.RequestId;
 
 /**
- * The daemon's side: spends from portions, asks for the next early, and while the holder is away
- * spends what is left and then part of its even share.
+ * A budget that reserves tokens from portions of the budget holder and requests the next portion in
+ * advance. While the holder is unavailable, it spends the rest and then part of its even share.
  *
  * <p>With rate r, burst B, portion life E, largest request m, even share f, N daemons, h changes of
  * the holder and k daemons cut off from it for t seconds, all daemons together reserve in any T
@@ -30,10 +30,10 @@
     private final Map<RequestId, Reservation> mReservations = new HashMap<>();
 
     /**
-     * Makes a ledger without any portion.
+     * Creates a budget without portions.
      *
      * @param own this daemon
-     * @param settings times and shares
+     * @param settings the settings of the budget protocol
      */
     public PortionedBudget(final DaemonId own, final BudgetSettings settings) {
         mOwn = Objects.requireNonNull(own, "own");
@@ -41,20 +41,20 @@
     }
 
     /**
-     * Sets what each team may spend and how many daemons share it.
+     * Sets the rate of each team and the number of daemons that share it.
      *
-     * @param rates every team
-     * @param daemons the number of live daemons
-     * @param now the time
+     * @param rates the rates of all teams
+     * @param daemons the number of live daemons, at least 1
+     * @param now the current time
      */
     public void ratesChanged(final List<TeamRate> rates, final int daemons, final Instant now) {
         Arguments.requireAtLeast(daemons, 1, "daemons");
         final Map<TeamId, TeamPortions> kept = new HashMap<>();
         for (final TeamRate rate : rates) {
-            final TeamPortions old = mTeams.get(rate.team());
-            final TeamPortions purse = old == null ? new TeamPortions(mSettings, now) : old;
-            purse.setEvenRate((double) rate.tokensPerSecond() / daemons, now);
-            kept.put(rate.team(), purse);
+            final TeamPortions known = mTeams.get(rate.team());
+            final TeamPortions portions = known == null ? new TeamPortions(mSettings, now) : known;
+            portions.setEvenRate((double) rate.tokensPerSecond() / daemons, now);
+            kept.put(rate.team(), portions);
         }
         mTeams.clear();
         mTeams.putAll(kept);
@@ -66,61 +66,63 @@
         if (mReservations.containsKey(request)) {
             return BudgetDecision.RESERVED;
         }
-        final TeamPortions purse = mTeams.get(team);
-        if (purse == null) {
+        final TeamPortions portions = mTeams.get(team);
+        if (portions == null) {
             return BudgetDecision.refused(mSettings.portionLife());
         }
-        final Instant expires = purse.take(tokens, now);
+        final Instant expires = portions.take(tokens, now);
         if (expires != null) {
             mReservations.put(request, new Reservation(team, tokens, expires));
             return BudgetDecision.RESERVED;
         }
-        return purse.canWait(now) ? BudgetDecision.PENDING : BudgetDecision.refused(retryAfter());
+        return portions.canWait(now)
+                ? BudgetDecision.PENDING
+                : BudgetDecision.refused(retryAfter());
     }
 
     @Override
     public void settle(final RequestId request, final long usedTokens, final Instant now) {
         final Reservation reservation = mReservations.remove(request);
-        final TeamPortions purse = reservation == null ? null : mTeams.get(reservation.team());
-        if (purse != null) {
-            purse.giveBack(reservation.tokens() - usedTokens, reservation.expires(), now);
+        final TeamPortions portions = reservation == null ? null : mTeams.get(reservation.team());
+        if (portions != null) {
+            portions.giveBack(reservation.tokens() - usedTokens, reservation.expires(), now);
         }
     }
 
     /**
-     * Returns the questions to send to the holder now; call often.
+     * Returns the requests to send to the holder now; to be called often.
      *
-     * @param now the time
-     * @return the questions, new and repeated
+     * @param now the current time
+     * @return new requests and unanswered ones to resend
      */
     public List<PortionRequest> portionRequests(final Instant now) {
-        final List<PortionRequest> questions = new ArrayList<>();
+        final List<PortionRequest> requests = new ArrayList<>();
         mTeams.forEach(
-                (team, purse) -> {
-                    final TeamPortions.PendingRequest question = purse.nextRequest(now);
-                    if (question != null) {
-                        questions.add(
+                (team, portions) -> {
+                    final TeamPortions.PendingRequest pending = portions.nextRequest(now);
+                    if (pending != null) {
+                        requests.add(
                                 new PortionRequest(
                                         mOwn,
                                         team,
-                                        question.number(),
-                                        question.least(),
-                                        question.wanted()));
+                                        pending.number(),
+                                        pending.least(),
+                                        pending.wanted()));
                     }
                 });
-        return questions;
+        return requests;
     }
 
     /**
-     * Takes the holder's answer.
+     * Adds a portion that the holder sent.
      *
      * @param portion the portion
-     * @param now the time
+     * @param now the current time
      */
     public void portionReceived(final Portion portion, final Instant now) {
-        final TeamPortions purse = mTeams.get(portion.team());
-        if (purse != null) {
-            purse.portionReceived(portion, now);
+        final TeamPortions portions = mTeams.get(portion.team());
+        if (portions != null) {
+            portions.portionReceived(portion, now);
         }
     }
 
@@ -128,6 +130,6 @@
         return mSettings.resendInterval().multipliedBy(2);
     }
 
-    /** Tokens kept for one request. */
+    /** The tokens reserved for one request. */
     private record Reservation(TeamId team, long tokens, Instant expires) {}
 }
--- a/admission/src/main/java/org/whinhead/admission/budget/TeamPortions.java
+++ b/admission/src/main/java/org/whinhead/admission/budget/TeamPortions.java
@@ -5,12 +5,12 @@
 import java.util.ArrayDeque;
 import java.util.Deque;
 
-/** What one daemon holds of one team's budget, and what it asks for next. */
+/** One daemon's unspent portions of one team's budget, and the requests for the next portion. */
 final class TeamPortions {
 
     private static final long NO_REQUEST = -1;
 
-    /** Requests like the one that fell short that are asked for at once. */
+    /** The minimum size of a portion request, as a multiple of the largest unmet request. */
     private static final long INITIAL_REQUESTS = 4;
 
     private static final double NEW_SAMPLE_SHARE = 0.3;
@@ -42,7 +42,7 @@
         mFallback.setRate(tokensPerSecond * mSettings.fallbackShare(), now);
     }
 
-    /** Takes tokens; returns when they lapse if given back, or null if there are not enough. */
+    /** Takes tokens; returns the time until which they can be returned, or null if too few. */
     Instant take(final long tokens, final Instant now) {
         dropExpired(now);
         final Instant expires = takeUnspent(tokens);
@@ -67,12 +67,12 @@
         }
     }
 
-    /** Tells whether waiting can help: an answer is due, or a question is about to be asked. */
+    /** Returns whether a portion request is pending or will be sent soon. */
     boolean canWait(final Instant now) {
         return !mHolderUnavailable && !now.isBefore(mNoRequestBefore);
     }
 
-    /** Returns the question to send now, new or again; null if none. */
+    /** Returns the request to send or resend now, or null. */
     PendingRequest nextRequest(final Instant now) {
         dropExpired(now);
         updateDemand(now);
@@ -88,10 +88,10 @@
     }
 
     /**
-     * Takes a portion.
+     * Adds a portion.
      *
-     * <p>Guards against a doubled answer and against one that was overtaken: only the answer to the
-     * pending question counts, and only until it expires.
+     * <p>Only an unexpired answer to the pending request counts, so duplicated and outdated answers
+     * are ignored.
      */
     void portionReceived(final Portion portion, final Instant now) {
         if (portion.number() != mPendingNumber) {
@@ -129,10 +129,10 @@
     }
 
     private void updateDemand(final Instant now) {
-        final Duration since = Duration.between(mDemandSince, now);
-        if (since.compareTo(mSettings.resendInterval()) >= 0) {
+        final Duration elapsed = Duration.between(mDemandSince, now);
+        if (elapsed.compareTo(mSettings.resendInterval()) >= 0) {
             mDemandPerSecond +=
-                    NEW_SAMPLE_SHARE * (mReservedSince / seconds(since) - mDemandPerSecond);
+                    NEW_SAMPLE_SHARE * (mReservedSince / seconds(elapsed) - mDemandPerSecond);
             mReservedSince = 0;
             mDemandSince = now;
         }
@@ -143,36 +143,36 @@
             return null;
         }
         final Instant expires = mUnspent.getFirst().expires();
-        long open = tokens;
-        while (open > 0) {
-            final UnspentTokens slice = mUnspent.removeFirst();
-            if (slice.tokens() > open) {
-                mUnspent.addFirst(new UnspentTokens(slice.tokens() - open, slice.expires()));
+        long missing = tokens;
+        while (missing > 0) {
+            final UnspentTokens portion = mUnspent.removeFirst();
+            if (portion.tokens() > missing) {
+                mUnspent.addFirst(new UnspentTokens(portion.tokens() - missing, portion.expires()));
             }
-            open -= Math.min(open, slice.tokens());
+            missing -= Math.min(missing, portion.tokens());
         }
         return expires;
     }
 
     private long unspentTokens() {
-        long left = 0;
-        for (final UnspentTokens slice : mUnspent) {
-            left += slice.tokens();
+        long sum = 0;
+        for (final UnspentTokens portion : mUnspent) {
+            sum += portion.tokens();
         }
-        return left;
+        return sum;
     }
 
     private void dropExpired(final Instant now) {
-        mUnspent.removeIf(slice -> !now.isBefore(slice.expires()));
+        mUnspent.removeIf(portion -> !now.isBefore(portion.expires()));
     }
 
     private static double seconds(final Duration duration) {
         return duration.toNanos() / NANOS_PER_SECOND;
     }
 
-    /** Tokens of one portion. */
+    /** The unspent tokens of one portion. */
     private record UnspentTokens(long tokens, Instant expires) {}
 
-    /** What to ask the holder. */
+    /** The content of a portion request. */
     record PendingRequest(long number, long least, long wanted) {}
 }
--- a/admission/src/main/java/org/whinhead/admission/budget/TeamRate.java
+++ b/admission/src/main/java/org/whinhead/admission/budget/TeamRate.java
@@ -5,14 +5,14 @@
 import org.whinhead.api.model.TeamId;
 
 /**
- * What a team may spend.
+ * The rate limit of a team.
  *
  * @param team the team
- * @param tokensPerSecond generated tokens a second over all daemons
+ * @param tokensPerSecond the generated tokens per second over all daemons
  */
 public record TeamRate(TeamId team, long tokensPerSecond) {
 
-    /** Checks both parts. */
+    /** Checks both components. */
     public TeamRate {
         Objects.requireNonNull(team, "team");
         Arguments.requireAtLeast(tokensPerSecond, 0, "tokensPerSecond");
--- a/admission/src/main/java/org/whinhead/admission/budget/TokenBucket.java
+++ b/admission/src/main/java/org/whinhead/admission/budget/TokenBucket.java
@@ -3,7 +3,7 @@
 import java.time.Duration;
 import java.time.Instant;
 
-/** Tokens that come in at a rate, saved up to a bound. */
+/** A token bucket: refills at a rate, up to a capacity of {@code rate * burst}. */
 final class TokenBucket {
 
     private static final double NANOS_PER_SECOND = 1e9;
@@ -18,14 +18,14 @@
         mRefilledUpTo = from;
     }
 
-    /** Sets the rate from a moment on. */
-    void setRate(final double perSecond, final Instant now) {
+    /** Refills the bucket at the old rate and sets a new one. */
+    void setRate(final double tokensPerSecond, final Instant now) {
         refill(now);
-        mTokensPerSecond = perSecond;
+        mTokensPerSecond = tokensPerSecond;
         mTokens = Math.min(mTokens, capacity());
     }
 
-    /** Forgets what was saved and starts to accrue at a moment. */
+    /** Empties the bucket and refills it from a moment on. */
     void restart(final Instant from) {
         mTokens = 0;
         mRefilledUpTo = from;
@@ -44,7 +44,7 @@
         return (long) mTokens;
     }
 
-    /** Tells whether no more can be saved up. */
+    /** Returns whether the bucket is full; false while the rate is 0. */
     boolean isFull() {
         return mTokensPerSecond > 0 && mTokens >= capacity();
     }
@@ -57,12 +57,12 @@
         mTokens = Math.min(capacity(), mTokens + tokens);
     }
 
-    /** Saves up to the bound at once. */
+    /** Fills the bucket to its capacity. */
     void fill() {
         mTokens = capacity();
     }
 
-    /** Returns how long it takes until there are enough tokens, or until no more are saved up. */
+    /** Returns the time until the bucket has enough tokens or is full. */
     Duration timeUntil(final long tokens) {
         final double missing = Math.min(tokens, capacity()) - mTokens;
         final double seconds =
--- a/admission/src/main/java/org/whinhead/admission/budget/package-info.java
+++ b/admission/src/main/java/org/whinhead/admission/budget/package-info.java
@@ -1,2 +1,2 @@
-/** A team's tokens a second, spent through many daemons by portions of one holder. */
+/** Token rate limits per team, shared by many daemons. */
 package org.whinhead.admission.budget;
--- a/admission/src/main/java/org/whinhead/admission/package-info.java
+++ b/admission/src/main/java/org/whinhead/admission/package-info.java
@@ -1,2 +1,2 @@
-/** Whether a request is taken now: budgets, tiers, queues and early refusal. */
+/** Admission control of requests: team budgets, priority tiers, fair queues and load shedding. */
 package org.whinhead.admission;
--- a/routing/src/main/java/org/whinhead/routing/AffinityPicker.java
+++ b/routing/src/main/java/org/whinhead/routing/AffinityPicker.java
@@ -4,10 +4,11 @@
 import java.util.random.RandomGenerator;
 
 /**
- * Compares a handful of candidates by expected time to the first token: known holders of the
- * longest prefix, the owners of the prompt's anchor by rendezvous hashing, and a few at random.
+ * Picks the endpoint with the least expected time to the first token among a few candidates: the
+ * known holders of the longest cached prefix, the owners of the prompt's anchor (its first blocks)
+ * by rendezvous hashing, and two at random.
  *
- * <p>Works on arrays that it keeps, so a choice allocates next to nothing.
+ * <p>Reuses its arrays to avoid allocations per choice.
  */
 final class AffinityPicker implements Picker {
 
@@ -52,8 +53,9 @@
     }
 
     /**
-     * Finds the longest known prefix by bisection, since a known prefix has its shorter ones known;
-     * then goes down in growing steps, for what is shorter mostly has the same holders.
+     * Finds the longest known prefix by binary search, since the prefixes of a known prefix are
+     * known as well. Continues with shorter prefixes in growing steps, since their holders are
+     * mostly the same.
      */
     private void findHolders(final List<Long> prefixes) {
         mHolderCount = 0;
@@ -86,7 +88,7 @@
         }
     }
 
-    /** Two different ones at random, so that many daemons with one stale report spread out. */
+    /** Considers two random endpoints, so that daemons with the same stale report spread out. */
     private void considerSamples(final EndpointPool pool, final RouteQuery query) {
         final int size = pool.size();
         final int first = mRandom.nextInt(size);
@@ -107,8 +109,8 @@
     }
 
     /**
-     * The first owner probably holds what other daemons sent it under the same anchor, so a share
-     * of the prompt is assumed to be cached there even if this daemon knows nothing of it.
+     * Considers the owners of the anchor. The first owner probably caches what other daemons sent
+     * under the same anchor, so a share of the prompt is assumed to be cached there.
      */
     private void considerOwners(final EndpointPool pool, final RouteQuery query) {
         final List<Long> prefixes = query.spec().prefixHashes();
@@ -126,8 +128,8 @@
     }
 
     /**
-     * Guards against a hot prefix that drowns its owner while others idle: affinity fills an
-     * endpoint only up to a factor of the pool's mean load, or half its slots if that is more.
+     * Considers an endpoint if its load is below a multiple of the pool's mean load, or half its
+     * slots if that is more. Otherwise a hot prefix would overload its owner while others idle.
      */
     private void considerBelowLoadBound(
             final EndpointState state,
--- a/routing/src/main/java/org/whinhead/routing/AffinityRouter.java
+++ b/routing/src/main/java/org/whinhead/routing/AffinityRouter.java
@@ -16,12 +16,12 @@
 import org.whinhead.api.request.RequestId;
 import org.whinhead.api.request.RequestSpec;
 
-/** The daemon's router: fit first, then the strategy's choice among open endpoints. */
+/** The daemon's router: applies a routing strategy to the pool of endpoints that fit a request. */
 public final class AffinityRouter implements Router {
 
     private static final int PREFIX_CAPACITY = 65_536;
 
-    /** One more request in progress at a plain service weighs as much as this many milliseconds. */
+    /** The location cost that equals one more request in flight at a plain service. */
     private static final double MILLIS_PER_REQUEST = 10;
 
     private final RoutingSettings mSettings;
@@ -33,10 +33,10 @@
     private final Map<Dispatch, InFlight> mInFlight = new HashMap<>();
 
     /**
-     * Makes a router that knows no endpoint yet.
+     * Creates a router without endpoints.
      *
-     * @param settings the weights of a decision
-     * @param random the source of chance
+     * @param settings the strategy, costs and health settings
+     * @param random the source of randomness
      */
     public AffinityRouter(final RoutingSettings settings, final RandomGenerator random) {
         mSettings = Objects.requireNonNull(settings, "settings");
@@ -52,16 +52,16 @@
     }
 
     /**
-     * Replaces the table of endpoints; what is known of those that stay is kept.
+     * Replaces the endpoints and keeps the state of those that remain.
      *
-     * @param endpoints every endpoint to route to
+     * @param endpoints all endpoints to route to
      */
     public void endpointsChanged(final List<Endpoint> endpoints) {
         mTable.replaceAll(endpoints);
     }
 
     /**
-     * Adds one endpoint or changes it.
+     * Adds or updates an endpoint.
      *
      * @param endpoint the endpoint
      */
@@ -70,7 +70,7 @@
     }
 
     /**
-     * Forgets one endpoint.
+     * Removes an endpoint.
      *
      * @param endpoint the endpoint
      */
@@ -79,7 +79,7 @@
     }
 
     /**
-     * Shuts a leaving endpoint out for good, whatever a lagging list says of it later.
+     * Excludes a leaving endpoint permanently, even if a stale list later contains it.
      *
      * @param endpoint the endpoint
      */
@@ -88,10 +88,10 @@
     }
 
     /**
-     * Takes a load report, polled or heard from a peer.
+     * Applies a load report, polled or received from a peer.
      *
      * @param report the report
-     * @param now the time
+     * @param now the current time
      */
     public void loadReported(final LoadReport report, final Instant now) {
         final EndpointState state = mTable.state(report.endpoint());
@@ -102,7 +102,7 @@
     }
 
     /**
-     * Takes a cache event.
+     * Applies a cache event of an engine.
      *
      * @param event the event
      */
@@ -143,42 +143,41 @@
     @Override
     public void attemptSucceeded(
             final EndpointId endpoint, final RequestSpec spec, final Instant now) {
-        final InFlight attempt = mInFlight.get(new Dispatch(spec.id(), endpoint));
-        if (attempt != null) {
-            attempt.state().health().succeeded(attempt.revision());
+        final InFlight inFlight = mInFlight.get(new Dispatch(spec.id(), endpoint));
+        if (inFlight != null) {
+            inFlight.state().health().succeeded(inFlight.revision());
         }
     }
 
     @Override
     public void attemptFailed(
             final EndpointId endpoint, final RequestSpec spec, final Instant now) {
-        final InFlight attempt = mInFlight.get(new Dispatch(spec.id(), endpoint));
-        if (attempt != null) {
-            attempt.state().health().failed(attempt.revision(), now);
+        final InFlight inFlight = mInFlight.get(new Dispatch(spec.id(), endpoint));
+        if (inFlight != null) {
+            inFlight.state().health().failed(inFlight.revision(), now);
         }
     }
 
     /**
-     * Counts the end of an attempt, once.
+     * Subtracts an ended attempt from the load that it was counted in, once.
      *
-     * <p>Guards against an end that is told twice, or that belongs to an earlier life of an
-     * endpoint which fell out of the list and came back: either would make an endpoint look emptier
-     * than it is. The attempt keeps the state that it was counted against and is forgotten here.
+     * <p>Each attempt refers to the state that counted it. Otherwise an end reported twice, or one
+     * from before the endpoint was removed and added again, would understate the load.
      */
     @Override
     public void attemptEnded(final EndpointId endpoint, final RequestSpec spec, final Instant now) {
-        final InFlight attempt = mInFlight.remove(new Dispatch(spec.id(), endpoint));
-        if (attempt != null) {
-            attempt.state().load().requestEnded(now);
-            attempt.state().updatePoolLoads();
+        final InFlight inFlight = mInFlight.remove(new Dispatch(spec.id(), endpoint));
+        if (inFlight != null) {
+            inFlight.state().load().requestEnded(now);
+            inFlight.state().updatePoolLoads();
         }
     }
 
     /**
-     * Returns how many attempts of this daemon are in progress at an endpoint.
+     * Returns the number of this daemon's attempts in flight at an endpoint.
      *
      * @param endpoint the endpoint
-     * @return the number; 0 if the endpoint is not known
+     * @return the number; 0 if the endpoint is unknown
      */
     public int inFlightAt(final EndpointId endpoint) {
         final EndpointState state = mTable.state(endpoint);
@@ -186,10 +185,10 @@
     }
 
     /**
-     * Tells whether an endpoint has failed and not yet recovered.
+     * Returns whether an endpoint has failed and not yet recovered.
      *
      * @param endpoint the endpoint
-     * @return true if it is suspect; false if it is not known
+     * @return true if the endpoint is suspect; false if it is unknown
      */
     public boolean isSuspect(final EndpointId endpoint) {
         final EndpointState state = mTable.state(endpoint);
@@ -211,8 +210,8 @@
         final Dispatch dispatch = new Dispatch(spec.id(), state.endpoint().id());
         final long revision = state.health().dispatched(now);
         mPrefixes.recordSend(spec.prefixHashes(), state);
-        final InFlight before = mInFlight.put(dispatch, new InFlight(state, revision));
-        if (before == null) {
+        final InFlight previous = mInFlight.put(dispatch, new InFlight(state, revision));
+        if (previous == null) {
             state.load().requestSent(now);
             state.updatePoolLoads();
         }
@@ -238,9 +237,9 @@
         return price + (sameRegion ? costs.otherDomainMillis() : costs.otherRegionMillis());
     }
 
-    /** One request at one endpoint. */
+    /** The key of an attempt: one request at one endpoint. */
     private record Dispatch(RequestId request, EndpointId endpoint) {}
 
-    /** What an attempt in progress was counted against. */
+    /** An attempt in flight: the state that counts it and the health revision at its dispatch. */
     private record InFlight(EndpointState state, long revision) {}
 }
--- a/routing/src/main/java/org/whinhead/routing/CacheEvent.java
+++ b/routing/src/main/java/org/whinhead/routing/CacheEvent.java
@@ -4,25 +4,25 @@
 import org.whinhead.api.model.EndpointId;
 
 /**
- * What an engine said of its prefix cache; late, and some are missing.
+ * A change of an engine's prefix cache. Events arrive late and some are lost.
  *
  * @param endpoint the engine
- * @param kind what happened to the prefix
- * @param prefixHash the prefix
+ * @param kind the kind of change
+ * @param prefixHash the hash of the prefix
  */
 public record CacheEvent(EndpointId endpoint, Kind kind, long prefixHash) {
 
-    /** Checks every part. */
+    /** Checks that the endpoint and the kind are present. */
     public CacheEvent {
         Objects.requireNonNull(endpoint, "endpoint");
         Objects.requireNonNull(kind, "kind");
     }
 
-    /** What happened to a prefix. */
+    /** The kinds of change. */
     public enum Kind {
-        /** The engine now holds it. */
+        /** The engine cached the prefix. */
         STORED,
-        /** The engine dropped it. */
+        /** The engine evicted the prefix. */
         EVICTED
     }
 }
--- a/routing/src/main/java/org/whinhead/routing/DaemonLocation.java
+++ b/routing/src/main/java/org/whinhead/routing/DaemonLocation.java
@@ -5,14 +5,14 @@
 import org.whinhead.api.model.FailureDomain;
 
 /**
- * Where a daemon stands.
+ * The failure domain of a daemon.
  *
  * @param id the daemon
- * @param domain its failure domain
+ * @param domain the failure domain
  */
 public record DaemonLocation(DaemonId id, FailureDomain domain) {
 
-    /** Checks both parts. */
+    /** Checks that both components are present. */
     public DaemonLocation {
         Objects.requireNonNull(id, "id");
         Objects.requireNonNull(domain, "domain");
--- a/routing/src/main/java/org/whinhead/routing/EndpointHealth.java
+++ b/routing/src/main/java/org/whinhead/routing/EndpointHealth.java
@@ -5,11 +5,11 @@
 import java.util.random.RandomGenerator;
 
 /**
- * Whether one endpoint may get new work after failures: healthy, or suspect with one recovery probe
- * at a time after a cooldown.
+ * The circuit breaker of one endpoint: healthy, or suspect with one recovery probe at a time after
+ * a cooldown.
  *
- * <p>Each dispatch takes a revision and hands it back with its outcome, so that an outcome can be
- * set in order against failures that were seen in between.
+ * <p>Each dispatch gets a revision and reports it with its outcome, so that the outcome can be
+ * ordered relative to failures reported in between.
  */
 public final class EndpointHealth {
 
@@ -25,39 +25,39 @@
     private Instant mBlockedUntil = Instant.MIN;
 
     /**
-     * Starts healthy.
+     * Creates the state of a healthy endpoint.
      *
-     * @param settings thresholds and cooldowns
-     * @param random spreads the cooldowns of many daemons
+     * @param settings the thresholds and cooldowns
+     * @param random the source of the cooldown's jitter
      */
     public EndpointHealth(final HealthSettings settings, final RandomGenerator random) {
         mSettings = settings;
         mRandom = random;
     }
 
-    /** Tells whether the endpoint has failed and not yet recovered. */
+    /** Returns whether the endpoint has failed and not yet recovered. */
     public boolean isSuspect() {
         return mSuspect;
     }
 
     /**
-     * Tells whether a dispatch may go to the endpoint now, be it as a recovery probe.
+     * Returns whether a request, or a recovery probe if suspect, may be dispatched to the endpoint.
      *
-     * @param now the time
-     * @return true if it may
+     * @param now the current time
+     * @return true if a dispatch is allowed
      */
     public boolean canDispatch(final Instant now) {
         return !mSuspect || !now.isBefore(mBlockedUntil);
     }
 
     /**
-     * Notes a dispatch; a dispatch to a suspect endpoint is its probe and closes the endpoint.
+     * Records a dispatch. A dispatch to a suspect endpoint is a probe and blocks further ones.
      *
-     * <p>Guards against a probe whose outcome never comes back (it would keep the endpoint closed
-     * for good): the probe holds the endpoint for a bounded time only.
+     * <p>The probe blocks for the probe timeout only. Otherwise a probe without an outcome would
+     * block the endpoint permanently.
      *
-     * @param now the time
-     * @return the revision to hand back with the outcome
+     * @param now the current time
+     * @return the revision to report with the outcome
      */
     public long dispatched(final Instant now) {
         if (mSuspect) {
@@ -67,13 +67,12 @@
     }
 
     /**
-     * A dispatch succeeded.
+     * Records the success of a dispatch.
      *
-     * <p>Guards against a stale success: an attempt that began before a failure can end well after
-     * it and would open an endpoint that has died in between. Its revision is older than the
-     * failure's, so it changes nothing.
+     * <p>By default a success is ignored if its revision is older than the last failure: an attempt
+     * that began before a failure can succeed after the endpoint has died.
      *
-     * @param revision what {@link #dispatched} gave
+     * @param revision the revision that {@link #dispatched} returned
      */
     public void succeeded(final long revision) {
         if (!mSettings.successRule().clears(revision, mRevision)) {
@@ -85,14 +84,13 @@
     }
 
     /**
-     * A dispatch failed in a way that counts against the endpoint.
+     * Records the failure of a dispatch that the endpoint is responsible for.
      *
-     * <p>Guards against one death that counts many times: all attempts in progress fail together.
-     * Those that were dispatched before the endpoint became suspect tell nothing new, so they
-     * neither lengthen the cooldown nor end a probe.
+     * <p>Failures of attempts that were dispatched before the endpoint became suspect neither
+     * extend the cooldown nor end a probe: when an endpoint dies, all its attempts fail together.
      *
-     * @param revision what {@link #dispatched} gave
-     * @param now the time
+     * @param revision the revision that {@link #dispatched} returned
+     * @param now the current time
      */
     public void failed(final long revision, final Instant now) {
         if (revision < mSuspectRevision) {
--- a/routing/src/main/java/org/whinhead/routing/EndpointPool.java
+++ b/routing/src/main/java/org/whinhead/routing/EndpointPool.java
@@ -4,7 +4,7 @@
 import java.util.List;
 import java.util.Map;
 
-/** The endpoints that serve one model or plain service and accept new work, as plain arrays. */
+/** The endpoints that serve one model or plain service and accept new work. */
 final class EndpointPool {
 
     private static final int MAX_OWNERS = 3;
@@ -46,14 +46,14 @@
         mTotalLoad += delta;
     }
 
-    /** Returns the mean estimate of a member, with the request to place counted in. */
+    /** Returns the mean estimated load of a member, including the request to be routed. */
     double meanLoad() {
         return (mTotalLoad + 1.0) / Math.max(1, mMembers.length);
     }
 
     /**
-     * Returns the indexes of the members of highest rendezvous score for a key, best first; kept
-     * for the keys in use, since a pool's members never change.
+     * Returns the indexes of the members with the highest rendezvous scores for a key, in
+     * descending order. Recently used keys are cached, since the members of a pool never change.
      */
     int[] owners(final Long key) {
         int[] owners = mOwners.get(key);
--- a/routing/src/main/java/org/whinhead/routing/EndpointState.java
+++ b/routing/src/main/java/org/whinhead/routing/EndpointState.java
@@ -6,7 +6,7 @@
 import java.util.Optional;
 import org.whinhead.api.model.Endpoint;
 
-/** What the router knows of one endpoint; changed in place by the router's thread only. */
+/** The router's mutable state of one endpoint; accessed by the router's thread only. */
 final class EndpointState {
 
     private final long mHash;
@@ -57,7 +57,7 @@
         return mLocationCostMillis;
     }
 
-    /** Shuts the endpoint out for good: it is leaving or gone. */
+    /** Excludes the endpoint permanently, since it is leaving or removed. */
     void exclude() {
         mExcluded = true;
     }
@@ -79,7 +79,7 @@
         mPools.add(pool);
     }
 
-    /** Carries a change of the estimate into the totals of the pools. */
+    /** Adds the change of the load estimate to the totals of the pools. */
     void updatePoolLoads() {
         final int delta = mLoad.requests() - mPooledRequests;
         mPooledRequests += delta;
--- a/routing/src/main/java/org/whinhead/routing/EndpointTable.java
+++ b/routing/src/main/java/org/whinhead/routing/EndpointTable.java
@@ -14,7 +14,7 @@
 import org.whinhead.api.model.ModelRef;
 import org.whinhead.api.request.RequestSpec;
 
-/** The endpoints that a router knows, and for each model and service the pool that serves it. */
+/** The endpoints of a router, and the endpoint pool of each model and service. */
 final class EndpointTable {
 
     private static final int MAX_LEAVING = 8192;
@@ -29,19 +29,19 @@
 
     EndpointTable(
             final Function<Endpoint, EndpointState> newState,
-            final Function<Endpoint, Double> placeMillis) {
+            final Function<Endpoint, Double> locationCostMillis) {
         mNewState = newState;
-        mLocationCostMillis = placeMillis;
+        mLocationCostMillis = locationCostMillis;
     }
 
     void replaceAll(final List<Endpoint> endpoints) {
-        final Set<EndpointId> kept = new HashSet<>();
+        final Set<EndpointId> listed = new HashSet<>();
         for (final Endpoint endpoint : endpoints) {
-            kept.add(endpoint.id());
+            listed.add(endpoint.id());
             put(endpoint);
         }
         for (final EndpointId id : List.copyOf(mStates.keySet())) {
-            if (!kept.contains(id)) {
+            if (!listed.contains(id)) {
                 remove(id);
             }
         }
@@ -72,11 +72,10 @@
     }
 
     /**
-     * Shuts an endpoint out for good.
+     * Excludes an endpoint permanently.
      *
-     * <p>Guards against the lagging VM list, which names a leaving endpoint as live for a while
-     * after its notice and would bring it back: the identity is remembered, and a replacement has
-     * another one.
+     * <p>The VM list may show a leaving endpoint as live for a while after its notice, so its id
+     * stays excluded. A replacement has another id.
      */
     void excludeLeaving(final EndpointId id) {
         mLeaving.add(id);
@@ -90,12 +89,12 @@
         }
     }
 
-    /** Returns what is known of an endpoint, or null. */
+    /** Returns the state of an endpoint, or null if it is unknown. */
     EndpointState state(final EndpointId id) {
         return mStates.get(id);
     }
 
-    /** Returns the pool that fits a request, or null. */
+    /** Returns the pool that serves the model or service of a request, or null. */
     EndpointPool pool(final RequestSpec spec) {
         if (mPoolsStale) {
             rebuildPools();
--- a/routing/src/main/java/org/whinhead/routing/HealthSettings.java
+++ b/routing/src/main/java/org/whinhead/routing/HealthSettings.java
@@ -5,15 +5,15 @@
 import org.whinhead.api.Arguments;
 
 /**
- * When an endpoint becomes suspect and when it is probed.
+ * Settings of the circuit breaker of an endpoint.
  *
- * @param failuresToSuspect failures in a row that make it suspect
- * @param cooldown the wait before the first probe; doubles with each failed probe
- * @param jitter the share of the cooldown that is added at random
- * @param probeTimeout how long a probe without an outcome keeps others out
- * @param longestCooldown where the doubling ends, before jitter
- * @param successRule which successes clear an endpoint; by default those that began after its last
- *     failure
+ * @param failuresToSuspect the number of consecutive failures that make an endpoint suspect
+ * @param cooldown the delay before the first probe; doubles with each failed probe
+ * @param jitter the maximum random addition, as a share of the cooldown
+ * @param probeTimeout the time for which a probe without an outcome blocks further probes
+ * @param longestCooldown the limit of the doubled cooldown, before jitter
+ * @param successRule the successes that clear an endpoint; by default those of dispatches after its
+ *     last failure
  */
 public record HealthSettings(
         int failuresToSuspect,
@@ -26,19 +26,19 @@
     private static final Duration LONGEST_COOLDOWN = Duration.ofSeconds(4);
 
     /**
-     * Two failures in a row, a second of cooldown that doubles up to four, half of it jitter, ten
-     * seconds a probe.
+     * Two consecutive failures, a cooldown of one second doubling up to four, jitter of up to half
+     * the cooldown, and a probe timeout of ten seconds.
      */
     public static final HealthSettings DEFAULT =
             new HealthSettings(2, Duration.ofSeconds(1), 0.5, Duration.ofSeconds(10));
 
     /**
-     * Makes settings with the usual longest cooldown and rule on successes.
+     * Creates settings with the default longest cooldown and success rule.
      *
-     * @param failuresToSuspect failures in a row that make it suspect
-     * @param cooldown the wait before the first probe; doubles with each failed probe
-     * @param jitter the share of the cooldown that is added at random
-     * @param probeTimeout how long a probe without an outcome keeps others out
+     * @param failuresToSuspect the number of consecutive failures that make an endpoint suspect
+     * @param cooldown the delay before the first probe; doubles with each failed probe
+     * @param jitter the maximum random addition, as a share of the cooldown
+     * @param probeTimeout the time for which a probe without an outcome blocks further probes
      */
     public HealthSettings(
             final int failuresToSuspect,
@@ -54,7 +54,7 @@
                 SuccessRule.BEGAN_AFTER_LAST_FAILURE);
     }
 
-    /** Checks every part. */
+    /** Checks the ranges. */
     public HealthSettings {
         Arguments.requireAtLeast(failuresToSuspect, 1, "failuresToSuspect");
         Arguments.requirePositive(cooldown, "cooldown");
--- a/routing/src/main/java/org/whinhead/routing/LoadEstimate.java
+++ b/routing/src/main/java/org/whinhead/routing/LoadEstimate.java
@@ -3,8 +3,8 @@
 import java.time.Instant;
 
 /**
- * How many requests one endpoint has: its last report, corrected by what this daemon sent and saw
- * end since that report was measured.
+ * The estimated number of requests at one endpoint: its last report plus the requests that this
+ * daemon sent, minus those that ended, since the report was measured.
  */
 final class LoadEstimate {
 
@@ -25,7 +25,7 @@
         mTransitNanos = transitNanos;
     }
 
-    /** Returns the estimate; never below the own requests in progress, which are known for sure. */
+    /** Returns the estimate; at least this daemon's requests in flight, whose number is exact. */
     int requests() {
         return Math.max(mOwnInFlight, mReportedRequests + mDeltaSinceReport);
     }
@@ -49,11 +49,11 @@
     }
 
     /**
-     * Takes a report unless a newer one is known.
+     * Applies a report unless a newer one is known.
      *
-     * <p>Guards against a report that hides own sends: a request sent shortly before the endpoint
-     * measured had not arrived there yet, and an endpoint whose clock is ahead dates its report
-     * after them. Only what is older than the report by the transit time is taken as included.
+     * <p>A report includes only changes that are older than the report by the transit time: a
+     * request sent shortly before the measurement had not arrived yet. The report's time is limited
+     * to the present, since the endpoint's clock may be ahead.
      */
     void applyReport(final LoadReport report, final Instant now) {
         final long asOf = Math.min(epochNanos(report.asOf()), epochNanos(now));
--- a/routing/src/main/java/org/whinhead/routing/LoadReport.java
+++ b/routing/src/main/java/org/whinhead/routing/LoadReport.java
@@ -6,18 +6,18 @@
 import org.whinhead.api.model.EndpointId;
 
 /**
- * What an endpoint said of its load; old by the time it arrives.
+ * An endpoint's report of its load; already stale on arrival.
  *
  * @param endpoint the endpoint
- * @param asOf when the endpoint measured it
- * @param running requests it works on
- * @param waiting requests that wait there
- * @param tokensPerSecond tokens it generates a second in all
+ * @param asOf the time of the measurement by the endpoint's clock
+ * @param running the number of running requests
+ * @param waiting the number of queued requests
+ * @param tokensPerSecond the tokens per second generated for all requests
  */
 public record LoadReport(
         EndpointId endpoint, Instant asOf, int running, int waiting, double tokensPerSecond) {
 
-    /** Checks every part. */
+    /** Checks the components. */
     public LoadReport {
         Objects.requireNonNull(endpoint, "endpoint");
         Objects.requireNonNull(asOf, "asOf");
--- a/routing/src/main/java/org/whinhead/routing/LowestCostPicker.java
+++ b/routing/src/main/java/org/whinhead/routing/LowestCostPicker.java
@@ -3,7 +3,7 @@
 import java.util.function.IntUnaryOperator;
 import java.util.function.ToDoubleFunction;
 
-/** Looks at every endpoint of a pool, from a starting place, and takes the first of least cost. */
+/** Scans a pool from a start index and picks the first available endpoint of the lowest cost. */
 final class LowestCostPicker implements Picker {
 
     private final IntUnaryOperator mStart;
@@ -21,7 +21,7 @@
     }
 
     private EndpointState scan(
-            final EndpointPool pool, final RouteQuery query, final boolean asProbe) {
+            final EndpointPool pool, final RouteQuery query, final boolean includeSuspect) {
         final int size = pool.size();
         final int start = mStart.applyAsInt(size);
         EndpointState best = null;
@@ -29,7 +29,7 @@
         for (int i = 0; i < size; i++) {
             final EndpointState state = pool.get((start + i) % size);
             final double cost = mCost.applyAsDouble(state);
-            if (cost < bestCost && isAllowed(state, query, asProbe)) {
+            if (cost < bestCost && isAllowed(state, query, includeSuspect)) {
                 if (cost <= 0) {
                     return state;
                 }
@@ -41,7 +41,7 @@
     }
 
     private static boolean isAllowed(
-            final EndpointState state, final RouteQuery query, final boolean asProbe) {
-        return asProbe ? query.allowsIncludingProbe(state) : query.allows(state);
+            final EndpointState state, final RouteQuery query, final boolean includeSuspect) {
+        return includeSuspect ? query.allowsIncludingProbe(state) : query.allows(state);
     }
 }
--- a/routing/src/main/java/org/whinhead/routing/Picker.java
+++ b/routing/src/main/java/org/whinhead/routing/Picker.java
@@ -1,8 +1,8 @@
 package org.whinhead.routing;
 
-/** Chooses among the endpoints of one pool. */
+/** Picks an endpoint of a pool for a request. */
 interface Picker {
 
-    /** Returns the chosen endpoint, or null if none is open; null spares an allocation. */
+    /** Returns an endpoint, or null if none is available; null avoids an allocation. */
     EndpointState pick(EndpointPool pool, RouteQuery query);
 }
--- a/routing/src/main/java/org/whinhead/routing/PrefixIndex.java
+++ b/routing/src/main/java/org/whinhead/routing/PrefixIndex.java
@@ -5,8 +5,8 @@
 import java.util.Map;
 
 /**
- * Which endpoints probably hold which prompt prefixes, learnt from own sends and from cache events;
- * bounded, the prefix unused for longest is forgotten first.
+ * An LRU index of the endpoints that probably cache a prompt prefix, updated by this daemon's sends
+ * and by cache events.
  */
 final class PrefixIndex {
 
@@ -48,17 +48,17 @@
     }
 
     /**
-     * Notes that an endpoint will hold a prompt's prefixes.
+     * Records that an endpoint will hold a prompt's prefixes.
      *
-     * <p>Begins with the longest and stops at the first that the endpoint is known to hold, since
-     * it then holds the shorter ones too; now and then it goes on, so that short prefixes which
-     * many prompts share are not forgotten as unused.
+     * <p>Starts with the longest prefix and stops at the first one the endpoint is known to hold,
+     * since it holds the shorter ones too. Each eighth send continues, so that the index does not
+     * evict short prefixes shared by many prompts as unused.
      */
     void recordSend(final List<Long> prefixes, final EndpointState state) {
         mSends++;
         final boolean isRefresh = mSends % REFRESH_PERIOD_SENDS == 0;
-        for (int mark = levels(prefixes); mark > 0; mark--) {
-            final Long prefix = prefixes.get(blocks(prefixes, mark) - 1);
+        for (int level = levels(prefixes); level > 0; level--) {
+            final Long prefix = prefixes.get(blocks(prefixes, level) - 1);
             final Holders holders = mHolders.get(prefix);
             if (holders == null) {
                 mHolders.put(prefix, new Holders(state));
@@ -70,26 +70,26 @@
         }
     }
 
-    /** Returns who holds a prompt's prefix up to a mark, or null. */
-    Holders holders(final List<Long> prefixes, final int mark) {
-        return mHolders.get(prefixes.get(blocks(prefixes, mark) - 1));
+    /** Returns the holders of a prompt's prefix up to a level, or null. */
+    Holders holders(final List<Long> prefixes, final int level) {
+        return mHolders.get(prefixes.get(blocks(prefixes, level) - 1));
     }
 
-    /** Returns how many of a prompt's prefixes are looked at: each fourth and the whole. */
+    /** Returns the number of indexed prefixes of a prompt: each fourth and the whole. */
     static int levels(final List<Long> prefixes) {
         return (prefixes.size() + BLOCKS_PER_LEVEL - 1) / BLOCKS_PER_LEVEL;
     }
 
-    /** Returns the share of a prompt that its prefix up to a mark is. */
-    static double promptShare(final List<Long> prefixes, final int mark) {
-        return (double) blocks(prefixes, mark) / prefixes.size();
+    /** Returns the share of a prompt covered by its prefix up to a level, 0 to 1. */
+    static double promptShare(final List<Long> prefixes, final int level) {
+        return (double) blocks(prefixes, level) / prefixes.size();
     }
 
-    private static int blocks(final List<Long> prefixes, final int mark) {
-        return Math.min(mark * BLOCKS_PER_LEVEL, prefixes.size());
+    private static int blocks(final List<Long> prefixes, final int level) {
+        return Math.min(level * BLOCKS_PER_LEVEL, prefixes.size());
     }
 
-    /** The few endpoints that held a prefix most lately. */
+    /** The endpoints that were most recently known to hold a prefix. */
     static final class Holders {
         private static final int MAX_HOLDERS = 3;
 
--- a/routing/src/main/java/org/whinhead/routing/RendezvousHash.java
+++ b/routing/src/main/java/org/whinhead/routing/RendezvousHash.java
@@ -3,8 +3,9 @@
 import net.openhft.hashing.LongHashFunction;
 
 /**
- * Rendezvous hashing: each pair of a member and a key has a score, and the members of highest score
- * own the key. All daemons agree without talking, and a member that goes moves only its own keys.
+ * Rendezvous hashing: each pair of a member and a key has a score, and the members with the highest
+ * scores own the key. All daemons agree without messages, and removing a member moves only its
+ * keys.
  */
 final class RendezvousHash {
 
--- a/routing/src/main/java/org/whinhead/routing/RouteQuery.java
+++ b/routing/src/main/java/org/whinhead/routing/RouteQuery.java
@@ -6,20 +6,20 @@
 import org.whinhead.api.request.RequestSpec;
 
 /**
- * One choice to make.
+ * The input of one routing decision.
  *
  * @param spec the request
- * @param excluded endpoints that must not be chosen
- * @param now the time
+ * @param excluded the endpoints that must not be chosen
+ * @param now the current time
  */
 record RouteQuery(RequestSpec spec, Set<EndpointId> excluded, Instant now) {
 
-    /** Tells whether an endpoint may be chosen; a recovery probe needs an idempotent request. */
+    /** Returns whether an endpoint may be chosen; only idempotent requests probe suspect ones. */
     boolean allows(final EndpointState state) {
         return allowsIncludingProbe(state) && (spec.idempotent() || !state.health().isSuspect());
     }
 
-    /** Tells whether an endpoint may be chosen when no healthy one is left. */
+    /** Returns whether an endpoint may be chosen if no healthy one is left, by any request. */
     boolean allowsIncludingProbe(final EndpointState state) {
         return state.canDispatch(now) && !excluded.contains(state.endpoint().id());
     }
--- a/routing/src/main/java/org/whinhead/routing/RoutingSettings.java
+++ b/routing/src/main/java/org/whinhead/routing/RoutingSettings.java
@@ -5,18 +5,18 @@
 import org.whinhead.api.model.FailureDomain;
 
 /**
- * The weights of a routing decision; every cost is in milliseconds of expected time to the first
- * token, so that they add up.
+ * Settings of a router. Costs are in milliseconds of expected time to the first token, so that they
+ * can be added.
  *
- * @param ownDomain the failure domain that this daemon stands in
- * @param strategy how endpoints are chosen
- * @param health when endpoints become suspect
- * @param costs what the parts of a decision cost
+ * @param ownDomain the failure domain of this daemon
+ * @param strategy the routing strategy
+ * @param health the settings of the circuit breakers
+ * @param costs the costs of endpoints
  */
 public record RoutingSettings(
         FailureDomain ownDomain, RoutingStrategy strategy, HealthSettings health, Costs costs) {
 
-    /** Checks every part. */
+    /** Checks that all components are present. */
     public RoutingSettings {
         Objects.requireNonNull(ownDomain, "ownDomain");
         Objects.requireNonNull(strategy, "strategy");
@@ -25,9 +25,9 @@
     }
 
     /**
-     * Returns the usual settings of a daemon.
+     * Returns the default settings of a daemon.
      *
-     * @param ownDomain the failure domain that it stands in
+     * @param ownDomain the failure domain of the daemon
      * @return the settings
      */
     public static RoutingSettings of(final FailureDomain ownDomain) {
@@ -36,7 +36,7 @@
     }
 
     /**
-     * Returns these settings with another strategy.
+     * Returns a copy with another strategy.
      *
      * @param next the strategy
      * @return a copy
@@ -46,9 +46,9 @@
     }
 
     /**
-     * Returns these settings with other rules of health.
+     * Returns a copy with other health settings.
      *
-     * @param next when endpoints become suspect
+     * @param next the settings of the circuit breakers
      * @return a copy
      */
     public RoutingSettings withHealth(final HealthSettings next) {
@@ -56,16 +56,17 @@
     }
 
     /**
-     * What the parts of a decision cost.
+     * The costs that a routing decision adds up for an endpoint.
      *
-     * @param otherDomainMillis an endpoint of another failure domain of the region
-     * @param otherRegionMillis an endpoint of another region
-     * @param onDemandMillis an endpoint that is billed on demand
-     * @param fullBatchMillis a batch with every slot taken, against an empty one
-     * @param queuedMillis each request that waits for a slot
-     * @param prefillMicrosPerToken each prompt token that is not in the cache
-     * @param loadFactor how far above the mean load affinity may fill an endpoint
-     * @param transit how long a send takes to show in an endpoint's own count
+     * @param otherDomainMillis the cost of another failure domain of the region, in milliseconds
+     * @param otherRegionMillis the cost of another region, in milliseconds
+     * @param onDemandMillis the cost of a VM billed on demand, in milliseconds
+     * @param fullBatchMillis the cost of a full batch over an empty one, in milliseconds
+     * @param queuedMillis the cost of each request queued for a slot, in milliseconds
+     * @param prefillMicrosPerToken the cost of each uncached prompt token, in microseconds
+     * @param loadFactor the load up to which affinity fills an endpoint, as a multiple of the mean
+     *     load, at least 1
+     * @param transit the time until the load measured by an endpoint includes a sent request
      */
     public record Costs(
             double otherDomainMillis,
@@ -77,11 +78,11 @@
             double loadFactor,
             Duration transit) {
 
-        /** Costs for a region whose domains are a millisecond apart. */
+        /** The costs for a region with a latency of one millisecond between domains. */
         public static final Costs DEFAULT =
                 new Costs(2, 80, 5, 60, 200, 150, 1.25, Duration.ofMillis(5));
 
-        /** Checks what a decision divides by or subtracts. */
+        /** Checks the transit time and the load factor. */
         public Costs {
             Objects.requireNonNull(transit, "transit");
             if (!(loadFactor >= 1)) {
--- a/routing/src/main/java/org/whinhead/routing/RoutingStrategy.java
+++ b/routing/src/main/java/org/whinhead/routing/RoutingStrategy.java
@@ -3,9 +3,9 @@
 import java.util.function.IntUnaryOperator;
 import java.util.random.RandomGenerator;
 
-/** How an engine is chosen; all but affinity are baselines to compare with. */
+/** The strategies to choose an engine; all but {@link #AFFINITY} are baselines for comparison. */
 public enum RoutingStrategy {
-    /** Any open endpoint with the same chance. */
+    /** A random available endpoint. */
     RANDOM {
         @Override
         Picker create(
@@ -15,7 +15,7 @@
             return new LowestCostPicker(size -> random.nextInt(size), state -> 0);
         }
     },
-    /** Each open endpoint in turn. */
+    /** Each available endpoint in turn. */
     ROUND_ROBIN {
         @Override
         Picker create(
@@ -25,7 +25,7 @@
             return new LowestCostPicker(new RoundRobinIndex(), state -> 0);
         }
     },
-    /** The endpoint whose last report names the fewest requests. */
+    /** The endpoint with the fewest requests by its last report. */
     LEAST_REPORTED_LOAD {
         @Override
         Picker create(
@@ -36,7 +36,7 @@
                     size -> random.nextInt(size), state -> state.load().reportedRequests());
         }
     },
-    /** The endpoint with the least expected time to the first token, cached prefixes counted. */
+    /** The endpoint with the least expected time to the first token, given its cached prefixes. */
     AFFINITY {
         @Override
         Picker create(
@@ -49,7 +49,7 @@
 
     abstract Picker create(RoutingSettings settings, RandomGenerator random, PrefixIndex prefixes);
 
-    /** Counts through the members of a pool. */
+    /** Cycles through the indexes of a pool. */
     private static final class RoundRobinIndex implements IntUnaryOperator {
         private int mNext;
 
--- a/routing/src/main/java/org/whinhead/routing/SuccessRule.java
+++ b/routing/src/main/java/org/whinhead/routing/SuccessRule.java
@@ -1,15 +1,15 @@
 package org.whinhead.routing;
 
-/** Which successes clear an endpoint of its failures. */
+/** The rules on which successes clear the failures of an endpoint. */
 public enum SuccessRule {
-    /** Only those whose dispatch came after the last failure; the default. */
+    /** Only successes of dispatches after the last failure; the default. */
     BEGAN_AFTER_LAST_FAILURE {
         @Override
         boolean clears(final long dispatchRevision, final long revision) {
             return dispatchRevision >= revision;
         }
     },
-    /** Each one, also of a dispatch from before the failure. */
+    /** Any success, including those of dispatches before the failure. */
     ANY {
         @Override
         boolean clears(final long dispatchRevision, final long revision) {
--- a/routing/src/main/java/org/whinhead/routing/WatchPlan.java
+++ b/routing/src/main/java/org/whinhead/routing/WatchPlan.java
@@ -16,15 +16,15 @@
 import org.whinhead.api.model.ModelRef;
 
 /**
- * Which endpoints a daemon routes to, which of them it polls, and which peers it trades reports
- * with.
+ * The endpoints that a daemon routes to, those of them that it polls, and the peers with which it
+ * exchanges load reports.
  *
- * <p>All daemons of one failure domain that know the same table get the same watched endpoints
- * without talking, so they agree on the owner of a prefix and share one set of reports.
+ * <p>All daemons of one failure domain that know the same endpoints compute the same watched ones
+ * without messages, so they agree on the owners of a prefix and share their load reports.
  *
  * @param watched the endpoints to route to
- * @param polled those of them that this daemon asks for their load
- * @param peers the daemons that get its reports and whose reports it takes
+ * @param polled the watched endpoints that this daemon polls for their load
+ * @param peers the daemons that exchange load reports with this one
  */
 public record WatchPlan(List<Endpoint> watched, List<EndpointId> polled, List<DaemonId> peers) {
 
@@ -36,12 +36,12 @@
     }
 
     /**
-     * Works out one daemon's plan.
+     * Computes the plan of one daemon.
      *
      * @param own the daemon
-     * @param daemons every live daemon, itself included or not
-     * @param endpoints every endpoint
-     * @param limits how much may be watched
+     * @param daemons all live daemons, with or without this one
+     * @param endpoints all endpoints
+     * @param limits the limits of the plan
      * @return the plan
      */
     public static WatchPlan of(
@@ -49,28 +49,28 @@
             final List<DaemonLocation> daemons,
             final List<Endpoint> endpoints,
             final Limits limits) {
-        final List<DaemonId> group = peers(own, daemons, limits);
+        final List<DaemonId> peers = peers(own, daemons, limits);
         final List<Endpoint> watched = watched(own.domain(), endpoints, limits);
         final List<EndpointId> polled = new ArrayList<>();
         for (final Endpoint endpoint : watched) {
-            if (rendezvousRank(own.id(), group, endpoint.id()) < limits.pollers()) {
+            if (rendezvousRank(own.id(), peers, endpoint.id()) < limits.pollers()) {
                 polled.add(endpoint.id());
             }
         }
-        return new WatchPlan(watched, polled, group);
+        return new WatchPlan(watched, polled, peers);
     }
 
     private static List<DaemonId> peers(
             final DaemonLocation own, final List<DaemonLocation> daemons, final Limits limits) {
         final boolean isSmall = daemons.size() <= limits.maxPeers();
-        final List<DaemonId> group = new ArrayList<>();
+        final List<DaemonId> peers = new ArrayList<>();
         for (final DaemonLocation daemon : daemons) {
-            final boolean isNear = isSmall || daemon.domain().equals(own.domain());
-            if (isNear && !daemon.id().equals(own.id())) {
-                group.add(daemon.id());
+            final boolean isPeer = isSmall || daemon.domain().equals(own.domain());
+            if (isPeer && !daemon.id().equals(own.id())) {
+                peers.add(daemon.id());
             }
         }
-        return group;
+        return peers;
     }
 
     private static List<Endpoint> watched(
@@ -79,36 +79,37 @@
             return endpoints;
         }
         final long key = RendezvousHash.hash(domain.toString());
-        final List<Endpoint> ordered = new ArrayList<>(endpoints);
-        ordered.sort(
+        final List<Endpoint> candidates = new ArrayList<>(endpoints);
+        candidates.sort(
                 Comparator.<Endpoint>comparingInt(endpoint -> distance(domain, endpoint))
                         .thenComparingLong(endpoint -> score(key, endpoint.id().value())));
-        final Set<Endpoint> chosen = minimumOfEachTarget(ordered, limits.minPerTarget());
-        for (final Endpoint endpoint : ordered) {
-            if (chosen.size() >= limits.maxWatched()) {
+        final Set<Endpoint> selected = minimumOfEachTarget(candidates, limits.minPerTarget());
+        for (final Endpoint endpoint : candidates) {
+            if (selected.size() >= limits.maxWatched()) {
                 break;
             }
-            chosen.add(endpoint);
+            selected.add(endpoint);
         }
-        return new ArrayList<>(chosen);
+        return new ArrayList<>(selected);
     }
 
     /**
-     * Guards against a model that no near endpoint serves: its requests would be refused here while
-     * far endpoints idle. A few endpoints of each model and service come first.
+     * Selects a minimum number of endpoints of each model and service. Otherwise requests for a
+     * model that no near endpoint serves would be refused while far endpoints idle.
      */
-    private static Set<Endpoint> minimumOfEachTarget(final List<Endpoint> ordered, final int few) {
+    private static Set<Endpoint> minimumOfEachTarget(
+            final List<Endpoint> candidates, final int minimum) {
         final Map<Object, Integer> counts = new HashMap<>();
-        final Set<Endpoint> chosen = new LinkedHashSet<>();
-        for (final Endpoint endpoint : ordered) {
+        final Set<Endpoint> selected = new LinkedHashSet<>();
+        for (final Endpoint endpoint : candidates) {
             for (final Object target : targets(endpoint)) {
                 final int count = counts.merge(target, 1, Integer::sum);
-                if (count <= few) {
-                    chosen.add(endpoint);
+                if (count <= minimum) {
+                    selected.add(endpoint);
                 }
             }
         }
-        return chosen;
+        return selected;
     }
 
     private static Set<?> targets(final Endpoint endpoint) {
@@ -145,19 +146,20 @@
     }
 
     /**
-     * How much a daemon watches.
+     * The limits of a watch plan.
      *
-     * @param maxWatched the most endpoints that it routes to
-     * @param minPerTarget endpoints of each model and service that it watches in any case
-     * @param pollers how many daemons poll the same endpoint
-     * @param maxPeers the most daemons that trade reports across failure domains
+     * @param maxWatched the number of endpoints that a daemon routes to; the minimum per target may
+     *     exceed it
+     * @param minPerTarget the minimum number of watched endpoints of each model and service
+     * @param pollers the number of daemons that poll the same endpoint
+     * @param maxPeers the maximum number of daemons that exchange reports across failure domains
      */
     public record Limits(int maxWatched, int minPerTarget, int pollers, int maxPeers) {
 
-        /** All at today's sizes; a domain's share at the two-year size. */
+        /** Covers all endpoints at the current size and a domain's share at the two-year size. */
         public static final Limits DEFAULT = new Limits(256, 8, 2, 32);
 
-        /** Checks every part. */
+        /** Checks the ranges. */
         public Limits {
             Arguments.requireAtLeast(maxWatched, 1, "maxWatched");
             Arguments.requireAtLeast(minPerTarget, 1, "minPerTarget");
--- a/routing/src/main/java/org/whinhead/routing/package-info.java
+++ b/routing/src/main/java/org/whinhead/routing/package-info.java
@@ -1,2 +1,2 @@
-/** Which endpoint a request goes to. */
+/** Selection of the endpoint for each request attempt. */
 package org.whinhead.routing;
