--- a/admission/src/test/java/org/whinhead/admission/CapacityShareTest.java
+++ b/admission/src/test/java/org/whinhead/admission/CapacityShareTest.java
@@ -20,10 +20,11 @@
 
     private static final Target TARGET = new Target(EndpointKind.MODEL_ENGINE, "m@1");
 
-    // Half of the engines are announced to leave. A daemon that still counted their slots would
-    // admit twice what the others can do, and the requests would be late in the engines' queues.
+    // Counting the slots of leaving engines admits more requests than the other engines can run,
+    // and
+    // the requests miss their first-token targets in the engines' queues.
     @Test
-    void leavingEnginesAndOtherModelsDoNotCount() {
+    void slotsExcludeLeavingEnginesAndOtherModels() {
         final List<Endpoint> endpoints =
                 List.of(
                         engine("a", "m@1", VmState.LIVE),
--- a/admission/src/test/java/org/whinhead/admission/FifoAdmissionTest.java
+++ b/admission/src/test/java/org/whinhead/admission/FifoAdmissionTest.java
@@ -10,7 +10,7 @@
 class FifoAdmissionTest {
 
     @Test
-    void neitherQueueNorRunningGrowsPastItsBound() {
+    void boundsRunningAndQueuedRequests() {
         final FifoAdmission admission = new FifoAdmission(1, 2);
         final RequestSpec first = TestRequests.of("c", TestRequests.BATCH, TestRequests.START);
         final RequestSpec second = TestRequests.of("c", TestRequests.BATCH, TestRequests.START);
--- a/admission/src/test/java/org/whinhead/admission/TestRequests.java
+++ b/admission/src/test/java/org/whinhead/admission/TestRequests.java
@@ -8,18 +8,18 @@
 import org.whinhead.api.request.RequestId;
 import org.whinhead.api.request.RequestSpec;
 
-/** Requests for the tests of this module. */
+/** Creates requests for the tests of this module. */
 final class TestRequests {
     static final Instant START = Instant.parse("2026-01-01T00:00:00Z");
     static final Tier URGENT = tier("urgent", 2);
     static final Tier BATCH = tier("batch", 0);
 
-    private static long sNext;
+    private static long sNextId;
 
     private TestRequests() {}
 
     static RequestSpec of(final String customer, final Tier tier, final Instant arrived) {
-        return RequestSpec.builder(new RequestId("r" + sNext++))
+        return RequestSpec.builder(new RequestId("r" + sNextId++))
                 .customer(new CustomerId(customer))
                 .tier(tier)
                 .model(ModelRef.of("m", "1"))
--- a/admission/src/test/java/org/whinhead/admission/TieredAdmissionTest.java
+++ b/admission/src/test/java/org/whinhead/admission/TieredAdmissionTest.java
@@ -29,8 +29,8 @@
 
     private final TieredAdmission mAdmission = admission(4);
 
-    // Evening peak: batch work fills the queue, then urgent requests come. The urgent ones must get
-    // in and the batch ones be told "not run", not the other way round.
+    // Urgent requests must not be refused because batch requests fill the queue; a batch request is
+    // shed with the verdict "not run" instead.
     @Test
     void fullQueueShedsLowestTierFirst() {
         for (int i = 0; i < 4; i++) {
@@ -47,8 +47,8 @@
         assertThat(mAdmission.takeAdmitted(START).get(0)).isEqualTo(urgent);
     }
 
-    // One customer's job posts two hundred requests at once. A clerk of another customer asks once
-    // and must be served next, not after the two hundred.
+    // A customer that sends two hundred requests at once must not delay the single request of
+    // another customer.
     @Test
     void heavyCustomerDoesNotStarveLightOne() {
         final TieredAdmission admission = admission(500);
@@ -63,10 +63,10 @@
         assertThat(admission.takeAdmitted(START.plusMillis(5))).containsExactly(light);
     }
 
-    // A tier promises the first token in 100 ms, less than what is kept back for the way to it. Its
-    // requests would all be late on arrival and refused with an empty queue.
+    // With a first-token target of 100 ms, below the dispatch allowance, all requests of the tier
+    // would be overdue on arrival and be refused although the queue is empty.
     @Test
-    void tierWithShortTargetIsServed() {
+    void admitsTierWithTargetShorterThanTheAllowance() {
         final Duration target = Duration.ofMillis(100);
         final Tier tier = new Tier("lookup", 3, target, target, Duration.ofSeconds(1));
         final RequestSpec request = TestRequests.of("clerk", tier, START);
@@ -74,10 +74,10 @@
         assertThat(mAdmission.takeAdmitted(START.plusMillis(20))).containsExactly(request);
     }
 
-    // One customer worked all morning; another comes at noon with a pile. Its idle morning is no
-    // credit: the first one's requests must not wait until the whole pile is done.
+    // A customer that was idle must not be served exclusively once it sends many requests, while a
+    // customer that was busy meanwhile waits.
     @Test
-    void idleCustomerSavesUpNoClaim() {
+    void idleCustomerAccumulatesNoCredit() {
         final TieredAdmission admission = admission(500);
         admission.capacityChanged(TARGET, 40);
         for (int i = 0; i < 50; i++) {
@@ -94,7 +94,7 @@
     }
 
     @Test
-    void weightDecidesTheShareOfTwoBusyCustomers() {
+    void weightsSetTheSharesOfBusyCustomers() {
         final TieredAdmission admission = admission(500);
         admission.customersChanged(List.of(customer("big", 3), customer("small", 1)));
         for (int i = 0; i < 100; i++) {
@@ -107,25 +107,25 @@
                 .hasSize(30);
     }
 
-    // Callers of a lost daemon come back and their answers go on here. Were they not counted, new
-    // requests would be dispatched beside them, twice as many as the engines have slots.
+    // If requests resumed after the loss of a daemon were not counted, new requests would be
+    // dispatched in addition, up to twice as many as the engines have slots.
     @Test
-    void returnedRequestHoldsItsSlotUntilItEnds() {
+    void resumedRequestOccupiesItsSlotUntilItEnds() {
         final TieredAdmission admission = admission(4);
         admission.capacityChanged(TARGET, 1);
-        final RequestSpec returned = TestRequests.of("c", BATCH, START);
+        final RequestSpec resumed = TestRequests.of("c", BATCH, START);
         final RequestSpec next = TestRequests.of("c", BATCH, START);
-        admission.resume(returned, 10, START);
+        admission.resume(resumed, 10, START);
         admission.offer(next, START);
         assertThat(admission.takeAdmitted(START)).isEmpty();
-        admission.requestEnded(returned.id(), 10, START);
+        admission.requestEnded(resumed.id(), 10, START);
         assertThat(admission.takeAdmitted(START)).containsExactly(next);
     }
 
-    // Requests take a second on the only slot and the target is two. The fourth in line can not be
-    // served in time: it is told so at once, with a time to come back, instead of timing out.
+    // Requests take a second on the only slot and the target is two seconds. Requests that can't be
+    // served in time must be refused at once, with a retry delay, instead of timing out.
     @Test
-    void refusesEarlyWhatCanNotMeetItsTarget() {
+    void refusesRequestsThatCanNotMeetTheirTarget() {
         final TieredAdmission admission = admission(500);
         admission.capacityChanged(TARGET, 1);
         final RequestSpec sample = TestRequests.of("c", BATCH, START);
@@ -145,7 +145,7 @@
     }
 
     @Property(seed = "21", tries = 200)
-    void eachRequestGetsExactlyOneFateAndBoundsHold(
+    void eachRequestIsCountedOnceAndBoundsHold(
             @ForAll @Size(max = 80) final List<@IntRange(max = 5) Integer> steps) {
         final TieredAdmission admission = admission(6);
         final List<RequestSpec> running = new ArrayList<>();
--- a/admission/src/test/java/org/whinhead/admission/budget/EvenShareBudgetTest.java
+++ b/admission/src/test/java/org/whinhead/admission/budget/EvenShareBudgetTest.java
@@ -17,14 +17,14 @@
 
     private static final Instant START = Instant.parse("2026-01-01T00:00:00Z");
     private static final TeamId TEAM = new TeamId("clinics");
-    private static final int RATE = 100;
-    private static final int LARGEST = 400;
-    private static final long BURST = BudgetSettings.DEFAULT.burst().toSeconds();
+    private static final int TOKENS_PER_SECOND = 100;
+    private static final int LARGEST_REQUEST_TOKENS = 400;
+    private static final long BURST_SECONDS = BudgetSettings.DEFAULT.burst().toSeconds();
 
-    // A team sends all it can to each of three daemons, in requests of any size, some of which are
-    // given back. In no interval may the daemons together reserve more than the class states.
+    // A team sends as many requests as possible to three daemons, and some don't use all reserved
+    // tokens. In no interval may the reservations exceed the bound that the class documents.
     @Property(tries = 200, seed = "20260412")
-    void allDaemonsTogetherKeepTheStatedBound(@ForAll final long seed) {
+    void allDaemonsTogetherStayWithinTheDocumentedBound(@ForAll final long seed) {
         final Random random = new Random(seed);
         final int daemons = 3;
         final List<EvenShareBudget> budgets = new ArrayList<>();
@@ -35,7 +35,7 @@
         for (int second = 0; second < reserved.length; second++) {
             final Instant now = START.plusSeconds(second);
             for (int i = 0; i < 20; i++) {
-                final long tokens = 1 + random.nextInt(LARGEST);
+                final long tokens = 1 + random.nextInt(LARGEST_REQUEST_TOKENS);
                 final EvenShareBudget budget = budgets.get(random.nextInt(daemons));
                 final RequestId id = new RequestId(second + "-" + i);
                 if (budget.reserve(id, TEAM, tokens, now).equals(BudgetDecision.RESERVED)) {
@@ -49,15 +49,18 @@
             long sum = 0;
             for (int to = from; to < reserved.length; to++) {
                 sum += reserved[to];
-                assertThat(sum).isLessThanOrEqualTo(RATE * (to - from + BURST) + daemons * LARGEST);
+                assertThat(sum)
+                        .isLessThanOrEqualTo(
+                                TOKENS_PER_SECOND * (to - from + BURST_SECONDS)
+                                        + daemons * LARGEST_REQUEST_TOKENS);
             }
         }
     }
 
-    // One daemon of eight has saved up less than one long answer may take. The request must not be
-    // refused for ever: it is paid ahead, and the next one waits until the debt is paid.
+    // The full bucket of one of eight daemons is smaller than the request, which must not always be
+    // refused. It makes the balance negative, and the next request waits for the refill.
     @Test
-    void requestAboveTheBurstIsPaidAhead() {
+    void requestLargerThanTheBurstIsReservedInAdvance() {
         final EvenShareBudget budget = budget(8);
         assertThat(budget.reserve(new RequestId("long"), TEAM, 100, START))
                 .isEqualTo(BudgetDecision.RESERVED);
@@ -70,7 +73,7 @@
 
     private static EvenShareBudget budget(final int daemons) {
         final EvenShareBudget budget = new EvenShareBudget(BudgetSettings.DEFAULT);
-        budget.ratesChanged(List.of(new TeamRate(TEAM, RATE)), daemons, START);
+        budget.ratesChanged(List.of(new TeamRate(TEAM, TOKENS_PER_SECOND)), daemons, START);
         return budget;
     }
 }
--- a/routing/src/test/java/org/whinhead/routing/AffinityRouterTest.java
+++ b/routing/src/test/java/org/whinhead/routing/AffinityRouterTest.java
@@ -7,7 +7,7 @@
 import static org.whinhead.routing.Fixtures.engines;
 import static org.whinhead.routing.Fixtures.id;
 import static org.whinhead.routing.Fixtures.longRequest;
-import static org.whinhead.routing.Fixtures.onceOnly;
+import static org.whinhead.routing.Fixtures.nonIdempotentRequest;
 import static org.whinhead.routing.Fixtures.request;
 import static org.whinhead.routing.Fixtures.router;
 
@@ -29,15 +29,15 @@
 
 class AffinityRouterTest {
 
-    // Fifty daemons hold the same report: one engine idle, the others busy. By least reported load
-    // all fifty send there at once and the caller who thought it idle waits behind forty-nine.
+    // Fifty daemons have the same report of one idle engine. By least reported load all fifty send
+    // a request there at once, and all but one wait although other engines have slots.
     @Test
-    void manyRoutersWithOneStaleReportDoNotHerd() {
-        assertThat(mostSentToOne(RoutingStrategy.LEAST_REPORTED_LOAD)).isEqualTo(50);
-        assertThat(mostSentToOne(RoutingStrategy.AFFINITY)).isLessThan(15);
+    void routersWithTheSameStaleReportDoNotHerd() {
+        assertThat(maxSentToOneEndpoint(RoutingStrategy.LEAST_REPORTED_LOAD)).isEqualTo(50);
+        assertThat(maxSentToOneEndpoint(RoutingStrategy.AFFINITY)).isLessThan(15);
     }
 
-    private static int mostSentToOne(final RoutingStrategy strategy) {
+    private static int maxSentToOneEndpoint(final RoutingStrategy strategy) {
         final Map<EndpointId, Integer> sent = new HashMap<>();
         for (int daemon = 0; daemon < 50; daemon++) {
             final AffinityRouter router = router(strategy, 20, daemon);
@@ -50,12 +50,11 @@
         return sent.values().stream().mapToInt(Integer::intValue).max().orElseThrow();
     }
 
-    // Two engines' reports say five and six requests, all of other daemons, and are two seconds
-    // old.
-    // This daemon's own sends since then must count on top, or all of them go to the first engine
-    // and its callers wait for a slot while the second has some.
+    // Two engines' reports of five and six requests, all of other daemons, are two seconds old. If
+    // this daemon's sends since then were not added, all of them would go to the first engine and
+    // wait there while the second engine has free slots.
     @Test
-    void ownSendsCountOnTopOfStaleReport() {
+    void ownSendsAreAddedToStaleReport() {
         final AffinityRouter router = router(RoutingStrategy.AFFINITY, 2, 1);
         for (int i = 0; i < 2; i++) {
             router.loadReported(new LoadReport(id(i), START.minusSeconds(2), 5 + i, 0, 0), START);
@@ -68,18 +67,19 @@
     }
 
     @Test
-    void conversationStaysWithItsEngineAndDaemonsAgreeOnNewOnes() {
+    void conversationStaysOnItsEngineAndDaemonsAgreeOnTheEngine() {
         final AffinityRouter one = router(RoutingStrategy.AFFINITY, 12, 1);
         final AffinityRouter two = router(RoutingStrategy.AFFINITY, 12, 2);
-        final EndpointId home = chosen(one, request(1L, 2L, 3L, 4L));
-        assertThat(chosen(one, request(1L, 2L, 3L, 4L, 5L, 6L))).isEqualTo(home);
-        assertThat(chosen(two, request(1L, 2L, 3L, 4L, 9L))).isEqualTo(home);
+        final EndpointId first = chosen(one, request(1L, 2L, 3L, 4L));
+        assertThat(chosen(one, request(1L, 2L, 3L, 4L, 5L, 6L))).isEqualTo(first);
+        assertThat(chosen(two, request(1L, 2L, 3L, 4L, 9L))).isEqualTo(first);
     }
 
-    // One application's long prompt becomes hot. To compute it anew costs seconds, so its engine
-    // fills up far beyond the others, and every caller of that application waits.
+    // The prefill of a long prompt costs seconds, so without a bound a prompt shared by many
+    // requests
+    // fills its engine far beyond the others, and all these requests wait.
     @Test
-    void hotPrefixFillsItsEngineOnlyToTheBound() {
+    void hotPrefixFillsItsEngineOnlyToTheLoadBound() {
         final AffinityRouter router = router(RoutingStrategy.AFFINITY, 12, 1);
         final Map<EndpointId, Integer> sent = new HashMap<>();
         for (int i = 0; i < 120; i++) {
@@ -89,17 +89,17 @@
         assertThat(sent.values()).allSatisfy(count -> assertThat(count).isLessThanOrEqualTo(bound));
     }
 
-    // A zone is reclaimed: notices name its engines, but the lagging VM list still calls them live
-    // and is read again and again. A caller sent there now loses its stream seconds later.
+    // After a notice the stale VM list still shows the leaving engines as live. A request routed to
+    // such an engine loses its stream seconds later.
     @Property(seed = "5", tries = 200)
     void leavingEndpointIsNeverChosen(
             @ForAll @Size(min = 1, max = 30) final List<@IntRange(max = 7) Integer> steps) {
         final AffinityRouter router = router(RoutingStrategy.AFFINITY, 8, 4);
-        final Set<EndpointId> left = new HashSet<>();
+        final Set<EndpointId> leaving = new HashSet<>();
         for (final int step : steps) {
             if (step < 3) {
                 router.endpointLeaving(id(step));
-                left.add(id(step));
+                leaving.add(id(step));
             } else if (step == 3) {
                 router.endpointsChanged(engines(8));
             } else if (step == 4) {
@@ -107,48 +107,48 @@
                 router.endpointChanged(engine(0, Fixtures.GASABO));
             }
             for (long prefix = 0; prefix < 8; prefix++) {
-                assertThat(left).doesNotContain(chosen(router, request(prefix)));
+                assertThat(leaving).doesNotContain(chosen(router, request(prefix)));
             }
         }
     }
 
-    // An engine dies and its endpoint turns suspect; after the cooldown one request probes it. Only
-    // one that may be repeated is risked as long as healthy engines are there.
+    // A suspect endpoint may still fail the request that probes it after the cooldown. So only an
+    // idempotent request may probe it while healthy engines exist.
     @Test
-    void suspectEndpointIsShutOutAndProbedByAnIdempotentRequestOnly() {
+    void suspectEndpointIsExcludedAndProbedByIdempotentRequestsOnly() {
         final AffinityRouter router = router(RoutingStrategy.AFFINITY, 2, 1);
-        final EndpointId dead = failTwice(router);
+        final EndpointId failed = failTwice(router);
         for (int i = 0; i < 10; i++) {
-            assertThat(chosen(router, request(1L))).isNotEqualTo(dead);
+            assertThat(chosen(router, request(1L))).isNotEqualTo(failed);
         }
         final Instant cooled = START.plusSeconds(5);
         for (int i = 0; i < 10; i++) {
-            assertThat(router.choose(onceOnly(1L), Set.of(), cooled).orElseThrow().id())
-                    .isNotEqualTo(dead);
+            assertThat(router.choose(nonIdempotentRequest(1L), Set.of(), cooled).orElseThrow().id())
+                    .isNotEqualTo(failed);
         }
-        final Set<EndpointId> other = Set.of(dead.equals(id(0)) ? id(1) : id(0));
+        final Set<EndpointId> notFailed = Set.of(failed.equals(id(0)) ? id(1) : id(0));
         final RequestSpec probe = request(1L);
-        assertThat(router.choose(probe, other, cooled)).isPresent();
-        assertThat(router.choose(request(1L), other, cooled)).isEmpty();
-        router.attemptSucceeded(dead, probe, cooled);
-        assertThat(router.choose(request(1L), other, cooled)).isPresent();
+        assertThat(router.choose(probe, notFailed, cooled)).isPresent();
+        assertThat(router.choose(request(1L), notFailed, cooled)).isEmpty();
+        router.attemptSucceeded(failed, probe, cooled);
+        assertThat(router.choose(request(1L), notFailed, cooled)).isPresent();
     }
 
     private static EndpointId failTwice(final AffinityRouter router) {
-        EndpointId dead = null;
+        EndpointId failed = null;
         for (int i = 0; i < 2; i++) {
             final RequestSpec spec = request(1L);
-            dead = chosen(router, spec);
-            router.attemptFailed(dead, spec, START);
-            router.attemptEnded(dead, spec, START);
+            failed = chosen(router, spec);
+            router.attemptFailed(failed, spec, START);
+            router.attemptEnded(failed, spec, START);
         }
-        return dead;
+        return failed;
     }
 
-    // An endpoint falls out of the lagging list and comes back while a request runs on it. That
-    // request's end, told twice, must not make the endpoint look emptier than it is.
+    // An endpoint is removed from the list and added again while a request runs on it. The end of
+    // that request, or an end reported twice, must not understate the endpoint's load.
     @Test
-    void endOfAnEarlierLifeOrToldTwiceIsCountedOnce() {
+    void endFromBeforeRemovalOrReportedTwiceIsCountedOnce() {
         final AffinityRouter router = router(RoutingStrategy.LEAST_REPORTED_LOAD, 1, 1);
         final RequestSpec early = request();
         router.choose(early, Set.of(), START);
@@ -165,11 +165,12 @@
     }
 
     @Test
-    void onlyTheSameVersionAndAdapterFits() {
+    void choosesOnlyEndpointsOfTheSameVersionAndAdapter() {
         final AffinityRouter router = router(RoutingStrategy.AFFINITY, 3, 1);
         final ModelRef adapted = ModelRef.parse(MODEL + "+bailiff");
-        final Endpoint fit = engine(9, Fixtures.GASABO).toBuilder().models(Set.of(adapted)).build();
-        router.endpointChanged(fit);
+        final Endpoint adaptedEngine =
+                engine(9, Fixtures.GASABO).toBuilder().models(Set.of(adapted)).build();
+        router.endpointChanged(adaptedEngine);
         final RequestSpec spec =
                 RequestSpec.builder(request().id())
                         .customer(request().customer())
--- a/routing/src/test/java/org/whinhead/routing/EndpointHealthTest.java
+++ b/routing/src/test/java/org/whinhead/routing/EndpointHealthTest.java
@@ -22,9 +22,8 @@
 
     private final EndpointHealth mHealth = new EndpointHealth(SETTINGS, new Random(7));
 
-    // A caller's long stream began while the engine was well. The engine then dies and a second
-    // request fails there. The first stream's end, buffered on the way, arrives after that failure:
-    // it must not send the next callers to the dead engine.
+    // The success of a stream that began before the engine died can arrive after the failure of a
+    // later request. It must not route new requests to the dead engine.
     @Test
     void staleSuccessDoesNotClearNewerFailure() {
         final long early = mHealth.dispatched(START);
@@ -35,22 +34,23 @@
         assertThat(mHealth.canDispatch(START)).isFalse();
     }
 
-    // Many callers wait when a dead engine's cooldown ends. Only one may try it: were all of them
-    // sent there, all would fail. When the probe's answer is lost, another may try after a while.
+    // If all waiting requests were sent to a dead engine after its cooldown, all would fail, so
+    // only
+    // one probes it. A probe whose outcome is lost must not block the endpoint permanently.
     @Test
-    void oneProbeOnlyAndLostProbeDoesNotCloseForGood() {
+    void allowsOneProbeAndAnotherAfterTheProbeTimeout() {
         mHealth.failed(mHealth.dispatched(START), START);
-        final Instant cooled = START.plusMillis(1500);
-        assertThat(mHealth.canDispatch(cooled)).isTrue();
-        mHealth.dispatched(cooled);
-        assertThat(mHealth.canDispatch(cooled)).isFalse();
-        assertThat(mHealth.canDispatch(cooled.plus(SETTINGS.probeTimeout()))).isTrue();
+        final Instant afterCooldown = START.plusMillis(1500);
+        assertThat(mHealth.canDispatch(afterCooldown)).isTrue();
+        mHealth.dispatched(afterCooldown);
+        assertThat(mHealth.canDispatch(afterCooldown)).isFalse();
+        assertThat(mHealth.canDispatch(afterCooldown.plus(SETTINGS.probeTimeout()))).isTrue();
     }
 
-    // An engine is away for a minute and every probe fails. When it is back, callers must not wait
-    // for half a minute more because the cooldown had doubled that often.
+    // After an outage with many failed probes, an unbounded cooldown would exclude the recovered
+    // engine for half a minute or more.
     @Test
-    void cooldownDoublesUpToItsBound() {
+    void cooldownDoublesUpToTheLongestCooldown() {
         Instant now = START;
         for (int i = 0; i < 10; i++) {
             mHealth.failed(mHealth.dispatched(now), now);
@@ -62,16 +62,16 @@
         assertThat(mHealth.canDispatch(last.plusMillis(6000))).isTrue();
     }
 
-    // An engine with many streams dies: all of them fail, most after the first probe has gone out.
-    // They tell of the same death, so the probe's success opens the engine at once.
+    // When an engine dies, many of its streams fail after the first probe was sent. These failures
+    // have the same cause, so the success of the probe must clear the endpoint at once.
     @Test
-    void failuresFromBeforeTheProbeDoNotCount() {
+    void failuresOfEarlierDispatchesDoNotEndTheProbe() {
         final long first = mHealth.dispatched(START);
         final long second = mHealth.dispatched(START);
         mHealth.failed(first, START);
-        final Instant cooled = START.plusMillis(1500);
-        final long probe = mHealth.dispatched(cooled);
-        mHealth.failed(second, cooled);
+        final Instant afterCooldown = START.plusMillis(1500);
+        final long probe = mHealth.dispatched(afterCooldown);
+        mHealth.failed(second, afterCooldown);
         mHealth.succeeded(probe);
         assertThat(mHealth.isSuspect()).isFalse();
     }
--- a/routing/src/test/java/org/whinhead/routing/Fixtures.java
+++ b/routing/src/test/java/org/whinhead/routing/Fixtures.java
@@ -20,7 +20,7 @@
 import org.whinhead.api.request.RequestId;
 import org.whinhead.api.request.RequestSpec;
 
-/** Endpoints and requests for the tests of this module. */
+/** Creates endpoints, requests and routers for the tests of this module. */
 final class Fixtures {
     static final Instant START = Instant.parse("2026-01-01T00:00:00Z");
     static final ModelRef MODEL = ModelRef.of("claims", "1");
@@ -29,7 +29,7 @@
     private static final Tier TIER =
             new Tier(
                     "gold", 1, Duration.ofSeconds(1), Duration.ofMillis(50), Duration.ofMinutes(1));
-    private static long sNext;
+    private static long sNextId;
 
     private Fixtures() {}
 
@@ -78,12 +78,12 @@
         return builder(20_000, prefixes).build();
     }
 
-    static RequestSpec onceOnly(final Long... prefixes) {
+    static RequestSpec nonIdempotentRequest(final Long... prefixes) {
         return builder(1000, prefixes).idempotent(false).build();
     }
 
     private static RequestSpec.Builder builder(final int promptTokens, final Long... prefixes) {
-        return RequestSpec.builder(new RequestId("r" + sNext++))
+        return RequestSpec.builder(new RequestId("r" + sNextId++))
                 .customer(new CustomerId("clinic"))
                 .tier(TIER)
                 .model(MODEL)
--- a/routing/src/test/java/org/whinhead/routing/WatchPlanTest.java
+++ b/routing/src/test/java/org/whinhead/routing/WatchPlanTest.java
@@ -19,7 +19,7 @@
     private static final int DOMAINS = 9;
 
     @Test
-    void twoYearSizeStaysBoundedAndEveryWatchedEndpointIsPolledTwice() {
+    void planIsBoundedAtTwoYearSizeAndEachWatchedEndpointIsPolledTwice() {
         final List<DaemonLocation> daemons = daemons(330);
         final List<Endpoint> endpoints = endpoints(1800);
         final Map<EndpointId, Integer> polls = new HashMap<>();
@@ -40,10 +40,10 @@
         assertThat(polls).hasSize(256).allSatisfy((id, count) -> assertThat(count).isEqualTo(2));
     }
 
-    // A team's adapter is loaded on two engines of a far region only. A daemon that watched nothing
-    // but its own domain would refuse the team's callers although those engines idle.
+    // If only an engine of a far region serves a model, a daemon that watched only its own domain
+    // would refuse requests for the model although that engine is idle.
     @Test
-    void modelServedFarAwayOnlyIsWatchedToo() {
+    void watchesModelThatOnlyFarEndpointsServe() {
         final List<Endpoint> endpoints = endpoints(1800);
         final ModelRef rare = ModelRef.of("rare", "1");
         final Endpoint far = endpoints.get(8).toBuilder().models(Set.of(rare)).build();
