--- a/admission/src/test/java/org/whinhead/admission/CapacityShareTest.java
+++ b/admission/src/test/java/org/whinhead/admission/CapacityShareTest.java
@@ -20,8 +20,7 @@
 
     private static final Target TARGET = new Target(EndpointKind.MODEL_ENGINE, "m@1");
 
-    // Counting the slots of leaving engines admits more requests than the other engines can run,
-    // and
+    // Counting the slots of leaving engines admits more requests than the others can run, and
     // the requests miss their first-token targets in the engines' queues.
     @Test
     void slotsExcludeLeavingEnginesAndOtherModels() {
--- a/admission/src/test/java/org/whinhead/admission/TieredAdmissionTest.java
+++ b/admission/src/test/java/org/whinhead/admission/TieredAdmissionTest.java
@@ -47,8 +47,7 @@
         assertThat(mAdmission.takeAdmitted(START).get(0)).isEqualTo(urgent);
     }
 
-    // A customer that sends two hundred requests at once must not delay the single request of
-    // another customer.
+    // A customer with two hundred requests must not delay the only request of another customer.
     @Test
     void heavyCustomerDoesNotStarveLightOne() {
         final TieredAdmission admission = admission(500);
--- a/admission/src/test/java/org/whinhead/admission/budget/PortionedBudgetTest.java
+++ b/admission/src/test/java/org/whinhead/admission/budget/PortionedBudgetTest.java
@@ -48,8 +48,7 @@
     }
 
     // A daemon repeats its request after a lost answer, and the second answer is duplicated. The
-    // team
-    // must be charged for one portion, and the daemon must have one portion to spend.
+    // team must be charged for one portion, and the daemon must have one portion to spend.
     @Test
     void lostAndDuplicatedAnswersCountOnce() {
         final PortionAllocator allocator = allocator(FIRST, START);
--- a/routing/src/main/java/org/whinhead/routing/WatchPlan.java
+++ b/routing/src/main/java/org/whinhead/routing/WatchPlan.java
@@ -148,8 +148,7 @@
     /**
      * The limits of a watch plan.
      *
-     * @param maxWatched the number of endpoints that a daemon routes to; the minimum per target may
-     *     exceed it
+     * @param maxWatched the number of watched endpoints, unless the minima per target exceed it
      * @param minPerTarget the minimum number of watched endpoints of each model and service
      * @param pollers the number of daemons that poll the same endpoint
      * @param maxPeers the maximum number of daemons that exchange reports across failure domains
--- a/routing/src/test/java/org/whinhead/routing/AffinityRouterTest.java
+++ b/routing/src/test/java/org/whinhead/routing/AffinityRouterTest.java
@@ -76,8 +76,7 @@
     }
 
     // The prefill of a long prompt costs seconds, so without a bound a prompt shared by many
-    // requests
-    // fills its engine far beyond the others, and all these requests wait.
+    // requests fills its engine far beyond the others, and all these requests wait.
     @Test
     void hotPrefixFillsItsEngineOnlyToTheLoadBound() {
         final AffinityRouter router = router(RoutingStrategy.AFFINITY, 12, 1);
--- a/routing/src/test/java/org/whinhead/routing/EndpointHealthTest.java
+++ b/routing/src/test/java/org/whinhead/routing/EndpointHealthTest.java
@@ -34,9 +34,8 @@
         assertThat(mHealth.canDispatch(START)).isFalse();
     }
 
-    // If all waiting requests were sent to a dead engine after its cooldown, all would fail, so
-    // only
-    // one probes it. A probe whose outcome is lost must not block the endpoint permanently.
+    // If all waiting requests were sent to a dead engine after its cooldown, all would fail.
+    // So only one probes it. A lost outcome of the probe must not block the endpoint permanently.
     @Test
     void allowsOneProbeAndAnotherAfterTheProbeTimeout() {
         mHealth.failed(mHealth.dispatched(START), START);
