--- a/bench/src/main/java/org/whinhead/bench/membership/MembershipBench.java
+++ b/bench/src/main/java/org/whinhead/bench/membership/MembershipBench.java
@@ -116,7 +116,7 @@
             simulation
                     .daemons()
                     .forEach(daemon -> daemon.await(leaver.member().id(), VmState.LEAVING));
-            leaver.membership().stopping(start.plus(NOTICE), start);
+            leaver.membership().shutdownStarted(start.plus(NOTICE), start);
             for (int second = 0; second < 10; second++) {
                 simulation.run(SECOND);
                 suspicions += simulation.suspicions();
--- a/bench/src/main/java/org/whinhead/bench/membership/MembershipSimulation.java
+++ b/bench/src/main/java/org/whinhead/bench/membership/MembershipSimulation.java
@@ -164,7 +164,7 @@
                             message ->
                                     flight.to()
                                             .membership()
-                                            .received(flight.from(), message, mNow));
+                                            .messageReceived(flight.from(), message, mNow));
         } catch (final IOException e) {
             throw new UncheckedIOException(e);
         }
--- a/daemon/src/main/java/org/whinhead/daemon/peers/PeerDuty.java
+++ b/daemon/src/main/java/org/whinhead/daemon/peers/PeerDuty.java
@@ -260,7 +260,7 @@
                 () -> {
                     final Instant now = mClock.instant();
                     mOutlet.ownStop();
-                    mMembership.stopping(goneBy, now);
+                    mMembership.shutdownStarted(goneBy, now);
                     mMembership.tick(now);
                     mTimers.executeAfter(
                             () -> told.complete(null), FAREWELL_MILLIS, TimeUnit.MILLISECONDS);
@@ -307,7 +307,7 @@
         final Optional<MembershipMessage> decoded = MembershipCodec.decode(envelope);
         if (decoded.isPresent()) {
             final Instant now = mClock.instant();
-            mMembership.received(message.from(), decoded.get(), now);
+            mMembership.messageReceived(message.from(), decoded.get(), now);
             mOutlet.publish(mView, now);
         }
     }
@@ -316,8 +316,8 @@
         final Instant now = mClock.instant();
         mMembership.tick(now);
         mOutlet.publish(mView, now);
-        final Envelope greeting = MembershipCodec.encode(mMembership.introduction());
-        mSeeds.due(mView, now).forEach(seed -> mTransport.greet(seed, greeting));
+        final Envelope greeting = MembershipCodec.encode(mMembership.ownHeartbeat());
+        mSeeds.due(mView, now).forEach(seed -> mTransport.connectToSeed(seed, greeting));
         mLoad.due(now)
                 .ifPresent(digest -> mLoad.peers().forEach(peer -> mTransport.send(peer, digest)));
         if (!now.isBefore(mNextReload)) {
--- a/membership/src/main/java/org/whinhead/membership/AnnouncementQueue.java
+++ b/membership/src/main/java/org/whinhead/membership/AnnouncementQueue.java
@@ -19,28 +19,28 @@
  */
 final class AnnouncementQueue {
 
-    private final Map<Instant, Set<VmId>> mWaiting = new HashMap<>();
-    private final Map<VmId, Set<VmId>> mTold = new HashMap<>();
+    private final Map<Instant, Set<VmId>> mPending = new HashMap<>();
+    private final Map<VmId, Set<VmId>> mKnownByPeer = new HashMap<>();
 
     /** Adds VMs; ends are rounded up to a second, so that a wave's VMs share one. */
     void add(final Set<VmId> vms, final Instant goneBy) {
         final Instant second = goneBy.truncatedTo(ChronoUnit.SECONDS);
         final Instant rounded = second.equals(goneBy) ? goneBy : second.plusSeconds(1);
-        mWaiting.computeIfAbsent(rounded, end -> new HashSet<>()).addAll(vms);
+        mPending.computeIfAbsent(rounded, end -> new HashSet<>()).addAll(vms);
     }
 
     /** Notes that a peer knows of VMs, for as long as something waits. */
-    void toldBy(final VmId peer, final Set<VmId> vms) {
-        if (!mWaiting.isEmpty()) {
-            mTold.computeIfAbsent(peer, id -> new HashSet<>()).addAll(vms);
+    void markKnown(final VmId peer, final Set<VmId> vms) {
+        if (!mPending.isEmpty()) {
+            mKnownByPeer.computeIfAbsent(peer, id -> new HashSet<>()).addAll(vms);
         }
     }
 
     /** Returns what a peer has yet to be told. */
     List<LeavingNotice> noticesFor(final VmId peer) {
-        final Set<VmId> told = mTold.getOrDefault(peer, Set.of());
+        final Set<VmId> told = mKnownByPeer.getOrDefault(peer, Set.of());
         final List<LeavingNotice> notices = new ArrayList<>();
-        mWaiting.forEach(
+        mPending.forEach(
                 (goneBy, vms) -> {
                     final Set<VmId> news = new HashSet<>(vms);
                     news.removeAll(told);
@@ -52,11 +52,11 @@
     }
 
     boolean isEmpty() {
-        return mWaiting.isEmpty();
+        return mPending.isEmpty();
     }
 
     void clear() {
-        mWaiting.clear();
-        mTold.clear();
+        mPending.clear();
+        mKnownByPeer.clear();
     }
 }
--- a/membership/src/main/java/org/whinhead/membership/Dissemination.java
+++ b/membership/src/main/java/org/whinhead/membership/Dissemination.java
@@ -18,20 +18,20 @@
  */
 final class Dissemination {
 
-    private static final int HEARTBEATS_BETWEEN_MEMBER = 8;
+    private static final int HEARTBEATS_PER_DESCRIPTION = 8;
 
     private final MembershipSettings mSettings;
     private final DaemonMember mSelf;
     private final VmRegistry mRegistry;
     private final GossipLinks mLinks;
     private final MembershipActions mActions;
-    private final RumorQueue mQueue = new RumorQueue();
+    private final RumorQueue mRumors = new RumorQueue();
     private final AnnouncementQueue mAnnouncements = new AnnouncementQueue();
     private final Map<VmId, Integer> mHeartbeatsSent = new HashMap<>();
     private Instant mNextHeartbeat;
     private Instant mNextGossip;
-    private Instant mDigestSince;
-    private Instant mLastWhole = Instant.MIN;
+    private Instant mDigestChangedAt;
+    private Instant mLastFullState = Instant.MIN;
     private long mLastDigest;
     private long mIncarnation;
 
@@ -51,11 +51,11 @@
     }
 
     /** Spreads daemons that start together over the interval. */
-    void scheduleFirst(final Instant now, final RandomGenerator random) {
+    void scheduleFirstSends(final Instant now, final RandomGenerator random) {
         final long spread = mSettings.heartbeatInterval().toMillis();
         mNextHeartbeat = now.plusMillis(random.nextLong(spread));
         mNextGossip = now.plusMillis(random.nextLong(mSettings.gossipInterval().toMillis()));
-        mDigestSince = now;
+        mDigestChangedAt = now;
     }
 
     long incarnation() {
@@ -65,7 +65,7 @@
     void tick(final Instant now) {
         if (mRegistry.digest() != mLastDigest) {
             mLastDigest = mRegistry.digest();
-            mDigestSince = now;
+            mDigestChangedAt = now;
         }
         sendAnnouncements();
         if (!now.isBefore(mNextHeartbeat)) {
@@ -85,7 +85,7 @@
         mHeartbeatsSent.keySet().retainAll(linked);
         for (final DaemonMember link : links) {
             final int sent = mHeartbeatsSent.merge(link.id(), 1, Integer::sum);
-            final boolean withMember = sent % HEARTBEATS_BETWEEN_MEMBER == 1;
+            final boolean withMember = sent % HEARTBEATS_PER_DESCRIPTION == 1;
             final Optional<DaemonMember> member =
                     withMember ? Optional.of(mSelf) : Optional.empty();
             final long digest = mRegistry.digest();
@@ -95,7 +95,7 @@
     }
 
     private void sendRumors() {
-        final List<Rumor> rumors = mQueue.takeSome();
+        final List<Rumor> rumors = mRumors.pollBatch();
         if (rumors.isEmpty()) {
             return;
         }
@@ -106,12 +106,12 @@
     }
 
     /** Takes in an announcement; what is news is passed on at the next tick. */
-    void leaving(final LeavingNotice notice, final Optional<VmId> from, final Instant now) {
-        final Set<VmId> news = mRegistry.announced(notice, now);
+    void receiveNotice(final LeavingNotice notice, final Optional<VmId> from, final Instant now) {
+        final Set<VmId> news = mRegistry.recordAnnouncement(notice, now);
         if (!news.isEmpty()) {
             mAnnouncements.add(news, notice.goneBy());
         }
-        from.ifPresent(peer -> mAnnouncements.toldBy(peer, notice.vms()));
+        from.ifPresent(peer -> mAnnouncements.markKnown(peer, notice.vms()));
     }
 
     private void sendAnnouncements() {
@@ -128,35 +128,35 @@
 
     void suspect(final VmId vm) {
         final long incarnation = mRegistry.facts(vm).incarnation();
-        if (mRegistry.suspected(vm, incarnation)) {
-            mQueue.add(new Rumor.Suspected(vm, incarnation));
+        if (mRegistry.recordSuspicion(vm, incarnation)) {
+            mRumors.add(new Rumor.Suspected(vm, incarnation));
         }
     }
 
-    void alive(final VmId vm, final long incarnation) {
+    void receiveAlive(final VmId vm, final long incarnation) {
         final VmFacts facts = mRegistry.facts(vm);
         final boolean endsSuspicion = facts != null && facts.isSuspected();
-        if (mRegistry.alive(vm, incarnation) && endsSuspicion) {
-            mQueue.add(new Rumor.Alive(vm, incarnation));
+        if (mRegistry.recordAlive(vm, incarnation) && endsSuspicion) {
+            mRumors.add(new Rumor.Alive(vm, incarnation));
         }
     }
 
-    void heartbeat(
+    void receiveHeartbeat(
             final VmId from, final MembershipMessage.Heartbeat heartbeat, final Instant now) {
         // Guards against a daemon that describes another one in its own name: callers and peers
         // would be sent to the wrong address.
         heartbeat
                 .member()
                 .filter(member -> member.id().equals(from))
-                .ifPresent(member -> join(member, heartbeat.incarnation(), now));
-        alive(from, heartbeat.incarnation());
+                .ifPresent(member -> receiveDescription(member, heartbeat.incarnation(), now));
+        receiveAlive(from, heartbeat.incarnation());
         final VmFacts facts = mRegistry.facts(from);
         if (facts != null && facts.isSuspected()) {
             // Only the peer itself may end the suspicion, so it must hear of it.
             final Rumor rumor = new Rumor.Suspected(from, facts.suspectedIncarnation());
             send(from, new MembershipMessage.Gossip(List.of(rumor), false));
         } else if (heartbeat.digest() != mRegistry.digest()) {
-            sendWhole(from, now);
+            sendFullState(from, now);
         }
     }
 
@@ -164,65 +164,68 @@
      * Repairs what loss has torn, but not while news still travels, and only so often: after a
      * partition the digests of all neighbours differ at once.
      */
-    private void sendWhole(final VmId to, final Instant now) {
+    private void sendFullState(final VmId to, final Instant now) {
         final Duration interval = mSettings.heartbeatInterval();
-        final boolean settled = !now.isBefore(mDigestSince.plus(interval));
+        final boolean settled = !now.isBefore(mDigestChangedAt.plus(interval));
         if (settled
-                && (mLastWhole.equals(Instant.MIN) || !now.isBefore(mLastWhole.plus(interval)))) {
-            mLastWhole = now;
+                && (mLastFullState.equals(Instant.MIN)
+                        || !now.isBefore(mLastFullState.plus(interval)))) {
+            mLastFullState = now;
             send(to, new MembershipMessage.Gossip(mRegistry.rumors(), true));
         }
     }
 
-    void gossip(final VmId from, final MembershipMessage.Gossip gossip, final Instant now) {
+    void receiveGossip(final VmId from, final MembershipMessage.Gossip gossip, final Instant now) {
         final Map<Instant, Set<VmId>> leaving = new HashMap<>();
         for (final Rumor rumor : gossip.rumors()) {
             if (rumor instanceof Rumor.Leaving one) {
                 leaving.computeIfAbsent(one.goneBy(), goneBy -> new HashSet<>()).add(one.vm());
             } else {
-                hear(rumor, now);
+                receiveRumor(rumor, now);
             }
         }
         leaving.forEach(
-                (goneBy, vms) -> leaving(new LeavingNotice(vms, goneBy), Optional.of(from), now));
-        if (gossip.whole()) {
-            answerWhole(from, gossip.rumors());
+                (goneBy, vms) ->
+                        receiveNotice(new LeavingNotice(vms, goneBy), Optional.of(from), now));
+        if (gossip.fullState()) {
+            replyWithMissingRumors(from, gossip.rumors());
         }
     }
 
-    private void hear(final Rumor rumor, final Instant now) {
+    private void receiveRumor(final Rumor rumor, final Instant now) {
         if (rumor instanceof Rumor.Suspected suspected) {
-            hearSuspected(suspected);
+            receiveSuspicion(suspected);
         } else if (rumor instanceof Rumor.Alive alive) {
             // Passed on also by those that missed the suspicion: others behind them may hold it.
-            if (mRegistry.alive(alive.vm(), alive.incarnation())) {
-                mQueue.add(alive);
+            if (mRegistry.recordAlive(alive.vm(), alive.incarnation())) {
+                mRumors.add(alive);
             }
         } else if (rumor instanceof Rumor.Joined joined) {
-            join(joined.member(), joined.incarnation(), now);
+            receiveDescription(joined.member(), joined.incarnation(), now);
         }
     }
 
-    private void hearSuspected(final Rumor.Suspected suspected) {
+    private void receiveSuspicion(final Rumor.Suspected suspected) {
         if (suspected.vm().equals(mSelf.id())) {
             if (suspected.incarnation() >= mIncarnation) {
                 mIncarnation = suspected.incarnation() + 1;
-                mQueue.add(new Rumor.Alive(mSelf.id(), mIncarnation));
+                mRumors.add(new Rumor.Alive(mSelf.id(), mIncarnation));
             }
-        } else if (mRegistry.suspected(suspected.vm(), suspected.incarnation())) {
-            mQueue.add(suspected);
+        } else if (mRegistry.recordSuspicion(suspected.vm(), suspected.incarnation())) {
+            mRumors.add(suspected);
         }
     }
 
-    private void join(final DaemonMember member, final long incarnation, final Instant now) {
-        if (mRegistry.join(member, now)) {
-            mQueue.add(new Rumor.Joined(member, incarnation));
+    private void receiveDescription(
+            final DaemonMember member, final long incarnation, final Instant now) {
+        if (mRegistry.addSelfDescribed(member, now)) {
+            mRumors.add(new Rumor.Joined(member, incarnation));
         }
-        alive(member.id(), incarnation);
+        receiveAlive(member.id(), incarnation);
     }
 
     /** Sends what the peer's whole list of rumors lacks. */
-    private void answerWhole(final VmId to, final List<Rumor> theirs) {
+    private void replyWithMissingRumors(final VmId to, final List<Rumor> theirs) {
         final Set<Rumor> known = new HashSet<>(theirs);
         final List<Rumor> missing = new ArrayList<>();
         for (final Rumor rumor : mRegistry.rumors()) {
--- a/membership/src/main/java/org/whinhead/membership/FailureDetector.java
+++ b/membership/src/main/java/org/whinhead/membership/FailureDetector.java
@@ -13,7 +13,7 @@
 final class FailureDetector {
 
     private final MembershipSettings mSettings;
-    private final Map<VmId, Arrivals> mArrivals = new HashMap<>();
+    private final Map<VmId, HeartbeatHistory> mHistories = new HashMap<>();
     private final Map<VmId, Probe> mProbes = new HashMap<>();
     private long mNonce;
 
@@ -22,26 +22,26 @@
     }
 
     /** Sets whom to watch; a new neighbour has the whole timeout before it. */
-    void watch(final Set<VmId> neighbours, final Instant now) {
-        mArrivals.keySet().retainAll(neighbours);
+    void setNeighbors(final Set<VmId> neighbours, final Instant now) {
+        mHistories.keySet().retainAll(neighbours);
         mProbes.keySet().retainAll(neighbours);
         for (final VmId vm : neighbours) {
-            mArrivals.computeIfAbsent(vm, id -> new Arrivals(mSettings, now));
+            mHistories.computeIfAbsent(vm, id -> new HeartbeatHistory(mSettings, now));
         }
     }
 
-    void heartbeat(final VmId vm, final Instant now) {
-        final Arrivals arrivals = mArrivals.get(vm);
+    void recordHeartbeat(final VmId vm, final Instant now) {
+        final HeartbeatHistory arrivals = mHistories.get(vm);
         if (arrivals != null) {
-            arrivals.heartbeat(now);
+            arrivals.recordHeartbeat(now);
             mProbes.remove(vm);
         }
     }
 
-    void sign(final VmId vm, final Instant now) {
-        final Arrivals arrivals = mArrivals.get(vm);
+    void recordMessage(final VmId vm, final Instant now) {
+        final HeartbeatHistory arrivals = mHistories.get(vm);
         if (arrivals != null) {
-            arrivals.sign(now);
+            arrivals.recordMessage(now);
             mProbes.remove(vm);
         }
     }
@@ -50,10 +50,10 @@
      * Another daemon answered for a neighbour. Guards against a reply to an earlier probe that was
      * long on its way: it would vouch for a VM that died since.
      */
-    void answered(final VmId vm, final long nonce, final Instant now) {
+    void recordProbeReply(final VmId vm, final long nonce, final Instant now) {
         final Probe probe = mProbes.get(vm);
         if (probe != null && probe.nonce() == nonce) {
-            mArrivals.get(vm).vouched(now);
+            mHistories.get(vm).recordProbeReply(now);
             mProbes.remove(vm);
         }
     }
@@ -62,17 +62,17 @@
      * Tells whether this daemon itself heard a neighbour within its timeout; false for one that is
      * not watched.
      */
-    boolean isHeard(final VmId vm, final Instant now) {
-        final Arrivals arrivals = mArrivals.get(vm);
-        return arrivals != null && arrivals.isHeard(now);
+    boolean hasRecentMessage(final VmId vm, final Instant now) {
+        final HeartbeatHistory arrivals = mHistories.get(vm);
+        return arrivals != null && arrivals.hasRecentMessage(now);
     }
 
     /**
      * Guards against an own pause that looks like the death of every peer: the first tick after it
      * would put all in question at once. All silences start anew then.
      */
-    void forgiveAll(final Instant now) {
-        mArrivals.values().forEach(arrivals -> arrivals.forgive(now));
+    void resetSilences(final Instant now) {
+        mHistories.values().forEach(arrivals -> arrivals.resetSilence(now));
         mProbes.clear();
     }
 
@@ -80,7 +80,7 @@
     List<Probe> startProbes(final Instant now) {
         final Instant deadline = now.plus(mSettings.probeTimeout());
         final List<Probe> started = new ArrayList<>();
-        mArrivals.forEach(
+        mHistories.forEach(
                 (vm, arrivals) -> {
                     if (arrivals.isSilent(now) && !mProbes.containsKey(vm)) {
                         started.add(new Probe(vm, ++mNonce, deadline));
--- a/membership/src/main/java/org/whinhead/membership/GossipLinks.java
+++ b/membership/src/main/java/org/whinhead/membership/GossipLinks.java
@@ -14,13 +14,13 @@
 /** Whom a daemon talks to: its neighbours in the overlay, and those that took it as one. */
 final class GossipLinks {
 
-    private static final int FOLLOWER_HEARTBEATS = 5;
+    private static final int INBOUND_TIMEOUT_HEARTBEATS = 5;
 
     private final MembershipSettings mSettings;
     private final DaemonMember mSelf;
     private final VmRegistry mRegistry;
-    private final Map<VmId, Instant> mFollowers = new HashMap<>();
-    private Set<VmId> mNeighbours = Set.of();
+    private final Map<VmId, Instant> mInboundNeighbors = new HashMap<>();
+    private Set<VmId> mNeighbors = Set.of();
     private Set<VmId> mKnown = Set.of();
     private Set<VmId> mLive = Set.of();
 
@@ -38,8 +38,9 @@
      * overlay of live members alone has no holes on the own side.
      */
     boolean refresh(final Instant now) {
-        final Duration patience = mSettings.heartbeatInterval().multipliedBy(FOLLOWER_HEARTBEATS);
-        mFollowers.values().removeIf(heard -> heard.plus(patience).isBefore(now));
+        final Duration patience =
+                mSettings.heartbeatInterval().multipliedBy(INBOUND_TIMEOUT_HEARTBEATS);
+        mInboundNeighbors.values().removeIf(heard -> heard.plus(patience).isBefore(now));
         final Set<VmId> known = new HashSet<>();
         final Set<VmId> live = new HashSet<>();
         for (final VmId vm : mRegistry.daemons().keySet()) {
@@ -56,25 +57,25 @@
         }
         mKnown = known;
         mLive = live;
-        mNeighbours = Overlay.neighbours(mSelf.id(), known, mSettings.rings());
+        mNeighbors = Overlay.neighbors(mSelf.id(), known, mSettings.rings());
         if (live.size() < known.size()) {
-            mNeighbours.addAll(Overlay.neighbours(mSelf.id(), live, mSettings.rings()));
+            mNeighbors.addAll(Overlay.neighbors(mSelf.id(), live, mSettings.rings()));
         }
         return true;
     }
 
-    Set<VmId> neighbours() {
-        return mNeighbours;
+    Set<VmId> neighbors() {
+        return mNeighbors;
     }
 
-    void heartbeatFrom(final VmId vm, final Instant now) {
-        mFollowers.put(vm, now);
+    void recordHeartbeat(final VmId vm, final Instant now) {
+        mInboundNeighbors.put(vm, now);
     }
 
     /** Returns all links; a daemon that was not heard of yet has no address and is left out. */
     List<DaemonMember> links() {
-        final Set<VmId> ids = new HashSet<>(mNeighbours);
-        ids.addAll(mFollowers.keySet());
+        final Set<VmId> ids = new HashSet<>(mNeighbors);
+        ids.addAll(mInboundNeighbors.keySet());
         final List<DaemonMember> links = new ArrayList<>(ids.size());
         for (final VmId vm : ids) {
             final DaemonMember member = mRegistry.daemons().get(vm);
--- a/membership/src/main/java/org/whinhead/membership/Arrivals.java
+++ b/membership/src/main/java/org/whinhead/membership/HeartbeatHistory.java
@@ -4,34 +4,34 @@
 import java.time.Instant;
 
 /** When heartbeats of one peer arrive, and how long a silence is usual for it. */
-final class Arrivals {
+final class HeartbeatHistory {
 
     private static final double MEAN_GAIN = 0.125;
     private static final double DEVIATION_GAIN = 0.25;
-    private static final int DEVIATIONS = 4;
+    private static final int TIMEOUT_DEVIATIONS = 4;
 
     private final MembershipSettings mSettings;
-    private Instant mLastSign;
-    private Instant mLastHeard;
+    private Instant mLastSignOfLife;
+    private Instant mLastMessage;
     private Instant mLastHeartbeat;
     private double mMeanMillis;
     private double mDeviationMillis;
 
-    Arrivals(final MembershipSettings settings, final Instant now) {
+    HeartbeatHistory(final MembershipSettings settings, final Instant now) {
         mSettings = settings;
-        mLastSign = now;
+        mLastSignOfLife = now;
         mMeanMillis = settings.heartbeatInterval().toMillis();
     }
 
     /** A sign of life from the peer itself. */
-    void sign(final Instant now) {
-        mLastSign = now;
-        mLastHeard = now;
+    void recordMessage(final Instant now) {
+        mLastSignOfLife = now;
+        mLastMessage = now;
     }
 
     /** Another daemon has heard the peer. */
-    void vouched(final Instant now) {
-        mLastSign = now;
+    void recordProbeReply(final Instant now) {
+        mLastSignOfLife = now;
     }
 
     /**
@@ -39,12 +39,12 @@
      * dead peer that vouch for it by each other's word for ever: it would stay live in every view.
      * What another daemon has heard counts here, but is not passed on.
      */
-    boolean isHeard(final Instant now) {
-        return mLastHeard != null && isWithinTimeout(mLastHeard, now);
+    boolean hasRecentMessage(final Instant now) {
+        return mLastMessage != null && isWithinTimeout(mLastMessage, now);
     }
 
     /** A heartbeat arrived; the gap before it widens or narrows the timeout. */
-    void heartbeat(final Instant now) {
+    void recordHeartbeat(final Instant now) {
         if (mLastHeartbeat != null) {
             // A gap as long as a partition says nothing of the peer's pace.
             final long longest = mSettings.maximumTimeout().toMillis();
@@ -53,17 +53,17 @@
             mMeanMillis += MEAN_GAIN * (gap - mMeanMillis);
         }
         mLastHeartbeat = now;
-        sign(now);
+        recordMessage(now);
     }
 
     /** The own daemon was paused: silence during the pause is not the peer's. */
-    void forgive(final Instant now) {
-        mLastSign = now;
+    void resetSilence(final Instant now) {
+        mLastSignOfLife = now;
         mLastHeartbeat = null;
     }
 
     boolean isSilent(final Instant now) {
-        return !isWithinTimeout(mLastSign, now);
+        return !isWithinTimeout(mLastSignOfLife, now);
     }
 
     private boolean isWithinTimeout(final Instant last, final Instant now) {
@@ -74,7 +74,7 @@
      * Guards against a slow VM taken for a dead one: its own pace sets how long it may be silent.
      */
     Duration timeout() {
-        final long expected = (long) (2 * mMeanMillis + DEVIATIONS * mDeviationMillis);
+        final long expected = (long) (2 * mMeanMillis + TIMEOUT_DEVIATIONS * mDeviationMillis);
         final long least = mSettings.minimumTimeout().toMillis();
         final long most = mSettings.maximumTimeout().toMillis();
         return Duration.ofMillis(Math.max(least, Math.min(most, expected)));
--- a/membership/src/main/java/org/whinhead/membership/Membership.java
+++ b/membership/src/main/java/org/whinhead/membership/Membership.java
@@ -17,8 +17,8 @@
  */
 public final class Membership {
 
-    private static final int PROBE_HELPERS = 3;
-    private static final int LONGEST_TICK_GAP_DIVISOR = 2;
+    private static final int INDIRECT_PROBES = 3;
+    private static final int MAX_TICK_GAP_DIVISOR = 2;
 
     private final MembershipSettings mSettings;
     private final DaemonMember mSelf;
@@ -59,7 +59,7 @@
         mViewBuilder = new ViewBuilder(self, mRegistry, settings.maximumTimeout());
         mLinks = new GossipLinks(settings, self, mRegistry);
         mDissemination = new Dissemination(settings, self, incarnation, mRegistry, mLinks, actions);
-        mDissemination.scheduleFirst(now, mRandom);
+        mDissemination.scheduleFirstSends(now, mRandom);
         mLastTick = now;
         mView = mViewBuilder.build(now);
     }
@@ -80,7 +80,7 @@
     }
 
     /** Returns the own heartbeat with which a daemon introduces itself to one it does not know. */
-    public MembershipMessage.Heartbeat introduction() {
+    public MembershipMessage.Heartbeat ownHeartbeat() {
         return new MembershipMessage.Heartbeat(
                 mDissemination.incarnation(), mRegistry.digest(), Optional.of(mSelf));
     }
@@ -92,7 +92,7 @@
      * @param now the time
      */
     public void listReceived(final VmListSnapshot list, final Instant now) {
-        mRegistry.list(list, now);
+        mRegistry.applyList(list, now);
         publish(now);
     }
 
@@ -103,7 +103,7 @@
      * @param now the time
      */
     public void noticeReceived(final LeavingNotice notice, final Instant now) {
-        mDissemination.leaving(notice, Optional.empty(), now);
+        mDissemination.receiveNotice(notice, Optional.empty(), now);
         publish(now);
     }
 
@@ -113,7 +113,7 @@
      * @param goneBy when it is stopped at the latest
      * @param now the time
      */
-    public void stopping(final Instant goneBy, final Instant now) {
+    public void shutdownStarted(final Instant goneBy, final Instant now) {
         noticeReceived(new LeavingNotice(Set.of(mSelf.id()), goneBy), now);
     }
 
@@ -124,20 +124,21 @@
      * @param message the message
      * @param now the time
      */
-    public void received(final VmId from, final MembershipMessage message, final Instant now) {
+    public void messageReceived(
+            final VmId from, final MembershipMessage message, final Instant now) {
         if (message instanceof MembershipMessage.Heartbeat heartbeat) {
-            heartbeat(from, heartbeat, now);
+            receiveHeartbeat(from, heartbeat, now);
         } else if (message instanceof MembershipMessage.Leaving leaving) {
-            mDissemination.leaving(leaving.notice(), Optional.of(from), now);
+            mDissemination.receiveNotice(leaving.notice(), Optional.of(from), now);
         } else if (message instanceof MembershipMessage.Gossip gossip) {
-            mDissemination.gossip(from, gossip, now);
+            mDissemination.receiveGossip(from, gossip, now);
         } else if (message instanceof MembershipMessage.Probe probe) {
-            probe(from, probe, now);
+            receiveProbe(from, probe, now);
         } else if (message instanceof MembershipMessage.ProbeReply reply) {
-            mDetector.answered(reply.target(), reply.nonce(), now);
-            mDissemination.alive(reply.target(), reply.incarnation());
+            mDetector.recordProbeReply(reply.target(), reply.nonce(), now);
+            mDissemination.receiveAlive(reply.target(), reply.incarnation());
         }
-        heardFrom(from, now);
+        recordMessage(from, now);
         publish(now);
     }
 
@@ -148,15 +149,15 @@
      */
     public void tick(final Instant now) {
         final Duration gap = Duration.between(mLastTick, now);
-        final Duration longest = mSettings.minimumTimeout().dividedBy(LONGEST_TICK_GAP_DIVISOR);
+        final Duration longest = mSettings.minimumTimeout().dividedBy(MAX_TICK_GAP_DIVISOR);
         mLastTick = now;
         if (gap.compareTo(longest) > 0) {
-            mDetector.forgiveAll(now);
+            mDetector.resetSilences(now);
         }
         mRegistry.expire(now);
         mRelay.expire(now);
         if (mLinks.refresh(now)) {
-            mDetector.watch(mLinks.neighbours(), now);
+            mDetector.setNeighbors(mLinks.neighbors(), now);
         }
         mDissemination.tick(now);
         suspectUnanswered(now);
@@ -164,36 +165,37 @@
         publish(now);
     }
 
-    private void heartbeat(
+    private void receiveHeartbeat(
             final VmId from, final MembershipMessage.Heartbeat heartbeat, final Instant now) {
-        mDetector.heartbeat(from, now);
-        mLinks.heartbeatFrom(from, now);
-        mDissemination.heartbeat(from, heartbeat, now);
+        mDetector.recordHeartbeat(from, now);
+        mLinks.recordHeartbeat(from, now);
+        mDissemination.receiveHeartbeat(from, heartbeat, now);
     }
 
-    private void heardFrom(final VmId from, final Instant now) {
-        mRegistry.heard(from, now);
-        mDetector.sign(from, now);
-        for (final ProbeRelay.Relayed relayed : mRelay.takeFor(from)) {
-            reply(relayed.requester(), from, relayed.nonce());
+    private void recordMessage(final VmId from, final Instant now) {
+        mRegistry.recordMessage(from, now);
+        mDetector.recordMessage(from, now);
+        for (final ProbeRelay.RelayedProbe relayed : mRelay.removeFor(from)) {
+            replyAlive(relayed.requester(), from, relayed.nonce());
         }
     }
 
-    private void probe(final VmId from, final MembershipMessage.Probe probe, final Instant now) {
+    private void receiveProbe(
+            final VmId from, final MembershipMessage.Probe probe, final Instant now) {
         final VmId target = probe.target();
         if (target.equals(mSelf.id())) {
             send(
                     from,
                     new MembershipMessage.ProbeReply(
                             target, probe.nonce(), mDissemination.incarnation()));
-        } else if (mDetector.isHeard(target, now)) {
-            reply(from, target, probe.nonce());
+        } else if (mDetector.hasRecentMessage(target, now)) {
+            replyAlive(from, target, probe.nonce());
         } else if (mRelay.add(from, target, probe.nonce(), now.plus(mSettings.probeTimeout()))) {
             send(target, new MembershipMessage.Probe(target, probe.nonce()));
         }
     }
 
-    private void reply(final VmId requester, final VmId target, final long nonce) {
+    private void replyAlive(final VmId requester, final VmId target, final long nonce) {
         final VmFacts facts = mRegistry.facts(target);
         final long incarnation = facts == null ? 0 : facts.incarnation();
         send(requester, new MembershipMessage.ProbeReply(target, nonce, incarnation));
@@ -229,7 +231,7 @@
                         .filter(member -> !member.id().equals(silent))
                         .toList();
         final Set<VmId> helpers = new HashSet<>();
-        final int wanted = Math.min(PROBE_HELPERS, live.size());
+        final int wanted = Math.min(INDIRECT_PROBES, live.size());
         while (helpers.size() < wanted) {
             helpers.add(live.get(mRandom.nextInt(live.size())).id());
         }
@@ -244,7 +246,7 @@
     }
 
     private void publish(final Instant now) {
-        if (mRegistry.takeChanged()) {
+        if (mRegistry.pollChanged()) {
             mView = mViewBuilder.build(now);
             mActions.viewChanged(mView);
         }
--- a/membership/src/main/java/org/whinhead/membership/MembershipMessage.java
+++ b/membership/src/main/java/org/whinhead/membership/MembershipMessage.java
@@ -42,7 +42,7 @@
      * @param whole whether these are all leavings and suspicions that the sender knows, so that the
      *     receiver answers with those that are missing
      */
-    record Gossip(List<Rumor> rumors, boolean whole) implements MembershipMessage {
+    record Gossip(List<Rumor> rumors, boolean fullState) implements MembershipMessage {
         /** Copies the list. */
         public Gossip {
             rumors = List.copyOf(rumors);
--- a/membership/src/main/java/org/whinhead/membership/Overlay.java
+++ b/membership/src/main/java/org/whinhead/membership/Overlay.java
@@ -21,7 +21,7 @@
      * @param rings how many rings there are
      * @return at most two neighbours a ring
      */
-    static Set<VmId> neighbours(final VmId self, final Collection<VmId> members, final int rings) {
+    static Set<VmId> neighbors(final VmId self, final Collection<VmId> members, final int rings) {
         final Set<VmId> neighbours = new HashSet<>();
         for (int ring = 0; ring < rings; ring++) {
             addFromRing(self, members, ring, neighbours);
--- a/membership/src/main/java/org/whinhead/membership/ProbeRelay.java
+++ b/membership/src/main/java/org/whinhead/membership/ProbeRelay.java
@@ -9,25 +9,25 @@
 /** Probes made for other daemons, whose replies go back to them. */
 final class ProbeRelay {
 
-    private static final int MOST_WAITING = 256;
+    private static final int MAX_PENDING_PROBES = 256;
 
-    private final List<Relayed> mWaiting = new ArrayList<>();
+    private final List<RelayedProbe> mPending = new ArrayList<>();
 
     /** Keeps a question; tells whether there was room. */
     boolean add(final VmId requester, final VmId target, final long nonce, final Instant deadline) {
-        if (mWaiting.size() >= MOST_WAITING) {
+        if (mPending.size() >= MAX_PENDING_PROBES) {
             return false;
         }
-        mWaiting.add(new Relayed(requester, target, nonce, deadline));
+        mPending.add(new RelayedProbe(requester, target, nonce, deadline));
         return true;
     }
 
     /** Takes the questions about a VM that turned out to be live. */
-    List<Relayed> takeFor(final VmId target) {
-        final List<Relayed> taken = new ArrayList<>();
-        final Iterator<Relayed> waiting = mWaiting.iterator();
+    List<RelayedProbe> removeFor(final VmId target) {
+        final List<RelayedProbe> taken = new ArrayList<>();
+        final Iterator<RelayedProbe> waiting = mPending.iterator();
         while (waiting.hasNext()) {
-            final Relayed relayed = waiting.next();
+            final RelayedProbe relayed = waiting.next();
             if (relayed.target().equals(target)) {
                 taken.add(relayed);
                 waiting.remove();
@@ -37,9 +37,9 @@
     }
 
     void expire(final Instant now) {
-        mWaiting.removeIf(relayed -> !now.isBefore(relayed.deadline()));
+        mPending.removeIf(relayed -> !now.isBefore(relayed.deadline()));
     }
 
     /** One question of another daemon. */
-    record Relayed(VmId requester, VmId target, long nonce, Instant deadline) {}
+    record RelayedProbe(VmId requester, VmId target, long nonce, Instant deadline) {}
 }
--- a/membership/src/main/java/org/whinhead/membership/RumorQueue.java
+++ b/membership/src/main/java/org/whinhead/membership/RumorQueue.java
@@ -16,19 +16,19 @@
  */
 final class RumorQueue {
 
-    private static final int MOST_AT_ONCE = 24;
+    private static final int MAX_RUMORS_PER_BATCH = 24;
 
-    private final Map<VmId, Rumor> mWaiting = new LinkedHashMap<>();
+    private final Map<VmId, Rumor> mPending = new LinkedHashMap<>();
 
     void add(final Rumor rumor) {
-        mWaiting.remove(rumor.vm());
-        mWaiting.put(rumor.vm(), rumor);
+        mPending.remove(rumor.vm());
+        mPending.put(rumor.vm(), rumor);
     }
 
-    List<Rumor> takeSome() {
+    List<Rumor> pollBatch() {
         final List<Rumor> taken = new ArrayList<>();
-        final Iterator<Rumor> waiting = mWaiting.values().iterator();
-        while (waiting.hasNext() && taken.size() < MOST_AT_ONCE) {
+        final Iterator<Rumor> waiting = mPending.values().iterator();
+        while (waiting.hasNext() && taken.size() < MAX_RUMORS_PER_BATCH) {
             taken.add(waiting.next());
             waiting.remove();
         }
--- a/membership/src/main/java/org/whinhead/membership/ViewBuilder.java
+++ b/membership/src/main/java/org/whinhead/membership/ViewBuilder.java
@@ -15,24 +15,24 @@
 final class ViewBuilder {
 
     /** A region counts as cut off when this share of its daemons is suspect. */
-    private static final double CUT_SHARE = 0.75;
+    private static final double PARTITION_SUSPECT_SHARE = 0.75;
 
-    private static final int CUT_LEAST_SUSPECTS = 2;
+    private static final int PARTITION_MIN_SUSPECTS = 2;
 
     private final DaemonMember mSelf;
     private final VmRegistry mRegistry;
-    private final Duration mRecentlyHeard;
+    private final Duration mRecentMessageAge;
     private long mVersion;
 
     ViewBuilder(final DaemonMember self, final VmRegistry registry, final Duration recentlyHeard) {
         mSelf = self;
         mRegistry = registry;
-        mRecentlyHeard = recentlyHeard;
+        mRecentMessageAge = recentlyHeard;
     }
 
     MembershipView build(final Instant now) {
         mVersion++;
-        final Set<String> cutOff = regionsCutOff();
+        final Set<String> cutOff = findPartitionedRegions();
         final Map<VmId, DaemonMember> daemons = new HashMap<>();
         for (final DaemonMember member : mRegistry.daemons().values()) {
             daemons.put(member.id(), member.withState(stateInView(member, cutOff, now)));
@@ -58,11 +58,11 @@
         final boolean inferred =
                 state == VmState.LIVE
                         && cutOff.contains(member.vm().domain().region())
-                        && !facts.heardSince(now.minus(mRecentlyHeard));
+                        && !facts.hasMessageSince(now.minus(mRecentMessageAge));
         return inferred ? VmState.SUSPECT : state;
     }
 
-    private Set<String> regionsCutOff() {
+    private Set<String> findPartitionedRegions() {
         final Map<String, Integer> live = new HashMap<>();
         final Map<String, Integer> suspect = new HashMap<>();
         final String ownRegion = mSelf.vm().domain().region();
@@ -82,7 +82,7 @@
         suspect.forEach(
                 (region, count) -> {
                     final int all = count + live.getOrDefault(region, 0);
-                    if (count >= CUT_LEAST_SUSPECTS && count >= CUT_SHARE * all) {
+                    if (count >= PARTITION_MIN_SUSPECTS && count >= PARTITION_SUSPECT_SHARE * all) {
                         cutOff.add(region);
                     }
                 });
--- a/membership/src/main/java/org/whinhead/membership/VmFacts.java
+++ b/membership/src/main/java/org/whinhead/membership/VmFacts.java
@@ -14,7 +14,7 @@
     private Instant mGoneBy;
     private Instant mGoneSince;
     private Instant mMissingAsOf;
-    private Instant mHeardAt;
+    private Instant mLastMessage;
     private boolean mListed;
     private boolean mListedLeaving;
     private long mIncarnation;
@@ -71,11 +71,11 @@
         return mSuspectedIncarnation;
     }
 
-    boolean heardSince(final Instant time) {
-        return mHeardAt != null && mHeardAt.isAfter(time);
+    boolean hasMessageSince(final Instant time) {
+        return mLastMessage != null && mLastMessage.isAfter(time);
     }
 
-    void listed(final boolean leaving) {
+    void recordListed(final boolean leaving) {
         mListed = true;
         mListedLeaving |= leaving;
         mMissingAsOf = null;
@@ -86,9 +86,9 @@
      * the VM would be given up while it serves. Two lists in a row must lack it, both newer than
      * its last sign of life, and the first of them only makes it a suspect.
      */
-    void missing(final Instant asOf, final Instant now) {
+    void recordMissing(final Instant asOf, final Instant now) {
         final boolean newerThanVm = mListed || asOf.isAfter(mFirstKnown);
-        if (isGone() || !newerThanVm || heardSince(asOf)) {
+        if (isGone() || !newerThanVm || hasMessageSince(asOf)) {
             return;
         }
         if (mMissingAsOf != null || state() == VmState.LEAVING) {
@@ -99,7 +99,7 @@
     }
 
     /** Takes in an announcement; tells whether it is news. */
-    boolean announced(final Instant goneBy) {
+    boolean recordAnnouncement(final Instant goneBy) {
         if (isGone()) {
             return false;
         }
@@ -120,12 +120,12 @@
     }
 
     /** The daemon itself was heard, without anyone between. */
-    void heard(final Instant now) {
-        mHeardAt = now;
+    void recordMessage(final Instant now) {
+        mLastMessage = now;
     }
 
     /** Takes in an incarnation; tells whether it is news. */
-    boolean alive(final long incarnation) {
+    boolean recordAlive(final long incarnation) {
         if (isGone() || incarnation <= mIncarnation) {
             return false;
         }
@@ -137,7 +137,7 @@
     }
 
     /** Takes in a suspicion; tells whether it is news. */
-    boolean suspected(final long incarnation) {
+    boolean recordSuspicion(final long incarnation) {
         if (isGone() || incarnation < mIncarnation || incarnation <= mSuspectedIncarnation) {
             return false;
         }
--- a/membership/src/main/java/org/whinhead/membership/VmRegistry.java
+++ b/membership/src/main/java/org/whinhead/membership/VmRegistry.java
@@ -26,7 +26,7 @@
     private final Map<VmId, VmFacts> mFacts = new HashMap<>();
     private final Map<VmId, DaemonMember> mDaemons = new HashMap<>();
     private final Map<EndpointId, Endpoint> mEndpoints = new HashMap<>();
-    private final Set<VmId> mDescribedByItself = new HashSet<>();
+    private final Set<VmId> mSelfDescribed = new HashSet<>();
     private Instant mNewestList = Instant.MIN;
     private boolean mChanged = true;
     private long mDigest;
@@ -39,7 +39,7 @@
     }
 
     /** Takes in a list; one that is not newer than the newest tells nothing new. */
-    void list(final VmListSnapshot list, final Instant now) {
+    void applyList(final VmListSnapshot list, final Instant now) {
         // Guards against a platform that restarted and lists nothing: all work would be given up.
         final boolean empty = list.daemons().isEmpty() && list.endpoints().isEmpty();
         if (empty || !list.asOf().isAfter(mNewestList)) {
@@ -49,42 +49,42 @@
         final Set<VmId> named = new HashSet<>();
         for (final DaemonMember member : list.daemons()) {
             named.add(member.id());
-            listed(member.id(), member.vm().state(), now);
-            if (!mDescribedByItself.contains(member.id())) {
+            applyListedState(member.id(), member.vm().state(), now);
+            if (!mSelfDescribed.contains(member.id())) {
                 addDaemon(member);
             }
         }
         for (final Endpoint endpoint : list.endpoints()) {
             named.add(endpoint.vm().id());
-            listed(endpoint.vm().id(), endpoint.vm().state(), now);
+            applyListedState(endpoint.vm().id(), endpoint.vm().state(), now);
             final Endpoint before = mEndpoints.put(endpoint.id(), endpoint);
             mChanged |= !endpoint.equals(before);
         }
         for (final VmFacts facts : mFacts.values()) {
             if (!named.contains(facts.vm()) && !facts.vm().equals(mSelf.id())) {
                 final VmState before = facts.state();
-                facts.missing(list.asOf(), now);
-                noteChange(before != facts.state());
+                facts.recordMissing(list.asOf(), now);
+                markChanged(before != facts.state());
             }
         }
     }
 
-    private void listed(final VmId vm, final VmState state, final Instant now) {
-        final VmFacts facts = factsOf(vm, now);
+    private void applyListedState(final VmId vm, final VmState state, final Instant now) {
+        final VmFacts facts = getOrCreateFacts(vm, now);
         final VmState before = facts.state();
-        facts.listed(state != VmState.LIVE);
-        noteChange(before != facts.state());
+        facts.recordListed(state != VmState.LIVE);
+        markChanged(before != facts.state());
     }
 
     /**
      * Takes in a daemon's description of itself, which goes before the list's, unless its VM is
      * gone; tells whether the daemon was not known.
      */
-    boolean join(final DaemonMember member, final Instant now) {
-        if (factsOf(member.id(), now).isGone()) {
+    boolean addSelfDescribed(final DaemonMember member, final Instant now) {
+        if (getOrCreateFacts(member.id(), now).isGone()) {
             return false;
         }
-        mDescribedByItself.add(member.id());
+        mSelfDescribed.add(member.id());
         return addDaemon(member);
     }
 
@@ -100,46 +100,46 @@
     }
 
     /** Takes in an announcement and returns the VMs for which it is news. */
-    Set<VmId> announced(final LeavingNotice notice, final Instant now) {
+    Set<VmId> recordAnnouncement(final LeavingNotice notice, final Instant now) {
         final Set<VmId> news = new HashSet<>();
         // An announcement whose end has long passed is about a VM that may be forgotten already.
         if (notice.goneBy().plus(GONE_RETENTION).isBefore(now)) {
             return news;
         }
         for (final VmId vm : notice.vms()) {
-            if (factsOf(vm, now).announced(notice.goneBy())) {
+            if (getOrCreateFacts(vm, now).recordAnnouncement(notice.goneBy())) {
                 news.add(vm);
             }
         }
-        noteChange(!news.isEmpty());
+        markChanged(!news.isEmpty());
         return news;
     }
 
-    boolean alive(final VmId vm, final long incarnation) {
+    boolean recordAlive(final VmId vm, final long incarnation) {
         final VmFacts facts = mFacts.get(vm);
         if (facts == null) {
             return false;
         }
         final boolean wasSuspected = facts.isSuspected();
-        final boolean news = facts.alive(incarnation);
-        noteChange(wasSuspected != facts.isSuspected());
+        final boolean news = facts.recordAlive(incarnation);
+        markChanged(wasSuspected != facts.isSuspected());
         return news;
     }
 
-    boolean suspected(final VmId vm, final long incarnation) {
+    boolean recordSuspicion(final VmId vm, final long incarnation) {
         final VmFacts facts = mFacts.get(vm);
         if (facts == null || !mDaemons.containsKey(vm) || vm.equals(mSelf.id())) {
             return false;
         }
-        final boolean news = facts.suspected(incarnation);
-        noteChange(news);
+        final boolean news = facts.recordSuspicion(incarnation);
+        markChanged(news);
         return news;
     }
 
-    void heard(final VmId vm, final Instant now) {
+    void recordMessage(final VmId vm, final Instant now) {
         final VmFacts facts = mFacts.get(vm);
         if (facts != null) {
-            facts.heard(now);
+            facts.recordMessage(now);
         }
     }
 
@@ -147,7 +147,7 @@
     void expire(final Instant now) {
         final List<VmId> forgotten = new ArrayList<>();
         for (final VmFacts facts : mFacts.values()) {
-            noteChange(facts.expire(now));
+            markChanged(facts.expire(now));
             if (facts.isGone() && facts.goneSince().plus(GONE_RETENTION).isBefore(now)) {
                 forgotten.add(facts.vm());
             }
@@ -163,22 +163,22 @@
     private void forget(final Set<VmId> vms) {
         mFacts.keySet().removeAll(vms);
         mDaemons.keySet().removeAll(vms);
-        mDescribedByItself.removeAll(vms);
+        mSelfDescribed.removeAll(vms);
         mEndpoints.values().removeIf(endpoint -> vms.contains(endpoint.vm().id()));
-        noteChange(true);
+        markChanged(true);
     }
 
-    private VmFacts factsOf(final VmId vm, final Instant now) {
+    private VmFacts getOrCreateFacts(final VmId vm, final Instant now) {
         return mFacts.computeIfAbsent(vm, id -> new VmFacts(id, now));
     }
 
-    private void noteChange(final boolean changed) {
+    private void markChanged(final boolean changed) {
         mChanged |= changed;
         mDigestStale |= changed;
     }
 
     /** Tells whether anything changed since the last call. */
-    boolean takeChanged() {
+    boolean pollChanged() {
         final boolean changed = mChanged;
         mChanged = false;
         return changed;
--- a/membership/src/test/java/org/whinhead/membership/FailureDetectorTest.java
+++ b/membership/src/test/java/org/whinhead/membership/FailureDetectorTest.java
@@ -18,16 +18,16 @@
      * vouches by nothing but that word; and so on for ever.
      */
     @Test
-    void wordOfAnotherIsNotPassedOn() {
+    void probeReplyDoesNotCountAsOwnMessage() {
         final MembershipSettings settings = MembershipSettings.defaults();
         final FailureDetector detector = new FailureDetector(settings);
-        detector.watch(Set.of(DEAD), START);
-        detector.heartbeat(DEAD, START);
-        assertThat(detector.isHeard(DEAD, START)).isTrue();
+        detector.setNeighbors(Set.of(DEAD), START);
+        detector.recordHeartbeat(DEAD, START);
+        assertThat(detector.hasRecentMessage(DEAD, START)).isTrue();
         final Instant silent = START.plus(settings.minimumTimeout()).plusMillis(1);
         final long nonce = detector.startProbes(silent).get(0).nonce();
-        detector.answered(DEAD, nonce, silent);
+        detector.recordProbeReply(DEAD, nonce, silent);
         assertThat(detector.startProbes(silent)).isEmpty();
-        assertThat(detector.isHeard(DEAD, silent)).isFalse();
+        assertThat(detector.hasRecentMessage(DEAD, silent)).isFalse();
     }
 }
--- a/membership/src/test/java/org/whinhead/membership/FakeCluster.java
+++ b/membership/src/test/java/org/whinhead/membership/FakeCluster.java
@@ -29,9 +29,10 @@
 
     private final Map<VmId, Membership> mRunning = new LinkedHashMap<>();
     private final List<DaemonMember> mMembers = new ArrayList<>();
-    private final PriorityQueue<Flight> mFlights =
+    private final PriorityQueue<InTransitMessage> mInTransit =
             new PriorityQueue<>(
-                    Comparator.comparing(Flight::arrives).thenComparing(Flight::number));
+                    Comparator.comparing(InTransitMessage::arrives)
+                            .thenComparing(InTransitMessage::number));
     private BiFunction<VmId, VmId, Optional<Duration>> mNetwork = (a, b) -> Optional.of(DELAY);
     private Instant mNow = START;
     private long mSent;
@@ -45,7 +46,7 @@
         for (final DaemonMember member : mMembers) {
             start(member);
         }
-        list(mNow);
+        deliverList(mNow);
     }
 
     static DaemonMember member(final String id, final String region) {
@@ -61,7 +62,7 @@
                 new MembershipActions() {
                     @Override
                     public void send(final DaemonAddress to, final MembershipMessage message) {
-                        post(member.id(), to.vm(), message);
+                        transmit(member.id(), to.vm(), message);
                     }
 
                     @Override
@@ -75,13 +76,14 @@
                 new Membership(MembershipSettings.defaults(), member, 1, random, actions, mNow));
     }
 
-    private void post(final VmId from, final VmId to, final MembershipMessage message) {
+    private void transmit(final VmId from, final VmId to, final MembershipMessage message) {
         mSent++;
         if (message instanceof MembershipMessage.Leaving) {
             mAnnouncements.merge(from + ">" + to, 1, Integer::sum);
         }
         final Optional<Duration> delay = mNetwork.apply(from, to);
-        delay.ifPresent(d -> mFlights.add(new Flight(mNow.plus(d), mSent, from, to, message)));
+        delay.ifPresent(
+                d -> mInTransit.add(new InTransitMessage(mNow.plus(d), mSent, from, to, message)));
     }
 
     void network(final BiFunction<VmId, VmId, Optional<Duration>> network) {
@@ -96,7 +98,7 @@
         mRunning.remove(vm);
     }
 
-    void list(final Instant asOf) {
+    void deliverList(final Instant asOf) {
         final VmListSnapshot list = new VmListSnapshot(asOf, mMembers, List.of());
         mRunning.values().forEach(membership -> membership.listReceived(list, mNow));
     }
@@ -105,11 +107,11 @@
         final Instant end = mNow.plus(time);
         while (mNow.isBefore(end)) {
             mNow = mNow.plus(TICK);
-            while (!mFlights.isEmpty() && !mFlights.peek().arrives().isAfter(mNow)) {
-                final Flight flight = mFlights.poll();
+            while (!mInTransit.isEmpty() && !mInTransit.peek().arrives().isAfter(mNow)) {
+                final InTransitMessage flight = mInTransit.poll();
                 final Membership receiver = mRunning.get(flight.to());
                 if (receiver != null) {
-                    receiver.received(flight.from(), flight.message(), mNow);
+                    receiver.messageReceived(flight.from(), flight.message(), mNow);
                 }
             }
             List.copyOf(mRunning.values()).forEach(membership -> membership.tick(mNow));
@@ -121,7 +123,7 @@
     }
 
     /** Returns how many announcements each link carried, for links that carried any. */
-    Collection<Integer> announcements() {
+    Collection<Integer> announcementsPerLink() {
         return mAnnouncements.values();
     }
 
@@ -129,7 +131,7 @@
         return mSent;
     }
 
-    Membership at(final int index) {
+    Membership membership(final int index) {
         return mRunning.get(id(index));
     }
 
@@ -138,7 +140,7 @@
     }
 
     /** Counts the pairs of running daemons in which the first sees the second in the state. */
-    long seen(final VmState state) {
+    long countPairsSeeing(final VmState state) {
         return mRunning.values().stream()
                 .flatMap(membership -> membership.view().daemons().stream())
                 .filter(member -> mRunning.containsKey(member.id()))
@@ -152,6 +154,6 @@
                 .allMatch(m -> m.view().daemon(vm).orElseThrow().vm().state() == state);
     }
 
-    private record Flight(
+    private record InTransitMessage(
             Instant arrives, long number, VmId from, VmId to, MembershipMessage message) {}
 }
--- a/membership/src/test/java/org/whinhead/membership/MembershipOracleTest.java
+++ b/membership/src/test/java/org/whinhead/membership/MembershipOracleTest.java
@@ -106,7 +106,7 @@
                 case 2 -> {
                     announced.add(cluster.id(index));
                     final Instant goneBy = cluster.now().plus(Duration.ofHours(2));
-                    cluster.at(0)
+                    cluster.membership(0)
                             .noticeReceived(
                                     new LeavingNotice(Set.of(cluster.id(index)), goneBy),
                                     cluster.now());
@@ -117,8 +117,8 @@
         cluster.heal();
         cluster.run(Duration.ofMinutes(1));
         final int live = 9 - announced.size();
-        assertThat(cluster.seen(VmState.LEAVING)).isEqualTo(9L * announced.size());
-        assertThat(cluster.seen(VmState.LIVE)).isEqualTo(9L * live);
+        assertThat(cluster.countPairsSeeing(VmState.LEAVING)).isEqualTo(9L * announced.size());
+        assertThat(cluster.countPairsSeeing(VmState.LIVE)).isEqualTo(9L * live);
     }
 
     private static Optional<Duration> link(final boolean whole) {
--- a/membership/src/test/java/org/whinhead/membership/MembershipTest.java
+++ b/membership/src/test/java/org/whinhead/membership/MembershipTest.java
@@ -14,7 +14,7 @@
 
 class MembershipTest {
 
-    private static final Duration MOMENT = Duration.ofSeconds(3);
+    private static final Duration SETTLE_TIME = Duration.ofSeconds(3);
     private static final Duration MINUTE = Duration.ofMinutes(1);
 
     // A caller is sent to a daemon that stops in seconds. The notice came first, then the lagging
@@ -22,15 +22,16 @@
     @Test
     void olderListDoesNotReviveLeavingVm() {
         final FakeCluster cluster = new FakeCluster(9);
-        cluster.run(MOMENT);
+        cluster.run(SETTLE_TIME);
         final VmId leaving = cluster.id(4);
         final Instant goneBy = cluster.now().plusSeconds(30);
-        cluster.at(0).noticeReceived(new LeavingNotice(Set.of(leaving), goneBy), cluster.now());
-        cluster.run(MOMENT);
-        cluster.list(cluster.now());
+        cluster.membership(0)
+                .noticeReceived(new LeavingNotice(Set.of(leaving), goneBy), cluster.now());
+        cluster.run(SETTLE_TIME);
+        cluster.deliverList(cluster.now());
         assertThat(cluster.allSee(leaving, VmState.LEAVING)).isTrue();
         cluster.run(MINUTE);
-        cluster.list(cluster.now());
+        cluster.deliverList(cluster.now());
         assertThat(cluster.allSee(leaving, VmState.GONE)).isTrue();
     }
 
@@ -40,40 +41,45 @@
     @Test
     void wholeDomainLeavesInOneAnnouncement() {
         final FakeCluster cluster = new FakeCluster(30);
-        cluster.run(MOMENT);
+        cluster.run(SETTLE_TIME);
         final Set<VmId> east =
                 Set.copyOf(
-                        cluster.at(0).view().daemons().stream()
+                        cluster.membership(0).view().daemons().stream()
                                 .filter(m -> m.vm().domain().region().equals("east"))
                                 .map(DaemonMember::id)
                                 .toList());
         Instant goneBy = cluster.now().plusSeconds(30);
         for (final VmId vm : east) {
             goneBy = goneBy.plusMillis(10);
-            cluster.at(0).noticeReceived(new LeavingNotice(Set.of(vm), goneBy), cluster.now());
+            cluster.membership(0)
+                    .noticeReceived(new LeavingNotice(Set.of(vm), goneBy), cluster.now());
         }
-        cluster.run(MOMENT);
-        assertThat(cluster.announcements()).hasSizeGreaterThan(28).allMatch(count -> count == 1);
+        cluster.run(SETTLE_TIME);
+        assertThat(cluster.announcementsPerLink())
+                .hasSizeGreaterThan(28)
+                .allMatch(count -> count == 1);
         assertThat(east).hasSize(15).allMatch(vm -> cluster.allSee(vm, VmState.LEAVING));
     }
 
     // A daemon dies without a notice. Callers must not be sent there, but work on it is not given
     // up while only its silence speaks: two newer lists without it are needed for that.
     @Test
-    void silentVmIsSuspectUntilListsLackIt() {
+    void silentVmIsSuspectUntilTwoListsOmitIt() {
         final FakeCluster cluster = new FakeCluster(9);
-        cluster.run(MOMENT);
+        cluster.run(SETTLE_TIME);
         final VmId dead = cluster.id(8);
         cluster.kill(dead);
         cluster.run(MINUTE);
         assertThat(cluster.allSee(dead, VmState.SUSPECT)).isTrue();
-        assertThat(cluster.seen(VmState.LIVE)).isEqualTo(8 * 8);
+        assertThat(cluster.countPairsSeeing(VmState.LIVE)).isEqualTo(8 * 8);
         final List<DaemonMember> others =
-                cluster.at(0).view().daemons().stream().filter(m -> !m.id().equals(dead)).toList();
-        cluster.at(0)
+                cluster.membership(0).view().daemons().stream()
+                        .filter(m -> !m.id().equals(dead))
+                        .toList();
+        cluster.membership(0)
                 .listReceived(new VmListSnapshot(cluster.now(), others, List.of()), cluster.now());
         assertThat(stateAt(cluster, 0, dead)).isEqualTo(VmState.SUSPECT);
-        cluster.at(0)
+        cluster.membership(0)
                 .listReceived(
                         new VmListSnapshot(cluster.now().plusMillis(1), others, List.of()),
                         cluster.now());
@@ -83,7 +89,7 @@
     // Two regions lose each other for an hour. Callers here must get addresses here, nobody may be
     // given up, and when the link is back all must be live again without a burst of messages.
     @Test
-    void partitionMakesSuspectsAndHealsWithoutStorm() {
+    void partitionSuspectsPeersAndHealsWithoutMessageBurst() {
         final FakeCluster cluster = new FakeCluster(30);
         cluster.run(MINUTE);
         final long quiet = sentIn(cluster, MINUTE);
@@ -93,14 +99,14 @@
                                 ? Optional.of(Duration.ofMillis(2))
                                 : Optional.empty());
         cluster.run(Duration.ofHours(1));
-        assertThat(cluster.seen(VmState.GONE)).isZero();
-        assertThat(cluster.seen(VmState.SUSPECT)).isEqualTo(2 * 15 * 15);
-        assertThat(cluster.at(0).view().callerAddresses()).hasSize(15);
+        assertThat(cluster.countPairsSeeing(VmState.GONE)).isZero();
+        assertThat(cluster.countPairsSeeing(VmState.SUSPECT)).isEqualTo(2 * 15 * 15);
+        assertThat(cluster.membership(0).view().callerAddresses()).hasSize(15);
         cluster.heal();
         final long healing = sentIn(cluster, MINUTE);
-        assertThat(cluster.seen(VmState.LIVE)).isEqualTo(30 * 30);
+        assertThat(cluster.countPairsSeeing(VmState.LIVE)).isEqualTo(30 * 30);
         assertThat(healing).isLessThan(2 * quiet);
-        final List<URI> addresses = cluster.at(0).view().callerAddresses();
+        final List<URI> addresses = cluster.membership(0).view().callerAddresses();
         assertThat(addresses.subList(0, 15))
                 .allMatch(uri -> !isEast(new VmId(uri.getPath().substring(1))));
     }
@@ -110,7 +116,7 @@
     @Test
     void slowDaemonIsNotSuspected() {
         final FakeCluster cluster = new FakeCluster(9);
-        cluster.run(MOMENT);
+        cluster.run(SETTLE_TIME);
         final VmId slow = cluster.id(3);
         final long[] turn = {0};
         cluster.network(
@@ -121,32 +127,32 @@
                                         : Duration.ofMillis(2)));
         for (int i = 0; i < 120; i++) {
             cluster.run(Duration.ofSeconds(1));
-            assertThat(cluster.seen(VmState.LIVE)).isEqualTo(9 * 9);
+            assertThat(cluster.countPairsSeeing(VmState.LIVE)).isEqualTo(9 * 9);
         }
     }
 
     // One link is broken, both ends are well. The daemon at its end hears nothing and must ask
     // others before it tells all that the peer is silent.
     @Test
-    void brokenLinkIsAskedRound() {
+    void indirectProbesPreventSuspicionOverBrokenLink() {
         final FakeCluster cluster = new FakeCluster(9);
-        cluster.run(MOMENT);
+        cluster.run(SETTLE_TIME);
         cluster.network(
                 (from, to) ->
                         from.equals(cluster.id(1)) && to.equals(cluster.id(2))
                                 ? Optional.empty()
                                 : Optional.of(Duration.ofMillis(2)));
         cluster.run(MINUTE);
-        assertThat(cluster.seen(VmState.LIVE)).isEqualTo(9 * 9);
+        assertThat(cluster.countPairsSeeing(VmState.LIVE)).isEqualTo(9 * 9);
     }
 
     // The own process was paused for a minute. On waking every peer looks silent at once, and a
     // view without any live peer would follow.
     @Test
-    void ownPauseAccusesNobody() {
+    void ownPauseSuspectsNoPeer() {
         final FakeCluster cluster = new FakeCluster(9);
-        cluster.run(MOMENT);
-        final Membership paused = cluster.at(0);
+        cluster.run(SETTLE_TIME);
+        final Membership paused = cluster.membership(0);
         paused.tick(cluster.now().plus(MINUTE));
         paused.tick(cluster.now().plus(MINUTE).plusMillis(100));
         assertThat(paused.view().callerAddresses()).hasSize(9);
@@ -155,21 +161,21 @@
     // A daemon with a good certificate describes another one with an address of its own choice.
     // Callers of that one would be sent to it.
     @Test
-    void daemonDescribesOnlyItself() {
+    void daemonCannotDescribeAnother() {
         final FakeCluster cluster = new FakeCluster(9);
-        final DaemonMember known = cluster.at(0).view().daemon(cluster.id(1)).orElseThrow();
+        final DaemonMember known = cluster.membership(0).view().daemon(cluster.id(1)).orElseThrow();
         final DaemonMember moved =
                 new DaemonMember(known.vm(), known.address(), URI.create("http://10.9.9.9/"));
         final MembershipMessage heartbeat =
                 new MembershipMessage.Heartbeat(1, 0, Optional.of(moved));
-        cluster.at(0).received(cluster.id(2), heartbeat, cluster.now());
-        assertThat(cluster.at(0).view().daemon(cluster.id(1))).contains(known);
-        cluster.at(0).received(cluster.id(1), heartbeat, cluster.now());
-        assertThat(cluster.at(0).view().daemon(cluster.id(1))).contains(moved);
+        cluster.membership(0).messageReceived(cluster.id(2), heartbeat, cluster.now());
+        assertThat(cluster.membership(0).view().daemon(cluster.id(1))).contains(known);
+        cluster.membership(0).messageReceived(cluster.id(1), heartbeat, cluster.now());
+        assertThat(cluster.membership(0).view().daemon(cluster.id(1))).contains(moved);
     }
 
     private static VmState stateAt(final FakeCluster cluster, final int index, final VmId vm) {
-        return cluster.at(index).view().daemon(vm).orElseThrow().vm().state();
+        return cluster.membership(index).view().daemon(vm).orElseThrow().vm().state();
     }
 
     private static boolean isEast(final VmId vm) {
--- a/peer/src/main/java/org/whinhead/peer/CertificateNames.java
+++ b/peer/src/main/java/org/whinhead/peer/CertificateNames.java
@@ -18,7 +18,7 @@
     private CertificateNames() {}
 
     /** Tells whether the common name or a subject alternative name is the VM's identity. */
-    static boolean names(final X509Certificate certificate, final VmId vm) {
+    static boolean containsVm(final X509Certificate certificate, final VmId vm) {
         final Matcher common = COMMON_NAME.matcher(certificate.getSubjectX500Principal().getName());
         if (common.find() && common.group(1).equals(vm.value())) {
             return true;
--- a/peer/src/main/java/org/whinhead/peer/ConnectionTable.java
+++ b/peer/src/main/java/org/whinhead/peer/ConnectionTable.java
@@ -13,7 +13,7 @@
 import org.whinhead.peer.generated.PeerProto.Envelope;
 
 /** All connections of one transport; its methods run on the event loop. */
-final class ConnectionTable implements PeerConnection.ConnectionOwner {
+final class ConnectionTable implements PeerConnection.ConnectionListener {
 
     private final PeerSettings mSettings;
     private final InstantSource mClock;
@@ -42,7 +42,7 @@
     }
 
     /** Returns the connection to a VM, whoever made it. */
-    Optional<PeerConnection> to(final VmId vm) {
+    Optional<PeerConnection> find(final VmId vm) {
         return Optional.ofNullable(mNewest.get(vm));
     }
 
@@ -84,7 +84,7 @@
     @Override
     public void received(final PeerConnection connection, final Envelope envelope) {
         final VmId from = connection.peer();
-        mLinks.find(from).ifPresent(PeerLink::proved);
+        mLinks.find(from).ifPresent(PeerLink::resetBackoff);
         if (MessageClass.of(envelope) == MessageClass.REPLY) {
             mReplies.complete(from, envelope);
             return;
@@ -103,7 +103,7 @@
 
     @Override
     public void writable(final PeerConnection connection) {
-        mLinks.find(connection.peer()).ifPresent(link -> link.pump(connection));
+        mLinks.find(connection.peer()).ifPresent(link -> link.flush(connection));
     }
 
     @Override
--- a/peer/src/main/java/org/whinhead/peer/LinkTable.java
+++ b/peer/src/main/java/org/whinhead/peer/LinkTable.java
@@ -21,14 +21,14 @@
     }
 
     /** Returns the link to a peer whose address is known. */
-    PeerLink at(final DaemonAddress address) {
-        final PeerLink link = of(address.vm());
+    PeerLink getOrCreate(final DaemonAddress address) {
+        final PeerLink link = getOrCreate(address.vm());
         link.address(address);
         return link;
     }
 
     /** Returns the link to a peer that called, so that no address is needed to answer it. */
-    PeerLink of(final VmId vm) {
+    PeerLink getOrCreate(final VmId vm) {
         return mLinks.computeIfAbsent(vm, id -> new PeerLink(mSettings, id, mBudget));
     }
 
@@ -45,6 +45,6 @@
 
     /** Drops replies whose connection ended; those who asked see a timeout. */
     void dropReplies(final PeerLink link) {
-        mCounters.dropped(link.queue().dropReplies());
+        mCounters.countDropped(link.queue().dropReplies());
     }
 }
--- a/peer/src/main/java/org/whinhead/peer/MembershipCodec.java
+++ b/peer/src/main/java/org/whinhead/peer/MembershipCodec.java
@@ -48,7 +48,7 @@
             envelope.setLeavingNotice(body);
         } else if (message instanceof MembershipMessage.Gossip gossip) {
             final PeerProto.Gossip.Builder body =
-                    PeerProto.Gossip.newBuilder().setWhole(gossip.whole());
+                    PeerProto.Gossip.newBuilder().setWhole(gossip.fullState());
             gossip.rumors().forEach(rumor -> body.addRumors(encode(rumor)));
             envelope.setGossip(body);
         } else if (message instanceof MembershipMessage.Probe probe) {
--- a/peer/src/main/java/org/whinhead/peer/NettyPeerTransport.java
+++ b/peer/src/main/java/org/whinhead/peer/NettyPeerTransport.java
@@ -41,7 +41,7 @@
     private final PendingReplies mReplies = new PendingReplies();
     private final MultiThreadIoEventLoopGroup mGroup;
     private final EventLoop mLoop;
-    private final ConnectionTable mTable;
+    private final ConnectionTable mConnections;
     private final LinkTable mLinks;
     private Channel mServer;
 
@@ -77,7 +77,8 @@
                         1, new DefaultThreadFactory("peer", true), NioIoHandler.newFactory());
         mLoop = mGroup.next();
         mLinks = new LinkTable(settings, mCounters);
-        mTable = new ConnectionTable(settings, clock, mReplies, mLinks, this::reply, listener);
+        mConnections =
+                new ConnectionTable(settings, clock, mReplies, mLinks, this::reply, listener);
     }
 
     /**
@@ -115,7 +116,7 @@
 
     private PeerConnection connection(
             final Optional<VmId> dialed, final Optional<Envelope> greeting) {
-        return new PeerConnection(mTable, mCounters, mSelf, dialed, greeting);
+        return new PeerConnection(mConnections, mCounters, mSelf, dialed, greeting);
     }
 
     private static boolean isLoopback(final InetSocketAddress address) {
@@ -128,29 +129,31 @@
 
     @Override
     public void send(final DaemonAddress to, final Envelope message) {
-        enqueue(mLinks.at(to), message);
+        enqueue(mLinks.getOrCreate(to), message);
     }
 
     private void reply(final VmId to, final Envelope reply) {
-        enqueue(mLinks.of(to), reply);
+        enqueue(mLinks.getOrCreate(to), reply);
     }
 
     private void enqueue(final PeerLink link, final Envelope message) {
         final int dropped = link.queue().add(message);
         if (dropped < 0) {
-            onLoop(() -> cut(link));
+            runOnLoop(() -> closeNotReading(link));
             return;
         }
-        mCounters.dropped(dropped);
-        if (link.takePumpTurn()) {
-            onLoop(() -> pump(link));
+        mCounters.countDropped(dropped);
+        if (link.tryScheduleFlush()) {
+            runOnLoop(() -> flush(link));
         }
     }
 
     /** Replies are never dropped one by one: a peer that does not read them is cut off. */
-    private void cut(final PeerLink link) {
+    private void closeNotReading(final PeerLink link) {
         mLinks.dropReplies(link);
-        mTable.to(link.vm()).ifPresent(c -> c.refuse(PeerRefusal.NOT_READING, "replies pile up"));
+        mConnections
+                .find(link.vm())
+                .ifPresent(c -> c.refuse(PeerRefusal.NOT_READING, "replies pile up"));
     }
 
     @Override
@@ -159,7 +162,7 @@
         final CompletableFuture<Envelope> reply = new CompletableFuture<>();
         final long correlation = mReplies.add(to.vm(), reply);
         final Runnable expire = () -> mReplies.fail(correlation, "no reply from " + to);
-        if (!onLoop(() -> schedule(expire, timeout))) {
+        if (!runOnLoop(() -> schedule(expire, timeout))) {
             mReplies.fail(correlation, "the transport is closed");
         }
         send(to, message.toBuilder().setCorrelation(correlation).build());
@@ -170,7 +173,7 @@
         mLoop.schedule(task, delay.toMillis(), TimeUnit.MILLISECONDS);
     }
 
-    private boolean onLoop(final Runnable task) {
+    private boolean runOnLoop(final Runnable task) {
         try {
             mLoop.execute(task);
             return true;
@@ -180,15 +183,15 @@
         }
     }
 
-    private void pump(final PeerLink link) {
-        final Optional<PeerConnection> connection = mTable.to(link.vm());
+    private void flush(final PeerLink link) {
+        final Optional<PeerConnection> connection = mConnections.find(link.vm());
         if (connection.isPresent()) {
-            link.pump(connection.get());
+            link.flush(connection.get());
             return;
         }
-        link.pumpWithoutConnection();
+        link.clearScheduledFlush();
         final Optional<DaemonAddress> address = link.address();
-        if (address.isPresent() && !link.queue().isEmpty() && link.startConnecting()) {
+        if (address.isPresent() && !link.queue().isEmpty() && link.tryStartConnecting()) {
             connect(link, address.get());
         }
     }
@@ -196,17 +199,17 @@
     private void connect(final PeerLink link, final DaemonAddress address) {
         final InetSocketAddress target = new InetSocketAddress(address.host(), address.port());
         if (mTls.isEmpty() && !isLoopback(target)) {
-            mCounters.connectFailed();
-            waitAndPump(link);
+            mCounters.countConnectFailure();
+            retryAfterBackoff(link);
             return;
         }
         final PeerPipeline pipeline =
                 new PeerPipeline(
                         mSettings,
-                        () -> mTls.map(tls -> clientOf(tls)),
+                        () -> mTls.map(tls -> clientContext(tls)),
                         () -> connection(Optional.of(address.vm()), Optional.empty()));
         dial(target, pipeline)
-                .addListener(connected -> connectEnded(link, (ChannelFuture) connected));
+                .addListener(connected -> handleConnectResult(link, (ChannelFuture) connected));
     }
 
     private ChannelFuture dial(final InetSocketAddress target, final PeerPipeline pipeline) {
@@ -228,49 +231,49 @@
      * @param address the address
      * @param greeting the first message to whoever listens there
      */
-    public void greet(final InetSocketAddress address, final Envelope greeting) {
+    public void connectToSeed(final InetSocketAddress address, final Envelope greeting) {
         if (mTls.isEmpty() && !isLoopback(address)) {
-            mCounters.connectFailed();
+            mCounters.countConnectFailure();
             return;
         }
         final PeerPipeline pipeline =
                 new PeerPipeline(
                         mSettings,
-                        () -> mTls.map(NettyPeerTransport::clientOf),
+                        () -> mTls.map(NettyPeerTransport::clientContext),
                         () -> connection(Optional.empty(), Optional.of(greeting)));
-        onLoop(() -> dial(address, pipeline).addListener(this::greeted));
+        runOnLoop(() -> dial(address, pipeline).addListener(this::countSeedConnect));
     }
 
-    private void greeted(final Future<?> connected) {
+    private void countSeedConnect(final Future<?> connected) {
         if (connected.isSuccess()) {
-            mCounters.connected();
+            mCounters.countConnect();
         } else {
-            mCounters.connectFailed();
+            mCounters.countConnectFailure();
         }
     }
 
-    private static SslContext clientOf(final TlsSource tls) {
+    private static SslContext clientContext(final TlsSource tls) {
         return tls.material().client();
     }
 
-    private void connectEnded(final PeerLink link, final ChannelFuture connected) {
+    private void handleConnectResult(final PeerLink link, final ChannelFuture connected) {
         if (!connected.isSuccess()) {
-            mCounters.connectFailed();
-            waitAndPump(link);
+            mCounters.countConnectFailure();
+            retryAfterBackoff(link);
             return;
         }
-        mCounters.connected();
-        connected.channel().closeFuture().addListener(closed -> waitAndPump(link));
+        mCounters.countConnect();
+        connected.channel().closeFuture().addListener(closed -> retryAfterBackoff(link));
     }
 
-    private void waitAndPump(final PeerLink link) {
+    private void retryAfterBackoff(final PeerLink link) {
         final Runnable again =
                 () -> {
-                    link.waited();
-                    pump(link);
+                    link.endBackoff();
+                    flush(link);
                 };
         try {
-            schedule(again, link.failed(mRandom));
+            schedule(again, link.nextBackoff(mRandom));
         } catch (final RejectedExecutionException e) {
             // The transport is closing and needs no further connection.
             return;
@@ -280,7 +283,7 @@
     @Override
     public void tick() {
         mTls.ifPresent(TlsSource::reload);
-        onLoop(mTable::closeExpired);
+        runOnLoop(mConnections::closeExpired);
     }
 
     /**
@@ -290,7 +293,7 @@
      */
     public void forget(final VmId vm) {
         mLinks.forget(vm);
-        onLoop(() -> mTable.to(vm).ifPresent(PeerConnection::close));
+        runOnLoop(() -> mConnections.find(vm).ifPresent(PeerConnection::close));
     }
 
     @Override
@@ -303,7 +306,7 @@
         if (mServer != null) {
             mServer.close();
         }
-        onLoop(mTable::closeAll);
+        runOnLoop(mConnections::closeAll);
         mReplies.failAll("the transport is closed");
         mGroup.shutdownGracefully(
                 0, mSettings.handshakeTimeout().toMillis(), TimeUnit.MILLISECONDS);
--- a/peer/src/main/java/org/whinhead/peer/OutboundQueue.java
+++ b/peer/src/main/java/org/whinhead/peer/OutboundQueue.java
@@ -13,18 +13,18 @@
  */
 final class OutboundQueue {
 
-    private final int mMostMessages;
-    private final int mMostGossip;
-    private final long mMostBytes;
+    private final int mMaxMessages;
+    private final int mMaxGossip;
+    private final long mMaxBytes;
     private final QueueBudget mBudget;
-    private final ArrayDeque<Waiting> mWaiting = new ArrayDeque<>();
+    private final ArrayDeque<PendingMessage> mPending = new ArrayDeque<>();
     private long mBytes;
     private int mGossip;
 
     OutboundQueue(final PeerSettings.QueueBounds bounds, final QueueBudget budget) {
-        mMostMessages = bounds.messages();
-        mMostGossip = bounds.gossip();
-        mMostBytes = bounds.bytes();
+        mMaxMessages = bounds.messages();
+        mMaxGossip = bounds.gossip();
+        mMaxBytes = bounds.bytes();
         mBudget = budget;
     }
 
@@ -35,15 +35,16 @@
      *     queue, so that nothing may be dropped and the connection must end
      */
     synchronized int add(final Envelope envelope) {
-        final Waiting added =
-                new Waiting(envelope, MessageClass.of(envelope), envelope.getSerializedSize());
-        mWaiting.add(added);
-        count(added, 1);
+        final PendingMessage added =
+                new PendingMessage(
+                        envelope, MessageClass.of(envelope), envelope.getSerializedSize());
+        mPending.add(added);
+        adjustCounts(added, 1);
         int dropped = 0;
-        while (mGossip > mMostGossip && dropOldest(MessageClass.GOSSIP)) {
+        while (mGossip > mMaxGossip && dropOldest(MessageClass.GOSSIP)) {
             dropped++;
         }
-        while (isOver()) {
+        while (isOverLimit()) {
             if (!dropOldest(MessageClass.GOSSIP) && !dropOldest(MessageClass.COMMAND)) {
                 return -1;
             }
@@ -53,11 +54,11 @@
     }
 
     synchronized Envelope poll() {
-        final Waiting first = mWaiting.poll();
+        final PendingMessage first = mPending.poll();
         if (first == null) {
             return null;
         }
-        count(first, -1);
+        adjustCounts(first, -1);
         return first.envelope();
     }
 
@@ -71,37 +72,37 @@
     }
 
     synchronized void clear() {
-        while (!mWaiting.isEmpty()) {
+        while (!mPending.isEmpty()) {
             poll();
         }
     }
 
     synchronized boolean isEmpty() {
-        return mWaiting.isEmpty();
+        return mPending.isEmpty();
     }
 
     synchronized int size() {
-        return mWaiting.size();
+        return mPending.size();
     }
 
-    private boolean isOver() {
-        return mWaiting.size() > mMostMessages || mBytes > mMostBytes || mBudget.isOver();
+    private boolean isOverLimit() {
+        return mPending.size() > mMaxMessages || mBytes > mMaxBytes || mBudget.isExceeded();
     }
 
     private boolean dropOldest(final MessageClass messageClass) {
-        final Iterator<Waiting> waiting = mWaiting.iterator();
+        final Iterator<PendingMessage> waiting = mPending.iterator();
         while (waiting.hasNext()) {
-            final Waiting oldest = waiting.next();
+            final PendingMessage oldest = waiting.next();
             if (oldest.messageClass() == messageClass) {
                 waiting.remove();
-                count(oldest, -1);
+                adjustCounts(oldest, -1);
                 return true;
             }
         }
         return false;
     }
 
-    private void count(final Waiting waiting, final int sign) {
+    private void adjustCounts(final PendingMessage waiting, final int sign) {
         final long bytes = (long) sign * waiting.bytes();
         mBytes += bytes;
         mBudget.add(bytes);
@@ -110,5 +111,5 @@
         }
     }
 
-    private record Waiting(Envelope envelope, MessageClass messageClass, int bytes) {}
+    private record PendingMessage(Envelope envelope, MessageClass messageClass, int bytes) {}
 }
--- a/peer/src/main/java/org/whinhead/peer/PeerConnection.java
+++ b/peer/src/main/java/org/whinhead/peer/PeerConnection.java
@@ -22,11 +22,11 @@
 /** One connection; all its methods run on the transport's event loop. */
 final class PeerConnection extends SimpleChannelInboundHandler<Envelope> {
 
-    private final ConnectionOwner mOwner;
+    private final ConnectionListener mListener;
     private final PeerCounters mCounters;
     private final PeerIdentity mSelf;
     private final Optional<VmId> mDialed;
-    private final Optional<Envelope> mGreeting;
+    private final Optional<Envelope> mFirstMessage;
     private Channel mChannel;
     private X509Certificate mCertificate;
     private VmId mPeer;
@@ -41,16 +41,16 @@
      * is with its first message.
      */
     PeerConnection(
-            final ConnectionOwner owner,
+            final ConnectionListener owner,
             final PeerCounters counters,
             final PeerIdentity self,
             final Optional<VmId> dialed,
             final Optional<Envelope> greeting) {
-        mOwner = owner;
+        mListener = owner;
         mCounters = counters;
         mSelf = self;
         mDialed = dialed;
-        mGreeting = greeting;
+        mFirstMessage = greeting;
     }
 
     @Override
@@ -60,9 +60,9 @@
 
     @Override
     public void channelActive(final ChannelHandlerContext context) {
-        mOwner.started(this);
+        mListener.started(this);
         if (!mRefused && context.pipeline().get(SslHandler.class) == null) {
-            ready();
+            markReady();
         }
         context.fireChannelActive();
     }
@@ -89,35 +89,35 @@
             refuse(PeerRefusal.HANDSHAKE, "no certificate");
             return;
         }
-        if (mDialed.isPresent() && !CertificateNames.names(mCertificate, mDialed.get())) {
+        if (mDialed.isPresent() && !CertificateNames.containsVm(mCertificate, mDialed.get())) {
             refuse(PeerRefusal.IDENTITY, "the certificate does not name " + mDialed.get());
             return;
         }
-        ready();
+        markReady();
     }
 
-    private void ready() {
+    private void markReady() {
         mReady = true;
         if (mDialed.isPresent()) {
             mPeer = mDialed.get();
-            mOwner.opened(this);
+            mListener.opened(this);
         }
-        mGreeting.ifPresent(this::write);
+        mFirstMessage.ifPresent(this::write);
     }
 
     @Override
     protected void channelRead0(final ChannelHandlerContext context, final Envelope envelope) {
-        if (mRefused || !identify(envelope)) {
+        if (mRefused || !verifySender(envelope)) {
             return;
         }
-        mCounters.received(envelope.getSerializedSize());
-        mOwner.received(this, envelope);
+        mCounters.countReceived(envelope.getSerializedSize());
+        mListener.received(this, envelope);
     }
 
     /** The first message names the sender; later ones may leave the name out. */
-    private boolean identify(final Envelope envelope) {
+    private boolean verifySender(final Envelope envelope) {
         if (!envelope.getFromVm().isEmpty()) {
-            return introduce(envelope.getFromVm(), envelope.getFromDaemon());
+            return verifyClaimedSender(envelope.getFromVm(), envelope.getFromDaemon());
         }
         if (mPeerDaemon == null) {
             refuse(PeerRefusal.IDENTITY, "the first message names no sender");
@@ -126,7 +126,7 @@
         return true;
     }
 
-    private boolean introduce(final String vm, final String daemon) {
+    private boolean verifyClaimedSender(final String vm, final String daemon) {
         if (vm.isBlank() || daemon.isBlank()) {
             refuse(PeerRefusal.IDENTITY, "a blank sender");
             return false;
@@ -134,7 +134,7 @@
         final VmId claimed = new VmId(vm);
         final boolean changed = mPeer != null && !mPeer.equals(claimed);
         final boolean unproved =
-                mCertificate != null && !CertificateNames.names(mCertificate, claimed);
+                mCertificate != null && !CertificateNames.containsVm(mCertificate, claimed);
         if (changed || unproved) {
             refuse(PeerRefusal.IDENTITY, "the sender is not " + claimed);
             return false;
@@ -143,7 +143,7 @@
         mPeer = claimed;
         mPeerDaemon = new DaemonId(daemon);
         if (first) {
-            mOwner.opened(this);
+            mListener.opened(this);
         }
         return true;
     }
@@ -155,7 +155,7 @@
             envelope.setFromVm(mSelf.vm().value()).setFromDaemon(mSelf.daemon().value());
         }
         final Envelope built = envelope.build();
-        mCounters.sent(built.getSerializedSize());
+        mCounters.countSent(built.getSerializedSize());
         mChannel.writeAndFlush(built, mChannel.voidPromise());
     }
 
@@ -166,13 +166,13 @@
     @Override
     public void channelWritabilityChanged(final ChannelHandlerContext context) {
         if (mPeer != null && context.channel().isWritable()) {
-            mOwner.writable(this);
+            mListener.writable(this);
         }
     }
 
     @Override
     public void channelInactive(final ChannelHandlerContext context) {
-        mOwner.closed(this);
+        mListener.closed(this);
     }
 
     @Override
@@ -195,7 +195,7 @@
     void refuse(final PeerRefusal refusal, final String detail) {
         if (!mRefused) {
             mRefused = true;
-            mCounters.refused(refusal, mChannel.remoteAddress(), detail);
+            mCounters.countRefusal(refusal, mChannel.remoteAddress(), detail);
         }
         mChannel.close();
     }
@@ -232,7 +232,7 @@
     }
 
     /** Who holds the connection. */
-    interface ConnectionOwner {
+    interface ConnectionListener {
 
         /** The connection was made; nothing is known of the peer yet. */
         void started(PeerConnection connection);
--- a/peer/src/main/java/org/whinhead/peer/PeerCounters.java
+++ b/peer/src/main/java/org/whinhead/peer/PeerCounters.java
@@ -40,7 +40,7 @@
      * Counts a refusal. Guards against a stranger that fills the log by calling in a loop: at most
      * one line a second is written, and the counters tell the rest.
      */
-    void refused(final PeerRefusal refusal, final Object peer, final String detail) {
+    void countRefusal(final PeerRefusal refusal, final Object peer, final String detail) {
         mRefusals.get(refusal).increment();
         final Instant now = mClock.instant();
         final Instant next = mNextLog.get();
@@ -49,33 +49,33 @@
         }
     }
 
-    void sent(final int bytes) {
+    void countSent(final int bytes) {
         mMessagesSent.increment();
         mBytesSent.add(bytes);
     }
 
-    void received(final int bytes) {
+    void countReceived(final int bytes) {
         mMessagesReceived.increment();
         mBytesReceived.add(bytes);
     }
 
-    void dropped(final int messages) {
+    void countDropped(final int messages) {
         mDropped.add(messages);
     }
 
-    void connected() {
+    void countConnect() {
         mConnects.increment();
     }
 
-    void connectFailed() {
+    void countConnectFailure() {
         mConnectFailures.increment();
     }
 
-    void reloaded() {
+    void countReload() {
         mReloads.increment();
     }
 
-    void reloadFailed() {
+    void countReloadFailure() {
         mReloadFailures.increment();
     }
 
--- a/peer/src/main/java/org/whinhead/peer/PeerLink.java
+++ b/peer/src/main/java/org/whinhead/peer/PeerLink.java
@@ -11,11 +11,11 @@
 /** What one peer has yet to be sent, and when to call it again. */
 final class PeerLink {
 
-    private static final int MOST_DOUBLINGS = 20;
+    private static final int MAX_BACKOFF_DOUBLINGS = 20;
 
     private final PeerSettings mSettings;
     private final OutboundQueue mQueue;
-    private final AtomicBoolean mPumpDue = new AtomicBoolean();
+    private final AtomicBoolean mFlushScheduled = new AtomicBoolean();
     private final VmId mVm;
     private volatile DaemonAddress mAddress;
     private boolean mConnecting;
@@ -45,13 +45,13 @@
     }
 
     /** Tells whether the caller must schedule a pump; false if one is due already. */
-    boolean takePumpTurn() {
-        return mPumpDue.compareAndSet(false, true);
+    boolean tryScheduleFlush() {
+        return mFlushScheduled.compareAndSet(false, true);
     }
 
     /** Sends what the connection takes. */
-    void pump(final PeerConnection connection) {
-        mPumpDue.set(false);
+    void flush(final PeerConnection connection) {
+        mFlushScheduled.set(false);
         while (connection.isWritable()) {
             final Envelope next = mQueue.poll();
             if (next == null) {
@@ -61,12 +61,12 @@
         }
     }
 
-    void pumpWithoutConnection() {
-        mPumpDue.set(false);
+    void clearScheduledFlush() {
+        mFlushScheduled.set(false);
     }
 
     /** Tells whether to connect now; false while an attempt or the wait after one goes on. */
-    boolean startConnecting() {
+    boolean tryStartConnecting() {
         if (mConnecting) {
             return false;
         }
@@ -78,7 +78,7 @@
      * The peer spoke. Guards against a peer that takes the connection and then closes it, as one
      * does that refuses the own certificate: a mere connection does not shorten the wait.
      */
-    void proved() {
+    void resetBackoff() {
         mFailures = 0;
     }
 
@@ -86,15 +86,15 @@
      * Returns how long to wait before the next attempt. Guards against all daemons calling a peer
      * at the same moment when it, or the network, is back: the wait is chance, and its bound grows.
      */
-    Duration failed(final RandomGenerator random) {
+    Duration nextBackoff(final RandomGenerator random) {
         final long first = mSettings.firstBackoff().toMillis();
-        final long bound = first << Math.min(mFailures, MOST_DOUBLINGS);
+        final long bound = first << Math.min(mFailures, MAX_BACKOFF_DOUBLINGS);
         mFailures++;
         final long longest = Math.min(bound, mSettings.longestBackoff().toMillis());
         return Duration.ofMillis(longest / 2 + random.nextLong(longest / 2 + 1));
     }
 
-    void waited() {
+    void endBackoff() {
         mConnecting = false;
     }
 }
--- a/peer/src/main/java/org/whinhead/peer/QueueBudget.java
+++ b/peer/src/main/java/org/whinhead/peer/QueueBudget.java
@@ -10,18 +10,18 @@
  */
 final class QueueBudget {
 
-    private final long mMostBytes;
+    private final long mMaxBytes;
     private final AtomicLong mBytes = new AtomicLong();
 
     QueueBudget(final long mostBytes) {
-        mMostBytes = mostBytes;
+        mMaxBytes = mostBytes;
     }
 
     void add(final long bytes) {
         mBytes.addAndGet(bytes);
     }
 
-    boolean isOver() {
-        return mBytes.get() > mMostBytes;
+    boolean isExceeded() {
+        return mBytes.get() > mMaxBytes;
     }
 }
--- a/peer/src/main/java/org/whinhead/peer/TlsMaterial.java
+++ b/peer/src/main/java/org/whinhead/peer/TlsMaterial.java
@@ -64,7 +64,7 @@
         final X509Certificate[] chain = certificates(certificate);
         final X509Certificate[] authorities = certificates(trust);
         final PrivateKey privateKey = privateKey(key, chain[0].getPublicKey());
-        requirePair(privateKey, chain[0].getPublicKey());
+        requireMatchingPair(privateKey, chain[0].getPublicKey());
         final SslContext server =
                 SslContextBuilder.forServer(privateKey, chain)
                         .sslProvider(SslProvider.JDK)
@@ -107,7 +107,7 @@
      * Guards against files that are replaced one after the other: with a new certificate and an old
      * key every new connection would fail. The pair is tried, and the caller keeps the old pair.
      */
-    private static void requirePair(final PrivateKey key, final PublicKey pair)
+    private static void requireMatchingPair(final PrivateKey key, final PublicKey pair)
             throws GeneralSecurityException {
         final Signature signature = Signature.getInstance(signatureFor(pair.getAlgorithm()));
         signature.initSign(key);
--- a/peer/src/main/java/org/whinhead/peer/TlsSource.java
+++ b/peer/src/main/java/org/whinhead/peer/TlsSource.java
@@ -30,11 +30,11 @@
             mFailing = false;
             if (!read.hasSameBytes(mMaterial)) {
                 mMaterial = read;
-                mCounters.reloaded();
+                mCounters.countReload();
                 LOGGER.info("New connections use the replaced certificate {}", mFiles);
             }
         } catch (final PeerException e) {
-            mCounters.reloadFailed();
+            mCounters.countReloadFailure();
             if (!mFailing) {
                 LOGGER.warn("Keeping the certificate in use: {}", e.getMessage(), e);
             }
--- a/peer/src/test/java/org/whinhead/peer/MembershipCodecTest.java
+++ b/peer/src/test/java/org/whinhead/peer/MembershipCodecTest.java
@@ -26,7 +26,7 @@
     private static final Instant GONE_BY = Instant.parse("2030-01-01T00:00:30Z");
 
     @Test
-    void everyMessageComesBackAsItWas() {
+    void everyMessageRoundTrips() {
         final FailureDomain domain = new FailureDomain("kigali", "kg-gasabo");
         final Vm vm = new Vm(VM, "10.0.0.1", domain, "s", Billing.ON_DEMAND, VmState.LIVE);
         final DaemonMember member =
--- a/peer/src/test/java/org/whinhead/peer/NettyPeerTransportTest.java
+++ b/peer/src/test/java/org/whinhead/peer/NettyPeerTransportTest.java
@@ -30,12 +30,12 @@
         final TestAuthority authority = new TestAuthority();
         try (TestPeer a = new TestPeer("vm-a", Optional.of(authority.issue(mFolder, "vm-a")));
                 TestPeer b = new TestPeer("vm-b", Optional.of(authority.issue(mFolder, "vm-b")))) {
-            a.tell(b, 7);
+            a.sendRevision(b, 7);
             final IncomingMessage message = b.take();
             assertThat(message.from()).isEqualTo(new VmId("vm-a"));
             assertThat(message.envelope().getSettingsInForce().getRevision()).isEqualTo(7);
-            assertThat(a.ask(b, "why", TestPeer.PATIENCE)).isEqualTo("why");
-            assertThat(b.ask(a, "back", TestPeer.PATIENCE)).isEqualTo("back");
+            assertThat(a.requestExplanation(b, "why", TestPeer.TIMEOUT)).isEqualTo("why");
+            assertThat(b.requestExplanation(a, "back", TestPeer.TIMEOUT)).isEqualTo("back");
             assertThat(a.counters().connects() + b.counters().connects()).isEqualTo(1);
         }
     }
@@ -43,23 +43,23 @@
     // Somebody in the same network runs a daemon with certificates of an own authority. It must
     // neither be heard nor learn anything.
     @Test
-    void strangerIsRefused() throws Exception {
+    void certificateOfUnknownAuthorityIsRefused() throws Exception {
         final TestAuthority other = new TestAuthority();
-        refusedAsHandshake(other.issue(mFolder, "vm-a"));
+        assertHandshakeRefused(other.issue(mFolder, "vm-a"));
     }
 
     // A new daemon knows a seed's address, not which VM listens there. Both prove who they are, and
     // the connection serves the seed's answers.
     @Test
-    void greetingReachesAnAddressWhoseVmIsNotKnown() throws Exception {
+    void firstMessageReachesSeedOfUnknownVm() throws Exception {
         final TestAuthority authority = new TestAuthority();
         try (TestPeer a = new TestPeer("vm-a", Optional.of(authority.issue(mFolder, "vm-a")));
                 TestPeer b = new TestPeer("vm-b", Optional.of(authority.issue(mFolder, "vm-b")))) {
             final InetSocketAddress seed =
                     new InetSocketAddress(b.address().host(), b.address().port());
-            a.transport().greet(seed, Envelope.getDefaultInstance());
+            a.transport().connectToSeed(seed, Envelope.getDefaultInstance());
             assertThat(b.take().from()).isEqualTo(a.address().vm());
-            b.tell(a, 7);
+            b.sendRevision(a, 7);
             assertThat(a.take().from()).isEqualTo(b.address().vm());
             assertThat(b.counters().connects()).isZero();
         }
@@ -70,75 +70,75 @@
     void expiredCertificateIsRefused() throws Exception {
         final TestAuthority authority = new TestAuthority();
         final PeerTlsFiles own = authority.issue(mFolder, "vm-b");
-        refusedAsHandshake(authority.issueExpired(mFolder, "vm-a"), own);
+        assertHandshakeRefused(authority.issueExpired(mFolder, "vm-a"), own);
     }
 
-    private void refusedAsHandshake(final PeerTlsFiles theirs) throws Exception {
-        refusedAsHandshake(theirs, new TestAuthority().issue(mFolder, "vm-b"));
+    private void assertHandshakeRefused(final PeerTlsFiles theirs) throws Exception {
+        assertHandshakeRefused(theirs, new TestAuthority().issue(mFolder, "vm-b"));
     }
 
-    private static void refusedAsHandshake(final PeerTlsFiles theirs, final PeerTlsFiles own)
+    private static void assertHandshakeRefused(final PeerTlsFiles theirs, final PeerTlsFiles own)
             throws Exception {
         try (TestPeer bad = new TestPeer("vm-a", Optional.of(theirs));
                 TestPeer good = new TestPeer("vm-b", Optional.of(own))) {
-            bad.tell(good, 7);
+            bad.sendRevision(good, 7);
             TestPeer.await(() -> good.counters().refusals(PeerRefusal.HANDSHAKE) > 0);
-            assertThat(good.waiting()).isZero();
-            good.tell(bad, 7);
+            assertThat(good.pendingMessages()).isZero();
+            good.sendRevision(bad, 7);
             TestPeer.await(() -> good.counters().refusals(PeerRefusal.HANDSHAKE) > 1);
-            assertThat(bad.waiting()).isZero();
+            assertThat(bad.pendingMessages()).isZero();
         }
     }
 
     // A daemon with a good certificate of its own says that it is another VM, which would let it
     // announce that one's end or answer in its name.
     @Test
-    void nameMustBeTheCertificates() throws Exception {
+    void senderMustMatchCertificate() throws Exception {
         final TestAuthority authority = new TestAuthority();
         try (TestPeer liar = new TestPeer("vm-c", Optional.of(authority.issue(mFolder, "vm-a")));
                 TestPeer b = new TestPeer("vm-b", Optional.of(authority.issue(mFolder, "vm-b")))) {
-            liar.tell(b, 7);
+            liar.sendRevision(b, 7);
             TestPeer.await(() -> b.counters().refusals(PeerRefusal.IDENTITY) > 0);
-            b.tell(liar, 7);
+            b.sendRevision(liar, 7);
             TestPeer.await(() -> b.counters().refusals(PeerRefusal.IDENTITY) > 1);
-            assertThat(b.waiting() + liar.waiting()).isZero();
+            assertThat(b.pendingMessages() + liar.pendingMessages()).isZero();
         }
     }
 
     // A scanner sends HTTP to the peer port, with TLS and without. Each must end the connection
     // at once, and a frame's announced length must not take memory.
     @Test
-    void garbageEndsTheConnection() throws Exception {
+    void malformedInputClosesConnection() throws Exception {
         final byte[] http = "GET / HTTP/1.1\r\n\r\n".getBytes(StandardCharsets.US_ASCII);
         final TestAuthority authority = new TestAuthority();
         try (TestPeer secure = new TestPeer("vm-a", Optional.of(authority.issue(mFolder, "vm-a")));
                 TestPeer plain = new TestPeer("vm-b", Optional.empty())) {
-            assertEnds(secure, http);
+            assertCloses(secure, http);
             assertThat(secure.counters().refusals(PeerRefusal.HANDSHAKE)).isEqualTo(1);
-            assertEnds(plain, http);
+            assertCloses(plain, http);
             assertThat(plain.counters().refusals(PeerRefusal.OVERSIZED)).isEqualTo(1);
-            assertEnds(plain, new byte[] {0, 0, 0, 2, -1, -1});
+            assertCloses(plain, new byte[] {0, 0, 0, 2, -1, -1});
             assertThat(plain.counters().refusals(PeerRefusal.MALFORMED)).isEqualTo(1);
-            assertEnds(plain, new byte[] {0, 0, 0, 0});
+            assertCloses(plain, new byte[] {0, 0, 0, 0});
             assertThat(plain.counters().refusals(PeerRefusal.IDENTITY)).isEqualTo(1);
         }
     }
 
-    private static void assertEnds(final TestPeer peer, final byte[] bytes) throws IOException {
+    private static void assertCloses(final TestPeer peer, final byte[] bytes) throws IOException {
         try (Socket socket = socketTo(peer)) {
             new DataOutputStream(socket.getOutputStream()).write(bytes);
-            assertEnded(socket);
+            assertClosed(socket);
         }
     }
 
     private static Socket socketTo(final TestPeer peer) throws IOException {
         final Socket socket = new Socket(peer.address().host(), peer.address().port());
-        socket.setSoTimeout((int) TestPeer.PATIENCE.toMillis());
+        socket.setSoTimeout((int) TestPeer.TIMEOUT.toMillis());
         return socket;
     }
 
     /** Reads to the end; an alert of TLS may come before it. */
-    private static void assertEnded(final Socket socket) throws IOException {
+    private static void assertClosed(final Socket socket) throws IOException {
         try {
             socket.getInputStream().readAllBytes();
         } catch (final java.net.SocketException e) {
@@ -155,9 +155,9 @@
                 Socket first = socketTo(peer);
                 Socket second = socketTo(peer);
                 Socket third = socketTo(peer)) {
-            assertEnded(third);
-            assertEnded(first);
-            assertEnded(second);
+            assertClosed(third);
+            assertClosed(first);
+            assertClosed(second);
             final PeerCounters counters = peer.counters();
             final long refused =
                     counters.refusals(PeerRefusal.TOO_MANY) + counters.refusals(PeerRefusal.SILENT);
@@ -169,7 +169,7 @@
     // Operators replace the authority on all daemons while they run. A pair that is half replaced
     // changes nothing; the whole one serves new peers, and nobody restarts.
     @Test
-    void replacedFilesAreTakenInWithoutRestart() throws Exception {
+    void replacedTlsFilesAreReloadedWithoutRestart() throws Exception {
         final PeerTlsFiles own = new TestAuthority().issue(mFolder, "vm-a");
         final TestAuthority next = new TestAuthority();
         final Path folder = Files.createDirectory(mFolder.resolve("next"));
@@ -183,7 +183,7 @@
             replace(replacement.trust(), own.trust());
             a.transport().tick();
             assertThat(a.counters().reloads()).isEqualTo(1);
-            assertThat(b.ask(a, "new", TestPeer.PATIENCE)).isEqualTo("new");
+            assertThat(b.requestExplanation(a, "new", TestPeer.TIMEOUT)).isEqualTo("new");
         }
     }
 
@@ -193,7 +193,7 @@
 
     // A daemon without certificates is started on an open address: anybody could speak as a peer.
     @Test
-    void plainPeersStayOnLoopback() throws Exception {
+    void listeningBeyondLoopbackRequiresTls() throws Exception {
         try (TestPeer peer = new TestPeer("vm-a", Optional.empty())) {
             assertThatThrownBy(() -> peer.transport().listen(new InetSocketAddress("0.0.0.0", 0)))
                     .isInstanceOf(PeerException.class)
@@ -204,15 +204,15 @@
     // The asked daemon is gone. The one that asks must learn it, not wait for ever; when a daemon
     // is back on the address, the connection is made again by itself.
     @Test
-    void absentPeerMeansTimeoutAndReconnect() throws Exception {
+    void requestToAbsentPeerFailsAndLaterReconnects() throws Exception {
         try (TestPeer a = new TestPeer("vm-a", Optional.empty());
                 TestPeer gone = new TestPeer("vm-b", Optional.empty())) {
             gone.close();
-            assertThatThrownBy(() -> a.ask(gone, "why", SHORT))
+            assertThatThrownBy(() -> a.requestExplanation(gone, "why", SHORT))
                     .isInstanceOf(ExecutionException.class)
                     .hasCauseInstanceOf(PeerException.class);
             try (TestPeer back = new TestPeer("vm-b", Optional.empty())) {
-                assertThat(a.ask(back, "why", TestPeer.PATIENCE)).isEqualTo("why");
+                assertThat(a.requestExplanation(back, "why", TestPeer.TIMEOUT)).isEqualTo("why");
             }
         }
     }
--- a/peer/src/test/java/org/whinhead/peer/OutboundQueueTest.java
+++ b/peer/src/test/java/org/whinhead/peer/OutboundQueueTest.java
@@ -13,7 +13,7 @@
     // A peer stops reading. What waits for it must not grow, news that comes again must go first,
     // and an answer that somebody waits for must not vanish while its connection lives.
     @Test
-    void oldestGossipGoesFirstAndRepliesStay() {
+    void oldestGossipIsDroppedFirstAndRepliesAreKept() {
         final OutboundQueue queue = queue(4, 3, 1000, new QueueBudget(1000));
         assertThat(queue.add(gossip(1))).isZero();
         assertThat(queue.add(reply("a"))).isZero();
@@ -30,7 +30,7 @@
     }
 
     @Test
-    void gossipAndBytesHaveBoundsOfTheirOwn() {
+    void gossipCountAndBytesAreBoundedSeparately() {
         final OutboundQueue queue = queue(100, 2, 50, new QueueBudget(1000));
         for (int i = 1; i <= 5; i++) {
             queue.add(gossip(i));
--- a/peer/src/test/java/org/whinhead/peer/TestPeer.java
+++ b/peer/src/test/java/org/whinhead/peer/TestPeer.java
@@ -22,7 +22,7 @@
 /** A transport on a free loopback port that keeps what arrives and answers explain requests. */
 final class TestPeer implements AutoCloseable {
 
-    static final Duration PATIENCE = Duration.ofSeconds(20);
+    static final Duration TIMEOUT = Duration.ofSeconds(20);
 
     private static final String LOOPBACK = "127.0.0.1";
 
@@ -73,7 +73,7 @@
         return mTransport.counters();
     }
 
-    void tell(final TestPeer to, final long revision) {
+    void sendRevision(final TestPeer to, final long revision) {
         mTransport.send(
                 to.address(),
                 Envelope.newBuilder()
@@ -82,28 +82,29 @@
     }
 
     /** Asks and returns the answer's only record. */
-    String ask(final TestPeer to, final String subject, final Duration timeout) throws Exception {
+    String requestExplanation(final TestPeer to, final String subject, final Duration timeout)
+            throws Exception {
         final Envelope question =
                 Envelope.newBuilder()
                         .setExplainRequest(ExplainRequest.newBuilder().setSubject(subject))
                         .build();
         return mTransport
                 .request(to.address(), question, timeout)
-                .get(PATIENCE.toSeconds(), TimeUnit.SECONDS)
+                .get(TIMEOUT.toSeconds(), TimeUnit.SECONDS)
                 .getExplainReply()
                 .getRecords(0);
     }
 
     IncomingMessage take() throws InterruptedException {
-        return mReceived.poll(PATIENCE.toSeconds(), TimeUnit.SECONDS);
+        return mReceived.poll(TIMEOUT.toSeconds(), TimeUnit.SECONDS);
     }
 
-    int waiting() {
+    int pendingMessages() {
         return mReceived.size();
     }
 
     static void await(final BooleanSupplier condition) {
-        final long end = System.nanoTime() + PATIENCE.toNanos();
+        final long end = System.nanoTime() + TIMEOUT.toNanos();
         while (!condition.getAsBoolean() && System.nanoTime() < end) {
             Thread.yield();
         }
