--- a/admission/src/main/java/org/whinhead/admission/TieredAdmission.java
+++ b/admission/src/main/java/org/whinhead/admission/TieredAdmission.java
@@ -220,7 +220,7 @@
 
     private Refusal budgetSpent(final BudgetDecision decision) {
         return Refusal.notRun(ErrorCode.BUDGET_SPENT, "team budget")
-                .comeBackAfter(clamp(decision.retryAfter()));
+                .withRetryAfter(clamp(decision.retryAfter()));
     }
 
     /**
@@ -232,7 +232,7 @@
         final Duration base = clamp(wait);
         final Duration spread = base.multipliedBy(step).dividedBy(2L * SPREAD_STEPS);
         return Refusal.notRun(ErrorCode.OVERLOADED, "tier " + spec.tier().name())
-                .comeBackAfter(base.plus(spread));
+                .withRetryAfter(base.plus(spread));
     }
 
     private Duration clamp(final Duration wait) {
--- a/api/src/main/java/org/whinhead/api/message/MessageBundle.java
+++ b/api/src/main/java/org/whinhead/api/message/MessageBundle.java
@@ -19,7 +19,7 @@
      * @param neighbour a class in the file's package
      * @return its texts
      */
-    public static MessageBundle beside(final Class<?> neighbour) {
+    public static MessageBundle forPackageOf(final Class<?> neighbour) {
         final String name = neighbour.getPackageName() + ".messages";
         return new MessageBundle(
                 ResourceBundle.getBundle(name, Locale.ROOT, neighbour.getClassLoader()));
--- a/api/src/main/java/org/whinhead/api/message/Messages.java
+++ b/api/src/main/java/org/whinhead/api/message/Messages.java
@@ -3,7 +3,7 @@
 /** Looks up texts for people by named key in {@code messages.properties}. */
 public final class Messages {
 
-    private static final MessageBundle TEXTS = MessageBundle.beside(Messages.class);
+    private static final MessageBundle TEXTS = MessageBundle.forPackageOf(Messages.class);
 
     private Messages() {}
 
--- a/api/src/main/java/org/whinhead/api/model/Billing.java
+++ b/api/src/main/java/org/whinhead/api/model/Billing.java
@@ -14,7 +14,7 @@
     }
 
     /** Tells whether the cloud may take the VM back. */
-    public boolean mayBeReclaimed() {
+    public boolean isReclaimable() {
         return mMayBeReclaimed;
     }
 }
--- a/api/src/main/java/org/whinhead/api/model/EndpointKind.java
+++ b/api/src/main/java/org/whinhead/api/model/EndpointKind.java
@@ -14,7 +14,7 @@
     }
 
     /** Tells whether answers arrive as streams that can be resumed. */
-    public boolean streams() {
+    public boolean isStreaming() {
         return mStreams;
     }
 }
--- a/api/src/main/java/org/whinhead/api/model/VmState.java
+++ b/api/src/main/java/org/whinhead/api/model/VmState.java
@@ -25,7 +25,7 @@
     }
 
     /** Tells whether requests in progress on the VM may still finish there. */
-    public boolean mayStillAnswer() {
+    public boolean canStillAnswer() {
         return mMayStillAnswer;
     }
 }
--- a/api/src/main/java/org/whinhead/api/request/PrefixHashes.java
+++ b/api/src/main/java/org/whinhead/api/request/PrefixHashes.java
@@ -61,7 +61,7 @@
      * @param prompt the contents of all messages, joined
      * @return the number of words
      */
-    public static int words(final String prompt) {
+    public static int countWords(final String prompt) {
         int words = 0;
         boolean inWord = false;
         for (int index = 0; index < prompt.length(); index++) {
--- a/api/src/main/java/org/whinhead/api/verdict/Refusal.java
+++ b/api/src/main/java/org/whinhead/api/verdict/Refusal.java
@@ -41,7 +41,7 @@
      * @param after how long the caller should wait
      * @return a copy of this refusal
      */
-    public Refusal comeBackAfter(final Duration after) {
+    public Refusal withRetryAfter(final Duration after) {
         return new Refusal(code, verdict, detail, Optional.of(after));
     }
 
--- a/api/src/main/java/org/whinhead/api/verdict/Verdict.java
+++ b/api/src/main/java/org/whinhead/api/verdict/Verdict.java
@@ -38,7 +38,7 @@
      * @param later the later attempt's verdict
      * @return the less certain of the two
      */
-    public Verdict and(final Verdict later) {
+    public Verdict combineWith(final Verdict later) {
         return ordinal() >= later.ordinal() ? this : later;
     }
 }
--- a/api/src/test/java/org/whinhead/api/verdict/ErrorCodeTest.java
+++ b/api/src/test/java/org/whinhead/api/verdict/ErrorCodeTest.java
@@ -25,7 +25,7 @@
     @ParameterizedTest
     @EnumSource
     void exceptionKeepsRefusalAndVerdict(final ErrorCode code) {
-        final Refusal refusal = Refusal.notRun(code, "here").comeBackAfter(Duration.ofMillis(250));
+        final Refusal refusal = Refusal.notRun(code, "here").withRetryAfter(Duration.ofMillis(250));
         final RequestException exception = new RequestException(refusal);
 
         assertThat(exception.refusal()).isEqualTo(refusal);
--- a/api/src/test/java/org/whinhead/api/verdict/VerdictTest.java
+++ b/api/src/test/java/org/whinhead/api/verdict/VerdictTest.java
@@ -25,9 +25,11 @@
     // Cause: the last attempt's verdict was taken for the whole request's.
     @Test
     void laterCertaintyDoesNotHideAnEarlierAttemptThatMayHaveRun() {
-        assertThat(Verdict.MAY_HAVE_RUN.and(Verdict.NOT_RUN)).isEqualTo(Verdict.MAY_HAVE_RUN);
-        assertThat(Verdict.NOT_RUN.and(Verdict.MAY_HAVE_RUN)).isEqualTo(Verdict.MAY_HAVE_RUN);
-        assertThat(Verdict.NOT_RUN.and(Verdict.NOT_RUN)).isEqualTo(Verdict.NOT_RUN);
-        assertThat(Verdict.MAY_HAVE_RUN.and(Verdict.RAN)).isEqualTo(Verdict.RAN);
+        assertThat(Verdict.MAY_HAVE_RUN.combineWith(Verdict.NOT_RUN))
+                .isEqualTo(Verdict.MAY_HAVE_RUN);
+        assertThat(Verdict.NOT_RUN.combineWith(Verdict.MAY_HAVE_RUN))
+                .isEqualTo(Verdict.MAY_HAVE_RUN);
+        assertThat(Verdict.NOT_RUN.combineWith(Verdict.NOT_RUN)).isEqualTo(Verdict.NOT_RUN);
+        assertThat(Verdict.MAY_HAVE_RUN.combineWith(Verdict.RAN)).isEqualTo(Verdict.RAN);
     }
 }
--- a/bench/src/main/java/org/whinhead/bench/capacity/SettingsCost.java
+++ b/bench/src/main/java/org/whinhead/bench/capacity/SettingsCost.java
@@ -7,7 +7,7 @@
 import java.util.Optional;
 import org.whinhead.settings.deployment.DeploymentSettings;
 import org.whinhead.settings.deployment.DocumentPath;
-import org.whinhead.settings.deployment.DocumentRules;
+import org.whinhead.settings.deployment.DocumentValidator;
 import org.whinhead.settings.deployment.StoredDocument;
 import org.whinhead.state.checkpoint.CheckpointCodec;
 import org.whinhead.state.checkpoint.CheckpointException;
@@ -127,7 +127,8 @@
     }
 
     private static long check(final DeploymentSettings parsed) {
-        if (!DocumentRules.validate(path(7), Optional.of(document(7, 2)), parsed).takesEffect()) {
+        if (!DocumentValidator.validate(path(7), Optional.of(document(7, 2)), parsed)
+                .canTakeEffect()) {
             throw new IllegalStateException("the document is valid");
         }
         return 1;
--- a/cli/src/main/java/org/whinhead/cli/CliMessages.java
+++ b/cli/src/main/java/org/whinhead/cli/CliMessages.java
@@ -5,7 +5,7 @@
 /** Looks up the texts of the command line by named key in {@code messages.properties}. */
 public final class CliMessages {
 
-    private static final MessageBundle TEXTS = MessageBundle.beside(CliMessages.class);
+    private static final MessageBundle TEXTS = MessageBundle.forPackageOf(CliMessages.class);
 
     private CliMessages() {}
 
--- a/cli/src/main/java/org/whinhead/cli/command/SettingsCheckCommand.java
+++ b/cli/src/main/java/org/whinhead/cli/command/SettingsCheckCommand.java
@@ -65,7 +65,7 @@
         for (final Path file : files) {
             try {
                 final String text = Files.readString(file);
-                if (JsonText.parseLeniently(file.toString(), text).isArray()) {
+                if (JsonText.parseAllowingDuplicateKeys(file.toString(), text).isArray()) {
                     documents.addAll(DocumentList.parse(file.toString(), text));
                 } else {
                     SettingsReader.parse(file.toString(), text);
--- a/daemon/src/main/java/org/whinhead/daemon/caller/ChatHandler.java
+++ b/daemon/src/main/java/org/whinhead/daemon/caller/ChatHandler.java
@@ -110,7 +110,7 @@
                 .model(model)
                 .streamed(request.streamed())
                 .prefixHashes(PrefixHashes.of(model.toString(), request.prompt()))
-                .promptTokens(PrefixHashes.words(request.prompt()))
+                .promptTokens(PrefixHashes.countWords(request.prompt()))
                 .maxTokens(request.maxTokens())
                 .arrived(now)
                 .deadline(now.plus(customer.tier().requestTimeout()))
--- a/daemon/src/main/java/org/whinhead/daemon/caller/Intake.java
+++ b/daemon/src/main/java/org/whinhead/daemon/caller/Intake.java
@@ -95,7 +95,7 @@
     }
 
     private static RequestException refused(final ErrorCode code, final String detail) {
-        return new RequestException(Refusal.notRun(code, detail).comeBackAfter(COME_BACK));
+        return new RequestException(Refusal.notRun(code, detail).withRetryAfter(COME_BACK));
     }
 
     /**
--- a/daemon/src/main/java/org/whinhead/daemon/log/ChangeDesk.java
+++ b/daemon/src/main/java/org/whinhead/daemon/log/ChangeDesk.java
@@ -12,8 +12,8 @@
 import org.whinhead.api.verdict.Verdict;
 import org.whinhead.settings.SettingsProblem;
 import org.whinhead.settings.deployment.DocumentPath;
-import org.whinhead.settings.deployment.DocumentRules;
-import org.whinhead.settings.deployment.Validation;
+import org.whinhead.settings.deployment.DocumentValidator;
+import org.whinhead.settings.deployment.ValidationResult;
 import org.whinhead.state.record.LogRecord;
 import org.whinhead.state.record.RecordSink;
 import org.whinhead.state.settings.ChangeOutcome;
@@ -96,9 +96,9 @@
 
     private static List<SettingsProblem> problems(
             final SettingsChange change, final LogStanding standing) {
-        final Validation validation =
-                DocumentRules.validate(change.path(), change.document(), standing.settings());
-        if (validation.mayBePublished()) {
+        final ValidationResult validation =
+                DocumentValidator.validate(change.path(), change.document(), standing.settings());
+        if (validation.canBePublished()) {
             return List.of();
         }
         final List<SettingsProblem> problems = new ArrayList<>(validation.problems());
--- a/daemon/src/main/java/org/whinhead/daemon/log/FoldRules.java
+++ b/daemon/src/main/java/org/whinhead/daemon/log/FoldRules.java
@@ -4,7 +4,7 @@
 import java.util.Optional;
 import org.whinhead.settings.SettingsProblem;
 import org.whinhead.settings.deployment.DeploymentSettings;
-import org.whinhead.settings.deployment.DocumentRules;
+import org.whinhead.settings.deployment.DocumentValidator;
 import org.whinhead.state.settings.SettingsState;
 import org.whinhead.state.settings.SettingsValidator;
 
@@ -28,7 +28,7 @@
             final SettingsState current) {
         // The result depends on the arguments alone; what was parsed before is only reused.
         mSettings = mSettings.refreshed(current.documents(), current::revision);
-        return DocumentRules.validate(path, document, mSettings).foldProblems().stream()
+        return DocumentValidator.validate(path, document, mSettings).foldProblems().stream()
                 .map(SettingsProblem::toString)
                 .toList();
     }
--- a/daemon/src/main/java/org/whinhead/daemon/operator/ChangeHandler.java
+++ b/daemon/src/main/java/org/whinhead/daemon/operator/ChangeHandler.java
@@ -54,7 +54,7 @@
                     exchange, StatusCodes.BAD_REQUEST, "operator.bad-body", e.getMessage());
             return;
         }
-        if (!key.mayChange(change.path())) {
+        if (!key.canChange(change.path())) {
             OperatorReplies.fail(
                     exchange,
                     StatusCodes.FORBIDDEN,
--- a/daemon/src/main/java/org/whinhead/daemon/operator/OperatorHandler.java
+++ b/daemon/src/main/java/org/whinhead/daemon/operator/OperatorHandler.java
@@ -93,10 +93,10 @@
         root.put("daemon", mSettings.name());
         root.put("incarnation", mStatus.id().value());
         root.put("domain", mSettings.domain().toString());
-        final boolean usable = mStatus.settings().notUsable().isEmpty();
+        final boolean usable = mStatus.settings().unusablePaths().isEmpty();
         root.put("able", mStatus.isReady() && usable && mCalls.isAble());
         final ArrayNode notUsable = root.putArray("notUsable");
-        mStatus.settings().notUsable().forEach(path -> notUsable.add(path.text()));
+        mStatus.settings().unusablePaths().forEach(path -> notUsable.add(path.text()));
         root.put("settingsRevision", mStatus.settingsRevision());
         root.put("inProgress", mStatus.inProgress());
         root.put("stopping", mStatus.isStopping());
--- a/daemon/src/main/java/org/whinhead/daemon/operator/OperatorMessages.java
+++ b/daemon/src/main/java/org/whinhead/daemon/operator/OperatorMessages.java
@@ -5,7 +5,7 @@
 /** The texts that operators are told. */
 final class OperatorMessages {
 
-    private static final MessageBundle TEXTS = MessageBundle.beside(OperatorMessages.class);
+    private static final MessageBundle TEXTS = MessageBundle.forPackageOf(OperatorMessages.class);
 
     private OperatorMessages() {}
 
--- a/daemon/src/main/java/org/whinhead/daemon/peers/ViewOutlet.java
+++ b/daemon/src/main/java/org/whinhead/daemon/peers/ViewOutlet.java
@@ -135,7 +135,7 @@
             merged.put(endpoint.id(), described.withVmState(endpoint.vm().state()));
         }
         final List<Endpoint> endpoints = new ArrayList<>(merged.values());
-        endpoints.removeIf(endpoint -> !endpoint.vm().state().mayStillAnswer());
+        endpoints.removeIf(endpoint -> !endpoint.vm().state().canStillAnswer());
         endpoints.sort(Comparator.comparing(endpoint -> endpoint.id().value()));
         return endpoints;
     }
--- a/faults/src/main/java/org/whinhead/faults/world/FakeBackend.java
+++ b/faults/src/main/java/org/whinhead/faults/world/FakeBackend.java
@@ -100,7 +100,7 @@
     }
 
     boolean isServingEngine() {
-        return isServing() && mEndpoint.kind().streams();
+        return isServing() && mEndpoint.kind().isStreaming();
     }
 
     /** Tells whether it is up and was not announced to leave. */
--- a/faults/src/main/java/org/whinhead/faults/world/FleetDuty.java
+++ b/faults/src/main/java/org/whinhead/faults/world/FleetDuty.java
@@ -83,7 +83,7 @@
 
     private List<Member> members() {
         return mWorld.fleet().vmList().shown().stream()
-                .filter(endpoint -> endpoint.kind().streams())
+                .filter(endpoint -> endpoint.kind().isStreaming())
                 .map(this::member)
                 .toList();
     }
--- a/peer/src/main/java/org/whinhead/peer/MembershipCodec.java
+++ b/peer/src/main/java/org/whinhead/peer/MembershipCodec.java
@@ -174,7 +174,7 @@
                 .setRegion(vm.domain().region())
                 .setDomain(vm.domain().name())
                 .setMachineClass(vm.machineClass())
-                .setMayBeReclaimed(vm.billing().mayBeReclaimed())
+                .setMayBeReclaimed(vm.billing().isReclaimable())
                 .build();
     }
 
--- a/requests/src/main/java/org/whinhead/requests/AttemptLauncher.java
+++ b/requests/src/main/java/org/whinhead/requests/AttemptLauncher.java
@@ -101,7 +101,7 @@
         state.setDispatchFree(false);
         state.setResumeTried(false);
         state.setMoveTried(false);
-        if (state.spec().kind().streams()) {
+        if (state.spec().kind().isStreaming()) {
             generate(state, endpoint, now);
         } else {
             call(state, endpoint, now);
--- a/requests/src/main/java/org/whinhead/requests/ClaimGate.java
+++ b/requests/src/main/java/org/whinhead/requests/ClaimGate.java
@@ -61,7 +61,7 @@
             case UNAVAILABLE -> {
                 final Refusal refusal =
                         Refusal.notRun(ErrorCode.CLAIM_UNAVAILABLE, state.id().value());
-                final Refusal timed = refusal.comeBackAfter(mWiring.settings().comeBackAfter());
+                final Refusal timed = refusal.withRetryAfter(mWiring.settings().comeBackAfter());
                 mEndings.refuse(state, timed, now);
             }
             default -> throw new IllegalArgumentException("unknown outcome " + outcome);
--- a/requests/src/main/java/org/whinhead/requests/Departures.java
+++ b/requests/src/main/java/org/whinhead/requests/Departures.java
@@ -59,7 +59,7 @@
             }
             return;
         }
-        final Optional<Attempt> live = state.live().filter(a -> a.endpoint().kind().streams());
+        final Optional<Attempt> live = state.live().filter(a -> a.endpoint().kind().isStreaming());
         final Optional<Instant> goneBy =
                 live.flatMap(attempt -> mLeaving.goneBy(attempt.endpoint().id()));
         if (goneBy.isPresent()) {
--- a/requests/src/main/java/org/whinhead/requests/RequestState.java
+++ b/requests/src/main/java/org/whinhead/requests/RequestState.java
@@ -100,7 +100,7 @@
     }
 
     void addVerdict(final Verdict verdict) {
-        mVerdict = mVerdict.and(verdict);
+        mVerdict = mVerdict.combineWith(verdict);
     }
 
     Optional<Attempt> live() {
--- a/requests/src/main/java/org/whinhead/requests/Shutdown.java
+++ b/requests/src/main/java/org/whinhead/requests/Shutdown.java
@@ -53,7 +53,7 @@
     /** Tells whether a request has no way to go on elsewhere, so that it is given more time. */
     private static boolean mayOnlyEndHere(final RequestState state) {
         final RequestSpec spec = state.spec();
-        return !spec.idempotent() && !spec.kind().streams() && state.live().isPresent();
+        return !spec.idempotent() && !spec.kind().isStreaming() && state.live().isPresent();
     }
 
     private void sendAway(final RequestState state, final Instant now) {
--- a/requests/src/main/java/org/whinhead/requests/StallDetector.java
+++ b/requests/src/main/java/org/whinhead/requests/StallDetector.java
@@ -24,7 +24,7 @@
 
     /** Tells whether an attempt has been silent for too long. */
     boolean isSilent(final RequestState state, final Attempt attempt, final Instant now) {
-        if (!state.spec().kind().streams() && !state.spec().idempotent()) {
+        if (!state.spec().kind().isStreaming() && !state.spec().idempotent()) {
             return false;
         }
         return !now.isBefore(attempt.heardAt().plus(bound(state, attempt)));
@@ -46,7 +46,7 @@
     private Duration bound(final RequestState state, final Attempt attempt) {
         final Duration bound = tierBound(state, attempt);
         final Duration open = mSettings.openTimeout();
-        final boolean opens = state.spec().kind().streams() && !attempt.hasStream();
+        final boolean opens = state.spec().kind().isStreaming() && !attempt.hasStream();
         return opens && open.compareTo(bound) < 0 ? open : bound;
     }
 
--- a/requests/src/main/java/org/whinhead/requests/Tickets.java
+++ b/requests/src/main/java/org/whinhead/requests/Tickets.java
@@ -86,7 +86,7 @@
                 ticket.attempt().request().equals(spec.id())
                         && ticket.customer().equals(spec.customer())
                         && ticket.idempotent() == spec.idempotent()
-                        && spec.kind().streams();
+                        && spec.kind().isStreaming();
         return fits
                 ? Optional.empty()
                 : Optional.of(
--- a/requests/src/test/java/org/whinhead/requests/Recorder.java
+++ b/requests/src/test/java/org/whinhead/requests/Recorder.java
@@ -199,7 +199,7 @@
             final VmId vmId = new VmId("vm");
             final Vm vm = new Vm(vmId, "127.0.0.1", domain, "s", Billing.RECLAIMABLE, VmState.LIVE);
             final Endpoint.Builder builder =
-                    spec.kind().streams()
+                    spec.kind().isStreaming()
                             ? Endpoint.engine(id)
                             : Endpoint.plainService(id, spec.service());
             return builder.vm(vm).uri(URI.create("http://127.0.0.1")).build();
--- a/routing/src/main/java/org/whinhead/routing/AffinityRouter.java
+++ b/routing/src/main/java/org/whinhead/routing/AffinityRouter.java
@@ -196,7 +196,7 @@
     public Optional<Endpoint> find(
             final EndpointId endpoint, final RequestSpec spec, final Instant now) {
         final EndpointState state = mTable.state(endpoint);
-        if (state == null || !state.endpoint().vm().state().mayStillAnswer()) {
+        if (state == null || !state.endpoint().vm().state().canStillAnswer()) {
             return Optional.empty();
         }
         dispatch(state, spec, now);
--- a/settings/src/main/java/org/whinhead/settings/KeyHashes.java
+++ b/settings/src/main/java/org/whinhead/settings/KeyHashes.java
@@ -36,7 +36,7 @@
      * @param text the hash with its prefix
      * @return the hex digits
      */
-    public static String hex(final String text) {
+    public static String stripPrefix(final String text) {
         return text.substring(PREFIX.length());
     }
 }
--- a/settings/src/main/java/org/whinhead/settings/SettingsMessages.java
+++ b/settings/src/main/java/org/whinhead/settings/SettingsMessages.java
@@ -5,7 +5,7 @@
 /** Looks up the texts about settings by named key in {@code messages.properties}. */
 final class SettingsMessages {
 
-    private static final MessageBundle TEXTS = MessageBundle.beside(SettingsMessages.class);
+    private static final MessageBundle TEXTS = MessageBundle.forPackageOf(SettingsMessages.class);
 
     private SettingsMessages() {}
 
--- a/settings/src/main/java/org/whinhead/settings/daemon/DaemonSettingsDecoder.java
+++ b/settings/src/main/java/org/whinhead/settings/daemon/DaemonSettingsDecoder.java
@@ -95,7 +95,7 @@
                         operators.add(
                                 new OperatorKey(
                                         text(operator, "name"),
-                                        KeyHashes.hex(text(operator, "keyHash")),
+                                        KeyHashes.stripPrefix(text(operator, "keyHash")),
                                         text(operator, "subtree"))));
         return operators;
     }
--- a/settings/src/main/java/org/whinhead/settings/daemon/OperatorKey.java
+++ b/settings/src/main/java/org/whinhead/settings/daemon/OperatorKey.java
@@ -41,7 +41,7 @@
      * @param path the document's path
      * @return true if the path lies in the key's subtree
      */
-    public boolean mayChange(final String path) {
+    public boolean canChange(final String path) {
         return subtree.equals(EVERYTHING)
                 || path.equals(subtree)
                 || path.startsWith(subtree + EVERYTHING);
--- a/settings/src/main/java/org/whinhead/settings/daemon/SettingsReader.java
+++ b/settings/src/main/java/org/whinhead/settings/daemon/SettingsReader.java
@@ -40,8 +40,8 @@
      */
     public static DaemonSettings parse(final String source, final String text)
             throws SettingsException {
-        final JsonNode document = JsonText.parseLeniently(source, text);
-        final List<SettingsProblem> problems = new ArrayList<>(JsonText.duplicateKeys(text));
+        final JsonNode document = JsonText.parseAllowingDuplicateKeys(source, text);
+        final List<SettingsProblem> problems = new ArrayList<>(JsonText.findDuplicateKeys(text));
         problems.addAll(SCHEMA.check(document));
         problems.addAll(DaemonSettingsRules.check(document));
         if (!problems.isEmpty()) {
--- a/settings/src/main/java/org/whinhead/settings/deployment/DeploymentSettings.java
+++ b/settings/src/main/java/org/whinhead/settings/deployment/DeploymentSettings.java
@@ -104,7 +104,7 @@
      * @param prefix a path that ends in a slash, for example {@code /teams/filing/}
      * @return the documents
      */
-    public List<StoredDocument> under(final String prefix) {
+    public List<StoredDocument> documentsUnder(final String prefix) {
         return mDocuments.values().stream()
                 .filter(document -> document.path().text().startsWith(prefix))
                 .toList();
@@ -114,7 +114,7 @@
      * Returns the paths whose documents this program cannot use, because it does not know their
      * kind or schema number. They stay in force; a daemon that has any reports itself not able.
      */
-    public List<DocumentPath> notUsable() {
+    public List<DocumentPath> unusablePaths() {
         return mDocuments.values().stream()
                 .filter(document -> document.value().isEmpty())
                 .map(StoredDocument::path)
@@ -176,7 +176,7 @@
      * @param model the model
      * @return true if a request may name it
      */
-    public boolean serves(final ModelRef model) {
+    public boolean isModelConfigured(final ModelRef model) {
         return models().stream()
                 .filter(entry -> entry.model().name().equals(model.name()))
                 .filter(entry -> entry.model().version().equals(model.version()))
--- a/settings/src/main/java/org/whinhead/settings/deployment/DocumentDecoder.java
+++ b/settings/src/main/java/org/whinhead/settings/deployment/DocumentDecoder.java
@@ -36,7 +36,8 @@
 
     static DocumentValue customer(final DocumentPath path, final JsonNode node) {
         final List<String> keyHashes = new ArrayList<>();
-        node.get("keyHashes").forEach(hash -> keyHashes.add(KeyHashes.hex(hash.textValue())));
+        node.get("keyHashes")
+                .forEach(hash -> keyHashes.add(KeyHashes.stripPrefix(hash.textValue())));
         return new DocumentValue.CustomerEntry(
                 new CustomerId(path.name()),
                 new TeamId(path.segment(TEAM)),
--- a/settings/src/main/java/org/whinhead/settings/deployment/DocumentKind.java
+++ b/settings/src/main/java/org/whinhead/settings/deployment/DocumentKind.java
@@ -44,7 +44,7 @@
             new FieldOrder("firstBackoffMillis", "maxBackoffMillis"));
 
     /** The only schema number that this program knows. */
-    public static final int NEWEST_SCHEMA = 1;
+    public static final int NEWEST_SCHEMA_NUMBER = 1;
 
     private static final String ANY = "*";
 
@@ -59,7 +59,7 @@
             final BiFunction<DocumentPath, JsonNode, DocumentValue> decoder,
             final FieldOrder... orders) {
         mPattern = List.of(pattern.substring(1).split("/"));
-        mSchema = DocumentSchema.load(schema + "-" + NEWEST_SCHEMA + ".json");
+        mSchema = DocumentSchema.load(schema + "-" + NEWEST_SCHEMA_NUMBER + ".json");
         mDecoder = decoder;
         mOrders = List.of(orders);
     }
--- a/settings/src/main/java/org/whinhead/settings/deployment/DocumentLinks.java
+++ b/settings/src/main/java/org/whinhead/settings/deployment/DocumentLinks.java
@@ -22,7 +22,10 @@
  * @param unique the texts that no other document may hold
  */
 record DocumentLinks(
-        List<Link> references, List<Link> uniqueTexts, Set<String> targets, Set<String> unique) {
+        List<Link> references,
+        List<Link> uniqueTexts,
+        Set<String> referenceTargets,
+        Set<String> uniqueValues) {
 
     private static final String REFERENCE_START = "/";
 
@@ -44,7 +47,7 @@
      * @param place where it stands, as a JSON path
      * @param text the text
      */
-    record Link(String place, String text) {}
+    record Link(String location, String text) {}
 
     /** Reads the links of a document. */
     static DocumentLinks of(final JsonNode document) {
--- a/settings/src/main/java/org/whinhead/settings/deployment/DocumentList.java
+++ b/settings/src/main/java/org/whinhead/settings/deployment/DocumentList.java
@@ -101,8 +101,8 @@
         final List<SettingsProblem> problems = new ArrayList<>();
         for (final Entry entry : entries) {
             final String path = entry.path().text();
-            final Validation validation =
-                    DocumentRules.validate(path, Optional.of(entry.text()), whole);
+            final ValidationResult validation =
+                    DocumentValidator.validate(path, Optional.of(entry.text()), whole);
             validation.problems().forEach(problem -> problems.add(below(path, problem)));
             if (!validation.known()) {
                 problems.add(SettingsProblem.of(path, "settings.not-known", path));
--- a/settings/src/main/java/org/whinhead/settings/deployment/DocumentRules.java
+++ b/settings/src/main/java/org/whinhead/settings/deployment/DocumentValidator.java
@@ -12,13 +12,14 @@
 /**
  * Decides whether a change to a document is valid; reads neither clock nor chance.
  *
- * <p>The fold goes by {@link Validation#takesEffect}, which looks only at what no schema number
- * changes. The daemon that takes an operator's change goes by {@link Validation#mayBePublished}
- * before it appends the change, so that documents on the log fit their schema.
+ * <p>The fold goes by {@link ValidationResult#canTakeEffect}, which looks only at what no schema
+ * number changes. The daemon that takes an operator's change goes by {@link
+ * ValidationResult#canBePublished} before it appends the change, so that documents on the log fit
+ * their schema.
  */
-public final class DocumentRules {
+public final class DocumentValidator {
 
-    private DocumentRules() {}
+    private DocumentValidator() {}
 
     /**
      * Checks a change against the documents in force.
@@ -28,22 +29,22 @@
      * @param current the documents in force
      * @return what is wrong, and whether this program knows the document at all
      */
-    public static Validation validate(
+    public static ValidationResult validate(
             final String path, final Optional<String> document, final DeploymentSettings current) {
         if (!DocumentPath.isWellFormed(path)) {
             final SettingsProblem problem =
                     SettingsProblem.of(JsonPaths.ROOT, "settings.bad-path", path);
-            return new Validation(List.of(problem), List.of(), true);
+            return new ValidationResult(List.of(problem), List.of(), true);
         }
         final DocumentPath place = DocumentPath.parse(path);
         if (document.isEmpty()) {
-            return new Validation(checkDelete(place, current), List.of(), true);
+            return new ValidationResult(checkDelete(place, current), List.of(), true);
         }
         final ParsedDocument parsed = ParsedDocument.parse(place, document.get());
         final List<SettingsProblem> fold = new ArrayList<>(parsed.envelopeProblems());
         fold.addAll(checkReferences(parsed, target -> current.document(target).isPresent()));
         fold.addAll(checkUnique(parsed, current));
-        return new Validation(fold, parsed.schemaProblems(), parsed.known());
+        return new ValidationResult(fold, parsed.schemaProblems(), parsed.known());
     }
 
     private static List<SettingsProblem> checkDelete(
@@ -53,7 +54,7 @@
         }
         return current.documents().stream()
                 .filter(other -> !other.path().equals(path))
-                .filter(other -> other.links().targets().contains(path.text()))
+                .filter(other -> other.links().referenceTargets().contains(path.text()))
                 .map(
                         other ->
                                 SettingsProblem.of(
@@ -69,26 +70,28 @@
                 .map(
                         link ->
                                 SettingsProblem.of(
-                                        link.place(), "settings.no-such-document", link.text()))
+                                        link.location(), "settings.no-such-document", link.text()))
                 .toList();
     }
 
     private static List<SettingsProblem> checkUnique(
             final ParsedDocument parsed, final DeploymentSettings current) {
-        final Set<String> texts = parsed.links().unique();
+        final Set<String> texts = parsed.links().uniqueValues();
         if (texts.isEmpty()) {
             return List.of();
         }
         final List<SettingsProblem> problems = new ArrayList<>();
         for (final StoredDocument other : current.documents()) {
             if (!other.path().equals(parsed.path())
-                    && !Collections.disjoint(other.links().unique(), texts)) {
+                    && !Collections.disjoint(other.links().uniqueValues(), texts)) {
                 parsed.links().uniqueTexts().stream()
-                        .filter(link -> other.links().unique().contains(link.text()))
+                        .filter(link -> other.links().uniqueValues().contains(link.text()))
                         .map(
                                 link ->
                                         SettingsProblem.of(
-                                                link.place(), "settings.key-taken", other.path()))
+                                                link.location(),
+                                                "settings.key-taken",
+                                                other.path()))
                         .forEach(problems::add);
             }
         }
--- a/settings/src/main/java/org/whinhead/settings/deployment/DocumentValue.java
+++ b/settings/src/main/java/org/whinhead/settings/deployment/DocumentValue.java
@@ -117,7 +117,7 @@
          * @return true if no listed path covers it
          */
         public boolean isIdempotent(final String path) {
-            return ServicePaths.isPlain(path)
+            return ServicePaths.isCanonical(path)
                     && nonIdempotentPaths.stream()
                             .noneMatch(listed -> ServicePaths.covers(listed, path));
         }
--- a/settings/src/main/java/org/whinhead/settings/deployment/ParsedDocument.java
+++ b/settings/src/main/java/org/whinhead/settings/deployment/ParsedDocument.java
@@ -43,11 +43,11 @@
     static ParsedDocument parse(final DocumentPath path, final String text) {
         final JsonNode node;
         try {
-            node = JsonText.parseLeniently(path.text(), text);
+            node = JsonText.parseAllowingDuplicateKeys(path.text(), text);
         } catch (SettingsException e) {
             return broken(path, e.problems());
         }
-        final List<SettingsProblem> envelope = new ArrayList<>(JsonText.duplicateKeys(text));
+        final List<SettingsProblem> envelope = new ArrayList<>(JsonText.findDuplicateKeys(text));
         envelope.addAll(checkSchemaNumber(node));
         final DocumentLinks links = DocumentLinks.of(node);
         envelope.addAll(checkReferences(links));
@@ -68,7 +68,7 @@
         final Optional<DocumentKind> kind = DocumentKind.of(path);
         final JsonNode number = node.path(SCHEMA);
         final boolean numberKnown =
-                !isSchemaNumber(number) || number.longValue() <= DocumentKind.NEWEST_SCHEMA;
+                !isSchemaNumber(number) || number.longValue() <= DocumentKind.NEWEST_SCHEMA_NUMBER;
         if (kind.isEmpty() || !numberKnown) {
             return new ParsedDocument(path, envelope, List.of(), links, false, Optional.empty());
         }
@@ -112,7 +112,7 @@
                 .map(
                         link ->
                                 SettingsProblem.of(
-                                        link.place(), "settings.bad-reference", link.text()))
+                                        link.location(), "settings.bad-reference", link.text()))
                 .toList();
     }
 }
--- a/settings/src/main/java/org/whinhead/settings/deployment/ServicePaths.java
+++ b/settings/src/main/java/org/whinhead/settings/deployment/ServicePaths.java
@@ -15,7 +15,7 @@
      * not match, yet the service takes it for {@code claims}. A path with dot segments, empty
      * segments or escapes is therefore never taken for idempotent.
      */
-    static boolean isPlain(final String path) {
+    static boolean isCanonical(final String path) {
         return path.matches(PLAIN);
     }
 
--- a/settings/src/main/java/org/whinhead/settings/deployment/Validation.java
+++ b/settings/src/main/java/org/whinhead/settings/deployment/ValidationResult.java
@@ -11,22 +11,22 @@
  * @param schemaProblems what is wrong by the document's own schema
  * @param known whether this program knows the document's kind and schema number
  */
-public record Validation(
+public record ValidationResult(
         List<SettingsProblem> foldProblems, List<SettingsProblem> schemaProblems, boolean known) {
 
     /** Sorts and copies the lists. */
-    public Validation {
+    public ValidationResult {
         foldProblems = foldProblems.stream().sorted().distinct().toList();
         schemaProblems = schemaProblems.stream().sorted().distinct().toList();
     }
 
     /** Tells whether the fold takes the change; the same on every version of the program. */
-    public boolean takesEffect() {
+    public boolean canTakeEffect() {
         return foldProblems.isEmpty();
     }
 
     /** Tells whether a daemon of this version may put the change on the log. */
-    public boolean mayBePublished() {
+    public boolean canBePublished() {
         return known && foldProblems.isEmpty() && schemaProblems.isEmpty();
     }
 
--- a/settings/src/main/java/org/whinhead/settings/json/JsonText.java
+++ b/settings/src/main/java/org/whinhead/settings/json/JsonText.java
@@ -36,8 +36,8 @@
      * @throws SettingsException if the text is not JSON or holds a duplicate key
      */
     public static JsonNode parse(final String source, final String text) throws SettingsException {
-        final JsonNode document = parseLeniently(source, text);
-        final List<SettingsProblem> problems = duplicateKeys(text);
+        final JsonNode document = parseAllowingDuplicateKeys(source, text);
+        final List<SettingsProblem> problems = findDuplicateKeys(text);
         if (!problems.isEmpty()) {
             throw new SettingsException(source, problems);
         }
@@ -52,7 +52,7 @@
      * @return the document
      * @throws SettingsException if the text is not JSON
      */
-    public static JsonNode parseLeniently(final String source, final String text)
+    public static JsonNode parseAllowingDuplicateKeys(final String source, final String text)
             throws SettingsException {
         try {
             final JsonNode document = MAPPER.readTree(text);
@@ -72,7 +72,7 @@
      * @param text a text that parses as JSON
      * @return one problem for each repetition, in the order of the text
      */
-    public static List<SettingsProblem> duplicateKeys(final String text) {
+    public static List<SettingsProblem> findDuplicateKeys(final String text) {
         final List<SettingsProblem> problems = new ArrayList<>();
         try (JsonParser parser = MAPPER.createParser(text)) {
             parser.nextToken();
--- a/settings/src/test/java/org/whinhead/settings/daemon/SettingsReaderTest.java
+++ b/settings/src/test/java/org/whinhead/settings/daemon/SettingsReaderTest.java
@@ -34,8 +34,8 @@
         final DaemonSettings settings = SettingsReader.read(FOLDER.resolve("whole.json"));
         final Optional<OperatorKey> operator = settings.operator("secret");
         assertThat(operator.map(OperatorKey::name)).contains("on-call");
-        assertThat(operator.orElseThrow().mayChange("/teams/filing/budget")).isTrue();
-        assertThat(operator.orElseThrow().mayChange("/teams/filing-other/budget")).isFalse();
+        assertThat(operator.orElseThrow().canChange("/teams/filing/budget")).isTrue();
+        assertThat(operator.orElseThrow().canChange("/teams/filing-other/budget")).isFalse();
         assertThat(settings.operator("Secret")).isEmpty();
     }
 
--- a/settings/src/test/java/org/whinhead/settings/deployment/DocumentListTest.java
+++ b/settings/src/test/java/org/whinhead/settings/deployment/DocumentListTest.java
@@ -41,14 +41,14 @@
     void exampleDocumentsCanBePutOneByOne(final String name) throws Exception {
         DeploymentSettings settings = DeploymentSettings.EMPTY;
         for (final DocumentList.Entry entry : entries(documents(name))) {
-            final Validation validation =
-                    DocumentRules.validate(
+            final ValidationResult validation =
+                    DocumentValidator.validate(
                             entry.path().text(), Optional.of(entry.text()), settings);
             assertThat(validation.problems()).isEmpty();
-            assertThat(validation.mayBePublished()).isTrue();
+            assertThat(validation.canBePublished()).isTrue();
             settings = settings.with(new StoredDocument(entry.path(), entry.text(), 1));
         }
-        assertThat(settings.notUsable()).isEmpty();
+        assertThat(settings.unusablePaths()).isEmpty();
         assertThat(settings.customers()).hasSize(5);
         assertThat(settings.domains()).hasSize(3);
         assertThat(settings.pools()).allMatch(pool -> pool.needed() == 4);
@@ -89,9 +89,13 @@
                 .contains(new CustomerId("bailiff-offices") + " 3");
         assertThat(settings.customerByKeyHash(KeyHashes.hash("other"))).isEmpty();
         assertThat(settings.budget(new TeamId("filing")).orElseThrow().domains()).hasSize(3);
-        assertThat(settings.serves(ModelRef.parse("filing-drafts@2026.1+claims-english"))).isTrue();
-        assertThat(settings.serves(ModelRef.parse("filing-drafts@2026.1+menu"))).isFalse();
-        assertThat(settings.serves(ModelRef.parse("filing-drafts@2025.9"))).isFalse();
+        assertThat(
+                        settings.isModelConfigured(
+                                ModelRef.parse("filing-drafts@2026.1+claims-english")))
+                .isTrue();
+        assertThat(settings.isModelConfigured(ModelRef.parse("filing-drafts@2026.1+menu")))
+                .isFalse();
+        assertThat(settings.isModelConfigured(ModelRef.parse("filing-drafts@2025.9"))).isFalse();
     }
 
     // A claimant sees two claims in one docket: the call was spelled so that no listed path
--- a/settings/src/test/java/org/whinhead/settings/deployment/DocumentRulesTest.java
+++ b/settings/src/test/java/org/whinhead/settings/deployment/DocumentValidatorTest.java
@@ -10,7 +10,7 @@
 import org.whinhead.settings.KeyHashes;
 import org.whinhead.settings.SettingsProblem;
 
-final class DocumentRulesTest {
+final class DocumentValidatorTest {
 
     private static final String TIER =
             """
@@ -32,15 +32,15 @@
     // Calls of a customer are refused as unknown: its tier was deleted while it was in use.
     @Test
     void aTierInUseCannotBeDeleted() {
-        final Validation inUse = delete("/tiers/urgent", CURRENT);
+        final ValidationResult inUse = delete("/tiers/urgent", CURRENT);
         assertThat(inUse.problems())
                 .extracting(SettingsProblem::message)
                 .containsExactly("/tiers/urgent is in use by /teams/filing/customers/aid");
         final DeploymentSettings without =
                 CURRENT.without(DocumentPath.parse("/teams/filing/customers/aid"));
-        assertThat(delete("/tiers/urgent", without).mayBePublished()).isTrue();
-        assertThat(delete("/tiers/other", CURRENT).takesEffect()).isFalse();
-        assertThat(delete("tiers/urgent", CURRENT).takesEffect()).isFalse();
+        assertThat(delete("/tiers/urgent", without).canBePublished()).isTrue();
+        assertThat(delete("/tiers/other", CURRENT).canTakeEffect()).isFalse();
+        assertThat(delete("tiers/urgent", CURRENT).canTakeEffect()).isFalse();
     }
 
     // Half of the daemons serve by a new setting, half by the old one, for ever: an older program
@@ -48,32 +48,33 @@
     @Test
     void documentOfLaterSchemaTakesEffectButIsNotPublishedHere() {
         final String later = "{\"schema\": 2, \"floor\": \"/tiers/urgent\"}";
-        final Validation validation = put("/tiers/later", later, CURRENT);
-        assertThat(validation.takesEffect()).isTrue();
+        final ValidationResult validation = put("/tiers/later", later, CURRENT);
+        assertThat(validation.canTakeEffect()).isTrue();
         assertThat(validation.known()).isFalse();
-        assertThat(validation.mayBePublished()).isFalse();
+        assertThat(validation.canBePublished()).isFalse();
 
         final DeploymentSettings next = CURRENT.with(stored("/tiers/later", later));
-        assertThat(next.notUsable()).containsExactly(DocumentPath.parse("/tiers/later"));
+        assertThat(next.unusablePaths()).containsExactly(DocumentPath.parse("/tiers/later"));
         assertThat(next.documents()).extracting(StoredDocument::text).contains(later);
         assertThat(next.tiers()).hasSize(1);
         final DeploymentSettings freed =
                 next.without(DocumentPath.parse("/teams/filing/customers/aid"));
-        assertThat(delete("/tiers/urgent", freed).takesEffect()).isFalse();
+        assertThat(delete("/tiers/urgent", freed).canTakeEffect()).isFalse();
     }
 
     // The log holds a document that breaks its schema, put there by a faulty program. A program
     // that knows the schema and one that does not must still agree on what is in force.
     @Test
     void onlyLinksAndEnvelopeDecideInTheFold() {
-        final Validation wrong = put("/tiers/urgent", "{\"schema\": 1, \"priority\": 2}", CURRENT);
-        assertThat(wrong.takesEffect()).isTrue();
-        assertThat(wrong.mayBePublished()).isFalse();
-        assertThat(put("/tiers/a", "{\"schema\": 1, \"schema\": 2}", CURRENT).takesEffect())
+        final ValidationResult wrong =
+                put("/tiers/urgent", "{\"schema\": 1, \"priority\": 2}", CURRENT);
+        assertThat(wrong.canTakeEffect()).isTrue();
+        assertThat(wrong.canBePublished()).isFalse();
+        assertThat(put("/tiers/a", "{\"schema\": 1, \"schema\": 2}", CURRENT).canTakeEffect())
                 .isFalse();
-        assertThat(put("/tiers/a", "{\"priority\": 2}", CURRENT).takesEffect()).isFalse();
-        assertThat(put("/tiers/a", "[]", CURRENT).takesEffect()).isFalse();
-        assertThat(put("/tiers/a", "", CURRENT).takesEffect()).isFalse();
+        assertThat(put("/tiers/a", "{\"priority\": 2}", CURRENT).canTakeEffect()).isFalse();
+        assertThat(put("/tiers/a", "[]", CURRENT).canTakeEffect()).isFalse();
+        assertThat(put("/tiers/a", "", CURRENT).canTakeEffect()).isFalse();
     }
 
     // A customer's tier has priority 5 where the document says 18446744073709551621.0: the schema
@@ -114,12 +115,12 @@
         return new StoredDocument(DocumentPath.parse(path), text, 1);
     }
 
-    private static Validation put(
+    private static ValidationResult put(
             final String path, final String text, final DeploymentSettings current) {
-        return DocumentRules.validate(path, Optional.of(text), current);
+        return DocumentValidator.validate(path, Optional.of(text), current);
     }
 
-    private static Validation delete(final String path, final DeploymentSettings current) {
-        return DocumentRules.validate(path, Optional.empty(), current);
+    private static ValidationResult delete(final String path, final DeploymentSettings current) {
+        return DocumentValidator.validate(path, Optional.empty(), current);
     }
 }
--- a/standins/src/main/java/org/whinhead/standins/cloud/CloudSimulation.java
+++ b/standins/src/main/java/org/whinhead/standins/cloud/CloudSimulation.java
@@ -81,7 +81,7 @@
         final Machine machine = mMachines.get(vm);
         if (machine == null
                 || machine.mGoneBy != null
-                || !machine.mOrder.billing().mayBeReclaimed()) {
+                || !machine.mOrder.billing().isReclaimable()) {
             return;
         }
         machine.mGoneBy = now.plus(notice);
--- a/standins/src/main/java/org/whinhead/standins/engine/EngineStream.java
+++ b/standins/src/main/java/org/whinhead/standins/engine/EngineStream.java
@@ -47,7 +47,7 @@
         mId = id;
         mGeneration = generation;
         mText = generation.prompt() + " " + generation.delivered();
-        mPromptTokens = PrefixHashes.words(mText);
+        mPromptTokens = PrefixHashes.countWords(mText);
         mReaderless = now;
     }
 
