--- a/admission/src/main/java/org/whinhead/admission/TieredAdmission.java
+++ b/admission/src/main/java/org/whinhead/admission/TieredAdmission.java
@@ -221,7 +221,7 @@
 
     private Refusal budgetSpent(final BudgetDecision decision) {
         return Refusal.notRun(ErrorCode.BUDGET_SPENT, "team budget")
-                .comeBackAfter(clampRetryAfter(decision.retryAfter()));
+                .withRetryAfter(clampRetryAfter(decision.retryAfter()));
     }
 
     /**
@@ -233,7 +233,7 @@
         final Duration base = clampRetryAfter(wait);
         final Duration spread = base.multipliedBy(step).dividedBy(2L * RETRY_SPREAD_STEPS);
         return Refusal.notRun(ErrorCode.OVERLOADED, "tier " + spec.tier().name())
-                .comeBackAfter(base.plus(spread));
+                .withRetryAfter(base.plus(spread));
     }
 
     private Duration clampRetryAfter(final Duration wait) {
--- a/requests/src/main/java/org/whinhead/requests/AttemptLauncher.java
+++ b/requests/src/main/java/org/whinhead/requests/AttemptLauncher.java
@@ -104,7 +104,7 @@
         state.setExemptFromRetryBudget(false);
         state.setResumeTried(false);
         state.setMoveTried(false);
-        if (state.spec().kind().streams()) {
+        if (state.spec().kind().isStreaming()) {
             generate(state, endpoint, now);
         } else {
             call(state, endpoint, now);
--- a/requests/src/main/java/org/whinhead/requests/ClaimGate.java
+++ b/requests/src/main/java/org/whinhead/requests/ClaimGate.java
@@ -66,7 +66,7 @@
                 final Refusal refusal =
                         Refusal.notRun(ErrorCode.CLAIM_UNAVAILABLE, state.id().value());
                 final Refusal withDelay =
-                        refusal.comeBackAfter(mContext.settings().comeBackAfter());
+                        refusal.withRetryAfter(mContext.settings().comeBackAfter());
                 mActiveRequests.refuse(state, withDelay, now);
             }
             default -> throw new IllegalArgumentException("unknown claim outcome " + outcome);
--- a/requests/src/main/java/org/whinhead/requests/Shutdown.java
+++ b/requests/src/main/java/org/whinhead/requests/Shutdown.java
@@ -53,7 +53,7 @@
     /** Returns whether a request cannot continue on another daemon and therefore gets more time. */
     private static boolean canOnlyFinishHere(final RequestState state) {
         final RequestSpec spec = state.spec();
-        return !spec.idempotent() && !spec.kind().streams() && state.live().isPresent();
+        return !spec.idempotent() && !spec.kind().isStreaming() && state.live().isPresent();
     }
 
     private void endRequest(final RequestState state, final Instant now) {
--- a/requests/src/main/java/org/whinhead/requests/StallDetector.java
+++ b/requests/src/main/java/org/whinhead/requests/StallDetector.java
@@ -24,7 +24,7 @@
 
     /** Returns whether an attempt has exceeded its silence limit. */
     boolean isSilent(final RequestState state, final Attempt attempt, final Instant now) {
-        if (!state.spec().kind().streams() && !state.spec().idempotent()) {
+        if (!state.spec().kind().isStreaming() && !state.spec().idempotent()) {
             return false;
         }
         return !now.isBefore(attempt.lastEventAt().plus(silenceBound(state, attempt)));
@@ -46,7 +46,7 @@
     private Duration silenceBound(final RequestState state, final Attempt attempt) {
         final Duration bound = tierSilenceBound(state, attempt);
         final Duration open = mSettings.openTimeout();
-        final boolean opening = state.spec().kind().streams() && !attempt.hasStream();
+        final boolean opening = state.spec().kind().isStreaming() && !attempt.hasStream();
         return opening && open.compareTo(bound) < 0 ? open : bound;
     }
 
--- a/requests/src/main/java/org/whinhead/requests/TicketHandler.java
+++ b/requests/src/main/java/org/whinhead/requests/TicketHandler.java
@@ -88,7 +88,7 @@
                 ticket.attempt().request().equals(spec.id())
                         && ticket.customer().equals(spec.customer())
                         && ticket.idempotent() == spec.idempotent()
-                        && spec.kind().streams();
+                        && spec.kind().isStreaming();
         return fits
                 ? Optional.empty()
                 : Optional.of(
