--- a/state/src/main/java/org/whinhead/state/checkpoint/CheckpointAssembler.java
+++ b/state/src/main/java/org/whinhead/state/checkpoint/CheckpointAssembler.java
@@ -10,10 +10,11 @@
 import org.whinhead.state.record.LogRecord;
 
 /**
- * Puts checkpoints together from their parts and keeps the one as of the highest offset.
+ * Assembles checkpoints from their parts and keeps the complete one with the highest offset.
  *
- * <p>Guards against a writer that dies between two parts, writes a part twice or publishes an old
- * checkpoint late: only a complete one whose digest fits counts, and only if it is newer.
+ * <p>A writer may crash between two parts, write a part twice or publish an old checkpoint late. A
+ * checkpoint is accepted only if it is complete, its digest matches and its offset is higher than
+ * that of the checkpoint accepted before.
  */
 public final class CheckpointAssembler {
 
@@ -23,16 +24,17 @@
     private final NavigableMap<CheckpointKey, Map<Integer, String>> mIncomplete = new TreeMap<>();
     private Optional<FoldState> mNewest = Optional.empty();
 
-    /** Returns the complete checkpoint as of the highest offset. */
+    /** Returns the complete checkpoint with the highest offset, or empty if there is none. */
     public Optional<FoldState> newest() {
         return mNewest;
     }
 
     /**
-     * Takes in a part; each may come more than once and in any order.
+     * Adds a part. Parts may arrive repeatedly and in any order.
      *
      * @param record the part
-     * @return the checkpoint that it completes, if that is newer than all before
+     * @return the checkpoint that the part completes, or empty if parts are missing, the digest
+     *     differs or the checkpoint is not newer than {@link #newest}
      */
     public Optional<FoldState> addPart(final LogRecord.Checkpoint record) {
         if (mNewest.isPresent() && record.asOf() <= mNewest.get().asOf()) {
@@ -79,7 +81,7 @@
             all.writeBytes(Base64.getDecoder().decode(part));
         }
         if (!CheckpointCodec.sha256Hex(all.toByteArray()).equals(digest)) {
-            throw new CheckpointException("digest differs", null);
+            throw new CheckpointException("checkpoint digest differs", null);
         }
         return all.toByteArray();
     }
--- a/state/src/main/java/org/whinhead/state/checkpoint/CheckpointCodec.java
+++ b/state/src/main/java/org/whinhead/state/checkpoint/CheckpointCodec.java
@@ -12,16 +12,19 @@
 import org.whinhead.state.fold.FoldState;
 import org.whinhead.state.record.JsonMapping;
 
-/** Turns the state of a fold into compressed bytes and back; peers send each other the same. */
+/**
+ * Encodes a state as gzipped JSON and decodes it. Checkpoints and the exchange of states between
+ * peers use this format.
+ */
 public final class CheckpointCodec {
 
     private final ObjectMapper mMapper = JsonMapping.createMapper();
 
     /**
-     * Writes a state.
+     * Encodes a state.
      *
      * @param state the state
-     * @return its bytes
+     * @return the gzipped JSON
      */
     public byte[] encode(final FoldState state) {
         final ByteArrayOutputStream bytes = new ByteArrayOutputStream();
@@ -34,11 +37,11 @@
     }
 
     /**
-     * Reads a state.
+     * Decodes a state.
      *
-     * @param bytes what {@link #encode} gave
+     * @param bytes the result of {@link #encode}
      * @return the state
-     * @throws CheckpointException if they are not such bytes
+     * @throws CheckpointException if the bytes are not gzipped JSON of a state
      */
     public FoldState decode(final byte[] bytes) throws CheckpointException {
         try (GZIPInputStream zipped = new GZIPInputStream(new ByteArrayInputStream(bytes))) {
--- a/state/src/main/java/org/whinhead/state/checkpoint/CheckpointException.java
+++ b/state/src/main/java/org/whinhead/state/checkpoint/CheckpointException.java
@@ -1,15 +1,15 @@
 package org.whinhead.state.checkpoint;
 
-/** Bytes are not a checkpoint that this version can read. */
+/** Thrown when bytes are not a checkpoint that this version can read. */
 public final class CheckpointException extends Exception {
 
     private static final long serialVersionUID = 1L;
 
     /**
-     * Makes the exception.
+     * Creates the exception.
      *
-     * @param message what is wrong
-     * @param cause the parser's error
+     * @param message the description of the error
+     * @param cause the parser's error, or null
      */
     public CheckpointException(final String message, final Throwable cause) {
         super(message, cause);
--- a/state/src/main/java/org/whinhead/state/checkpoint/CheckpointPublisher.java
+++ b/state/src/main/java/org/whinhead/state/checkpoint/CheckpointPublisher.java
@@ -12,10 +12,10 @@
 import org.whinhead.state.record.RecordSink;
 
 /**
- * Decides when a checkpoint is due and puts its parts on the checkpoint stream.
+ * Publishes a checkpoint in parts on the checkpoint stream when one is due.
  *
- * <p>The holder of the checkpoint duty asks it; a second one that believes to hold the duty does no
- * harm, since a reader goes by the highest offset and ignores checkpoints that lack a part.
+ * <p>The holder of the checkpoint duty calls it. A second daemon that believes it holds the duty
+ * does no harm, since readers use the complete checkpoint with the highest offset.
  */
 public final class CheckpointPublisher {
 
@@ -30,22 +30,24 @@
     private long mLastAsOf = LogRecord.NONE;
 
     /**
-     * Makes a publisher.
+     * Creates a publisher.
      *
-     * @param sink takes the parts, towards the checkpoint stream
-     * @param every how often one is written; a small share of the log's retention
-     * @param partBytes the most bytes in one part
+     * @param sink the writer of the checkpoint stream
+     * @param interval the time between two checkpoints; a small share of the log's retention
+     * @param maxPartBytes the highest number of bytes in a part before base64 encoding, at least 1
      */
-    public CheckpointPublisher(final RecordSink sink, final Duration every, final int partBytes) {
+    public CheckpointPublisher(
+            final RecordSink sink, final Duration interval, final int maxPartBytes) {
         mSink = Objects.requireNonNull(sink, "sink");
-        mInterval = Arguments.requirePositive(every, "every");
-        mMaxPartBytes = (int) Arguments.requireAtLeast(partBytes, 1, "partBytes");
+        mInterval = Arguments.requirePositive(interval, "interval");
+        mMaxPartBytes = (int) Arguments.requireAtLeast(maxPartBytes, 1, "maxPartBytes");
     }
 
     /**
-     * A complete checkpoint was read, whoever wrote it.
+     * Delays the next checkpoint by the interval if a newer complete checkpoint was read from the
+     * stream, from any writer.
      *
-     * @param asOf the offset that it is as of
+     * @param asOf the first offset that the checkpoint does not cover
      * @param now the time
      */
     public void onCheckpointRead(final long asOf, final Instant now) {
@@ -56,11 +58,11 @@
     }
 
     /**
-     * Writes a checkpoint if one is due; called while this daemon holds the duty.
+     * Queues a checkpoint if one is due. The caller holds the checkpoint duty.
      *
-     * @param view the shared state
+     * @param view the current view of the shared state
      * @param now the time
-     * @return whether all parts were queued
+     * @return whether a checkpoint was due and all of its parts were queued
      */
     public boolean publishIfDue(final FoldView view, final Instant now) {
         if (now.isBefore(mNextDue) || !isPublishable(view)) {
@@ -70,9 +72,9 @@
         return publish(view.state(), now);
     }
 
-    // Guards against two failures that would lose accepted changes: a checkpoint from a version
-    // that met more unknown records than it keeps, and one from a daemon that only has a peer's
-    // word for its state.
+    // Accepted changes would be lost by a checkpoint from a version that dropped unknown records
+    // over its limit, or from a daemon whose state comes from a peer and was not confirmed by the
+    // log.
     private static boolean isPublishable(final FoldView view) {
         return view.source() == FoldView.Source.LOG && !view.state().unknownLost();
     }
@@ -81,7 +83,7 @@
         final byte[] bytes = mCodec.encode(state);
         final String digest = CheckpointCodec.sha256Hex(bytes);
         final int parts = (bytes.length + mMaxPartBytes - 1) / mMaxPartBytes;
-        final String name = state.asOf() + "-" + digest;
+        final String checkpointId = state.asOf() + "-" + digest;
         for (int part = 0; part < parts; part++) {
             final int index = part;
             final int from = part * mMaxPartBytes;
@@ -93,7 +95,7 @@
                                     id ->
                                             new LogRecord.Checkpoint(
                                                     id,
-                                                    name,
+                                                    checkpointId,
                                                     state.asOf(),
                                                     index,
                                                     parts,
--- a/state/src/main/java/org/whinhead/state/checkpoint/package-info.java
+++ b/state/src/main/java/org/whinhead/state/checkpoint/package-info.java
@@ -1,2 +1,2 @@
-/** Checkpoints of the fold, written before the log's retention takes the records away. */
+/** Checkpoints of the shared state, written before the log's retention removes the records. */
 package org.whinhead.state.checkpoint;
--- a/state/src/main/java/org/whinhead/state/claim/ClaimCoordinator.java
+++ b/state/src/main/java/org/whinhead/state/claim/ClaimCoordinator.java
@@ -18,16 +18,17 @@
 import org.whinhead.state.record.RecordSink;
 
 /**
- * Gets claims decided through one claim stream; single-threaded, without input, output or clock.
+ * Claims requests through one claim stream, so that a non-idempotent request runs at most once.
+ * Single-threaded, without I/O or a clock of its own.
  *
- * <p>A grant comes only from reading the claim back from the stream: every claim that lies before
- * it was read by then, and whether the append's answer was lost does not matter.
+ * <p>A claim is granted only when it is read back from the stream: by then every earlier claim was
+ * read, and a lost response to the append does not matter.
  *
- * <p>Guards against a claim of unknown fate at its deadline. The attempt is told that it is not
- * granted and is forgotten, so it is never dispatched, even if its record lands later. Such a
- * record would block the key for later tries, which never ran: a withdrawal follows it through the
- * same writer. It frees the key if the claim stands before it; if the claim lands after it, the
- * claim's sequence is below the withdrawal's and it is dropped.
+ * <p>The outcome of a claim may still be unknown at its deadline. The attempt is then reported as
+ * not granted and is never dispatched, even if its record is appended later. Such a record would
+ * block the key for retries although the attempt never ran, so the same writer appends a
+ * withdrawal. It frees the key if the claim precedes it in the stream; a claim that is appended
+ * after it has a lower sequence and is dropped.
  */
 public final class ClaimCoordinator {
 
@@ -40,30 +41,31 @@
     private final Set<Long> mWithdrawnAttempts = new LinkedHashSet<>();
 
     /**
-     * Makes a desk.
+     * Creates a coordinator.
      *
-     * @param table the stream's table, which only this desk applies records to
-     * @param sink takes records for the stream
-     * @param terms the bounds
-     * @param actions told the decisions
+     * @param table the stream's claim table; only this coordinator applies records to it
+     * @param sink the writer of the stream
+     * @param limits the time and size limits
+     * @param listener the receiver of the decisions
      */
     public ClaimCoordinator(
             final ClaimTable table,
             final RecordSink sink,
-            final ClaimLimits terms,
-            final ClaimDecisionListener actions) {
+            final ClaimLimits limits,
+            final ClaimDecisionListener listener) {
         mTable = Objects.requireNonNull(table, "table");
         mSink = Objects.requireNonNull(sink, "sink");
-        mLimits = Objects.requireNonNull(terms, "terms");
-        mListener = Objects.requireNonNull(actions, "actions");
+        mLimits = Objects.requireNonNull(limits, "limits");
+        mListener = Objects.requireNonNull(listener, "listener");
     }
 
     /**
-     * Asks for a claim; exactly one decision follows.
+     * Claims a key for an attempt. The listener receives exactly one decision, possibly within this
+     * call.
      *
      * @param key the request's key
-     * @param attempt the attempt, never used before
-     * @param deadline when the attempt must have its decision
+     * @param attempt the hash that identifies the attempt; never used before
+     * @param deadline the time at which an undecided claim ends as unavailable
      * @param now the time
      */
     public void claim(
@@ -92,8 +94,8 @@
      */
     public void withdraw(final ClaimKey key, final long attempt, final Instant now) {
         mOutgoing.add(new Outgoing(ClaimEntry.Action.WITHDRAW, key, attempt, now));
-        // A new try of the key at this desk goes out behind the withdrawal and need not be turned
-        // away because the withdrawal was not read back yet.
+        // This coordinator sends a retry of the key after the withdrawal, so it accepts the retry
+        // before the withdrawal is read back.
         mWithdrawnAttempts.add(attempt);
         if (mWithdrawnAttempts.size() > mLimits.maxPending()) {
             mWithdrawnAttempts.remove(mWithdrawnAttempts.iterator().next());
@@ -101,7 +103,7 @@
     }
 
     /**
-     * Takes in the next record of the stream.
+     * Applies the next record of the stream and reports the claims that it decides.
      *
      * @param entry the record
      * @param now the time
@@ -112,8 +114,8 @@
 
     private void resolve(final long attempt, final long holder, final Instant now) {
         final Pending pending = mPending.get(attempt);
-        // Guards against a daemon that was paused past the deadline: the caller was told, or is
-        // about to be told, that the attempt did not run.
+        // A daemon may be paused past the deadline. The caller was or will be informed that the
+        // attempt did not run, so the claim must not be granted.
         if (pending == null || !now.isBefore(pending.deadline())) {
             return;
         }
@@ -124,7 +126,7 @@
     }
 
     /**
-     * Time passed: ends claims whose deadline is over and sends what waits.
+     * Ends claims whose deadline has passed and sends the queued entries if a batch is due.
      *
      * @param now the time
      */
@@ -136,22 +138,22 @@
     }
 
     private void expire(final Instant now) {
-        boolean unsent = false;
-        final Iterator<Map.Entry<Long, Pending>> all = mPending.entrySet().iterator();
-        while (all.hasNext()) {
-            final Map.Entry<Long, Pending> next = all.next();
+        boolean hasUnsent = false;
+        final Iterator<Map.Entry<Long, Pending>> iterator = mPending.entrySet().iterator();
+        while (iterator.hasNext()) {
+            final Map.Entry<Long, Pending> next = iterator.next();
             final Pending pending = next.getValue();
             if (now.isBefore(pending.deadline())) {
                 continue;
             }
-            all.remove();
-            unsent |= !pending.sent();
+            iterator.remove();
+            hasUnsent |= !pending.sent();
             if (pending.sent()) {
                 withdraw(pending.key(), next.getKey(), now);
             }
             mListener.onDecision(pending.key(), next.getKey(), ClaimResult.UNAVAILABLE, now);
         }
-        if (unsent) {
+        if (hasUnsent) {
             mOutgoing.removeIf(this::isExpiredClaim);
         }
     }
@@ -178,10 +180,11 @@
             entries.add(next.toEntry());
         }
         mSink.offer(id -> new LogRecord.ClaimBatch(id, entries), now)
-                .orElseThrow(() -> new IllegalStateException("an idle sink refused"));
+                .orElseThrow(
+                        () -> new IllegalStateException("an idle sink rejected a claim batch"));
     }
 
-    /** Returns how many claims wait for their decision. */
+    /** Returns the number of claims without a decision. */
     public int pendingCount() {
         return mPending.size();
     }
--- a/state/src/main/java/org/whinhead/state/claim/ClaimDecisionListener.java
+++ b/state/src/main/java/org/whinhead/state/claim/ClaimDecisionListener.java
@@ -2,17 +2,18 @@
 
 import java.time.Instant;
 
-/** Told the decisions of a claim desk, each attempt exactly once. */
+/** Receives the decisions of a claim coordinator, exactly one for each attempt. */
 @FunctionalInterface
 public interface ClaimDecisionListener {
 
     /**
-     * A claim was decided.
+     * Handles the decision on a claim.
      *
-     * @param key the key
-     * @param attempt the attempt
+     * @param key the claim key of the request
+     * @param attempt the hash that identifies the attempt
      * @param result the decision
-     * @param dispatchBy until when a granted attempt may be dispatched
+     * @param dispatchBy the time until which a granted attempt may be dispatched; only meaningful
+     *     for a grant
      */
     void onDecision(ClaimKey key, long attempt, ClaimResult result, Instant dispatchBy);
 }
--- a/state/src/main/java/org/whinhead/state/claim/ClaimGeneration.java
+++ b/state/src/main/java/org/whinhead/state/claim/ClaimGeneration.java
@@ -1,10 +1,11 @@
 package org.whinhead.state.claim;
 
 /**
- * The claims of one span of the log's time, in one primitive array with open addressing.
+ * The claims of one interval of log time, in a hash table with open addressing and linear probing
+ * over one primitive array.
  *
- * <p>A slot is the key's two halves and the attempt that holds it; attempt 0 marks an empty slot. A
- * withdrawn claim keeps its slot, so that searches still pass over it.
+ * <p>A slot consists of the two halves of the key and the attempt that holds the key; attempt 0
+ * marks an empty slot. A withdrawn claim keeps its slot, so that probing continues past it.
  */
 final class ClaimGeneration {
 
@@ -18,8 +19,8 @@
     private long[] mSlots = new long[INITIAL_SLOTS * LONGS_PER_SLOT];
     private int mUsedSlots;
 
-    ClaimGeneration(final long span) {
-        mIndex = span;
+    ClaimGeneration(final long index) {
+        mIndex = index;
     }
 
     long index() {
@@ -34,18 +35,18 @@
         return (long) mSlots.length * Long.BYTES;
     }
 
-    /** Returns the index of the key's slot, or -1. */
+    /** Returns the array index of the key's slot, or -1 if the key has no slot. */
     int findSlot(final ClaimKey key) {
-        final int at = findSlotOrEmpty(mSlots, key.high(), key.low());
-        return mSlots[at + 2] == EMPTY ? -1 : at;
+        final int slot = findSlotOrEmpty(mSlots, key.high(), key.low());
+        return mSlots[slot + 2] == EMPTY ? -1 : slot;
     }
 
-    long attemptAt(final int at) {
-        return mSlots[at + 2];
+    long attemptAt(final int slot) {
+        return mSlots[slot + 2];
     }
 
-    void setAttemptAt(final int at, final long attempt) {
-        mSlots[at + 2] = attempt;
+    void setAttemptAt(final int slot, final long attempt) {
+        mSlots[slot + 2] = attempt;
     }
 
     void add(final ClaimKey key, final long attempt) {
@@ -58,9 +59,9 @@
 
     private void grow() {
         final long[] larger = new long[(int) (capacity(mSlots) * GROWTH_FACTOR) * LONGS_PER_SLOT];
-        for (int at = 0; at < mSlots.length; at += LONGS_PER_SLOT) {
-            if (mSlots[at + 2] != EMPTY) {
-                insert(larger, mSlots[at], mSlots[at + 1], mSlots[at + 2]);
+        for (int slot = 0; slot < mSlots.length; slot += LONGS_PER_SLOT) {
+            if (mSlots[slot + 2] != EMPTY) {
+                insert(larger, mSlots[slot], mSlots[slot + 1], mSlots[slot + 2]);
             }
         }
         mSlots = larger;
@@ -68,10 +69,10 @@
 
     private static void insert(
             final long[] slots, final long high, final long low, final long attempt) {
-        final int at = findSlotOrEmpty(slots, high, low);
-        slots[at] = high;
-        slots[at + 1] = low;
-        slots[at + 2] = attempt;
+        final int slot = findSlotOrEmpty(slots, high, low);
+        slots[slot] = high;
+        slots[slot + 1] = low;
+        slots[slot + 2] = attempt;
     }
 
     private static int findSlotOrEmpty(final long[] slots, final long high, final long low) {
--- a/state/src/main/java/org/whinhead/state/claim/ClaimKey.java
+++ b/state/src/main/java/org/whinhead/state/claim/ClaimKey.java
@@ -9,22 +9,22 @@
 import org.whinhead.api.model.DaemonId;
 
 /**
- * The hash that stands for one non-idempotent request.
+ * The 128-bit hash that identifies a non-idempotent request.
  *
- * @param high the upper half
- * @param low the lower half
+ * @param high the upper 64 bits
+ * @param low the lower 64 bits
  */
 public record ClaimKey(long high, long low) {
 
-    // The table marks empty and withdrawn slots with these.
+    // The claim table marks empty and withdrawn slots with these values, which no attempt has.
     static final long NO_ATTEMPT = 0;
     static final long WITHDRAWN = -1;
 
     /**
-     * Hashes a request's key.
+     * Returns the hash of a request's idempotency key.
      *
-     * @param customer who asks; two customers may use the same key
-     * @param idempotencyKey the key that the caller repeats with each try
+     * @param customer the customer; two customers may use the same idempotency key
+     * @param idempotencyKey the key that the caller sends with each retry; not blank
      * @return the hash
      */
     public static ClaimKey of(final CustomerId customer, final String idempotencyKey) {
@@ -34,10 +34,10 @@
     }
 
     /**
-     * Hashes an attempt's name.
+     * Returns the hash that identifies an attempt.
      *
-     * @param dispatcher the daemon that will dispatch the attempt if it is granted
-     * @param number the attempt's number, which that daemon never uses again
+     * @param dispatcher the daemon that dispatches the attempt if it is granted
+     * @param number the attempt's number, unique within that daemon
      * @return the hash
      */
     public static long attemptHash(final DaemonId dispatcher, final long number) {
@@ -46,10 +46,10 @@
     }
 
     /**
-     * Returns the partition that the key belongs to.
+     * Returns the partition of the key.
      *
-     * @param partitions how many partitions the deployment has; it never changes
-     * @return the index, from 0
+     * @param partitions the number of partitions of the deployment, which never changes
+     * @return the index, from 0 to {@code partitions - 1}
      */
     public int partition(final int partitions) {
         return (int) Long.remainderUnsigned(high, partitions);
--- a/state/src/main/java/org/whinhead/state/claim/ClaimLimits.java
+++ b/state/src/main/java/org/whinhead/state/claim/ClaimLimits.java
@@ -4,19 +4,20 @@
 import org.whinhead.api.Arguments;
 
 /**
- * The bounds of a claim desk.
+ * The time and size limits of a claim coordinator.
  *
- * @param grantValidity how long after its request a granted attempt may be dispatched; well below
- *     the window
- * @param linger how long a claim waits for others to share its append
- * @param maxBatchEntries the most claims in one record
- * @param maxPending the most claims and withdrawals that wait
- * @param maxKeys the most keys that the table may remember before claims are refused
+ * @param grantValidity the time after the claim's request during which a granted attempt may be
+ *     dispatched; well below the window
+ * @param linger the longest time that an entry waits for a full batch
+ * @param maxBatchEntries the highest number of claims and withdrawals in a record
+ * @param maxPending the number of undecided claims, and of queued entries, from which claims are
+ *     refused
+ * @param maxKeys the number of keys in the table from which claims are refused
  */
 public record ClaimLimits(
         Duration grantValidity, Duration linger, int maxBatchEntries, int maxPending, int maxKeys) {
 
-    /** Checks every bound. */
+    /** Checks every limit. */
     public ClaimLimits {
         Arguments.requirePositive(grantValidity, "grantValidity");
         Arguments.requirePositive(linger, "linger");
--- a/state/src/main/java/org/whinhead/state/claim/ClaimTable.java
+++ b/state/src/main/java/org/whinhead/state/claim/ClaimTable.java
@@ -13,12 +13,12 @@
 import org.whinhead.state.record.LogRecord;
 
 /**
- * Who holds which key, from the records of one claim stream; the same on every daemon that read the
- * stream from an offset at least one window back.
+ * The holder of each claimed key, from the records of one claim stream. All daemons that read the
+ * stream from an offset at least one window back have the same table.
  *
  * <p>The first claim in log order holds the key for at least the window and at most one generation
- * more, by the log's clock; a later claim of the same key is then taken as a new request. A
- * withdrawal by the holding attempt frees the key.
+ * more, by the log's clock; after that, a claim of the same key is a new request. A withdrawal by
+ * the holding attempt frees the key.
  */
 public final class ClaimTable {
 
@@ -30,24 +30,25 @@
     private RecordDeduplicator mDeduplicator;
 
     /**
-     * Makes an empty table.
+     * Creates an empty table.
      *
-     * @param window how long a key is held; less than the stream's retention
-     * @param incarnations how many writers are remembered; the same on every daemon
+     * @param window the time for which a key is held; less than the stream's retention
+     * @param maxIncarnations the highest number of writers remembered, at least 1; the same on
+     *     every daemon
      */
-    public ClaimTable(final Duration window, final int incarnations) {
+    public ClaimTable(final Duration window, final int maxIncarnations) {
         Arguments.requirePositive(window, "window");
         mGenerationMillis =
                 Math.max(
                         1,
                         (window.toMillis() + GENERATIONS_PER_WINDOW - 1) / GENERATIONS_PER_WINDOW);
-        mMaxIncarnations = incarnations;
-        mDeduplicator = new RecordDeduplicator(incarnations);
+        mMaxIncarnations = maxIncarnations;
+        mDeduplicator = new RecordDeduplicator(maxIncarnations);
     }
 
     /**
-     * Forgets everything, because the stream's records expired before they were read; the stream
-     * must then be read again from its oldest record.
+     * Removes all claims after records of the stream expired before they were read. The caller then
+     * reads the stream from its oldest record.
      */
     public void reset() {
         mGenerations.clear();
@@ -55,10 +56,10 @@
     }
 
     /**
-     * Applies a record of the stream; records come in offset order.
+     * Applies a record of the stream. The caller passes records in offset order.
      *
      * @param entry the record
-     * @param listener told the holder after each claim of the record
+     * @param listener the receiver of the holder after each claim of the record
      */
     public void apply(final LogEntry entry, final ClaimListener listener) {
         Objects.requireNonNull(listener, "listener");
@@ -77,11 +78,11 @@
         }
     }
 
-    private void rotateGenerations(final Instant at) {
-        final long span = Math.floorDiv(at.toEpochMilli(), mGenerationMillis);
-        if (mGenerations.isEmpty() || span > mGenerations.getLast().index()) {
-            mGenerations.add(new ClaimGeneration(span));
-            while (mGenerations.getFirst().index() < span - GENERATIONS_PER_WINDOW) {
+    private void rotateGenerations(final Instant logTime) {
+        final long index = Math.floorDiv(logTime.toEpochMilli(), mGenerationMillis);
+        if (mGenerations.isEmpty() || index > mGenerations.getLast().index()) {
+            mGenerations.add(new ClaimGeneration(index));
+            while (mGenerations.getFirst().index() < index - GENERATIONS_PER_WINDOW) {
                 mGenerations.removeFirst();
             }
         }
@@ -93,9 +94,9 @@
             return holder.getAsLong();
         }
         final ClaimGeneration current = mGenerations.getLast();
-        final int at = current.findSlot(key);
-        if (at >= 0) {
-            current.setAttemptAt(at, attempt);
+        final int slot = current.findSlot(key);
+        if (slot >= 0) {
+            current.setAttemptAt(slot, attempt);
         } else {
             current.add(key, attempt);
         }
@@ -104,52 +105,53 @@
 
     private void withdraw(final ClaimKey key, final long attempt) {
         for (final ClaimGeneration generation : mGenerations) {
-            final int at = generation.findSlot(key);
-            if (at >= 0 && generation.attemptAt(at) == attempt) {
-                generation.setAttemptAt(at, ClaimKey.WITHDRAWN);
+            final int slot = generation.findSlot(key);
+            if (slot >= 0 && generation.attemptAt(slot) == attempt) {
+                generation.setAttemptAt(slot, ClaimKey.WITHDRAWN);
             }
         }
     }
 
     /**
-     * Returns the attempt that holds a key, for a look before a claim is written.
+     * Returns the attempt that holds a key, for a check before a claim is written.
      *
      * @param key the key
-     * @param now the daemon's time; that a key's window is over is left to the log to decide
-     * @return the attempt, or empty if the key is free or may be by now
+     * @param now the daemon's time, an estimate of the log's time, which alone decides when a key's
+     *     window ends
+     * @return the attempt, or empty if the key is free or its window may have ended
      */
     public OptionalLong holder(final ClaimKey key, final Instant now) {
         return holder(key, Math.floorDiv(now.toEpochMilli(), mGenerationMillis));
     }
 
-    private OptionalLong holder(final ClaimKey key, final long span) {
+    private OptionalLong holder(final ClaimKey key, final long index) {
         for (final ClaimGeneration generation : mGenerations) {
-            final int at = generation.findSlot(key);
-            if (at >= 0
-                    && generation.index() >= span - GENERATIONS_PER_WINDOW
-                    && generation.attemptAt(at) != ClaimKey.WITHDRAWN) {
-                return OptionalLong.of(generation.attemptAt(at));
+            final int slot = generation.findSlot(key);
+            if (slot >= 0
+                    && generation.index() >= index - GENERATIONS_PER_WINDOW
+                    && generation.attemptAt(slot) != ClaimKey.WITHDRAWN) {
+                return OptionalLong.of(generation.attemptAt(slot));
             }
         }
         return OptionalLong.empty();
     }
 
-    /** Returns how many keys are remembered, withdrawn ones among them. */
+    /** Returns the number of keys in the table, including withdrawn ones. */
     public int size() {
         return mGenerations.stream().mapToInt(ClaimGeneration::size).sum();
     }
 
-    /** Returns the bytes of the arrays that the keys stand in. */
+    /** Returns the size in bytes of the arrays that hold the keys. */
     public long memoryBytes() {
         return mGenerations.stream().mapToLong(ClaimGeneration::memoryBytes).sum();
     }
 
-    /** Told how claims were decided. */
+    /** Receives the holder of the key after each claim. */
     @FunctionalInterface
     public interface ClaimListener {
 
         /**
-         * A claim was read from the stream.
+         * Handles a claim that was read from the stream.
          *
          * @param key the key
          * @param attempt the attempt that claimed it
--- a/state/src/main/java/org/whinhead/state/fold/DutyNotes.java
+++ b/state/src/main/java/org/whinhead/state/fold/DutyNotes.java
@@ -5,7 +5,7 @@
 import java.util.Map;
 import org.whinhead.state.record.LogRecord;
 
-/** The notes that holders of duties leave to their successors, in log order. */
+/** The notes that the holders of duties record for their successors, in log order. */
 final class DutyNotes {
 
     private static final int MAX_NOTES_PER_DUTY = 4_096;
--- a/state/src/main/java/org/whinhead/state/fold/FoldState.java
+++ b/state/src/main/java/org/whinhead/state/fold/FoldState.java
@@ -12,17 +12,18 @@
 import org.whinhead.state.settings.SettingsState;
 
 /**
- * The fold of all records below an offset; immutable, and the same on every daemon.
+ * An immutable snapshot of the shared state after all records below an offset; the same on every
+ * daemon.
  *
- * @param asOf the first offset that is not in it
- * @param newest the newest record of each incarnation
+ * @param asOf the first offset that is not applied
+ * @param newest the newest record of each daemon incarnation
  * @param settings the settings
  * @param leases the leases by duty
  * @param notes the notes of each duty's holders by name, in log order
- * @param leaving when each leaving VM will be gone, by its id
- * @param grants the grants that have not ended, oldest first
- * @param unknown records of kinds that the folding version did not know, oldest first
- * @param unknownLost whether there were more of them than are kept
+ * @param leaving the time by which each leaving VM is gone, by VM id
+ * @param grants the unexpired budget grants, oldest first
+ * @param unknown the records of kinds that the program version did not know, oldest first
+ * @param unknownLost whether a record of an unknown kind was dropped or could not be decoded
  */
 public record FoldState(
         long asOf,
@@ -63,9 +64,9 @@
     /**
      * A record of an unknown kind, kept for a version that knows it.
      *
-     * @param offset its offset
-     * @param at when the log took it
-     * @param encoded its bytes on the log, in base64
+     * @param offset the record's offset
+     * @param at the time at which the log accepted the record
+     * @param encoded the record's bytes on the log, in base64
      */
     public record KeptRecord(long offset, Instant at, String encoded) {
 
--- a/state/src/main/java/org/whinhead/state/fold/FoldView.java
+++ b/state/src/main/java/org/whinhead/state/fold/FoldView.java
@@ -3,13 +3,14 @@
 import java.util.Objects;
 
 /**
- * What a daemon knows of the shared state, and how it came to know it.
+ * A daemon's view of the shared state and the source of that state.
  *
- * @param state the state
- * @param source where it came from
- * @param caughtUp whether the head of the log was reached since the start; until then a daemon
- *     whose log answers must not serve by the settings, as newer ones may be on their way
- * @param blocked whether the fold stopped before rules that this version does not know
+ * @param state the shared state
+ * @param source the source of the state
+ * @param caughtUp whether the head of the log was reached since the start; until then a daemon that
+ *     can reach the log must not serve with these settings, as newer ones may follow
+ * @param blocked whether the fold stopped at a rules version that this program version does not
+ *     support
  */
 public record FoldView(FoldState state, Source source, boolean caughtUp, boolean blocked) {
 
@@ -19,13 +20,13 @@
         Objects.requireNonNull(source, "source");
     }
 
-    /** Where a daemon's state came from. */
+    /** The source of a daemon's state. */
     public enum Source {
-        /** Nothing was read yet. */
+        /** No record or state was read yet. */
         NONE,
-        /** From a peer; the log was not reached since. */
+        /** The state comes from a peer and was not confirmed by the log since. */
         PEER,
-        /** From the log's records or a checkpoint on it. */
+        /** The state comes from the log's records or from a checkpoint. */
         LOG
     }
 }
--- a/state/src/main/java/org/whinhead/state/fold/LogFold.java
+++ b/state/src/main/java/org/whinhead/state/fold/LogFold.java
@@ -17,11 +17,11 @@
 import org.whinhead.state.settings.SettingsLedger;
 
 /**
- * Folds the records of the fleet stream into the shared state, each exactly once and in offset
- * order; single-threaded, without input, output or clock.
+ * Applies the records of the fleet stream to the shared state, each exactly once and in offset
+ * order. Single-threaded, without I/O or a clock of its own.
  *
- * <p>The state depends on the records alone. So a state as of a higher offset, from a checkpoint or
- * a peer, is the one that this fold would reach itself, and taking it never undoes anything.
+ * <p>The state depends on the records alone. A state with a higher offset, from a checkpoint or a
+ * peer, is therefore the state that this fold would reach, and installing it reverts nothing.
  */
 public final class LogFold {
 
@@ -44,17 +44,18 @@
     private FoldView mView;
 
     /**
-     * Makes an empty fold.
+     * Creates an empty fold.
      *
-     * @param settings the empty ledger that decides changes of settings
-     * @param incarnations how many incarnations are remembered; the same on every daemon
+     * @param settings the empty settings ledger
+     * @param maxIncarnations the highest number of daemon incarnations remembered, at least 1; the
+     *     same on every daemon
      */
-    public LogFold(final SettingsLedger settings, final int incarnations) {
+    public LogFold(final SettingsLedger settings, final int maxIncarnations) {
         mSettings = Objects.requireNonNull(settings, "settings");
-        mDeduplicator = new RecordDeduplicator(incarnations);
+        mDeduplicator = new RecordDeduplicator(maxIncarnations);
     }
 
-    /** Returns the first offset that was not applied. */
+    /** Returns the first offset that is not applied. */
     public long nextOffset() {
         return mNextOffset;
     }
@@ -63,14 +64,14 @@
      * Applies the next record of the stream.
      *
      * @param entry the record
-     * @return what was done with it
+     * @return the result
      */
     public ApplyResult apply(final LogEntry entry) {
         if (entry.offset() < mNextOffset) {
             return ApplyResult.ALREADY;
         }
-        // Guards against a lost read answer or a state that was installed in between: a fold with
-        // a hole would differ from all others, so it asks for the missing records instead.
+        // After a lost read response or an installed state, records may be missing. A fold with a
+        // gap would differ from all others, so the caller must read the missing records first.
         if (entry.offset() > mNextOffset) {
             return ApplyResult.GAP;
         }
@@ -90,8 +91,8 @@
         return ApplyResult.NEW;
     }
 
-    // Guards against two versions of the program that disagree on a document's validity: a daemon
-    // that does not know the rules in force stops here and says so, rather than decide otherwise.
+    // Two program versions could disagree on the validity of a document. A daemon that does not
+    // support the rules in force stops and reports it.
     private boolean requiresUnknownRules(final LogRecord record) {
         return record instanceof LogRecord.RulesActivated rules
                 && !mSettings.supports(rules.version());
@@ -144,9 +145,9 @@
     }
 
     /**
-     * The log answered that nothing lies beyond the position.
+     * Marks the fold as caught up after the log returned no record at or beyond the next offset.
      *
-     * <p>A state that came from a peer counts as read from the log from here on.
+     * <p>A state from a peer counts as read from the log from then on.
      */
     public void markCaughtUp() {
         mSource = FoldView.Source.LOG;
@@ -155,18 +156,19 @@
     }
 
     /**
-     * Goes on from a state as of a higher offset; an older one changes nothing.
+     * Replaces the state with one of a higher offset; an older state is ignored.
      *
-     * <p>Guards against a checkpoint that is published late and a peer that lags: taking their
-     * state would put settings back that were replaced long ago.
+     * <p>A checkpoint may be published late and a peer may lag. Installing their state would
+     * restore settings that were replaced.
      *
-     * @param state the state
-     * @param source where it came from
-     * @return whether it was taken
+     * @param state the state to install
+     * @param source the source of the state
+     * @return whether the state was installed; false also if this version does not support its
+     *     rules, which blocks the fold
      */
     public boolean installSnapshot(final FoldState state, final FoldView.Source source) {
-        final boolean first = mSource == FoldView.Source.NONE;
-        if (state.asOf() < mNextOffset || state.asOf() == mNextOffset && !first) {
+        final boolean isEmpty = mSource == FoldView.Source.NONE;
+        if (state.asOf() < mNextOffset || state.asOf() == mNextOffset && !isEmpty) {
             return false;
         }
         if (!mSettings.supports(state.settings().rules())) {
@@ -192,9 +194,9 @@
         return true;
     }
 
-    // A checkpoint by an older version holds the records that it could not fold. Kinds that were
-    // added later must not depend on the order towards other kinds, so folding them now is the
-    // same.
+    // A checkpoint by an older version holds the records that it did not know. Kinds that are added
+    // later must not depend on their order relative to other kinds, so applying them now gives the
+    // same state.
     private void applyKeptRecord(final FoldState.KeptRecord kept) {
         try {
             final LogRecord record = mCodec.decode(Base64.getDecoder().decode(kept.encoded()));
@@ -204,7 +206,7 @@
         }
     }
 
-    /** Returns the shared state as of the last applied record. */
+    /** Returns the view of the shared state after the last applied record. */
     public FoldView view() {
         if (mView == null) {
             mView = new FoldView(buildState(), mSource, mCaughtUp, mBlocked);
@@ -225,17 +227,17 @@
                 mUnknownLost);
     }
 
-    /** What was done with a record. */
+    /** The result of applying a record. */
     public enum ApplyResult {
-        /** It was folded. */
+        /** The record was applied. */
         NEW,
-        /** It was a second copy of a record and changed nothing. */
+        /** The record was a second copy and changed nothing. */
         SECOND_COPY,
-        /** Its offset was passed before. */
+        /** The record's offset is below the next offset. */
         ALREADY,
-        /** Records before it are missing; read again from the position. */
+        /** Earlier records are missing; the caller must read from the next offset. */
         GAP,
-        /** This version of the program does not know the rules in force. */
+        /** This program version does not support the rules in force. */
         BLOCKED
     }
 }
--- a/state/src/main/java/org/whinhead/state/fold/RecordDeduplicator.java
+++ b/state/src/main/java/org/whinhead/state/fold/RecordDeduplicator.java
@@ -9,40 +9,41 @@
 import org.whinhead.state.record.RecordId;
 
 /**
- * Drops second copies of records with bounded memory: the highest sequence of each incarnation.
+ * Detects second copies of records with bounded memory: the highest sequence of each daemon
+ * incarnation.
  *
- * <p>Guards against an append that takes effect twice, because its answer was lost and it was sent
- * again. A writer has one append in flight and sends a batch again before it sends a later one, so
- * first copies stand in the log by rising sequence, and a copy that turns up later is at or below
- * the highest. The rule for gaps: a gap is taken as records that the writer gave up, and a record
- * below the highest never takes effect, even if it was not seen before. So a writer makes sure that
- * a record of unknown fate can no longer take effect by getting a later one into the log.
+ * <p>An append whose response was lost and that was sent again may be written twice. A writer has
+ * one append in flight and repeats a batch before it sends a later one, so the first copies are in
+ * the log in ascending sequence and a later copy is at or below the highest. A gap means records
+ * that the writer abandoned: a record below the highest never takes effect, even if it is new. A
+ * writer thus cancels a record of unknown outcome by appending a later one.
  *
- * <p>Incarnations are forgotten in the order of their newest records; a copy would have to be
- * delayed past the records of as many other incarnations as are kept.
+ * <p>The incarnation with the oldest newest record is evicted first; a copy is accepted twice only
+ * if it is delayed past the records of as many other incarnations as are kept.
  */
 public final class RecordDeduplicator {
 
-    /** Many times the incarnations that write while an append can be under way. */
+    /** Many times the number of incarnations that write while an append can be in flight. */
     public static final int DEFAULT_MAX_INCARNATIONS = 4_096;
 
     private final int mMaxIncarnations;
     private final LinkedHashMap<DaemonId, Long> mHighestSequences = new LinkedHashMap<>();
 
     /**
-     * Makes an empty ledger.
+     * Creates an empty deduplicator.
      *
-     * @param incarnations how many incarnations are remembered; the same on every daemon
+     * @param maxIncarnations the highest number of incarnations remembered, at least 1; the same on
+     *     every daemon
      */
-    public RecordDeduplicator(final int incarnations) {
-        mMaxIncarnations = (int) Arguments.requireAtLeast(incarnations, 1, "incarnations");
+    public RecordDeduplicator(final int maxIncarnations) {
+        mMaxIncarnations = (int) Arguments.requireAtLeast(maxIncarnations, 1, "maxIncarnations");
     }
 
     /**
-     * Tells whether a record is new, and remembers it.
+     * Returns whether a record is new and stores its sequence if so.
      *
      * @param id the record's identity
-     * @return false if it must be dropped
+     * @return false if the record must be dropped
      */
     public boolean admit(final RecordId id) {
         final long highest = mHighestSequences.getOrDefault(id.incarnation(), 0L);
@@ -57,7 +58,7 @@
         return true;
     }
 
-    /** Returns the newest identity of each incarnation, the longest silent first. */
+    /** Returns the newest record identity of each incarnation, oldest first. */
     public List<RecordId> snapshot() {
         final List<RecordId> newest = new ArrayList<>();
         mHighestSequences.forEach(
@@ -66,9 +67,9 @@
     }
 
     /**
-     * Replaces the ledger's content.
+     * Replaces the stored sequences.
      *
-     * @param newest what {@link #snapshot} gave
+     * @param newest the result of {@link #snapshot}
      */
     public void restore(final List<RecordId> newest) {
         Objects.requireNonNull(newest, "newest");
--- a/state/src/main/java/org/whinhead/state/fold/package-info.java
+++ b/state/src/main/java/org/whinhead/state/fold/package-info.java
@@ -1,2 +1,5 @@
-/** The fold of the log's records: each applied once, in offset order, the same on every daemon. */
+/**
+ * The shared state as a fold over the log's records: each record is applied once, in offset order,
+ * with the same result on every daemon.
+ */
 package org.whinhead.state.fold;
--- a/state/src/main/java/org/whinhead/state/lease/LeaseElector.java
+++ b/state/src/main/java/org/whinhead/state/lease/LeaseElector.java
@@ -10,13 +10,14 @@
 import org.whinhead.state.record.RecordSink;
 
 /**
- * Claims and keeps one duty for one daemon; single-threaded, without input, output or clock.
+ * Claims and renews the lease of one duty for one daemon. Single-threaded, without I/O or a clock
+ * of its own.
  *
- * <p>There is no shared clock, and none is needed. The holder counts from the moment before it sent
- * the record, a claimant from the moment after it read it; the append lies between the two, so the
- * holder's end comes first as long as the clocks' rates differ by less than the margin over one
- * duration. A claimant that lags, was paused or started from a checkpoint reads later, hence waits
- * longer.
+ * <p>No shared clock is needed. The holder counts the duration from before it sent the lease
+ * record, a claimant from after it read the record. The append lies between the two, so the
+ * holder's lease ends first as long as the clocks drift apart by less than the margin over one
+ * duration. A claimant that lags, was paused or started from a checkpoint reads the record later
+ * and therefore waits longer.
  */
 public final class LeaseElector {
 
@@ -34,42 +35,42 @@
     private boolean mReleasing;
 
     /**
-     * Makes a keeper that holds nothing.
+     * Creates an elector that holds no lease.
      *
      * @param duty the duty
-     * @param self the daemon
-     * @param terms the times of the lease
-     * @param sink takes the lease records
-     * @param random the source of the claimant's random wait
+     * @param self this daemon
+     * @param timing the durations of the lease
+     * @param sink the writer of the lease records
+     * @param random the source of the random delay before a claim
      */
     public LeaseElector(
             final String duty,
             final DaemonId self,
-            final LeaseTiming terms,
+            final LeaseTiming timing,
             final RecordSink sink,
             final RandomGenerator random) {
         mDuty = Objects.requireNonNull(duty, "duty");
         mSelf = Objects.requireNonNull(self, "self");
-        mTiming = Objects.requireNonNull(terms, "terms");
+        mTiming = Objects.requireNonNull(timing, "timing");
         mSink = Objects.requireNonNull(sink, "sink");
         mRandom = Objects.requireNonNull(random, "random");
     }
 
     /**
-     * Takes in the duty's lease after records were folded; asked with the time after the read.
+     * Handles the duty's lease after records were applied.
      *
-     * @param lease the lease in the fold
+     * @param lease the duty's lease in the shared state, or empty if it was never claimed
      * @param now the time
      */
     public void onLeaseRead(final Optional<LeaseState> lease, final Instant now) {
         if (newestOffset(lease) == newestOffset(mLease)) {
             return;
         }
-        final boolean tookOver = mFencing == LogRecord.NONE;
+        final boolean isNewHolder = mFencing == LogRecord.NONE;
         mLease = lease;
         final Optional<LeaseState> mine = lease.filter(this::isHeldBySelf);
         if (mine.isPresent() && !mReleasing) {
-            extend(mine.get(), tookOver);
+            extend(mine.get(), isNewHolder);
         } else {
             mFencing = LogRecord.NONE;
             mActUntil = Instant.MIN;
@@ -79,10 +80,11 @@
         mClaimNotBefore = earliestClaim(lease, now);
     }
 
-    private void extend(final LeaseState lease, final boolean tookOver) {
-        // Only a record that this keeper sent can make it the holder, so the time is there.
+    private void extend(final LeaseState lease, final boolean isNewHolder) {
+        // Only a record that this elector sent can make it the holder, so the time of sending is
+        // present.
         final Instant sentAt = mInFlightSince.orElse(mActUntil);
-        if (tookOver || lease.fencing() == mFencing) {
+        if (isNewHolder || lease.fencing() == mFencing) {
             mFencing = lease.fencing();
             mActUntil = sentAt.plus(lease.duration()).minus(mTiming.margin());
             mRenewNotBefore = sentAt.plus(mTiming.renewInterval());
@@ -94,14 +96,15 @@
     }
 
     private Instant earliestClaim(final Optional<LeaseState> lease, final Instant now) {
-        final Instant wait =
+        final Instant jittered =
                 now.plusMillis(mRandom.nextLong(mTiming.maxClaimJitter().toMillis() + 1));
-        final boolean over = lease.isEmpty() || lease.get().released();
-        return over ? wait : wait.plus(lease.get().duration()).plus(mTiming.margin());
+        final boolean isFree = lease.isEmpty() || lease.get().released();
+        return isFree ? jittered : jittered.plus(lease.get().duration()).plus(mTiming.margin());
     }
 
     /**
-     * Time passed: claims a free duty, renews a held one.
+     * Claims the duty if its lease has ended, or renews a held lease when that is due. Does nothing
+     * while a lease record is in flight.
      *
      * @param wanted whether this daemon wants the duty
      * @param now the time
@@ -120,9 +123,13 @@
     }
 
     private void claim(final Instant now) {
-        final long seen = newestOffset(mLease);
+        final long seenOffset = newestOffset(mLease);
         mReleasing = false;
-        mSink.offer(id -> new LogRecord.LeaseTaken(id, mDuty, mSelf, mTiming.duration(), seen), now)
+        mSink.offer(
+                        id ->
+                                new LogRecord.LeaseTaken(
+                                        id, mDuty, mSelf, mTiming.duration(), seenOffset),
+                        now)
                 .ifPresent(id -> mInFlightSince = Optional.of(now));
     }
 
@@ -137,7 +144,7 @@
     }
 
     /**
-     * Gives the duty up at once.
+     * Releases the lease. This daemon stops acting as the holder at once.
      *
      * @param now the time
      */
@@ -154,18 +161,19 @@
     }
 
     /**
-     * Tells whether this daemon may act as the holder; asked right before each order.
+     * Returns whether this daemon may act as the holder. Callers check this right before each
+     * order.
      *
-     * <p>Guards against a holder that was paused past its lease and still believes that it holds
-     * it: the answer depends on the time alone, not on records that it has not read yet.
+     * <p>A holder that was paused past its lease may not have read the records of its successor, so
+     * the result depends on the time, not on later records.
      *
-     * @param now the time, read after the last pause that could matter
+     * @param now the current time, read as late as possible before the order
      */
     public boolean canAct(final Instant now) {
         return mFencing != LogRecord.NONE && now.isBefore(mActUntil);
     }
 
-    /** Returns the fencing number for orders, present while the duty is held. */
+    /** Returns the fencing number for orders, or empty if this daemon does not hold the lease. */
     public OptionalLong fencing() {
         return mFencing == LogRecord.NONE ? OptionalLong.empty() : OptionalLong.of(mFencing);
     }
--- a/state/src/main/java/org/whinhead/state/lease/LeaseState.java
+++ b/state/src/main/java/org/whinhead/state/lease/LeaseState.java
@@ -6,14 +6,14 @@
 import org.whinhead.api.model.DaemonId;
 
 /**
- * The lease of one duty as the log has it.
+ * The lease of one duty after the applied log records.
  *
  * @param duty the duty
- * @param holder who holds it, or held it last
- * @param duration how long it lasts after its newest record
- * @param fencing the offset of the record that it was taken with, its fencing number
- * @param newest the offset of its newest record, which a claimant must name
- * @param released whether the holder gave it up
+ * @param holder the daemon that holds the lease or held it last
+ * @param duration the time that the lease lasts after its newest record
+ * @param fencing the fencing number: the offset of the record that claimed the lease
+ * @param newest the offset of the newest record of the lease, which a claim must name
+ * @param released whether the holder released the lease
  */
 public record LeaseState(
         String duty,
--- a/state/src/main/java/org/whinhead/state/lease/LeaseTable.java
+++ b/state/src/main/java/org/whinhead/state/lease/LeaseTable.java
@@ -7,11 +7,11 @@
 import org.whinhead.state.record.LogRecord;
 
 /**
- * Decides lease records in log order.
+ * The lease of each duty, updated by lease records in log order.
  *
- * <p>It knows no time: a claim wins if it names the newest record of the lease that it replaces.
- * Whether that lease is over is for the claimant to judge; of two claimants one wins, and a renewal
- * that came first in the log defeats them both.
+ * <p>The table uses no clock: a claim wins if it names the newest record of the lease that it
+ * replaces. The claimant decides whether that lease has ended. Of two claimants one wins, and a
+ * renewal that precedes both in the log defeats both.
  */
 public final class LeaseTable {
 
@@ -23,9 +23,9 @@
     }
 
     /**
-     * Replaces the table's content.
+     * Replaces all leases.
      *
-     * @param leases the leases to go on from
+     * @param leases the leases by duty
      */
     public void restore(final Map<String, LeaseState> leases) {
         mLeases.clear();
@@ -33,10 +33,10 @@
     }
 
     /**
-     * Decides a claim.
+     * Applies a claim. The claim has no effect unless it names the newest record of the lease.
      *
      * @param record the claim
-     * @param offset its offset, the fencing number if it wins
+     * @param offset the offset of the claim, which is the fencing number if the claim wins
      */
     public void apply(final LogRecord.LeaseTaken record, final long offset) {
         final LeaseState current = mLeases.get(record.duty());
@@ -55,7 +55,7 @@
     }
 
     /**
-     * Prolongs a lease, unless it was taken over or given up before.
+     * Extends a lease, unless it was claimed by another daemon or released before.
      *
      * @param record the renewal
      * @param offset its offset
@@ -76,7 +76,7 @@
     }
 
     /**
-     * Ends a lease, unless it was taken over before.
+     * Releases a lease, unless it was claimed by another daemon before.
      *
      * @param record the release
      * @param offset its offset
@@ -97,14 +97,14 @@
     }
 
     /**
-     * Tells whether a fencing number is the one in force.
+     * Returns whether a fencing number is that of the duty's current lease.
      *
-     * <p>Guards against a holder that was paused past its lease: what it wrote after another one
-     * took over stands behind that claim in the log and has no effect.
+     * <p>Records that a paused holder writes after its successor's claim follow that claim in the
+     * log and must have no effect.
      *
      * @param duty the duty
-     * @param fencing the fencing number that a record was made under
-     * @return whether the record counts
+     * @param fencing the fencing number in a record
+     * @return whether the record takes effect
      */
     public boolean isCurrentFencing(final String duty, final long fencing) {
         final LeaseState lease = mLeases.get(duty);
--- a/state/src/main/java/org/whinhead/state/lease/LeaseTiming.java
+++ b/state/src/main/java/org/whinhead/state/lease/LeaseTiming.java
@@ -4,15 +4,16 @@
 import org.whinhead.api.Arguments;
 
 /**
- * The times of a lease.
+ * The durations of a lease.
  *
- * <p>The margin stands for how far the clocks of holder and claimant may drift apart over one
- * duration; it is taken off on the holder's side and added on the claimant's.
+ * <p>The margin is the highest clock drift between holder and claimant over one duration; the
+ * holder subtracts it and a claimant adds it.
  *
- * @param duration how long a lease lasts after it was taken or renewed
- * @param margin how much earlier its holder stops, and how much later others claim
- * @param renewInterval how long a holder waits between renewals
- * @param maxClaimJitter the longest random wait of a claimant, so that few claim at once
+ * @param duration the time that a lease lasts after a claim or renewal; longer than the renewal
+ *     interval plus the margin
+ * @param margin the time by which the holder stops earlier and others claim later
+ * @param renewInterval the time between two renewals by the holder
+ * @param maxClaimJitter the longest random delay of a claim, so that few daemons claim at once
  */
 public record LeaseTiming(
         Duration duration, Duration margin, Duration renewInterval, Duration maxClaimJitter) {
@@ -24,7 +25,8 @@
         Arguments.requirePositive(renewInterval, "renewInterval");
         Arguments.requirePositive(maxClaimJitter, "maxClaimJitter");
         if (renewInterval.plus(margin).compareTo(duration) >= 0) {
-            throw new IllegalArgumentException("no renewal fits into the duration");
+            throw new IllegalArgumentException(
+                    "renewInterval plus margin must be shorter than duration");
         }
     }
 }
--- a/state/src/main/java/org/whinhead/state/package-info.java
+++ b/state/src/main/java/org/whinhead/state/package-info.java
@@ -1,2 +1,2 @@
-/** Shared state as a fold of the log: records, checkpoints, settings, leases and claims. */
+/** Shared state as a fold over the log: records, checkpoints, settings, leases and claims. */
 package org.whinhead.state;
--- a/state/src/main/java/org/whinhead/state/record/ClaimEntry.java
+++ b/state/src/main/java/org/whinhead/state/record/ClaimEntry.java
@@ -5,12 +5,12 @@
 import java.util.Objects;
 
 /**
- * One claim, or one withdrawal of a claim, of a non-idempotent request.
+ * A claim of a non-idempotent request, or the withdrawal of one.
  *
- * @param action what happens to the claim
- * @param keyHigh the upper half of the request key's hash
- * @param keyLow the lower half of the request key's hash
- * @param attempt names the attempt that the claim is for, as a hash
+ * @param action claim or withdrawal
+ * @param keyHigh the upper 64 bits of the request key's hash
+ * @param keyLow the lower 64 bits of the request key's hash
+ * @param attempt the hash that identifies the attempt
  */
 public record ClaimEntry(Action action, long keyHigh, long keyLow, long attempt) {
 
@@ -24,31 +24,32 @@
     /**
      * Parses the text form.
      *
-     * @param text what {@link #toText} gave
+     * @param text the result of {@link #toText}
      * @return the entry
-     * @throws IllegalArgumentException if it is not such a text
+     * @throws IllegalArgumentException if the text is not base64, has the wrong length or has an
+     *     unknown action
      */
     public static ClaimEntry parse(final String text) {
         final ByteBuffer bytes = ByteBuffer.wrap(Base64.getUrlDecoder().decode(text));
         if (bytes.remaining() != ENCODED_BYTES) {
-            throw new IllegalArgumentException("claim entry of " + bytes.remaining() + " bytes");
+            throw new IllegalArgumentException("claim entry has " + bytes.remaining() + " bytes");
         }
         final Action action = Action.ofCode(bytes.get());
         return new ClaimEntry(action, bytes.getLong(), bytes.getLong(), bytes.getLong());
     }
 
-    /** Returns the entry as a short text. */
+    /** Returns the entry as URL-safe base64 without padding. */
     public String toText() {
         final ByteBuffer bytes = ByteBuffer.allocate(ENCODED_BYTES);
         bytes.put(action.mCode).putLong(keyHigh).putLong(keyLow).putLong(attempt);
         return Base64.getUrlEncoder().withoutPadding().encodeToString(bytes.array());
     }
 
-    /** What an entry does to its key. */
+    /** The effect of an entry on its key. */
     public enum Action {
-        /** The attempt wants to be the only one that runs. */
+        /** The attempt claims to be the only one that runs. */
         CLAIM((byte) 1),
-        /** The attempt never ran and never will; the key is free again if the attempt holds it. */
+        /** The attempt never ran and never will; the key becomes free if the attempt holds it. */
         WITHDRAW((byte) 2);
 
         private final byte mCode;
@@ -63,7 +64,7 @@
                     return action;
                 }
             }
-            throw new IllegalArgumentException("claim action " + code);
+            throw new IllegalArgumentException("unknown claim action " + code);
         }
     }
 }
--- a/state/src/main/java/org/whinhead/state/record/JsonMapping.java
+++ b/state/src/main/java/org/whinhead/state/record/JsonMapping.java
@@ -20,14 +20,15 @@
 import org.whinhead.api.model.DaemonId;
 import org.whinhead.api.model.VmId;
 
-/** The JSON form of the values that records and checkpoints are made of. */
+/** The JSON format of the values in records and checkpoints. */
 public final class JsonMapping {
 
     private JsonMapping() {}
 
     /**
-     * Makes a mapper: identities as text, times in ISO-8601, durations in milliseconds; fields that
-     * it does not know are skipped, so that two versions can read each other.
+     * Creates a mapper that writes identities as text, times in ISO-8601 and durations in
+     * milliseconds. The mapper skips unknown fields, so that two program versions can read each
+     * other's output.
      */
     public static ObjectMapper createMapper() {
         final SimpleModule module = new SimpleModule();
--- a/state/src/main/java/org/whinhead/state/record/LogEntry.java
+++ b/state/src/main/java/org/whinhead/state/record/LogEntry.java
@@ -5,10 +5,10 @@
 import org.whinhead.api.Arguments;
 
 /**
- * A record as it stands in a stream.
+ * A record at its offset in a stream.
  *
- * @param offset its place in the stream
- * @param at when the log took it, by the log's clock
+ * @param offset the record's offset in the stream
+ * @param at the time at which the log accepted the record, by the log's clock
  * @param record the record
  */
 public record LogEntry(long offset, Instant at, LogRecord record) {
--- a/state/src/main/java/org/whinhead/state/record/LogRecord.java
+++ b/state/src/main/java/org/whinhead/state/record/LogRecord.java
@@ -10,26 +10,26 @@
 import org.whinhead.api.model.DaemonId;
 import org.whinhead.api.model.VmId;
 
-/** One record of a stream of the log. */
+/** A record of a stream of the log. */
 public sealed interface LogRecord {
 
-    /** The revision, or lease offset, that stands for "nothing was there before". */
+    /** The revision or lease offset that means that no earlier one exists. */
     long NONE = -1;
 
     /** Returns the record's identity. */
     RecordId id();
 
     /**
-     * An operator asks for a setting to change; the fold decides whether it takes effect.
+     * An operator's request to change a setting. The fold decides whether the change takes effect.
      *
      * @param id the record's identity
-     * @param changeId the operator's name for the change, the same in each try
+     * @param changeId the operator's identifier of the change, the same in each retry
      * @param path the path of the document
-     * @param baseRevision the revision that the operator saw there, or {@link #NONE}
+     * @param baseRevision the revision that the change is based on, or {@link #NONE}
      * @param document the new document as JSON text, or empty to delete it
      * @param author the operator's name
-     * @param reason why, for the auditor
-     * @param at when the operator asked
+     * @param reason the reason for the change, for auditors
+     * @param at the time of the operator's request
      */
     record SettingChanged(
             RecordId id,
@@ -55,10 +55,11 @@
     }
 
     /**
-     * From here on documents are checked by another version of the rules.
+     * The activation of a version of the rules that later documents are checked by.
      *
      * @param id the record's identity
-     * @param version the version, higher than all before
+     * @param version the rules version, at least 1; ignored unless it is higher than the version in
+     *     force
      */
     record RulesActivated(RecordId id, int version) implements LogRecord {
         /** Checks both parts. */
@@ -69,12 +70,13 @@
     }
 
     /**
-     * A daemon claims a duty; it takes effect only if it names the lease record that it replaces.
+     * A daemon's claim of a duty. The claim takes effect only if it names the newest lease record
+     * of the duty.
      *
      * @param id the record's identity
      * @param duty the duty
-     * @param holder who claims it
-     * @param duration how long the lease lasts without a renewal
+     * @param holder the claiming daemon
+     * @param duration the time that the lease lasts without a renewal
      * @param seenOffset the offset of the duty's newest lease record, or {@link #NONE}
      */
     record LeaseTaken(RecordId id, String duty, DaemonId holder, Duration duration, long seenOffset)
@@ -90,12 +92,12 @@
     }
 
     /**
-     * The holder of a duty prolongs its lease.
+     * A renewal of a lease by its holder.
      *
      * @param id the record's identity
      * @param duty the duty
-     * @param holder who holds it
-     * @param duration how long the lease lasts from now on
+     * @param holder the daemon that holds the lease
+     * @param duration the time that the lease lasts after this record
      * @param seenOffset the offset of the record that the lease was taken with
      */
     record LeaseRenewed(
@@ -112,11 +114,12 @@
     }
 
     /**
-     * The holder of a duty gives it up, so that others need not wait for the end of the lease.
+     * The release of a lease by its holder, so that other daemons need not wait for the end of the
+     * lease.
      *
      * @param id the record's identity
      * @param duty the duty
-     * @param holder who held it
+     * @param holder the daemon that held the lease
      * @param seenOffset the offset of the record that the lease was taken with
      */
     record LeaseReleased(RecordId id, String duty, DaemonId holder, long seenOffset)
@@ -131,11 +134,11 @@
     }
 
     /**
-     * A VM was announced to leave.
+     * The announcement that a VM will leave.
      *
      * @param id the record's identity
      * @param vm the VM
-     * @param goneBy when it will be gone at the latest
+     * @param goneBy the latest time at which the VM will be gone
      */
     record VmLeaving(RecordId id, VmId vm, Instant goneBy) implements LogRecord {
         /** Checks every part. */
@@ -147,14 +150,14 @@
     }
 
     /**
-     * The holder of the budget duty gives a daemon a portion of a customer's budget.
+     * A grant of a portion of a customer's budget to a daemon, by the holder of the budget duty.
      *
      * @param id the record's identity
-     * @param customer whose budget
-     * @param daemon who may spend it
-     * @param tokens how many tokens
-     * @param fencing the offset of the lease that the grant was made under
-     * @param until when an unspent portion ends
+     * @param customer the customer
+     * @param daemon the daemon that may spend the portion
+     * @param tokens the number of tokens, at least 0
+     * @param fencing the fencing number of the grantor's lease
+     * @param until the time at which an unspent portion expires
      */
     record BudgetGrant(
             RecordId id,
@@ -165,7 +168,7 @@
             Instant until)
             implements LogRecord {
 
-        /** The duty whose holder grants; a grant under an older lease has no effect. */
+        /** The duty whose holder grants portions; a grant under an older lease has no effect. */
         public static final String DUTY = "budget";
 
         /** Checks every part. */
@@ -180,13 +183,13 @@
     }
 
     /**
-     * The holder of a duty notes something for itself and its successors, for example an open
-     * order; it has no effect if the duty was taken over before it in the log.
+     * A note by the holder of a duty for itself and its successors, for example an open order. The
+     * note has no effect if another daemon claimed the duty before it in the log.
      *
      * @param id the record's identity
      * @param duty the duty
-     * @param fencing the offset of the lease that the note was made under
-     * @param name names the note within the duty
+     * @param fencing the fencing number of the author's lease
+     * @param name the name of the note, unique within the duty
      * @param body the note as JSON text, or empty to remove it
      */
     record DutyNoted(RecordId id, String duty, long fencing, String name, Optional<String> body)
@@ -202,15 +205,15 @@
     }
 
     /**
-     * One part of a checkpoint; a checkpoint counts only when all its parts were read.
+     * A part of a checkpoint. A checkpoint is used only after all of its parts were read.
      *
      * @param id the record's identity
-     * @param checkpointId names the checkpoint that the part belongs to
+     * @param checkpointId the identifier of the checkpoint
      * @param asOf the first offset that the checkpoint does not cover
      * @param part the part's index, from 0
-     * @param parts how many parts there are
-     * @param digest SHA-256 of all parts together, in hex
-     * @param data the part's bytes in base64
+     * @param parts the number of parts
+     * @param digest the SHA-256 hash of all parts concatenated, in hex
+     * @param data the part's bytes, in base64
      */
     record Checkpoint(
             RecordId id,
@@ -234,7 +237,7 @@
     }
 
     /**
-     * Claims and withdrawals of claims, in order.
+     * A batch of claims and withdrawals, in order.
      *
      * @param id the record's identity
      * @param entries the claims and withdrawals
@@ -248,7 +251,7 @@
     }
 
     /**
-     * A record of a kind that this version of the program does not know.
+     * A record of a kind that this program version does not know.
      *
      * @param id the record's identity
      * @param kind the kind's name
--- a/state/src/main/java/org/whinhead/state/record/LogRecordCodec.java
+++ b/state/src/main/java/org/whinhead/state/record/LogRecordCodec.java
@@ -7,7 +7,7 @@
 import java.io.IOException;
 import java.util.Optional;
 
-/** Turns records into the bytes that stand on the log, and back. */
+/** Encodes records as the JSON bytes on the log and decodes them. */
 public final class LogRecordCodec {
 
     private static final String KIND = "kind";
@@ -16,10 +16,10 @@
     private final ObjectMapper mMapper = JsonMapping.createMapper();
 
     /**
-     * Writes a record.
+     * Encodes a record.
      *
      * @param record the record
-     * @return its bytes
+     * @return the record as JSON
      */
     public byte[] encode(final LogRecord record) {
         try {
@@ -43,18 +43,18 @@
     }
 
     /**
-     * Reads a record; one of a kind that is not known comes back whole as {@link
-     * LogRecord.Unknown}, because a newer version of the program may be writing beside this one.
+     * Decodes a record. A record of an unknown kind is returned complete as {@link
+     * LogRecord.Unknown}, because daemons of a newer program version may write at the same time.
      *
      * @param bytes the bytes
      * @return the record
-     * @throws RecordFormatException if they are no record of this system
+     * @throws RecordFormatException if the bytes are not a record of this system
      */
     public LogRecord decode(final byte[] bytes) throws RecordFormatException {
         try {
             final JsonNode tree = mMapper.readTree(bytes);
             if (!(tree instanceof ObjectNode node) || !node.path(KIND).isTextual()) {
-                throw new RecordFormatException("no kind", null);
+                throw new RecordFormatException("record has no kind", null);
             }
             final String label = node.remove(KIND).textValue();
             final Optional<RecordKind> kind = RecordKind.ofLabel(label);
@@ -70,7 +70,7 @@
             throws IOException, RecordFormatException {
         final RecordId id = mMapper.treeToValue(node.remove(ID), RecordId.class);
         if (id == null) {
-            throw new RecordFormatException("no id in a record of kind " + label, null);
+            throw new RecordFormatException("record has no id, kind " + label, null);
         }
         return new LogRecord.Unknown(id, label, mMapper.writeValueAsString(node));
     }
--- a/state/src/main/java/org/whinhead/state/record/RecordFormatException.java
+++ b/state/src/main/java/org/whinhead/state/record/RecordFormatException.java
@@ -1,15 +1,15 @@
 package org.whinhead.state.record;
 
-/** Bytes on the log are not a record of this system. */
+/** Thrown when bytes on the log are not a record of this system. */
 public final class RecordFormatException extends Exception {
 
     private static final long serialVersionUID = 1L;
 
     /**
-     * Makes the exception.
+     * Creates the exception.
      *
-     * @param message what is wrong
-     * @param cause the parser's error
+     * @param message the description of the error
+     * @param cause the parser's error, or null
      */
     public RecordFormatException(final String message, final Throwable cause) {
         super(message, cause);
--- a/state/src/main/java/org/whinhead/state/record/RecordId.java
+++ b/state/src/main/java/org/whinhead/state/record/RecordId.java
@@ -5,13 +5,13 @@
 import org.whinhead.api.model.DaemonId;
 
 /**
- * The identity of one record, given by its writer before the first append.
+ * The identity of a record, assigned by its writer before the first append.
  *
- * <p>Guards against an append whose answer was lost: the copy that is sent again carries the same
- * identity, so a reader that meets both applies only the first.
+ * <p>A record is sent again if the response to its append was lost. Both copies have the same
+ * identity, so that a reader applies only the first.
  *
- * @param incarnation the daemon that made the record
- * @param sequence the record's number, from 1, rising with each record of that daemon
+ * @param incarnation the daemon that created the record
+ * @param sequence the record's number, from 1, higher with each record of that daemon
  */
 public record RecordId(DaemonId incarnation, long sequence) {
 
--- a/state/src/main/java/org/whinhead/state/record/RecordKind.java
+++ b/state/src/main/java/org/whinhead/state/record/RecordKind.java
@@ -2,7 +2,7 @@
 
 import java.util.Optional;
 
-/** The kinds of records that this version knows, with their names on the log. */
+/** The record kinds that this program version knows, with their names on the log. */
 enum RecordKind {
     SETTING_CHANGED("setting-changed", LogRecord.SettingChanged.class),
     RULES_ACTIVATED("rules-activated", LogRecord.RulesActivated.class),
@@ -46,6 +46,6 @@
                 return kind;
             }
         }
-        throw new IllegalArgumentException("no kind for " + record.getClass());
+        throw new IllegalArgumentException("no record kind for " + record.getClass());
     }
 }
--- a/state/src/main/java/org/whinhead/state/record/RecordSink.java
+++ b/state/src/main/java/org/whinhead/state/record/RecordSink.java
@@ -4,18 +4,18 @@
 import java.util.Optional;
 import java.util.function.Function;
 
-/** Takes records that are to be appended to one stream. */
+/** A queue of records to append to one stream. */
 public interface RecordSink {
 
     /**
-     * Gives a record its identity and queues it.
+     * Assigns a record its identity and queues it.
      *
-     * @param record makes the record for the identity it gets
+     * @param record the function that creates the record from its identity
      * @param now the time
-     * @return the identity, or empty if the queue is full and nothing will be written
+     * @return the identity, or empty if the queue is full and the record is not written
      */
     Optional<RecordId> offer(Function<RecordId, LogRecord> record, Instant now);
 
-    /** Tells whether a record that is offered now would be sent at once. */
+    /** Returns whether no record is queued, in flight or of unknown outcome. */
     boolean isIdle();
 }
--- a/state/src/main/java/org/whinhead/state/record/package-info.java
+++ b/state/src/main/java/org/whinhead/state/record/package-info.java
@@ -1,2 +1,2 @@
-/** What the system writes on the log: typed records with unique identities, and their JSON form. */
+/** The records on the log, typed and with unique identities, and their JSON format. */
 package org.whinhead.state.record;
--- a/state/src/main/java/org/whinhead/state/settings/ChangeOutcome.java
+++ b/state/src/main/java/org/whinhead/state/settings/ChangeOutcome.java
@@ -5,14 +5,14 @@
 import org.whinhead.api.Arguments;
 
 /**
- * What became of an operator's change.
+ * The outcome of an operator's change.
  *
- * @param changeId the operator's name for the change
- * @param path the path
+ * @param changeId the operator's identifier of the change
+ * @param path the path of the document
  * @param result the result
  * @param revision the revision in force at the path after the change was decided
- * @param offset the offset of the record that was decided
- * @param problems what the validator found; empty unless invalid
+ * @param offset the offset of the record with the change
+ * @param problems the problems that the validator found; empty unless the result is invalid
  */
 public record ChangeOutcome(
         String changeId,
@@ -30,13 +30,13 @@
         problems = List.copyOf(problems);
     }
 
-    /** The results that a change can have. */
+    /** The possible results of a change. */
     public enum Result {
-        /** The change is in force. */
+        /** The change took effect. */
         WON,
         /** Another change of the same path came first in the log. */
         LOST_RACE,
-        /** The rules in force refuse the document. */
+        /** The document is invalid under the rules in force. */
         INVALID,
         /** The path is outside the author's subtree. */
         NOT_AUTHORISED
--- a/state/src/main/java/org/whinhead/state/settings/SettingRevision.java
+++ b/state/src/main/java/org/whinhead/state/settings/SettingRevision.java
@@ -6,14 +6,14 @@
 import org.whinhead.api.Arguments;
 
 /**
- * One revision of the document at a path.
+ * A revision of the document at a path.
  *
- * @param revision the offset of the record that made it
- * @param document the document as JSON text, or empty if it was deleted
- * @param changeId the operator's name for the change
+ * @param revision the offset of the record with the change
+ * @param document the document as JSON text, or empty if the change deleted it
+ * @param changeId the operator's identifier of the change
  * @param author the operator's name
- * @param reason why, for the auditor
- * @param at when the operator asked
+ * @param reason the reason for the change, for auditors
+ * @param at the time of the operator's request
  */
 public record SettingRevision(
         long revision,
--- a/state/src/main/java/org/whinhead/state/settings/SettingsLedger.java
+++ b/state/src/main/java/org/whinhead/state/settings/SettingsLedger.java
@@ -10,10 +10,10 @@
 import org.whinhead.state.record.LogRecord;
 
 /**
- * Decides changes of settings in log order, by compare-and-set on the path's revision.
+ * Applies changes of settings in log order, by compare-and-set on the path's revision.
  *
- * <p>Guards against operators who race each other and against a change that is sent twice: the
- * second one names a revision that is no longer in force and loses, on every daemon alike.
+ * <p>Of two concurrent changes, or two copies of one, the second names a revision that is no longer
+ * in force and is rejected on every daemon.
  */
 public final class SettingsLedger {
 
@@ -27,22 +27,22 @@
     private SettingsState mCurrent = SettingsState.EMPTY;
 
     /**
-     * Makes an empty ledger.
+     * Creates an empty ledger.
      *
-     * @param validator checks documents
-     * @param authority tells who may change which path
-     * @param limits how much history is kept; must be the same on every daemon
+     * @param validator the validator of documents
+     * @param authorizer the check of an operator's right to change a path
+     * @param limits the limits of the history; must be the same on every daemon
      */
     public SettingsLedger(
             final SettingsValidator validator,
-            final SettingsAuthorizer authority,
+            final SettingsAuthorizer authorizer,
             final Limits limits) {
         mValidator = Objects.requireNonNull(validator, "validator");
-        mAuthorizer = Objects.requireNonNull(authority, "authority");
+        mAuthorizer = Objects.requireNonNull(authorizer, "authorizer");
         mLimits = Objects.requireNonNull(limits, "limits");
     }
 
-    /** Returns the settings as of the last applied record. */
+    /** Returns the settings after the last applied record. */
     public SettingsState snapshot() {
         if (mSnapshot == null) {
             mSnapshot = new SettingsState(mRulesVersion, mHistory, List.copyOf(mOutcomes.values()));
@@ -51,9 +51,9 @@
     }
 
     /**
-     * Replaces the ledger's content.
+     * Replaces the settings.
      *
-     * @param state the state to go on from
+     * @param state the new state
      */
     public void restore(final SettingsState state) {
         mHistory.clear();
@@ -66,17 +66,17 @@
     }
 
     /**
-     * Tells whether this version of the program can decide changes under a version of the rules.
+     * Returns whether this program version supports a rules version.
      *
-     * @param rules the version
-     * @return whether it is known
+     * @param rules the rules version
+     * @return whether the validator supports the rules version
      */
     public boolean supports(final int rules) {
         return mValidator.supports(rules);
     }
 
     /**
-     * Puts another version of the rules in force; an older one than before changes nothing.
+     * Activates a rules version; a version that is not higher than the current one is ignored.
      *
      * @param record the record
      */
@@ -89,14 +89,14 @@
     }
 
     /**
-     * Decides a change.
+     * Decides a change and records its outcome.
      *
      * @param record the change
-     * @param offset its offset
+     * @param offset the offset of the record
      */
     public void apply(final LogRecord.SettingChanged record, final long offset) {
-        // Guards against an operator who repeats a change through another daemon because the
-        // answer was lost: the records differ, the change does not, and its first outcome stands.
+        // An operator who received no response may repeat a change through another daemon. The
+        // records then differ but the change identifier does not, and the first outcome remains.
         if (mOutcomes.containsKey(record.changeId())) {
             return;
         }
@@ -111,7 +111,9 @@
         mSnapshot = null;
     }
 
-    /** The settings without outcomes, which no decision depends on and which are many to copy. */
+    /**
+     * Returns the settings without outcomes, which are costly to copy and do not affect decisions.
+     */
     private SettingsState current() {
         if (mCurrent == null) {
             mCurrent = new SettingsState(mRulesVersion, mHistory, List.of());
@@ -166,17 +168,17 @@
     }
 
     /**
-     * How much history is kept.
+     * The limits of the history.
      *
-     * @param maxRevisionsPerPath revisions kept for each path
-     * @param maxOutcomes outcomes kept in all
+     * @param maxRevisionsPerPath the highest number of revisions kept for each path, at least 1
+     * @param maxOutcomes the highest number of outcomes kept for all paths together, at least 1
      */
     public record Limits(int maxRevisionsPerPath, int maxOutcomes) {
 
-        /** Enough for an auditor's look back and for two days of changes at the larger size. */
+        /** Enough for audits and for two days of changes in the larger deployment size. */
         public static final Limits DEFAULT = new Limits(64, 20_000);
 
-        /** Checks both bounds. */
+        /** Checks both limits. */
         public Limits {
             Arguments.requireAtLeast(maxRevisionsPerPath, 1, "maxRevisionsPerPath");
             Arguments.requireAtLeast(maxOutcomes, 1, "maxOutcomes");
--- a/state/src/main/java/org/whinhead/state/settings/SettingsState.java
+++ b/state/src/main/java/org/whinhead/state/settings/SettingsState.java
@@ -9,10 +9,10 @@
 import org.whinhead.state.record.LogRecord;
 
 /**
- * The settings as of an offset; immutable.
+ * An immutable snapshot of the settings as of an offset.
  *
- * @param rules the version of the rules that documents are checked by
- * @param history per path its newest revisions, oldest first, the last one in force
+ * @param rules the rules version that documents are checked by
+ * @param history the newest revisions by path, oldest first; the last one is in force
  * @param outcomes the newest outcomes, oldest first
  */
 public record SettingsState(
@@ -33,7 +33,7 @@
      * Returns the revision in force at a path.
      *
      * @param path the path
-     * @return its newest revision, which may be a deletion, or empty if there never was one
+     * @return the newest revision, which may be a deletion, or empty if the path was never set
      */
     public Optional<SettingRevision> currentRevision(final String path) {
         final List<SettingRevision> revisions = history.getOrDefault(path, List.of());
@@ -43,10 +43,10 @@
     }
 
     /**
-     * Returns the number that a change of a path must name as its base.
+     * Returns the revision number that a change of a path must name as its base.
      *
      * @param path the path
-     * @return the revision in force, or {@link LogRecord#NONE}
+     * @return the number of the revision in force, or {@link LogRecord#NONE}
      */
     public long revisionNumber(final String path) {
         return currentRevision(path).map(SettingRevision::revision).orElse(LogRecord.NONE);
@@ -72,10 +72,10 @@
     }
 
     /**
-     * Finds what became of a change.
+     * Returns the outcome of a change.
      *
-     * @param changeId the operator's name for the change
-     * @return the outcome, or empty if it was not decided yet or long ago
+     * @param changeId the operator's identifier of the change
+     * @return the outcome, or empty if the change is undecided or its outcome is no longer kept
      */
     public Optional<ChangeOutcome> outcome(final String changeId) {
         return outcomes.stream().filter(outcome -> outcome.changeId().equals(changeId)).findFirst();
--- a/state/src/main/java/org/whinhead/state/settings/SettingsValidator.java
+++ b/state/src/main/java/org/whinhead/state/settings/SettingsValidator.java
@@ -4,27 +4,28 @@
 import java.util.Optional;
 
 /**
- * Decides whether a document may stand at a path; a pure function, since every daemon must come to
- * the same answer.
+ * Checks the validity of a document at a path. A pure function, since all daemons must reach the
+ * same result.
  */
 public interface SettingsValidator {
 
     /**
-     * Tells whether this version of the program knows a version of the rules.
+     * Returns whether this program version supports a rules version.
      *
-     * @param rules the version of the rules
-     * @return whether {@link #findProblems} can be asked for it
+     * @param rules the rules version
+     * @return whether {@link #findProblems} accepts the rules version
      */
     boolean supports(int rules);
 
     /**
-     * Checks a change against a version of the rules, which never changes once it was released.
+     * Returns the problems of a change under a rules version, which never changes after its
+     * release.
      *
-     * @param rules the version of the rules in force
+     * @param rules the rules version in force
      * @param path the path
      * @param document the new document, or empty for a deletion
      * @param current the documents in force
-     * @return what is wrong, empty if the change is valid
+     * @return the descriptions of the problems, empty if the change is valid
      */
     List<String> findProblems(
             int rules, String path, Optional<String> document, SettingsState current);
--- a/state/src/main/java/org/whinhead/state/settings/package-info.java
+++ b/state/src/main/java/org/whinhead/state/settings/package-info.java
@@ -1,2 +1,2 @@
-/** The settings in force: compare-and-set on a path's revision, in log order. */
+/** The versioned settings, changed by compare-and-set on a path's revision in log order. */
 package org.whinhead.state.settings;
--- a/state/src/main/java/org/whinhead/state/writer/Backoff.java
+++ b/state/src/main/java/org/whinhead/state/writer/Backoff.java
@@ -7,10 +7,10 @@
 import org.whinhead.api.Arguments;
 
 /**
- * Exponential back-off with jitter.
+ * Exponential backoff with jitter.
  *
- * <p>Guards against a fleet that tries again in step after an outage and so exceeds the log's cap
- * at once: each delay is drawn between half of the step and the whole.
+ * <p>Each delay is random between half of the step and the whole step, so that daemons do not retry
+ * at the same time after an outage and exceed the log's rate limit.
  */
 public final class Backoff {
 
@@ -22,10 +22,10 @@
     private int mFailures;
 
     /**
-     * Makes a back-off without failures.
+     * Creates a backoff without failures.
      *
      * @param first the step after the first failure
-     * @param longest the longest step
+     * @param longest the upper limit of the step
      * @param random the source of the jitter
      */
     public Backoff(final Duration first, final Duration longest, final RandomGenerator random) {
@@ -34,17 +34,17 @@
         mRandom = Objects.requireNonNull(random, "random");
     }
 
-    /** Forgets the failures. */
+    /** Resets the failure count after a success. */
     public void reset() {
         mFailures = 0;
     }
 
     /**
-     * Counts a failure.
+     * Counts a failure and returns the time of the next attempt.
      *
      * @param now the time
-     * @param atLeast what the other side asked to wait
-     * @return when to try again
+     * @param atLeast the shortest delay, as requested by the log
+     * @return the earliest time of the next attempt
      */
     public Instant recordFailure(final Instant now, final Duration atLeast) {
         final long doubled = mFirstStep.toMillis() << Math.min(mFailures, MAX_DOUBLINGS);
--- a/state/src/main/java/org/whinhead/state/writer/LogReader.java
+++ b/state/src/main/java/org/whinhead/state/writer/LogReader.java
@@ -7,7 +7,8 @@
 import org.whinhead.api.Arguments;
 
 /**
- * Decides which read of one stream to send next; single-threaded, without input, output or clock.
+ * Decides which read of one stream to send next. Single-threaded, without I/O or a clock of its
+ * own.
  */
 public final class LogReader {
 
@@ -20,15 +21,15 @@
     private Instant mNotBefore = Instant.MIN;
 
     /**
-     * Makes a reader at offset 0.
+     * Creates a reader at offset 0.
      *
-     * @param max the most records in one read
-     * @param waitAtMost how long the log may wait for a record
-     * @param backoff when to try again
+     * @param maxRecords the highest number of records in a read, at least 1
+     * @param maxWait the longest time that the log may wait for a record
+     * @param backoff the delays after failed reads
      */
-    public LogReader(final int max, final Duration waitAtMost, final Backoff backoff) {
-        mMaxRecords = (int) Arguments.requireAtLeast(max, 1, "max");
-        mMaxWait = Objects.requireNonNull(waitAtMost, "waitAtMost");
+    public LogReader(final int maxRecords, final Duration maxWait, final Backoff backoff) {
+        mMaxRecords = (int) Arguments.requireAtLeast(maxRecords, 1, "maxRecords");
+        mMaxWait = Objects.requireNonNull(maxWait, "maxWait");
         mBackoff = Objects.requireNonNull(backoff, "backoff");
     }
 
@@ -37,24 +38,25 @@
         return mNextOffset;
     }
 
-    /** Returns the oldest offset that the log still had, as far as it said. */
+    /** Returns the oldest available offset reported by the log, or 0 if it reported none. */
     public long oldestAvailable() {
         return mOldestAvailable;
     }
 
     /**
-     * Tells whether the records at the position have expired, so that only a checkpoint, or a
-     * peer's state, as of at least {@link #oldestAvailable} helps on.
+     * Returns whether the records at the next offset have expired, so that the reader can continue
+     * only from a checkpoint or a peer's state at {@link #oldestAvailable} or beyond.
      */
     public boolean needsCheckpoint() {
         return mOldestAvailable > mNextOffset;
     }
 
     /**
-     * Takes the read that is to be sent now; one of the three answers must follow.
+     * Returns the read to send now and marks it as in flight. The caller then calls {@link
+     * #onRecords}, {@link #onExpired} or {@link #onFailure}.
      *
      * @param now the time
-     * @return the read, or empty if none is to be sent
+     * @return the read, or empty if a read is in flight, delayed or impossible
      */
     public Optional<ReadRequest> nextRead(final Instant now) {
         if (mInFlight || needsCheckpoint() || now.isBefore(mNotBefore)) {
@@ -65,11 +67,11 @@
     }
 
     /**
-     * Records arrived.
+     * Handles the records returned by a read.
      *
      * @param request the read
-     * @param count how many records arrived, from the read's first offset on
-     * @return whether they reach to the stream's head
+     * @param count the number of records returned, starting at the read's first offset
+     * @return whether the records reach the head of the stream
      */
     public boolean onRecords(final ReadRequest request, final int count) {
         mInFlight = false;
@@ -79,9 +81,9 @@
     }
 
     /**
-     * The records have expired (status 410).
+     * Handles a response that the records have expired (status 410).
      *
-     * @param oldest the oldest offset that is left
+     * @param oldest the oldest available offset
      */
     public void onExpired(final long oldest) {
         mInFlight = false;
@@ -89,9 +91,9 @@
     }
 
     /**
-     * The read failed.
+     * Handles a failed read.
      *
-     * @param retryAfter what the log asked to wait
+     * @param retryAfter the shortest delay, as requested by the log
      * @param now the time
      */
     public void onFailure(final Duration retryAfter, final Instant now) {
@@ -100,11 +102,11 @@
     }
 
     /**
-     * Goes on from the fold's position, after the fold took a state or met a gap.
+     * Continues from the fold's next offset after the fold installed a state or found a gap.
      *
-     * @param position the first offset that was not applied
+     * @param offset the first offset that is not applied
      */
-    public void seek(final long position) {
-        mNextOffset = Arguments.requireAtLeast(position, 0, "position");
+    public void seek(final long offset) {
+        mNextOffset = Arguments.requireAtLeast(offset, 0, "offset");
     }
 }
--- a/state/src/main/java/org/whinhead/state/writer/LogWriter.java
+++ b/state/src/main/java/org/whinhead/state/writer/LogWriter.java
@@ -14,15 +14,15 @@
 import org.whinhead.state.record.RecordSink;
 
 /**
- * Decides what to append to one stream and when; single-threaded, without input, output or clock.
+ * Decides which records to append to one stream and when. Single-threaded, without I/O or a clock
+ * of its own.
  *
- * <p>One append is in flight at a time, and a batch is finished before a later one is sent, so
- * first copies stand in the stream by rising sequence, as the sequence ledger wants it.
+ * <p>One append is in flight at a time, and a batch is finished before the next one is sent. The
+ * first copies are thus in the stream in ascending sequence, as the record deduplicator requires.
  *
- * <p>Guards against an append whose answer was lost after it took effect. The batch is looked for
- * in the stream, and sent again only when a read that began after the loss reached the head without
- * meeting it. The first copy may still land after that; it then carries a sequence that was folded
- * already and is dropped.
+ * <p>An append whose response was lost may have taken effect. The batch is sent again only when a
+ * read that began after the loss reached the head of the stream without finding the batch. If the
+ * first copy is appended even later, its sequence was already applied and it is dropped.
  */
 public final class LogWriter implements RecordSink {
 
@@ -38,11 +38,11 @@
     private long mLastSequence;
 
     /**
-     * Makes a writer.
+     * Creates a writer.
      *
-     * @param self the daemon, whose identity no other writer of the stream shares
-     * @param limits how much it takes in
-     * @param backoff when to try again
+     * @param self the daemon; no other writer of the stream has the same identity
+     * @param limits the limits of the queue and of a batch
+     * @param backoff the delays after failed appends
      */
     public LogWriter(final DaemonId self, final WriterLimits limits, final Backoff backoff) {
         mSelf = Objects.requireNonNull(self, "self");
@@ -66,16 +66,17 @@
         return mPhase == Phase.READY && mBatch.isEmpty() && mQueue.isEmpty();
     }
 
-    /** Returns how many records are queued or of unknown fate. */
+    /** Returns the number of records that are queued, in flight or of unknown outcome. */
     public int pendingCount() {
         return mQueue.size() + mBatch.size();
     }
 
     /**
-     * Takes the append that is to be sent now; one of the three answers must follow.
+     * Returns the batch to append now and marks it as in flight. The caller then calls {@link
+     * #onAppended}, {@link #onRefused} or {@link #onOutcomeUnknown}.
      *
      * @param now the time
-     * @return the records, or empty if nothing is to be sent
+     * @return the records, or empty if no append is due
      */
     public Optional<List<LogRecord>> nextBatch(final Instant now) {
         if (mPhase != Phase.READY || now.isBefore(mNotBefore)) {
@@ -98,16 +99,16 @@
         return batch;
     }
 
-    /** The append took effect. */
+    /** Handles an append that took effect. */
     public void onAppended() {
         requireInFlight();
         finishBatch();
     }
 
     /**
-     * The append was refused and did not take effect (status 429 or 503).
+     * Handles an append that was refused and did not take effect (status 429 or 503).
      *
-     * @param retryAfter what the log asked to wait
+     * @param retryAfter the shortest delay, as requested by the log
      * @param now the time
      */
     public void onRefused(final Duration retryAfter, final Instant now) {
@@ -118,7 +119,7 @@
     }
 
     /**
-     * The answer was lost; the append may have taken effect, or still may.
+     * Handles a lost response: the append may have taken effect or may still take effect.
      *
      * @param now the time
      */
@@ -131,9 +132,9 @@
     }
 
     /**
-     * A record was read from the stream.
+     * Handles a record that was read from the stream.
      *
-     * @param id its identity
+     * @param id the record's identity
      */
     public void onRecordRead(final RecordId id) {
         if (id.incarnation().equals(mSelf)) {
@@ -142,9 +143,10 @@
     }
 
     /**
-     * The reader took a checkpoint and skipped records, perhaps those that are looked for.
+     * Handles a sequence of this daemon that was read from the stream or found in an installed
+     * checkpoint, which may have skipped the records of the batch.
      *
-     * @param highest this daemon's highest sequence in the checkpoint
+     * @param highest this daemon's highest sequence that was read
      */
     public void onSequenceRead(final long highest) {
         if (!mBatch.isEmpty() && highest >= mBatch.get(0).id().sequence()) {
@@ -154,9 +156,10 @@
     }
 
     /**
-     * A read reached the head of the stream; all its records were handed to {@link #onRecordRead}.
+     * Handles a read that reached the head of the stream, after all its records were passed to
+     * {@link #onRecordRead}.
      *
-     * @param startedAt when the read was sent
+     * @param startedAt the time at which the read was sent
      */
     public void onHeadReached(final Instant startedAt) {
         if (mPhase == Phase.UNCERTAIN && startedAt.isAfter(mUncertainSince)) {
--- a/state/src/main/java/org/whinhead/state/writer/ReadRequest.java
+++ b/state/src/main/java/org/whinhead/state/writer/ReadRequest.java
@@ -6,12 +6,12 @@
 import org.whinhead.api.Arguments;
 
 /**
- * One read of a stream.
+ * A read of a stream.
  *
- * @param fromOffset the first offset wanted
- * @param maxRecords the most records wanted
- * @param maxWait how long the log may wait for a record
- * @param sentAt when the read was decided
+ * @param fromOffset the first offset to read
+ * @param maxRecords the highest number of records to return, at least 1
+ * @param maxWait the longest time that the log may wait for a record
+ * @param sentAt the time at which the reader issued the read
  */
 public record ReadRequest(long fromOffset, int maxRecords, Duration maxWait, Instant sentAt) {
 
--- a/state/src/main/java/org/whinhead/state/writer/WriterLimits.java
+++ b/state/src/main/java/org/whinhead/state/writer/WriterLimits.java
@@ -3,14 +3,14 @@
 import org.whinhead.api.Arguments;
 
 /**
- * How much a writer takes in.
+ * The limits of a writer.
  *
- * @param maxQueuedRecords records that may wait
- * @param maxBatchRecords records in one append
+ * @param maxQueuedRecords the highest number of queued records, at least 1
+ * @param maxBatchRecords the highest number of records in an append, at least 1
  */
 public record WriterLimits(int maxQueuedRecords, int maxBatchRecords) {
 
-    /** Checks both bounds. */
+    /** Checks both limits. */
     public WriterLimits {
         Arguments.requireAtLeast(maxQueuedRecords, 1, "maxQueuedRecords");
         Arguments.requireAtLeast(maxBatchRecords, 1, "maxBatchRecords");
--- a/state/src/main/java/org/whinhead/state/writer/package-info.java
+++ b/state/src/main/java/org/whinhead/state/writer/package-info.java
@@ -1,2 +1,2 @@
-/** Decisions on appending to and reading from one stream of the log. */
+/** The logic of appending to and reading from one stream of the log, without I/O. */
 package org.whinhead.state.writer;
--- a/state/src/test/java/org/whinhead/state/FakeLog.java
+++ b/state/src/test/java/org/whinhead/state/FakeLog.java
@@ -7,7 +7,7 @@
 import org.whinhead.state.record.LogEntry;
 import org.whinhead.state.record.LogRecord;
 
-/** One stream of the log in memory, with its own clock, retention and appends that land late. */
+/** An in-memory stream of the log with its own clock, retention and delayed appends. */
 public final class FakeLog {
 
     private final List<LogEntry> mAll = new ArrayList<>();
@@ -24,15 +24,15 @@
         mNow = mNow.plus(time);
     }
 
-    public boolean down() {
+    public boolean isDown() {
         return mDown;
     }
 
-    public void down(final boolean down) {
+    public void setDown(final boolean down) {
         mDown = down;
     }
 
-    /** Every record ever appended, also the expired ones: the oracle's input. */
+    /** Returns every record ever appended, including expired ones. */
     public List<LogEntry> allEntries() {
         return mAll;
     }
--- a/state/src/test/java/org/whinhead/state/StreamClient.java
+++ b/state/src/test/java/org/whinhead/state/StreamClient.java
@@ -15,10 +15,10 @@
 import org.whinhead.state.writer.ReadRequest;
 import org.whinhead.state.writer.WriterLimits;
 
-/** One daemon's writer and reader, wired to a {@link FakeLog} stream as the daemon would. */
+/** One daemon's writer and reader, connected to a {@link FakeLog} stream. */
 public final class StreamClient {
 
-    /** What becomes of one append. */
+    /** The outcome of an append. */
     public enum AppendOutcome {
         DONE,
         REFUSED,
@@ -51,32 +51,32 @@
         return mReader;
     }
 
-    public void write(final AppendOutcome fate, final Instant now) {
+    public void write(final AppendOutcome outcome, final Instant now) {
         final Optional<List<LogRecord>> batch = mWriter.nextBatch(now);
         if (batch.isEmpty()) {
             return;
         }
-        final AppendOutcome real = mLog.down() ? AppendOutcome.REFUSED : fate;
-        if (real == AppendOutcome.DONE || real == AppendOutcome.LOST_AFTER_EFFECT) {
+        final AppendOutcome effective = mLog.isDown() ? AppendOutcome.REFUSED : outcome;
+        if (effective == AppendOutcome.DONE || effective == AppendOutcome.LOST_AFTER_EFFECT) {
             mLog.append(batch.get());
         }
-        if (real == AppendOutcome.LOST_AND_DELAYED) {
+        if (effective == AppendOutcome.LOST_AND_DELAYED) {
             mLog.delay(batch.get());
         }
-        switch (real) {
+        switch (effective) {
             case DONE -> mWriter.onAppended();
             case REFUSED -> mWriter.onRefused(Duration.ZERO, now);
             default -> mWriter.onOutcomeUnknown(now);
         }
     }
 
-    /** Reads once; false if the position has expired. */
+    /** Reads once. Returns false if the records at the next offset have expired. */
     public boolean read(final Instant now, final Consumer<LogEntry> consumer) {
         final Optional<ReadRequest> request = mReader.nextRead(now);
         if (request.isEmpty()) {
             return !mReader.needsCheckpoint();
         }
-        if (mLog.down()) {
+        if (mLog.isDown()) {
             mReader.onFailure(Duration.ZERO, now);
             return true;
         }
--- a/state/src/test/java/org/whinhead/state/checkpoint/CheckpointTest.java
+++ b/state/src/test/java/org/whinhead/state/checkpoint/CheckpointTest.java
@@ -19,8 +19,9 @@
 
 class CheckpointTest {
 
-    // The writer of a checkpoint dies between two parts, another one writes a newer checkpoint, and
-    // the first one's last part lands late. A daemon that starts must get the newer one whole.
+    // Guards against a daemon that starts from an old checkpoint. A writer crashes between two
+    // parts, another one writes a newer checkpoint, and the last part of the first is appended
+    // late.
     @Test
     void incompleteAndLateOlderCheckpointsAreIgnored() {
         final List<LogRecord.Checkpoint> older = publish(state(5));
@@ -35,9 +36,8 @@
         assertThat(assembler.newest()).contains(state(9));
     }
 
-    // A daemon started from a peer's state while the log was out, or lost records of a newer kind.
-    // A
-    // checkpoint from it could leave accepted changes out for good, so it must not write one.
+    // Guards against checkpoints that lack accepted changes. A daemon started from a peer's state
+    // during a log outage, or dropped records of a newer kind.
     @Test
     void onlyCompleteStateFromLogIsPublished() {
         assertThat(publish(new FoldView(state(5), FoldView.Source.PEER, true, false))).isEmpty();
--- a/state/src/test/java/org/whinhead/state/claim/ClaimCoordinatorTest.java
+++ b/state/src/test/java/org/whinhead/state/claim/ClaimCoordinatorTest.java
@@ -22,24 +22,23 @@
 
     private static final Arbitrary<Integer> DAEMON_INDEX = Arbitraries.integers().between(0, 2);
 
-    // A caller whose connection broke tries the same payment at another daemon. Appends are
-    // refused,
-    // lost before, after or long after their effect, daemons are paused, crash and start again, and
-    // records expire. The payment must not be dispatched twice within the window.
+    // Guards against a request that is dispatched twice within the window. A caller retries at
+    // another daemon after a connection failure, while appends are refused, lost or delayed,
+    // daemons pause or restart, and records expire.
     @Property(seed = "20261", tries = 1000)
     void noKeyIsGrantedTwiceWithinTheWindow(
             @ForAll("moves") final ActionChain<ClaimSimulation> moves) {
-        final ClaimSimulation fleet =
+        final ClaimSimulation simulation =
                 moves.withInvariant("one grant", ClaimCoordinatorTest::grantsAreWindowsApart).run();
-        fleet.recover();
-        grantsAreWindowsApart(fleet);
+        simulation.recover();
+        grantsAreWindowsApart(simulation);
         for (int key = 0; key < 3; key++) {
-            keyOfAttemptsThatNeverRanIsFree(fleet, key);
+            keyOfAttemptsThatNeverRanIsFree(simulation, key);
         }
     }
 
-    private static void grantsAreWindowsApart(final ClaimSimulation fleet) {
-        for (final List<Instant> grants : fleet.grants().values()) {
+    private static void grantsAreWindowsApart(final ClaimSimulation simulation) {
+        for (final List<Instant> grants : simulation.grants().values()) {
             for (int next = 1; next < grants.size(); next++) {
                 assertThat(Duration.between(grants.get(next - 1), grants.get(next)))
                         .isGreaterThan(ClaimSimulation.WINDOW.minus(Duration.ofSeconds(2)));
@@ -47,69 +46,68 @@
         }
     }
 
-    // After the faults a key that nobody ran must be free again, unless a claimant crashed before
-    // it could withdraw.
+    // After the faults, a key without a grant must be free unless a daemon crashed before it
+    // withdrew a claim.
     private static void keyOfAttemptsThatNeverRanIsFree(
-            final ClaimSimulation fleet, final int key) {
-        if (fleet.crashed() || fleet.grants().containsKey(ClaimSimulation.key(key))) {
+            final ClaimSimulation simulation, final int key) {
+        if (simulation.crashed() || simulation.grants().containsKey(ClaimSimulation.key(key))) {
             return;
         }
-        final long attempt = fleet.claim(0, key);
-        fleet.recover();
-        assertThat(fleet.decided().get(attempt)).isEqualTo(ClaimResult.GRANTED);
+        final long attempt = simulation.claim(0, key);
+        simulation.recover();
+        assertThat(simulation.decided().get(attempt)).isEqualTo(ClaimResult.GRANTED);
     }
 
-    // A daemon sends a claim, the answer is lost and the log does not answer until the deadline.
-    // The
-    // caller is told "not run" and tries again; only then does the first record land, late. The
-    // second try must be granted, for the first one never ran.
+    // Guards against a claim that blocks its key although its attempt never ran. The response to
+    // the append is lost until the deadline, the caller retries, and the first record is appended
+    // late.
     @Example
     void lateClaimOfWithdrawnAttemptDoesNotBlockKey() {
-        final ClaimSimulation fleet = new ClaimSimulation();
-        final long first = fleet.claim(0, 0);
-        fleet.advance(Duration.ofMillis(20));
-        fleet.write(0, AppendOutcome.LOST_AND_DELAYED);
-        fleet.advance(Duration.ofSeconds(2));
-        fleet.write(0, AppendOutcome.DONE);
-        assertThat(fleet.decided()).containsEntry(first, ClaimResult.UNAVAILABLE);
-        fleet.recover();
-        final long second = fleet.claim(1, 0);
-        fleet.recover();
-        assertThat(fleet.decided()).containsEntry(second, ClaimResult.GRANTED);
-        final long third = fleet.claim(2, 0);
-        fleet.recover();
-        assertThat(fleet.decided()).containsEntry(third, ClaimResult.HELD_ELSEWHERE);
+        final ClaimSimulation simulation = new ClaimSimulation();
+        final long first = simulation.claim(0, 0);
+        simulation.advance(Duration.ofMillis(20));
+        simulation.write(0, AppendOutcome.LOST_AND_DELAYED);
+        simulation.advance(Duration.ofSeconds(2));
+        simulation.write(0, AppendOutcome.DONE);
+        assertThat(simulation.decided()).containsEntry(first, ClaimResult.UNAVAILABLE);
+        simulation.recover();
+        final long second = simulation.claim(1, 0);
+        simulation.recover();
+        assertThat(simulation.decided()).containsEntry(second, ClaimResult.GRANTED);
+        final long third = simulation.claim(2, 0);
+        simulation.recover();
+        assertThat(simulation.decided()).containsEntry(third, ClaimResult.HELD_ELSEWHERE);
     }
 
-    // A granted request found no endpoint and was refused as not run. Its caller tries again at
-    // another daemon and must be served, since the first attempt was withdrawn.
+    // Guards against a key that stays blocked after its grant was withdrawn. A granted request
+    // finds no endpoint and its caller retries at another daemon.
     @Example
     void withdrawnGrantFreesKey() {
-        final ClaimSimulation fleet = new ClaimSimulation();
-        final long first = fleet.claim(0, 0);
-        fleet.recover();
-        assertThat(fleet.decided()).containsEntry(first, ClaimResult.GRANTED);
-        fleet.withdraw(0, 0, first);
-        fleet.recover();
-        final long second = fleet.claim(1, 0);
-        fleet.recover();
-        assertThat(fleet.decided()).containsEntry(second, ClaimResult.GRANTED);
+        final ClaimSimulation simulation = new ClaimSimulation();
+        final long first = simulation.claim(0, 0);
+        simulation.recover();
+        assertThat(simulation.decided()).containsEntry(first, ClaimResult.GRANTED);
+        simulation.withdraw(0, 0, first);
+        simulation.recover();
+        final long second = simulation.claim(1, 0);
+        simulation.recover();
+        assertThat(simulation.decided()).containsEntry(second, ClaimResult.GRANTED);
     }
 
-    // The log is out. A claim that was never sent ends as unavailable and leaves no record behind.
+    // During a log outage, a claim that was never sent ends as unavailable and appends no record.
     @Example
     void claimThatWasNeverSentLeavesNoRecord() {
-        final ClaimSimulation fleet = new ClaimSimulation();
-        fleet.log().down(true);
-        fleet.claim(0, 0);
-        fleet.advance(Duration.ofMillis(20));
-        fleet.write(0, AppendOutcome.DONE);
-        final long unsent = fleet.claim(0, 1);
-        fleet.advance(Duration.ofSeconds(3));
-        fleet.write(0, AppendOutcome.DONE);
-        assertThat(fleet.decided()).containsEntry(unsent, ClaimResult.UNAVAILABLE);
-        fleet.recover();
-        assertThat(fleet.log().allEntries()).hasSize(2);
+        final ClaimSimulation simulation = new ClaimSimulation();
+        simulation.log().setDown(true);
+        simulation.claim(0, 0);
+        simulation.advance(Duration.ofMillis(20));
+        simulation.write(0, AppendOutcome.DONE);
+        final long unsent = simulation.claim(0, 1);
+        simulation.advance(Duration.ofSeconds(3));
+        simulation.write(0, AppendOutcome.DONE);
+        assertThat(simulation.decided()).containsEntry(unsent, ClaimResult.UNAVAILABLE);
+        simulation.recover();
+        assertThat(simulation.log().allEntries()).hasSize(2);
     }
 
     @Provide
@@ -122,8 +120,13 @@
                 .withAction(4, pass(1, 200))
                 .withAction(2, pass(1_000, 30_000))
                 .withAction(1, pass(60_000, 900_000))
-                .withAction(2, onDaemon("land", (fleet, index) -> fleet.log().appendDelayed(index)))
-                .withAction(1, onDaemon("outage", (fleet, x) -> fleet.log().down(x == 0)))
+                .withAction(
+                        2,
+                        onDaemon(
+                                "land",
+                                (simulation, index) -> simulation.log().appendDelayed(index)))
+                .withAction(
+                        1, onDaemon("outage", (simulation, x) -> simulation.log().setDown(x == 0)))
                 .withMaxTransformations(80);
     }
 
@@ -131,20 +134,20 @@
         return () ->
                 Combinators.combine(DAEMON_INDEX, DAEMON_INDEX)
                         .as(
-                                (member, key) ->
+                                (daemon, key) ->
                                         Transformer.mutate(
-                                                "claim " + key + " at " + member,
-                                                fleet -> fleet.claim(member, key)));
+                                                "claim " + key + " at " + daemon,
+                                                simulation -> simulation.claim(daemon, key)));
     }
 
     private static Action.Independent<ClaimSimulation> write() {
         return () ->
                 Combinators.combine(DAEMON_INDEX, Arbitraries.of(AppendOutcome.class))
                         .as(
-                                (member, fate) ->
+                                (daemon, outcome) ->
                                         Transformer.mutate(
-                                                "write " + fate + " at " + member,
-                                                fleet -> fleet.write(member, fate)));
+                                                "write " + outcome + " at " + daemon,
+                                                simulation -> simulation.write(daemon, outcome)));
     }
 
     private static Action.Independent<ClaimSimulation> pass(final int least, final int most) {
@@ -155,15 +158,18 @@
                                 millis ->
                                         Transformer.mutate(
                                                 "pass " + millis,
-                                                fleet -> fleet.advance(Duration.ofMillis(millis))));
+                                                simulation ->
+                                                        simulation.advance(
+                                                                Duration.ofMillis(millis))));
     }
 
     private static Action.Independent<ClaimSimulation> onDaemon(
             final String name, final ObjIntConsumer<ClaimSimulation> move) {
         return () ->
                 DAEMON_INDEX.map(
-                        member ->
+                        daemon ->
                                 Transformer.mutate(
-                                        name + " " + member, fleet -> move.accept(fleet, member)));
+                                        name + " " + daemon,
+                                        simulation -> move.accept(simulation, daemon)));
     }
 }
--- a/state/src/test/java/org/whinhead/state/claim/ClaimSimulation.java
+++ b/state/src/test/java/org/whinhead/state/claim/ClaimSimulation.java
@@ -13,7 +13,7 @@
 import org.whinhead.state.FakeLog;
 import org.whinhead.state.StreamClient;
 
-/** Three daemons with claim desks on one stream, and what they told their callers. */
+/** Three daemons with claim coordinators on one stream, and their decisions. */
 final class ClaimSimulation {
 
     static final Duration WINDOW = Duration.ofMinutes(6);
@@ -54,29 +54,29 @@
         return ClaimKey.of(new CustomerId("c"), "key-" + index);
     }
 
-    long claim(final int member, final int key) {
+    long claim(final int daemon, final int key) {
         final long attempt = ClaimKey.attemptHash(new DaemonId("any"), ++mAttempts);
         final Instant now = mLog.now();
-        mDaemons.get(member).mDesk.claim(key(key), attempt, now.plus(DEADLINE), now);
+        mDaemons.get(daemon).mCoordinator.claim(key(key), attempt, now.plus(DEADLINE), now);
         return attempt;
     }
 
-    void withdraw(final int member, final int key, final long attempt) {
-        mDaemons.get(member).mDesk.withdraw(key(key), attempt, mLog.now());
+    void withdraw(final int daemon, final int key, final long attempt) {
+        mDaemons.get(daemon).mCoordinator.withdraw(key(key), attempt, mLog.now());
     }
 
-    void write(final int member, final StreamClient.AppendOutcome fate) {
-        mDaemons.get(member).mDesk.tick(mLog.now());
-        mDaemons.get(member).mPort.write(fate, mLog.now());
+    void write(final int daemon, final StreamClient.AppendOutcome outcome) {
+        mDaemons.get(daemon).mCoordinator.tick(mLog.now());
+        mDaemons.get(daemon).mClient.write(outcome, mLog.now());
     }
 
-    void read(final int member) {
-        mDaemons.get(member).read();
+    void read(final int daemon) {
+        mDaemons.get(daemon).read();
     }
 
-    void restart(final int member) {
+    void restart(final int daemon) {
         mCrashed = true;
-        mDaemons.set(member, new ClaimDaemon());
+        mDaemons.set(daemon, new ClaimDaemon());
     }
 
     void advance(final Duration time) {
@@ -84,9 +84,9 @@
         mLog.expireBefore(mLog.now().minus(RETENTION));
     }
 
-    /** Ends all faults, lets every daemon settle, and once more after the last late appends. */
+    /** Ends all faults and runs every daemon, and again after all delayed appends were written. */
     void recover() {
-        mLog.down(false);
+        mLog.setDown(false);
         runWithoutFaults();
         mLog.appendAllDelayed();
         runWithoutFaults();
@@ -95,10 +95,10 @@
     private void runWithoutFaults() {
         for (int round = 0; round < 40; round++) {
             advance(Duration.ofMillis(100));
-            for (int member = 0; member < mDaemons.size(); member++) {
-                write(member, StreamClient.AppendOutcome.DONE);
-                read(member);
-                read(member);
+            for (int daemon = 0; daemon < mDaemons.size(); daemon++) {
+                write(daemon, StreamClient.AppendOutcome.DONE);
+                read(daemon);
+                read(daemon);
             }
         }
     }
@@ -116,21 +116,21 @@
     }
 
     private final class ClaimDaemon {
-        private final StreamClient mPort =
+        private final StreamClient mClient =
                 new StreamClient(mLog, new DaemonId("i" + mIncarnations++));
         private final ClaimTable mTable = new ClaimTable(WINDOW, 1_000);
-        private final ClaimCoordinator mDesk =
+        private final ClaimCoordinator mCoordinator =
                 new ClaimCoordinator(
                         mTable,
-                        mPort.writer(),
+                        mClient.writer(),
                         new ClaimLimits(
                                 WINDOW.dividedBy(2), Duration.ofMillis(20), 4, 6, 1_000_000),
                         ClaimSimulation.this::decided);
 
         void read() {
-            if (!mPort.read(mLog.now(), entry -> mDesk.apply(entry, mLog.now()))) {
+            if (!mClient.read(mLog.now(), entry -> mCoordinator.apply(entry, mLog.now()))) {
                 mTable.reset();
-                mPort.reader().seek(mPort.reader().oldestAvailable());
+                mClient.reader().seek(mClient.reader().oldestAvailable());
             }
         }
     }
--- a/state/src/test/java/org/whinhead/state/claim/ClaimTableTest.java
+++ b/state/src/test/java/org/whinhead/state/claim/ClaimTableTest.java
@@ -18,7 +18,8 @@
     private static final Duration WINDOW = Duration.ofHours(1);
     private static final int CLAIMS = 1_000_000;
 
-    // Control work may use 256 MB; an hour of claims must fit, and be gone when the hour is over.
+    // Control work may use 256 MB of memory. One hour of claims must fit and must be removed after
+    // the hour.
     @Test
     void claimTakesAtMostFiftyBytesAndExpiresWithItsGeneration() {
         final ClaimTable table = new ClaimTable(WINDOW, 100);
--- a/state/src/test/java/org/whinhead/state/fold/FoldDaemon.java
+++ b/state/src/test/java/org/whinhead/state/fold/FoldDaemon.java
@@ -20,13 +20,11 @@
 import org.whinhead.state.settings.SettingsState;
 import org.whinhead.state.settings.SettingsValidator;
 
-/**
- * One daemon of the fold's tests, with a clock of its own that is wrong and runs at a wrong rate.
- */
+/** A daemon with a fold, whose clock has a constant error and a wrong rate. */
 final class FoldDaemon {
 
     static final String DUTY = "fleet";
-    static final LeaseTiming TERMS =
+    static final LeaseTiming TIMING =
             new LeaseTiming(
                     Duration.ofSeconds(10),
                     Duration.ofSeconds(1),
@@ -44,18 +42,22 @@
     private final LeaseElector mElector;
     private final Map<String, Long> mLastRevisions = new HashMap<>();
 
-    FoldDaemon(final FakeLog fleet, final FakeLog checkpoints, final int number, final int clock) {
+    FoldDaemon(
+            final FakeLog fleet,
+            final FakeLog checkpoints,
+            final int number,
+            final int clockError) {
         final DaemonId self = new DaemonId("i" + number);
         mFleetLog = fleet;
         mStart = fleet.now();
-        mClockError = clock;
+        mClockError = clockError;
         mFleetClient = new StreamClient(fleet, self);
         mCheckpointClient = new StreamClient(checkpoints, self);
         mPublisher =
                 new CheckpointPublisher(mCheckpointClient.writer(), Duration.ofSeconds(1), 400);
         mElector =
                 new LeaseElector(
-                        DUTY, self, TERMS, mFleetClient.writer(), new SplittableRandom(number));
+                        DUTY, self, TIMING, mFleetClient.writer(), new SplittableRandom(number));
     }
 
     static LogFold newFold() {
@@ -124,9 +126,9 @@
                         now());
     }
 
-    void write(final StreamClient.AppendOutcome fate) {
+    void write(final StreamClient.AppendOutcome outcome) {
         mElector.tick(true, now());
-        mFleetClient.write(fate, now());
+        mFleetClient.write(outcome, now());
     }
 
     void release() {
@@ -135,7 +137,7 @@
 
     void read() {
         final boolean usable = mFleetClient.read(now(), this::apply);
-        if (usable && mFold.nextOffset() == mFleetLog.allEntries().size() && !mFleetLog.down()) {
+        if (usable && mFold.nextOffset() == mFleetLog.allEntries().size() && !mFleetLog.isDown()) {
             mFold.markCaughtUp();
         }
         afterFold();
@@ -149,8 +151,8 @@
         mPublisher.publishIfDue(mFold.view(), now());
     }
 
-    void exchangeCheckpoints(final StreamClient.AppendOutcome fate) {
-        mCheckpointClient.write(fate, now());
+    void exchangeCheckpoints(final StreamClient.AppendOutcome outcome) {
+        mCheckpointClient.write(outcome, now());
         mCheckpointClient.read(
                 now(), entry -> mAssembler.addPart((LogRecord.Checkpoint) entry.record()));
         mAssembler.newest().ifPresent(state -> install(state, FoldView.Source.LOG));
--- a/state/src/test/java/org/whinhead/state/fold/FoldSimulation.java
+++ b/state/src/test/java/org/whinhead/state/fold/FoldSimulation.java
@@ -10,7 +10,9 @@
 import org.whinhead.state.FakeLog;
 import org.whinhead.state.StreamClient;
 
-/** Three daemons on one fleet stream and one checkpoint stream, checked against the oracle. */
+/**
+ * Three daemons on one fleet stream and one checkpoint stream, checked against the settings oracle.
+ */
 final class FoldSimulation {
 
     private static final int DAEMON_COUNT = 3;
@@ -43,12 +45,12 @@
         daemon(choice).change("change-" + number, path, author, text);
     }
 
-    void write(final int index, final StreamClient.AppendOutcome fate) {
-        daemon(index).write(fate);
+    void write(final int index, final StreamClient.AppendOutcome outcome) {
+        daemon(index).write(outcome);
     }
 
-    void exchangeCheckpoints(final int index, final StreamClient.AppendOutcome fate) {
-        daemon(index).exchangeCheckpoints(fate);
+    void exchangeCheckpoints(final int index, final StreamClient.AppendOutcome outcome) {
+        daemon(index).exchangeCheckpoints(outcome);
     }
 
     void restart(final int choice, final boolean fromPeer) {
@@ -65,8 +67,8 @@
     }
 
     void setOutage(final int choice) {
-        mFleetLog.down(choice < 4);
-        mCheckpointLog.down(choice < 4);
+        mFleetLog.setDown(choice < 4);
+        mCheckpointLog.setDown(choice < 4);
     }
 
     void expire(final int choice) {
@@ -78,19 +80,19 @@
     }
 
     void checkSettings() {
-        for (final FoldDaemon member : mDaemons) {
+        for (final FoldDaemon daemon : mDaemons) {
             final Map<String, Long> revisions = new TreeMap<>();
-            final FoldState state = member.fold().view().state();
+            final FoldState state = daemon.fold().view().state();
             for (final String path : state.settings().history().keySet()) {
                 revisions.put(path, state.settings().revisionNumber(path));
             }
             assertThat(revisions)
                     .isEqualTo(SettingsOracle.revisions(mFleetLog.allEntries(), state.asOf()));
-            member.lastRevisions()
+            daemon.lastRevisions()
                     .forEach(
                             (path, last) ->
                                     assertThat(revisions.get(path)).isGreaterThanOrEqualTo(last));
-            member.lastRevisions().putAll(revisions);
+            daemon.lastRevisions().putAll(revisions);
         }
     }
 
@@ -98,7 +100,10 @@
         assertThat(mDaemons.stream().filter(FoldDaemon::canAct).count()).isLessThanOrEqualTo(1);
     }
 
-    /** Ends all faults; whoever can reach the records must come to the same state as the others. */
+    /**
+     * Ends all faults and checks that all daemons reach the same state, unless the records that
+     * they need expired.
+     */
     void recoverAndCheck() {
         setOutage(DAEMON_COUNT * DAEMON_COUNT);
         runWithoutFaults();
@@ -107,25 +112,25 @@
         runWithoutFaults();
         mDaemons.forEach(FoldDaemon::read);
         final long furthest =
-                mDaemons.stream().mapToLong(member -> member.fold().nextOffset()).max().orElse(0);
+                mDaemons.stream().mapToLong(daemon -> daemon.fold().nextOffset()).max().orElse(0);
         if (furthest < mFleetLog.oldest()) {
             return;
         }
         final FoldState first = daemon(0).fold().view().state();
         assertThat(first.asOf()).isEqualTo(mFleetLog.allEntries().size());
-        mDaemons.forEach(member -> assertThat(member.fold().view().state()).isEqualTo(first));
+        mDaemons.forEach(daemon -> assertThat(daemon.fold().view().state()).isEqualTo(first));
         assertThat(mDaemons).anyMatch(FoldDaemon::canAct);
     }
 
     private void runWithoutFaults() {
         for (int round = 0; round < 80; round++) {
             advance(Duration.ofMillis(250));
-            for (final FoldDaemon member : mDaemons) {
-                member.write(StreamClient.AppendOutcome.DONE);
-                member.read();
-                member.read();
-                member.publish();
-                member.exchangeCheckpoints(StreamClient.AppendOutcome.DONE);
+            for (final FoldDaemon daemon : mDaemons) {
+                daemon.write(StreamClient.AppendOutcome.DONE);
+                daemon.read();
+                daemon.read();
+                daemon.publish();
+                daemon.exchangeCheckpoints(StreamClient.AppendOutcome.DONE);
             }
             checkSettings();
             checkLease();
--- a/state/src/test/java/org/whinhead/state/fold/LogFoldTest.java
+++ b/state/src/test/java/org/whinhead/state/fold/LogFoldTest.java
@@ -30,24 +30,23 @@
     private static final Arbitrary<Integer> DAEMON_INDEX = Arbitraries.integers().between(0, 2);
     private static final Arbitrary<Integer> CHOICE = Arbitraries.integers().between(0, 11);
 
-    // An operator's accepted change is in force, then an old value is back on some daemon: after a
-    // log outage, a pause past the retention, a late old checkpoint, a restart from a peer, or a
-    // lost answer and a second copy. And two daemons order the fleet about at the same time,
-    // because
-    // one was paused past its lease. Neither may happen, in any order of these events.
+    // Guards against a setting that reverts to an old value and against two daemons that act as
+    // lease holder at the same time. Causes are log outages, pauses past the retention or the
+    // lease, late checkpoints, restarts from a peer, and lost responses with second copies, in any
+    // order.
     @Property(seed = "20262", tries = 300)
     void settingsNeverRevertAndAtMostOneDaemonActs(
             @ForAll("moves") final ActionChain<FoldSimulation> moves) {
-        final FoldSimulation fleet =
+        final FoldSimulation simulation =
                 moves.withInvariant("settings", FoldSimulation::checkSettings)
                         .withInvariant("lease", FoldSimulation::checkLease)
                         .run();
-        fleet.recoverAndCheck();
+        simulation.recoverAndCheck();
     }
 
-    // A daemon of an older version meets rules that it does not know. If it went on, it would hold
-    // a
-    // change valid that the others refuse. It must stop before them, keep what it has and say so.
+    // Guards against a daemon of an older version that accepts a change which others reject,
+    // because it does not know the rules in force. It must stop before them, keep its state and
+    // report it.
     @Example
     void foldBlocksBeforeUnknownRulesVersion() {
         final LogFold fold = FoldDaemon.newFold(2);
@@ -61,9 +60,8 @@
         assertThat(fold.nextOffset()).isZero();
     }
 
-    // A grant's append lost its answer, was sent again, and the first copy landed late, behind a
-    // later
-    // record. A fold that took both copies would let a daemon spend the portion twice.
+    // Guards against a portion that is spent twice. The response to a grant's append is lost, the
+    // grant is sent again, and the first copy is appended after a later record.
     @Example
     void lateSecondCopyOfGrantIsDropped() {
         final LogFold fold = FoldDaemon.newFold();
@@ -75,8 +73,9 @@
         assertThat(fold.view().state().grants()).hasSize(1);
     }
 
-    // The holder of the budget duty is paused while it writes a grant; another one takes the duty
-    // over and grants anew. The first grant lands behind that and must not add to the second.
+    // Guards against two grants of one portion. The holder of the budget duty is paused while it
+    // writes a grant, another daemon claims the duty and grants again, and the first grant is
+    // appended later.
     @Example
     void grantUnderReplacedLeaseHasNoEffect() {
         final LogFold fold = FoldDaemon.newFold();
@@ -86,8 +85,9 @@
         assertThat(fold.view().state().grants()).isEmpty();
     }
 
-    // The holder of the duty notes an order before it sends it. Its successor must find the order
-    // open, close it, and not be handed one that the old holder noted too late.
+    // Guards against a lost open order after the duty changes its holder. The successor must find
+    // the order and be able to close it, but must not see a note that the old holder appended too
+    // late.
     @Example
     void successorInheritsNotesAndLateNotesAreIgnored() {
         final LogFold fold = FoldDaemon.newFold();
@@ -125,8 +125,8 @@
                 id(sequence), new CustomerId("c"), new DaemonId("d"), 5, 0, Instant.MAX);
     }
 
-    // An older version writes the checkpoint, and the records of a newer kind expire. The newer
-    // version that starts from it must still find them.
+    // Guards against the loss of records of a newer kind. An older version writes a checkpoint, the
+    // records expire, and a newer version starts from the checkpoint.
     @Example
     void unknownRecordsAreKeptInTheState() {
         final LogFold fold = FoldDaemon.newFold();
@@ -150,12 +150,16 @@
         return ActionChain.startWith(FoldSimulation::new)
                 .withAction(6, withChoice("change", FoldSimulation::change))
                 .withAction(14, withOutcome("write", FoldSimulation::write))
-                .withAction(16, withChoice("read", (fleet, n) -> fleet.daemon(n).read()))
+                .withAction(16, withChoice("read", (simulation, n) -> simulation.daemon(n).read()))
                 .withAction(4, withOutcome("checkpoints", FoldSimulation::exchangeCheckpoints))
-                .withAction(2, withChoice("publish", (fleet, n) -> fleet.daemon(n).publish()))
-                .withAction(2, withChoice("restart", (fleet, n) -> fleet.restart(n, false)))
-                .withAction(2, withChoice("from peer", (fleet, n) -> fleet.restart(n, true)))
-                .withAction(1, withChoice("release", (fleet, n) -> fleet.daemon(n).release()))
+                .withAction(
+                        2, withChoice("publish", (simulation, n) -> simulation.daemon(n).publish()))
+                .withAction(
+                        2, withChoice("restart", (simulation, n) -> simulation.restart(n, false)))
+                .withAction(
+                        2, withChoice("from peer", (simulation, n) -> simulation.restart(n, true)))
+                .withAction(
+                        1, withChoice("release", (simulation, n) -> simulation.daemon(n).release()))
                 .withAction(2, withChoice("land", FoldSimulation::appendDelayed))
                 .withAction(1, withChoice("outage", FoldSimulation::setOutage))
                 .withAction(1, withChoice("expire", FoldSimulation::expire))
@@ -170,7 +174,8 @@
                 CHOICE.map(
                         choice ->
                                 Transformer.mutate(
-                                        name + " " + choice, fleet -> move.accept(fleet, choice)));
+                                        name + " " + choice,
+                                        simulation -> move.accept(simulation, choice)));
     }
 
     private static Action.Independent<FoldSimulation> withOutcome(
@@ -178,10 +183,11 @@
         return () ->
                 Combinators.combine(DAEMON_INDEX, Arbitraries.of(AppendOutcome.class))
                         .as(
-                                (member, fate) ->
+                                (daemon, outcome) ->
                                         Transformer.mutate(
-                                                name + " " + fate + " at " + member,
-                                                fleet -> move.run(fleet, member, fate)));
+                                                name + " " + outcome + " at " + daemon,
+                                                simulation ->
+                                                        move.run(simulation, daemon, outcome)));
     }
 
     private static Action.Independent<FoldSimulation> pass(final int least, final int most) {
@@ -192,10 +198,12 @@
                                 millis ->
                                         Transformer.mutate(
                                                 "pass " + millis,
-                                                fleet -> fleet.advance(Duration.ofMillis(millis))));
+                                                simulation ->
+                                                        simulation.advance(
+                                                                Duration.ofMillis(millis))));
     }
 
     private interface OutcomeAction {
-        void run(FoldSimulation fleet, int member, AppendOutcome fate);
+        void run(FoldSimulation simulation, int daemon, AppendOutcome outcome);
     }
 }
--- a/state/src/test/java/org/whinhead/state/fold/SettingsOracle.java
+++ b/state/src/test/java/org/whinhead/state/fold/SettingsOracle.java
@@ -9,16 +9,16 @@
 import org.whinhead.state.record.LogRecord;
 import org.whinhead.state.record.RecordId;
 
-/** The settings in force after some records, worked out with unbounded memory. */
+/** Computes the settings in force at an offset from all records, with unbounded memory. */
 final class SettingsOracle {
 
     private SettingsOracle() {}
 
-    static Map<String, Long> revisions(final List<LogEntry> all, final long position) {
+    static Map<String, Long> revisions(final List<LogEntry> all, final long offset) {
         final Set<RecordId> seen = new HashSet<>();
         final Set<String> changes = new HashSet<>();
         final Map<String, Long> revisions = new TreeMap<>();
-        for (final LogEntry entry : all.subList(0, (int) position)) {
+        for (final LogEntry entry : all.subList(0, (int) offset)) {
             if (seen.add(entry.record().id())
                     && entry.record() instanceof LogRecord.SettingChanged change
                     && changes.add(change.changeId())
--- a/state/src/test/java/org/whinhead/state/writer/LogWriterTest.java
+++ b/state/src/test/java/org/whinhead/state/writer/LogWriterTest.java
@@ -22,9 +22,9 @@
                     new WriterLimits(2, 10),
                     new Backoff(STEP, STEP.multipliedBy(8), new SplittableRandom(1)));
 
-    // The log is out for long and records keep coming. The writer must refuse at once when its
-    // queue
-    // is full, rather than fill the memory, and must wait as long as the log asked.
+    // Guards against unbounded memory and early retries during a long log outage. The writer must
+    // reject records at once when its queue is full and must wait for the delay that the log
+    // requested.
     @Test
     void fullQueueRejectsRecordsAndRetryAfterIsHonored() {
         offer(1);
@@ -40,8 +40,9 @@
         assertThat(mWriter.nextBatch(START.plusSeconds(5)).orElseThrow()).hasSize(2);
     }
 
-    // The answer to an append is lost. A read that was under way before the loss says nothing about
-    // it; only one that began later and reached the head may lead to a second copy.
+    // Guards against needless second copies after the response to an append is lost. A read that
+    // began before the loss proves nothing; only a later read that reached the head permits a
+    // second append.
     @Test
     void lostAppendIsResentOnlyAfterLaterReadReachesHead() {
         offer(1);
