--- a/membership/src/main/java/org/whinhead/membership/AnnouncementQueue.java
+++ b/membership/src/main/java/org/whinhead/membership/AnnouncementQueue.java
@@ -11,41 +11,44 @@
 import org.whinhead.api.model.VmId;
 
 /**
- * Announcements to pass on at the next tick.
+ * Collects leaving notices to forward to the peers at the next tick.
  *
- * <p>Guards against a wave that comes as one notice for each VM: passed on one by one, hundreds of
- * messages would go out on every link. What comes between two ticks leaves as one message, and a
- * peer is not told what it has just told itself.
+ * <p>When many VMs are reclaimed together, the cloud may send one notice for each VM. Forwarded one
+ * by one, these would put hundreds of messages on every link. Therefore notices between two ticks
+ * are merged, and a peer is not sent the VMs that it announced itself.
  */
 final class AnnouncementQueue {
 
     private final Map<Instant, Set<VmId>> mPending = new HashMap<>();
     private final Map<VmId, Set<VmId>> mKnownByPeer = new HashMap<>();
 
-    /** Adds VMs; ends are rounded up to a second, so that a wave's VMs share one. */
+    /**
+     * Adds VMs; rounds their end time up to a full second, so that VMs reclaimed together share one
+     * notice.
+     */
     void add(final Set<VmId> vms, final Instant goneBy) {
         final Instant second = goneBy.truncatedTo(ChronoUnit.SECONDS);
         final Instant rounded = second.equals(goneBy) ? goneBy : second.plusSeconds(1);
         mPending.computeIfAbsent(rounded, end -> new HashSet<>()).addAll(vms);
     }
 
-    /** Notes that a peer knows of VMs, for as long as something waits. */
+    /** Records that a peer already knows about VMs; has no effect while the queue is empty. */
     void markKnown(final VmId peer, final Set<VmId> vms) {
         if (!mPending.isEmpty()) {
             mKnownByPeer.computeIfAbsent(peer, id -> new HashSet<>()).addAll(vms);
         }
     }
 
-    /** Returns what a peer has yet to be told. */
+    /** Returns the pending notices without the VMs that the peer already knows about. */
     List<LeavingNotice> noticesFor(final VmId peer) {
-        final Set<VmId> told = mKnownByPeer.getOrDefault(peer, Set.of());
+        final Set<VmId> known = mKnownByPeer.getOrDefault(peer, Set.of());
         final List<LeavingNotice> notices = new ArrayList<>();
         mPending.forEach(
                 (goneBy, vms) -> {
-                    final Set<VmId> news = new HashSet<>(vms);
-                    news.removeAll(told);
-                    if (!news.isEmpty()) {
-                        notices.add(new LeavingNotice(news, goneBy));
+                    final Set<VmId> unknown = new HashSet<>(vms);
+                    unknown.removeAll(known);
+                    if (!unknown.isEmpty()) {
+                        notices.add(new LeavingNotice(unknown, goneBy));
                     }
                 });
         return notices;
--- a/membership/src/main/java/org/whinhead/membership/DaemonAddress.java
+++ b/membership/src/main/java/org/whinhead/membership/DaemonAddress.java
@@ -5,15 +5,15 @@
 import org.whinhead.api.model.VmId;
 
 /**
- * Where another daemon listens for its peers.
+ * The address on which a daemon listens for its peers.
  *
- * @param vm the VM that the daemon runs on, which its certificate must name
+ * @param vm the VM that the daemon runs on; the daemon's certificate must contain its identity
  * @param host the IP address
  * @param port the TCP port
  */
 public record DaemonAddress(VmId vm, String host, int port) {
 
-    /** Checks every part. */
+    /** Validates all components. */
     public DaemonAddress {
         Objects.requireNonNull(vm, "vm");
         Arguments.requireText(host, "host");
--- a/membership/src/main/java/org/whinhead/membership/DaemonMember.java
+++ b/membership/src/main/java/org/whinhead/membership/DaemonMember.java
@@ -7,15 +7,15 @@
 import org.whinhead.api.model.VmState;
 
 /**
- * A VM that runs a daemon.
+ * A daemon with its VM and addresses.
  *
  * @param vm the VM with its state
- * @param address where its peers reach it
- * @param callerAddress where callers reach it
+ * @param address the address for peers
+ * @param callerAddress the address for callers
  */
 public record DaemonMember(Vm vm, DaemonAddress address, URI callerAddress) {
 
-    /** Checks every part. */
+    /** Validates all components. */
     public DaemonMember {
         Objects.requireNonNull(vm, "vm");
         Objects.requireNonNull(address, "address");
@@ -28,10 +28,10 @@
     }
 
     /**
-     * Returns the same daemon with its VM in another state.
+     * Returns this daemon with its VM in the given state.
      *
      * @param state the VM's new state
-     * @return a copy of this member
+     * @return this member if the state is the same, else a copy
      */
     public DaemonMember withState(final VmState state) {
         return vm.state() == state
--- a/membership/src/main/java/org/whinhead/membership/Dissemination.java
+++ b/membership/src/main/java/org/whinhead/membership/Dissemination.java
@@ -13,8 +13,8 @@
 import org.whinhead.api.model.VmId;
 
 /**
- * Passes facts on: announcements at the next tick, rumors in portions, and all of them again to a
- * peer whose heartbeat shows that it lacks some.
+ * Spreads membership facts by gossip: leaving notices at the next tick, rumors in batches, and the
+ * full state to a peer whose heartbeat has a different digest.
  */
 final class Dissemination {
 
@@ -50,7 +50,10 @@
         mActions = actions;
     }
 
-    /** Spreads daemons that start together over the interval. */
+    /**
+     * Schedules the first heartbeat and gossip at random times within their intervals, so that
+     * daemons that start together don't send at the same moment.
+     */
     void scheduleFirstSends(final Instant now, final RandomGenerator random) {
         final long spread = mSettings.heartbeatInterval().toMillis();
         mNextHeartbeat = now.plusMillis(random.nextLong(spread));
@@ -85,9 +88,9 @@
         mHeartbeatsSent.keySet().retainAll(linked);
         for (final DaemonMember link : links) {
             final int sent = mHeartbeatsSent.merge(link.id(), 1, Integer::sum);
-            final boolean withMember = sent % HEARTBEATS_PER_DESCRIPTION == 1;
+            final boolean describesSelf = sent % HEARTBEATS_PER_DESCRIPTION == 1;
             final Optional<DaemonMember> member =
-                    withMember ? Optional.of(mSelf) : Optional.empty();
+                    describesSelf ? Optional.of(mSelf) : Optional.empty();
             final long digest = mRegistry.digest();
             mActions.send(
                     link.address(), new MembershipMessage.Heartbeat(mIncarnation, digest, member));
@@ -105,11 +108,13 @@
         }
     }
 
-    /** Takes in an announcement; what is news is passed on at the next tick. */
+    /**
+     * Records a leaving notice and queues the VMs that were not announced before for the next tick.
+     */
     void receiveNotice(final LeavingNotice notice, final Optional<VmId> from, final Instant now) {
-        final Set<VmId> news = mRegistry.recordAnnouncement(notice, now);
-        if (!news.isEmpty()) {
-            mAnnouncements.add(news, notice.goneBy());
+        final Set<VmId> newVms = mRegistry.recordAnnouncement(notice, now);
+        if (!newVms.isEmpty()) {
+            mAnnouncements.add(newVms, notice.goneBy());
         }
         from.ifPresent(peer -> mAnnouncements.markKnown(peer, notice.vms()));
     }
@@ -135,16 +140,16 @@
 
     void receiveAlive(final VmId vm, final long incarnation) {
         final VmFacts facts = mRegistry.facts(vm);
-        final boolean endsSuspicion = facts != null && facts.isSuspected();
-        if (mRegistry.recordAlive(vm, incarnation) && endsSuspicion) {
+        final boolean wasSuspected = facts != null && facts.isSuspected();
+        if (mRegistry.recordAlive(vm, incarnation) && wasSuspected) {
             mRumors.add(new Rumor.Alive(vm, incarnation));
         }
     }
 
     void receiveHeartbeat(
             final VmId from, final MembershipMessage.Heartbeat heartbeat, final Instant now) {
-        // Guards against a daemon that describes another one in its own name: callers and peers
-        // would be sent to the wrong address.
+        // A daemon may describe only itself; otherwise it could redirect the callers and peers of
+        // another daemon to a wrong address.
         heartbeat
                 .member()
                 .filter(member -> member.id().equals(from))
@@ -152,7 +157,8 @@
         receiveAlive(from, heartbeat.incarnation());
         final VmFacts facts = mRegistry.facts(from);
         if (facts != null && facts.isSuspected()) {
-            // Only the peer itself may end the suspicion, so it must hear of it.
+            // Only the peer itself can end the suspicion, by raising its incarnation, so send it
+            // the suspicion.
             final Rumor rumor = new Rumor.Suspected(from, facts.suspectedIncarnation());
             send(from, new MembershipMessage.Gossip(List.of(rumor), false));
         } else if (heartbeat.digest() != mRegistry.digest()) {
@@ -161,13 +167,15 @@
     }
 
     /**
-     * Repairs what loss has torn, but not while news still travels, and only so often: after a
-     * partition the digests of all neighbours differ at once.
+     * Sends all known rumors, to repair lost messages. Sends nothing while the own digest has
+     * changed within the last heartbeat interval, because rumors may still be spreading, and sends
+     * to at most one peer per interval, because after a partition the digests of all neighbors
+     * differ at once.
      */
     private void sendFullState(final VmId to, final Instant now) {
         final Duration interval = mSettings.heartbeatInterval();
-        final boolean settled = !now.isBefore(mDigestChangedAt.plus(interval));
-        if (settled
+        final boolean digestStable = !now.isBefore(mDigestChangedAt.plus(interval));
+        if (digestStable
                 && (mLastFullState.equals(Instant.MIN)
                         || !now.isBefore(mLastFullState.plus(interval)))) {
             mLastFullState = now;
@@ -178,8 +186,9 @@
     void receiveGossip(final VmId from, final MembershipMessage.Gossip gossip, final Instant now) {
         final Map<Instant, Set<VmId>> leaving = new HashMap<>();
         for (final Rumor rumor : gossip.rumors()) {
-            if (rumor instanceof Rumor.Leaving one) {
-                leaving.computeIfAbsent(one.goneBy(), goneBy -> new HashSet<>()).add(one.vm());
+            if (rumor instanceof Rumor.Leaving notice) {
+                leaving.computeIfAbsent(notice.goneBy(), goneBy -> new HashSet<>())
+                        .add(notice.vm());
             } else {
                 receiveRumor(rumor, now);
             }
@@ -196,7 +205,8 @@
         if (rumor instanceof Rumor.Suspected suspected) {
             receiveSuspicion(suspected);
         } else if (rumor instanceof Rumor.Alive alive) {
-            // Passed on also by those that missed the suspicion: others behind them may hold it.
+            // Forwarded even if the suspicion is unknown here, because peers further on may know
+            // it.
             if (mRegistry.recordAlive(alive.vm(), alive.incarnation())) {
                 mRumors.add(alive);
             }
@@ -224,16 +234,19 @@
         receiveAlive(member.id(), incarnation);
     }
 
-    /** Sends what the peer's whole list of rumors lacks. */
-    private void replyWithMissingRumors(final VmId to, final List<Rumor> theirs) {
-        final Set<Rumor> known = new HashSet<>(theirs);
+    /**
+     * Sends the rumors that are missing from the peer's full state, and newer incarnations of VMs
+     * that the peer suspects.
+     */
+    private void replyWithMissingRumors(final VmId to, final List<Rumor> peerRumors) {
+        final Set<Rumor> known = new HashSet<>(peerRumors);
         final List<Rumor> missing = new ArrayList<>();
         for (final Rumor rumor : mRegistry.rumors()) {
             if (!known.contains(rumor)) {
                 missing.add(rumor);
             }
         }
-        for (final Rumor rumor : theirs) {
+        for (final Rumor rumor : peerRumors) {
             final VmFacts facts = mRegistry.facts(rumor.vm());
             if (rumor instanceof Rumor.Suspected suspected
                     && facts != null
--- a/membership/src/main/java/org/whinhead/membership/FailureDetector.java
+++ b/membership/src/main/java/org/whinhead/membership/FailureDetector.java
@@ -9,7 +9,10 @@
 import java.util.Set;
 import org.whinhead.api.model.VmId;
 
-/** Watches the neighbours of one daemon; a silent one is asked for before it becomes suspect. */
+/**
+ * Detects silent neighbors of one daemon. A silent neighbor is probed, also through other daemons,
+ * before it is suspected.
+ */
 final class FailureDetector {
 
     private final MembershipSettings mSettings;
@@ -21,34 +24,34 @@
         mSettings = settings;
     }
 
-    /** Sets whom to watch; a new neighbour has the whole timeout before it. */
-    void setNeighbors(final Set<VmId> neighbours, final Instant now) {
-        mHistories.keySet().retainAll(neighbours);
-        mProbes.keySet().retainAll(neighbours);
-        for (final VmId vm : neighbours) {
+    /** Sets the neighbors to watch; the timeout of a new neighbor starts now. */
+    void setNeighbors(final Set<VmId> neighbors, final Instant now) {
+        mHistories.keySet().retainAll(neighbors);
+        mProbes.keySet().retainAll(neighbors);
+        for (final VmId vm : neighbors) {
             mHistories.computeIfAbsent(vm, id -> new HeartbeatHistory(mSettings, now));
         }
     }
 
     void recordHeartbeat(final VmId vm, final Instant now) {
-        final HeartbeatHistory arrivals = mHistories.get(vm);
-        if (arrivals != null) {
-            arrivals.recordHeartbeat(now);
+        final HeartbeatHistory history = mHistories.get(vm);
+        if (history != null) {
+            history.recordHeartbeat(now);
             mProbes.remove(vm);
         }
     }
 
     void recordMessage(final VmId vm, final Instant now) {
-        final HeartbeatHistory arrivals = mHistories.get(vm);
-        if (arrivals != null) {
-            arrivals.recordMessage(now);
+        final HeartbeatHistory history = mHistories.get(vm);
+        if (history != null) {
+            history.recordMessage(now);
             mProbes.remove(vm);
         }
     }
 
     /**
-     * Another daemon answered for a neighbour. Guards against a reply to an earlier probe that was
-     * long on its way: it would vouch for a VM that died since.
+     * Records another daemon's confirmation that a neighbor is live. A reply to an earlier probe is
+     * ignored, because the VM may have died since.
      */
     void recordProbeReply(final VmId vm, final long nonce, final Instant now) {
         final Probe probe = mProbes.get(vm);
@@ -59,30 +62,30 @@
     }
 
     /**
-     * Tells whether this daemon itself heard a neighbour within its timeout; false for one that is
-     * not watched.
+     * Returns whether a message from the neighbor itself arrived within its timeout; false for a VM
+     * that is not watched.
      */
     boolean hasRecentMessage(final VmId vm, final Instant now) {
-        final HeartbeatHistory arrivals = mHistories.get(vm);
-        return arrivals != null && arrivals.hasRecentMessage(now);
+        final HeartbeatHistory history = mHistories.get(vm);
+        return history != null && history.hasRecentMessage(now);
     }
 
     /**
-     * Guards against an own pause that looks like the death of every peer: the first tick after it
-     * would put all in question at once. All silences start anew then.
+     * Restarts all timeouts and discards all probes. Called after a pause of the own process, when
+     * every neighbor looks silent and would be probed at once.
      */
     void resetSilences(final Instant now) {
-        mHistories.values().forEach(arrivals -> arrivals.resetSilence(now));
+        mHistories.values().forEach(history -> history.resetSilence(now));
         mProbes.clear();
     }
 
-    /** Returns the neighbours that fell silent and must be probed now. */
+    /** Starts and returns a probe for each silent neighbor that has none in progress. */
     List<Probe> startProbes(final Instant now) {
         final Instant deadline = now.plus(mSettings.probeTimeout());
         final List<Probe> started = new ArrayList<>();
         mHistories.forEach(
-                (vm, arrivals) -> {
-                    if (arrivals.isSilent(now) && !mProbes.containsKey(vm)) {
+                (vm, history) -> {
+                    if (history.isSilent(now) && !mProbes.containsKey(vm)) {
                         started.add(new Probe(vm, ++mNonce, deadline));
                     }
                 });
@@ -90,7 +93,7 @@
         return started;
     }
 
-    /** Returns the neighbours for whose life nobody answered in time. */
+    /** Removes the probes whose deadline has passed and returns their targets. */
     List<VmId> takeUnanswered(final Instant now) {
         final List<VmId> unanswered = new ArrayList<>();
         final Iterator<Map.Entry<VmId, Probe>> probes = mProbes.entrySet().iterator();
@@ -104,6 +107,6 @@
         return unanswered;
     }
 
-    /** One question after a silent neighbour. */
+    /** A probe of a silent neighbor. */
     record Probe(VmId target, long nonce, Instant deadline) {}
 }
--- a/membership/src/main/java/org/whinhead/membership/GossipLinks.java
+++ b/membership/src/main/java/org/whinhead/membership/GossipLinks.java
@@ -11,7 +11,10 @@
 import org.whinhead.api.model.VmId;
 import org.whinhead.api.model.VmState;
 
-/** Whom a daemon talks to: its neighbours in the overlay, and those that took it as one. */
+/**
+ * Selects the peers that a daemon sends to: its neighbors in the overlay, and the daemons that
+ * chose it as their neighbor.
+ */
 final class GossipLinks {
 
     private static final int INBOUND_TIMEOUT_HEARTBEATS = 5;
@@ -32,15 +35,18 @@
     }
 
     /**
-     * Chooses the neighbours anew if the members changed; tells whether it did.
+     * Recomputes the neighbors if the members changed, and returns whether it did.
      *
-     * <p>The overlay of all members keeps links across a cut, so that its end is noticed; the
-     * overlay of live members alone has no holes on the own side.
+     * <p>The neighbors come from two overlays. The overlay of all members keeps links across a
+     * network partition, so that its end is detected; the overlay of the live members stays
+     * connected on the own side.
      */
     boolean refresh(final Instant now) {
-        final Duration patience =
+        final Duration inboundTimeout =
                 mSettings.heartbeatInterval().multipliedBy(INBOUND_TIMEOUT_HEARTBEATS);
-        mInboundNeighbors.values().removeIf(heard -> heard.plus(patience).isBefore(now));
+        mInboundNeighbors
+                .values()
+                .removeIf(lastHeartbeat -> lastHeartbeat.plus(inboundTimeout).isBefore(now));
         final Set<VmId> known = new HashSet<>();
         final Set<VmId> live = new HashSet<>();
         for (final VmId vm : mRegistry.daemons().keySet()) {
@@ -72,7 +78,7 @@
         mInboundNeighbors.put(vm, now);
     }
 
-    /** Returns all links; a daemon that was not heard of yet has no address and is left out. */
+    /** Returns the peers to send to, without VMs that are gone or whose address is not known. */
     List<DaemonMember> links() {
         final Set<VmId> ids = new HashSet<>(mNeighbors);
         ids.addAll(mInboundNeighbors.keySet());
--- a/membership/src/main/java/org/whinhead/membership/HeartbeatHistory.java
+++ b/membership/src/main/java/org/whinhead/membership/HeartbeatHistory.java
@@ -3,7 +3,7 @@
 import java.time.Duration;
 import java.time.Instant;
 
-/** When heartbeats of one peer arrive, and how long a silence is usual for it. */
+/** Tracks the arrival times of one peer's heartbeats and derives the peer's timeout from them. */
 final class HeartbeatHistory {
 
     private static final double MEAN_GAIN = 0.125;
@@ -23,32 +23,32 @@
         mMeanMillis = settings.heartbeatInterval().toMillis();
     }
 
-    /** A sign of life from the peer itself. */
+    /** Records a message from the peer itself. */
     void recordMessage(final Instant now) {
         mLastSignOfLife = now;
         mLastMessage = now;
     }
 
-    /** Another daemon has heard the peer. */
+    /** Records that another daemon confirmed that the peer is live. */
     void recordProbeReply(final Instant now) {
         mLastSignOfLife = now;
     }
 
     /**
-     * Tells whether the peer itself was heard within its timeout. Guards against two observers of a
-     * dead peer that vouch for it by each other's word for ever: it would stay live in every view.
-     * What another daemon has heard counts here, but is not passed on.
+     * Returns whether a message from the peer itself arrived within the peer's timeout.
+     * Confirmations by other daemons end a silence but don't count here: otherwise two observers of
+     * a dead peer could confirm it to each other forever, and it would stay live in every view.
      */
     boolean hasRecentMessage(final Instant now) {
         return mLastMessage != null && isWithinTimeout(mLastMessage, now);
     }
 
-    /** A heartbeat arrived; the gap before it widens or narrows the timeout. */
+    /** Records a heartbeat and adapts the timeout to the gap before it. */
     void recordHeartbeat(final Instant now) {
         if (mLastHeartbeat != null) {
-            // A gap as long as a partition says nothing of the peer's pace.
-            final long longest = mSettings.maximumTimeout().toMillis();
-            final long gap = Math.min(longest, Duration.between(mLastHeartbeat, now).toMillis());
+            // The gap is capped, because a partition says nothing about the peer's usual interval.
+            final long maximum = mSettings.maximumTimeout().toMillis();
+            final long gap = Math.min(maximum, Duration.between(mLastHeartbeat, now).toMillis());
             mDeviationMillis += DEVIATION_GAIN * (Math.abs(gap - mMeanMillis) - mDeviationMillis);
             mMeanMillis += MEAN_GAIN * (gap - mMeanMillis);
         }
@@ -56,7 +56,9 @@
         recordMessage(now);
     }
 
-    /** The own daemon was paused: silence during the pause is not the peer's. */
+    /**
+     * Restarts the timeout after a pause of the own process, which is not a silence of the peer.
+     */
     void resetSilence(final Instant now) {
         mLastSignOfLife = now;
         mLastHeartbeat = null;
@@ -71,12 +73,14 @@
     }
 
     /**
-     * Guards against a slow VM taken for a dead one: its own pace sets how long it may be silent.
+     * Returns how long the peer may be silent: twice the mean gap between heartbeats plus four mean
+     * deviations, within the configured bounds. The timeout follows the peer's own intervals, so
+     * that a slow VM is not suspected.
      */
     Duration timeout() {
         final long expected = (long) (2 * mMeanMillis + TIMEOUT_DEVIATIONS * mDeviationMillis);
-        final long least = mSettings.minimumTimeout().toMillis();
-        final long most = mSettings.maximumTimeout().toMillis();
-        return Duration.ofMillis(Math.max(least, Math.min(most, expected)));
+        final long minimum = mSettings.minimumTimeout().toMillis();
+        final long maximum = mSettings.maximumTimeout().toMillis();
+        return Duration.ofMillis(Math.max(minimum, Math.min(maximum, expected)));
     }
 }
--- a/membership/src/main/java/org/whinhead/membership/LeavingNotice.java
+++ b/membership/src/main/java/org/whinhead/membership/LeavingNotice.java
@@ -6,14 +6,14 @@
 import org.whinhead.api.model.VmId;
 
 /**
- * Some VMs are about to stop; a whole failure domain that is taken back is one notice.
+ * A notice that VMs are about to stop; a failure domain that is reclaimed as a whole is one notice.
  *
  * @param vms the VMs
- * @param goneBy when they are stopped at the latest
+ * @param goneBy the latest time at which the VMs stop
  */
 public record LeavingNotice(Set<VmId> vms, Instant goneBy) {
 
-    /** Checks every part and copies the set. */
+    /** Validates all components and copies the set. */
     public LeavingNotice {
         vms = Set.copyOf(vms);
         Objects.requireNonNull(goneBy, "goneBy");
--- a/membership/src/main/java/org/whinhead/membership/Membership.java
+++ b/membership/src/main/java/org/whinhead/membership/Membership.java
@@ -12,8 +12,9 @@
 import org.whinhead.api.model.VmState;
 
 /**
- * Decides which VMs are live, suspect, leaving or gone. Single-threaded: lists, notices, peers'
- * messages and ticks go in with the time, messages and views go out through the actions.
+ * Tracks which VMs are live, suspect, leaving or gone. Not thread-safe. VM lists, notices, peers'
+ * messages and ticks are passed in together with the current time; outgoing messages and new views
+ * are passed to the actions.
  */
 public final class Membership {
 
@@ -34,14 +35,14 @@
     private Instant mLastTick;
 
     /**
-     * Starts the membership of one daemon.
+     * Creates the membership of one daemon.
      *
-     * @param settings how often to talk and how long to wait
+     * @param settings the intervals and timeouts
      * @param self the own daemon
      * @param incarnation a number above that of any earlier daemon on the same VM
-     * @param random the source of chance
-     * @param actions the way out
-     * @param now the time
+     * @param random the random generator for send times and indirect probes
+     * @param actions the receiver of outgoing messages and new views
+     * @param now the current time
      */
     public Membership(
             final MembershipSettings settings,
@@ -70,26 +71,29 @@
     }
 
     /**
-     * Tells when an announced VM is stopped.
+     * Returns the announced end of a VM.
      *
      * @param vm the VM
-     * @return the latest time, or empty if none was announced
+     * @return the latest time at which the VM stops, or empty if none was announced
      */
     public Optional<Instant> goneBy(final VmId vm) {
         return Optional.ofNullable(mRegistry.facts(vm)).map(VmFacts::goneBy);
     }
 
-    /** Returns the own heartbeat with which a daemon introduces itself to one it does not know. */
+    /**
+     * Returns a heartbeat with the own daemon's description, for a peer that does not know this
+     * daemon.
+     */
     public MembershipMessage.Heartbeat ownHeartbeat() {
         return new MembershipMessage.Heartbeat(
                 mDissemination.incarnation(), mRegistry.digest(), Optional.of(mSelf));
     }
 
     /**
-     * The platform's VM list was read.
+     * Applies the platform's VM list.
      *
-     * @param list the list; one that is not newer than the newest changes nothing
-     * @param now the time
+     * @param list the list; ignored if it is empty or not newer than the newest list applied
+     * @param now the current time
      */
     public void listReceived(final VmListSnapshot list, final Instant now) {
         mRegistry.applyList(list, now);
@@ -97,10 +101,10 @@
     }
 
     /**
-     * The cloud said that VMs are taken back; the other daemons are told at the next tick.
+     * Records the cloud's notice that VMs are reclaimed; the peers are informed at the next tick.
      *
-     * @param notice the VMs
-     * @param now the time
+     * @param notice the VMs and their end
+     * @param now the current time
      */
     public void noticeReceived(final LeavingNotice notice, final Instant now) {
         mDissemination.receiveNotice(notice, Optional.empty(), now);
@@ -108,21 +112,21 @@
     }
 
     /**
-     * The own daemon begins its graceful shutdown.
+     * Announces the graceful shutdown of the own daemon.
      *
-     * @param goneBy when it is stopped at the latest
-     * @param now the time
+     * @param goneBy the latest time at which the own VM stops
+     * @param now the current time
      */
     public void shutdownStarted(final Instant goneBy, final Instant now) {
         noticeReceived(new LeavingNotice(Set.of(mSelf.id()), goneBy), now);
     }
 
     /**
-     * A peer's message arrived.
+     * Handles a message from a peer.
      *
-     * @param from the sender's VM, as its certificate names it
+     * @param from the sender's VM, verified by its certificate
      * @param message the message
-     * @param now the time
+     * @param now the current time
      */
     public void messageReceived(
             final VmId from, final MembershipMessage message, final Instant now) {
@@ -143,15 +147,16 @@
     }
 
     /**
-     * Time passed; to be called a few times in each gossip interval.
+     * Sends messages and probes that are due and expires VMs. To be called several times per gossip
+     * interval.
      *
-     * @param now the time
+     * @param now the current time
      */
     public void tick(final Instant now) {
         final Duration gap = Duration.between(mLastTick, now);
-        final Duration longest = mSettings.minimumTimeout().dividedBy(MAX_TICK_GAP_DIVISOR);
+        final Duration maximumGap = mSettings.minimumTimeout().dividedBy(MAX_TICK_GAP_DIVISOR);
         mLastTick = now;
-        if (gap.compareTo(longest) > 0) {
+        if (gap.compareTo(maximumGap) > 0) {
             mDetector.resetSilences(now);
         }
         mRegistry.expire(now);
--- a/membership/src/main/java/org/whinhead/membership/MembershipActions.java
+++ b/membership/src/main/java/org/whinhead/membership/MembershipActions.java
@@ -1,6 +1,8 @@
 package org.whinhead.membership;
 
-/** What {@link Membership} tells the outside to do; both calls return at once. */
+/**
+ * Receives the outgoing messages and new views of a {@link Membership}. Neither method may block.
+ */
 public interface MembershipActions {
 
     /**
@@ -12,7 +14,7 @@
     void send(DaemonAddress to, MembershipMessage message);
 
     /**
-     * The view changed.
+     * Publishes a changed view.
      *
      * @param view the new view
      */
--- a/membership/src/main/java/org/whinhead/membership/MembershipMessage.java
+++ b/membership/src/main/java/org/whinhead/membership/MembershipMessage.java
@@ -5,42 +5,44 @@
 import java.util.Optional;
 import org.whinhead.api.model.VmId;
 
-/** What daemons say to each other about membership; the sender's VM travels beside it. */
+/** A message between daemons about membership. The sender's VM is passed along separately. */
 public sealed interface MembershipMessage {
 
     /**
-     * The sender is live.
+     * Shows that the sender is live.
      *
-     * @param incarnation the sender's number, raised to end a suspicion and by each restart
-     * @param digest a hash over the leavings and suspicions that the sender knows
-     * @param member the sender itself, in the first heartbeats to a peer and now and then
+     * @param incarnation the sender's incarnation, raised to end a suspicion and at each restart
+     * @param digest a hash of the leaving notices and suspicions that the sender knows
+     * @param member the sender's description, in the first heartbeat to a peer and periodically
+     *     after it
      */
     record Heartbeat(long incarnation, long digest, Optional<DaemonMember> member)
             implements MembershipMessage {
-        /** Checks the member. */
+        /** Validates the member. */
         public Heartbeat {
             Objects.requireNonNull(member, "member");
         }
     }
 
     /**
-     * VMs are leaving; passed on at the next tick by each daemon that hears it first.
+     * Announces VMs that are leaving; each daemon for which this is new forwards it at its next
+     * tick.
      *
-     * @param notice the VMs
+     * @param notice the VMs and their end
      */
     record Leaving(LeavingNotice notice) implements MembershipMessage {
-        /** Checks the notice. */
+        /** Validates the notice. */
         public Leaving {
             Objects.requireNonNull(notice, "notice");
         }
     }
 
     /**
-     * Facts passed on.
+     * Forwards rumors.
      *
-     * @param rumors the facts
-     * @param whole whether these are all leavings and suspicions that the sender knows, so that the
-     *     receiver answers with those that are missing
+     * @param rumors the rumors
+     * @param fullState whether these are all leaving notices and suspicions that the sender knows,
+     *     so that the receiver replies with those that are missing
      */
     record Gossip(List<Rumor> rumors, boolean fullState) implements MembershipMessage {
         /** Copies the list. */
@@ -50,27 +52,28 @@
     }
 
     /**
-     * Asks whether the target is live; sent to the target itself and to daemons that may reach it.
+     * Asks whether the target is live; sent to the target itself and to daemons that probe it for
+     * the sender.
      *
      * @param target the silent VM
-     * @param nonce matches the reply to the question
+     * @param nonce a number that matches the reply to the probe
      */
     record Probe(VmId target, long nonce) implements MembershipMessage {
-        /** Checks the target. */
+        /** Validates the target. */
         public Probe {
             Objects.requireNonNull(target, "target");
         }
     }
 
     /**
-     * The target is live.
+     * Confirms that the target is live.
      *
-     * @param target the VM that was asked about
-     * @param nonce the question's number
-     * @param incarnation the newest incarnation that is known of it
+     * @param target the probed VM
+     * @param nonce the probe's number
+     * @param incarnation the newest known incarnation of the target, or 0 if unknown
      */
     record ProbeReply(VmId target, long nonce, long incarnation) implements MembershipMessage {
-        /** Checks the target. */
+        /** Validates the target. */
         public ProbeReply {
             Objects.requireNonNull(target, "target");
         }
--- a/membership/src/main/java/org/whinhead/membership/MembershipSettings.java
+++ b/membership/src/main/java/org/whinhead/membership/MembershipSettings.java
@@ -4,14 +4,15 @@
 import org.whinhead.api.Arguments;
 
 /**
- * How often daemons talk and how long they wait.
+ * The intervals and timeouts of gossip and failure detection.
  *
- * @param heartbeatInterval time between two heartbeats to the same peer
- * @param gossipInterval time between two messages of rumors to the same peer
- * @param minimumTimeout the shortest silence that puts a peer in question
- * @param maximumTimeout the longest silence that does not
- * @param probeTimeout how long a peer in question and its other observers have to answer
- * @param rings how many rings the overlay has; a daemon talks to two peers on each
+ * @param heartbeatInterval the time between two heartbeats to the same peer
+ * @param gossipInterval the time between two gossip messages to the same peer
+ * @param minimumTimeout the lower bound of a peer's timeout; a silence longer than the timeout
+ *     starts a probe
+ * @param maximumTimeout the upper bound of a peer's timeout
+ * @param probeTimeout the time in which a probed peer or another daemon must answer
+ * @param rings the number of rings of the overlay, at least 1; a daemon has two neighbors on each
  */
 public record MembershipSettings(
         Duration heartbeatInterval,
@@ -21,7 +22,7 @@
         Duration probeTimeout,
         int rings) {
 
-    /** Checks every part. */
+    /** Validates all components. */
     public MembershipSettings {
         Arguments.requirePositive(heartbeatInterval, "heartbeatInterval");
         Arguments.requirePositive(gossipInterval, "gossipInterval");
@@ -31,12 +32,12 @@
         Arguments.requireAtLeast(rings, 1, "rings");
     }
 
-    /** Returns the settings that the design note gives reasons for. */
+    /** Returns the default settings; the design note gives their reasons. */
     public static MembershipSettings defaults() {
         return builder().build();
     }
 
-    /** Starts a builder that holds the defaults. */
+    /** Returns a builder that starts from the defaults. */
     public static Builder builder() {
         return new Builder();
     }
@@ -52,37 +53,37 @@
 
         private Builder() {}
 
-        /** Sets the time between two heartbeats. */
+        /** Sets the time between two heartbeats to the same peer. */
         public Builder heartbeatInterval(final Duration interval) {
             mHeartbeatInterval = interval;
             return this;
         }
 
-        /** Sets the time between two messages of rumors. */
+        /** Sets the time between two gossip messages to the same peer. */
         public Builder gossipInterval(final Duration interval) {
             mGossipInterval = interval;
             return this;
         }
 
-        /** Sets the shortest silence that puts a peer in question. */
+        /** Sets the lower bound of a peer's timeout. */
         public Builder minimumTimeout(final Duration timeout) {
             mMinimumTimeout = timeout;
             return this;
         }
 
-        /** Sets the longest silence that does not. */
+        /** Sets the upper bound of a peer's timeout. */
         public Builder maximumTimeout(final Duration timeout) {
             mMaximumTimeout = timeout;
             return this;
         }
 
-        /** Sets how long a probe may take. */
+        /** Sets the time in which a probe must be answered. */
         public Builder probeTimeout(final Duration timeout) {
             mProbeTimeout = timeout;
             return this;
         }
 
-        /** Sets how many rings the overlay has. */
+        /** Sets the number of rings of the overlay. */
         public Builder rings(final int rings) {
             mRings = rings;
             return this;
--- a/membership/src/main/java/org/whinhead/membership/MembershipView.java
+++ b/membership/src/main/java/org/whinhead/membership/MembershipView.java
@@ -14,7 +14,10 @@
 import org.whinhead.api.model.VmId;
 import org.whinhead.api.model.VmState;
 
-/** Every daemon and endpoint with the state of its VM, as one daemon sees them; immutable. */
+/**
+ * An immutable snapshot of all daemons and endpoints with the states of their VMs, as one daemon
+ * knows them.
+ */
 public final class MembershipView {
 
     private final long mVersion;
@@ -23,9 +26,9 @@
     private final Map<EndpointId, Endpoint> mEndpoints;
 
     /**
-     * Makes a view.
+     * Creates a view.
      *
-     * @param version counts the changes on this daemon
+     * @param version the number of views that this daemon has built
      * @param ownDomain the failure domain of the daemon that holds the view
      * @param daemons the daemons by VM
      * @param endpoints the endpoints by identity
@@ -41,7 +44,7 @@
         mEndpoints = Map.copyOf(endpoints);
     }
 
-    /** Returns the number of changes that this daemon has seen. */
+    /** Returns the version, which increases with each view that this daemon builds. */
     public long version() {
         return mVersion;
     }
@@ -59,7 +62,7 @@
     /**
      * Finds a daemon.
      *
-     * @param vm its VM
+     * @param vm the daemon's VM
      * @return the daemon, if known
      */
     public Optional<DaemonMember> daemon(final VmId vm) {
@@ -69,7 +72,7 @@
     /**
      * Finds an endpoint.
      *
-     * @param id its identity
+     * @param id the endpoint's identity
      * @return the endpoint, if known
      */
     public Optional<Endpoint> endpoint(final EndpointId id) {
@@ -77,10 +80,11 @@
     }
 
     /**
-     * Returns where callers may connect: live daemons, those of the own failure domain first, then
-     * those of the own region. Suspects are named only if no daemon is live.
+     * Returns the addresses of the live daemons for callers: those of the own failure domain first,
+     * then those of the own region, then all others. Suspect daemons are returned only if no daemon
+     * is live.
      *
-     * @return the addresses, best first
+     * @return the addresses, nearest first
      */
     public List<URI> callerAddresses() {
         final List<URI> live = addressesIn(VmState.LIVE);
@@ -88,14 +92,14 @@
     }
 
     private List<URI> addressesIn(final VmState state) {
-        final List<DaemonMember> chosen = new ArrayList<>();
+        final List<DaemonMember> matching = new ArrayList<>();
         for (final DaemonMember member : mDaemons.values()) {
             if (member.vm().state() == state) {
-                chosen.add(member);
+                matching.add(member);
             }
         }
-        chosen.sort(Comparator.comparing(this::distance).thenComparing(DaemonMember::id));
-        return chosen.stream().map(DaemonMember::callerAddress).toList();
+        matching.sort(Comparator.comparing(this::distance).thenComparing(DaemonMember::id));
+        return matching.stream().map(DaemonMember::callerAddress).toList();
     }
 
     private int distance(final DaemonMember member) {
--- a/membership/src/main/java/org/whinhead/membership/Overlay.java
+++ b/membership/src/main/java/org/whinhead/membership/Overlay.java
@@ -6,34 +6,35 @@
 import org.whinhead.api.model.VmId;
 
 /**
- * Chooses whom a daemon talks to: its successor and predecessor on several rings, each ring ordered
- * by another hash. Both ends of a link choose each other, and every daemon chooses alike.
+ * Computes a daemon's neighbors in the gossip overlay: its successor and predecessor on several
+ * hash rings, each ordered by a hash with a different salt. The result is deterministic, so that
+ * both ends of a link choose each other.
  */
 final class Overlay {
 
     private Overlay() {}
 
     /**
-     * Returns the neighbours of a daemon.
+     * Returns the neighbors of a daemon.
      *
      * @param self the daemon's VM
-     * @param members all VMs in the overlay; whether the daemon's own is among them does not matter
-     * @param rings how many rings there are
-     * @return at most two neighbours a ring
+     * @param members the VMs in the overlay, with or without the daemon's own
+     * @param rings the number of rings
+     * @return the VMs of the neighbors, at most two for each ring
      */
     static Set<VmId> neighbors(final VmId self, final Collection<VmId> members, final int rings) {
-        final Set<VmId> neighbours = new HashSet<>();
+        final Set<VmId> neighbors = new HashSet<>();
         for (int ring = 0; ring < rings; ring++) {
-            addFromRing(self, members, ring, neighbours);
+            addFromRing(self, members, ring, neighbors);
         }
-        return neighbours;
+        return neighbors;
     }
 
     private static void addFromRing(
             final VmId self,
             final Collection<VmId> members,
             final int ring,
-            final Set<VmId> neighbours) {
+            final Set<VmId> neighbors) {
         final long own = StableHash.of(self, ring);
         VmId successor = null;
         VmId predecessor = null;
@@ -43,7 +44,7 @@
             if (member.equals(self)) {
                 continue;
             }
-            // Unsigned distances wrap round, so the first and the last of a ring are neighbours.
+            // Unsigned distances wrap around, so the first and the last of a ring are neighbors.
             final long hash = StableHash.of(member, ring);
             final long ahead = hash - own;
             final long behind = own - hash;
@@ -57,8 +58,8 @@
             }
         }
         if (successor != null) {
-            neighbours.add(successor);
-            neighbours.add(predecessor);
+            neighbors.add(successor);
+            neighbors.add(predecessor);
         }
     }
 }
--- a/membership/src/main/java/org/whinhead/membership/ProbeRelay.java
+++ b/membership/src/main/java/org/whinhead/membership/ProbeRelay.java
@@ -6,14 +6,14 @@
 import java.util.List;
 import org.whinhead.api.model.VmId;
 
-/** Probes made for other daemons, whose replies go back to them. */
+/** Holds probes made on behalf of other daemons until the target answers or the deadline passes. */
 final class ProbeRelay {
 
     private static final int MAX_PENDING_PROBES = 256;
 
     private final List<RelayedProbe> mPending = new ArrayList<>();
 
-    /** Keeps a question; tells whether there was room. */
+    /** Adds a probe and returns whether there was room for it. */
     boolean add(final VmId requester, final VmId target, final long nonce, final Instant deadline) {
         if (mPending.size() >= MAX_PENDING_PROBES) {
             return false;
@@ -22,24 +22,24 @@
         return true;
     }
 
-    /** Takes the questions about a VM that turned out to be live. */
+    /** Removes and returns the probes of a VM that has answered. */
     List<RelayedProbe> removeFor(final VmId target) {
-        final List<RelayedProbe> taken = new ArrayList<>();
-        final Iterator<RelayedProbe> waiting = mPending.iterator();
-        while (waiting.hasNext()) {
-            final RelayedProbe relayed = waiting.next();
+        final List<RelayedProbe> removed = new ArrayList<>();
+        final Iterator<RelayedProbe> pending = mPending.iterator();
+        while (pending.hasNext()) {
+            final RelayedProbe relayed = pending.next();
             if (relayed.target().equals(target)) {
-                taken.add(relayed);
-                waiting.remove();
+                removed.add(relayed);
+                pending.remove();
             }
         }
-        return taken;
+        return removed;
     }
 
     void expire(final Instant now) {
         mPending.removeIf(relayed -> !now.isBefore(relayed.deadline()));
     }
 
-    /** One question of another daemon. */
+    /** A probe requested by another daemon. */
     record RelayedProbe(VmId requester, VmId target, long nonce, Instant deadline) {}
 }
--- a/membership/src/main/java/org/whinhead/membership/Rumor.java
+++ b/membership/src/main/java/org/whinhead/membership/Rumor.java
@@ -4,20 +4,20 @@
 import java.util.Objects;
 import org.whinhead.api.model.VmId;
 
-/** One fact about a VM that daemons pass on to each other. */
+/** A fact about a VM that daemons spread by gossip. */
 public sealed interface Rumor {
 
-    /** Returns the VM that the fact is about. */
+    /** Returns the VM that the rumor is about. */
     VmId vm();
 
     /**
-     * The VM is about to stop.
+     * States that the VM is about to stop.
      *
      * @param vm the VM
-     * @param goneBy when it is stopped at the latest
+     * @param goneBy the latest time at which the VM stops
      */
     record Leaving(VmId vm, Instant goneBy) implements Rumor {
-        /** Checks every part. */
+        /** Validates all components. */
         public Leaving {
             Objects.requireNonNull(vm, "vm");
             Objects.requireNonNull(goneBy, "goneBy");
@@ -25,40 +25,39 @@
     }
 
     /**
-     * The daemon on the VM was silent to its observers, directly and through others.
+     * States that the daemon on the VM answered neither direct nor indirect probes.
      *
      * @param vm the VM
-     * @param incarnation the newest incarnation that the observer had heard of
+     * @param incarnation the newest incarnation that the observer knew
      */
     record Suspected(VmId vm, long incarnation) implements Rumor {
-        /** Checks the VM. */
+        /** Validates the VM. */
         public Suspected {
             Objects.requireNonNull(vm, "vm");
         }
     }
 
     /**
-     * The daemon on the VM said that it is live, which ends every suspicion of an older
-     * incarnation.
+     * States that the daemon on the VM is live, which ends every suspicion of an older incarnation.
      *
      * @param vm the VM
-     * @param incarnation the daemon's number, which only the daemon itself raises
+     * @param incarnation the daemon's incarnation, which only the daemon itself raises
      */
     record Alive(VmId vm, long incarnation) implements Rumor {
-        /** Checks the VM. */
+        /** Validates the VM. */
         public Alive {
             Objects.requireNonNull(vm, "vm");
         }
     }
 
     /**
-     * A daemon started that the VM list may not show yet.
+     * States that a daemon started, which the VM list may not contain yet.
      *
      * @param member the daemon
-     * @param incarnation the daemon's number
+     * @param incarnation the daemon's incarnation
      */
     record Joined(DaemonMember member, long incarnation) implements Rumor {
-        /** Checks the member. */
+        /** Validates the member. */
         public Joined {
             Objects.requireNonNull(member, "member");
         }
--- a/membership/src/main/java/org/whinhead/membership/RumorQueue.java
+++ b/membership/src/main/java/org/whinhead/membership/RumorQueue.java
@@ -8,11 +8,11 @@
 import org.whinhead.api.model.VmId;
 
 /**
- * Rumors to pass on, one for each VM.
+ * A queue of rumors to send, at most one for each VM.
  *
- * <p>Guards against a storm when a partition heals: each daemon of one side clears its name with
- * all of the other at the same time. A newer rumor takes an older one's place, and only so many
- * leave at once.
+ * <p>When a partition heals, each daemon on one side ends the suspicions of all daemons on the
+ * other at the same time. To avoid a burst of messages, a newer rumor replaces an older one about
+ * the same VM, and the size of a batch is limited.
  */
 final class RumorQueue {
 
@@ -26,12 +26,12 @@
     }
 
     List<Rumor> pollBatch() {
-        final List<Rumor> taken = new ArrayList<>();
-        final Iterator<Rumor> waiting = mPending.values().iterator();
-        while (waiting.hasNext() && taken.size() < MAX_RUMORS_PER_BATCH) {
-            taken.add(waiting.next());
-            waiting.remove();
+        final List<Rumor> batch = new ArrayList<>();
+        final Iterator<Rumor> pending = mPending.values().iterator();
+        while (pending.hasNext() && batch.size() < MAX_RUMORS_PER_BATCH) {
+            batch.add(pending.next());
+            pending.remove();
         }
-        return taken;
+        return batch;
     }
 }
--- a/membership/src/main/java/org/whinhead/membership/StableHash.java
+++ b/membership/src/main/java/org/whinhead/membership/StableHash.java
@@ -2,7 +2,7 @@
 
 import org.whinhead.api.model.VmId;
 
-/** A 64-bit hash that is the same on every daemon. */
+/** Computes 64-bit hashes that are the same on every daemon. */
 final class StableHash {
 
     private static final long FNV_OFFSET = 0xcbf29ce484222325L;
@@ -14,10 +14,10 @@
     private StableHash() {}
 
     /**
-     * Hashes a VM's identity with a number.
+     * Hashes a VM's identity with a salt.
      *
      * @param vm the VM
-     * @param salt the number
+     * @param salt the salt; different salts give independent hashes
      * @return the hash
      */
     static long of(final VmId vm, final long salt) {
--- a/membership/src/main/java/org/whinhead/membership/ViewBuilder.java
+++ b/membership/src/main/java/org/whinhead/membership/ViewBuilder.java
@@ -11,10 +11,13 @@
 import org.whinhead.api.model.VmId;
 import org.whinhead.api.model.VmState;
 
-/** Makes views from the registry. */
+/** Builds membership views from the VM registry. */
 final class ViewBuilder {
 
-    /** A region counts as cut off when this share of its daemons is suspect. */
+    /**
+     * The share of a region's live and suspect daemons (0 to 1) that must be suspect for the region
+     * to count as partitioned.
+     */
     private static final double PARTITION_SUSPECT_SHARE = 0.75;
 
     private static final int PARTITION_MIN_SUSPECTS = 2;
@@ -24,18 +27,19 @@
     private final Duration mRecentMessageAge;
     private long mVersion;
 
-    ViewBuilder(final DaemonMember self, final VmRegistry registry, final Duration recentlyHeard) {
+    ViewBuilder(
+            final DaemonMember self, final VmRegistry registry, final Duration recentMessageAge) {
         mSelf = self;
         mRegistry = registry;
-        mRecentMessageAge = recentlyHeard;
+        mRecentMessageAge = recentMessageAge;
     }
 
     MembershipView build(final Instant now) {
         mVersion++;
-        final Set<String> cutOff = findPartitionedRegions();
+        final Set<String> partitioned = findPartitionedRegions();
         final Map<VmId, DaemonMember> daemons = new HashMap<>();
         for (final DaemonMember member : mRegistry.daemons().values()) {
-            daemons.put(member.id(), member.withState(stateInView(member, cutOff, now)));
+            daemons.put(member.id(), member.withState(stateInView(member, partitioned, now)));
         }
         final Map<EndpointId, Endpoint> endpoints = new HashMap<>();
         for (final Endpoint endpoint : mRegistry.endpoints().values()) {
@@ -47,19 +51,19 @@
     }
 
     /**
-     * Guards against a daemon beyond a cut that is observed only from its own side: nobody here
-     * would suspect it, and callers would be sent there. Where nearly all daemons of another region
-     * are suspect, the rest count as suspect too, but for those that were heard just now.
+     * Returns a daemon's state for the view. In a partitioned region, a live daemon from which no
+     * recent message arrived counts as suspect: all its observers may be on the other side of the
+     * partition, so nobody here would suspect it, and callers would be directed to it.
      */
     private VmState stateInView(
-            final DaemonMember member, final Set<String> cutOff, final Instant now) {
+            final DaemonMember member, final Set<String> partitioned, final Instant now) {
         final VmFacts facts = mRegistry.facts(member.id());
         final VmState state = facts.state();
-        final boolean inferred =
+        final boolean inferredSuspect =
                 state == VmState.LIVE
-                        && cutOff.contains(member.vm().domain().region())
+                        && partitioned.contains(member.vm().domain().region())
                         && !facts.hasMessageSince(now.minus(mRecentMessageAge));
-        return inferred ? VmState.SUSPECT : state;
+        return inferredSuspect ? VmState.SUSPECT : state;
     }
 
     private Set<String> findPartitionedRegions() {
@@ -78,14 +82,14 @@
                 suspect.merge(region, 1, Integer::sum);
             }
         }
-        final Set<String> cutOff = new HashSet<>();
+        final Set<String> partitioned = new HashSet<>();
         suspect.forEach(
                 (region, count) -> {
                     final int all = count + live.getOrDefault(region, 0);
                     if (count >= PARTITION_MIN_SUSPECTS && count >= PARTITION_SUSPECT_SHARE * all) {
-                        cutOff.add(region);
+                        partitioned.add(region);
                     }
                 });
-        return cutOff;
+        return partitioned;
     }
 }
--- a/membership/src/main/java/org/whinhead/membership/VmFacts.java
+++ b/membership/src/main/java/org/whinhead/membership/VmFacts.java
@@ -4,7 +4,7 @@
 import org.whinhead.api.model.VmId;
 import org.whinhead.api.model.VmState;
 
-/** What one daemon has heard of one VM, from the list, from notices and from peers. */
+/** The facts that one daemon knows about one VM, from VM lists, leaving notices and peers. */
 final class VmFacts {
 
     private static final long NOT_SUSPECTED = -1;
@@ -30,8 +30,8 @@
     }
 
     /**
-     * Returns the state; what is announced goes before what is listed, and nothing leads back from
-     * leaving or gone, so that a list that lags cannot revive the VM.
+     * Returns the VM's state. A leaving notice takes precedence over VM lists, and a VM never
+     * returns from leaving or gone, so that a list that lags behind cannot revive it.
      */
     VmState state() {
         if (mGoneSince != null) {
@@ -82,9 +82,10 @@
     }
 
     /**
-     * A list does not name the VM. Guards against a list that is cut short or older than the VM:
-     * the VM would be given up while it serves. Two lists in a row must lack it, both newer than
-     * its last sign of life, and the first of them only makes it a suspect.
+     * Records that a VM list does not contain the VM. A list may be truncated or older than the VM,
+     * and the VM must not be given up while it serves. Therefore the first such list makes the VM
+     * only suspect; two such lists in a row, both newer than its last message, make it gone. A
+     * leaving VM is gone after the first.
      */
     void recordMissing(final Instant asOf, final Instant now) {
         final boolean newerThanVm = mListed || asOf.isAfter(mFirstKnown);
@@ -98,19 +99,21 @@
         mMissingAsOf = asOf;
     }
 
-    /** Takes in an announcement; tells whether it is news. */
+    /** Records an announced end and returns whether the VM was not announced before. */
     boolean recordAnnouncement(final Instant goneBy) {
         if (isGone()) {
             return false;
         }
-        final boolean news = mGoneBy == null;
-        if (news || goneBy.isBefore(mGoneBy)) {
+        final boolean isNew = mGoneBy == null;
+        if (isNew || goneBy.isBefore(mGoneBy)) {
             mGoneBy = goneBy;
         }
-        return news;
+        return isNew;
     }
 
-    /** Ends the VM if its announced end has passed; tells whether it ended now. */
+    /**
+     * Marks the VM as gone if its announced end has passed, and returns whether this call did so.
+     */
     boolean expire(final Instant now) {
         if (isGone() || mGoneBy == null || now.isBefore(mGoneBy)) {
             return false;
@@ -119,12 +122,15 @@
         return true;
     }
 
-    /** The daemon itself was heard, without anyone between. */
+    /** Records a message from the VM's daemon itself. */
     void recordMessage(final Instant now) {
         mLastMessage = now;
     }
 
-    /** Takes in an incarnation; tells whether it is news. */
+    /**
+     * Records an incarnation, which ends older suspicions, and returns whether it is newer than the
+     * known one.
+     */
     boolean recordAlive(final long incarnation) {
         if (isGone() || incarnation <= mIncarnation) {
             return false;
@@ -136,7 +142,7 @@
         return true;
     }
 
-    /** Takes in a suspicion; tells whether it is news. */
+    /** Records a suspicion and returns whether it is new. */
     boolean recordSuspicion(final long incarnation) {
         if (isGone() || incarnation < mIncarnation || incarnation <= mSuspectedIncarnation) {
             return false;
--- a/membership/src/main/java/org/whinhead/membership/VmListSnapshot.java
+++ b/membership/src/main/java/org/whinhead/membership/VmListSnapshot.java
@@ -6,7 +6,7 @@
 import org.whinhead.api.model.Endpoint;
 
 /**
- * The platform's VM list at one time; it lags behind the truth.
+ * The platform's VM list at one time; it may lag behind the actual VMs.
  *
  * @param asOf the time that the list describes
  * @param daemons the VMs that run daemons, live or leaving
@@ -14,7 +14,7 @@
  */
 public record VmListSnapshot(Instant asOf, List<DaemonMember> daemons, List<Endpoint> endpoints) {
 
-    /** Checks every part and copies the lists. */
+    /** Validates all components and copies the lists. */
     public VmListSnapshot {
         Objects.requireNonNull(asOf, "asOf");
         daemons = List.copyOf(daemons);
--- a/membership/src/main/java/org/whinhead/membership/VmRegistry.java
+++ b/membership/src/main/java/org/whinhead/membership/VmRegistry.java
@@ -14,10 +14,10 @@
 import org.whinhead.api.model.VmId;
 import org.whinhead.api.model.VmState;
 
-/** All VMs that a daemon knows, with the facts from which their states follow. */
+/** The VMs that a daemon knows, with the facts that determine their states. */
 final class VmRegistry {
 
-    /** How long a VM that is gone stays in the view, for those who still wait for it. */
+    /** The time that a gone VM stays in the view, for work that still waits for it. */
     static final Duration GONE_RETENTION = Duration.ofMinutes(10);
 
     private static final long LEAVING_SALT = Long.MIN_VALUE;
@@ -38,30 +38,30 @@
         mFacts.put(self.id(), new VmFacts(self.id(), now));
     }
 
-    /** Takes in a list; one that is not newer than the newest tells nothing new. */
+    /** Applies a VM list unless it is empty or not newer than the newest one applied. */
     void applyList(final VmListSnapshot list, final Instant now) {
-        // Guards against a platform that restarted and lists nothing: all work would be given up.
+        // A platform that has just restarted may list nothing; applied, all work would be given up.
         final boolean empty = list.daemons().isEmpty() && list.endpoints().isEmpty();
         if (empty || !list.asOf().isAfter(mNewestList)) {
             return;
         }
         mNewestList = list.asOf();
-        final Set<VmId> named = new HashSet<>();
+        final Set<VmId> listedVms = new HashSet<>();
         for (final DaemonMember member : list.daemons()) {
-            named.add(member.id());
+            listedVms.add(member.id());
             applyListedState(member.id(), member.vm().state(), now);
             if (!mSelfDescribed.contains(member.id())) {
                 addDaemon(member);
             }
         }
         for (final Endpoint endpoint : list.endpoints()) {
-            named.add(endpoint.vm().id());
+            listedVms.add(endpoint.vm().id());
             applyListedState(endpoint.vm().id(), endpoint.vm().state(), now);
             final Endpoint before = mEndpoints.put(endpoint.id(), endpoint);
             mChanged |= !endpoint.equals(before);
         }
         for (final VmFacts facts : mFacts.values()) {
-            if (!named.contains(facts.vm()) && !facts.vm().equals(mSelf.id())) {
+            if (!listedVms.contains(facts.vm()) && !facts.vm().equals(mSelf.id())) {
                 final VmState before = facts.state();
                 facts.recordMissing(list.asOf(), now);
                 markChanged(before != facts.state());
@@ -77,8 +77,8 @@
     }
 
     /**
-     * Takes in a daemon's description of itself, which goes before the list's, unless its VM is
-     * gone; tells whether the daemon was not known.
+     * Records a daemon's description of itself, which takes precedence over the VM list's, unless
+     * its VM is gone. Returns whether the daemon was unknown before.
      */
     boolean addSelfDescribed(final DaemonMember member, final Instant now) {
         if (getOrCreateFacts(member.id(), now).isGone()) {
@@ -92,27 +92,27 @@
         if (member.id().equals(mSelf.id())) {
             return false;
         }
-        // The state lives in the facts, so a list that says "leaving" is no change of the member.
+        // The state is kept in the facts, so a list that says "leaving" does not change the member.
         final DaemonMember stateless = member.withState(VmState.LIVE);
         final DaemonMember before = mDaemons.put(member.id(), stateless);
         mChanged |= !stateless.equals(before);
         return before == null;
     }
 
-    /** Takes in an announcement and returns the VMs for which it is news. */
+    /** Records a leaving notice and returns the VMs that were not announced before. */
     Set<VmId> recordAnnouncement(final LeavingNotice notice, final Instant now) {
-        final Set<VmId> news = new HashSet<>();
-        // An announcement whose end has long passed is about a VM that may be forgotten already.
+        final Set<VmId> newVms = new HashSet<>();
+        // If the announced end is longer ago than the retention, the VMs may already be removed.
         if (notice.goneBy().plus(GONE_RETENTION).isBefore(now)) {
-            return news;
+            return newVms;
         }
         for (final VmId vm : notice.vms()) {
             if (getOrCreateFacts(vm, now).recordAnnouncement(notice.goneBy())) {
-                news.add(vm);
+                newVms.add(vm);
             }
         }
-        markChanged(!news.isEmpty());
-        return news;
+        markChanged(!newVms.isEmpty());
+        return newVms;
     }
 
     boolean recordAlive(final VmId vm, final long incarnation) {
@@ -121,9 +121,9 @@
             return false;
         }
         final boolean wasSuspected = facts.isSuspected();
-        final boolean news = facts.recordAlive(incarnation);
+        final boolean isNew = facts.recordAlive(incarnation);
         markChanged(wasSuspected != facts.isSuspected());
-        return news;
+        return isNew;
     }
 
     boolean recordSuspicion(final VmId vm, final long incarnation) {
@@ -131,9 +131,9 @@
         if (facts == null || !mDaemons.containsKey(vm) || vm.equals(mSelf.id())) {
             return false;
         }
-        final boolean news = facts.recordSuspicion(incarnation);
-        markChanged(news);
-        return news;
+        final boolean isNew = facts.recordSuspicion(incarnation);
+        markChanged(isNew);
+        return isNew;
     }
 
     void recordMessage(final VmId vm, final Instant now) {
@@ -143,22 +143,26 @@
         }
     }
 
-    /** Ends VMs whose announced end has passed and forgets those that ended long ago. */
+    /**
+     * Marks VMs as gone whose announced end has passed, and removes VMs that have been gone for the
+     * retention time.
+     */
     void expire(final Instant now) {
-        final List<VmId> forgotten = new ArrayList<>();
+        final List<VmId> expired = new ArrayList<>();
         for (final VmFacts facts : mFacts.values()) {
             markChanged(facts.expire(now));
             if (facts.isGone() && facts.goneSince().plus(GONE_RETENTION).isBefore(now)) {
-                forgotten.add(facts.vm());
+                expired.add(facts.vm());
             }
         }
-        if (!forgotten.isEmpty()) {
-            forget(new HashSet<>(forgotten));
+        if (!expired.isEmpty()) {
+            forget(new HashSet<>(expired));
         }
     }
 
     /**
-     * A later list cannot bring these back: a list that is not newer than the newest is dropped.
+     * Removes VMs. An older list cannot restore them, because only a list newer than the newest one
+     * is applied.
      */
     private void forget(final Set<VmId> vms) {
         mFacts.keySet().removeAll(vms);
@@ -177,7 +181,7 @@
         mDigestStale |= changed;
     }
 
-    /** Tells whether anything changed since the last call. */
+    /** Returns whether the view changed since the last call. */
     boolean pollChanged() {
         final boolean changed = mChanged;
         mChanged = false;
@@ -206,7 +210,10 @@
         return facts == null ? VmState.GONE : facts.state();
     }
 
-    /** Returns a hash over announced leavings and suspicions, equal where those are equal. */
+    /**
+     * Returns a hash of the leaving VMs and the suspicions that is equal on daemons that know the
+     * same ones.
+     */
     long digest() {
         if (mDigestStale) {
             mDigest = 0;
@@ -232,7 +239,7 @@
         return hash;
     }
 
-    /** Returns all that the digest is made of, as rumors. */
+    /** Returns all leaving notices and suspicions as rumors. */
     List<Rumor> rumors() {
         final List<Rumor> rumors = new ArrayList<>();
         for (final VmFacts facts : mFacts.values()) {
--- a/membership/src/main/java/org/whinhead/membership/package-info.java
+++ b/membership/src/main/java/org/whinhead/membership/package-info.java
@@ -1,2 +1,5 @@
-/** Which VMs are live, suspect, leaving or gone, and how daemons tell each other. */
+/**
+ * Membership: failure detection and gossip between daemons about live, suspect, leaving and gone
+ * VMs.
+ */
 package org.whinhead.membership;
--- a/membership/src/test/java/org/whinhead/membership/FailureDetectorTest.java
+++ b/membership/src/test/java/org/whinhead/membership/FailureDetectorTest.java
@@ -13,9 +13,10 @@
     private static final VmId DEAD = new VmId("vm-dead");
 
     /**
-     * Callers are sent for minutes to a daemon that died. Its two observers wait for different
-     * times: the first asks the second, which still vouches; then the second asks the first, which
-     * vouches by nothing but that word; and so on for ever.
+     * Guards against two observers that keep a dead daemon live. Their timeouts differ: the first
+     * probes through the second, which still confirms; then the second probes through the first,
+     * which would confirm because of that reply alone; and so on, while callers are directed to the
+     * dead daemon.
      */
     @Test
     void probeReplyDoesNotCountAsOwnMessage() {
--- a/membership/src/test/java/org/whinhead/membership/FakeCluster.java
+++ b/membership/src/test/java/org/whinhead/membership/FakeCluster.java
@@ -19,7 +19,7 @@
 import org.whinhead.api.model.VmId;
 import org.whinhead.api.model.VmState;
 
-/** Several memberships and the messages between them, with a clock of their own. */
+/** Runs several memberships on a simulated network and clock. */
 final class FakeCluster {
 
     static final Instant START = Instant.parse("2030-01-01T00:00:00Z");
@@ -38,7 +38,10 @@
     private long mSent;
     private final Map<String, Integer> mAnnouncements = new LinkedHashMap<>();
 
-    /** Starts daemons, each with a list of all: odd ones in region east, even ones in west. */
+    /**
+     * Creates and starts daemons and gives each a list of all: odd ones in region east, even ones
+     * in west.
+     */
     FakeCluster(final int size) {
         for (int i = 0; i < size; i++) {
             mMembers.add(member("vm-" + i, i % 2 == 0 ? "west" : "east"));
@@ -108,10 +111,10 @@
         while (mNow.isBefore(end)) {
             mNow = mNow.plus(TICK);
             while (!mInTransit.isEmpty() && !mInTransit.peek().arrives().isAfter(mNow)) {
-                final InTransitMessage flight = mInTransit.poll();
-                final Membership receiver = mRunning.get(flight.to());
+                final InTransitMessage message = mInTransit.poll();
+                final Membership receiver = mRunning.get(message.to());
                 if (receiver != null) {
-                    receiver.messageReceived(flight.from(), flight.message(), mNow);
+                    receiver.messageReceived(message.from(), message.message(), mNow);
                 }
             }
             List.copyOf(mRunning.values()).forEach(membership -> membership.tick(mNow));
@@ -122,7 +125,7 @@
         return mNow;
     }
 
-    /** Returns how many announcements each link carried, for links that carried any. */
+    /** Returns the number of leaving announcements sent on each link that carried any. */
     Collection<Integer> announcementsPerLink() {
         return mAnnouncements.values();
     }
@@ -139,7 +142,10 @@
         return mMembers.get(index).id();
     }
 
-    /** Counts the pairs of running daemons in which the first sees the second in the state. */
+    /**
+     * Returns the number of pairs of running daemons in which the first sees the second in the
+     * state.
+     */
     long countPairsSeeing(final VmState state) {
         return mRunning.values().stream()
                 .flatMap(membership -> membership.view().daemons().stream())
@@ -148,7 +154,7 @@
                 .count();
     }
 
-    /** Tells whether all running daemons see the VM in the state. */
+    /** Returns whether all running daemons see the VM in the state. */
     boolean allSee(final VmId vm, final VmState state) {
         return mRunning.values().stream()
                 .allMatch(m -> m.view().daemon(vm).orElseThrow().vm().state() == state);
--- a/membership/src/test/java/org/whinhead/membership/MembershipOracleTest.java
+++ b/membership/src/test/java/org/whinhead/membership/MembershipOracleTest.java
@@ -27,7 +27,7 @@
     private static final int VMS = 4;
     private static final Instant START = FakeCluster.START;
 
-    /** One event: a list or a notice, about some VMs. */
+    /** A VM list or a leaving notice about some VMs. */
     record Step(boolean list, int vms, int leaving, int asOfLag, int goneIn, int elapsed) {
         boolean names(final int vm) {
             return (vms >> vm & 1) == 1;
@@ -55,8 +55,9 @@
                 .ofMaxSize(40);
     }
 
-    // An endpoint that was announced as leaving gets new work again, or work on a live one is given
-    // up, after some order of lists and notices. The oracle reads the whole history each time.
+    // Guards against an order of lists and notices after which a leaving endpoint gets new work
+    // again, or work on a live one is given up. The oracle derives each state from the whole
+    // history.
     @Property(seed = "20300101", tries = 2000)
     void statesFollowFromHistory(@ForAll("steps") final List<Step> steps) {
         final Membership membership = alone();
@@ -86,8 +87,9 @@
         }
     }
 
-    // After any order of cuts, notices and waits, each announced VM is closed to new work on all
-    // daemons that the news can reach, and once the network is whole all others are live again.
+    // Guards against an order of partitions, notices and waits after which daemons keep different
+    // views. Once the network is whole, all daemons must see announced VMs as leaving and all
+    // others as live.
     @Property(seed = "20300102", tries = 30)
     void clusterConverges(@ForAll final List<Integer> choices) {
         final FakeCluster cluster = new FakeCluster(9);
@@ -162,7 +164,7 @@
         return endpoints;
     }
 
-    /** States by the plainest reading of the rules, from all events so far. */
+    /** Computes states from all events so far, directly by the rules. */
     private static final class Oracle {
         private record Seen(Step step, Instant at) {}
 
@@ -172,7 +174,7 @@
             mHistory.add(new Seen(step, at));
         }
 
-        /** Empty while no list has named the VM. */
+        /** Returns the expected state, or empty while no list has contained the VM. */
         Optional<VmState> state(final int vm, final Instant now) {
             Instant newest = Instant.MIN;
             Instant firstKnown = null;
--- a/membership/src/test/java/org/whinhead/membership/MembershipTest.java
+++ b/membership/src/test/java/org/whinhead/membership/MembershipTest.java
@@ -17,8 +17,8 @@
     private static final Duration SETTLE_TIME = Duration.ofSeconds(3);
     private static final Duration MINUTE = Duration.ofMinutes(1);
 
-    // A caller is sent to a daemon that stops in seconds. The notice came first, then the lagging
-    // list, read before and after the notice, still said "live". What is announced must stay.
+    // Guards against callers directed to a daemon that stops within seconds: a VM list that lags
+    // behind the leaving notice still says "live", and must not override the notice.
     @Test
     void olderListDoesNotReviveLeavingVm() {
         final FakeCluster cluster = new FakeCluster(9);
@@ -35,9 +35,8 @@
         assertThat(cluster.allSee(leaving, VmState.GONE)).isTrue();
     }
 
-    // A domain is taken back, and the cloud sends a notice for each VM, moments apart. Passed on
-    // one
-    // by one they would flood the links: each daemon sends one message at most on each.
+    // Guards against links flooded when a domain is reclaimed and the cloud sends a notice for each
+    // VM, moments apart: each daemon must send at most one message on each link.
     @Test
     void wholeDomainLeavesInOneAnnouncement() {
         final FakeCluster cluster = new FakeCluster(30);
@@ -61,8 +60,8 @@
         assertThat(east).hasSize(15).allMatch(vm -> cluster.allSee(vm, VmState.LEAVING));
     }
 
-    // A daemon dies without a notice. Callers must not be sent there, but work on it is not given
-    // up while only its silence speaks: two newer lists without it are needed for that.
+    // Guards against work given up because of silence alone. A daemon that dies without a notice
+    // gets no new callers, but is gone only after two newer lists without it.
     @Test
     void silentVmIsSuspectUntilTwoListsOmitIt() {
         final FakeCluster cluster = new FakeCluster(9);
@@ -86,8 +85,9 @@
         assertThat(stateAt(cluster, 0, dead)).isEqualTo(VmState.GONE);
     }
 
-    // Two regions lose each other for an hour. Callers here must get addresses here, nobody may be
-    // given up, and when the link is back all must be live again without a burst of messages.
+    // Guards against daemons given up, and a burst of messages afterwards, when two regions are
+    // partitioned for an hour. Callers must get addresses of their own side, and after the
+    // partition all daemons must be live again.
     @Test
     void partitionSuspectsPeersAndHealsWithoutMessageBurst() {
         final FakeCluster cluster = new FakeCluster(30);
@@ -111,8 +111,8 @@
                 .allMatch(uri -> !isEast(new VmId(uri.getPath().substring(1))));
     }
 
-    // A VM with a starved CPU answers seconds late, in bursts. Taken for dead, it would lose its
-    // callers for nothing and its work would be done twice.
+    // Guards against a VM with a starved CPU, whose messages arrive seconds late and in bursts,
+    // being suspected: it would lose its callers, and its work would be done twice.
     @Test
     void slowDaemonIsNotSuspected() {
         final FakeCluster cluster = new FakeCluster(9);
@@ -131,8 +131,8 @@
         }
     }
 
-    // One link is broken, both ends are well. The daemon at its end hears nothing and must ask
-    // others before it tells all that the peer is silent.
+    // Guards against a suspicion because of one broken link between two live daemons: the daemon
+    // that receives nothing must probe through others before it suspects the peer.
     @Test
     void indirectProbesPreventSuspicionOverBrokenLink() {
         final FakeCluster cluster = new FakeCluster(9);
@@ -146,8 +146,8 @@
         assertThat(cluster.countPairsSeeing(VmState.LIVE)).isEqualTo(9 * 9);
     }
 
-    // The own process was paused for a minute. On waking every peer looks silent at once, and a
-    // view without any live peer would follow.
+    // Guards against a view without any live peer after the own process was paused for a minute,
+    // when every peer looks silent at once.
     @Test
     void ownPauseSuspectsNoPeer() {
         final FakeCluster cluster = new FakeCluster(9);
@@ -158,8 +158,8 @@
         assertThat(paused.view().callerAddresses()).hasSize(9);
     }
 
-    // A daemon with a good certificate describes another one with an address of its own choice.
-    // Callers of that one would be sent to it.
+    // Guards against a daemon with a valid certificate that describes another one with an address
+    // of its own choice, to redirect the other's callers.
     @Test
     void daemonCannotDescribeAnother() {
         final FakeCluster cluster = new FakeCluster(9);
--- a/peer/src/main/java/org/whinhead/peer/CertificateNames.java
+++ b/peer/src/main/java/org/whinhead/peer/CertificateNames.java
@@ -8,7 +8,7 @@
 import java.util.regex.Pattern;
 import org.whinhead.api.model.VmId;
 
-/** Which VM a certificate speaks for. */
+/** Checks which VM a certificate was issued to. */
 final class CertificateNames {
 
     private static final int DNS_NAME = 2;
@@ -17,7 +17,7 @@
 
     private CertificateNames() {}
 
-    /** Tells whether the common name or a subject alternative name is the VM's identity. */
+    /** Returns whether the common name or a subject alternative name is the VM's identity. */
     static boolean containsVm(final X509Certificate certificate, final VmId vm) {
         final Matcher common = COMMON_NAME.matcher(certificate.getSubjectX500Principal().getName());
         if (common.find() && common.group(1).equals(vm.value())) {
@@ -27,7 +27,7 @@
             final Collection<List<?>> names = certificate.getSubjectAlternativeNames();
             return names != null && names.stream().anyMatch(name -> isVm(name, vm));
         } catch (final CertificateParsingException e) {
-            // A certificate whose names cannot be read names nobody.
+            // A certificate whose names cannot be parsed belongs to no VM.
             return false;
         }
     }
--- a/peer/src/main/java/org/whinhead/peer/ConnectionTable.java
+++ b/peer/src/main/java/org/whinhead/peer/ConnectionTable.java
@@ -12,7 +12,7 @@
 import org.whinhead.api.model.VmId;
 import org.whinhead.peer.generated.PeerProto.Envelope;
 
-/** All connections of one transport; its methods run on the event loop. */
+/** The connections of one transport. All methods run on the event loop. */
 final class ConnectionTable implements PeerConnection.ConnectionListener {
 
     private final PeerSettings mSettings;
@@ -41,14 +41,14 @@
         mListener = listener;
     }
 
-    /** Returns the connection to a VM, whoever made it. */
+    /** Returns the newest connection to a VM, whichever side opened it. */
     Optional<PeerConnection> find(final VmId vm) {
         return Optional.ofNullable(mNewest.get(vm));
     }
 
     /**
-     * A connection was made. Guards against strangers that open connections and say nothing: each
-     * costs memory, so only so many wait for their proof, and only for so long.
+     * Adds a connection. Unauthenticated connections cost memory, so their number and the time that
+     * each may take to identify itself are limited.
      */
     @Override
     public void started(final PeerConnection connection) {
@@ -57,7 +57,9 @@
             return;
         }
         if (mUnauthenticated.size() >= mSettings.mostUnauthenticated()) {
-            connection.refuse(PeerRefusal.TOO_MANY, mUnauthenticated.size() + " wait already");
+            connection.refuse(
+                    PeerRefusal.TOO_MANY,
+                    mUnauthenticated.size() + " connections are unauthenticated already");
             return;
         }
         mUnauthenticated.add(connection);
@@ -65,17 +67,17 @@
     }
 
     /**
-     * The peer has proved who it is. A VM keeps one connection that it made itself, so that one
-     * that reconnects in a loop cannot fill the table.
+     * Registers a connection whose peer is identified. Of the connections that a VM opened itself
+     * only the newest is kept, so that a VM that reconnects in a loop cannot fill the table.
      */
     @Override
     public void opened(final PeerConnection connection) {
         mUnauthenticated.remove(connection);
         mNewest.put(connection.peer(), connection);
         if (!connection.isDialed()) {
-            final PeerConnection before = mAccepted.put(connection.peer(), connection);
-            if (before != null) {
-                before.close();
+            final PeerConnection previous = mAccepted.put(connection.peer(), connection);
+            if (previous != null) {
+                previous.close();
             }
         }
         writable(connection);
@@ -126,14 +128,14 @@
     }
 
     /**
-     * Guards against a peer whose certificate ran out, or was not renewed on purpose: a connection
-     * that stays open would never be checked again.
+     * Closes connections whose certificate has expired. Certificates are otherwise checked only in
+     * the handshake, so a peer whose certificate was deliberately not renewed would stay connected.
      */
     void closeExpired() {
         final Instant now = mClock.instant();
         for (final PeerConnection connection : List.copyOf(mAll)) {
             if (connection.isExpired(now)) {
-                connection.refuse(PeerRefusal.EXPIRED, "the certificate ran out");
+                connection.refuse(PeerRefusal.EXPIRED, "the certificate expired");
             }
         }
     }
--- a/peer/src/main/java/org/whinhead/peer/IncomingMessage.java
+++ b/peer/src/main/java/org/whinhead/peer/IncomingMessage.java
@@ -6,7 +6,7 @@
 import org.whinhead.api.model.VmId;
 import org.whinhead.peer.generated.PeerProto.Envelope;
 
-/** A message with its sender, whose VM the certificate has named. */
+/** A received message with its authenticated sender. */
 public final class IncomingMessage {
 
     private final VmId mFrom;
@@ -30,7 +30,7 @@
         return mFrom;
     }
 
-    /** Returns the sender's incarnation. */
+    /** Returns the sender's daemon ID, which identifies one incarnation. */
     public DaemonId daemon() {
         return mDaemon;
     }
@@ -41,9 +41,9 @@
     }
 
     /**
-     * Answers a request on the connection that it came on; any thread may call it, once.
+     * Sends the reply to a request. To be called at most once, from any thread.
      *
-     * @param reply the reply; sender, sequence and correlation are filled in
+     * @param reply the reply; the transport sets sender, sequence and correlation
      */
     public void reply(final Envelope reply) {
         mReply.accept(reply);
--- a/peer/src/main/java/org/whinhead/peer/LinkTable.java
+++ b/peer/src/main/java/org/whinhead/peer/LinkTable.java
@@ -6,7 +6,7 @@
 import org.whinhead.api.model.VmId;
 import org.whinhead.membership.DaemonAddress;
 
-/** What waits for each peer; safe for any thread. */
+/** The links to all peers. Thread-safe. */
 final class LinkTable {
 
     private final PeerSettings mSettings;
@@ -20,14 +20,17 @@
         mBudget = new QueueBudget(settings.queue().bytesOfAll());
     }
 
-    /** Returns the link to a peer whose address is known. */
+    /** Returns the link to a peer and sets its address; creates the link if there is none. */
     PeerLink getOrCreate(final DaemonAddress address) {
         final PeerLink link = getOrCreate(address.vm());
         link.address(address);
         return link;
     }
 
-    /** Returns the link to a peer that called, so that no address is needed to answer it. */
+    /**
+     * Returns the link to a peer, creating it without an address if there is none. Replies need no
+     * address, as they use the peer's own connection.
+     */
     PeerLink getOrCreate(final VmId vm) {
         return mLinks.computeIfAbsent(vm, id -> new PeerLink(mSettings, id, mBudget));
     }
@@ -43,7 +46,7 @@
         }
     }
 
-    /** Drops replies whose connection ended; those who asked see a timeout. */
+    /** Drops the replies whose connection ended; the requesters get a timeout. */
     void dropReplies(final PeerLink link) {
         mCounters.countDropped(link.queue().dropReplies());
     }
--- a/peer/src/main/java/org/whinhead/peer/MembershipCodec.java
+++ b/peer/src/main/java/org/whinhead/peer/MembershipCodec.java
@@ -20,7 +20,7 @@
 import org.whinhead.peer.generated.PeerProto;
 import org.whinhead.peer.generated.PeerProto.Envelope;
 
-/** Turns membership messages into envelopes and back. */
+/** Converts membership messages to envelopes and back. */
 public final class MembershipCodec {
 
     private MembershipCodec() {}
@@ -29,7 +29,7 @@
      * Encodes a message.
      *
      * @param message the message
-     * @return an envelope without sender
+     * @return an envelope without sender, sequence and correlation
      */
     public static Envelope encode(final MembershipMessage message) {
         final Envelope.Builder envelope = Envelope.newBuilder();
@@ -70,8 +70,8 @@
      * Decodes an envelope.
      *
      * @param envelope the envelope
-     * @return the message; empty if it is about something else than membership
-     * @throws IllegalArgumentException if a part of the message is missing or makes no sense
+     * @return the message, or empty if the envelope has no membership message
+     * @throws IllegalArgumentException if a part of the message is missing or invalid
      */
     public static Optional<MembershipMessage> decode(final Envelope envelope) {
         return switch (envelope.getBodyCase()) {
@@ -107,7 +107,7 @@
     private static MembershipMessage decode(final PeerProto.Gossip gossip) {
         final List<Rumor> rumors = new ArrayList<>(gossip.getRumorsCount());
         for (final PeerProto.Rumor rumor : gossip.getRumorsList()) {
-            // A newer daemon may tell of facts that this one does not know.
+            // Skips kinds of rumors that only newer daemons know.
             decode(rumor).ifPresent(rumors::add);
         }
         return new MembershipMessage.Gossip(rumors, gossip.getWhole());
--- a/peer/src/main/java/org/whinhead/peer/MessageClass.java
+++ b/peer/src/main/java/org/whinhead/peer/MessageClass.java
@@ -2,13 +2,15 @@
 
 import org.whinhead.peer.generated.PeerProto.Envelope;
 
-/** What may be dropped when a peer does not take its messages fast enough. */
+/**
+ * The class of a message, which determines whether it may be dropped when a peer reads too slowly.
+ */
 enum MessageClass {
-    /** Soon said again in a newer form; the oldest goes first. */
+    /** Periodic messages that a newer one replaces; dropped first, oldest first. */
     GOSSIP,
-    /** Announcements and requests; dropped only when no gossip is left to drop. */
+    /** Notices and requests; dropped, oldest first, only when no gossip is left. */
     COMMAND,
-    /** Somebody waits for it; never dropped while its connection lives. */
+    /** Replies, for which a requester waits; never dropped while their connection is open. */
     REPLY;
 
     static MessageClass of(final Envelope envelope) {
--- a/peer/src/main/java/org/whinhead/peer/NettyPeerTransport.java
+++ b/peer/src/main/java/org/whinhead/peer/NettyPeerTransport.java
@@ -27,7 +27,10 @@
 import org.whinhead.membership.DaemonAddress;
 import org.whinhead.peer.generated.PeerProto.Envelope;
 
-/** A {@link PeerTransport} over TCP with one event loop; with mutual TLS but on loopback. */
+/**
+ * A {@link PeerTransport} over TCP with one event loop. Requires mutual TLS except on loopback
+ * addresses.
+ */
 public final class NettyPeerTransport implements PeerTransport {
 
     private static final int LOW_WATER_MARK = 32 * 1024;
@@ -46,15 +49,15 @@
     private Channel mServer;
 
     /**
-     * Makes a transport that can send; {@link #listen} lets it receive.
+     * Creates a transport that can send; {@link #listen} accepts connections.
      *
-     * @param settings its bounds
-     * @param self who the own daemon is
-     * @param tlsFiles the files for mutual TLS; without them only loopback addresses are served
-     * @param clock the clock for expired certificates and for the log's pace
-     * @param random the source of chance for waits between attempts to connect
-     * @param listener takes the messages
-     * @throws PeerException if the TLS files cannot be used
+     * @param settings the limits and timeouts
+     * @param self the identity of the own daemon
+     * @param tlsFiles the files for mutual TLS; without them only loopback addresses are allowed
+     * @param clock the clock for certificate expiry and for the rate limit of the log
+     * @param random the random generator for the jitter of the backoff
+     * @param listener the receiver of messages
+     * @throws PeerException if the TLS files cannot be read or don't match
      */
     public NettyPeerTransport(
             final PeerSettings settings,
@@ -82,11 +85,11 @@
     }
 
     /**
-     * Starts to listen.
+     * Starts to accept connections.
      *
-     * @param address the address; port 0 takes any free one
-     * @return the address with its port
-     * @throws PeerException if the address cannot be taken, or is open to others without TLS
+     * @param address the address; port 0 selects any free port
+     * @return the bound address with its port
+     * @throws PeerException if the address cannot be bound, or is not loopback and there is no TLS
      */
     public InetSocketAddress listen(final InetSocketAddress address) throws PeerException {
         if (mTls.isEmpty() && !isLoopback(address)) {
@@ -108,15 +111,15 @@
                         .bind(address)
                         .awaitUninterruptibly();
         if (!bound.isSuccess()) {
-            throw new PeerException("the peer address cannot be taken: " + address, bound.cause());
+            throw new PeerException("cannot bind the peer address " + address, bound.cause());
         }
         mServer = bound.channel();
         return (InetSocketAddress) mServer.localAddress();
     }
 
     private PeerConnection connection(
-            final Optional<VmId> dialed, final Optional<Envelope> greeting) {
-        return new PeerConnection(mConnections, mCounters, mSelf, dialed, greeting);
+            final Optional<VmId> dialed, final Optional<Envelope> firstMessage) {
+        return new PeerConnection(mConnections, mCounters, mSelf, dialed, firstMessage);
     }
 
     private static boolean isLoopback(final InetSocketAddress address) {
@@ -148,12 +151,15 @@
         }
     }
 
-    /** Replies are never dropped one by one: a peer that does not read them is cut off. */
+    /**
+     * Drops all replies to a peer that does not read them and closes its connection; single replies
+     * are never dropped.
+     */
     private void closeNotReading(final PeerLink link) {
         mLinks.dropReplies(link);
         mConnections
                 .find(link.vm())
-                .ifPresent(c -> c.refuse(PeerRefusal.NOT_READING, "replies pile up"));
+                .ifPresent(c -> c.refuse(PeerRefusal.NOT_READING, "the queue is full of replies"));
     }
 
     @Override
@@ -178,7 +184,7 @@
             mLoop.execute(task);
             return true;
         } catch (final RejectedExecutionException e) {
-            // The transport is closed, and what is sent then is lost like any other message.
+            // The transport is closed; any message may be lost, so this one may be too.
             return false;
         }
     }
@@ -225,13 +231,13 @@
     }
 
     /**
-     * Calls an address whose VM is not known, once. The peer must prove like any other that it is
-     * the VM it says, and has as long for it as one that calls here.
+     * Connects once, without retry, to an address whose VM is not known. The peer must prove its
+     * VM's identity like any other, within the handshake timeout.
      *
      * @param address the address
-     * @param greeting the first message to whoever listens there
+     * @param firstMessage the message to send after the handshake
      */
-    public void connectToSeed(final InetSocketAddress address, final Envelope greeting) {
+    public void connectToSeed(final InetSocketAddress address, final Envelope firstMessage) {
         if (mTls.isEmpty() && !isLoopback(address)) {
             mCounters.countConnectFailure();
             return;
@@ -240,7 +246,7 @@
                 new PeerPipeline(
                         mSettings,
                         () -> mTls.map(NettyPeerTransport::clientContext),
-                        () -> connection(Optional.empty(), Optional.of(greeting)));
+                        () -> connection(Optional.empty(), Optional.of(firstMessage)));
         runOnLoop(() -> dial(address, pipeline).addListener(this::countSeedConnect));
     }
 
@@ -267,15 +273,15 @@
     }
 
     private void retryAfterBackoff(final PeerLink link) {
-        final Runnable again =
+        final Runnable retry =
                 () -> {
                     link.endBackoff();
                     flush(link);
                 };
         try {
-            schedule(again, link.nextBackoff(mRandom));
+            schedule(retry, link.nextBackoff(mRandom));
         } catch (final RejectedExecutionException e) {
-            // The transport is closing and needs no further connection.
+            // The transport is closing and needs no new connections.
             return;
         }
     }
@@ -287,7 +293,7 @@
     }
 
     /**
-     * Forgets a VM that is gone, with what waits for it.
+     * Closes the connection to a VM that is gone and discards its queued messages.
      *
      * @param vm the VM
      */
--- a/peer/src/main/java/org/whinhead/peer/OutboundQueue.java
+++ b/peer/src/main/java/org/whinhead/peer/OutboundQueue.java
@@ -5,11 +5,11 @@
 import org.whinhead.peer.generated.PeerProto.Envelope;
 
 /**
- * Messages that wait for one peer, in order; safe for any thread.
+ * A bounded FIFO queue of messages to one peer. Thread-safe.
  *
- * <p>Guards against a peer that is away or does not read: without a bound its messages would fill
- * the daemon's memory. Gossip has a small bound of its own, so that an hour's worth of old
- * heartbeats does not go out when the peer is back.
+ * <p>Without a bound, the messages to a peer that is unreachable or does not read would fill the
+ * daemon's memory. Gossip has a smaller bound of its own, so that a peer that returns after an hour
+ * does not receive an hour of old heartbeats.
  */
 final class OutboundQueue {
 
@@ -29,10 +29,11 @@
     }
 
     /**
-     * Adds a message and makes room for it: the oldest gossip goes first, then the oldest command.
+     * Adds a message and drops others until the queue is within its bounds: the oldest gossip
+     * first, then the oldest commands.
      *
-     * @return how many messages were dropped, the new one included; or -1 if replies alone fill the
-     *     queue, so that nothing may be dropped and the connection must end
+     * @return the number of dropped messages, which may include the new one, or -1 if replies alone
+     *     exceed the bounds, so that nothing may be dropped and the connection must be closed
      */
     synchronized int add(final Envelope envelope) {
         final PendingMessage added =
@@ -62,7 +63,7 @@
         return first.envelope();
     }
 
-    /** Drops the replies, which belong to a connection that has ended. */
+    /** Drops all replies, whose connection has ended, and returns their number. */
     synchronized int dropReplies() {
         int dropped = 0;
         while (dropOldest(MessageClass.REPLY)) {
@@ -90,11 +91,11 @@
     }
 
     private boolean dropOldest(final MessageClass messageClass) {
-        final Iterator<PendingMessage> waiting = mPending.iterator();
-        while (waiting.hasNext()) {
-            final PendingMessage oldest = waiting.next();
+        final Iterator<PendingMessage> pending = mPending.iterator();
+        while (pending.hasNext()) {
+            final PendingMessage oldest = pending.next();
             if (oldest.messageClass() == messageClass) {
-                waiting.remove();
+                pending.remove();
                 adjustCounts(oldest, -1);
                 return true;
             }
@@ -102,11 +103,11 @@
         return false;
     }
 
-    private void adjustCounts(final PendingMessage waiting, final int sign) {
-        final long bytes = (long) sign * waiting.bytes();
+    private void adjustCounts(final PendingMessage pending, final int sign) {
+        final long bytes = (long) sign * pending.bytes();
         mBytes += bytes;
         mBudget.add(bytes);
-        if (waiting.messageClass() == MessageClass.GOSSIP) {
+        if (pending.messageClass() == MessageClass.GOSSIP) {
             mGossip += sign;
         }
     }
--- a/peer/src/main/java/org/whinhead/peer/PeerConnection.java
+++ b/peer/src/main/java/org/whinhead/peer/PeerConnection.java
@@ -19,7 +19,7 @@
 import org.whinhead.api.model.VmId;
 import org.whinhead.peer.generated.PeerProto.Envelope;
 
-/** One connection; all its methods run on the transport's event loop. */
+/** A connection to a peer. All methods run on the transport's event loop. */
 final class PeerConnection extends SimpleChannelInboundHandler<Envelope> {
 
     private final ConnectionListener mListener;
@@ -36,21 +36,21 @@
     private boolean mRefused;
 
     /**
-     * Makes the handler; the dialed VM is empty for a connection that a peer made, or one to an
-     * address where any VM may listen. The latter begins with a greeting, and the peer says who it
-     * is with its first message.
+     * Creates the handler. The dialed VM is empty for a connection that the peer opened and for one
+     * to a seed address, where any VM may listen. A connection to a seed sends the given first
+     * message, and the seed identifies itself with its first message.
      */
     PeerConnection(
-            final ConnectionListener owner,
+            final ConnectionListener listener,
             final PeerCounters counters,
             final PeerIdentity self,
             final Optional<VmId> dialed,
-            final Optional<Envelope> greeting) {
-        mListener = owner;
+            final Optional<Envelope> firstMessage) {
+        mListener = listener;
         mCounters = counters;
         mSelf = self;
         mDialed = dialed;
-        mFirstMessage = greeting;
+        mFirstMessage = firstMessage;
     }
 
     @Override
@@ -114,13 +114,13 @@
         mListener.received(this, envelope);
     }
 
-    /** The first message names the sender; later ones may leave the name out. */
+    /** Verifies the message's sender. The first message must contain it; later ones may omit it. */
     private boolean verifySender(final Envelope envelope) {
         if (!envelope.getFromVm().isEmpty()) {
             return verifyClaimedSender(envelope.getFromVm(), envelope.getFromDaemon());
         }
         if (mPeerDaemon == null) {
-            refuse(PeerRefusal.IDENTITY, "the first message names no sender");
+            refuse(PeerRefusal.IDENTITY, "the first message has no sender");
             return false;
         }
         return true;
@@ -128,14 +128,14 @@
 
     private boolean verifyClaimedSender(final String vm, final String daemon) {
         if (vm.isBlank() || daemon.isBlank()) {
-            refuse(PeerRefusal.IDENTITY, "a blank sender");
+            refuse(PeerRefusal.IDENTITY, "the sender's VM or daemon is blank");
             return false;
         }
         final VmId claimed = new VmId(vm);
         final boolean changed = mPeer != null && !mPeer.equals(claimed);
-        final boolean unproved =
+        final boolean mismatch =
                 mCertificate != null && !CertificateNames.containsVm(mCertificate, claimed);
-        if (changed || unproved) {
+        if (changed || mismatch) {
             refuse(PeerRefusal.IDENTITY, "the sender is not " + claimed);
             return false;
         }
@@ -148,7 +148,7 @@
         return true;
     }
 
-    /** Sends at once; the caller asks {@link #isWritable} before. */
+    /** Sends a message. The caller checks {@link #isWritable} first. */
     void write(final Envelope message) {
         final Envelope.Builder envelope = message.toBuilder().setSequence(++mSequence);
         if (mSequence == 1) {
@@ -191,7 +191,10 @@
         }
     }
 
-    /** Counts the refusal once, however many errors follow from it, and closes. */
+    /**
+     * Closes the connection and counts only its first refusal, as further errors may follow from
+     * that one.
+     */
     void refuse(final PeerRefusal refusal, final String detail) {
         if (!mRefused) {
             mRefused = true;
@@ -222,7 +225,7 @@
         return mCertificate != null && mCertificate.getNotAfter().toInstant().isBefore(now);
     }
 
-    /** Returns the peer's VM; null until the peer has proved it. */
+    /** Returns the peer's VM, or null before the peer is identified. */
     VmId peer() {
         return mPeer;
     }
@@ -231,22 +234,22 @@
         return mPeerDaemon;
     }
 
-    /** Who holds the connection. */
+    /** Receives the events of a connection. */
     interface ConnectionListener {
 
-        /** The connection was made; nothing is known of the peer yet. */
+        /** Called when the connection is established, before the peer is identified. */
         void started(PeerConnection connection);
 
-        /** The peer is known, and messages may be sent. */
+        /** Called when the peer is identified and messages may be sent. */
         void opened(PeerConnection connection);
 
-        /** A message arrived. */
+        /** Called when a message arrives. */
         void received(PeerConnection connection, Envelope envelope);
 
-        /** More may be written. */
+        /** Called when the connection is writable again. */
         void writable(PeerConnection connection);
 
-        /** The connection ended, also one that was never opened. */
+        /** Called when the connection is closed, even if the peer was never identified. */
         void closed(PeerConnection connection);
     }
 }
--- a/peer/src/main/java/org/whinhead/peer/PeerCounters.java
+++ b/peer/src/main/java/org/whinhead/peer/PeerCounters.java
@@ -10,7 +10,7 @@
 import org.slf4j.Logger;
 import org.slf4j.LoggerFactory;
 
-/** What a transport has done and refused; safe for any thread. */
+/** Counters of a transport's messages, connections and refusals. Thread-safe. */
 public final class PeerCounters {
 
     private static final Logger LOGGER = LoggerFactory.getLogger(PeerCounters.class);
@@ -37,8 +37,8 @@
     }
 
     /**
-     * Counts a refusal. Guards against a stranger that fills the log by calling in a loop: at most
-     * one line a second is written, and the counters tell the rest.
+     * Counts a refusal. At most one refusal per second is logged, so that a client that connects in
+     * a loop cannot fill the log; the counters include them all.
      */
     void countRefusal(final PeerRefusal refusal, final Object peer, final String detail) {
         mRefusals.get(refusal).increment();
@@ -80,56 +80,59 @@
     }
 
     /**
-     * Returns how often connections were closed for a reason.
+     * Returns the number of connections that were closed for a reason.
      *
      * @param refusal the reason
-     * @return the count
+     * @return the number of connections
      */
     public long refusals(final PeerRefusal refusal) {
         return mRefusals.get(refusal).sum();
     }
 
-    /** Returns how many messages went out. */
+    /** Returns the number of messages sent. */
     public long messagesSent() {
         return mMessagesSent.sum();
     }
 
-    /** Returns how many messages came in. */
+    /** Returns the number of messages received. */
     public long messagesReceived() {
         return mMessagesReceived.sum();
     }
 
-    /** Returns how many bytes of frames went out, before TLS. */
+    /** Returns the number of message bytes sent, before encryption. */
     public long bytesSent() {
         return mBytesSent.sum();
     }
 
-    /** Returns how many bytes of frames came in, after TLS. */
+    /** Returns the number of message bytes received, after decryption. */
     public long bytesReceived() {
         return mBytesReceived.sum();
     }
 
-    /** Returns how many messages were dropped because a peer did not take them. */
+    /**
+     * Returns the number of messages dropped because a peer's queue was full or its connection
+     * ended.
+     */
     public long messagesDropped() {
         return mDropped.sum();
     }
 
-    /** Returns how many connections were made to peers. */
+    /** Returns the number of connections opened to peers. */
     public long connects() {
         return mConnects.sum();
     }
 
-    /** Returns how many connections could not be made. */
+    /** Returns the number of failed attempts to connect. */
     public long connectFailures() {
         return mConnectFailures.sum();
     }
 
-    /** Returns how often replaced certificates were taken in. */
+    /** Returns the number of times that replaced TLS files were loaded. */
     public long reloads() {
         return mReloads.sum();
     }
 
-    /** Returns how often replaced certificates could not be taken in. */
+    /** Returns the number of times that the TLS files could not be loaded. */
     public long reloadFailures() {
         return mReloadFailures.sum();
     }
--- a/peer/src/main/java/org/whinhead/peer/PeerException.java
+++ b/peer/src/main/java/org/whinhead/peer/PeerException.java
@@ -1,12 +1,12 @@
 package org.whinhead.peer;
 
-/** The transport could not start, or a request got no reply. */
+/** Thrown when the transport cannot start, and the failure of a request that gets no reply. */
 public final class PeerException extends Exception {
 
     private static final long serialVersionUID = 1L;
 
     /**
-     * Makes the exception.
+     * Creates an exception.
      *
      * @param message what failed
      */
@@ -15,10 +15,10 @@
     }
 
     /**
-     * Makes the exception.
+     * Creates an exception with a cause.
      *
      * @param message what failed
-     * @param cause why
+     * @param cause the cause
      */
     public PeerException(final String message, final Throwable cause) {
         super(message, cause);
--- a/peer/src/main/java/org/whinhead/peer/PeerIdentity.java
+++ b/peer/src/main/java/org/whinhead/peer/PeerIdentity.java
@@ -5,14 +5,14 @@
 import org.whinhead.api.model.VmId;
 
 /**
- * Who a daemon is among its peers.
+ * The identity of a daemon among its peers.
  *
- * @param vm its VM, which its certificate names
- * @param daemon its incarnation
+ * @param vm the daemon's VM, which its certificate must contain
+ * @param daemon the daemon's ID, which identifies one incarnation
  */
 public record PeerIdentity(VmId vm, DaemonId daemon) {
 
-    /** Checks every part. */
+    /** Validates all components. */
     public PeerIdentity {
         Objects.requireNonNull(vm, "vm");
         Objects.requireNonNull(daemon, "daemon");
--- a/peer/src/main/java/org/whinhead/peer/PeerLink.java
+++ b/peer/src/main/java/org/whinhead/peer/PeerLink.java
@@ -8,7 +8,7 @@
 import org.whinhead.membership.DaemonAddress;
 import org.whinhead.peer.generated.PeerProto.Envelope;
 
-/** What one peer has yet to be sent, and when to call it again. */
+/** The queue of messages to one peer and the backoff of attempts to connect to it. */
 final class PeerLink {
 
     private static final int MAX_BACKOFF_DOUBLINGS = 20;
@@ -31,7 +31,7 @@
         return mVm;
     }
 
-    /** Returns where the peer listens; empty for one that only called so far. */
+    /** Returns the peer's address, or empty if only the peer has connected so far. */
     Optional<DaemonAddress> address() {
         return Optional.ofNullable(mAddress);
     }
@@ -44,12 +44,12 @@
         return mQueue;
     }
 
-    /** Tells whether the caller must schedule a pump; false if one is due already. */
+    /** Returns whether the caller must schedule a flush; false if one is scheduled already. */
     boolean tryScheduleFlush() {
         return mFlushScheduled.compareAndSet(false, true);
     }
 
-    /** Sends what the connection takes. */
+    /** Sends queued messages while the connection is writable. */
     void flush(final PeerConnection connection) {
         mFlushScheduled.set(false);
         while (connection.isWritable()) {
@@ -65,7 +65,9 @@
         mFlushScheduled.set(false);
     }
 
-    /** Tells whether to connect now; false while an attempt or the wait after one goes on. */
+    /**
+     * Returns whether the caller must connect; false during an attempt or the backoff after one.
+     */
     boolean tryStartConnecting() {
         if (mConnecting) {
             return false;
@@ -75,23 +77,24 @@
     }
 
     /**
-     * The peer spoke. Guards against a peer that takes the connection and then closes it, as one
-     * does that refuses the own certificate: a mere connection does not shorten the wait.
+     * Resets the backoff after a message from the peer. An established connection alone does not
+     * reset it, because a peer that refuses the own certificate accepts the connection and then
+     * closes it.
      */
     void resetBackoff() {
         mFailures = 0;
     }
 
     /**
-     * Returns how long to wait before the next attempt. Guards against all daemons calling a peer
-     * at the same moment when it, or the network, is back: the wait is chance, and its bound grows.
+     * Returns the wait before the next attempt to connect: exponential backoff with jitter, so that
+     * not all daemons connect to a peer at the same moment when it or the network recovers.
      */
     Duration nextBackoff(final RandomGenerator random) {
         final long first = mSettings.firstBackoff().toMillis();
         final long bound = first << Math.min(mFailures, MAX_BACKOFF_DOUBLINGS);
         mFailures++;
-        final long longest = Math.min(bound, mSettings.longestBackoff().toMillis());
-        return Duration.ofMillis(longest / 2 + random.nextLong(longest / 2 + 1));
+        final long bounded = Math.min(bound, mSettings.longestBackoff().toMillis());
+        return Duration.ofMillis(bounded / 2 + random.nextLong(bounded / 2 + 1));
     }
 
     void endBackoff() {
--- a/peer/src/main/java/org/whinhead/peer/PeerListener.java
+++ b/peer/src/main/java/org/whinhead/peer/PeerListener.java
@@ -1,11 +1,11 @@
 package org.whinhead.peer;
 
-/** Takes the messages of other daemons, but for replies. */
+/** Receives the messages of other daemons except replies. */
 @FunctionalInterface
 public interface PeerListener {
 
     /**
-     * A message arrived; called on the transport's thread, which must not be held up.
+     * Handles a message. Called on the transport's thread; must not block.
      *
      * @param message the message
      */
--- a/peer/src/main/java/org/whinhead/peer/PeerPipeline.java
+++ b/peer/src/main/java/org/whinhead/peer/PeerPipeline.java
@@ -15,7 +15,10 @@
 import java.util.function.Supplier;
 import org.whinhead.peer.generated.PeerProto.Envelope;
 
-/** Sets up a connection: TLS, idle timeout, frames, messages. */
+/**
+ * Initializes a connection's pipeline: TLS, idle timeout, framing, message codec and the
+ * connection's handler.
+ */
 final class PeerPipeline extends ChannelInitializer<SocketChannel> {
 
     private static final int LENGTH_BYTES = 4;
--- a/peer/src/main/java/org/whinhead/peer/PeerRefusal.java
+++ b/peer/src/main/java/org/whinhead/peer/PeerRefusal.java
@@ -1,21 +1,21 @@
 package org.whinhead.peer;
 
-/** Why a connection was closed on a peer. */
+/** The reason for which a connection was closed by this side. */
 public enum PeerRefusal {
-    /** The TLS handshake failed: a stranger, an expired certificate, or no TLS at all. */
+    /** The TLS handshake failed: an untrusted or expired certificate, or no TLS at all. */
     HANDSHAKE,
-    /** The certificate names another VM than the peer says or than was called. */
+    /** The sender is missing, or is not the VM of the certificate or the dialed VM. */
     IDENTITY,
-    /** A frame was no message. */
+    /** A frame could not be decoded as a message. */
     MALFORMED,
-    /** A frame was longer than allowed. */
+    /** A frame exceeded the maximum length. */
     OVERSIZED,
-    /** Too many connections had not yet proved who they are. */
+    /** Too many connections were not yet identified. */
     TOO_MANY,
-    /** The peer did not say in time who it is. */
+    /** The peer did not identify itself in time. */
     SILENT,
     /** The certificate expired while the connection was open. */
     EXPIRED,
-    /** Replies piled up because the peer does not read. */
+    /** The peer did not read its replies, and they filled its queue. */
     NOT_READING
 }
--- a/peer/src/main/java/org/whinhead/peer/PeerSettings.java
+++ b/peer/src/main/java/org/whinhead/peer/PeerSettings.java
@@ -4,15 +4,17 @@
 import org.whinhead.api.Arguments;
 
 /**
- * Bounds of a transport.
+ * The limits and timeouts of a transport.
  *
- * @param longestFrame the longest frame in bytes
- * @param mostUnauthenticated how many connections may be open that have not proved who they are
- * @param handshakeTimeout how long a connection may take to prove it
- * @param idleTimeout how long a connection may be silent
- * @param firstBackoff the longest wait before the second attempt to connect; doubles each time
- * @param longestBackoff the longest wait of all
- * @param queue the bounds of the messages that wait for one peer
+ * @param longestFrame the maximum length of a frame in bytes, at least 1
+ * @param mostUnauthenticated the maximum number of accepted connections that are not yet
+ *     identified, at least 1
+ * @param handshakeTimeout the time in which a connection must be established and identified
+ * @param idleTimeout the time without received data after which a connection is closed
+ * @param firstBackoff the maximum wait before the second attempt to connect; doubles with each
+ *     further attempt
+ * @param longestBackoff the maximum wait before any attempt to connect
+ * @param queue the bounds of the message queues
  */
 public record PeerSettings(
         int longestFrame,
@@ -23,7 +25,7 @@
         Duration longestBackoff,
         QueueBounds queue) {
 
-    /** Checks every part. */
+    /** Validates all components. */
     public PeerSettings {
         Arguments.requireAtLeast(longestFrame, 1, "longestFrame");
         Arguments.requireAtLeast(mostUnauthenticated, 1, "mostUnauthenticated");
@@ -33,26 +35,26 @@
         Arguments.requirePositive(longestBackoff, "longestBackoff");
     }
 
-    /** Returns the settings that the design note gives reasons for. */
+    /** Returns the default settings; the design note gives their reasons. */
     public static PeerSettings defaults() {
         return builder().build();
     }
 
-    /** Starts a builder that holds the defaults. */
+    /** Returns a builder that starts from the defaults. */
     public static Builder builder() {
         return new Builder();
     }
 
     /**
-     * Bounds of the messages that wait for one peer.
+     * The bounds of the message queues, each at least 1.
      *
-     * @param messages how many in all
-     * @param gossip how many of gossip
-     * @param bytes how many bytes in all
-     * @param bytesOfAll how many bytes for all peers together
+     * @param messages the maximum number of messages to one peer
+     * @param gossip the maximum number of gossip messages to one peer
+     * @param bytes the maximum number of bytes to one peer
+     * @param bytesOfAll the maximum number of bytes to all peers together
      */
     public record QueueBounds(int messages, int gossip, long bytes, long bytesOfAll) {
-        /** Checks every part. */
+        /** Validates all components. */
         public QueueBounds {
             Arguments.requireAtLeast(messages, 1, "messages");
             Arguments.requireAtLeast(gossip, 1, "gossip");
@@ -73,43 +75,43 @@
 
         private Builder() {}
 
-        /** Sets the longest frame in bytes. */
+        /** Sets the maximum length of a frame in bytes. */
         public Builder longestFrame(final int bytes) {
             mLongestFrame = bytes;
             return this;
         }
 
-        /** Sets how many connections may be open that have not proved who they are. */
+        /** Sets the maximum number of accepted connections that are not yet identified. */
         public Builder mostUnauthenticated(final int connections) {
             mMostUnauthenticated = connections;
             return this;
         }
 
-        /** Sets how long a connection may take to prove who it is. */
+        /** Sets the time in which a connection must be established and identified. */
         public Builder handshakeTimeout(final Duration timeout) {
             mHandshakeTimeout = timeout;
             return this;
         }
 
-        /** Sets how long a connection may be silent. */
+        /** Sets the time without received data after which a connection is closed. */
         public Builder idleTimeout(final Duration timeout) {
             mIdleTimeout = timeout;
             return this;
         }
 
-        /** Sets the longest wait before the second attempt to connect. */
+        /** Sets the maximum wait before the second attempt to connect. */
         public Builder firstBackoff(final Duration backoff) {
             mFirstBackoff = backoff;
             return this;
         }
 
-        /** Sets the longest wait before any attempt to connect. */
+        /** Sets the maximum wait before any attempt to connect. */
         public Builder longestBackoff(final Duration backoff) {
             mLongestBackoff = backoff;
             return this;
         }
 
-        /** Sets the bounds of the messages that wait for one peer. */
+        /** Sets the bounds of the message queues. */
         public Builder queue(final QueueBounds queue) {
             mQueue = queue;
             return this;
--- a/peer/src/main/java/org/whinhead/peer/PeerTlsFiles.java
+++ b/peer/src/main/java/org/whinhead/peer/PeerTlsFiles.java
@@ -4,15 +4,15 @@
 import java.util.Objects;
 
 /**
- * Where the material for mutual TLS lies; all files are PEM.
+ * The PEM files for mutual TLS.
  *
- * @param certificate the own certificate, then its chain
- * @param key the own private key as PKCS #8
- * @param trust the certificates of the authorities whose peers are let in
+ * @param certificate the own certificate, followed by its chain
+ * @param key the own private key in PKCS #8 form
+ * @param trust the certificates of the authorities that issue trusted peers' certificates
  */
 public record PeerTlsFiles(Path certificate, Path key, Path trust) {
 
-    /** Checks every part. */
+    /** Validates all components. */
     public PeerTlsFiles {
         Objects.requireNonNull(certificate, "certificate");
         Objects.requireNonNull(key, "key");
--- a/peer/src/main/java/org/whinhead/peer/PeerTransport.java
+++ b/peer/src/main/java/org/whinhead/peer/PeerTransport.java
@@ -5,32 +5,35 @@
 import org.whinhead.membership.DaemonAddress;
 import org.whinhead.peer.generated.PeerProto.Envelope;
 
-/** Carries messages between daemons. No call blocks, and any thread may make it. */
+/** Sends messages between daemons. Thread-safe; sending never blocks. */
 public interface PeerTransport extends AutoCloseable {
 
     /**
      * Sends a message, which may be lost.
      *
      * @param to the receiver
-     * @param message the message; the transport fills in sender, sequence and correlation
+     * @param message the message; the transport sets sender, sequence and correlation
      */
     void send(DaemonAddress to, Envelope message);
 
     /**
-     * Sends a request.
+     * Sends a request and returns its future reply.
      *
      * @param to the receiver
-     * @param message the request; the transport fills in sender, sequence and correlation
-     * @param timeout how long to wait for the reply
-     * @return the reply, or a failure with a {@link PeerException}; completed on the transport's
-     *     thread, which must not be held up
+     * @param message the request; the transport sets sender, sequence and correlation
+     * @param timeout the time in which the reply must arrive
+     * @return the reply, or a failure with a {@link PeerException} if there is none in time; may be
+     *     completed on the transport's thread, which must not be blocked
      */
     CompletableFuture<Envelope> request(DaemonAddress to, Envelope message, Duration timeout);
 
-    /** Does what is due now and then: takes in replaced certificates, closes what expired. */
+    /**
+     * Reloads replaced TLS files and closes connections with expired certificates. To be called
+     * periodically.
+     */
     void tick();
 
-    /** Returns what the transport has counted so far. */
+    /** Returns the transport's counters. */
     PeerCounters counters();
 
     @Override
--- a/peer/src/main/java/org/whinhead/peer/PendingReplies.java
+++ b/peer/src/main/java/org/whinhead/peer/PendingReplies.java
@@ -7,7 +7,7 @@
 import org.whinhead.api.model.VmId;
 import org.whinhead.peer.generated.PeerProto.Envelope;
 
-/** Requests that wait for their replies. */
+/** The requests that wait for their replies, by correlation number. Thread-safe. */
 final class PendingReplies {
 
     private final AtomicLong mCorrelation = new AtomicLong();
@@ -20,8 +20,8 @@
     }
 
     /**
-     * Completes a request. Guards against a peer that guesses numbers: only the VM that was asked
-     * may answer.
+     * Completes a request. A reply from another VM than the request's receiver is ignored, because
+     * a peer could guess correlation numbers.
      */
     void complete(final VmId from, final Envelope reply) {
         final Pending pending = mPending.get(reply.getCorrelation());
--- a/peer/src/main/java/org/whinhead/peer/QueueBudget.java
+++ b/peer/src/main/java/org/whinhead/peer/QueueBudget.java
@@ -3,18 +3,18 @@
 import java.util.concurrent.atomic.AtomicLong;
 
 /**
- * Bytes that wait for all peers together; safe for any thread.
+ * The memory budget that the queues of all peers share. Thread-safe.
  *
- * <p>Guards against many peers that are away at once, as when a region is cut off: each queue would
- * be within its own bound, and all together would fill the daemon's memory.
+ * <p>When many peers are unreachable at once, as when a region is partitioned, each queue may be
+ * within its own bound while all together would fill the daemon's memory.
  */
 final class QueueBudget {
 
     private final long mMaxBytes;
     private final AtomicLong mBytes = new AtomicLong();
 
-    QueueBudget(final long mostBytes) {
-        mMaxBytes = mostBytes;
+    QueueBudget(final long maxBytes) {
+        mMaxBytes = maxBytes;
     }
 
     void add(final long bytes) {
--- a/peer/src/main/java/org/whinhead/peer/TlsMaterial.java
+++ b/peer/src/main/java/org/whinhead/peer/TlsMaterial.java
@@ -21,7 +21,7 @@
 import java.util.Base64;
 import javax.net.ssl.SSLException;
 
-/** The contents of the TLS files at one time, and the contexts made of them. */
+/** The contents of the TLS files at one time, and the TLS contexts built from them. */
 final class TlsMaterial {
 
     private static final String PROTOCOL = "TLSv1.3";
@@ -55,7 +55,7 @@
         } catch (final IOException e) {
             throw new PeerException("the TLS files cannot be read", e);
         } catch (final GeneralSecurityException | IllegalArgumentException e) {
-            throw new PeerException("the TLS files do not fit", e);
+            throw new PeerException("the TLS files are not valid or do not match", e);
         }
     }
 
@@ -78,7 +78,8 @@
                         .protocols(PROTOCOL)
                         .keyManager(privateKey, chain)
                         .trustManager(authorities)
-                        // The VM's name is checked instead, see CertificateNames.
+                        // PeerConnection checks the VM's identity in the certificate instead of the
+                        // host name.
                         .endpointIdentificationAlgorithm(null)
                         .build();
         return new TlsMaterial(certificate, key, trust, server, client);
@@ -95,28 +96,29 @@
         return certificates;
     }
 
-    private static PrivateKey privateKey(final byte[] pem, final PublicKey pair)
+    private static PrivateKey privateKey(final byte[] pem, final PublicKey publicKey)
             throws GeneralSecurityException {
         final String text = new String(pem, StandardCharsets.US_ASCII);
         final byte[] der = Base64.getMimeDecoder().decode(text.replaceAll(PEM_LINE, ""));
-        return KeyFactory.getInstance(pair.getAlgorithm())
+        return KeyFactory.getInstance(publicKey.getAlgorithm())
                 .generatePrivate(new PKCS8EncodedKeySpec(der));
     }
 
     /**
-     * Guards against files that are replaced one after the other: with a new certificate and an old
-     * key every new connection would fail. The pair is tried, and the caller keeps the old pair.
+     * Checks by a trial signature that the key belongs to the certificate. While files are replaced
+     * one after the other, a new certificate with an old key would make every new connection fail;
+     * the exception makes the caller keep the old pair.
      */
-    private static void requireMatchingPair(final PrivateKey key, final PublicKey pair)
+    private static void requireMatchingPair(final PrivateKey key, final PublicKey publicKey)
             throws GeneralSecurityException {
-        final Signature signature = Signature.getInstance(signatureFor(pair.getAlgorithm()));
+        final Signature signature = Signature.getInstance(signatureFor(publicKey.getAlgorithm()));
         signature.initSign(key);
-        signature.update(pair.getEncoded());
+        signature.update(publicKey.getEncoded());
         final byte[] signed = signature.sign();
-        signature.initVerify(pair);
-        signature.update(pair.getEncoded());
+        signature.initVerify(publicKey);
+        signature.update(publicKey.getEncoded());
         if (!signature.verify(signed)) {
-            throw new GeneralSecurityException("the key is not the certificate's");
+            throw new GeneralSecurityException("the private key does not match the certificate");
         }
     }
 
--- a/peer/src/main/java/org/whinhead/peer/TlsSource.java
+++ b/peer/src/main/java/org/whinhead/peer/TlsSource.java
@@ -3,7 +3,7 @@
 import org.slf4j.Logger;
 import org.slf4j.LoggerFactory;
 
-/** Holds the newest TLS material that was whole. */
+/** Holds the newest valid TLS material and reloads it when the files change. */
 final class TlsSource {
 
     private static final Logger LOGGER = LoggerFactory.getLogger(TlsSource.class);
@@ -23,7 +23,10 @@
         return mMaterial;
     }
 
-    /** Reads the files; connections made from then on use what they hold. */
+    /**
+     * Reads the files; if they are valid, new connections use them, else the material in use is
+     * kept.
+     */
     void reload() {
         try {
             final TlsMaterial read = TlsMaterial.load(mFiles);
@@ -31,12 +34,13 @@
             if (!read.hasSameBytes(mMaterial)) {
                 mMaterial = read;
                 mCounters.countReload();
-                LOGGER.info("New connections use the replaced certificate {}", mFiles);
+                LOGGER.info("TLS files reloaded, new connections use {}", mFiles);
             }
         } catch (final PeerException e) {
             mCounters.countReloadFailure();
             if (!mFailing) {
-                LOGGER.warn("Keeping the certificate in use: {}", e.getMessage(), e);
+                LOGGER.warn(
+                        "TLS files not reloaded, keeping the previous ones: {}", e.getMessage(), e);
             }
             mFailing = true;
         }
--- a/peer/src/main/java/org/whinhead/peer/package-info.java
+++ b/peer/src/main/java/org/whinhead/peer/package-info.java
@@ -1,2 +1,2 @@
-/** Messages between daemons over Netty, protobuf and mutual TLS. */
+/** The transport of messages between daemons, over Netty, Protocol Buffers and mutual TLS. */
 package org.whinhead.peer;
--- a/peer/src/test/java/org/whinhead/peer/NettyPeerTransportTest.java
+++ b/peer/src/test/java/org/whinhead/peer/NettyPeerTransportTest.java
@@ -40,16 +40,16 @@
         }
     }
 
-    // Somebody in the same network runs a daemon with certificates of an own authority. It must
-    // neither be heard nor learn anything.
+    // Guards against a daemon with certificates of an unknown authority: its messages must not be
+    // accepted, and no message may be sent to it.
     @Test
     void certificateOfUnknownAuthorityIsRefused() throws Exception {
         final TestAuthority other = new TestAuthority();
         assertHandshakeRefused(other.issue(mFolder, "vm-a"));
     }
 
-    // A new daemon knows a seed's address, not which VM listens there. Both prove who they are, and
-    // the connection serves the seed's answers.
+    // Guards against a new daemon that cannot join because it knows only a seed's address, not its
+    // VM. Both sides must identify themselves, and the seed must use the same connection.
     @Test
     void firstMessageReachesSeedOfUnknownVm() throws Exception {
         final TestAuthority authority = new TestAuthority();
@@ -65,7 +65,7 @@
         }
     }
 
-    // A daemon's certificate ran out and nobody replaced it. It is no longer a proof.
+    // Guards against a daemon that is still accepted after its certificate has expired.
     @Test
     void expiredCertificateIsRefused() throws Exception {
         final TestAuthority authority = new TestAuthority();
@@ -73,13 +73,13 @@
         assertHandshakeRefused(authority.issueExpired(mFolder, "vm-a"), own);
     }
 
-    private void assertHandshakeRefused(final PeerTlsFiles theirs) throws Exception {
-        assertHandshakeRefused(theirs, new TestAuthority().issue(mFolder, "vm-b"));
+    private void assertHandshakeRefused(final PeerTlsFiles peerFiles) throws Exception {
+        assertHandshakeRefused(peerFiles, new TestAuthority().issue(mFolder, "vm-b"));
     }
 
-    private static void assertHandshakeRefused(final PeerTlsFiles theirs, final PeerTlsFiles own)
+    private static void assertHandshakeRefused(final PeerTlsFiles peerFiles, final PeerTlsFiles own)
             throws Exception {
-        try (TestPeer bad = new TestPeer("vm-a", Optional.of(theirs));
+        try (TestPeer bad = new TestPeer("vm-a", Optional.of(peerFiles));
                 TestPeer good = new TestPeer("vm-b", Optional.of(own))) {
             bad.sendRevision(good, 7);
             TestPeer.await(() -> good.counters().refusals(PeerRefusal.HANDSHAKE) > 0);
@@ -90,23 +90,25 @@
         }
     }
 
-    // A daemon with a good certificate of its own says that it is another VM, which would let it
-    // announce that one's end or answer in its name.
+    // Guards against a daemon with a valid certificate that claims to be another VM, to announce
+    // the other's end or reply in its name.
     @Test
     void senderMustMatchCertificate() throws Exception {
         final TestAuthority authority = new TestAuthority();
-        try (TestPeer liar = new TestPeer("vm-c", Optional.of(authority.issue(mFolder, "vm-a")));
+        try (TestPeer impostor =
+                        new TestPeer("vm-c", Optional.of(authority.issue(mFolder, "vm-a")));
                 TestPeer b = new TestPeer("vm-b", Optional.of(authority.issue(mFolder, "vm-b")))) {
-            liar.sendRevision(b, 7);
+            impostor.sendRevision(b, 7);
             TestPeer.await(() -> b.counters().refusals(PeerRefusal.IDENTITY) > 0);
-            b.sendRevision(liar, 7);
+            b.sendRevision(impostor, 7);
             TestPeer.await(() -> b.counters().refusals(PeerRefusal.IDENTITY) > 1);
-            assertThat(b.pendingMessages() + liar.pendingMessages()).isZero();
+            assertThat(b.pendingMessages() + impostor.pendingMessages()).isZero();
         }
     }
 
-    // A scanner sends HTTP to the peer port, with TLS and without. Each must end the connection
-    // at once, and a frame's announced length must not take memory.
+    // Guards against memory and connections held by a port scanner that sends HTTP or malformed
+    // frames, with TLS and without: the connection must be closed at once, and the length field of
+    // a frame must not allocate memory.
     @Test
     void malformedInputClosesConnection() throws Exception {
         final byte[] http = "GET / HTTP/1.1\r\n\r\n".getBytes(StandardCharsets.US_ASCII);
@@ -137,7 +139,7 @@
         return socket;
     }
 
-    /** Reads to the end; an alert of TLS may come before it. */
+    /** Reads to the end of the stream; a TLS alert may precede it. */
     private static void assertClosed(final Socket socket) throws IOException {
         try {
             socket.getInputStream().readAllBytes();
@@ -146,7 +148,8 @@
         }
     }
 
-    // Connections are opened and nothing is said. Only so many may wait, each only for so long.
+    // Guards against clients that open connections and send nothing: the number of such connections
+    // and the time of each must be limited.
     @Test
     void silentConnectionsAreBounded() throws Exception {
         final PeerSettings settings =
@@ -166,8 +169,9 @@
         }
     }
 
-    // Operators replace the authority on all daemons while they run. A pair that is half replaced
-    // changes nothing; the whole one serves new peers, and nobody restarts.
+    // Guards against restarts or failing connections when operators replace the authority while
+    // daemons run: half-replaced files must change nothing, complete ones must serve new
+    // connections.
     @Test
     void replacedTlsFilesAreReloadedWithoutRestart() throws Exception {
         final PeerTlsFiles own = new TestAuthority().issue(mFolder, "vm-a");
@@ -191,7 +195,8 @@
         Files.copy(from, to, StandardCopyOption.REPLACE_EXISTING);
     }
 
-    // A daemon without certificates is started on an open address: anybody could speak as a peer.
+    // Guards against a daemon without certificates on an address that is not loopback, where any
+    // client could act as a peer.
     @Test
     void listeningBeyondLoopbackRequiresTls() throws Exception {
         try (TestPeer peer = new TestPeer("vm-a", Optional.empty())) {
@@ -201,8 +206,8 @@
         }
     }
 
-    // The asked daemon is gone. The one that asks must learn it, not wait for ever; when a daemon
-    // is back on the address, the connection is made again by itself.
+    // Guards against a requester that waits forever for a stopped daemon: the request must fail,
+    // and a request to its restarted daemon must succeed.
     @Test
     void requestToAbsentPeerFailsAndLaterReconnects() throws Exception {
         try (TestPeer a = new TestPeer("vm-a", Optional.empty());
--- a/peer/src/test/java/org/whinhead/peer/OutboundQueueTest.java
+++ b/peer/src/test/java/org/whinhead/peer/OutboundQueueTest.java
@@ -10,8 +10,9 @@
 
 class OutboundQueueTest {
 
-    // A peer stops reading. What waits for it must not grow, news that comes again must go first,
-    // and an answer that somebody waits for must not vanish while its connection lives.
+    // Guards against memory filled by a peer that stops reading, and against a lost reply: gossip,
+    // which is repeated anyway, must be dropped first, and replies never while their connection is
+    // open.
     @Test
     void oldestGossipIsDroppedFirstAndRepliesAreKept() {
         final OutboundQueue queue = queue(4, 3, 1000, new QueueBudget(1000));
@@ -41,8 +42,8 @@
         assertThat(queue.isEmpty()).isTrue();
     }
 
-    // A region is cut off and all its peers are away at once. Each queue is within its bound; all
-    // together must be too, and what is dropped or forgotten must make room again.
+    // Guards against memory filled by many queues, each within its own bound, when a whole region
+    // is unreachable: dropped and cleared messages must be returned to the shared budget.
     @Test
     void allQueuesShareOneBudget() {
         final QueueBudget budget = new QueueBudget(30);
--- a/peer/src/test/java/org/whinhead/peer/TestAuthority.java
+++ b/peer/src/test/java/org/whinhead/peer/TestAuthority.java
@@ -8,7 +8,7 @@
 import java.time.Duration;
 import java.time.Instant;
 
-/** A certificate authority that writes the files of a daemon. */
+/** A certificate authority that issues the TLS files of daemons. */
 final class TestAuthority {
 
     private final X509Bundle mRoot;
--- a/peer/src/test/java/org/whinhead/peer/TestPeer.java
+++ b/peer/src/test/java/org/whinhead/peer/TestPeer.java
@@ -19,7 +19,10 @@
 import org.whinhead.peer.generated.PeerProto.ExplainRequest;
 import org.whinhead.peer.generated.PeerProto.SettingsInForce;
 
-/** A transport on a free loopback port that keeps what arrives and answers explain requests. */
+/**
+ * A transport on a free loopback port that stores received messages and replies to explain requests
+ * with the subject.
+ */
 final class TestPeer implements AutoCloseable {
 
     static final Duration TIMEOUT = Duration.ofSeconds(20);
@@ -81,15 +84,15 @@
                         .build());
     }
 
-    /** Asks and returns the answer's only record. */
+    /** Sends an explain request and returns the reply's only record. */
     String requestExplanation(final TestPeer to, final String subject, final Duration timeout)
             throws Exception {
-        final Envelope question =
+        final Envelope request =
                 Envelope.newBuilder()
                         .setExplainRequest(ExplainRequest.newBuilder().setSubject(subject))
                         .build();
         return mTransport
-                .request(to.address(), question, timeout)
+                .request(to.address(), request, timeout)
                 .get(TIMEOUT.toSeconds(), TimeUnit.SECONDS)
                 .getExplainReply()
                 .getRecords(0);
