--- a/membership/src/main/java/org/whinhead/membership/AnnouncementQueue.java
+++ b/membership/src/main/java/org/whinhead/membership/AnnouncementQueue.java
@@ -22,10 +22,7 @@
     private final Map<Instant, Set<VmId>> mPending = new HashMap<>();
     private final Map<VmId, Set<VmId>> mKnownByPeer = new HashMap<>();
 
-    /**
-     * Adds VMs; rounds their end time up to a full second, so that VMs reclaimed together share one
-     * notice.
-     */
+    /** Adds VMs; ends are rounded up to a second so that VMs reclaimed together share a notice. */
     void add(final Set<VmId> vms, final Instant goneBy) {
         final Instant second = goneBy.truncatedTo(ChronoUnit.SECONDS);
         final Instant rounded = second.equals(goneBy) ? goneBy : second.plusSeconds(1);
--- a/membership/src/main/java/org/whinhead/membership/Dissemination.java
+++ b/membership/src/main/java/org/whinhead/membership/Dissemination.java
@@ -108,9 +108,7 @@
         }
     }
 
-    /**
-     * Records a leaving notice and queues the VMs that were not announced before for the next tick.
-     */
+    /** Records a leaving notice and queues its newly announced VMs for the next tick. */
     void receiveNotice(final LeavingNotice notice, final Optional<VmId> from, final Instant now) {
         final Set<VmId> newVms = mRegistry.recordAnnouncement(notice, now);
         if (!newVms.isEmpty()) {
@@ -157,8 +155,7 @@
         receiveAlive(from, heartbeat.incarnation());
         final VmFacts facts = mRegistry.facts(from);
         if (facts != null && facts.isSuspected()) {
-            // Only the peer itself can end the suspicion, by raising its incarnation, so send it
-            // the suspicion.
+            // Only the peer itself can end the suspicion, by a higher incarnation.
             final Rumor rumor = new Rumor.Suspected(from, facts.suspectedIncarnation());
             send(from, new MembershipMessage.Gossip(List.of(rumor), false));
         } else if (heartbeat.digest() != mRegistry.digest()) {
@@ -205,8 +202,7 @@
         if (rumor instanceof Rumor.Suspected suspected) {
             receiveSuspicion(suspected);
         } else if (rumor instanceof Rumor.Alive alive) {
-            // Forwarded even if the suspicion is unknown here, because peers further on may know
-            // it.
+            // Forwarded even if the suspicion is unknown here: peers further on may know it.
             if (mRegistry.recordAlive(alive.vm(), alive.incarnation())) {
                 mRumors.add(alive);
             }
@@ -234,10 +230,7 @@
         receiveAlive(member.id(), incarnation);
     }
 
-    /**
-     * Sends the rumors that are missing from the peer's full state, and newer incarnations of VMs
-     * that the peer suspects.
-     */
+    /** Sends the rumors and the newer incarnations that the peer's full state lacks. */
     private void replyWithMissingRumors(final VmId to, final List<Rumor> peerRumors) {
         final Set<Rumor> known = new HashSet<>(peerRumors);
         final List<Rumor> missing = new ArrayList<>();
--- a/membership/src/main/java/org/whinhead/membership/FailureDetector.java
+++ b/membership/src/main/java/org/whinhead/membership/FailureDetector.java
@@ -9,10 +9,7 @@
 import java.util.Set;
 import org.whinhead.api.model.VmId;
 
-/**
- * Detects silent neighbors of one daemon. A silent neighbor is probed, also through other daemons,
- * before it is suspected.
- */
+/** Detects silent neighbors of one daemon, which are probed before they are suspected. */
 final class FailureDetector {
 
     private final MembershipSettings mSettings;
--- a/membership/src/main/java/org/whinhead/membership/HeartbeatHistory.java
+++ b/membership/src/main/java/org/whinhead/membership/HeartbeatHistory.java
@@ -56,9 +56,7 @@
         recordMessage(now);
     }
 
-    /**
-     * Restarts the timeout after a pause of the own process, which is not a silence of the peer.
-     */
+    /** Restarts the timeout after a pause of the own process, which is no silence of the peer. */
     void resetSilence(final Instant now) {
         mLastSignOfLife = now;
         mLastHeartbeat = null;
--- a/membership/src/main/java/org/whinhead/membership/Membership.java
+++ b/membership/src/main/java/org/whinhead/membership/Membership.java
@@ -80,10 +80,7 @@
         return Optional.ofNullable(mRegistry.facts(vm)).map(VmFacts::goneBy);
     }
 
-    /**
-     * Returns a heartbeat with the own daemon's description, for a peer that does not know this
-     * daemon.
-     */
+    /** Returns a heartbeat with the own description, for a peer that does not know this daemon. */
     public MembershipMessage.Heartbeat ownHeartbeat() {
         return new MembershipMessage.Heartbeat(
                 mDissemination.incarnation(), mRegistry.digest(), Optional.of(mSelf));
--- a/membership/src/main/java/org/whinhead/membership/MembershipActions.java
+++ b/membership/src/main/java/org/whinhead/membership/MembershipActions.java
@@ -1,8 +1,6 @@
 package org.whinhead.membership;
 
-/**
- * Receives the outgoing messages and new views of a {@link Membership}. Neither method may block.
- */
+/** Receives the messages and views of a {@link Membership}. Neither method may block. */
 public interface MembershipActions {
 
     /**
--- a/membership/src/main/java/org/whinhead/membership/MembershipView.java
+++ b/membership/src/main/java/org/whinhead/membership/MembershipView.java
@@ -14,10 +14,7 @@
 import org.whinhead.api.model.VmId;
 import org.whinhead.api.model.VmState;
 
-/**
- * An immutable snapshot of all daemons and endpoints with the states of their VMs, as one daemon
- * knows them.
- */
+/** An immutable snapshot of the daemons, endpoints and VM states that one daemon knows. */
 public final class MembershipView {
 
     private final long mVersion;
--- a/membership/src/main/java/org/whinhead/membership/ViewBuilder.java
+++ b/membership/src/main/java/org/whinhead/membership/ViewBuilder.java
@@ -14,10 +14,7 @@
 /** Builds membership views from the VM registry. */
 final class ViewBuilder {
 
-    /**
-     * The share of a region's live and suspect daemons (0 to 1) that must be suspect for the region
-     * to count as partitioned.
-     */
+    /** A region counts as partitioned when this share (0 to 1) of its daemons is suspect. */
     private static final double PARTITION_SUSPECT_SHARE = 0.75;
 
     private static final int PARTITION_MIN_SUSPECTS = 2;
--- a/membership/src/main/java/org/whinhead/membership/VmFacts.java
+++ b/membership/src/main/java/org/whinhead/membership/VmFacts.java
@@ -111,9 +111,7 @@
         return isNew;
     }
 
-    /**
-     * Marks the VM as gone if its announced end has passed, and returns whether this call did so.
-     */
+    /** Marks the VM as gone if its announced end has passed; returns whether it is newly gone. */
     boolean expire(final Instant now) {
         if (isGone() || mGoneBy == null || now.isBefore(mGoneBy)) {
             return false;
@@ -127,10 +125,7 @@
         mLastMessage = now;
     }
 
-    /**
-     * Records an incarnation, which ends older suspicions, and returns whether it is newer than the
-     * known one.
-     */
+    /** Records an incarnation, which ends older suspicions; returns whether it is new. */
     boolean recordAlive(final long incarnation) {
         if (isGone() || incarnation <= mIncarnation) {
             return false;
--- a/membership/src/main/java/org/whinhead/membership/VmRegistry.java
+++ b/membership/src/main/java/org/whinhead/membership/VmRegistry.java
@@ -143,10 +143,7 @@
         }
     }
 
-    /**
-     * Marks VMs as gone whose announced end has passed, and removes VMs that have been gone for the
-     * retention time.
-     */
+    /** Marks VMs as gone at their announced end and removes them after the retention time. */
     void expire(final Instant now) {
         final List<VmId> expired = new ArrayList<>();
         for (final VmFacts facts : mFacts.values()) {
@@ -210,10 +207,7 @@
         return facts == null ? VmState.GONE : facts.state();
     }
 
-    /**
-     * Returns a hash of the leaving VMs and the suspicions that is equal on daemons that know the
-     * same ones.
-     */
+    /** Returns a hash of the leaving VMs and suspicions; equal sets have equal hashes. */
     long digest() {
         if (mDigestStale) {
             mDigest = 0;
--- a/membership/src/test/java/org/whinhead/membership/FakeCluster.java
+++ b/membership/src/test/java/org/whinhead/membership/FakeCluster.java
@@ -38,10 +38,7 @@
     private long mSent;
     private final Map<String, Integer> mAnnouncements = new LinkedHashMap<>();
 
-    /**
-     * Creates and starts daemons and gives each a list of all: odd ones in region east, even ones
-     * in west.
-     */
+    /** Starts daemons, each with a list of all: odd ones in region east, even ones in west. */
     FakeCluster(final int size) {
         for (int i = 0; i < size; i++) {
             mMembers.add(member("vm-" + i, i % 2 == 0 ? "west" : "east"));
@@ -142,10 +139,7 @@
         return mMembers.get(index).id();
     }
 
-    /**
-     * Returns the number of pairs of running daemons in which the first sees the second in the
-     * state.
-     */
+    /** Counts the pairs of running daemons in which the first sees the second in the state. */
     long countPairsSeeing(final VmState state) {
         return mRunning.values().stream()
                 .flatMap(membership -> membership.view().daemons().stream())
--- a/peer/src/main/java/org/whinhead/peer/LinkTable.java
+++ b/peer/src/main/java/org/whinhead/peer/LinkTable.java
@@ -27,10 +27,7 @@
         return link;
     }
 
-    /**
-     * Returns the link to a peer, creating it without an address if there is none. Replies need no
-     * address, as they use the peer's own connection.
-     */
+    /** Returns the link to a peer, or creates it without an address, which replies don't need. */
     PeerLink getOrCreate(final VmId vm) {
         return mLinks.computeIfAbsent(vm, id -> new PeerLink(mSettings, id, mBudget));
     }
--- a/peer/src/main/java/org/whinhead/peer/MessageClass.java
+++ b/peer/src/main/java/org/whinhead/peer/MessageClass.java
@@ -2,9 +2,7 @@
 
 import org.whinhead.peer.generated.PeerProto.Envelope;
 
-/**
- * The class of a message, which determines whether it may be dropped when a peer reads too slowly.
- */
+/** The class of a message, which determines whether a full queue may drop it. */
 enum MessageClass {
     /** Periodic messages that a newer one replaces; dropped first, oldest first. */
     GOSSIP,
--- a/peer/src/main/java/org/whinhead/peer/NettyPeerTransport.java
+++ b/peer/src/main/java/org/whinhead/peer/NettyPeerTransport.java
@@ -27,10 +27,7 @@
 import org.whinhead.membership.DaemonAddress;
 import org.whinhead.peer.generated.PeerProto.Envelope;
 
-/**
- * A {@link PeerTransport} over TCP with one event loop. Requires mutual TLS except on loopback
- * addresses.
- */
+/** A {@link PeerTransport} over TCP with one event loop; requires mutual TLS except on loopback. */
 public final class NettyPeerTransport implements PeerTransport {
 
     private static final int LOW_WATER_MARK = 32 * 1024;
--- a/peer/src/main/java/org/whinhead/peer/PeerConnection.java
+++ b/peer/src/main/java/org/whinhead/peer/PeerConnection.java
@@ -191,10 +191,7 @@
         }
     }
 
-    /**
-     * Closes the connection and counts only its first refusal, as further errors may follow from
-     * that one.
-     */
+    /** Closes the connection and counts only its first refusal, not the errors that follow. */
     void refuse(final PeerRefusal refusal, final String detail) {
         if (!mRefused) {
             mRefused = true;
--- a/peer/src/main/java/org/whinhead/peer/PeerCounters.java
+++ b/peer/src/main/java/org/whinhead/peer/PeerCounters.java
@@ -109,10 +109,7 @@
         return mBytesReceived.sum();
     }
 
-    /**
-     * Returns the number of messages dropped because a peer's queue was full or its connection
-     * ended.
-     */
+    /** Returns the number of messages dropped from full queues or with their connection. */
     public long messagesDropped() {
         return mDropped.sum();
     }
--- a/peer/src/main/java/org/whinhead/peer/PeerLink.java
+++ b/peer/src/main/java/org/whinhead/peer/PeerLink.java
@@ -65,9 +65,7 @@
         mFlushScheduled.set(false);
     }
 
-    /**
-     * Returns whether the caller must connect; false during an attempt or the backoff after one.
-     */
+    /** Returns whether the caller must connect; false during an attempt or its backoff. */
     boolean tryStartConnecting() {
         if (mConnecting) {
             return false;
--- a/peer/src/main/java/org/whinhead/peer/PeerPipeline.java
+++ b/peer/src/main/java/org/whinhead/peer/PeerPipeline.java
@@ -15,10 +15,7 @@
 import java.util.function.Supplier;
 import org.whinhead.peer.generated.PeerProto.Envelope;
 
-/**
- * Initializes a connection's pipeline: TLS, idle timeout, framing, message codec and the
- * connection's handler.
- */
+/** Initializes a connection's pipeline: TLS, idle timeout, framing, codec and handler. */
 final class PeerPipeline extends ChannelInitializer<SocketChannel> {
 
     private static final int LENGTH_BYTES = 4;
--- a/peer/src/main/java/org/whinhead/peer/PeerTransport.java
+++ b/peer/src/main/java/org/whinhead/peer/PeerTransport.java
@@ -27,10 +27,7 @@
      */
     CompletableFuture<Envelope> request(DaemonAddress to, Envelope message, Duration timeout);
 
-    /**
-     * Reloads replaced TLS files and closes connections with expired certificates. To be called
-     * periodically.
-     */
+    /** Reloads TLS files and closes connections with expired certificates; called periodically. */
     void tick();
 
     /** Returns the transport's counters. */
--- a/peer/src/main/java/org/whinhead/peer/TlsMaterial.java
+++ b/peer/src/main/java/org/whinhead/peer/TlsMaterial.java
@@ -78,8 +78,7 @@
                         .protocols(PROTOCOL)
                         .keyManager(privateKey, chain)
                         .trustManager(authorities)
-                        // PeerConnection checks the VM's identity in the certificate instead of the
-                        // host name.
+                        // PeerConnection checks the VM's identity instead of the host name.
                         .endpointIdentificationAlgorithm(null)
                         .build();
         return new TlsMaterial(certificate, key, trust, server, client);
--- a/peer/src/main/java/org/whinhead/peer/TlsSource.java
+++ b/peer/src/main/java/org/whinhead/peer/TlsSource.java
@@ -23,10 +23,7 @@
         return mMaterial;
     }
 
-    /**
-     * Reads the files; if they are valid, new connections use them, else the material in use is
-     * kept.
-     */
+    /** Reads the files; new connections use them if they are valid, else the previous ones. */
     void reload() {
         try {
             final TlsMaterial read = TlsMaterial.load(mFiles);
--- a/peer/src/test/java/org/whinhead/peer/TestPeer.java
+++ b/peer/src/test/java/org/whinhead/peer/TestPeer.java
@@ -19,10 +19,7 @@
 import org.whinhead.peer.generated.PeerProto.ExplainRequest;
 import org.whinhead.peer.generated.PeerProto.SettingsInForce;
 
-/**
- * A transport on a free loopback port that stores received messages and replies to explain requests
- * with the subject.
- */
+/** A transport on a free loopback port that stores messages and answers explain requests. */
 final class TestPeer implements AutoCloseable {
 
     static final Duration TIMEOUT = Duration.ofSeconds(20);
