--- a/peer/src/main/java/org/whinhead/peer/PeerPipeline.java
+++ b/peer/src/main/java/org/whinhead/peer/PeerPipeline.java
@@ -15,7 +15,7 @@
 import java.util.function.Supplier;
 import org.whinhead.peer.generated.PeerProto.Envelope;
 
-/** Sets up a connection: TLS, idle timeout, frames, messages. */
+/** Initializes a connection's pipeline: TLS, idle timeout, framing, codec and handler. */
 final class PeerPipeline extends ChannelInitializer<SocketChannel> {
 
     private static final int LENGTH_BYTES = 4;
