--- a/api/src/main/java/org/whinhead/api/Arguments.java
+++ b/api/src/main/java/org/whinhead/api/Arguments.java
@@ -3,7 +3,7 @@
 import java.time.Duration;
 import java.util.Objects;
 
-/** Early checks of constructor arguments, each failing with the name of the argument. */
+/** Checks of constructor arguments; the exception of each names the argument. */
 public final class Arguments {
 
     private Arguments() {}
@@ -14,6 +14,7 @@
      * @param value the text to check
      * @param name the argument's name, for the error
      * @return the same text
+     * @throws IllegalArgumentException if the text is blank
      */
     public static String requireText(final String value, final String name) {
         Objects.requireNonNull(value, name);
@@ -24,16 +25,17 @@
     }
 
     /**
-     * Requires a number of at least a bound.
+     * Requires a number that is not below a bound.
      *
      * @param value the number to check
-     * @param least the smallest allowed number
+     * @param minimum the smallest allowed number
      * @param name the argument's name, for the error
      * @return the same number
+     * @throws IllegalArgumentException if the number is below the bound
      */
-    public static long requireAtLeast(final long value, final long least, final String name) {
-        if (value < least) {
-            throw new IllegalArgumentException(name + " is " + value + ", below " + least);
+    public static long requireAtLeast(final long value, final long minimum, final String name) {
+        if (value < minimum) {
+            throw new IllegalArgumentException(name + " is " + value + ", below " + minimum);
         }
         return value;
     }
@@ -44,6 +46,7 @@
      * @param value the duration to check
      * @param name the argument's name, for the error
      * @return the same duration
+     * @throws IllegalArgumentException if the duration is zero or negative
      */
     public static Duration requirePositive(final Duration value, final String name) {
         Objects.requireNonNull(value, name);
--- a/api/src/main/java/org/whinhead/api/message/MessageBundle.java
+++ b/api/src/main/java/org/whinhead/api/message/MessageBundle.java
@@ -4,7 +4,7 @@
 import java.util.Locale;
 import java.util.ResourceBundle;
 
-/** The texts of one {@code messages.properties} file, looked up by named key. */
+/** Message texts of one {@code messages.properties} file, looked up by key. */
 public final class MessageBundle {
 
     private final ResourceBundle mTexts;
@@ -14,30 +14,30 @@
     }
 
     /**
-     * Loads the file that stands beside a class.
+     * Loads the messages file of the package of a class.
      *
-     * @param neighbour a class in the file's package
-     * @return its texts
+     * @param member a class in the file's package
+     * @return the texts of the file
      */
-    public static MessageBundle forPackageOf(final Class<?> neighbour) {
-        final String name = neighbour.getPackageName() + ".messages";
+    public static MessageBundle forPackageOf(final Class<?> member) {
+        final String name = member.getPackageName() + ".messages";
         return new MessageBundle(
-                ResourceBundle.getBundle(name, Locale.ROOT, neighbour.getClassLoader()));
+                ResourceBundle.getBundle(name, Locale.ROOT, member.getClassLoader()));
     }
 
     /**
-     * Formats one text; numbers are printed without grouping, so that they can be searched for.
+     * Formats one text. Numbers have no grouping separators, so that they can be searched for.
      *
      * @param key the text's key
-     * @param arguments the values for its places
+     * @param arguments the values of its placeholders
      * @return the text
      * @throws java.util.MissingResourceException if the key has no text
      */
     public String text(final String key, final Object... arguments) {
-        final Object[] texts = new Object[arguments.length];
+        final Object[] values = new Object[arguments.length];
         for (int i = 0; i < arguments.length; i++) {
-            texts[i] = String.valueOf(arguments[i]);
+            values[i] = String.valueOf(arguments[i]);
         }
-        return new MessageFormat(mTexts.getString(key), Locale.ROOT).format(texts);
+        return new MessageFormat(mTexts.getString(key), Locale.ROOT).format(values);
     }
 }
--- a/api/src/main/java/org/whinhead/api/message/Messages.java
+++ b/api/src/main/java/org/whinhead/api/message/Messages.java
@@ -1,6 +1,6 @@
 package org.whinhead.api.message;
 
-/** Looks up texts for people by named key in {@code messages.properties}. */
+/** Looks up human-readable texts by key in {@code messages.properties}. */
 public final class Messages {
 
     private static final MessageBundle TEXTS = MessageBundle.forPackageOf(Messages.class);
@@ -11,7 +11,7 @@
      * Formats one text.
      *
      * @param key the text's key
-     * @param arguments the values for its places
+     * @param arguments the values of its placeholders
      * @return the text
      * @throws java.util.MissingResourceException if the key has no text
      */
--- a/api/src/main/java/org/whinhead/api/message/package-info.java
+++ b/api/src/main/java/org/whinhead/api/message/package-info.java
@@ -1,2 +1,2 @@
-/** Texts shown to people, looked up by named key. */
+/** Human-readable texts, looked up by key. */
 package org.whinhead.api.message;
--- a/api/src/main/java/org/whinhead/api/model/Billing.java
+++ b/api/src/main/java/org/whinhead/api/model/Billing.java
@@ -1,20 +1,20 @@
 package org.whinhead.api.model;
 
-/** How a VM is paid for, which decides whether the cloud may take it back. */
+/** Billing mode of a VM, which decides whether the cloud may reclaim the VM. */
 public enum Billing {
-    /** Cheap, and taken back with a few seconds of notice. */
+    /** Cheaper; the cloud may reclaim the VM with a few seconds of notice. */
     RECLAIMABLE(true),
-    /** Dearer, and kept until it is stopped. */
+    /** More expensive; the VM runs until it is stopped. */
     ON_DEMAND(false);
 
-    private final boolean mMayBeReclaimed;
+    private final boolean mIsReclaimable;
 
-    Billing(final boolean mayBeReclaimed) {
-        mMayBeReclaimed = mayBeReclaimed;
+    Billing(final boolean isReclaimable) {
+        mIsReclaimable = isReclaimable;
     }
 
-    /** Tells whether the cloud may take the VM back. */
+    /** Returns whether the cloud may reclaim the VM. */
     public boolean isReclaimable() {
-        return mMayBeReclaimed;
+        return mIsReclaimable;
     }
 }
--- a/api/src/main/java/org/whinhead/api/model/Customer.java
+++ b/api/src/main/java/org/whinhead/api/model/Customer.java
@@ -5,14 +5,14 @@
 import org.whinhead.api.Arguments;
 
 /**
- * An organisation or application that calls the system.
+ * An organization or application that calls the system.
  *
- * @param id the customer's identity
+ * @param id the customer's identifier
  * @param team the team whose subtree holds the customer
- * @param tier the tier that its requests run in
- * @param keyHashes SHA-256 hashes, in lower-case hex, of the keys that it may use
- * @param weight its share against other customers of the same tier
- * @param tokensPerSecond its budget of generated tokens a second, over all daemons
+ * @param tier the service tier of its requests
+ * @param keyHashes SHA-256 hashes, in lower-case hex, of the customer's API keys
+ * @param weight weight relative to the other customers of the same tier, at least 1
+ * @param tokensPerSecond its budget of generated tokens per second, over all daemons, at least 1
  */
 public record Customer(
         CustomerId id,
@@ -22,7 +22,7 @@
         int weight,
         long tokensPerSecond) {
 
-    /** Checks every part and copies the list. */
+    /** Validates the components and copies the list. */
     public Customer {
         Objects.requireNonNull(id, "id");
         Objects.requireNonNull(team, "team");
--- a/api/src/main/java/org/whinhead/api/model/CustomerId.java
+++ b/api/src/main/java/org/whinhead/api/model/CustomerId.java
@@ -3,13 +3,13 @@
 import org.whinhead.api.Arguments;
 
 /**
- * Names a customer.
+ * Identifier of a customer.
  *
- * @param value the identity as text, never blank
+ * @param value the identifier as text, never blank
  */
 public record CustomerId(String value) implements Comparable<CustomerId> {
 
-    /** Checks the text. */
+    /** Validates the text. */
     public CustomerId {
         Arguments.requireText(value, "customerId");
     }
--- a/api/src/main/java/org/whinhead/api/model/DaemonId.java
+++ b/api/src/main/java/org/whinhead/api/model/DaemonId.java
@@ -3,13 +3,13 @@
 import org.whinhead.api.Arguments;
 
 /**
- * Names one incarnation of a daemon; a restarted daemon gets a new identity.
+ * Identifier of one incarnation of a daemon; a restarted daemon gets a new identifier.
  *
- * @param value the identity as text, never blank
+ * @param value the identifier as text, never blank
  */
 public record DaemonId(String value) implements Comparable<DaemonId> {
 
-    /** Checks the text. */
+    /** Validates the text. */
     public DaemonId {
         Arguments.requireText(value, "daemonId");
     }
--- a/api/src/main/java/org/whinhead/api/model/Endpoint.java
+++ b/api/src/main/java/org/whinhead/api/model/Endpoint.java
@@ -8,14 +8,14 @@
 /**
  * One back end: a model engine or a plain service on a VM.
  *
- * @param id the endpoint's identity
- * @param kind what kind of back end it is
+ * @param id the endpoint's identifier
+ * @param kind the kind of back end
  * @param vm the VM that it runs on
  * @param uri the base address, for example {@code http://10.0.0.7:8000}
  * @param models the models that it has loaded; empty for a plain service
  * @param service the plain service's name; empty for a model engine
- * @param checksFencing whether it refuses an order that carries an old fencing number
- * @param slots how many requests it works on at once before others wait
+ * @param checksFencing whether it rejects an order that carries an outdated fencing token
+ * @param slots the number of requests that it processes concurrently before others wait, at least 1
  */
 public record Endpoint(
         EndpointId id,
@@ -27,7 +27,7 @@
         boolean checksFencing,
         int slots) {
 
-    /** Checks every part and copies the set. */
+    /** Validates the components and copies the set. */
     public Endpoint {
         Objects.requireNonNull(id, "id");
         Objects.requireNonNull(kind, "kind");
@@ -49,9 +49,9 @@
     }
 
     /**
-     * Starts a builder for a model engine.
+     * Returns a builder for a model engine.
      *
-     * @param id the endpoint's identity
+     * @param id the endpoint's identifier
      * @return the builder
      */
     public static Builder engine(final EndpointId id) {
@@ -59,9 +59,9 @@
     }
 
     /**
-     * Starts a builder for a plain service.
+     * Returns a builder for a plain service.
      *
-     * @param id the endpoint's identity
+     * @param id the endpoint's identifier
      * @param service the service's name
      * @return the builder
      */
@@ -70,7 +70,7 @@
     }
 
     /**
-     * Starts a builder that holds this endpoint's parts.
+     * Returns a builder initialized with this endpoint's values.
      *
      * @return the builder
      */
@@ -126,13 +126,13 @@
             return this;
         }
 
-        /** Sets whether old fencing numbers are refused; false by default. */
+        /** Sets whether outdated fencing tokens are rejected; false by default. */
         public Builder checksFencing(final boolean checksFencing) {
             mChecksFencing = checksFencing;
             return this;
         }
 
-        /** Sets the number of requests worked on at once; 16 by default. */
+        /** Sets the number of requests processed concurrently; 16 by default. */
         public Builder slots(final int slots) {
             mSlots = slots;
             return this;
--- a/api/src/main/java/org/whinhead/api/model/EndpointId.java
+++ b/api/src/main/java/org/whinhead/api/model/EndpointId.java
@@ -3,13 +3,13 @@
 import org.whinhead.api.Arguments;
 
 /**
- * Names one endpoint, which is one server process on one VM.
+ * Identifier of an endpoint, which is one server process on one VM.
  *
- * @param value the identity as text, never blank
+ * @param value the identifier as text, never blank
  */
 public record EndpointId(String value) implements Comparable<EndpointId> {
 
-    /** Checks the text. */
+    /** Validates the text. */
     public EndpointId {
         Arguments.requireText(value, "endpointId");
     }
--- a/api/src/main/java/org/whinhead/api/model/EndpointKind.java
+++ b/api/src/main/java/org/whinhead/api/model/EndpointKind.java
@@ -1,20 +1,20 @@
 package org.whinhead.api.model;
 
-/** What kind of back end an endpoint is. */
+/** Kind of back end that an endpoint is. */
 public enum EndpointKind {
     /** A model engine, which streams tokens and can resume, export and import streams. */
     MODEL_ENGINE(true),
-    /** A plain service, which answers whole and some of whose calls may not be repeated. */
+    /** A plain service: returns complete responses; some of its calls must not be repeated. */
     PLAIN_SERVICE(false);
 
-    private final boolean mStreams;
+    private final boolean mIsStreaming;
 
-    EndpointKind(final boolean streams) {
-        mStreams = streams;
+    EndpointKind(final boolean isStreaming) {
+        mIsStreaming = isStreaming;
     }
 
-    /** Tells whether answers arrive as streams that can be resumed. */
+    /** Returns whether responses arrive as streams that can be resumed. */
     public boolean isStreaming() {
-        return mStreams;
+        return mIsStreaming;
     }
 }
--- a/api/src/main/java/org/whinhead/api/model/FailureDomain.java
+++ b/api/src/main/java/org/whinhead/api/model/FailureDomain.java
@@ -10,7 +10,7 @@
  */
 public record FailureDomain(String region, String name) implements Comparable<FailureDomain> {
 
-    /** Checks both parts. */
+    /** Validates both components. */
     public FailureDomain {
         Arguments.requireText(region, "region");
         Arguments.requireText(name, "name");
--- a/api/src/main/java/org/whinhead/api/model/ModelRef.java
+++ b/api/src/main/java/org/whinhead/api/model/ModelRef.java
@@ -5,18 +5,18 @@
 import org.whinhead.api.Arguments;
 
 /**
- * A model as a request names it and as an engine has it loaded.
+ * Reference to one version of a model, optionally with an adapter.
  *
  * @param name the model's name
- * @param version the version
- * @param adapter the adapter on top of the model, if any
+ * @param version the model's version
+ * @param adapter the adapter applied to the model, if any
  */
 public record ModelRef(String name, String version, Optional<String> adapter) {
 
     private static final String SEPARATOR = "@";
     private static final String ADAPTER_SEPARATOR = "+";
 
-    /** Checks every part. */
+    /** Validates the components. */
     public ModelRef {
         Arguments.requireText(name, "name");
         Arguments.requireText(version, "version");
@@ -24,7 +24,7 @@
     }
 
     /**
-     * Makes a reference without an adapter.
+     * Creates a reference without an adapter.
      *
      * @param name the model's name
      * @param version the version
@@ -37,26 +37,32 @@
     /**
      * Parses {@code name@version} or {@code name@version+adapter}.
      *
-     * @param text the text form, as {@link #toString} gives it
+     * @param text the text form, as returned by {@link #toString}
      * @return the reference
      * @throws IllegalArgumentException if the text has no version
      */
     public static ModelRef parse(final String text) {
-        final int at = text.indexOf(SEPARATOR);
-        if (at < 0) {
+        final int separator = text.indexOf(SEPARATOR);
+        if (separator < 0) {
             throw new IllegalArgumentException("model reference without version: " + text);
         }
-        final String rest = text.substring(at + 1);
-        final int plus = rest.indexOf(ADAPTER_SEPARATOR);
-        final String name = text.substring(0, at);
-        if (plus < 0) {
-            return of(name, rest);
+        final String versionAndAdapter = text.substring(separator + 1);
+        final int adapterSeparator = versionAndAdapter.indexOf(ADAPTER_SEPARATOR);
+        final String name = text.substring(0, separator);
+        if (adapterSeparator < 0) {
+            return of(name, versionAndAdapter);
         }
-        return new ModelRef(name, rest.substring(0, plus), Optional.of(rest.substring(plus + 1)));
+        return new ModelRef(
+                name,
+                versionAndAdapter.substring(0, adapterSeparator),
+                Optional.of(versionAndAdapter.substring(adapterSeparator + 1)));
     }
 
     @Override
     public String toString() {
-        return name + SEPARATOR + version + adapter.map(a -> ADAPTER_SEPARATOR + a).orElse("");
+        return name
+                + SEPARATOR
+                + version
+                + adapter.map(text -> ADAPTER_SEPARATOR + text).orElse("");
     }
 }
--- a/api/src/main/java/org/whinhead/api/model/TeamId.java
+++ b/api/src/main/java/org/whinhead/api/model/TeamId.java
@@ -3,13 +3,13 @@
 import org.whinhead.api.Arguments;
 
 /**
- * Names the team that owns a subtree of the settings.
+ * Identifier of a team, which owns a subtree of the settings.
  *
- * @param value the identity as text, never blank
+ * @param value the identifier as text, never blank
  */
 public record TeamId(String value) implements Comparable<TeamId> {
 
-    /** Checks the text. */
+    /** Validates the text. */
     public TeamId {
         Arguments.requireText(value, "teamId");
     }
--- a/api/src/main/java/org/whinhead/api/model/Tier.java
+++ b/api/src/main/java/org/whinhead/api/model/Tier.java
@@ -5,13 +5,13 @@
 import org.whinhead.api.Arguments;
 
 /**
- * A service tier: how urgent its requests are and which latency they are promised.
+ * A service tier: the priority and the latency targets of its requests.
  *
  * @param name the tier's name
- * @param priority its rank; a larger number is served first and shed last
- * @param firstTokenTarget the promised time to the first token
- * @param betweenTokensTarget the promised time between tokens
- * @param requestTimeout the longest time that a request may take in all
+ * @param priority its priority, at least 0; a larger number is served first and shed last
+ * @param firstTokenTarget the target for the time to the first token
+ * @param betweenTokensTarget the target for the time between two tokens
+ * @param requestTimeout the longest total time of a request
  */
 public record Tier(
         String name,
@@ -20,7 +20,7 @@
         Duration betweenTokensTarget,
         Duration requestTimeout) {
 
-    /** Checks every part. */
+    /** Validates the components. */
     public Tier {
         Arguments.requireText(name, "name");
         Arguments.requireAtLeast(priority, 0, "priority");
--- a/api/src/main/java/org/whinhead/api/model/Vm.java
+++ b/api/src/main/java/org/whinhead/api/model/Vm.java
@@ -6,11 +6,11 @@
 /**
  * One virtual machine of the deployment.
  *
- * @param id the VM's identity
+ * @param id the VM's identifier
  * @param host the IP address that its processes listen on
- * @param domain the failure domain that it stands in
- * @param machineClass the cloud's name for its size, for example {@code entry-small}
- * @param billing how it is paid for
+ * @param domain the failure domain that it belongs to
+ * @param machineClass the name of its machine class in the cloud, for example {@code entry-small}
+ * @param billing its billing mode
  * @param state its last known state
  */
 public record Vm(
@@ -21,7 +21,7 @@
         Billing billing,
         VmState state) {
 
-    /** Checks every part. */
+    /** Validates the components. */
     public Vm {
         Objects.requireNonNull(id, "id");
         Arguments.requireText(host, "host");
--- a/api/src/main/java/org/whinhead/api/model/VmId.java
+++ b/api/src/main/java/org/whinhead/api/model/VmId.java
@@ -3,13 +3,13 @@
 import org.whinhead.api.Arguments;
 
 /**
- * Names one VM; a replacement VM gets a new identity.
+ * Identifier of a VM; a replacement VM gets a new identifier.
  *
- * @param value the identity as text, never blank
+ * @param value the identifier as text, never blank
  */
 public record VmId(String value) implements Comparable<VmId> {
 
-    /** Checks the text. */
+    /** Validates the text. */
     public VmId {
         Arguments.requireText(value, "vmId");
     }
--- a/api/src/main/java/org/whinhead/api/model/VmState.java
+++ b/api/src/main/java/org/whinhead/api/model/VmState.java
@@ -1,31 +1,31 @@
 package org.whinhead.api.model;
 
-/** The life of a VM as a daemon sees it. */
+/** Lifecycle state of a VM as seen by a daemon. */
 public enum VmState {
-    /** Serving, and open to new work. */
+    /** Serving and accepting new requests. */
     LIVE(true, true),
-    /** Silent for a while: gets no new work, but work on it is not given up yet. */
+    /** Silent for a while: receives no new requests; those in progress are not given up yet. */
     SUSPECT(false, true),
-    /** Announced to stop: gets no new work, and work on it moves away. */
+    /** Announced to stop: receives no new requests; those in progress move to other VMs. */
     LEAVING(false, true),
-    /** Stopped or taken back: work on it is lost. */
+    /** Stopped or reclaimed: its requests in progress are lost. */
     GONE(false, false);
 
     private final boolean mAcceptsNewWork;
-    private final boolean mMayStillAnswer;
+    private final boolean mCanStillAnswer;
 
-    VmState(final boolean acceptsNewWork, final boolean mayStillAnswer) {
+    VmState(final boolean acceptsNewWork, final boolean canStillAnswer) {
         mAcceptsNewWork = acceptsNewWork;
-        mMayStillAnswer = mayStillAnswer;
+        mCanStillAnswer = canStillAnswer;
     }
 
-    /** Tells whether new requests may go to the VM. */
+    /** Returns whether new requests may be sent to the VM. */
     public boolean acceptsNewWork() {
         return mAcceptsNewWork;
     }
 
-    /** Tells whether requests in progress on the VM may still finish there. */
+    /** Returns whether requests in progress on the VM may still finish there. */
     public boolean canStillAnswer() {
-        return mMayStillAnswer;
+        return mCanStillAnswer;
     }
 }
--- a/api/src/main/java/org/whinhead/api/model/package-info.java
+++ b/api/src/main/java/org/whinhead/api/model/package-info.java
@@ -1,2 +1,2 @@
-/** Machines, zones, customers and back ends as immutable values. */
+/** Immutable values for VMs, failure domains, customers and endpoints. */
 package org.whinhead.api.model;
--- a/api/src/main/java/org/whinhead/api/package-info.java
+++ b/api/src/main/java/org/whinhead/api/package-info.java
@@ -1,2 +1,2 @@
-/** The small vocabulary that every other module leans on; no input or output happens here. */
+/** Value types shared by all modules; performs no input or output. */
 package org.whinhead.api;
--- a/api/src/main/java/org/whinhead/api/request/RequestId.java
+++ b/api/src/main/java/org/whinhead/api/request/RequestId.java
@@ -3,13 +3,13 @@
 import org.whinhead.api.Arguments;
 
 /**
- * Names one accepted request across daemons, attempts and reconnects.
+ * Identifier of an accepted request, the same across daemons, attempts and reconnects.
  *
- * @param value the identity as text, never blank
+ * @param value the identifier as text, never blank
  */
 public record RequestId(String value) implements Comparable<RequestId> {
 
-    /** Checks the text. */
+    /** Validates the text. */
     public RequestId {
         Arguments.requireText(value, "requestId");
     }
--- a/api/src/main/java/org/whinhead/api/request/RequestSpec.java
+++ b/api/src/main/java/org/whinhead/api/request/RequestSpec.java
@@ -11,21 +11,21 @@
 import org.whinhead.api.model.Tier;
 
 /**
- * All that a decision needs to know of one request; the body itself stays with the transport.
+ * Properties of a request that decisions about it need; the transport holds its body.
  *
- * @param id the request's identity
- * @param customer who asks
- * @param tier the tier that it runs in
+ * @param id the request's identifier
+ * @param customer the customer that sent it
+ * @param tier the service tier that applies to it
  * @param kind the kind of endpoint that it needs
  * @param model the model that it needs; empty for a plain service
  * @param service the plain service that it needs; empty for a model
  * @param idempotent whether it may run more than once
- * @param streamed whether the caller wants tokens as they come
- * @param prefixHashes hashes of the prompt's leading blocks, each covering all before it
- * @param promptTokens the prompt's length in tokens, estimated
- * @param maxTokens the most tokens to generate
- * @param arrived when the daemon took it in
- * @param deadline when its answer must be whole
+ * @param streamed whether the caller wants tokens as they are generated
+ * @param prefixHashes hashes of the prompt's leading blocks, each covering all blocks before it
+ * @param promptTokens the estimated length of the prompt, in tokens
+ * @param maxTokens the maximum number of tokens to generate
+ * @param arrived when the daemon received it
+ * @param deadline when its response must be complete
  */
 public record RequestSpec(
         RequestId id,
@@ -42,7 +42,7 @@
         Instant arrived,
         Instant deadline) {
 
-    /** Checks every part and copies the list. */
+    /** Validates the components and copies the list. */
     public RequestSpec {
         Objects.requireNonNull(id, "id");
         Objects.requireNonNull(customer, "customer");
@@ -58,9 +58,9 @@
     }
 
     /**
-     * Starts a builder.
+     * Returns a builder.
      *
-     * @param id the request's identity
+     * @param id the request's identifier
      * @return the builder
      */
     public static Builder builder(final RequestId id) {
@@ -87,7 +87,7 @@
             mId = id;
         }
 
-        /** Sets who asks; required. */
+        /** Sets the customer that sent the request; required. */
         public Builder customer(final CustomerId customer) {
             mCustomer = customer;
             return this;
@@ -99,27 +99,27 @@
             return this;
         }
 
-        /** Asks for a model. */
+        /** Sets the model, for a model engine. */
         public Builder model(final ModelRef model) {
             mKind = EndpointKind.MODEL_ENGINE;
             mModel = Optional.of(model);
             return this;
         }
 
-        /** Asks for a plain service. */
+        /** Sets the plain service. */
         public Builder service(final String service) {
             mKind = EndpointKind.PLAIN_SERVICE;
             mService = service;
             return this;
         }
 
-        /** Sets whether it may run more than once; true by default. */
+        /** Sets whether the request may run more than once; true by default. */
         public Builder idempotent(final boolean idempotent) {
             mIdempotent = idempotent;
             return this;
         }
 
-        /** Sets whether tokens are sent as they come; false by default. */
+        /** Sets whether tokens are sent as they are generated; false by default. */
         public Builder streamed(final boolean streamed) {
             mStreamed = streamed;
             return this;
@@ -137,25 +137,25 @@
             return this;
         }
 
-        /** Sets the most tokens to generate; 0 by default. */
+        /** Sets the maximum number of tokens to generate; 0 by default. */
         public Builder maxTokens(final int maxTokens) {
             mMaxTokens = maxTokens;
             return this;
         }
 
-        /** Sets when it arrived; required. */
+        /** Sets when the request arrived; required. */
         public Builder arrived(final Instant arrived) {
             mArrived = arrived;
             return this;
         }
 
-        /** Sets when its answer must be whole; required. */
+        /** Sets when the response must be complete; required. */
         public Builder deadline(final Instant deadline) {
             mDeadline = deadline;
             return this;
         }
 
-        /** Builds the description. */
+        /** Builds the specification. */
         public RequestSpec build() {
             return new RequestSpec(
                     mId,
--- a/api/src/main/java/org/whinhead/api/request/package-info.java
+++ b/api/src/main/java/org/whinhead/api/request/package-info.java
@@ -1,2 +1,2 @@
-/** Identities and descriptions of requests and attempts. */
+/** Identifiers and specifications of requests and attempts. */
 package org.whinhead.api.request;
--- a/api/src/main/java/org/whinhead/api/verdict/Refusal.java
+++ b/api/src/main/java/org/whinhead/api/verdict/Refusal.java
@@ -6,17 +6,17 @@
 import org.whinhead.api.message.Messages;
 
 /**
- * A final answer that is not the one asked for.
+ * Final error response to a request.
  *
- * @param code what went wrong
+ * @param code the kind of failure
  * @param verdict whether the request may have run
- * @param detail the place or cause, for the message text; never a secret
- * @param retryAfter when to come back, if coming back can help
+ * @param detail the place or cause of the failure, for the message text; never a secret
+ * @param retryAfter how long the caller should wait before it retries, if a retry can help
  */
 public record Refusal(
         ErrorCode code, Verdict verdict, String detail, Optional<Duration> retryAfter) {
 
-    /** Checks every part. */
+    /** Validates the components. */
     public Refusal {
         Objects.requireNonNull(code, "code");
         Objects.requireNonNull(verdict, "verdict");
@@ -25,10 +25,10 @@
     }
 
     /**
-     * Refuses a request that certainly did not run.
+     * Creates the refusal of a request that certainly did not run.
      *
-     * @param code what went wrong
-     * @param detail the place or cause
+     * @param code the kind of failure
+     * @param detail the place or cause of the failure
      * @return the refusal
      */
     public static Refusal notRun(final ErrorCode code, final String detail) {
@@ -36,16 +36,16 @@
     }
 
     /**
-     * Returns this refusal with a time to come back.
+     * Returns a copy of this refusal with a retry delay.
      *
-     * @param after how long the caller should wait
-     * @return a copy of this refusal
+     * @param delay how long the caller should wait before it retries
+     * @return the copy
      */
-    public Refusal withRetryAfter(final Duration after) {
-        return new Refusal(code, verdict, detail, Optional.of(after));
+    public Refusal withRetryAfter(final Duration delay) {
+        return new Refusal(code, verdict, detail, Optional.of(delay));
     }
 
-    /** Returns the text for people. */
+    /** Returns the human-readable message. */
     public String message() {
         return Messages.text(code.messageKey(), detail);
     }
--- a/api/src/main/java/org/whinhead/api/verdict/RequestException.java
+++ b/api/src/main/java/org/whinhead/api/verdict/RequestException.java
@@ -2,7 +2,7 @@
 
 import java.io.Serial;
 
-/** A request's final failure as a checked exception; it always carries a verdict. */
+/** Checked exception for the final failure of a request; always carries a verdict. */
 public final class RequestException extends Exception {
 
     @Serial private static final long serialVersionUID = 1L;
@@ -10,16 +10,16 @@
     private final transient Refusal mRefusal;
 
     /**
-     * Wraps a refusal.
+     * Creates an exception from a refusal.
      *
-     * @param refusal what the caller is told
+     * @param refusal the error response for the caller
      */
     public RequestException(final Refusal refusal) {
         super(refusal.message());
         mRefusal = refusal;
     }
 
-    /** Returns what the caller is told. */
+    /** Returns the error response for the caller. */
     public Refusal refusal() {
         return mRefusal;
     }
--- a/api/src/main/java/org/whinhead/api/verdict/package-info.java
+++ b/api/src/main/java/org/whinhead/api/verdict/package-info.java
@@ -1,2 +1,2 @@
-/** What a failure means for a request: its error code, verdict and checked exception. */
+/** Failures of requests: error code, verdict and checked exception. */
 package org.whinhead.api.verdict;
--- a/api/src/test/java/org/whinhead/api/model/ModelRefTest.java
+++ b/api/src/test/java/org/whinhead/api/model/ModelRefTest.java
@@ -13,7 +13,7 @@
 class ModelRefTest {
 
     @Property(seed = "20261202", tries = 200)
-    void textFormReadsBackAsTheSameReference(
+    void parsedTextFormEqualsOriginalReference(
             @ForAll @AlphaChars @StringLength(min = 1, max = 12) final String name,
             @ForAll @AlphaChars @StringLength(min = 1, max = 12) final String version,
             @ForAll @AlphaChars @StringLength(max = 12) final String adapter) {
@@ -25,7 +25,7 @@
     }
 
     @Test
-    void textWithoutVersionIsRefused() {
+    void rejectsTextWithoutVersion() {
         assertThatThrownBy(() -> ModelRef.parse("summary"))
                 .isInstanceOf(IllegalArgumentException.class)
                 .hasMessage("model reference without version: summary");
--- a/api/src/test/java/org/whinhead/api/request/PrefixHashesTest.java
+++ b/api/src/test/java/org/whinhead/api/request/PrefixHashesTest.java
@@ -15,7 +15,7 @@
     }
 
     @Test
-    void sharedBlocksShareHashesAndLaterChangesLeaveEarlierOnes() {
+    void hashDependsOnItsBlockAndAllEarlierBlocksOnly() {
         final String shared = words(0, 32);
         assertThat(PrefixHashes.of("m@1", shared + " tail"))
                 .isEqualTo(PrefixHashes.of("m@1", shared));
--- a/api/src/test/java/org/whinhead/api/verdict/ErrorCodeTest.java
+++ b/api/src/test/java/org/whinhead/api/verdict/ErrorCodeTest.java
@@ -10,7 +10,7 @@
 
     @ParameterizedTest
     @EnumSource
-    void everyCodeHasTextThatNamesThePlace(final ErrorCode code) {
+    void messageOfEveryCodeEndsWithDetail(final ErrorCode code) {
         final String text = Refusal.notRun(code, "field messages[0].role").message();
 
         assertThat(text).endsWith(": field messages[0].role");
@@ -18,13 +18,13 @@
 
     @ParameterizedTest
     @EnumSource
-    void everyCodeHasAnErrorStatus(final ErrorCode code) {
+    void everyCodeHasErrorStatus(final ErrorCode code) {
         assertThat(code.status()).isBetween(400, 599);
     }
 
     @ParameterizedTest
     @EnumSource
-    void exceptionKeepsRefusalAndVerdict(final ErrorCode code) {
+    void exceptionCarriesRefusalAndVerdict(final ErrorCode code) {
         final Refusal refusal = Refusal.notRun(code, "here").withRetryAfter(Duration.ofMillis(250));
         final RequestException exception = new RequestException(refusal);
 
--- a/api/src/test/java/org/whinhead/api/verdict/VerdictTest.java
+++ b/api/src/test/java/org/whinhead/api/verdict/VerdictTest.java
@@ -7,24 +7,24 @@
 class VerdictTest {
 
     @Test
-    void nonIdempotentRequestIsOnlyTriedAgainWhenItCertainlyDidNotRun() {
+    void nonIdempotentRequestIsRetriedOnlyIfItDidNotRun() {
         assertThat(Verdict.NOT_RUN.allowsAnotherAttempt(false)).isTrue();
         assertThat(Verdict.MAY_HAVE_RUN.allowsAnotherAttempt(false)).isFalse();
         assertThat(Verdict.RAN.allowsAnotherAttempt(false)).isFalse();
     }
 
     @Test
-    void idempotentRequestIsTriedAgainUnlessItsAnswerIsKnown() {
+    void idempotentRequestIsRetriedUnlessItsResponseIsKnown() {
         assertThat(Verdict.NOT_RUN.allowsAnotherAttempt(true)).isTrue();
         assertThat(Verdict.MAY_HAVE_RUN.allowsAnotherAttempt(true)).isTrue();
         assertThat(Verdict.RAN.allowsAnotherAttempt(true)).isFalse();
     }
 
-    // A caller is told "not run" after two attempts, and files again; the claim stands twice.
-    // First attempt: cut before its answer, so it may have run. Second: refused, not run.
-    // Cause: the last attempt's verdict was taken for the whole request's.
+    // Guards against a claim that is recorded twice. The first attempt is cut off before its
+    // response and may have run; the second is refused. If the verdict of the last attempt replaces
+    // that of the request, the caller receives "not run" and sends the request again.
     @Test
-    void laterCertaintyDoesNotHideAnEarlierAttemptThatMayHaveRun() {
+    void combinedVerdictKeepsEarlierAttemptThatMayHaveRun() {
         assertThat(Verdict.MAY_HAVE_RUN.combineWith(Verdict.NOT_RUN))
                 .isEqualTo(Verdict.MAY_HAVE_RUN);
         assertThat(Verdict.NOT_RUN.combineWith(Verdict.MAY_HAVE_RUN))
