--- a/settings/src/main/java/org/whinhead/settings/KeyHashes.java
+++ b/settings/src/main/java/org/whinhead/settings/KeyHashes.java
@@ -5,10 +5,10 @@
 import java.security.NoSuchAlgorithmException;
 import java.util.HexFormat;
 
-/** Hashes of keys, as settings hold them: {@code sha256:} and lower-case hex. */
+/** Hashes of keys; settings store a hash as {@code sha256:} and lower-case hex. */
 public final class KeyHashes {
 
-    /** What a key's hash begins with in every document. */
+    /** Prefix of every key hash in a document. */
     public static final String PREFIX = "sha256:";
 
     private static final String ALGORITHM = "SHA-256";
@@ -18,7 +18,7 @@
     /**
      * Hashes a key.
      *
-     * @param key the key as its holder sends it
+     * @param key the key in clear text
      * @return the hash in lower-case hex, without prefix
      */
     public static String hash(final String key) {
@@ -31,10 +31,10 @@
     }
 
     /**
-     * Takes the prefix from a hash in a document.
+     * Removes the prefix of a hash in a document.
      *
      * @param text the hash with its prefix
-     * @return the hex digits
+     * @return the hash in lower-case hex, without prefix
      */
     public static String stripPrefix(final String text) {
         return text.substring(PREFIX.length());
--- a/settings/src/main/java/org/whinhead/settings/SettingsException.java
+++ b/settings/src/main/java/org/whinhead/settings/SettingsException.java
@@ -4,7 +4,7 @@
 import java.util.List;
 import java.util.stream.Collectors;
 
-/** Settings could not be taken; the exception lists every problem found, in a fixed order. */
+/** Exception for invalid or unreadable settings; lists every problem found, in a fixed order. */
 public final class SettingsException extends Exception {
 
     @Serial private static final long serialVersionUID = 1L;
@@ -13,10 +13,10 @@
     private final transient List<SettingsProblem> mProblems;
 
     /**
-     * Reports the problems of one source.
+     * Creates an exception for the problems of one source.
      *
      * @param source the file or the path of the document
-     * @param problems what is wrong with it, at least one
+     * @param problems the problems found in it, at least one
      */
     public SettingsException(final String source, final List<SettingsProblem> problems) {
         super(describe(source, problems));
@@ -37,7 +37,7 @@
         return mSource;
     }
 
-    /** Returns every problem, sorted by place. */
+    /** Returns every problem, sorted by JSON path. */
     public List<SettingsProblem> problems() {
         return mProblems;
     }
--- a/settings/src/main/java/org/whinhead/settings/SettingsMessages.java
+++ b/settings/src/main/java/org/whinhead/settings/SettingsMessages.java
@@ -2,7 +2,7 @@
 
 import org.whinhead.api.message.MessageBundle;
 
-/** Looks up the texts about settings by named key in {@code messages.properties}. */
+/** Looks up the texts about settings by key in {@code messages.properties}. */
 final class SettingsMessages {
 
     private static final MessageBundle TEXTS = MessageBundle.forPackageOf(SettingsMessages.class);
@@ -10,10 +10,10 @@
     private SettingsMessages() {}
 
     /**
-     * Formats one text; numbers are printed without grouping, so that they can be searched for.
+     * Formats one text. Numbers have no grouping separators, so that they can be searched for.
      *
      * @param key the text's key
-     * @param arguments the values for its places
+     * @param arguments the values of its placeholders
      * @return the text
      */
     static String text(final String key, final Object... arguments) {
--- a/settings/src/main/java/org/whinhead/settings/SettingsProblem.java
+++ b/settings/src/main/java/org/whinhead/settings/SettingsProblem.java
@@ -4,11 +4,11 @@
 import java.util.Objects;
 
 /**
- * One thing that is wrong with a document.
+ * One problem found in a document.
  *
- * @param path the place in the document as a JSON path, for example {@code $.limits.ringSize}
+ * @param path the JSON path of the problem, for example {@code $.limits.ringSize}
  * @param messageKey the key of the text, stable for scripts
- * @param message the text for people
+ * @param message the human-readable text
  */
 public record SettingsProblem(String path, String messageKey, String message)
         implements Comparable<SettingsProblem> {
@@ -18,7 +18,7 @@
                     .thenComparing(SettingsProblem::messageKey)
                     .thenComparing(SettingsProblem::message);
 
-    /** Checks every part. */
+    /** Validates the components. */
     public SettingsProblem {
         Objects.requireNonNull(path, "path");
         Objects.requireNonNull(messageKey, "messageKey");
@@ -26,11 +26,11 @@
     }
 
     /**
-     * Makes a problem whose text is looked up by its key.
+     * Creates a problem whose text is looked up by its key.
      *
-     * @param path the place in the document
+     * @param path the JSON path of the problem
      * @param messageKey the key of the text
-     * @param arguments the values for the text's places
+     * @param arguments the values of the text's placeholders
      * @return the problem
      */
     public static SettingsProblem of(
--- a/settings/src/main/java/org/whinhead/settings/daemon/DaemonLimits.java
+++ b/settings/src/main/java/org/whinhead/settings/daemon/DaemonLimits.java
@@ -3,18 +3,18 @@
 import org.whinhead.api.Arguments;
 
 /**
- * How much one daemon takes on.
+ * Limits on the resources of one daemon.
  *
- * @param maxBodyBytes the largest body of a caller's request
- * @param ringSize the slots of each ring between duties, a power of two
- * @param maxInProgress how many requests may be in progress at once
+ * @param maxBodyBytes the largest body of a caller's request, in bytes, at least 1
+ * @param ringSize the number of slots of each ring buffer between duties, a power of two
+ * @param maxInProgress the maximum number of requests in progress, at least 1
  */
 public record DaemonLimits(long maxBodyBytes, int ringSize, int maxInProgress) {
 
-    /** What holds where the file says nothing: 8 MiB, 4096 slots, 2048 requests. */
+    /** Defaults for limits missing in the file: 8 MiB, 4096 slots, 2048 requests. */
     public static final DaemonLimits DEFAULT = new DaemonLimits(8L << 20, 4096, 2048);
 
-    /** Checks every part. */
+    /** Validates the components. */
     public DaemonLimits {
         Arguments.requireAtLeast(maxBodyBytes, 1, "maxBodyBytes");
         Arguments.requireAtLeast(maxInProgress, 1, "maxInProgress");
--- a/settings/src/main/java/org/whinhead/settings/daemon/DaemonSettings.java
+++ b/settings/src/main/java/org/whinhead/settings/daemon/DaemonSettings.java
@@ -14,15 +14,15 @@
  *
  * @param name the daemon's name, unique in the deployment
  * @param vm the VM that it runs on
- * @param domain the failure domain that it stands in
+ * @param domain the failure domain that it belongs to
  * @param listen the addresses that it listens on
- * @param publicUri the address that callers are told
- * @param platform where the platform's services are
- * @param seeds peers to ask first, by their peer address
- * @param tls the files for TLS; empty for plain connections
- * @param limits how much it takes on
+ * @param publicUri the URI that callers use to reach the daemon
+ * @param platform the base URIs of the platform's services
+ * @param seeds addresses of the peers to contact first
+ * @param tls the files for TLS; empty for unencrypted connections
+ * @param limits the resource limits
  * @param gracefulStop the longest time that a planned stop waits for requests in progress
- * @param operators the keys of those who may read and change settings
+ * @param operators the keys of the operators, who may read and change settings
  */
 public record DaemonSettings(
         String name,
@@ -37,7 +37,7 @@
         Duration gracefulStop,
         List<OperatorKey> operators) {
 
-    /** Checks every part and copies the lists. */
+    /** Validates the components and copies the lists. */
     public DaemonSettings {
         Arguments.requireText(name, "name");
         Objects.requireNonNull(vm, "vm");
@@ -53,17 +53,17 @@
     }
 
     /**
-     * Finds the operator who holds a key.
+     * Returns the operator that has a key.
      *
      * @param key the key as the operator sent it
-     * @return the operator's entry, or empty if nobody holds the key
+     * @return the operator's entry, or empty if no operator has the key
      */
     public Optional<OperatorKey> operator(final String key) {
         return operators.stream().filter(operator -> operator.matches(key)).findFirst();
     }
 
     /**
-     * Starts a builder.
+     * Returns a builder.
      *
      * @param name the daemon's name
      * @return the builder
@@ -98,31 +98,31 @@
             return this;
         }
 
-        /** Sets the failure domain that it stands in. */
+        /** Sets the failure domain that the daemon belongs to. */
         public Builder domain(final FailureDomain domain) {
             mDomain = domain;
             return this;
         }
 
-        /** Sets the addresses that it listens on. */
+        /** Sets the addresses that the daemon listens on. */
         public Builder listen(final ListenAddresses listen) {
             mListen = listen;
             return this;
         }
 
-        /** Sets the address that callers are told. */
+        /** Sets the URI that callers use to reach the daemon. */
         public Builder publicUri(final URI publicUri) {
             mPublicUri = publicUri;
             return this;
         }
 
-        /** Sets where the platform's services are. */
+        /** Sets the base URIs of the platform's services. */
         public Builder platform(final PlatformUris platform) {
             mPlatform = platform;
             return this;
         }
 
-        /** Sets the peers to ask first. */
+        /** Sets the addresses of the peers to contact first. */
         public Builder seeds(final List<HostPort> seeds) {
             mSeeds = seeds;
             return this;
@@ -134,13 +134,13 @@
             return this;
         }
 
-        /** Sets how much it takes on. */
+        /** Sets the resource limits. */
         public Builder limits(final DaemonLimits limits) {
             mLimits = limits;
             return this;
         }
 
-        /** Sets the longest time that a planned stop waits. */
+        /** Sets the longest time that a planned stop waits for requests in progress. */
         public Builder gracefulStop(final Duration gracefulStop) {
             mGracefulStop = gracefulStop;
             return this;
--- a/settings/src/main/java/org/whinhead/settings/daemon/DaemonSettingsDecoder.java
+++ b/settings/src/main/java/org/whinhead/settings/daemon/DaemonSettingsDecoder.java
@@ -11,7 +11,7 @@
 import org.whinhead.api.model.VmId;
 import org.whinhead.settings.KeyHashes;
 
-/** Builds typed settings from a document that has passed every check. */
+/** Decodes a valid settings document into typed settings. */
 final class DaemonSettingsDecoder {
 
     private DaemonSettingsDecoder() {}
@@ -19,7 +19,7 @@
     /**
      * Decodes a document.
      *
-     * @param document the checked document
+     * @param document the document, already validated
      * @return the settings
      */
     static DaemonSettings decode(final JsonNode document) {
@@ -81,11 +81,11 @@
     }
 
     private static DaemonLimits limits(final JsonNode node) {
-        final DaemonLimits standard = DaemonLimits.DEFAULT;
+        final DaemonLimits defaults = DaemonLimits.DEFAULT;
         return new DaemonLimits(
-                node.path("maxBodyBytes").asLong(standard.maxBodyBytes()),
-                node.path("ringSize").asInt(standard.ringSize()),
-                node.path("maxInProgress").asInt(standard.maxInProgress()));
+                node.path("maxBodyBytes").asLong(defaults.maxBodyBytes()),
+                node.path("ringSize").asInt(defaults.ringSize()),
+                node.path("maxInProgress").asInt(defaults.maxInProgress()));
     }
 
     private static List<OperatorKey> operators(final JsonNode node) {
--- a/settings/src/main/java/org/whinhead/settings/daemon/DaemonSettingsRules.java
+++ b/settings/src/main/java/org/whinhead/settings/daemon/DaemonSettingsRules.java
@@ -9,21 +9,21 @@
 import org.whinhead.settings.SettingsProblem;
 import org.whinhead.settings.json.JsonPaths;
 
-/** Rules of a daemon's settings that a schema cannot express. */
+/** Checks rules of a daemon's settings that a schema cannot express. */
 final class DaemonSettingsRules {
 
     private static final String HTTP_SCHEMES = "https?";
     private static final int MAX_PORT = 65535;
     private static final List<String> LISTENERS = List.of("callers", "operators", "peers");
-    private static final List<String> SERVICES = List.of("log", "vms", "cloud", "weights");
+    private static final List<String> PLATFORM_SERVICES = List.of("log", "vms", "cloud", "weights");
 
     private final List<SettingsProblem> mProblems = new ArrayList<>();
 
     private DaemonSettingsRules() {}
 
     /**
-     * Checks a document, whether or not it fits the schema; parts of a wrong type are passed over,
-     * because the schema reports them.
+     * Checks a document, which may violate the schema. Values of a wrong type are skipped, because
+     * the schema reports them.
      *
      * @param document the document
      * @return every problem
@@ -31,7 +31,7 @@
     static List<SettingsProblem> check(final JsonNode document) {
         final DaemonSettingsRules rules = new DaemonSettingsRules();
         rules.checkUri("$.publicUri", document.path("publicUri"));
-        for (final String service : SERVICES) {
+        for (final String service : PLATFORM_SERVICES) {
             rules.checkUri("$.platform." + service, document.path("platform").path(service));
         }
         rules.checkListeners(document.path("listen"));
@@ -41,13 +41,13 @@
         return rules.mProblems;
     }
 
-    private void add(final String path, final String messageKey, final Object... arguments) {
+    private void addProblem(final String path, final String messageKey, final Object... arguments) {
         mProblems.add(SettingsProblem.of(path, messageKey, arguments));
     }
 
     private void checkUri(final String path, final JsonNode node) {
         if (node.isTextual() && !isHttpUri(node.textValue())) {
-            add(path, "settings.not-uri", node.textValue());
+            addProblem(path, "settings.not-uri", node.textValue());
         }
     }
 
@@ -71,7 +71,7 @@
             if (node.isTextual()
                     && !node.textValue().endsWith(":0")
                     && !seen.add(node.textValue())) {
-                add(path, "settings.repeated-address", node.textValue());
+                addProblem(path, "settings.repeated-address", node.textValue());
             }
         }
     }
@@ -85,13 +85,13 @@
     private void checkPort(final String path, final JsonNode node) {
         final String port = node.asText().substring(node.asText().lastIndexOf(':') + 1);
         if (port.matches("[0-9]{1,5}") && Integer.parseInt(port) > MAX_PORT) {
-            add(path, "settings.too-large", port, MAX_PORT);
+            addProblem(path, "settings.too-large", port, MAX_PORT);
         }
     }
 
     private void checkRingSize(final JsonNode ringSize) {
         if (ringSize.isIntegralNumber() && Long.bitCount(ringSize.longValue()) != 1) {
-            add("$.limits.ringSize", "settings.not-power-of-two", ringSize);
+            addProblem("$.limits.ringSize", "settings.not-power-of-two", ringSize);
         }
     }
 
@@ -101,7 +101,7 @@
             final JsonNode name = operators.get(i).path("name");
             if (name.isTextual() && !seen.add(name.textValue())) {
                 final String path = JsonPaths.element("$.operators", i) + ".name";
-                add(path, "settings.repeated-name", name.textValue());
+                addProblem(path, "settings.repeated-name", name.textValue());
             }
         }
     }
--- a/settings/src/main/java/org/whinhead/settings/daemon/HostPort.java
+++ b/settings/src/main/java/org/whinhead/settings/daemon/HostPort.java
@@ -5,14 +5,14 @@
 /**
  * An address to listen on or to connect to.
  *
- * @param host an IP number, an IPv6 one without brackets
- * @param port the port; 0 asks for a free one when listening
+ * @param host an IP address; an IPv6 address has no brackets
+ * @param port the port, 0 to 65535; 0 selects a free port when listening
  */
 public record HostPort(String host, int port) {
 
     private static final int MAX_PORT = 65535;
 
-    /** Checks both parts. */
+    /** Validates both components. */
     public HostPort {
         Arguments.requireText(host, "host");
         Arguments.requireAtLeast(port, 0, "port");
@@ -24,9 +24,9 @@
     /**
      * Parses {@code host:port}.
      *
-     * @param text the text; an IPv6 number stands in brackets
+     * @param text the text; an IPv6 address is in brackets
      * @return the address
-     * @throws IllegalArgumentException if the text has another form
+     * @throws IllegalArgumentException if the text has another form or the port is out of range
      */
     public static HostPort parse(final String text) {
         final int colon = text.lastIndexOf(':');
--- a/settings/src/main/java/org/whinhead/settings/daemon/OperatorKey.java
+++ b/settings/src/main/java/org/whinhead/settings/daemon/OperatorKey.java
@@ -6,17 +6,17 @@
 import org.whinhead.settings.KeyHashes;
 
 /**
- * An operator's key, known by its hash, and the settings that it may change.
+ * Hash of an operator's key and the subtree of settings that the key may change.
  *
- * @param name whose key it is
+ * @param name the name of the operator
  * @param keyHash the key's SHA-256 hash in lower-case hex
- * @param subtree the path that the key may change with all below it; {@code /} for everything
+ * @param subtree the path of the subtree that the key may change; {@code /} for all settings
  */
 public record OperatorKey(String name, String keyHash, String subtree) {
 
-    private static final String EVERYTHING = "/";
+    private static final String ROOT_PATH = "/";
 
-    /** Checks every part. */
+    /** Validates the components. */
     public OperatorKey {
         Arguments.requireText(name, "name");
         Arguments.requireText(keyHash, "keyHash");
@@ -24,10 +24,11 @@
     }
 
     /**
-     * Tells whether a key is this one, in a time that does not depend on where they differ.
+     * Returns whether a key has this hash. The time of the comparison does not depend on where the
+     * hashes differ.
      *
      * @param key the key as the operator sent it
-     * @return true if its hash is this one's
+     * @return true if the hashes are equal
      */
     public boolean matches(final String key) {
         return MessageDigest.isEqual(
@@ -36,14 +37,14 @@
     }
 
     /**
-     * Tells whether this key may change a document.
+     * Returns whether this key may change a document.
      *
      * @param path the document's path
-     * @return true if the path lies in the key's subtree
+     * @return true if the path is in the key's subtree
      */
     public boolean canChange(final String path) {
-        return subtree.equals(EVERYTHING)
+        return subtree.equals(ROOT_PATH)
                 || path.equals(subtree)
-                || path.startsWith(subtree + EVERYTHING);
+                || path.startsWith(subtree + ROOT_PATH);
     }
 }
--- a/settings/src/main/java/org/whinhead/settings/daemon/PlatformUris.java
+++ b/settings/src/main/java/org/whinhead/settings/daemon/PlatformUris.java
@@ -4,16 +4,16 @@
 import java.util.Objects;
 
 /**
- * Where the platform's services are.
+ * Base URIs of the platform's services.
  *
- * @param log the log service
- * @param vms the VM list
- * @param cloud the cloud API
- * @param weights the weight store
+ * @param log the URI of the log service
+ * @param vms the URI of the VM list
+ * @param cloud the URI of the cloud API
+ * @param weights the URI of the weight store
  */
 public record PlatformUris(URI log, URI vms, URI cloud, URI weights) {
 
-    /** Checks every part. */
+    /** Validates the components. */
     public PlatformUris {
         Objects.requireNonNull(log, "log");
         Objects.requireNonNull(vms, "vms");
--- a/settings/src/main/java/org/whinhead/settings/daemon/SettingsReader.java
+++ b/settings/src/main/java/org/whinhead/settings/daemon/SettingsReader.java
@@ -12,7 +12,7 @@
 import org.whinhead.settings.json.JsonPaths;
 import org.whinhead.settings.json.JsonText;
 
-/** Reads a daemon's settings file and reports everything that is wrong with it at once. */
+/** Reads the settings file of a daemon and reports all of its problems at once. */
 public final class SettingsReader {
 
     private static final DocumentSchema SCHEMA = DocumentSchema.load("daemon-1.json");
@@ -20,23 +20,23 @@
     private SettingsReader() {}
 
     /**
-     * Reads a file.
+     * Reads and validates a settings file.
      *
      * @param file the file
      * @return the settings
-     * @throws SettingsException if the file cannot be read or breaks a rule
+     * @throws SettingsException if the file cannot be read or is invalid
      */
     public static DaemonSettings read(final Path file) throws SettingsException {
         return parse(file.toString(), readText(file));
     }
 
     /**
-     * Parses a text.
+     * Parses and validates the text of a settings file.
      *
-     * @param source what the text is called in errors
+     * @param source the name of the text in errors
      * @param text the text
      * @return the settings
-     * @throws SettingsException if the text breaks a rule
+     * @throws SettingsException if the text is invalid
      */
     public static DaemonSettings parse(final String source, final String text)
             throws SettingsException {
--- a/settings/src/main/java/org/whinhead/settings/daemon/TlsFiles.java
+++ b/settings/src/main/java/org/whinhead/settings/daemon/TlsFiles.java
@@ -4,15 +4,15 @@
 import java.util.Objects;
 
 /**
- * The PEM files for TLS.
+ * Paths of the PEM files for TLS.
  *
  * @param certificate the daemon's certificate chain
  * @param key the private key of that certificate
- * @param trust the certificates that peers and the platform are checked against
+ * @param trust the trusted certificates, against which those of peers and the platform are verified
  */
 public record TlsFiles(Path certificate, Path key, Path trust) {
 
-    /** Checks every part. */
+    /** Validates the components. */
     public TlsFiles {
         Objects.requireNonNull(certificate, "certificate");
         Objects.requireNonNull(key, "key");
--- a/settings/src/main/java/org/whinhead/settings/daemon/package-info.java
+++ b/settings/src/main/java/org/whinhead/settings/daemon/package-info.java
@@ -1,2 +1,2 @@
-/** The settings of one daemon process, read from its file at the start. */
+/** Settings of one daemon process, read from a file at startup. */
 package org.whinhead.settings.daemon;
--- a/settings/src/main/java/org/whinhead/settings/deployment/DeploymentSettings.java
+++ b/settings/src/main/java/org/whinhead/settings/deployment/DeploymentSettings.java
@@ -13,12 +13,12 @@
 import org.whinhead.api.model.TeamId;
 
 /**
- * The documents in force and what they say, typed; immutable, the same on every daemon that has
+ * The documents in force and their typed values. Immutable, and equal on all daemons that have
  * folded the log to the same offset.
  */
 public final class DeploymentSettings {
 
-    /** No document at all. */
+    /** Settings without documents. */
     public static final DeploymentSettings EMPTY = of(List.of());
 
     private final TreeMap<DocumentPath, StoredDocument> mDocuments;
@@ -32,7 +32,7 @@
     }
 
     /**
-     * Makes settings of documents that are in force, for example from a checkpoint.
+     * Creates settings from the documents in force, for example from a checkpoint.
      *
      * @param documents the documents, each path once
      * @return the settings
@@ -44,10 +44,10 @@
     }
 
     /**
-     * Returns settings of other documents, taking over what was parsed before.
+     * Returns settings with other documents, reusing documents that are already parsed.
      *
-     * @param texts the JSON texts in force by path
-     * @param revisions the revision of each path
+     * @param texts the JSON texts in force, by path
+     * @param revisions the function that returns the revision of a path
      * @return the settings; documents whose revision is unchanged are not parsed again
      */
     public DeploymentSettings refreshed(
@@ -56,19 +56,20 @@
         for (final Map.Entry<String, String> entry : texts.entrySet()) {
             final DocumentPath path = DocumentPath.parse(entry.getKey());
             final long revision = revisions.applyAsLong(entry.getKey());
-            final StoredDocument known = mDocuments.get(path);
-            final boolean same = known != null && known.revision() == revision;
+            final StoredDocument existing = mDocuments.get(path);
+            final boolean isUnchanged = existing != null && existing.revision() == revision;
             documents.put(
-                    path, same ? known : new StoredDocument(path, entry.getValue(), revision));
+                    path,
+                    isUnchanged ? existing : new StoredDocument(path, entry.getValue(), revision));
         }
         return new DeploymentSettings(documents);
     }
 
     /**
-     * Returns these settings with one document set; the caller has validated the change.
+     * Returns a copy with one document set; the caller must have validated the change.
      *
      * @param document the document
-     * @return a copy
+     * @return the copy
      */
     public DeploymentSettings with(final StoredDocument document) {
         final TreeMap<DocumentPath, StoredDocument> documents = new TreeMap<>(mDocuments);
@@ -77,10 +78,10 @@
     }
 
     /**
-     * Returns these settings without one document; the caller has validated the change.
+     * Returns a copy without one document; the caller must have validated the change.
      *
      * @param path the document's path
-     * @return a copy
+     * @return the copy
      */
     public DeploymentSettings without(final DocumentPath path) {
         final TreeMap<DocumentPath, StoredDocument> documents = new TreeMap<>(mDocuments);
@@ -112,7 +113,8 @@
 
     /**
      * Returns the paths whose documents this program cannot use, because it does not know their
-     * kind or schema number. They stay in force; a daemon that has any reports itself not able.
+     * kind or schema number. They remain in force; a daemon that has any reports itself as not able
+     * to serve.
      */
     public List<DocumentPath> unusablePaths() {
         return mDocuments.values().stream()
@@ -121,18 +123,19 @@
                 .toList();
     }
 
-    /** Returns the customers, each with its tier; one whose tier is not usable is left out. */
+    /** Returns the customers, each with its tier, except those whose tier is unusable. */
     public List<Customer> customers() {
         final List<Customer> customers = new ArrayList<>();
-        for (final DocumentValue.CustomerEntry entry : all(DocumentValue.CustomerEntry.class)) {
-            value(entry.tier(), DocumentValue.TierEntry.class)
-                    .map(tier -> customer(entry, tier))
+        for (final DocumentValue.CustomerEntry entry :
+                valuesOf(DocumentValue.CustomerEntry.class)) {
+            valueAt(entry.tier(), DocumentValue.TierEntry.class)
+                    .map(tier -> toCustomer(entry, tier))
                     .ifPresent(customers::add);
         }
         return customers;
     }
 
-    private static Customer customer(
+    private static Customer toCustomer(
             final DocumentValue.CustomerEntry entry, final DocumentValue.TierEntry tier) {
         return new Customer(
                 entry.id(),
@@ -144,37 +147,37 @@
     }
 
     /**
-     * Finds the customer who holds a key.
+     * Returns the customer that has a key.
      *
      * @param keyHash the key's SHA-256 hash in lower-case hex
-     * @return the customer, or empty if nobody holds the key
+     * @return the customer, or empty if no customer has the key
      */
     public Optional<Customer> customerByKeyHash(final String keyHash) {
         return Optional.ofNullable(mCustomersByKeyHash.get(keyHash));
     }
 
-    /** Returns what a team may spend, if its subtree says so. */
+    /** Returns the budget of a team, if its subtree has one. */
     public Optional<DocumentValue.Budget> budget(final TeamId team) {
-        return all(DocumentValue.Budget.class).stream()
+        return valuesOf(DocumentValue.Budget.class).stream()
                 .filter(budget -> budget.team().equals(team))
                 .findFirst();
     }
 
     /** Returns the tiers, sorted by name. */
     public List<DocumentValue.TierEntry> tiers() {
-        return all(DocumentValue.TierEntry.class);
+        return valuesOf(DocumentValue.TierEntry.class);
     }
 
     /** Returns the versions of all models, sorted by name and version. */
     public List<DocumentValue.ModelEntry> models() {
-        return all(DocumentValue.ModelEntry.class);
+        return valuesOf(DocumentValue.ModelEntry.class);
     }
 
     /**
-     * Tells whether a model may be asked for: its version is configured, and its adapter, if any.
+     * Returns whether a model version is configured, and its adapter, if any.
      *
      * @param model the model
-     * @return true if a request may name it
+     * @return true if requests may name the model
      */
     public boolean isModelConfigured(final ModelRef model) {
         return models().stream()
@@ -185,45 +188,45 @@
 
     /** Returns the plain services, sorted by name. */
     public List<DocumentValue.ServiceEntry> services() {
-        return all(DocumentValue.ServiceEntry.class);
+        return valuesOf(DocumentValue.ServiceEntry.class);
     }
 
-    /** Returns one plain service. */
+    /** Returns the plain service with a name, if there is one. */
     public Optional<DocumentValue.ServiceEntry> service(final String name) {
         return services().stream().filter(service -> service.name().equals(name)).findFirst();
     }
 
-    /** Returns the failure domains with the least that must run there. */
+    /** Returns the failure domains, each with the minimum number of VMs that must run there. */
     public List<DocumentValue.DomainEntry> domains() {
-        return all(DocumentValue.DomainEntry.class);
+        return valuesOf(DocumentValue.DomainEntry.class);
     }
 
     /** Returns the machine classes. */
     public List<DocumentValue.MachineClassEntry> machineClasses() {
-        return all(DocumentValue.MachineClassEntry.class);
+        return valuesOf(DocumentValue.MachineClassEntry.class);
     }
 
     /** Returns the pools of engines. */
     public List<DocumentValue.PoolEntry> pools() {
-        return all(DocumentValue.PoolEntry.class);
+        return valuesOf(DocumentValue.PoolEntry.class);
     }
 
-    /** Returns how fast the fleet may change; empty means the program's own values. */
+    /** Returns the limits on fleet changes; if empty, the program's defaults apply. */
     public Optional<DocumentValue.PaceEntry> pace() {
-        return all(DocumentValue.PaceEntry.class).stream().findFirst();
+        return valuesOf(DocumentValue.PaceEntry.class).stream().findFirst();
     }
 
-    /** Returns the tunables of routing; empty means the program's own values. */
+    /** Returns the parameters of routing; if empty, the program's defaults apply. */
     public Optional<DocumentValue.RoutingEntry> routing() {
-        return all(DocumentValue.RoutingEntry.class).stream().findFirst();
+        return valuesOf(DocumentValue.RoutingEntry.class).stream().findFirst();
     }
 
-    /** Returns the tunables of retries; empty means the program's own values. */
+    /** Returns the parameters of retries; if empty, the program's defaults apply. */
     public Optional<DocumentValue.RetriesEntry> retries() {
-        return all(DocumentValue.RetriesEntry.class).stream().findFirst();
+        return valuesOf(DocumentValue.RetriesEntry.class).stream().findFirst();
     }
 
-    private <T extends DocumentValue> List<T> all(final Class<T> type) {
+    private <T extends DocumentValue> List<T> valuesOf(final Class<T> type) {
         return mDocuments.values().stream()
                 .flatMap(document -> document.value().stream())
                 .filter(type::isInstance)
@@ -231,7 +234,7 @@
                 .toList();
     }
 
-    private <T extends DocumentValue> Optional<T> value(
+    private <T extends DocumentValue> Optional<T> valueAt(
             final DocumentPath path, final Class<T> type) {
         return document(path)
                 .flatMap(StoredDocument::value)
--- a/settings/src/main/java/org/whinhead/settings/deployment/DocumentDecoder.java
+++ b/settings/src/main/java/org/whinhead/settings/deployment/DocumentDecoder.java
@@ -16,19 +16,19 @@
 import org.whinhead.api.model.Tier;
 import org.whinhead.settings.KeyHashes;
 
-/** Turns documents that fit their schema into typed values. */
+/** Decodes documents that match their schema into typed values. */
 final class DocumentDecoder {
 
-    private static final int TEAM = 1;
-    private static final int REGION = 2;
+    private static final int TEAM_SEGMENT = 1;
+    private static final int REGION_SEGMENT = 2;
 
     private DocumentDecoder() {}
 
     static DocumentValue budget(final DocumentPath path, final JsonNode node) {
         final List<FailureDomain> domains = new ArrayList<>();
-        node.get("domains").forEach(domain -> domains.add(domainAt(domain)));
+        node.get("domains").forEach(domain -> domains.add(failureDomain(domain)));
         return new DocumentValue.Budget(
-                new TeamId(path.segment(TEAM)),
+                new TeamId(path.segment(TEAM_SEGMENT)),
                 node.get("tokensPerSecond").longValue(),
                 domains,
                 node.get("costPerHour").decimalValue());
@@ -40,7 +40,7 @@
                 .forEach(hash -> keyHashes.add(KeyHashes.stripPrefix(hash.textValue())));
         return new DocumentValue.CustomerEntry(
                 new CustomerId(path.name()),
-                new TeamId(path.segment(TEAM)),
+                new TeamId(path.segment(TEAM_SEGMENT)),
                 DocumentPath.parse(node.get("tier").textValue()),
                 keyHashes,
                 node.get("weight").intValue(),
@@ -89,9 +89,11 @@
     static DocumentValue domain(final DocumentPath path, final JsonNode node) {
         final Map<String, Integer> minimum = new HashMap<>();
         node.get("minimum")
-                .forEach(entry -> minimum.put(nameAt(entry, "machineClass"), vms(entry)));
+                .forEach(
+                        entry ->
+                                minimum.put(referencedName(entry, "machineClass"), vmCount(entry)));
         return new DocumentValue.DomainEntry(
-                new FailureDomain(path.segment(REGION), path.name()), minimum);
+                new FailureDomain(path.segment(REGION_SEGMENT), path.name()), minimum);
     }
 
     static DocumentValue machineClass(final DocumentPath path, final JsonNode node) {
@@ -147,8 +149,8 @@
 
     private static DocumentValue.SupplyEntry supply(final JsonNode node) {
         return new DocumentValue.SupplyEntry(
-                domainAt(node.get("domain")),
-                nameAt(node, "machineClass"),
+                failureDomain(node.get("domain")),
+                referencedName(node, "machineClass"),
                 Billing.valueOf(
                         node.get("billing")
                                 .textValue()
@@ -156,16 +158,16 @@
                                 .replace('-', '_')));
     }
 
-    private static FailureDomain domainAt(final JsonNode node) {
+    private static FailureDomain failureDomain(final JsonNode node) {
         final DocumentPath path = DocumentPath.parse(node.textValue());
-        return new FailureDomain(path.segment(REGION), path.name());
+        return new FailureDomain(path.segment(REGION_SEGMENT), path.name());
     }
 
-    private static String nameAt(final JsonNode node, final String field) {
+    private static String referencedName(final JsonNode node, final String field) {
         return DocumentPath.parse(node.get(field).textValue()).name();
     }
 
-    private static int vms(final JsonNode node) {
+    private static int vmCount(final JsonNode node) {
         return node.get("vms").intValue();
     }
 
--- a/settings/src/main/java/org/whinhead/settings/deployment/DocumentKind.java
+++ b/settings/src/main/java/org/whinhead/settings/deployment/DocumentKind.java
@@ -9,9 +9,9 @@
 import org.whinhead.settings.SettingsProblem;
 import org.whinhead.settings.json.DocumentSchema;
 
-/** What a document is about, told by its path. */
+/** Kind of a document, determined by its path. */
 public enum DocumentKind {
-    /** A team's spending: {@code /teams/{team}/budget}. */
+    /** Budget of a team: {@code /teams/{team}/budget}. */
     BUDGET("/teams/*/budget", "budget", DocumentDecoder::budget),
     /** A customer of a team: {@code /teams/{team}/customers/{customer}}. */
     CUSTOMER("/teams/*/customers/*", "customer", DocumentDecoder::customer),
@@ -26,61 +26,61 @@
     MODEL("/models/*/*", "model", DocumentDecoder::model),
     /** A plain service: {@code /services/{name}}. */
     SERVICE("/services/*", "service", DocumentDecoder::service),
-    /** A failure domain that VMs may stand in: {@code /fleet/domains/{region}/{name}}. */
+    /** A failure domain for VMs: {@code /fleet/domains/{region}/{name}}. */
     DOMAIN("/fleet/domains/*/*", "domain", DocumentDecoder::domain),
-    /** A machine class that may be bought: {@code /fleet/classes/{name}}. */
+    /** A machine class: {@code /fleet/classes/{name}}. */
     MACHINE_CLASS("/fleet/classes/*", "machine-class", DocumentDecoder::machineClass),
-    /** A pool of like engines: {@code /fleet/pools/{name}}. */
+    /** A pool of engines that serve the same model: {@code /fleet/pools/{name}}. */
     POOL("/fleet/pools/*", "pool", DocumentDecoder::pool),
-    /** How fast the fleet may change: {@code /fleet/pace}. */
+    /** Limits on the rate of change of the fleet: {@code /fleet/pace}. */
     PACE("/fleet/pace", "pace", DocumentDecoder::pace),
-    /** Tunables of routing: {@code /routing}. */
+    /** Parameters of routing: {@code /routing}. */
     ROUTING("/routing", "routing", DocumentDecoder::routing),
-    /** Tunables of retries: {@code /retries}. */
+    /** Parameters of retries: {@code /retries}. */
     RETRIES(
             "/retries",
             "retries",
             DocumentDecoder::retries,
             new FieldOrder("firstBackoffMillis", "maxBackoffMillis"));
 
-    /** The only schema number that this program knows. */
+    /** Newest schema number that this program knows; the numbers start at 1. */
     public static final int NEWEST_SCHEMA_NUMBER = 1;
 
-    private static final String ANY = "*";
+    private static final String WILDCARD = "*";
 
     private final List<String> mPattern;
     private final DocumentSchema mSchema;
     private final BiFunction<DocumentPath, JsonNode, DocumentValue> mDecoder;
-    private final List<FieldOrder> mOrders;
+    private final List<FieldOrder> mFieldOrders;
 
     DocumentKind(
             final String pattern,
             final String schema,
             final BiFunction<DocumentPath, JsonNode, DocumentValue> decoder,
-            final FieldOrder... orders) {
+            final FieldOrder... fieldOrders) {
         mPattern = List.of(pattern.substring(1).split("/"));
         mSchema = DocumentSchema.load(schema + "-" + NEWEST_SCHEMA_NUMBER + ".json");
         mDecoder = decoder;
-        mOrders = List.of(orders);
+        mFieldOrders = List.of(fieldOrders);
     }
 
     /**
-     * Finds the kind of a path.
+     * Returns the kind of the document at a path.
      *
      * @param path the path
      * @return the kind, or empty if this program knows none for the path
      */
     public static Optional<DocumentKind> of(final DocumentPath path) {
-        return Arrays.stream(values()).filter(kind -> kind.fits(path)).findFirst();
+        return Arrays.stream(values()).filter(kind -> kind.matches(path)).findFirst();
     }
 
-    private boolean fits(final DocumentPath path) {
+    private boolean matches(final DocumentPath path) {
         final List<String> segments = path.segments();
         if (segments.size() != mPattern.size()) {
             return false;
         }
         for (int i = 0; i < segments.size(); i++) {
-            if (!mPattern.get(i).equals(ANY) && !mPattern.get(i).equals(segments.get(i))) {
+            if (!mPattern.get(i).equals(WILDCARD) && !mPattern.get(i).equals(segments.get(i))) {
                 return false;
             }
         }
@@ -90,7 +90,7 @@
     /** Checks a document of a known schema number against this kind's schema and rules. */
     List<SettingsProblem> check(final JsonNode document) {
         final List<SettingsProblem> problems = new ArrayList<>(mSchema.check(document));
-        mOrders.forEach(order -> problems.addAll(order.check(document)));
+        mFieldOrders.forEach(order -> problems.addAll(order.check(document)));
         return problems;
     }
 
--- a/settings/src/main/java/org/whinhead/settings/deployment/DocumentLinks.java
+++ b/settings/src/main/java/org/whinhead/settings/deployment/DocumentLinks.java
@@ -10,16 +10,16 @@
 import org.whinhead.settings.json.JsonPaths;
 
 /**
- * What ties a document to others, read from its texts alone, whatever its kind and schema number.
+ * Links of a document to other documents, found in its texts regardless of kind and schema number.
  *
  * <p>A text that begins with {@code /} is a reference to another document, and a text that begins
- * with {@code sha256:} may stand in one document only. The two rules hold for every schema number,
- * so that programs of different versions decide alike which changes take effect.
+ * with {@code sha256:} may appear in one document only. Both rules hold for every schema number, so
+ * that programs of different versions agree on which changes take effect.
  *
- * @param references each reference
- * @param uniqueTexts each text that no other document may hold
- * @param targets the texts of the references
- * @param unique the texts that no other document may hold
+ * @param references the references to other documents
+ * @param uniqueTexts the texts that no other document may contain
+ * @param referenceTargets the texts of {@code references} as a set
+ * @param uniqueValues the texts of {@code uniqueTexts} as a set
  */
 record DocumentLinks(
         List<Link> references,
@@ -27,9 +27,9 @@
         Set<String> referenceTargets,
         Set<String> uniqueValues) {
 
-    private static final String REFERENCE_START = "/";
+    private static final String REFERENCE_PREFIX = "/";
 
-    /** A document without links. */
+    /** Links of a document that has none. */
     static final DocumentLinks NONE = of(List.of(), List.of());
 
     private static DocumentLinks of(final List<Link> references, final List<Link> uniqueTexts) {
@@ -42,31 +42,32 @@
     }
 
     /**
-     * One text that ties.
+     * A text that links documents.
      *
-     * @param place where it stands, as a JSON path
+     * @param location the JSON path of the text
      * @param text the text
      */
     record Link(String location, String text) {}
 
-    /** Reads the links of a document. */
+    /** Finds the links of a document. */
     static DocumentLinks of(final JsonNode document) {
         final List<Link> texts = new ArrayList<>();
-        collect(document, JsonPaths.ROOT, texts);
+        collectTexts(document, JsonPaths.ROOT, texts);
         return of(
-                texts.stream().filter(link -> link.text().startsWith(REFERENCE_START)).toList(),
+                texts.stream().filter(link -> link.text().startsWith(REFERENCE_PREFIX)).toList(),
                 texts.stream().filter(link -> link.text().startsWith(KeyHashes.PREFIX)).toList());
     }
 
-    private static void collect(final JsonNode node, final String place, final List<Link> texts) {
+    private static void collectTexts(
+            final JsonNode node, final String path, final List<Link> texts) {
         if (node.isTextual()) {
-            texts.add(new Link(place, node.textValue()));
+            texts.add(new Link(path, node.textValue()));
         }
         for (final Map.Entry<String, JsonNode> field : node.properties()) {
-            collect(field.getValue(), JsonPaths.field(place, field.getKey()), texts);
+            collectTexts(field.getValue(), JsonPaths.field(path, field.getKey()), texts);
         }
         for (int i = 0; node.isArray() && i < node.size(); i++) {
-            collect(node.get(i), JsonPaths.element(place, i), texts);
+            collectTexts(node.get(i), JsonPaths.element(path, i), texts);
         }
     }
 }
--- a/settings/src/main/java/org/whinhead/settings/deployment/DocumentList.java
+++ b/settings/src/main/java/org/whinhead/settings/deployment/DocumentList.java
@@ -21,34 +21,34 @@
     private DocumentList() {}
 
     /**
-     * One entry of a list.
+     * One document in the list.
      *
-     * @param path where the document is to stand
+     * @param path the path of the document
      * @param text the document's JSON text
      */
     public record Entry(DocumentPath path, String text) {}
 
     /**
-     * Reads a list without checking the documents themselves.
+     * Parses a list without validating the documents in it.
      *
-     * @param source what the text is called in errors
+     * @param source the name of the text in errors
      * @param text the text
      * @return the entries, in the order of the file
-     * @throws SettingsException if the text is no such list
+     * @throws SettingsException if the text is not such a list
      */
     public static List<Entry> parse(final String source, final String text)
             throws SettingsException {
         final JsonNode list = JsonText.parse(source, text);
         if (!list.isArray()) {
-            throw new SettingsException(source, notList(JsonPaths.ROOT));
+            throw new SettingsException(source, notListProblem(JsonPaths.ROOT));
         }
         final List<Entry> entries = new ArrayList<>();
         final List<SettingsProblem> problems = new ArrayList<>();
-        final Set<String> seen = new HashSet<>();
+        final Set<String> seenPaths = new HashSet<>();
         for (int i = 0; i < list.size(); i++) {
-            final String place = JsonPaths.element(JsonPaths.ROOT, i);
+            final String entryPath = JsonPaths.element(JsonPaths.ROOT, i);
             final JsonNode entry = list.get(i);
-            problems.addAll(checkEntry(place, entry, seen));
+            problems.addAll(checkEntry(entryPath, entry, seenPaths));
             if (problems.isEmpty()) {
                 entries.add(
                         new Entry(
@@ -63,47 +63,48 @@
     }
 
     private static List<SettingsProblem> checkEntry(
-            final String place, final JsonNode entry, final Set<String> seen) {
+            final String entryPath, final JsonNode entry, final Set<String> seenPaths) {
         if (entry.size() != ENTRY_FIELDS
                 || !entry.path(PATH).isTextual()
                 || !entry.path(DOCUMENT).isObject()) {
-            return notList(place);
+            return notListProblem(entryPath);
         }
         final String path = entry.get(PATH).textValue();
         if (!DocumentPath.isWellFormed(path)) {
             return List.of(
-                    SettingsProblem.of(JsonPaths.field(place, PATH), "settings.bad-path", path));
+                    SettingsProblem.of(
+                            JsonPaths.field(entryPath, PATH), "settings.bad-path", path));
         }
-        if (!seen.add(path)) {
+        if (!seenPaths.add(path)) {
             return List.of(
                     SettingsProblem.of(
-                            JsonPaths.field(place, PATH), "settings.repeated-path", path));
+                            JsonPaths.field(entryPath, PATH), "settings.repeated-path", path));
         }
         return List.of();
     }
 
-    private static List<SettingsProblem> notList(final String place) {
-        return List.of(SettingsProblem.of(place, "settings.not-list"));
+    private static List<SettingsProblem> notListProblem(final String entryPath) {
+        return List.of(SettingsProblem.of(entryPath, "settings.not-list"));
     }
 
     /**
-     * Checks documents as a whole: each against its schema, and all links among them.
+     * Validates documents together: each against its schema, and all links among them.
      *
      * @param entries the documents
-     * @return every problem, its place being the document's path and the JSON path inside it
+     * @return every problem, with the document's path before the JSON path
      */
     public static List<SettingsProblem> check(final List<Entry> entries) {
         final List<StoredDocument> stored =
                 entries.stream()
                         .map(entry -> new StoredDocument(entry.path(), entry.text(), 0))
                         .toList();
-        final DeploymentSettings whole = DeploymentSettings.of(stored);
+        final DeploymentSettings allDocuments = DeploymentSettings.of(stored);
         final List<SettingsProblem> problems = new ArrayList<>();
         for (final Entry entry : entries) {
             final String path = entry.path().text();
             final ValidationResult validation =
-                    DocumentValidator.validate(path, Optional.of(entry.text()), whole);
-            validation.problems().forEach(problem -> problems.add(below(path, problem)));
+                    DocumentValidator.validate(path, Optional.of(entry.text()), allDocuments);
+            validation.problems().forEach(problem -> problems.add(prefixPath(path, problem)));
             if (!validation.known()) {
                 problems.add(SettingsProblem.of(path, "settings.not-known", path));
             }
@@ -111,7 +112,7 @@
         return problems;
     }
 
-    private static SettingsProblem below(final String path, final SettingsProblem problem) {
+    private static SettingsProblem prefixPath(final String path, final SettingsProblem problem) {
         return new SettingsProblem(
                 path + " " + problem.path(), problem.messageKey(), problem.message());
     }
--- a/settings/src/main/java/org/whinhead/settings/deployment/DocumentPath.java
+++ b/settings/src/main/java/org/whinhead/settings/deployment/DocumentPath.java
@@ -4,7 +4,7 @@
 import java.util.regex.Pattern;
 
 /**
- * The place of a document, for example {@code /teams/filing/customers/kigali-aid}.
+ * Path of a document, for example {@code /teams/filing/customers/kigali-aid}.
  *
  * @param text the path as text
  */
@@ -14,7 +14,7 @@
     private static final String SEGMENT = "/[A-Za-z0-9][A-Za-z0-9._-]{0,62}";
     private static final Pattern FORM = Pattern.compile("(" + SEGMENT + "){1,6}");
 
-    /** Checks the form. */
+    /** Validates the form. */
     public DocumentPath {
         if (!isWellFormed(text)) {
             throw new IllegalArgumentException("not a path of a document: " + text);
@@ -33,27 +33,28 @@
     }
 
     /**
-     * Tells whether a text is a path: one to six segments, each after a slash, of letters, digits,
-     * dots, dashes and underscores, the first a letter or digit.
+     * Returns whether a text is a path: one to six segments, each preceded by a slash. A segment
+     * consists of at most 63 letters, digits, dots, dashes and underscores and starts with a letter
+     * or digit.
      *
      * @param text the text
-     * @return true if it can be parsed
+     * @return true if the text is a well-formed path
      */
     public static boolean isWellFormed(final String text) {
         return FORM.matcher(text).matches();
     }
 
-    /** Returns the names between the slashes. */
+    /** Returns the segments between the slashes. */
     public List<String> segments() {
         return List.of(text.substring(1).split(SEPARATOR));
     }
 
-    /** Returns one of the names between the slashes, counted from 0. */
+    /** Returns the segment at an index, counted from 0. */
     public String segment(final int index) {
         return segments().get(index);
     }
 
-    /** Returns the last name. */
+    /** Returns the last segment. */
     public String name() {
         return text.substring(text.lastIndexOf(SEPARATOR) + 1);
     }
--- a/settings/src/main/java/org/whinhead/settings/deployment/DocumentValidator.java
+++ b/settings/src/main/java/org/whinhead/settings/deployment/DocumentValidator.java
@@ -10,12 +10,12 @@
 import org.whinhead.settings.json.JsonPaths;
 
 /**
- * Decides whether a change to a document is valid; reads neither clock nor chance.
+ * Validates changes to documents deterministically, without clock or random numbers.
  *
- * <p>The fold goes by {@link ValidationResult#canTakeEffect}, which looks only at what no schema
- * number changes. The daemon that takes an operator's change goes by {@link
- * ValidationResult#canBePublished} before it appends the change, so that documents on the log fit
- * their schema.
+ * <p>The fold of the log applies a change if {@link ValidationResult#canTakeEffect} returns true;
+ * that check uses only rules that hold for every schema number. The daemon that receives an
+ * operator's change appends it to the log only if {@link ValidationResult#canBePublished} returns
+ * true, so that documents on the log match their schema.
  */
 public final class DocumentValidator {
 
@@ -27,7 +27,7 @@
      * @param path the document's path as the change names it
      * @param document the new document's JSON text, or empty to delete it
      * @param current the documents in force
-     * @return what is wrong, and whether this program knows the document at all
+     * @return the problems, and whether this program knows the document's kind and schema number
      */
     public static ValidationResult validate(
             final String path, final Optional<String> document, final DeploymentSettings current) {
@@ -36,18 +36,19 @@
                     SettingsProblem.of(JsonPaths.ROOT, "settings.bad-path", path);
             return new ValidationResult(List.of(problem), List.of(), true);
         }
-        final DocumentPath place = DocumentPath.parse(path);
+        final DocumentPath documentPath = DocumentPath.parse(path);
         if (document.isEmpty()) {
-            return new ValidationResult(checkDelete(place, current), List.of(), true);
+            return new ValidationResult(checkDeletion(documentPath, current), List.of(), true);
         }
-        final ParsedDocument parsed = ParsedDocument.parse(place, document.get());
-        final List<SettingsProblem> fold = new ArrayList<>(parsed.envelopeProblems());
-        fold.addAll(checkReferences(parsed, target -> current.document(target).isPresent()));
-        fold.addAll(checkUnique(parsed, current));
-        return new ValidationResult(fold, parsed.schemaProblems(), parsed.known());
+        final ParsedDocument parsed = ParsedDocument.parse(documentPath, document.get());
+        final List<SettingsProblem> foldProblems = new ArrayList<>(parsed.envelopeProblems());
+        foldProblems.addAll(
+                checkReferences(parsed, target -> current.document(target).isPresent()));
+        foldProblems.addAll(checkUniqueTexts(parsed, current));
+        return new ValidationResult(foldProblems, parsed.schemaProblems(), parsed.known());
     }
 
-    private static List<SettingsProblem> checkDelete(
+    private static List<SettingsProblem> checkDeletion(
             final DocumentPath path, final DeploymentSettings current) {
         if (current.document(path).isEmpty()) {
             return List.of(SettingsProblem.of(JsonPaths.ROOT, "settings.nothing-there", path));
@@ -74,7 +75,7 @@
                 .toList();
     }
 
-    private static List<SettingsProblem> checkUnique(
+    private static List<SettingsProblem> checkUniqueTexts(
             final ParsedDocument parsed, final DeploymentSettings current) {
         final Set<String> texts = parsed.links().uniqueValues();
         if (texts.isEmpty()) {
--- a/settings/src/main/java/org/whinhead/settings/deployment/DocumentValue.java
+++ b/settings/src/main/java/org/whinhead/settings/deployment/DocumentValue.java
@@ -13,35 +13,35 @@
 import org.whinhead.api.model.TeamId;
 import org.whinhead.api.model.Tier;
 
-/** What a document says, typed; paths to other documents are kept as they stand. */
+/** Typed content of a document; references to other documents remain unresolved paths. */
 public sealed interface DocumentValue {
 
     /**
-     * What a team may spend and where.
+     * Budget of a team and the failure domains that it may use.
      *
      * @param team the team
-     * @param tokensPerSecond generated tokens a second over all its customers
-     * @param domains the failure domains that its requests may run in
-     * @param costPerHour the most that its share of VMs may cost an hour
+     * @param tokensPerSecond generated tokens per second over all customers of the team
+     * @param domains the failure domains that the team's requests may run in
+     * @param costPerHour the maximum cost per hour of the team's share of VMs
      */
     record Budget(
             TeamId team, long tokensPerSecond, List<FailureDomain> domains, BigDecimal costPerHour)
             implements DocumentValue {
-        /** Copies the list. */
+        /** Creates the value with a copy of the list. */
         public Budget {
             domains = List.copyOf(domains);
         }
     }
 
     /**
-     * A customer as its document states it.
+     * A customer, with its tier as a reference.
      *
-     * @param id the customer
-     * @param team the team whose subtree holds it
+     * @param id the customer's identifier
+     * @param team the team whose subtree contains the document
      * @param tier the path of its tier
-     * @param keyHashes hashes of its keys in hex
-     * @param weight its share against other customers of the tier
-     * @param tokensPerSecond its budget of generated tokens a second
+     * @param keyHashes SHA-256 hashes of its keys, in lower-case hex
+     * @param weight weight relative to the other customers of the tier
+     * @param tokensPerSecond its budget of generated tokens per second
      */
     record CustomerEntry(
             CustomerId id,
@@ -51,19 +51,19 @@
             int weight,
             long tokensPerSecond)
             implements DocumentValue {
-        /** Copies the list. */
+        /** Creates the value with a copy of the list. */
         public CustomerEntry {
             keyHashes = List.copyOf(keyHashes);
         }
     }
 
     /**
-     * A tier with what is promised over time.
+     * A tier and its service level objectives.
      *
-     * @param tier priority and targets
-     * @param latencyShare the share of requests that must meet the targets
-     * @param availabilityShare the share of requests that must get a whole answer
-     * @param window the time over which both shares count
+     * @param tier the tier with its priority and latency targets
+     * @param latencyShare the share (0 to 1) of requests that must meet the latency targets
+     * @param availabilityShare the share (0 to 1) of requests that must receive a complete response
+     * @param window the duration over which both shares are measured
      */
     record TierEntry(Tier tier, double latencyShare, double availabilityShare, Duration window)
             implements DocumentValue {}
@@ -71,11 +71,11 @@
     /**
      * A version of a model.
      *
-     * @param model name and version
-     * @param weightsBytes the size of its weights
-     * @param adapters the adapters that may be asked for with it
-     * @param contextTokens the most tokens of prompt and answer together
-     * @param targetShare its part of the model's requests, relative to the other versions
+     * @param model the name and version, without adapter
+     * @param weightsBytes the size of its weights, in bytes
+     * @param adapters the adapters that requests may name
+     * @param contextTokens the maximum number of tokens of prompt and response together
+     * @param targetShare its share of the model's requests, relative to other versions
      */
     record ModelEntry(
             ModelRef model,
@@ -84,7 +84,7 @@
             int contextTokens,
             double targetShare)
             implements DocumentValue {
-        /** Copies the list. */
+        /** Creates the value with a copy of the list. */
         public ModelEntry {
             adapters = List.copyOf(adapters);
         }
@@ -93,10 +93,10 @@
     /**
      * A plain service.
      *
-     * @param name the service
-     * @param timeout how long a call may take
-     * @param pathTimeouts other timeouts for some paths with all below them
-     * @param nonIdempotentPaths the paths, with all below them, that may run at most once
+     * @param name the name of the service
+     * @param timeout the maximum duration of a call
+     * @param pathTimeouts timeouts that replace the default for a path and all paths below it
+     * @param nonIdempotentPaths the paths, with all paths below them, that may run at most once
      */
     record ServiceEntry(
             String name,
@@ -104,17 +104,17 @@
             Map<String, Duration> pathTimeouts,
             List<String> nonIdempotentPaths)
             implements DocumentValue {
-        /** Copies the collections. */
+        /** Creates the value with copies of the collections. */
         public ServiceEntry {
             pathTimeouts = Map.copyOf(pathTimeouts);
             nonIdempotentPaths = List.copyOf(nonIdempotentPaths);
         }
 
         /**
-         * Tells whether a call may run more than once.
+         * Returns whether a call may run more than once.
          *
          * @param path the path after the service's name, with or without a leading slash
-         * @return true if no listed path covers it
+         * @return true if the path is canonical and no listed path covers it
          */
         public boolean isIdempotent(final String path) {
             return ServicePaths.isCanonical(path)
@@ -123,29 +123,31 @@
         }
 
         /**
-         * Returns how long a call may take.
+         * Returns the maximum duration of a call.
          *
          * @param path the path after the service's name
-         * @return the timeout of the longest listed path that covers it, or the service's
+         * @return the timeout of the longest listed path that covers it, or {@code timeout}
          */
         public Duration timeoutFor(final String path) {
             return pathTimeouts.entrySet().stream()
                     .filter(entry -> ServicePaths.covers(entry.getKey(), path))
-                    .max(Map.Entry.comparingByKey((a, b) -> a.length() - b.length()))
+                    .max(
+                            Map.Entry.comparingByKey(
+                                    (first, second) -> first.length() - second.length()))
                     .map(Map.Entry::getValue)
                     .orElse(timeout);
         }
     }
 
     /**
-     * A failure domain and the least that must run there.
+     * A failure domain and the minimum number of VMs that must run there.
      *
      * @param domain the failure domain
-     * @param minimum VMs of each machine class
+     * @param minimum the minimum number of VMs, by name of the machine class
      */
     record DomainEntry(FailureDomain domain, Map<String, Integer> minimum)
             implements DocumentValue {
-        /** Copies the map. */
+        /** Creates the value with a copy of the map. */
         public DomainEntry {
             minimum = Map.copyOf(minimum);
         }
@@ -154,29 +156,29 @@
     /**
      * A machine class.
      *
-     * @param name the cloud's name for it
-     * @param role what runs on it: {@code entry}, {@code engine} or {@code service}
-     * @param slots requests that one VM works on at once
+     * @param name the name of the class in the cloud
+     * @param role the role of its VMs: {@code entry}, {@code engine} or {@code service}
+     * @param slots the number of requests that one VM processes concurrently
      */
     record MachineClassEntry(String name, String role, int slots) implements DocumentValue {}
 
     /**
-     * One way to buy VMs of a pool.
+     * Source of VMs for a pool.
      *
      * @param domain the failure domain
      * @param machineClass the machine class
-     * @param billing how they are paid for
+     * @param billing the billing mode
      */
     record SupplyEntry(FailureDomain domain, String machineClass, Billing billing) {}
 
     /**
-     * A pool of like engines.
+     * A pool of engines that serve the same model.
      *
-     * @param name the pool
-     * @param model the path of the model version that each serves
-     * @param adapter the adapter on top of it
-     * @param needed VMs that must remain after the largest domain is lost
-     * @param supplies what may be bought
+     * @param name the name of the pool
+     * @param model the path of the model version that each engine serves
+     * @param adapter the adapter applied to the model, if any
+     * @param needed the number of VMs that must remain if the largest failure domain is lost
+     * @param supplies the sources from which VMs may be bought
      */
     record PoolEntry(
             String name,
@@ -185,7 +187,7 @@
             int needed,
             List<SupplyEntry> supplies)
             implements DocumentValue {
-        /** Copies the list. */
+        /** Creates the value with a copy of the list. */
         public PoolEntry {
             Objects.requireNonNull(adapter, "adapter");
             supplies = List.copyOf(supplies);
@@ -198,12 +200,12 @@
     }
 
     /**
-     * How fast the fleet may change.
+     * Limits on the rate of change of the fleet.
      *
-     * @param firstRest how long a refused way to buy rests at first
-     * @param weightBytesPerSecond the weight store's rate
-     * @param mostInTransition engines of a pool without the wanted version at once in a rollout
-     * @param mostStartsPerRound starts ordered in one round
+     * @param firstRest the initial backoff of a supply after the cloud refuses a start
+     * @param weightBytesPerSecond the transfer rate of the weight store, in bytes per second
+     * @param mostInTransition engines of a pool that may lack the wanted version during a rollout
+     * @param mostStartsPerRound the maximum number of starts ordered in one round
      */
     record PaceEntry(
             Duration firstRest,
@@ -213,13 +215,13 @@
             implements DocumentValue {}
 
     /**
-     * Tunables of routing; costs are milliseconds of expected time to the first token.
+     * Parameters of routing; costs are in expected time to the first token.
      *
      * @param strategy the strategy's name, for example {@code affinity}
-     * @param costs each cost by name
-     * @param failuresToSuspect failures in a row that make an endpoint suspect
-     * @param cooldown the wait before the first probe
-     * @param probeTimeout how long a probe without an outcome keeps others out
+     * @param costs the cost weights
+     * @param failuresToSuspect consecutive failures after which an endpoint is suspected
+     * @param cooldown the wait before the first probe of a suspected endpoint
+     * @param probeTimeout the time for which a probe without an outcome blocks further probes
      */
     record RoutingEntry(
             String strategy,
@@ -230,15 +232,15 @@
             implements DocumentValue {}
 
     /**
-     * What the parts of a routing decision cost.
+     * Cost weights of a routing decision, in milliseconds unless stated otherwise.
      *
-     * @param otherDomainMillis an endpoint of another failure domain of the region
-     * @param otherRegionMillis an endpoint of another region
-     * @param onDemandMillis an endpoint that is billed on demand
-     * @param fullBatchMillis a batch with every slot taken, against an empty one
-     * @param queuedMillis each request that waits for a slot
-     * @param prefillMicrosPerToken each prompt token that is not in the cache
-     * @param loadFactor how far above the mean load affinity may fill an endpoint
+     * @param otherDomainMillis the cost of an endpoint in another failure domain of the region
+     * @param otherRegionMillis the cost of an endpoint in another region
+     * @param onDemandMillis the cost of an endpoint that is billed on demand
+     * @param fullBatchMillis the cost of a batch with every slot in use, relative to an empty batch
+     * @param queuedMillis the cost of each request that waits for a slot
+     * @param prefillMicrosPerToken the cost of a prompt token not in the cache, in microseconds
+     * @param loadFactor the factor of the mean load up to which affinity may load an endpoint
      */
     record RoutingCosts(
             double otherDomainMillis,
@@ -250,14 +252,14 @@
             double loadFactor) {}
 
     /**
-     * Tunables of retries.
+     * Parameters of retries.
      *
-     * @param maxDispatches the most times that one request is sent out
-     * @param firstBackoff the wait before the first retry
-     * @param maxBackoff the longest wait between two tries
-     * @param retryShare retries allowed for each first dispatch, as a share
-     * @param retryBurst retries that may be saved up
-     * @param patience how long a request waits for an endpoint or for the retry budget
+     * @param maxDispatches the maximum number of dispatches of one request
+     * @param firstBackoff the backoff before the first retry
+     * @param maxBackoff the longest backoff between two attempts
+     * @param retryShare the number of retries allowed per first dispatch
+     * @param retryBurst the largest number of retries that the retry budget can accumulate
+     * @param patience the longest time that a request waits for an endpoint or for the retry budget
      */
     record RetriesEntry(
             int maxDispatches,
--- a/settings/src/main/java/org/whinhead/settings/deployment/FieldOrder.java
+++ b/settings/src/main/java/org/whinhead/settings/deployment/FieldOrder.java
@@ -6,22 +6,22 @@
 import org.whinhead.settings.json.JsonPaths;
 
 /**
- * A rule that a schema cannot express: one time of a document is at most another one.
+ * Rule that one duration in a document is at most another one; a schema cannot express it.
  *
- * @param smaller the field with the shorter time
- * @param larger the field with the longer time
+ * @param smaller the name of the field with the shorter duration
+ * @param larger the name of the field with the longer duration
  */
 record FieldOrder(String smaller, String larger) {
 
-    /** Checks a document; a field that is missing or no number is passed over. */
+    /** Checks a document; a field that is missing or not a number is skipped. */
     List<SettingsProblem> check(final JsonNode document) {
         final JsonNode shorter = document.path(smaller);
         final JsonNode longer = document.path(larger);
         if (shorter.isNumber()
                 && longer.isNumber()
                 && shorter.decimalValue().compareTo(longer.decimalValue()) > 0) {
-            final String place = JsonPaths.field(JsonPaths.ROOT, smaller);
-            return List.of(SettingsProblem.of(place, "settings.above-field", shorter, larger));
+            final String path = JsonPaths.field(JsonPaths.ROOT, smaller);
+            return List.of(SettingsProblem.of(path, "settings.above-field", shorter, larger));
         }
         return List.of();
     }
--- a/settings/src/main/java/org/whinhead/settings/deployment/ParsedDocument.java
+++ b/settings/src/main/java/org/whinhead/settings/deployment/ParsedDocument.java
@@ -10,17 +10,17 @@
 import org.whinhead.settings.json.JsonText;
 
 /**
- * A document's text, taken apart as far as this program can.
+ * Parsed text of a document, decoded as far as this program knows its kind and schema number.
  *
  * <p>The envelope (JSON without duplicate keys, an object, a schema number, links of the right
- * form) is the same for every schema number, so every version of the program judges it alike.
+ * form) has the same rules for every schema number, so all program versions agree on it.
  *
- * @param path where the document stands
- * @param envelopeProblems what is wrong whatever the schema number
- * @param schemaProblems what is wrong by the schema of the document's own number
- * @param links its ties to other documents
+ * @param path the path of the document
+ * @param envelopeProblems violations of the rules for the envelope
+ * @param schemaProblems violations of the schema with the document's own number
+ * @param links its links to other documents
  * @param known whether this program knows the path's kind and the schema number
- * @param value the typed value; empty if not known or wrong
+ * @param value the typed value; empty if the document is not known or invalid
  */
 record ParsedDocument(
         DocumentPath path,
@@ -30,8 +30,8 @@
         boolean known,
         Optional<DocumentValue> value) {
 
-    private static final String SCHEMA = "schema";
-    private static final String SCHEMA_PLACE = "$.schema";
+    private static final String SCHEMA_FIELD = "schema";
+    private static final String SCHEMA_PATH = "$.schema";
 
     /** Copies the lists. */
     ParsedDocument {
@@ -39,57 +39,60 @@
         schemaProblems = List.copyOf(schemaProblems);
     }
 
-    /** Takes a document apart; never fails. */
+    /** Parses a document; problems are part of the result. */
     static ParsedDocument parse(final DocumentPath path, final String text) {
         final JsonNode node;
         try {
             node = JsonText.parseAllowingDuplicateKeys(path.text(), text);
         } catch (SettingsException e) {
-            return broken(path, e.problems());
+            return unparsable(path, e.problems());
         }
         final List<SettingsProblem> envelope = new ArrayList<>(JsonText.findDuplicateKeys(text));
         envelope.addAll(checkSchemaNumber(node));
         final DocumentLinks links = DocumentLinks.of(node);
-        envelope.addAll(checkReferences(links));
-        return typed(path, node, envelope, links);
+        envelope.addAll(checkReferenceForm(links));
+        return parseValue(path, node, envelope, links);
     }
 
-    private static ParsedDocument broken(
+    private static ParsedDocument unparsable(
             final DocumentPath path, final List<SettingsProblem> problems) {
         return new ParsedDocument(
                 path, problems, List.of(), DocumentLinks.NONE, true, Optional.empty());
     }
 
-    private static ParsedDocument typed(
+    private static ParsedDocument parseValue(
             final DocumentPath path,
             final JsonNode node,
             final List<SettingsProblem> envelope,
             final DocumentLinks links) {
         final Optional<DocumentKind> kind = DocumentKind.of(path);
-        final JsonNode number = node.path(SCHEMA);
-        final boolean numberKnown =
+        final JsonNode number = node.path(SCHEMA_FIELD);
+        final boolean isNumberKnown =
                 !isSchemaNumber(number) || number.longValue() <= DocumentKind.NEWEST_SCHEMA_NUMBER;
-        if (kind.isEmpty() || !numberKnown) {
+        if (kind.isEmpty() || !isNumberKnown) {
             return new ParsedDocument(path, envelope, List.of(), links, false, Optional.empty());
         }
-        final List<SettingsProblem> wrong =
+        final List<SettingsProblem> violations =
                 kind.get().check(node).stream()
-                        .filter(problem -> !problem.path().equals(SCHEMA_PLACE))
-                        .filter(problem -> node.has(SCHEMA) || !missesSchema(problem))
+                        .filter(problem -> !problem.path().equals(SCHEMA_PATH))
+                        .filter(
+                                problem ->
+                                        node.has(SCHEMA_FIELD) || !isMissingSchemaNumber(problem))
                         .toList();
-        final boolean whole = envelope.isEmpty() && wrong.isEmpty();
+        final boolean isValid = envelope.isEmpty() && violations.isEmpty();
         return new ParsedDocument(
                 path,
                 envelope,
-                wrong,
+                violations,
                 links,
                 true,
-                whole ? Optional.of(kind.get().decode(path, node)) : Optional.empty());
+                isValid ? Optional.of(kind.get().decode(path, node)) : Optional.empty());
     }
 
-    /** The envelope's check reports a missing number, so the schema's report of it is dropped. */
-    private static boolean missesSchema(final SettingsProblem problem) {
-        return problem.equals(SettingsProblem.of(JsonPaths.ROOT, "settings.missing-field", SCHEMA));
+    /** Returns whether a problem repeats the envelope's report of a missing number. */
+    private static boolean isMissingSchemaNumber(final SettingsProblem problem) {
+        return problem.equals(
+                SettingsProblem.of(JsonPaths.ROOT, "settings.missing-field", SCHEMA_FIELD));
     }
 
     private static boolean isSchemaNumber(final JsonNode number) {
@@ -100,13 +103,13 @@
         if (!node.isObject()) {
             return List.of(SettingsProblem.of(JsonPaths.ROOT, "settings.not-object"));
         }
-        if (!isSchemaNumber(node.path(SCHEMA))) {
-            return List.of(SettingsProblem.of(SCHEMA_PLACE, "settings.no-schema-number"));
+        if (!isSchemaNumber(node.path(SCHEMA_FIELD))) {
+            return List.of(SettingsProblem.of(SCHEMA_PATH, "settings.no-schema-number"));
         }
         return List.of();
     }
 
-    private static List<SettingsProblem> checkReferences(final DocumentLinks links) {
+    private static List<SettingsProblem> checkReferenceForm(final DocumentLinks links) {
         return links.references().stream()
                 .filter(link -> !DocumentPath.isWellFormed(link.text()))
                 .map(
--- a/settings/src/main/java/org/whinhead/settings/deployment/ServicePaths.java
+++ b/settings/src/main/java/org/whinhead/settings/deployment/ServicePaths.java
@@ -1,31 +1,31 @@
 package org.whinhead.settings.deployment;
 
-/** Compares the path of a call to a plain service with the paths that its settings list. */
+/** Matches the path of a call to a plain service against the paths listed in its settings. */
 final class ServicePaths {
 
     private static final String SEPARATOR = "/";
-    private static final String PLAIN =
+    private static final String CANONICAL_FORM =
             "/?[A-Za-z0-9_-][A-Za-z0-9._~-]*(/[A-Za-z0-9_-][A-Za-z0-9._~-]*)*";
 
     private ServicePaths() {}
 
     /**
-     * Tells whether a path has one spelling only. Guards against a call that may run once but is
-     * retried, because it was spelled {@code x/../claims} or {@code %63laims}: the listed path does
-     * not match, yet the service takes it for {@code claims}. A path with dot segments, empty
-     * segments or escapes is therefore never taken for idempotent.
+     * Returns whether a path has no dot segments, empty segments or escapes. Other paths are never
+     * treated as idempotent: {@code x/../claims} or {@code %63laims} would not match the listed
+     * path {@code claims}, although the service may resolve it to that path, and a call that may
+     * run at most once would be retried.
      */
     static boolean isCanonical(final String path) {
-        return path.matches(PLAIN);
+        return path.matches(CANONICAL_FORM);
     }
 
-    /** Tells whether a listed path is the call's path or stands above it; case does not count. */
+    /** Returns whether a listed path equals or is a parent of a call's path, ignoring case. */
     static boolean covers(final String listed, final String path) {
-        final String call = path.startsWith(SEPARATOR) ? path.substring(1) : path;
-        if (call.equalsIgnoreCase(listed)) {
+        final String callPath = path.startsWith(SEPARATOR) ? path.substring(1) : path;
+        if (callPath.equalsIgnoreCase(listed)) {
             return true;
         }
-        final String above = listed + SEPARATOR;
-        return call.regionMatches(true, 0, above, 0, above.length());
+        final String parentPrefix = listed + SEPARATOR;
+        return callPath.regionMatches(true, 0, parentPrefix, 0, parentPrefix.length());
     }
 }
--- a/settings/src/main/java/org/whinhead/settings/deployment/StoredDocument.java
+++ b/settings/src/main/java/org/whinhead/settings/deployment/StoredDocument.java
@@ -13,11 +13,11 @@
     private final ParsedDocument mParsed;
 
     /**
-     * Takes a document into force.
+     * Creates a document and parses its text.
      *
-     * @param path where it stands
-     * @param text its JSON text, kept as it is
-     * @param revision the log offset of the record that set it
+     * @param path the path of the document
+     * @param text its JSON text, stored unchanged
+     * @param revision the log offset of the record that set it, at least 0
      */
     public StoredDocument(final DocumentPath path, final String text, final long revision) {
         mPath = Objects.requireNonNull(path, "path");
@@ -26,12 +26,12 @@
         mParsed = ParsedDocument.parse(path, text);
     }
 
-    /** Returns where the document stands. */
+    /** Returns the path of the document. */
     public DocumentPath path() {
         return mPath;
     }
 
-    /** Returns the JSON text as it was put. */
+    /** Returns the JSON text, unchanged. */
     public String text() {
         return mText;
     }
@@ -46,7 +46,7 @@
         return mParsed.value();
     }
 
-    /** Returns the ties to other documents. */
+    /** Returns the links to other documents. */
     DocumentLinks links() {
         return mParsed.links();
     }
--- a/settings/src/main/java/org/whinhead/settings/deployment/ValidationResult.java
+++ b/settings/src/main/java/org/whinhead/settings/deployment/ValidationResult.java
@@ -5,10 +5,10 @@
 import org.whinhead.settings.SettingsProblem;
 
 /**
- * What is known of a change to a document.
+ * Result of the validation of a change to a document.
  *
- * @param foldProblems what keeps the change from taking effect, on every daemon alike
- * @param schemaProblems what is wrong by the document's own schema
+ * @param foldProblems problems that prevent the change from taking effect; the same on every daemon
+ * @param schemaProblems violations of the document's own schema
  * @param known whether this program knows the document's kind and schema number
  */
 public record ValidationResult(
@@ -20,17 +20,17 @@
         schemaProblems = schemaProblems.stream().sorted().distinct().toList();
     }
 
-    /** Tells whether the fold takes the change; the same on every version of the program. */
+    /** Returns whether the fold applies the change; the same for every program version. */
     public boolean canTakeEffect() {
         return foldProblems.isEmpty();
     }
 
-    /** Tells whether a daemon of this version may put the change on the log. */
+    /** Returns whether a daemon of this program version may append the change to the log. */
     public boolean canBePublished() {
         return known && foldProblems.isEmpty() && schemaProblems.isEmpty();
     }
 
-    /** Returns every problem, sorted by place. */
+    /** Returns every problem, sorted by JSON path. */
     public List<SettingsProblem> problems() {
         return Stream.concat(foldProblems.stream(), schemaProblems.stream())
                 .sorted()
--- a/settings/src/main/java/org/whinhead/settings/deployment/package-info.java
+++ b/settings/src/main/java/org/whinhead/settings/deployment/package-info.java
@@ -1,2 +1,2 @@
-/** The deployment's settings: documents under paths, their rules and their typed form. */
+/** Settings of the deployment: documents by path, their validation and typed values. */
 package org.whinhead.settings.deployment;
--- a/settings/src/main/java/org/whinhead/settings/json/DocumentSchema.java
+++ b/settings/src/main/java/org/whinhead/settings/json/DocumentSchema.java
@@ -18,10 +18,10 @@
 import java.util.stream.Stream;
 import org.whinhead.settings.SettingsProblem;
 
-/** One JSON Schema from the program's own files, whose findings are the project's messages. */
+/** JSON Schema bundled with the program, which reports violations as settings problems. */
 public final class DocumentSchema {
 
-    private static final String FOLDER = "/org/whinhead/settings/schema/";
+    private static final String SCHEMA_FOLDER = "/org/whinhead/settings/schema/";
     private static final SchemaRegistry REGISTRY =
             SchemaRegistry.withDefaultDialect(SpecificationVersion.DRAFT_2020_12);
 
@@ -32,15 +32,16 @@
     }
 
     /**
-     * Loads a schema that ships with the program.
+     * Loads a schema bundled with the program.
      *
      * @param name the file's name, for example {@code daemon-1.json}
      * @return the schema
+     * @throws IllegalArgumentException if there is no such file
      */
     public static DocumentSchema load(final String name) {
-        try (InputStream stream = DocumentSchema.class.getResourceAsStream(FOLDER + name)) {
+        try (InputStream stream = DocumentSchema.class.getResourceAsStream(SCHEMA_FOLDER + name)) {
             if (stream == null) {
-                throw new IllegalArgumentException("no schema file " + name);
+                throw new IllegalArgumentException("no schema file: " + name);
             }
             final String text = new String(stream.readAllBytes(), StandardCharsets.UTF_8);
             return new DocumentSchema(REGISTRY.getSchema(text, InputFormat.JSON));
@@ -50,33 +51,33 @@
     }
 
     /**
-     * Checks a document.
+     * Validates a document.
      *
      * @param document the document
-     * @return every problem, in a fixed order; empty if the document fits
+     * @return every problem, in a fixed order; empty if the document is valid
      */
     public List<SettingsProblem> check(final JsonNode document) {
-        final List<SettingsProblem> numbers = NumberRange.check(document);
-        final Set<String> places =
-                numbers.stream().map(SettingsProblem::path).collect(Collectors.toSet());
-        final Stream<SettingsProblem> others =
+        final List<SettingsProblem> rangeProblems = NumberRange.check(document);
+        final Set<String> reportedPaths =
+                rangeProblems.stream().map(SettingsProblem::path).collect(Collectors.toSet());
+        final Stream<SettingsProblem> schemaProblems =
                 mSchema.validate(document).stream()
-                        .map(this::problem)
-                        .filter(problem -> !places.contains(problem.path()));
-        return Stream.concat(numbers.stream(), others).sorted().distinct().toList();
+                        .map(this::toProblem)
+                        .filter(problem -> !reportedPaths.contains(problem.path()));
+        return Stream.concat(rangeProblems.stream(), schemaProblems).sorted().distinct().toList();
     }
 
-    private SettingsProblem problem(final Error error) {
-        return SchemaKeyword.of(error.getKeyword()).problem(place(error), error, title(error));
+    private SettingsProblem toProblem(final Error error) {
+        return SchemaKeyword.of(error.getKeyword()).toProblem(jsonPath(error), error, title(error));
     }
 
     private String title(final Error error) {
-        final String keyword = error.getSchemaLocation().getFragment().toString();
-        final JsonPointer parent = JsonPointer.compile(keyword).head();
+        final String keywordPointer = error.getSchemaLocation().getFragment().toString();
+        final JsonPointer parent = JsonPointer.compile(keywordPointer).head();
         return mSchema.getSchemaNode().at(parent).path("title").asText();
     }
 
-    private static String place(final Error error) {
+    private static String jsonPath(final Error error) {
         final NodePath location = error.getInstanceLocation();
         String path = JsonPaths.ROOT;
         for (int i = 0; i < location.getNameCount(); i++) {
--- a/settings/src/main/java/org/whinhead/settings/json/JsonPaths.java
+++ b/settings/src/main/java/org/whinhead/settings/json/JsonPaths.java
@@ -1,9 +1,9 @@
 package org.whinhead.settings.json;
 
-/** Writes places in a document as JSON paths. */
+/** Builds JSON paths of places in a document. */
 public final class JsonPaths {
 
-    /** The whole document. */
+    /** Path of the whole document. */
     public static final String ROOT = "$";
 
     private static final String PLAIN_NAME = "[A-Za-z_][A-Za-z0-9_]*";
--- a/settings/src/main/java/org/whinhead/settings/json/JsonText.java
+++ b/settings/src/main/java/org/whinhead/settings/json/JsonText.java
@@ -16,7 +16,7 @@
 import org.whinhead.settings.SettingsException;
 import org.whinhead.settings.SettingsProblem;
 
-/** Reads JSON text strictly: nothing after the document, and no key twice in one object. */
+/** Parses JSON text strictly: rejects duplicate keys and content after the document. */
 public final class JsonText {
 
     private static final ObjectMapper MAPPER =
@@ -28,12 +28,12 @@
     private JsonText() {}
 
     /**
-     * Parses a text.
+     * Parses a text and rejects duplicate keys.
      *
      * @param source the file or path that the text comes from, for the error
      * @param text the text
      * @return the document
-     * @throws SettingsException if the text is not JSON or holds a duplicate key
+     * @throws SettingsException if the text is not JSON or has a duplicate key
      */
     public static JsonNode parse(final String source, final String text) throws SettingsException {
         final JsonNode document = parseAllowingDuplicateKeys(source, text);
@@ -45,7 +45,7 @@
     }
 
     /**
-     * Parses a text without a check for duplicate keys; the last of several values is taken.
+     * Parses a text without a check for duplicate keys; the last value of a duplicate key is used.
      *
      * @param source the file or path that the text comes from, for the error
      * @param text the text
@@ -62,12 +62,12 @@
             }
             return document;
         } catch (JsonProcessingException e) {
-            throw new SettingsException(source, List.of(notJson(e)));
+            throw new SettingsException(source, List.of(syntaxProblem(e)));
         }
     }
 
     /**
-     * Finds every key that stands twice in one object.
+     * Finds every key that appears more than once in one object.
      *
      * @param text a text that parses as JSON
      * @return one problem for each repetition, in the order of the text
@@ -96,15 +96,16 @@
     private static void scanObject(
             final JsonParser parser, final String path, final List<SettingsProblem> problems)
             throws IOException {
-        final Set<String> seen = new HashSet<>();
+        final Set<String> seenKeys = new HashSet<>();
         while (parser.nextToken() != JsonToken.END_OBJECT) {
-            final String place = JsonPaths.field(path, parser.currentName());
-            if (!seen.add(parser.currentName())) {
+            final String fieldPath = JsonPaths.field(path, parser.currentName());
+            if (!seenKeys.add(parser.currentName())) {
                 problems.add(
-                        SettingsProblem.of(place, "settings.duplicate-key", parser.currentName()));
+                        SettingsProblem.of(
+                                fieldPath, "settings.duplicate-key", parser.currentName()));
             }
             parser.nextToken();
-            scan(parser, place, problems);
+            scan(parser, fieldPath, problems);
         }
     }
 
@@ -118,7 +119,7 @@
         }
     }
 
-    private static SettingsProblem notJson(final JsonProcessingException e) {
+    private static SettingsProblem syntaxProblem(final JsonProcessingException e) {
         return SettingsProblem.of(
                 JsonPaths.ROOT,
                 "settings.not-json",
--- a/settings/src/main/java/org/whinhead/settings/json/SchemaKeyword.java
+++ b/settings/src/main/java/org/whinhead/settings/json/SchemaKeyword.java
@@ -5,19 +5,19 @@
 import java.util.Arrays;
 import org.whinhead.settings.SettingsProblem;
 
-/** The schema keywords that the project's schemas use, each with the message of its breach. */
+/** Schema keywords used in the project's schemas, each with the message key for its violation. */
 enum SchemaKeyword {
-    /** A field is missing; the problem stands at the object that lacks it. */
+    /** A missing field; the path of the problem is that of the object that lacks it. */
     REQUIRED("required", "settings.missing-field") {
         @Override
-        Object[] arguments(final Error error, final String title) {
+        Object[] messageArguments(final Error error, final String title) {
             return new Object[] {error.getProperty()};
         }
     },
     /** A field that the schema does not list. */
     ADDITIONAL_PROPERTIES("additionalProperties", "settings.unknown-field") {
         @Override
-        Object[] arguments(final Error error, final String title) {
+        Object[] messageArguments(final Error error, final String title) {
             return new Object[] {error.getProperty()};
         }
     },
@@ -29,44 +29,44 @@
     EXCLUSIVE_MINIMUM("exclusiveMinimum", "settings.not-above"),
     /** A number above its bound. */
     MAXIMUM("maximum", "settings.too-large"),
-    /** A text that lacks the wanted form, which the schema describes in its title. */
+    /** A text that does not match the pattern, which the title in the schema describes. */
     PATTERN("pattern", "settings.wrong-form") {
         @Override
-        Object[] arguments(final Error error, final String title) {
-            return new Object[] {shown(error), title};
+        Object[] messageArguments(final Error error, final String title) {
+            return new Object[] {displayedValue(error), title};
         }
     },
-    /** A value that is not one of the listed ones. */
+    /** A value that is not one of the allowed values. */
     ENUM("enum", "settings.not-listed"),
-    /** A value other than the only one allowed. */
+    /** A value other than the only allowed value. */
     CONST("const", "settings.not-constant"),
     /** A list with too few elements. */
     MIN_ITEMS("minItems", "settings.too-few"),
     /** A list with too many elements. */
     MAX_ITEMS("maxItems", "settings.too-many"),
-    /** A list that holds an element twice. */
+    /** A list with a duplicate element. */
     UNIQUE_ITEMS("uniqueItems", "settings.repeated-element"),
     /** A text that is too short. */
     MIN_LENGTH("minLength", "settings.too-short"),
     /** A text that is too long. */
     MAX_LENGTH("maxLength", "settings.too-long"),
-    /** A field of a map whose name lacks the wanted form. */
+    /** A map key that does not match the pattern, which the title in the schema describes. */
     PROPERTY_NAMES("propertyNames", "settings.wrong-field-name") {
         @Override
-        Object[] arguments(final Error error, final String title) {
+        Object[] messageArguments(final Error error, final String title) {
             return new Object[] {error.getProperty(), error.getSchemaNode().path("title").asText()};
         }
     },
     /** Any other keyword, named in the message. */
     OTHER("", "settings.other") {
         @Override
-        Object[] arguments(final Error error, final String title) {
+        Object[] messageArguments(final Error error, final String title) {
             return new Object[] {error.getKeyword()};
         }
     };
 
-    private static final String SECRET_FIELD = "keyHash";
-    private static final String HIDDEN = "(hidden)";
+    private static final String SECRET_FIELD_PREFIX = "keyHash";
+    private static final String HIDDEN_VALUE = "(hidden)";
 
     private final String mKeyword;
     private final String mMessageKey;
@@ -77,10 +77,10 @@
     }
 
     /**
-     * Finds the keyword of a finding.
+     * Returns the constant for the keyword of a schema.
      *
-     * @param keyword the schema's word
-     * @return the constant, or {@link #OTHER}
+     * @param keyword the keyword in the schema
+     * @return the constant, or {@link #OTHER} if the keyword is not listed
      */
     static SchemaKeyword of(final String keyword) {
         return Arrays.stream(values())
@@ -90,29 +90,29 @@
     }
 
     /**
-     * Turns a finding into a problem.
+     * Converts a schema violation into a problem.
      *
-     * @param path the place in the document
-     * @param error the finding
-     * @param title the title of the broken part of the schema; may be empty
+     * @param path the JSON path of the problem
+     * @param error the violation found by the schema validator
+     * @param title the title of the violated part of the schema; may be empty
      * @return the problem
      */
-    SettingsProblem problem(final String path, final Error error, final String title) {
-        return SettingsProblem.of(path, mMessageKey, arguments(error, title));
+    SettingsProblem toProblem(final String path, final Error error, final String title) {
+        return SettingsProblem.of(path, mMessageKey, messageArguments(error, title));
     }
 
-    /** Returns the values for the message: what was found and what the schema wants. */
-    Object[] arguments(final Error error, final String title) {
-        return new Object[] {shown(error), text(error.getSchemaNode())};
+    /** Returns the values for the message: the value found and the value required by the schema. */
+    Object[] messageArguments(final Error error, final String title) {
+        return new Object[] {displayedValue(error), text(error.getSchemaNode())};
     }
 
     /**
-     * Returns the found value for people. Guards against a key in clear text, put where its hash
-     * belongs, that would show in logs and answers: values under such a field are never printed.
+     * Returns the value found, or a placeholder if its field holds key hashes. An operator may put
+     * a key in clear text where its hash belongs; the key must not appear in logs and responses.
      */
-    private static String shown(final Error error) {
-        if (error.getInstanceLocation().toString().contains(SECRET_FIELD)) {
-            return HIDDEN;
+    private static String displayedValue(final Error error) {
+        if (error.getInstanceLocation().toString().contains(SECRET_FIELD_PREFIX)) {
+            return HIDDEN_VALUE;
         }
         return text(error.getInstanceNode());
     }
--- a/settings/src/main/java/org/whinhead/settings/json/package-info.java
+++ b/settings/src/main/java/org/whinhead/settings/json/package-info.java
@@ -1,2 +1,2 @@
-/** Strict JSON reading and schema checks that give the project's own messages. */
+/** Strict JSON parsing, and schema validation with the project's own messages. */
 package org.whinhead.settings.json;
--- a/settings/src/main/java/org/whinhead/settings/package-info.java
+++ b/settings/src/main/java/org/whinhead/settings/package-info.java
@@ -1,2 +1,2 @@
-/** Reading and checking of settings: what is wrong with a document, where, and why. */
+/** Problems found in settings documents: place, message key and message. */
 package org.whinhead.settings;
--- a/settings/src/test/java/org/whinhead/settings/SettingsPageTest.java
+++ b/settings/src/test/java/org/whinhead/settings/SettingsPageTest.java
@@ -23,7 +23,7 @@
         }
     }
 
-    // An operator looks for a field that the program asks for, and the page does not have it.
+    // Guards against a field that was added to a schema but is missing on the settings page.
     @ParameterizedTest
     @MethodSource("schemas")
     void pageNamesEveryField(final Path schema) throws IOException {
--- a/settings/src/test/java/org/whinhead/settings/daemon/SettingsReaderTest.java
+++ b/settings/src/test/java/org/whinhead/settings/daemon/SettingsReaderTest.java
@@ -30,7 +30,7 @@
     }
 
     @Test
-    void aKeyOpensOnlyItsSubtree() throws SettingsException {
+    void keyCanChangeOnlyItsSubtree() throws SettingsException {
         final DaemonSettings settings = SettingsReader.read(FOLDER.resolve("whole.json"));
         final Optional<OperatorKey> operator = settings.operator("secret");
         assertThat(operator.map(OperatorKey::name)).contains("on-call");
@@ -41,7 +41,7 @@
 
     @ParameterizedTest
     @ValueSource(strings = {"many-faults", "not-json", "empty", "no-such-file"})
-    void listsEveryFaultWithFileAndPlace(final String name) throws Exception {
+    void listsEveryProblemWithFileAndJsonPath(final String name) throws Exception {
         final Path file = FOLDER.resolve(name + ".json");
         final SettingsException failure =
                 catchThrowableOfType(SettingsException.class, () -> SettingsReader.read(file));
--- a/settings/src/test/java/org/whinhead/settings/deployment/DocumentListTest.java
+++ b/settings/src/test/java/org/whinhead/settings/deployment/DocumentListTest.java
@@ -28,7 +28,7 @@
 
     @ParameterizedTest
     @ValueSource(strings = {"faults-of-form", "faults-of-links"})
-    void listsEveryFaultWithPathAndPlace(final String name) throws Exception {
+    void listsEveryProblemWithDocumentPathAndJsonPath(final String name) throws Exception {
         final List<SettingsProblem> problems =
                 DocumentList.check(entries(FOLDER.resolve(name + ".json")));
         final String text =
@@ -38,7 +38,7 @@
 
     @ParameterizedTest
     @ValueSource(strings = {"inkiko", "mezani"})
-    void exampleDocumentsCanBePutOneByOne(final String name) throws Exception {
+    void exampleDocumentsCanBeAddedOneByOne(final String name) throws Exception {
         DeploymentSettings settings = DeploymentSettings.EMPTY;
         for (final DocumentList.Entry entry : entries(documents(name))) {
             final ValidationResult validation =
@@ -77,7 +77,7 @@
     }
 
     @Test
-    void answersWhatRequestsAsk() throws Exception {
+    void findsCustomersBudgetsAndModels() throws Exception {
         final DeploymentSettings settings =
                 DeploymentSettings.of(
                         entries(documents("inkiko")).stream()
@@ -98,9 +98,9 @@
         assertThat(settings.isModelConfigured(ModelRef.parse("filing-drafts@2025.9"))).isFalse();
     }
 
-    // A claimant sees two claims in one docket: the call was spelled so that no listed path
-    // matched, was taken for idempotent and sent twice after a cut, while the service read the
-    // spelling as the claims path both times.
+    // Guards against a claim that is recorded twice: a spelling of the path that matches no listed
+    // path is treated as idempotent and retried after a lost connection, although the service
+    // resolves it to the claims path each time.
     @ParameterizedTest
     @ValueSource(
             strings = {"claims", "/claims/7", "Claims", "x/../claims", "x//claims", "%63laims", ""})
--- a/settings/src/test/java/org/whinhead/settings/deployment/DocumentValidatorTest.java
+++ b/settings/src/test/java/org/whinhead/settings/deployment/DocumentValidatorTest.java
@@ -29,9 +29,10 @@
                     .with(stored("/tiers/urgent", TIER))
                     .with(stored("/teams/filing/customers/aid", CUSTOMER));
 
-    // Calls of a customer are refused as unknown: its tier was deleted while it was in use.
+    // Guards against the deletion of a tier that a customer refers to: the customer would lose its
+    // tier, and its calls would be refused as unknown.
     @Test
-    void aTierInUseCannotBeDeleted() {
+    void tierInUseCannotBeDeleted() {
         final ValidationResult inUse = delete("/tiers/urgent", CURRENT);
         assertThat(inUse.problems())
                 .extracting(SettingsProblem::message)
@@ -43,10 +44,10 @@
         assertThat(delete("tiers/urgent", CURRENT).canTakeEffect()).isFalse();
     }
 
-    // Half of the daemons serve by a new setting, half by the old one, for ever: an older program
-    // called a document of a newer schema invalid and dropped it, a newer program took it.
+    // Guards against daemons whose settings differ permanently: an older program version rejects a
+    // document with a newer schema number that a newer version accepts.
     @Test
-    void documentOfLaterSchemaTakesEffectButIsNotPublishedHere() {
+    void documentOfNewerSchemaTakesEffectButCannotBePublished() {
         final String later = "{\"schema\": 2, \"floor\": \"/tiers/urgent\"}";
         final ValidationResult validation = put("/tiers/later", later, CURRENT);
         assertThat(validation.canTakeEffect()).isTrue();
@@ -62,10 +63,10 @@
         assertThat(delete("/tiers/urgent", freed).canTakeEffect()).isFalse();
     }
 
-    // The log holds a document that breaks its schema, put there by a faulty program. A program
-    // that knows the schema and one that does not must still agree on what is in force.
+    // A faulty program may append a document that violates its schema to the log. Programs with and
+    // without knowledge of the schema must agree on the documents in force.
     @Test
-    void onlyLinksAndEnvelopeDecideInTheFold() {
+    void foldChecksOnlyLinksAndEnvelope() {
         final ValidationResult wrong =
                 put("/tiers/urgent", "{\"schema\": 1, \"priority\": 2}", CURRENT);
         assertThat(wrong.canTakeEffect()).isTrue();
@@ -77,10 +78,10 @@
         assertThat(put("/tiers/a", "", CURRENT).canTakeEffect()).isFalse();
     }
 
-    // A customer's tier has priority 5 where the document says 18446744073709551621.0: the schema
-    // check narrowed the number before it compared, and so did the reader.
+    // Guards against a tier with priority 5 whose document says 18446744073709551621.0: the schema
+    // validator narrows the number before it compares, and so does the decoder.
     @Test
-    void numberThatWouldBeNarrowedIsRefused() {
+    void numberThatWouldBeNarrowedIsRejected() {
         final String text = TIER.replace("\"priority\": 1", "\"priority\": 18446744073709551621.0");
         assertThat(put("/tiers/urgent", text, CURRENT).problems())
                 .extracting(SettingsProblem::path)
@@ -88,7 +89,7 @@
     }
 
     @Test
-    void refreshKeepsWhatIsUnchanged() {
+    void refreshReusesUnchangedDocuments() {
         final StoredDocument tier = stored("/tiers/urgent", TIER);
         final Map<String, String> texts =
                 Map.of("/tiers/urgent", TIER, "/teams/filing/customers/aid", CUSTOMER);
@@ -102,7 +103,7 @@
     }
 
     @Property(seed = "20260411", tries = 300)
-    void anyTextGetsTheSameAnswerTwice(
+    void validationIsDeterministic(
             @ForAll final String path, @ForAll final String text, @ForAll final int schema) {
         for (final String place : new String[] {path, "/tiers/a", "/new/kind"}) {
             final String document = "{\"schema\": " + schema + ", \"x\": [\"/" + text + "\"]}";
