--- a/daemon/src/main/java/org/whinhead/daemon/Daemon.java
+++ b/daemon/src/main/java/org/whinhead/daemon/Daemon.java
@@ -20,14 +20,14 @@
 import org.whinhead.clients.http.HttpCaller;
 import org.whinhead.daemon.burn.BurnCollector;
 import org.whinhead.daemon.burn.BurnHandler;
-import org.whinhead.daemon.caller.CallerServer;
+import org.whinhead.daemon.caller.CallerApi;
 import org.whinhead.daemon.decision.DecisionEvent;
 import org.whinhead.daemon.decision.DecisionLoop;
 import org.whinhead.daemon.engine.ActionDispatcher;
 import org.whinhead.daemon.engine.AttemptTransport;
+import org.whinhead.daemon.limits.AdmissionMetrics;
 import org.whinhead.daemon.limits.DaemonAdmission;
-import org.whinhead.daemon.limits.LimitBoard;
-import org.whinhead.daemon.limits.LimitMeters;
+import org.whinhead.daemon.limits.LimitTracker;
 import org.whinhead.daemon.log.LogStanding;
 import org.whinhead.daemon.operator.Meters;
 import org.whinhead.daemon.operator.OperatorCalls;
@@ -59,7 +59,7 @@
     private final DaemonSettings mSettings;
     private final DaemonOptions mOptions;
     private final LiveRequests mRequests = new LiveRequests();
-    private final LimitBoard mLimits = new LimitBoard(AdmissionSettings.DEFAULT.initialSlots());
+    private final LimitTracker mLimits = new LimitTracker(AdmissionSettings.DEFAULT.initialSlots());
     private final DaemonAdmission mAdmission =
             new DaemonAdmission(mLimits, AdmissionSettings.DEFAULT);
     private final Standing mStanding;
@@ -107,7 +107,7 @@
         mServer.start();
         mLog.start();
         mTicks = every(TICK_MILLIS, new DecisionEvent.Tick());
-        mCounting = every(COUNT_MILLIS, new DecisionEvent.Update(mBurn::count));
+        mCounting = every(COUNT_MILLIS, new DecisionEvent.Task(mBurn::recordWaiting));
         mPeers.start(settings, mCaller);
     }
 
@@ -243,7 +243,7 @@
     }
 
     private HttpHandler callerHandler() {
-        return CallerServer.builder(id())
+        return CallerApi.builder(id())
                 .view(mStanding::view)
                 .addresses(mStanding::addresses)
                 .decisions(mRequests, mLoop)
@@ -269,7 +269,7 @@
     private CompletionStage<List<Decision>> decisions(final String id) {
         final CompletableFuture<List<Decision>> found = new CompletableFuture<>();
         final Runnable look = () -> found.complete(mCoordinator.decisionLog().findByName(id));
-        if (!mLoop.offerNew(new DecisionEvent.Update(look))) {
+        if (!mLoop.offerNew(new DecisionEvent.Task(look))) {
             found.completeExceptionally(new IllegalStateException("the decision ring is full"));
         }
         return found;
@@ -286,14 +286,14 @@
                 "whinhead.decisions.waiting",
                 "events",
                 "Events that wait in the decision ring.",
-                mLoop::waiting);
+                mLoop::waitingEvents);
         meters.gauge(
                 "whinhead.burn.waiting",
                 "samples",
                 "Ended requests that wait to be counted for the report on burn.",
-                mBurn::waiting);
+                mBurn::waitingSamples);
         PeerMeters.register(meters, mPeers.peers());
-        LimitMeters.add(meters, mAdmission);
+        AdmissionMetrics.register(meters, mAdmission);
         return meters;
     }
 
--- a/daemon/src/main/java/org/whinhead/daemon/LogWiring.java
+++ b/daemon/src/main/java/org/whinhead/daemon/LogWiring.java
@@ -8,7 +8,7 @@
 import org.whinhead.clients.log.LogClient;
 import org.whinhead.daemon.decision.DecisionEvent;
 import org.whinhead.daemon.decision.DecisionLoop;
-import org.whinhead.daemon.engine.Claims;
+import org.whinhead.daemon.engine.ClaimService;
 import org.whinhead.daemon.log.LogDuty;
 import org.whinhead.daemon.log.LogListener;
 import org.whinhead.daemon.log.LogStanding;
@@ -18,7 +18,7 @@
 import org.whinhead.state.claim.ClaimKey;
 
 /** Ties the log duty to the settings in force and to the decisions on requests. */
-final class LogWiring implements LogListener, Claims, AutoCloseable {
+final class LogWiring implements LogListener, ClaimService, AutoCloseable {
 
     private static final Duration LOG_TIMEOUT = Duration.ofSeconds(2);
     private static final long RETRY_MILLIS = 5;
@@ -90,7 +90,8 @@
     @Override
     public void claimDecided(
             final RequestId request, final ClaimOutcome outcome, final Instant dispatchBy) {
-        if (!mLoop.offer(new DecisionEvent.Claimed(request, outcome, dispatchBy)) && !mClosed) {
+        if (!mLoop.offer(new DecisionEvent.ClaimDecided(request, outcome, dispatchBy))
+                && !mClosed) {
             mCaller.anyThread()
                     .executeAfter(
                             () -> claimDecided(request, outcome, dispatchBy),
--- a/daemon/src/main/java/org/whinhead/daemon/PeerWiring.java
+++ b/daemon/src/main/java/org/whinhead/daemon/PeerWiring.java
@@ -16,7 +16,7 @@
 import org.whinhead.daemon.decision.DecisionLoop;
 import org.whinhead.daemon.duty.EndpointWatch;
 import org.whinhead.daemon.duty.NoticeWatch;
-import org.whinhead.daemon.limits.LimitBoard;
+import org.whinhead.daemon.limits.LimitTracker;
 import org.whinhead.daemon.log.LogDuty;
 import org.whinhead.daemon.peers.PeerDuty;
 import org.whinhead.daemon.peers.PeerDutyListener;
@@ -36,7 +36,7 @@
     private final Standing mStanding;
     private final DecisionLoop mLoop;
     private final AffinityRouter mRouter;
-    private final LimitBoard mLimits;
+    private final LimitTracker mLimits;
     private final PeerDuty mPeers;
     private EndpointWatch mWatch;
     private NoticeWatch mNotices;
@@ -48,7 +48,7 @@
             final Standing standing,
             final DecisionLoop loop,
             final AffinityRouter router,
-            final LimitBoard limits,
+            final LimitTracker limits,
             final LogDuty log) {
         mOptions = options;
         mStanding = standing;
@@ -117,7 +117,7 @@
     public boolean endpointsChanged(final List<Endpoint> endpoints) {
         mLimits.endpointsChanged(endpoints);
         final boolean taken =
-                mLoop.offer(new DecisionEvent.Update(() -> mRouter.endpointsChanged(endpoints)));
+                mLoop.offer(new DecisionEvent.Task(() -> mRouter.endpointsChanged(endpoints)));
         if (taken) {
             mStanding.endpointsKnown(endpoints);
         }
@@ -126,7 +126,7 @@
 
     @Override
     public boolean endpointLeaving(final EndpointId endpoint, final Instant goneBy) {
-        return mLoop.offer(new DecisionEvent.Update(() -> mRouter.endpointLeaving(endpoint)))
+        return mLoop.offer(new DecisionEvent.Task(() -> mRouter.endpointLeaving(endpoint)))
                 && mLoop.offer(new DecisionEvent.EndpointLeaving(endpoint, goneBy));
     }
 
@@ -149,7 +149,7 @@
     @Override
     public void loadReported(final LoadReport report) {
         final Instant now = mOptions.clock().instant();
-        mLoop.offer(new DecisionEvent.Update(() -> mRouter.loadReported(report, now)));
+        mLoop.offer(new DecisionEvent.Task(() -> mRouter.loadReported(report, now)));
     }
 
     @Override
--- a/daemon/src/main/java/org/whinhead/daemon/Standing.java
+++ b/daemon/src/main/java/org/whinhead/daemon/Standing.java
@@ -6,7 +6,7 @@
 import java.util.stream.Stream;
 import org.whinhead.api.model.DaemonId;
 import org.whinhead.api.model.Endpoint;
-import org.whinhead.daemon.limits.LimitBoard;
+import org.whinhead.daemon.limits.LimitTracker;
 import org.whinhead.daemon.operator.DaemonStatus;
 import org.whinhead.daemon.request.LiveRequests;
 import org.whinhead.daemon.view.DeploymentView;
@@ -21,14 +21,15 @@
     private final DaemonId mId;
     private final EntryAddress mOwn;
     private final LiveRequests mRequests;
-    private final LimitBoard mLimits;
+    private final LimitTracker mLimits;
     private volatile InForce mInForce =
             new InForce(DeploymentSettings.EMPTY, DeploymentView.EMPTY, -1);
     private volatile List<EntryAddress> mListed = List.of();
     private volatile boolean mEndpointsKnown;
     private volatile boolean mStopping;
 
-    Standing(final DaemonSettings settings, final LiveRequests requests, final LimitBoard limits) {
+    Standing(
+            final DaemonSettings settings, final LiveRequests requests, final LimitTracker limits) {
         mId = new DaemonId(settings.name() + "-" + UUID.randomUUID());
         mOwn = new EntryAddress(settings.publicUri(), settings.domain());
         mRequests = requests;
--- a/daemon/src/main/java/org/whinhead/daemon/burn/BurnCollector.java
+++ b/daemon/src/main/java/org/whinhead/daemon/burn/BurnCollector.java
@@ -32,7 +32,7 @@
 public final class BurnCollector {
 
     /** The most samples that wait to be counted. */
-    static final int MOST_WAITING = 16_384;
+    static final int MAX_WAITING_SAMPLES = 16_384;
 
     private final BurnRecorder mRecorder;
     private final InstantSource mClock;
@@ -40,7 +40,7 @@
     private final Queue<Supplier<RequestSample>> mWaiting = new ConcurrentLinkedQueue<>();
     private final AtomicInteger mWaitingCount = new AtomicInteger();
     private final LongAdder mDropped = new LongAdder();
-    private DeploymentSettings mJudgedBy;
+    private DeploymentSettings mAppliedSettings;
 
     /**
      * Makes a collector.
@@ -75,7 +75,7 @@
      * @param reply the request's measure
      * @param whole whether the response was written to its end
      */
-    public void ended(final MeasuredReply reply, final boolean whole) {
+    public void recordEnd(final MeasuredReply reply, final boolean whole) {
         final Instant at = mClock.instant();
         offer(() -> reply.sample(whole, at));
     }
@@ -86,11 +86,11 @@
      * @param customer who asked
      * @param refusal what was answered
      */
-    public void refused(final Customer customer, final Refusal refusal) {
+    public void recordRefusal(final Customer customer, final Refusal refusal) {
         final RequestSample sample =
                 new RequestSample(
                         new SeriesKey(customer.id(), customer.tier().name()),
-                        Outcomes.of(refusal),
+                        OutcomeClassifier.classify(refusal),
                         Optional.empty(),
                         Optional.empty(),
                         0,
@@ -100,13 +100,13 @@
     }
 
     /** Returns how many samples wait to be counted, for metrics. */
-    public int waiting() {
+    public int waitingSamples() {
         return mWaitingCount.get();
     }
 
     /** Counts the samples that wait; on the decision thread. */
-    public void count() {
-        adoptObjectives();
+    public void recordWaiting() {
+        updateObjectives();
         mRecorder.leftOut(mDropped.sumThenReset());
         Supplier<RequestSample> next = mWaiting.poll();
         while (next != null) {
@@ -118,12 +118,12 @@
 
     /** Returns what was counted so far; on the decision thread. */
     public DaemonReport report() {
-        count();
+        recordWaiting();
         return mRecorder.report(mClock.instant());
     }
 
     private void offer(final Supplier<RequestSample> sample) {
-        if (mWaitingCount.incrementAndGet() > MOST_WAITING) {
+        if (mWaitingCount.incrementAndGet() > MAX_WAITING_SAMPLES) {
             mWaitingCount.decrementAndGet();
             mDropped.increment();
             return;
@@ -131,10 +131,10 @@
         mWaiting.add(sample);
     }
 
-    private void adoptObjectives() {
+    private void updateObjectives() {
         final DeploymentSettings settings = mSettings.get();
-        if (settings != mJudgedBy) {
-            mJudgedBy = settings;
+        if (settings != mAppliedSettings) {
+            mAppliedSettings = settings;
             mRecorder.objectives(settings.tiers().stream().map(BurnCollector::objective).toList());
         }
     }
--- a/daemon/src/main/java/org/whinhead/daemon/burn/BurnHandler.java
+++ b/daemon/src/main/java/org/whinhead/daemon/burn/BurnHandler.java
@@ -32,11 +32,11 @@
 
     @Override
     public void handleRequest(final HttpServerExchange exchange) {
-        exchange.dispatch(SameThreadExecutor.INSTANCE, () -> ask(exchange));
+        exchange.dispatch(SameThreadExecutor.INSTANCE, () -> requestReport(exchange));
     }
 
-    private void ask(final HttpServerExchange exchange) {
-        if (!mLoop.offer(new DecisionEvent.Update(() -> take(exchange)))) {
+    private void requestReport(final HttpServerExchange exchange) {
+        if (!mLoop.offer(new DecisionEvent.Task(() -> createReport(exchange)))) {
             final String body =
                     JsonNodeFactory.instance
                             .objectNode()
@@ -48,7 +48,7 @@
     }
 
     /** Copies the counts on the decision thread; a worker writes them out, which takes longer. */
-    private void take(final HttpServerExchange exchange) {
+    private void createReport(final HttpServerExchange exchange) {
         final DaemonReport report = mCollector.report();
         exchange.getConnection()
                 .getWorker()
--- a/daemon/src/main/java/org/whinhead/daemon/burn/MeasuredReply.java
+++ b/daemon/src/main/java/org/whinhead/daemon/burn/MeasuredReply.java
@@ -22,8 +22,8 @@
     private long mTokens;
     private long mFirstIndex;
     private long mRecomputedTokens;
-    private Instant mFirstToken;
-    private Instant mEnd;
+    private Instant mFirstTokenAt;
+    private Instant mEndedAt;
     private Outcome mOutcome = Outcome.CALLER_LEFT;
 
     MeasuredReply(final RequestSpec spec, final CallerReply reply, final InstantSource clock) {
@@ -33,18 +33,18 @@
     }
 
     @Override
-    public void token(final long index, final String text) {
+    public void sendToken(final long index, final String text) {
         if (mTokens == 0) {
             mFirstIndex = index;
-            mFirstToken = mClock.instant();
+            mFirstTokenAt = mClock.instant();
         }
         mTokens++;
-        mReply.token(index, text);
+        mReply.sendToken(index, text);
     }
 
     @Override
-    public void ticket(final String ticket) {
-        mReply.ticket(ticket);
+    public void sendTicket(final String ticket) {
+        mReply.sendTicket(ticket);
     }
 
     @Override
@@ -55,14 +55,14 @@
     }
 
     @Override
-    public void answer(final PlainAnswer answer) {
-        end(Outcomes.of(answer));
-        mReply.answer(answer);
+    public void sendAnswer(final PlainAnswer answer) {
+        end(OutcomeClassifier.classify(answer));
+        mReply.sendAnswer(answer);
     }
 
     @Override
     public void refuse(final Refusal refusal) {
-        end(Outcomes.of(refusal));
+        end(OutcomeClassifier.classify(refusal));
         mReply.refuse(refusal);
     }
 
@@ -97,7 +97,7 @@
 
     private void end(final Outcome outcome) {
         mOutcome = outcome;
-        mEnd = mClock.instant();
+        mEndedAt = mClock.instant();
     }
 
     /**
@@ -111,14 +111,14 @@
     /** A caller that came back had its first token before. */
     private Optional<Duration> firstToken() {
         return mTokens > 0 && mFirstIndex == 0
-                ? Optional.of(Duration.between(mSpec.arrived(), mFirstToken))
+                ? Optional.of(Duration.between(mSpec.arrived(), mFirstTokenAt))
                 : Optional.empty();
     }
 
     /** How long a caller that left had waited for its next token is not known. */
     private Optional<Duration> betweenTokens() {
-        return mTokens > 1 && mEnd != null
-                ? Optional.of(Duration.between(mFirstToken, mEnd).dividedBy(mTokens - 1))
+        return mTokens > 1 && mEndedAt != null
+                ? Optional.of(Duration.between(mFirstTokenAt, mEndedAt).dividedBy(mTokens - 1))
                 : Optional.empty();
     }
 }
--- a/daemon/src/main/java/org/whinhead/daemon/burn/Outcomes.java
+++ b/daemon/src/main/java/org/whinhead/daemon/burn/OutcomeClassifier.java
@@ -6,14 +6,14 @@
 import org.whinhead.requests.PlainAnswer;
 
 /** Tells how a request's end counts. */
-final class Outcomes {
+final class OutcomeClassifier {
 
-    private static final int SERVER_ERRORS = 500;
+    private static final int FIRST_SERVER_ERROR_STATUS = 500;
 
-    private Outcomes() {}
+    private OutcomeClassifier() {}
 
     /** A repeat of a claimed request counts as failed: its caller has no answer. */
-    static Outcome of(final Refusal refusal) {
+    static Outcome classify(final Refusal refusal) {
         return switch (refusal.code()) {
             case MALFORMED_REQUEST,
                     UNKNOWN_KEY,
@@ -40,7 +40,9 @@
     }
 
     /** What a plain service refuses of its own accord is the answer that was asked for. */
-    static Outcome of(final PlainAnswer answer) {
-        return answer.status() < SERVER_ERRORS ? Outcome.COMPLETED : Outcome.FAILED_MAY_HAVE_RUN;
+    static Outcome classify(final PlainAnswer answer) {
+        return answer.status() < FIRST_SERVER_ERROR_STATUS
+                ? Outcome.COMPLETED
+                : Outcome.FAILED_MAY_HAVE_RUN;
     }
 }
--- a/daemon/src/main/java/org/whinhead/daemon/caller/AnswerFormat.java
+++ b/daemon/src/main/java/org/whinhead/daemon/caller/AnswerFormat.java
@@ -9,12 +9,12 @@
      * @param part the step
      * @param writer the response
      */
-    void take(ReplyPart part, ExchangeWriter writer);
+    void write(ReplyPart part, ExchangeWriter writer);
 
     /**
      * Writes what a batch of steps came to.
      *
      * @param writer the response
      */
-    default void endOfBatch(final ExchangeWriter writer) {}
+    default void flushBatch(final ExchangeWriter writer) {}
 }
--- a/daemon/src/main/java/org/whinhead/daemon/caller/BodyReceiver.java
+++ b/daemon/src/main/java/org/whinhead/daemon/caller/BodyReceiver.java
@@ -15,8 +15,8 @@
 
     /** Takes a whole body; on the connection's IO thread, where the exchange stays open. */
     @FunctionalInterface
-    interface Taker {
-        void take(byte[] body) throws RequestException;
+    interface BodyHandler {
+        void handle(byte[] body) throws RequestException;
     }
 
     private final long mMaxBytes;
@@ -28,12 +28,12 @@
     }
 
     /** Reads the body and hands it on; refuses the request if it breaks a bound. */
-    void receive(final HttpServerExchange exchange, final Taker taker) {
+    void receive(final HttpServerExchange exchange, final BodyHandler taker) {
         if (exchange.getRequestContentLength() > mMaxBytes) {
             Refusals.send(exchange, tooLarge());
             return;
         }
-        final Reading reading = new Reading(exchange, taker);
+        final BodyRead reading = new BodyRead(exchange, taker);
         reading.start();
     }
 
@@ -42,15 +42,15 @@
     }
 
     /** One body on its way in. */
-    private final class Reading {
+    private final class BodyRead {
         private final HttpServerExchange mExchange;
-        private final Taker mTaker;
+        private final BodyHandler mHandler;
         private XnioExecutor.Key mTimer;
-        private boolean mOver;
+        private boolean mEnded;
 
-        private Reading(final HttpServerExchange exchange, final Taker taker) {
+        private BodyRead(final HttpServerExchange exchange, final BodyHandler taker) {
             mExchange = exchange;
-            mTaker = taker;
+            mHandler = taker;
         }
 
         private void start() {
@@ -63,22 +63,24 @@
             receiver.setMaxBufferSize((int) Math.min(mMaxBytes, Integer.MAX_VALUE));
             receiver.receiveFullBytes(
                     (exchange, body) ->
-                            exchange.dispatch(SameThreadExecutor.INSTANCE, () -> whole(body)),
+                            exchange.dispatch(
+                                    SameThreadExecutor.INSTANCE, () -> bodyReceived(body)),
                     (exchange, cause) ->
-                            exchange.dispatch(SameThreadExecutor.INSTANCE, () -> broken(cause)));
+                            exchange.dispatch(
+                                    SameThreadExecutor.INSTANCE, () -> receiveFailed(cause)));
         }
 
-        private void whole(final byte[] body) {
+        private void bodyReceived(final byte[] body) {
             if (endOnce()) {
                 try {
-                    mTaker.take(body);
+                    mHandler.handle(body);
                 } catch (final RequestException e) {
                     Refusals.send(mExchange, e.refusal());
                 }
             }
         }
 
-        private void broken(final Exception cause) {
+        private void receiveFailed(final Exception cause) {
             if (!endOnce()) {
                 return;
             }
@@ -102,10 +104,10 @@
         }
 
         private boolean endOnce() {
-            if (mOver) {
+            if (mEnded) {
                 return false;
             }
-            mOver = true;
+            mEnded = true;
             mTimer.remove();
             return true;
         }
--- a/daemon/src/main/java/org/whinhead/daemon/caller/WholeFormat.java
+++ b/daemon/src/main/java/org/whinhead/daemon/caller/BufferedFormat.java
@@ -4,9 +4,9 @@
 import java.nio.charset.StandardCharsets;
 
 /** Gathers the tokens and sends one JSON answer. */
-final class WholeFormat implements AnswerFormat {
+final class BufferedFormat implements AnswerFormat {
 
-    private final ChatChunks mChunks;
+    private final ChatResponseJson mJson;
     private final StringBuilder mText = new StringBuilder();
 
     /**
@@ -15,19 +15,20 @@
      * @param chunks makes the JSON
      * @param deliveredText the beginning of the answer that the caller sent along
      */
-    WholeFormat(final ChatChunks chunks, final String deliveredText) {
-        mChunks = chunks;
+    BufferedFormat(final ChatResponseJson chunks, final String deliveredText) {
+        mJson = chunks;
         mText.append(deliveredText);
     }
 
     @Override
-    public void take(final ReplyPart part, final ExchangeWriter writer) {
+    public void write(final ReplyPart part, final ExchangeWriter writer) {
         if (part instanceof ReplyPart.Token token) {
             mText.append(token.text());
         } else if (part instanceof ReplyPart.NewTicket ticket) {
             writer.exchange().getResponseHeaders().put(CallerHeaders.TICKET, ticket.ticket());
         } else if (part instanceof ReplyPart.Completed completed) {
-            final String json = mChunks.whole(mText.toString(), completed.completion()).toString();
+            final String json =
+                    mJson.completion(mText.toString(), completed.completion()).toString();
             final byte[] body = json.getBytes(StandardCharsets.UTF_8);
             writer.exchange().getResponseHeaders().put(Headers.CONTENT_TYPE, "application/json");
             writer.exchange().getResponseHeaders().put(Headers.CONTENT_LENGTH, body.length);
--- a/daemon/src/main/java/org/whinhead/daemon/caller/CallerServer.java
+++ b/daemon/src/main/java/org/whinhead/daemon/caller/CallerApi.java
@@ -14,9 +14,9 @@
 import org.whinhead.requests.TicketCodec;
 
 /** Puts the callers' interface together; made by its builder. */
-public final class CallerServer {
+public final class CallerApi {
 
-    private CallerServer() {}
+    private CallerApi() {}
 
     /**
      * Starts a builder.
@@ -31,7 +31,7 @@
     /** Builds the handler of callers' requests. */
     public static final class Builder {
         private static final Duration BODY_TIMEOUT = Duration.ofSeconds(10);
-        private static final Duration KEEP = Duration.ofSeconds(5);
+        private static final Duration ADDRESS_CACHE_TIME = Duration.ofSeconds(5);
         private static final int MAX_WAITING_BYTES = 256 * 1024;
 
         private final DaemonId mDaemon;
@@ -116,8 +116,8 @@
 
         /** Builds the handler. */
         public CallerHandler build() {
-            final Intake intake =
-                    new Intake(
+            final RequestSubmitter intake =
+                    new RequestSubmitter(
                             mRequests, mLoop, mBurn, mStopping, mMaxInProgress, mMaxWaitingBytes);
             final BodyReceiver bodies = new BodyReceiver(mMaxBodyBytes, mBodyTimeout);
             final RequestNames names = new RequestNames(mDaemon);
@@ -127,7 +127,7 @@
                     mBurn,
                     new ChatHandler(mView, intake, bodies, names, mTickets, mClock),
                     new ServiceHandler(mView, intake, bodies, names, mClock),
-                    new ListingHandler(mView, mAddresses, KEEP));
+                    new ListingHandler(mView, mAddresses, ADDRESS_CACHE_TIME));
         }
     }
 }
--- a/daemon/src/main/java/org/whinhead/daemon/caller/CallerHandler.java
+++ b/daemon/src/main/java/org/whinhead/daemon/caller/CallerHandler.java
@@ -45,7 +45,7 @@
     @Override
     public void handleRequest(final HttpServerExchange exchange) {
         try {
-            final String name = mNames.shown(exchange);
+            final String name = mNames.assignName(exchange);
             route(exchange, name);
         } catch (final RequestException e) {
             Refusals.send(exchange, e.refusal());
@@ -59,28 +59,28 @@
         final boolean get = method.equals(Methods.GET);
         final boolean post = method.equals(Methods.POST);
         if (post && path.equals(CHAT)) {
-            mChat.handle(exchange, counted(exchange), name);
+            mChat.handle(exchange, countedCustomer(exchange), name);
         } else if ((get || post) && path.startsWith(ServiceHandler.PREFIX)) {
-            mServices.handle(exchange, counted(exchange), name);
+            mServices.handle(exchange, countedCustomer(exchange), name);
         } else if (get && path.equals(MODELS)) {
             customer(exchange);
-            mListings.models(exchange);
+            mListings.listModels(exchange);
         } else if (get && path.equals(ADDRESSES)) {
-            mListings.addresses(exchange);
+            mListings.listAddresses(exchange);
         } else {
             throw new RequestException(Refusal.notRun(ErrorCode.UNKNOWN_PATH, method + " " + path));
         }
     }
 
     /** Finds the customer, against whose tier a refusal from now on counts. */
-    private Customer counted(final HttpServerExchange exchange) throws RequestException {
+    private Customer countedCustomer(final HttpServerExchange exchange) throws RequestException {
         final Customer customer = customer(exchange);
-        Refusals.listen(exchange, refusal -> mBurn.refused(customer, refusal));
+        Refusals.setListener(exchange, refusal -> mBurn.recordRefusal(customer, refusal));
         return customer;
     }
 
     private Customer customer(final HttpServerExchange exchange) throws RequestException {
-        return KeyCheck.customer(
+        return KeyAuthenticator.authenticate(
                 exchange.getRequestHeaders().getFirst(Headers.AUTHORIZATION),
                 mView.get().customers());
     }
--- a/daemon/src/main/java/org/whinhead/daemon/caller/ChatHandler.java
+++ b/daemon/src/main/java/org/whinhead/daemon/caller/ChatHandler.java
@@ -22,22 +22,22 @@
 final class ChatHandler {
 
     private final Supplier<DeploymentView> mView;
-    private final Intake mIntake;
-    private final BodyReceiver mBodies;
+    private final RequestSubmitter mSubmitter;
+    private final BodyReceiver mBodyReceiver;
     private final RequestNames mNames;
     private final TicketCodec mTickets;
     private final InstantSource mClock;
 
     ChatHandler(
             final Supplier<DeploymentView> view,
-            final Intake intake,
+            final RequestSubmitter intake,
             final BodyReceiver bodies,
             final RequestNames names,
             final TicketCodec tickets,
             final InstantSource clock) {
         mView = view;
-        mIntake = intake;
-        mBodies = bodies;
+        mSubmitter = intake;
+        mBodyReceiver = bodies;
         mNames = names;
         mTickets = tickets;
         mClock = clock;
@@ -45,11 +45,11 @@
 
     void handle(final HttpServerExchange exchange, final Customer customer, final String name)
             throws RequestException {
-        mIntake.checkOpen();
-        mBodies.receive(exchange, body -> received(exchange, customer, name, body));
+        mSubmitter.checkAccepting();
+        mBodyReceiver.receive(exchange, body -> submit(exchange, customer, name, body));
     }
 
-    private void received(
+    private void submit(
             final HttpServerExchange exchange,
             final Customer customer,
             final String name,
@@ -57,26 +57,26 @@
             throws RequestException {
         final ChatRequest request = ChatRequestParser.parse(bytes);
         final ModelRef model = model(request.model());
-        final Optional<Comeback> comeback =
-                Comeback.read(
+        final Optional<ResumeRequest> comeback =
+                ResumeRequest.parse(
                         exchange,
                         mTickets,
                         customer,
-                        mNames.identity(customer, name),
+                        mNames.requestId(customer, name),
                         request,
                         mClock.instant());
         final RequestId id =
-                comeback.isPresent() ? comeback.get().request() : identity(customer, name);
-        final ChatChunks chunks = new ChatChunks(name, request.model());
-        mIntake.takeIn(
+                comeback.isPresent() ? comeback.get().requestId() : identity(customer, name);
+        final ChatResponseJson chunks = new ChatResponseJson(name, request.model());
+        mSubmitter.submit(
                 exchange,
                 spec(request, model, customer, id),
                 new RequestBody.Chat(request.encoder(model, customer.tier().priority())),
                 request.streamed()
                         ? new StreamedFormat(chunks)
-                        : new WholeFormat(chunks, request.deliveredText()),
+                        : new BufferedFormat(chunks, request.deliveredText()),
                 live ->
-                        comeback.<DecisionEvent>map(c -> c.event(live))
+                        comeback.<DecisionEvent>map(c -> c.toEvent(live))
                                 .orElseGet(() -> new DecisionEvent.Arrived(live)));
     }
 
@@ -94,8 +94,10 @@
      * generation may be repeated, so the second gets an identity and an answer of its own.
      */
     private RequestId identity(final Customer customer, final String name) {
-        final RequestId asked = mNames.identity(customer, name);
-        return mIntake.isInProgress(asked) ? mNames.identity(customer, mNames.fresh()) : asked;
+        final RequestId asked = mNames.requestId(customer, name);
+        return mSubmitter.isInProgress(asked)
+                ? mNames.requestId(customer, mNames.newName())
+                : asked;
     }
 
     private RequestSpec spec(
--- a/daemon/src/main/java/org/whinhead/daemon/caller/ChatRequestParser.java
+++ b/daemon/src/main/java/org/whinhead/daemon/caller/ChatRequestParser.java
@@ -23,7 +23,7 @@
                     .enable(JsonParser.Feature.STRICT_DUPLICATE_DETECTION);
     private static final Set<String> ROLES = Set.of("system", "user", "assistant", "tool");
     private static final int DEFAULT_MAX_TOKENS = 1024;
-    private static final int MOST_TOKENS = 1_000_000;
+    private static final int MAX_MAX_TOKENS = 1_000_000;
 
     private ChatRequestParser() {}
 
@@ -89,9 +89,11 @@
         if (node.isMissingNode()) {
             return DEFAULT_MAX_TOKENS;
         }
-        if (!node.isInt() || node.intValue() < 1 || node.intValue() > MOST_TOKENS) {
+        if (!node.isInt() || node.intValue() < 1 || node.intValue() > MAX_MAX_TOKENS) {
             throw malformed(
-                    ChatFields.MAX_TOKENS + ": expected a whole number from 1 to " + MOST_TOKENS);
+                    ChatFields.MAX_TOKENS
+                            + ": expected a whole number from 1 to "
+                            + MAX_MAX_TOKENS);
         }
         return node.intValue();
     }
--- a/daemon/src/main/java/org/whinhead/daemon/caller/ChatChunks.java
+++ b/daemon/src/main/java/org/whinhead/daemon/caller/ChatResponseJson.java
@@ -10,13 +10,13 @@
  * @param id the answer's id
  * @param model the model's name as the caller gave it
  */
-record ChatChunks(String id, String model) {
+record ChatResponseJson(String id, String model) {
 
     private static final String CHUNK = "chat.completion.chunk";
-    private static final String WHOLE = "chat.completion";
+    private static final String COMPLETION = "chat.completion";
 
     /** Makes the chunk of one token. */
-    ObjectNode token(final String text) {
+    ObjectNode tokenChunk(final String text) {
         final ObjectNode root = root(CHUNK);
         final ObjectNode choice = choice(root);
         choice.putObject("delta").put(ChatFields.CONTENT, text);
@@ -25,7 +25,7 @@
     }
 
     /** Makes the last chunk. */
-    ObjectNode end(final Completion completion) {
+    ObjectNode finalChunk(final Completion completion) {
         final ObjectNode root = root(CHUNK);
         final ObjectNode choice = choice(root);
         choice.putObject("delta");
@@ -34,8 +34,8 @@
     }
 
     /** Makes a whole answer. */
-    ObjectNode whole(final String text, final Completion completion) {
-        final ObjectNode root = root(WHOLE);
+    ObjectNode completion(final String text, final Completion completion) {
+        final ObjectNode root = root(COMPLETION);
         final ObjectNode choice = choice(root);
         choice.putObject("message")
                 .put(ChatFields.ROLE, ChatFields.ASSISTANT)
--- a/daemon/src/main/java/org/whinhead/daemon/caller/HangUpWatch.java
+++ b/daemon/src/main/java/org/whinhead/daemon/caller/DisconnectDetector.java
@@ -15,25 +15,25 @@
  * pipelined request are kept for the server, and reading stops. When the exchange ends the server
  * sets its own listener again.
  */
-final class HangUpWatch {
+final class DisconnectDetector {
 
     private final AbstractServerConnection mConnection;
-    private final Runnable mLeft;
+    private final Runnable mOnDisconnect;
 
-    private HangUpWatch(final AbstractServerConnection connection, final Runnable left) {
+    private DisconnectDetector(final AbstractServerConnection connection, final Runnable left) {
         mConnection = connection;
-        mLeft = left;
+        mOnDisconnect = left;
     }
 
     /** Starts to watch; on the connection's IO thread, when the request was read whole. */
     static void start(final HttpServerExchange exchange, final Runnable left) {
         if (exchange.getConnection() instanceof AbstractServerConnection connection
                 && connection.getExtraBytes() == null) {
-            new HangUpWatch(connection, left).listen();
+            new DisconnectDetector(connection, left).listenForReads();
         }
     }
 
-    private void listen() {
+    private void listenForReads() {
         final StreamSourceConduit source = mConnection.getOriginalSourceConduit();
         mConnection.getChannel().getSourceChannel().setReadListener(ignored -> read());
         source.resumeReads();
@@ -53,11 +53,11 @@
             pooled.close();
             if (count < 0) {
                 source.suspendReads();
-                mLeft.run();
+                mOnDisconnect.run();
             }
         } catch (final IOException e) {
             pooled.close();
-            mLeft.run();
+            mOnDisconnect.run();
         }
     }
 }
--- a/daemon/src/main/java/org/whinhead/daemon/caller/ExchangeWriter.java
+++ b/daemon/src/main/java/org/whinhead/daemon/caller/ExchangeWriter.java
@@ -19,13 +19,13 @@
 
     private final HttpServerExchange mExchange;
     private final int mMaxWaitingBytes;
-    private final Runnable mCallerLeft;
-    private final EndListener mEnded;
+    private final Runnable mOnCallerDisconnect;
+    private final EndListener mEndListener;
     private final Deque<ByteBuffer> mWaiting = new ArrayDeque<>();
     private StreamSinkChannel mChannel;
     private int mWaitingBytes;
     private boolean mEnding;
-    private boolean mShutDown;
+    private boolean mIsShutDown;
     private boolean mClosed;
 
     /** Is told once how a response ended. */
@@ -42,8 +42,8 @@
             final EndListener ended) {
         mExchange = exchange;
         mMaxWaitingBytes = maxWaitingBytes;
-        mCallerLeft = callerLeft;
-        mEnded = ended;
+        mOnCallerDisconnect = callerLeft;
+        mEndListener = ended;
     }
 
     HttpServerExchange exchange() {
@@ -65,9 +65,9 @@
         }
         mWaiting.add(ByteBuffer.wrap(bytes));
         mWaitingBytes += bytes.length;
-        pump();
+        writeWaiting();
         if (!mClosed && mWaitingBytes > mMaxWaitingBytes) {
-            callerLeft();
+            abort();
         }
     }
 
@@ -75,29 +75,29 @@
     void end() {
         if (!mClosed && !mEnding) {
             mEnding = true;
-            pump();
+            writeWaiting();
         }
     }
 
     /** Closes the connection; the request is cancelled unless its response was ending. */
-    void callerLeft() {
+    void abort() {
         if (mClosed) {
             return;
         }
         mClosed = true;
         mWaiting.clear();
         IoUtils.safeClose(mExchange.getConnection());
-        mEnded.ended(false);
+        mEndListener.ended(false);
         if (!mEnding) {
-            mCallerLeft.run();
+            mOnCallerDisconnect.run();
         }
     }
 
-    private void pump() {
+    private void writeWaiting() {
         try {
             if (mChannel == null) {
                 mChannel = mExchange.getResponseChannel();
-                mChannel.getWriteSetter().set(ignored -> pump());
+                mChannel.getWriteSetter().set(ignored -> writeWaiting());
             }
             if (writeAll() && (mEnding ? shutDown() : mChannel.flush())) {
                 mChannel.suspendWrites();
@@ -106,7 +106,7 @@
                 mChannel.resumeWrites();
             }
         } catch (final IOException e) {
-            callerLeft();
+            abort();
         }
     }
 
@@ -124,9 +124,9 @@
     }
 
     private boolean shutDown() throws IOException {
-        if (!mShutDown) {
+        if (!mIsShutDown) {
             mChannel.shutdownWrites();
-            mShutDown = true;
+            mIsShutDown = true;
         }
         return mChannel.flush();
     }
@@ -135,7 +135,7 @@
         if (mEnding && !mClosed) {
             mClosed = true;
             mExchange.endExchange();
-            mEnded.ended(true);
+            mEndListener.ended(true);
         }
     }
 }
--- a/daemon/src/main/java/org/whinhead/daemon/caller/KeyCheck.java
+++ b/daemon/src/main/java/org/whinhead/daemon/caller/KeyAuthenticator.java
@@ -12,20 +12,20 @@
 import org.whinhead.api.verdict.RequestException;
 
 /** Finds the customer whose key a request carries. */
-final class KeyCheck {
+final class KeyAuthenticator {
 
     private static final String SCHEME = "Bearer ";
     private static final String ALGORITHM = "SHA-256";
     private static final String NO_HEADER = "the Authorization header has no bearer key";
     private static final String NO_MATCH = "no customer has this key";
 
-    private KeyCheck() {}
+    private KeyAuthenticator() {}
 
     /**
      * Finds the customer. Guards against a key that is guessed from the time that a comparison
      * takes: every hash is compared, each in full, whether or not one matched before.
      */
-    static Customer customer(final String authorization, final List<Customer> customers)
+    static Customer authenticate(final String authorization, final List<Customer> customers)
             throws RequestException {
         if (authorization == null || !authorization.startsWith(SCHEME)) {
             throw refused(NO_HEADER);
--- a/daemon/src/main/java/org/whinhead/daemon/caller/ListingHandler.java
+++ b/daemon/src/main/java/org/whinhead/daemon/caller/ListingHandler.java
@@ -16,7 +16,7 @@
 
     private final Supplier<DeploymentView> mView;
     private final Supplier<List<EntryAddress>> mAddresses;
-    private final Duration mKeep;
+    private final Duration mAddressCacheTime;
 
     ListingHandler(
             final Supplier<DeploymentView> view,
@@ -24,11 +24,11 @@
             final Duration keep) {
         mView = view;
         mAddresses = addresses;
-        mKeep = keep;
+        mAddressCacheTime = keep;
     }
 
     /** Answers with the models: {@code GET /v1/models}. */
-    void models(final HttpServerExchange exchange) {
+    void listModels(final HttpServerExchange exchange) {
         final ObjectNode root = JsonNodeFactory.instance.objectNode().put("object", "list");
         final ArrayNode data = root.putArray("data");
         mView.get().models().keySet().stream()
@@ -38,7 +38,7 @@
     }
 
     /** Answers with the addresses that callers may use: {@code GET /v1/addresses}. */
-    void addresses(final HttpServerExchange exchange) {
+    void listAddresses(final HttpServerExchange exchange) {
         final ObjectNode root = JsonNodeFactory.instance.objectNode();
         final ArrayNode addresses = root.putArray("addresses");
         for (final EntryAddress address : mAddresses.get()) {
@@ -47,7 +47,7 @@
                     .put("uri", address.uri().toString())
                     .put("domain", address.domain().toString());
         }
-        root.put("keepMillis", mKeep.toMillis());
+        root.put("keepMillis", mAddressCacheTime.toMillis());
         send(exchange, root);
     }
 
--- a/daemon/src/main/java/org/whinhead/daemon/caller/PlainFormat.java
+++ b/daemon/src/main/java/org/whinhead/daemon/caller/PlainFormat.java
@@ -8,7 +8,7 @@
 final class PlainFormat implements AnswerFormat {
 
     @Override
-    public void take(final ReplyPart part, final ExchangeWriter writer) {
+    public void write(final ReplyPart part, final ExchangeWriter writer) {
         if (part instanceof ReplyPart.Answered answered) {
             send(answered.answer(), writer);
         } else if (part instanceof ReplyPart.Refused refused) {
--- a/daemon/src/main/java/org/whinhead/daemon/caller/QueuedReply.java
+++ b/daemon/src/main/java/org/whinhead/daemon/caller/QueuedReply.java
@@ -25,12 +25,12 @@
     }
 
     @Override
-    public void token(final long index, final String text) {
+    public void sendToken(final long index, final String text) {
         enqueue(new ReplyPart.Token(index, text));
     }
 
     @Override
-    public void ticket(final String ticket) {
+    public void sendTicket(final String ticket) {
         enqueue(new ReplyPart.NewTicket(ticket));
     }
 
@@ -40,7 +40,7 @@
     }
 
     @Override
-    public void answer(final PlainAnswer answer) {
+    public void sendAnswer(final PlainAnswer answer) {
         enqueue(new ReplyPart.Answered(answer));
     }
 
@@ -56,7 +56,7 @@
 
     @Override
     public void supersede() {
-        mThread.execute(mWriter::callerLeft);
+        mThread.execute(mWriter::abort);
     }
 
     private void enqueue(final ReplyPart part) {
@@ -72,12 +72,12 @@
         ReplyPart part = mParts.poll();
         while (part != null) {
             if (!mWriter.isClosed()) {
-                mFormat.take(part, mWriter);
+                mFormat.write(part, mWriter);
             }
             part = mParts.poll();
         }
         if (!mWriter.isClosed()) {
-            mFormat.endOfBatch(mWriter);
+            mFormat.flushBatch(mWriter);
         }
     }
 }
--- a/daemon/src/main/java/org/whinhead/daemon/caller/RefusalBody.java
+++ b/daemon/src/main/java/org/whinhead/daemon/caller/RefusalBody.java
@@ -29,7 +29,7 @@
     }
 
     /** Returns a wait in whole seconds, rounded up so that nobody comes back too early. */
-    static long seconds(final Duration wait) {
+    static long roundUpToSeconds(final Duration wait) {
         return (wait.toMillis() + MILLIS_PER_SECOND - 1) / MILLIS_PER_SECOND;
     }
 }
--- a/daemon/src/main/java/org/whinhead/daemon/caller/Refusals.java
+++ b/daemon/src/main/java/org/whinhead/daemon/caller/Refusals.java
@@ -23,18 +23,21 @@
     private Refusals() {}
 
     /** Sets who is told if a request is refused before it was taken in. */
-    static void listen(final HttpServerExchange exchange, final Consumer<Refusal> listener) {
+    static void setListener(final HttpServerExchange exchange, final Consumer<Refusal> listener) {
         exchange.putAttachment(LISTENER, listener);
     }
 
     /** Sets the status and the headers of a refusal. */
-    static void head(final HttpServerExchange exchange, final Refusal refusal) {
+    static void setStatusAndHeaders(final HttpServerExchange exchange, final Refusal refusal) {
         final HeaderMap headers = exchange.getResponseHeaders();
         exchange.setStatusCode(refusal.code().status());
         headers.put(Headers.CONTENT_TYPE, JSON);
         headers.put(CallerHeaders.VERDICT, refusal.verdict().wireName());
         refusal.retryAfter()
-                .ifPresent(wait -> headers.put(Headers.RETRY_AFTER, RefusalBody.seconds(wait)));
+                .ifPresent(
+                        wait ->
+                                headers.put(
+                                        Headers.RETRY_AFTER, RefusalBody.roundUpToSeconds(wait)));
     }
 
     /**
@@ -44,7 +47,8 @@
      * then died, and the second one is refused here, for example because the log is out. This
      * daemon knows only that the second did not run, so it does not say more of a repeat.
      */
-    private static Refusal told(final HttpServerExchange exchange, final Refusal refusal) {
+    private static Refusal weakenIfRepeat(
+            final HttpServerExchange exchange, final Refusal refusal) {
         final String repeat = exchange.getRequestHeaders().getFirst(CallerHeaders.REPEAT);
         if (!Boolean.parseBoolean(repeat) || refusal.verdict() != Verdict.NOT_RUN) {
             return refusal;
@@ -55,9 +59,9 @@
 
     /** Refuses a request that was read whole and has a writer. */
     static void write(final ExchangeWriter writer, final Refusal decided) {
-        final Refusal refusal = told(writer.exchange(), decided);
+        final Refusal refusal = weakenIfRepeat(writer.exchange(), decided);
         final byte[] body = RefusalBody.of(refusal);
-        head(writer.exchange(), refusal);
+        setStatusAndHeaders(writer.exchange(), refusal);
         writer.exchange().getResponseHeaders().put(Headers.CONTENT_LENGTH, body.length);
         writer.write(body);
         writer.end();
@@ -71,8 +75,8 @@
      * make the kernel reset the connection, and the caller might never see the refusal.
      */
     static void send(final HttpServerExchange exchange, final Refusal decided) {
-        final Refusal refusal = told(exchange, decided);
-        head(exchange, refusal);
+        final Refusal refusal = weakenIfRepeat(exchange, decided);
+        setStatusAndHeaders(exchange, refusal);
         final Consumer<Refusal> listener = exchange.getAttachment(LISTENER);
         if (listener != null) {
             listener.accept(refusal);
--- a/daemon/src/main/java/org/whinhead/daemon/caller/RequestNames.java
+++ b/daemon/src/main/java/org/whinhead/daemon/caller/RequestNames.java
@@ -17,35 +17,35 @@
     private static final String SEPARATOR = "/";
 
     private final DaemonId mDaemon;
-    private final AtomicLong mNext = new AtomicLong();
+    private final AtomicLong mLastNumber = new AtomicLong();
 
     RequestNames(final DaemonId daemon) {
         mDaemon = daemon;
     }
 
     /** Returns the caller's name for the request, or a new one, and echoes it. */
-    String shown(final HttpServerExchange exchange) throws RequestException {
-        final String given = header(exchange, CallerHeaders.REQUEST_ID);
-        final String shown = given.isEmpty() ? fresh() : given;
+    String assignName(final HttpServerExchange exchange) throws RequestException {
+        final String given = readNameHeader(exchange, CallerHeaders.REQUEST_ID);
+        final String shown = given.isEmpty() ? newName() : given;
         exchange.getResponseHeaders().put(CallerHeaders.REQUEST_ID, shown);
         return shown;
     }
 
     /** Returns a name that no other request of the deployment has. */
-    String fresh() {
-        return mDaemon + "-" + mNext.incrementAndGet();
+    String newName() {
+        return mDaemon + "-" + mLastNumber.incrementAndGet();
     }
 
     /**
      * Returns the identity of a request. It begins with the customer, so that two customers who use
      * the same name or idempotency key never meet in one request.
      */
-    RequestId identity(final Customer customer, final String name) {
+    RequestId requestId(final Customer customer, final String name) {
         return new RequestId(customer.id() + SEPARATOR + name);
     }
 
     /** Returns a header that names something; empty if it was not sent. */
-    static String header(final HttpServerExchange exchange, final HttpString name)
+    static String readNameHeader(final HttpServerExchange exchange, final HttpString name)
             throws RequestException {
         final String value = exchange.getRequestHeaders().getFirst(name);
         if (value == null) {
--- a/daemon/src/main/java/org/whinhead/daemon/caller/Intake.java
+++ b/daemon/src/main/java/org/whinhead/daemon/caller/RequestSubmitter.java
@@ -21,10 +21,10 @@
 import org.xnio.XnioIoThread;
 
 /** Takes checked requests in: from here on the decision thread answers for them. */
-final class Intake {
+final class RequestSubmitter {
 
-    private static final Duration COME_BACK = Duration.ofSeconds(1);
-    private static final long RETRY_MILLIS = 5;
+    private static final Duration RETRY_AFTER = Duration.ofSeconds(1);
+    private static final long OFFER_RETRY_MILLIS = 5;
 
     private final LiveRequests mRequests;
     private final DecisionLoop mLoop;
@@ -33,7 +33,7 @@
     private final int mMaxInProgress;
     private final int mMaxWaitingBytes;
 
-    Intake(
+    RequestSubmitter(
             final LiveRequests requests,
             final DecisionLoop loop,
             final BurnCollector burn,
@@ -49,7 +49,7 @@
     }
 
     /** Refuses while the daemon stops or has its hands full. */
-    void checkOpen() throws RequestException {
+    void checkAccepting() throws RequestException {
         if (mStopping.getAsBoolean()) {
             throw refused(ErrorCode.STOPPING, "ask for another address");
         }
@@ -64,7 +64,7 @@
     }
 
     /** Takes a request in; on its connection's IO thread. */
-    void takeIn(
+    void submit(
             final HttpServerExchange exchange,
             final RequestSpec spec,
             final RequestBody body,
@@ -77,35 +77,38 @@
                 new ExchangeWriter(
                         exchange,
                         mMaxWaitingBytes,
-                        () -> callerLeft(live.get()),
-                        whole -> ended(measured.get(), whole));
+                        () -> reportCallerLeft(live.get()),
+                        whole -> responseEnded(measured.get(), whole));
         final XnioIoThread thread = exchange.getIoThread();
         measured.set(mBurn.measure(spec, new QueuedReply(thread, format, writer)));
         live.set(new LiveRequest(spec, body, measured.get(), thread));
         if (!mLoop.offerNew(event.apply(live.get()))) {
             throw refused(ErrorCode.OVERLOADED, "the decision ring is full");
         }
-        mRequests.answerOwed();
-        HangUpWatch.start(exchange, writer::callerLeft);
+        mRequests.responseOpened();
+        DisconnectDetector.start(exchange, writer::abort);
     }
 
-    private void ended(final MeasuredReply reply, final boolean whole) {
-        mRequests.answerEnded();
-        mBurn.ended(reply, whole);
+    private void responseEnded(final MeasuredReply reply, final boolean whole) {
+        mRequests.responseClosed();
+        mBurn.recordEnd(reply, whole);
     }
 
     private static RequestException refused(final ErrorCode code, final String detail) {
-        return new RequestException(Refusal.notRun(code, detail).comeBackAfter(COME_BACK));
+        return new RequestException(Refusal.notRun(code, detail).comeBackAfter(RETRY_AFTER));
     }
 
     /**
      * Tells the decision thread that a caller left. Guards against a full ring: the news must not
      * be lost, or the engine would go on for nobody, so it is offered again until there is room.
      */
-    private void callerLeft(final LiveRequest request) {
+    private void reportCallerLeft(final LiveRequest request) {
         if (!mLoop.offer(new DecisionEvent.CallerLeft(request))) {
             request.thread()
-                    .executeAfter(() -> callerLeft(request), RETRY_MILLIS, TimeUnit.MILLISECONDS);
+                    .executeAfter(
+                            () -> reportCallerLeft(request),
+                            OFFER_RETRY_MILLIS,
+                            TimeUnit.MILLISECONDS);
         }
     }
 }
--- a/daemon/src/main/java/org/whinhead/daemon/caller/Comeback.java
+++ b/daemon/src/main/java/org/whinhead/daemon/caller/ResumeRequest.java
@@ -25,13 +25,13 @@
  * @param haveTokens how many tokens the caller already has
  * @param haveText their text
  */
-record Comeback(Ticket ticket, long haveTokens, String haveText) {
+record ResumeRequest(Ticket ticket, long deliveredTokens, String deliveredText) {
 
-    private static final Logger LOGGER = LoggerFactory.getLogger(Comeback.class);
+    private static final Logger LOGGER = LoggerFactory.getLogger(ResumeRequest.class);
     private static final EndpointId NO_ENDPOINT = new EndpointId("none");
 
     /** Reads a ticket and what goes with it; empty if the request brings none. */
-    static Optional<Comeback> read(
+    static Optional<ResumeRequest> parse(
             final HttpServerExchange exchange,
             final TicketCodec tickets,
             final Customer customer,
@@ -43,12 +43,12 @@
         if (text == null) {
             return Optional.empty();
         }
-        final long tokens = haveTokens(exchange);
+        final long tokens = deliveredTokens(exchange);
         if (request.deliveredText().isEmpty() != (tokens == 0)) {
             throw refused(ChatFields.DELIVERED_TEXT + ": does not go with Last-Event-ID");
         }
         final Ticket ticket = ticket(text, tickets, customer, identity, now);
-        return Optional.of(new Comeback(ticket, tokens, request.deliveredText()));
+        return Optional.of(new ResumeRequest(ticket, tokens, request.deliveredText()));
     }
 
     /**
@@ -84,15 +84,15 @@
     }
 
     /** Returns the identity that the request has had from the beginning. */
-    RequestId request() {
+    RequestId requestId() {
         return ticket.attempt().request();
     }
 
-    DecisionEvent event(final LiveRequest live) {
-        return new DecisionEvent.Returned(live, ticket, haveTokens, haveText);
+    DecisionEvent toEvent(final LiveRequest live) {
+        return new DecisionEvent.ResumeRequested(live, ticket, deliveredTokens, deliveredText);
     }
 
-    private static long haveTokens(final HttpServerExchange exchange) throws RequestException {
+    private static long deliveredTokens(final HttpServerExchange exchange) throws RequestException {
         final String last = exchange.getRequestHeaders().getFirst(CallerHeaders.LAST_EVENT_ID);
         if (last == null) {
             return 0;
--- a/daemon/src/main/java/org/whinhead/daemon/caller/ServiceHandler.java
+++ b/daemon/src/main/java/org/whinhead/daemon/caller/ServiceHandler.java
@@ -24,27 +24,27 @@
     private static final String NOT_IDEMPOTENT = "false";
 
     private final Supplier<DeploymentView> mView;
-    private final Intake mIntake;
-    private final BodyReceiver mBodies;
+    private final RequestSubmitter mSubmitter;
+    private final BodyReceiver mBodyReceiver;
     private final RequestNames mNames;
     private final InstantSource mClock;
 
     ServiceHandler(
             final Supplier<DeploymentView> view,
-            final Intake intake,
+            final RequestSubmitter intake,
             final BodyReceiver bodies,
             final RequestNames names,
             final InstantSource clock) {
         mView = view;
-        mIntake = intake;
-        mBodies = bodies;
+        mSubmitter = intake;
+        mBodyReceiver = bodies;
         mNames = names;
         mClock = clock;
     }
 
     void handle(final HttpServerExchange exchange, final Customer customer, final String name)
             throws RequestException {
-        mIntake.checkOpen();
+        mSubmitter.checkAccepting();
         final String rest = exchange.getRequestPath().substring(PREFIX.length());
         final int slash = rest.indexOf('/');
         final String service = slash < 0 ? rest : rest.substring(0, slash);
@@ -59,13 +59,13 @@
                                                         ErrorCode.UNKNOWN_TARGET,
                                                         "service " + service)));
         final boolean idempotent = rules.isIdempotent(path) && !saysNotIdempotent(exchange);
-        final String given = RequestNames.header(exchange, CallerHeaders.IDEMPOTENCY_KEY);
+        final String given = RequestNames.readNameHeader(exchange, CallerHeaders.IDEMPOTENCY_KEY);
         final String key = given.isEmpty() ? name : given;
         final RequestSpec spec = spec(customer, key, service, idempotent);
-        mBodies.receive(
+        mBodyReceiver.receive(
                 exchange,
                 body ->
-                        mIntake.takeIn(
+                        mSubmitter.submit(
                                 exchange,
                                 spec,
                                 plain(exchange, path, key, body),
@@ -75,7 +75,8 @@
 
     private static boolean saysNotIdempotent(final HttpServerExchange exchange)
             throws RequestException {
-        return NOT_IDEMPOTENT.equals(RequestNames.header(exchange, CallerHeaders.IDEMPOTENT));
+        return NOT_IDEMPOTENT.equals(
+                RequestNames.readNameHeader(exchange, CallerHeaders.IDEMPOTENT));
     }
 
     private RequestSpec spec(
@@ -83,10 +84,10 @@
             final String key,
             final String service,
             final boolean idempotent) {
-        final RequestId asked = mNames.identity(customer, service + "/" + key);
+        final RequestId asked = mNames.requestId(customer, service + "/" + key);
         // A second call under the same key may run beside the first only if it may be repeated.
-        final boolean renamed = idempotent && mIntake.isInProgress(asked);
-        final RequestId id = renamed ? mNames.identity(customer, mNames.fresh()) : asked;
+        final boolean renamed = idempotent && mSubmitter.isInProgress(asked);
+        final RequestId id = renamed ? mNames.requestId(customer, mNames.newName()) : asked;
         final Instant now = mClock.instant();
         return RequestSpec.builder(id)
                 .customer(customer.id())
--- a/daemon/src/main/java/org/whinhead/daemon/caller/StreamedFormat.java
+++ b/daemon/src/main/java/org/whinhead/daemon/caller/StreamedFormat.java
@@ -13,41 +13,41 @@
     private static final String EVENT_STREAM = "text/event-stream";
     private static final String DONE = "data: [DONE]\n\n";
 
-    private final ChatChunks mChunks;
+    private final ChatResponseJson mJson;
     private final StringBuilder mBatch = new StringBuilder();
     private String mTicket = "";
 
-    StreamedFormat(final ChatChunks chunks) {
-        mChunks = chunks;
+    StreamedFormat(final ChatResponseJson chunks) {
+        mJson = chunks;
     }
 
     @Override
-    public void take(final ReplyPart part, final ExchangeWriter writer) {
+    public void write(final ReplyPart part, final ExchangeWriter writer) {
         if (part instanceof ReplyPart.Token token) {
-            begin(writer);
+            startIfNeeded(writer);
             mBatch.append("id: ").append(token.index()).append('\n');
-            data(mChunks.token(token.text()));
+            appendData(mJson.tokenChunk(token.text()));
         } else if (part instanceof ReplyPart.NewTicket ticket) {
-            ticket(ticket.ticket(), writer);
+            appendTicket(ticket.ticket(), writer);
         } else if (part instanceof ReplyPart.Completed completed) {
             complete(completed.completion(), writer);
         } else if (part instanceof ReplyPart.Refused refused) {
             refuse(refused.refusal(), writer);
         } else if (part instanceof ReplyPart.HandedBack back) {
-            ticket(back.ticket(), writer);
+            appendTicket(back.ticket(), writer);
             refuse(back.refusal(), writer);
         }
     }
 
     @Override
-    public void endOfBatch(final ExchangeWriter writer) {
+    public void flushBatch(final ExchangeWriter writer) {
         if (mBatch.length() > 0) {
             writer.write(mBatch.toString().getBytes(StandardCharsets.UTF_8));
             mBatch.setLength(0);
         }
     }
 
-    private void begin(final ExchangeWriter writer) {
+    private void startIfNeeded(final ExchangeWriter writer) {
         if (writer.hasBegun() || mBatch.length() > 0) {
             return;
         }
@@ -59,7 +59,7 @@
         }
     }
 
-    private void ticket(final String ticket, final ExchangeWriter writer) {
+    private void appendTicket(final String ticket, final ExchangeWriter writer) {
         final boolean begun = writer.hasBegun() || mBatch.length() > 0;
         mTicket = ticket;
         if (begun) {
@@ -68,10 +68,10 @@
     }
 
     private void complete(final Completion completion, final ExchangeWriter writer) {
-        begin(writer);
-        data(mChunks.end(completion));
+        startIfNeeded(writer);
+        appendData(mJson.finalChunk(completion));
         mBatch.append(DONE);
-        endOfBatch(writer);
+        flushBatch(writer);
         writer.end();
     }
 
@@ -86,11 +86,11 @@
         mBatch.append("event: error\ndata: ")
                 .append(new String(RefusalBody.of(refusal), StandardCharsets.UTF_8))
                 .append("\n\n");
-        endOfBatch(writer);
+        flushBatch(writer);
         writer.end();
     }
 
-    private void data(final ObjectNode chunk) {
+    private void appendData(final ObjectNode chunk) {
         mBatch.append("data: ").append(chunk).append("\n\n");
     }
 }
--- a/daemon/src/main/java/org/whinhead/daemon/decision/DecisionEvent.java
+++ b/daemon/src/main/java/org/whinhead/daemon/decision/DecisionEvent.java
@@ -34,7 +34,7 @@
      * @param request the request
      */
     record Arrived(LiveRequest request) implements DecisionEvent {
-        private static final Duration COME_BACK = Duration.ofSeconds(1);
+        private static final Duration RETRY_AFTER = Duration.ofSeconds(1);
 
         @Override
         public void applyTo(
@@ -56,7 +56,7 @@
                     ErrorCode.ALREADY_CLAIMED,
                     Verdict.MAY_HAVE_RUN,
                     "it is in progress here",
-                    Optional.of(COME_BACK));
+                    Optional.of(RETRY_AFTER));
         }
     }
 
@@ -69,7 +69,8 @@
      * @param haveTokens how many tokens the caller already has
      * @param haveText their text
      */
-    record Returned(LiveRequest request, Ticket ticket, long haveTokens, String haveText)
+    record ResumeRequested(
+            LiveRequest request, Ticket ticket, long deliveredTokens, String deliveredText)
             implements DecisionEvent {
         @Override
         public void applyTo(
@@ -77,7 +78,7 @@
                 final LiveRequests requests,
                 final Instant now) {
             requests.replace(request);
-            coordinator.resume(request.spec(), ticket, haveTokens, haveText, now);
+            coordinator.resume(request.spec(), ticket, deliveredTokens, deliveredText, now);
         }
     }
 
@@ -104,9 +105,9 @@
      *
      * @param event what happened
      */
-    record Attempted(AttemptEvent event) implements DecisionEvent {
+    record AttemptReported(AttemptEvent event) implements DecisionEvent {
         /** Checks the event. */
-        public Attempted {
+        public AttemptReported {
             Objects.requireNonNull(event, "event");
         }
 
@@ -126,7 +127,7 @@
      * @param outcome the decision
      * @param dispatchBy until when a granted request may be dispatched
      */
-    record Claimed(RequestId request, ClaimOutcome outcome, Instant dispatchBy)
+    record ClaimDecided(RequestId request, ClaimOutcome outcome, Instant dispatchBy)
             implements DecisionEvent {
         @Override
         public void applyTo(
@@ -187,13 +188,13 @@
      *
      * @param work the work; it must not block
      */
-    record Update(Runnable work) implements DecisionEvent {
+    record Task(Runnable action) implements DecisionEvent {
         @Override
         public void applyTo(
                 final RequestCoordinator coordinator,
                 final LiveRequests requests,
                 final Instant now) {
-            work.run();
+            action.run();
         }
     }
 }
--- a/daemon/src/main/java/org/whinhead/daemon/decision/DecisionLoop.java
+++ b/daemon/src/main/java/org/whinhead/daemon/decision/DecisionLoop.java
@@ -63,8 +63,8 @@
     }
 
     /** Returns how many events wait, for metrics. */
-    public long waiting() {
-        return mRing.waiting();
+    public long waitingEvents() {
+        return mRing.waitingEvents();
     }
 
     /**
--- a/daemon/src/main/java/org/whinhead/daemon/engine/ActionDispatcher.java
+++ b/daemon/src/main/java/org/whinhead/daemon/engine/ActionDispatcher.java
@@ -17,7 +17,7 @@
     private final LiveRequests mRequests;
     private final AttemptTransport mTransport;
     private final TicketCodec mTickets;
-    private final Claims mClaims;
+    private final ClaimService mClaimService;
 
     /**
      * Makes a dispatcher.
@@ -31,11 +31,11 @@
             final LiveRequests requests,
             final AttemptTransport transport,
             final TicketCodec tickets,
-            final Claims claims) {
+            final ClaimService claims) {
         mRequests = requests;
         mTransport = transport;
         mTickets = tickets;
-        mClaims = claims;
+        mClaimService = claims;
     }
 
     @Override
@@ -99,17 +99,17 @@
 
     @Override
     public void claim(final RequestId request) {
-        mClaims.claim(request);
+        mClaimService.claim(request);
     }
 
     @Override
     public void unclaim(final RequestId request) {
-        mClaims.withdraw(request);
+        mClaimService.withdraw(request);
     }
 
     @Override
     public void deliver(final RequestId request, final long index, final String text) {
-        mRequests.find(request).ifPresent(live -> live.reply().token(index, text));
+        mRequests.find(request).ifPresent(live -> live.reply().sendToken(index, text));
     }
 
     @Override
@@ -119,7 +119,7 @@
 
     @Override
     public void answer(final RequestId request, final PlainAnswer answer) {
-        mRequests.remove(request).ifPresent(live -> live.reply().answer(answer));
+        mRequests.remove(request).ifPresent(live -> live.reply().sendAnswer(answer));
     }
 
     @Override
@@ -129,7 +129,7 @@
 
     @Override
     public void ticket(final RequestId request, final Ticket ticket) {
-        mRequests.find(request).ifPresent(live -> live.reply().ticket(mTickets.write(ticket)));
+        mRequests.find(request).ifPresent(live -> live.reply().sendTicket(mTickets.write(ticket)));
     }
 
     @Override
--- a/daemon/src/main/java/org/whinhead/daemon/engine/AttemptEvents.java
+++ b/daemon/src/main/java/org/whinhead/daemon/engine/AttemptEventPublisher.java
@@ -16,50 +16,50 @@
  * <p>Guards against a full ring: a lost token event would leave a hole in the answer. Events that
  * find no place wait here, and the endpoint's connection is not read on until they are through.
  */
-final class AttemptEvents {
+final class AttemptEventPublisher {
 
     private static final long RETRY_MILLIS = 1;
 
     private final AttemptId mAttempt;
     private final DecisionLoop mLoop;
-    private final Runnable mEnded;
+    private final Runnable mOnEnd;
     private final Queue<AttemptEvent> mWaiting = new ArrayDeque<>();
     private HttpCall mCall;
 
-    AttemptEvents(final AttemptId attempt, final DecisionLoop loop, final Runnable ended) {
+    AttemptEventPublisher(final AttemptId attempt, final DecisionLoop loop, final Runnable ended) {
         mAttempt = attempt;
         mLoop = loop;
-        mEnded = ended;
+        mOnEnd = ended;
     }
 
     AttemptId attempt() {
         return mAttempt;
     }
 
-    void starting(final HttpCall call) {
+    void setCall(final HttpCall call) {
         mCall = call;
     }
 
-    void opened(final String streamId) {
+    void publishOpened(final String streamId) {
         publish(new AttemptEvent.Opened(mAttempt, streamId));
     }
 
-    void token(final long index, final String text) {
+    void publishToken(final long index, final String text) {
         publish(new AttemptEvent.Token(mAttempt, index, text));
     }
 
     /** Publishes the attempt's last event. */
-    void last(final AttemptEvent event) {
-        mEnded.run();
+    void publishLast(final AttemptEvent event) {
+        mOnEnd.run();
         publish(event);
     }
 
-    void failed(final AttemptFailure failure, final String detail) {
-        last(new AttemptEvent.Failed(mAttempt, failure, detail));
+    void publishFailed(final AttemptFailure failure, final String detail) {
+        publishLast(new AttemptEvent.Failed(mAttempt, failure, detail));
     }
 
     private void publish(final AttemptEvent event) {
-        if (mWaiting.isEmpty() && mLoop.offer(new DecisionEvent.Attempted(event))) {
+        if (mWaiting.isEmpty() && mLoop.offer(new DecisionEvent.AttemptReported(event))) {
             return;
         }
         if (mWaiting.isEmpty()) {
@@ -75,7 +75,7 @@
 
     private void retry() {
         while (!mWaiting.isEmpty()) {
-            if (!mLoop.offer(new DecisionEvent.Attempted(mWaiting.peek()))) {
+            if (!mLoop.offer(new DecisionEvent.AttemptReported(mWaiting.peek()))) {
                 retryLater();
                 return;
             }
--- a/daemon/src/main/java/org/whinhead/daemon/engine/Failures.java
+++ b/daemon/src/main/java/org/whinhead/daemon/engine/AttemptFailures.java
@@ -5,9 +5,9 @@
 import org.whinhead.requests.AttemptFailure;
 
 /** What a failed call or a refusing status means for an attempt. */
-final class Failures {
+final class AttemptFailures {
 
-    private Failures() {}
+    private AttemptFailures() {}
 
     static AttemptFailure of(final HttpFailure failure) {
         return switch (failure) {
--- a/daemon/src/main/java/org/whinhead/daemon/engine/AttemptTransport.java
+++ b/daemon/src/main/java/org/whinhead/daemon/engine/AttemptTransport.java
@@ -75,11 +75,11 @@
             throw new IllegalStateException(attempt + " generates for a plain service");
         }
         final OutgoingRequest outgoing =
-                named(endpoint.uri(), CHAT_PATH, attempt)
+                requestBuilder(endpoint.uri(), CHAT_PATH, attempt)
                         .method(Methods.POST)
                         .body(chat.encoder().encode(deliveredText, deliveredTokens), JSON)
                         .build();
-        start(attempt, outgoing, request.thread(), EngineStream.opening(events(attempt)));
+        start(attempt, outgoing, request.thread(), EngineStream.opening(publisher(attempt)));
     }
 
     /**
@@ -98,7 +98,7 @@
             final String streamId,
             final long fromIndex) {
         final OutgoingRequest.Builder builder =
-                named(endpoint.uri(), STREAMS_PATH + streamId, attempt);
+                requestBuilder(endpoint.uri(), STREAMS_PATH + streamId, attempt);
         if (fromIndex > 0) {
             builder.header(LAST_EVENT_HEADER, Long.toString(fromIndex - 1));
         }
@@ -106,7 +106,7 @@
                 attempt,
                 builder.build(),
                 request.thread(),
-                EngineStream.resuming(events(attempt), streamId));
+                EngineStream.resuming(publisher(attempt), streamId));
     }
 
     /**
@@ -125,25 +125,25 @@
             final String streamId,
             final Endpoint to) {
         final OutgoingRequest export =
-                named(from.uri(), STREAMS_PATH + streamId + EXPORT_SUFFIX, attempt)
+                requestBuilder(from.uri(), STREAMS_PATH + streamId + EXPORT_SUFFIX, attempt)
                         .method(Methods.POST)
                         .build();
-        final AttemptEvents events = events(attempt);
-        final CacheMove move =
-                new CacheMove(
+        final AttemptEventPublisher events = publisher(attempt);
+        final CacheExport move =
+                new CacheExport(
                         events,
                         cache ->
                                 start(
                                         attempt,
-                                        importing(attempt, to, cache),
+                                        importRequest(attempt, to, cache),
                                         request.thread(),
                                         new CacheImport(events)));
         start(attempt, export, request.thread(), move);
     }
 
-    private OutgoingRequest importing(
+    private OutgoingRequest importRequest(
             final AttemptId attempt, final Endpoint to, final byte[] cache) {
-        return named(to.uri(), IMPORT_PATH, attempt)
+        return requestBuilder(to.uri(), IMPORT_PATH, attempt)
                 .method(Methods.POST)
                 .body(cache, "application/octet-stream")
                 .build();
@@ -161,12 +161,12 @@
             throw new IllegalStateException(attempt + " calls with a chat request");
         }
         final OutgoingRequest outgoing =
-                named(endpoint.uri(), plain.path(), attempt)
+                requestBuilder(endpoint.uri(), plain.path(), attempt)
                         .method(new HttpString(plain.method()))
                         .header(IDEMPOTENCY_HEADER, plain.idempotencyKey())
                         .body(plain.body(), plain.contentType())
                         .build();
-        start(attempt, outgoing, request.thread(), new ServiceCall(events(attempt)));
+        start(attempt, outgoing, request.thread(), new ServiceResponse(publisher(attempt)));
     }
 
     /**
@@ -180,7 +180,7 @@
         release(attempt);
         if (!streamId.isEmpty()) {
             final OutgoingRequest delete =
-                    named(endpoint.uri(), STREAMS_PATH + streamId, attempt)
+                    requestBuilder(endpoint.uri(), STREAMS_PATH + streamId, attempt)
                             .method(Methods.DELETE)
                             .build();
             mCaller.start(delete, new IgnoredResponse());
@@ -200,12 +200,12 @@
     }
 
     /** Returns how many calls are under way, for metrics. */
-    public int underWay() {
+    public int activeCalls() {
         return mCalls.size();
     }
 
-    private AttemptEvents events(final AttemptId attempt) {
-        return new AttemptEvents(attempt, mLoop, () -> mCalls.remove(attempt));
+    private AttemptEventPublisher publisher(final AttemptId attempt) {
+        return new AttemptEventPublisher(attempt, mLoop, () -> mCalls.remove(attempt));
     }
 
     private void start(
@@ -218,7 +218,7 @@
         call.begin();
     }
 
-    private OutgoingRequest.Builder named(
+    private OutgoingRequest.Builder requestBuilder(
             final URI base, final String path, final AttemptId attempt) {
         return OutgoingRequest.to(base, path)
                 .header(REQUEST_HEADER, asHeader(attempt.request().value()))
--- a/daemon/src/main/java/org/whinhead/daemon/engine/WholeResponse.java
+++ b/daemon/src/main/java/org/whinhead/daemon/engine/BufferedResponse.java
@@ -10,32 +10,32 @@
 import org.whinhead.requests.AttemptFailure;
 
 /** Reads an attempt's whole response, up to a bound. */
-abstract class WholeResponse implements ResponseListener {
+abstract class BufferedResponse implements ResponseListener {
 
-    private final AttemptEvents mEvents;
+    private final AttemptEventPublisher mPublisher;
     private final int mMaxBytes;
     private final ByteArrayOutputStream mBody = new ByteArrayOutputStream();
     private HttpCall mCall;
     private int mStatus;
     private String mContentType = "";
-    private boolean mOver;
+    private boolean mEnded;
 
-    WholeResponse(final AttemptEvents events, final int maxBytes) {
-        mEvents = events;
+    BufferedResponse(final AttemptEventPublisher events, final int maxBytes) {
+        mPublisher = events;
         mMaxBytes = maxBytes;
     }
 
     /** Takes the whole response. */
-    abstract void whole(int status, String contentType, byte[] body);
+    abstract void handleResponse(int status, String contentType, byte[] body);
 
-    AttemptEvents events() {
-        return mEvents;
+    AttemptEventPublisher publisher() {
+        return mPublisher;
     }
 
     @Override
     public final void starting(final HttpCall call) {
         mCall = call;
-        mEvents.starting(call);
+        mPublisher.setCall(call);
     }
 
     @Override
@@ -48,9 +48,9 @@
     @Override
     public final void arrived(final ByteBuffer bytes) {
         if (mBody.size() + bytes.remaining() > mMaxBytes) {
-            mOver = true;
+            mEnded = true;
             mCall.cancel();
-            mEvents.failed(
+            mPublisher.publishFailed(
                     AttemptFailure.FAULTED, "the answer is larger than " + mMaxBytes + " bytes");
             return;
         }
@@ -61,17 +61,17 @@
 
     @Override
     public final void ended() {
-        if (!mOver) {
-            mOver = true;
-            whole(mStatus, mContentType, mBody.toByteArray());
+        if (!mEnded) {
+            mEnded = true;
+            handleResponse(mStatus, mContentType, mBody.toByteArray());
         }
     }
 
     @Override
     public final void failed(final HttpFailure failure, final String detail) {
-        if (!mOver) {
-            mOver = true;
-            mEvents.failed(Failures.of(failure), detail);
+        if (!mEnded) {
+            mEnded = true;
+            mPublisher.publishFailed(AttemptFailures.of(failure), detail);
         }
     }
 }
--- a/daemon/src/main/java/org/whinhead/daemon/engine/CacheMove.java
+++ b/daemon/src/main/java/org/whinhead/daemon/engine/CacheExport.java
@@ -5,27 +5,27 @@
 import org.whinhead.requests.AttemptFailure;
 
 /** Takes a stream's KV cache from the leaving engine, the first half of a move. */
-final class CacheMove extends WholeResponse {
+final class CacheExport extends BufferedResponse {
 
     private static final int MAX_CACHE_BYTES = 64 * 1024 * 1024;
 
-    private final Consumer<byte[]> mExported;
+    private final Consumer<byte[]> mOnExported;
 
-    CacheMove(final AttemptEvents events, final Consumer<byte[]> exported) {
+    CacheExport(final AttemptEventPublisher events, final Consumer<byte[]> exported) {
         super(events, MAX_CACHE_BYTES);
-        mExported = exported;
+        mOnExported = exported;
     }
 
     @Override
-    void whole(final int status, final String contentType, final byte[] body) {
+    void handleResponse(final int status, final String contentType, final byte[] body) {
         if (status == StatusCodes.OK) {
-            mExported.accept(body);
+            mOnExported.accept(body);
             return;
         }
         final AttemptFailure failure =
                 status == StatusCodes.NOT_FOUND
                         ? AttemptFailure.STREAM_UNKNOWN
-                        : Failures.ofStatus(status);
-        events().failed(failure, "the export answered with status " + status);
+                        : AttemptFailures.ofStatus(status);
+        publisher().publishFailed(failure, "the export answered with status " + status);
     }
 }
--- a/daemon/src/main/java/org/whinhead/daemon/engine/Claims.java
+++ b/daemon/src/main/java/org/whinhead/daemon/engine/ClaimService.java
@@ -3,7 +3,7 @@
 import org.whinhead.api.request.RequestId;
 
 /** Takes the at-most-once claims of requests; every call returns at once. */
-public interface Claims {
+public interface ClaimService {
 
     /**
      * Asks for a claim; the decision comes back as an event.
--- a/daemon/src/main/java/org/whinhead/daemon/engine/EngineStream.java
+++ b/daemon/src/main/java/org/whinhead/daemon/engine/EngineStream.java
@@ -23,36 +23,37 @@
     private static final int MAX_EVENT_BYTES = 256 * 1024;
     private static final String NOT_PARSED = "the engine's event is not understood";
 
-    private final AttemptEvents mEvents;
-    private final boolean mResumes;
+    private final AttemptEventPublisher mPublisher;
+    private final boolean mIsResumed;
     private final String mKnownStreamId;
     private final SseParser mParser = new SseParser(MAX_EVENT_BYTES, this::event);
     private HttpCall mCall;
     private int mStatus;
     private long mNextIndex;
     private AttemptEvent.Finished mFinished;
-    private boolean mOver;
+    private boolean mEnded;
 
-    private EngineStream(final AttemptEvents events, final boolean resumes, final String streamId) {
-        mEvents = events;
-        mResumes = resumes;
+    private EngineStream(
+            final AttemptEventPublisher events, final boolean resumes, final String streamId) {
+        mPublisher = events;
+        mIsResumed = resumes;
         mKnownStreamId = streamId;
     }
 
     /** Reads a stream that the engine opens and names. */
-    static EngineStream opening(final AttemptEvents events) {
+    static EngineStream opening(final AttemptEventPublisher events) {
         return new EngineStream(events, false, "");
     }
 
     /** Reads on in a stream that the engine still holds. */
-    static EngineStream resuming(final AttemptEvents events, final String streamId) {
+    static EngineStream resuming(final AttemptEventPublisher events, final String streamId) {
         return new EngineStream(events, true, streamId);
     }
 
     @Override
     public void starting(final HttpCall call) {
         mCall = call;
-        mEvents.starting(call);
+        mPublisher.setCall(call);
     }
 
     @Override
@@ -60,7 +61,7 @@
         mStatus = status;
         if (status == StatusCodes.OK) {
             final String named = headers.getFirst(STREAM_HEADER);
-            mEvents.opened(named == null ? mKnownStreamId : named);
+            mPublisher.publishOpened(named == null ? mKnownStreamId : named);
         }
     }
 
@@ -71,71 +72,73 @@
             return;
         }
         if (!mParser.feed(bytes)) {
-            breakOff("an event of the engine is larger than " + MAX_EVENT_BYTES + " bytes");
+            failAsFaulted("an event of the engine is larger than " + MAX_EVENT_BYTES + " bytes");
         }
     }
 
     @Override
     public void ended() {
-        if (mOver) {
+        if (mEnded) {
             return;
         }
         if (mStatus != StatusCodes.OK) {
-            mOver = true;
-            mEvents.failed(failureOf(mStatus), "the engine answered with status " + mStatus);
+            mEnded = true;
+            mPublisher.publishFailed(
+                    failureOf(mStatus), "the engine answered with status " + mStatus);
         } else if (mFinished != null) {
-            mOver = true;
-            mEvents.last(mFinished);
+            mEnded = true;
+            mPublisher.publishLast(mFinished);
         } else {
-            mOver = true;
-            mEvents.failed(AttemptFailure.CUT_DURING_ANSWER, "the engine's stream ended early");
+            mEnded = true;
+            mPublisher.publishFailed(
+                    AttemptFailure.CUT_DURING_ANSWER, "the engine's stream ended early");
         }
     }
 
     @Override
     public void failed(final HttpFailure failure, final String detail) {
-        if (!mOver) {
-            mOver = true;
-            mEvents.failed(Failures.of(failure), detail);
+        if (!mEnded) {
+            mEnded = true;
+            mPublisher.publishFailed(AttemptFailures.of(failure), detail);
         }
     }
 
     private AttemptFailure failureOf(final int status) {
-        if (mResumes && status == StatusCodes.NOT_FOUND) {
+        if (mIsResumed && status == StatusCodes.NOT_FOUND) {
             return AttemptFailure.STREAM_UNKNOWN;
         }
-        return Failures.ofStatus(status);
+        return AttemptFailures.ofStatus(status);
     }
 
     private void event(final SseEvent event) {
-        if (mOver) {
+        if (mEnded) {
             return;
         }
         if (DONE.equals(event.data())) {
             if (mFinished != null) {
-                mOver = true;
-                mEvents.last(mFinished);
+                mEnded = true;
+                mPublisher.publishLast(mFinished);
             }
             return;
         }
         try {
-            parsed(event, MAPPER.readTree(event.data()));
+            handleChunk(event, MAPPER.readTree(event.data()));
         } catch (final JsonProcessingException | NumberFormatException e) {
-            breakOff(NOT_PARSED);
+            failAsFaulted(NOT_PARSED);
         }
     }
 
-    private void parsed(final SseEvent event, final JsonNode data) {
+    private void handleChunk(final SseEvent event, final JsonNode data) {
         final JsonNode choice = data.path("choices").path(0);
         if (choice.isMissingNode()) {
-            breakOff(NOT_PARSED);
+            failAsFaulted(NOT_PARSED);
             return;
         }
         final String text = choice.path("delta").path("content").asText("");
         if (!text.isEmpty()) {
             final long index = Long.parseLong(event.id());
             mNextIndex = index + 1;
-            mEvents.token(index, text);
+            mPublisher.publishToken(index, text);
         }
         final String reason = choice.path("finish_reason").asText("");
         if (!choice.path("finish_reason").isNull() && !reason.isEmpty()) {
@@ -146,15 +149,19 @@
     private AttemptEvent.Finished finished(final String reason, final JsonNode usage) {
         final int cached = usage.path("prompt_tokens_details").path("cached_tokens").asInt();
         return new AttemptEvent.Finished(
-                mEvents.attempt(), reason, usage.path("prompt_tokens").asInt(), cached, mNextIndex);
+                mPublisher.attempt(),
+                reason,
+                usage.path("prompt_tokens").asInt(),
+                cached,
+                mNextIndex);
     }
 
     /** Ends an attempt whose stream can not be trusted any more. */
-    private void breakOff(final String detail) {
-        if (!mOver) {
-            mOver = true;
+    private void failAsFaulted(final String detail) {
+        if (!mEnded) {
+            mEnded = true;
             mCall.cancel();
-            mEvents.failed(AttemptFailure.FAULTED, detail);
+            mPublisher.publishFailed(AttemptFailure.FAULTED, detail);
         }
     }
 }
--- a/daemon/src/main/java/org/whinhead/daemon/engine/ServiceCall.java
+++ b/daemon/src/main/java/org/whinhead/daemon/engine/ServiceResponse.java
@@ -6,11 +6,11 @@
 import org.whinhead.requests.PlainAnswer;
 
 /** Turns a plain service's response into attempt events. */
-final class ServiceCall extends WholeResponse {
+final class ServiceResponse extends BufferedResponse {
 
     private static final int MAX_ANSWER_BYTES = 4 * 1024 * 1024;
 
-    ServiceCall(final AttemptEvents events) {
+    ServiceResponse(final AttemptEventPublisher events) {
         super(events, MAX_ANSWER_BYTES);
     }
 
@@ -20,16 +20,17 @@
      * 4xx, whose body the caller needs.
      */
     @Override
-    void whole(final int status, final String contentType, final byte[] body) {
+    void handleResponse(final int status, final String contentType, final byte[] body) {
         if (status < StatusCodes.INTERNAL_SERVER_ERROR && status != StatusCodes.TOO_MANY_REQUESTS) {
-            events().opened("");
-            events().last(
+            publisher().publishOpened("");
+            publisher()
+                    .publishLast(
                             new AttemptEvent.Answered(
-                                    events().attempt(),
+                                    publisher().attempt(),
                                     new PlainAnswer(status, contentType, body)));
             return;
         }
-        final AttemptFailure failure = Failures.ofStatus(status);
-        events().failed(failure, "the service answered with status " + status);
+        final AttemptFailure failure = AttemptFailures.ofStatus(status);
+        publisher().publishFailed(failure, "the service answered with status " + status);
     }
 }
--- a/daemon/src/main/java/org/whinhead/daemon/limits/LimitCounts.java
+++ b/daemon/src/main/java/org/whinhead/daemon/limits/AdmissionCounts.java
@@ -8,8 +8,8 @@
  * @param returned requests that came back with a ticket so far
  * @param returnedWithoutBudget those of them for which no budget was left
  */
-public record LimitCounts(int waiting, int running, long returned, long returnedWithoutBudget) {
+public record AdmissionCounts(int waiting, int running, long resumed, long resumedWithoutBudget) {
 
     /** Nothing so far. */
-    public static final LimitCounts NONE = new LimitCounts(0, 0, 0, 0);
+    public static final AdmissionCounts NONE = new AdmissionCounts(0, 0, 0, 0);
 }
--- a/daemon/src/main/java/org/whinhead/daemon/limits/LimitMeters.java
+++ b/daemon/src/main/java/org/whinhead/daemon/limits/AdmissionMetrics.java
@@ -3,11 +3,11 @@
 import org.whinhead.daemon.operator.Meters;
 
 /** The metrics of admission. */
-public final class LimitMeters {
+public final class AdmissionMetrics {
 
     private static final String UNIT = "requests";
 
-    private LimitMeters() {}
+    private AdmissionMetrics() {}
 
     /**
      * Adds the metrics.
@@ -15,7 +15,7 @@
      * @param meters where to
      * @param admission what they tell of
      */
-    public static void add(final Meters meters, final DaemonAdmission admission) {
+    public static void register(final Meters meters, final DaemonAdmission admission) {
         meters.gauge(
                 "whinhead.admission.waiting",
                 UNIT,
@@ -30,11 +30,11 @@
                 "whinhead.admission.returned",
                 UNIT,
                 "Requests that came back with a ticket and went on without a queue.",
-                () -> admission.counts().returned());
+                () -> admission.counts().resumed());
         meters.gauge(
                 "whinhead.admission.returned.without.budget",
                 UNIT,
                 "Requests that came back and went on though no budget was left.",
-                () -> admission.counts().returnedWithoutBudget());
+                () -> admission.counts().resumedWithoutBudget());
     }
 }
--- a/daemon/src/main/java/org/whinhead/daemon/limits/DaemonAdmission.java
+++ b/daemon/src/main/java/org/whinhead/daemon/limits/DaemonAdmission.java
@@ -28,12 +28,12 @@
  */
 public final class DaemonAdmission implements Admission {
 
-    private final LimitBoard mBoard;
+    private final LimitTracker mLimits;
     private final EvenShareBudget mBudget = new EvenShareBudget(BudgetSettings.DEFAULT);
     private final TieredAdmission mAdmission;
-    private LimitInputs mApplied = LimitInputs.EMPTY;
-    private Set<CustomerId> mCustomers = Set.of();
-    private volatile LimitCounts mCounts = LimitCounts.NONE;
+    private LimitSnapshot mAppliedSnapshot = LimitSnapshot.EMPTY;
+    private Set<CustomerId> mKnownCustomers = Set.of();
+    private volatile AdmissionCounts mCounts = AdmissionCounts.NONE;
 
     /**
      * Makes empty queues.
@@ -41,8 +41,8 @@
      * @param board where the inputs stand
      * @param settings bounds of the queues
      */
-    public DaemonAdmission(final LimitBoard board, final AdmissionSettings settings) {
-        mBoard = Objects.requireNonNull(board, "board");
+    public DaemonAdmission(final LimitTracker board, final AdmissionSettings settings) {
+        mLimits = Objects.requireNonNull(board, "board");
         mAdmission = new TieredAdmission(settings, mBudget);
     }
 
@@ -54,8 +54,8 @@
      */
     @Override
     public Optional<Refusal> offer(final RequestSpec spec, final Instant now) {
-        refresh(now);
-        if (!mCustomers.contains(spec.customer())) {
+        applyLatestSnapshot(now);
+        if (!mKnownCustomers.contains(spec.customer())) {
             return Optional.of(Refusal.notRun(ErrorCode.UNKNOWN_KEY, "customer was removed"));
         }
         return mAdmission.offer(spec, now);
@@ -63,10 +63,10 @@
 
     @Override
     public List<RequestSpec> takeAdmitted(final Instant now) {
-        refresh(now);
+        applyLatestSnapshot(now);
         final List<RequestSpec> admitted = mAdmission.takeAdmitted(now);
         mCounts =
-                new LimitCounts(
+                new AdmissionCounts(
                         mAdmission.waiting(),
                         mAdmission.running(),
                         mAdmission.resumed(),
@@ -76,13 +76,13 @@
 
     @Override
     public List<ShedRequest> takeShed(final Instant now) {
-        refresh(now);
+        applyLatestSnapshot(now);
         return mAdmission.takeShed(now);
     }
 
     @Override
     public void resume(final RequestSpec spec, final long restTokens, final Instant now) {
-        refresh(now);
+        applyLatestSnapshot(now);
         mAdmission.resume(spec, restTokens, now);
     }
 
@@ -93,21 +93,21 @@
     }
 
     /** Returns the counts as of the last look, from any thread. */
-    public LimitCounts counts() {
+    public AdmissionCounts counts() {
         return mCounts;
     }
 
-    private void refresh(final Instant now) {
-        final LimitInputs latest = mBoard.inputs();
-        if (latest == mApplied) {
+    private void applyLatestSnapshot(final Instant now) {
+        final LimitSnapshot latest = mLimits.snapshot();
+        if (latest == mAppliedSnapshot) {
             return;
         }
-        mApplied = latest;
+        mAppliedSnapshot = latest;
         final Set<CustomerId> customers = new HashSet<>();
         for (final Customer customer : latest.customers()) {
             customers.add(customer.id());
         }
-        mCustomers = customers;
+        mKnownCustomers = customers;
         mAdmission.customersChanged(latest.customers());
         mBudget.ratesChanged(latest.rates(), latest.daemons(), now);
         latest.slots().forEach(mAdmission::capacityChanged);
--- a/daemon/src/main/java/org/whinhead/daemon/limits/LimitInputs.java
+++ b/daemon/src/main/java/org/whinhead/daemon/limits/LimitSnapshot.java
@@ -16,12 +16,12 @@
  * @param slots this daemon's slots of each target that is or was served
  * @param daemons how many live daemons share endpoints and budgets
  */
-record LimitInputs(
+record LimitSnapshot(
         List<Customer> customers, List<TeamRate> rates, Map<Target, Integer> slots, int daemons) {
 
-    static final LimitInputs EMPTY = new LimitInputs(List.of(), List.of(), Map.of(), 1);
+    static final LimitSnapshot EMPTY = new LimitSnapshot(List.of(), List.of(), Map.of(), 1);
 
-    LimitInputs {
+    LimitSnapshot {
         customers = List.copyOf(customers);
         rates = List.copyOf(rates);
         slots = Map.copyOf(slots);
--- a/daemon/src/main/java/org/whinhead/daemon/limits/LimitBoard.java
+++ b/daemon/src/main/java/org/whinhead/daemon/limits/LimitTracker.java
@@ -20,28 +20,28 @@
  * Collects what admission depends on from the duties that learn it, and holds the latest as one
  * value; told from any thread, read from the decision thread.
  */
-public final class LimitBoard {
+public final class LimitTracker {
 
     /**
      * How far above the even share of an endpoint's slots one daemon may go: callers come unevenly
      * to the daemons, and the endpoints queue what is too much at once.
      */
-    private static final double CAPACITY_FACTOR = 1.5;
+    private static final double EVEN_SHARE_FACTOR = 1.5;
 
-    private final int mStartSlots;
-    private final Set<Target> mTargets = new HashSet<>();
+    private final int mUnservedTargetSlots;
+    private final Set<Target> mKnownTargets = new HashSet<>();
     private DeploymentSettings mSettings = DeploymentSettings.EMPTY;
     private List<Endpoint> mEndpoints = List.of();
     private int mDaemons = 1;
-    private volatile LimitInputs mInputs = LimitInputs.EMPTY;
+    private volatile LimitSnapshot mSnapshot = LimitSnapshot.EMPTY;
 
     /**
      * Makes a board on which nothing is known.
      *
      * @param startSlots the slots of a target that no endpoint serves now
      */
-    public LimitBoard(final int startSlots) {
-        mStartSlots = startSlots;
+    public LimitTracker(final int startSlots) {
+        mUnservedTargetSlots = startSlots;
     }
 
     /**
@@ -77,13 +77,13 @@
         }
     }
 
-    LimitInputs inputs() {
-        return mInputs;
+    LimitSnapshot snapshot() {
+        return mSnapshot;
     }
 
     private void publish() {
         final List<Customer> customers = mSettings.customers();
-        mInputs = new LimitInputs(customers, rates(customers), slots(), mDaemons);
+        mSnapshot = new LimitSnapshot(customers, rates(customers), slots(), mDaemons);
     }
 
     /** A team without a budget of its own may spend what its customers may spend together. */
@@ -112,19 +112,19 @@
     private Map<Target, Integer> slots() {
         for (final Endpoint endpoint : mEndpoints) {
             if (endpoint.kind() == EndpointKind.PLAIN_SERVICE) {
-                mTargets.add(new Target(endpoint.kind(), endpoint.service()));
+                mKnownTargets.add(new Target(endpoint.kind(), endpoint.service()));
             } else {
                 endpoint.models()
                         .forEach(
                                 model ->
-                                        mTargets.add(
+                                        mKnownTargets.add(
                                                 new Target(endpoint.kind(), model.toString())));
             }
         }
         final Map<Target, Integer> slots = new HashMap<>();
-        for (final Target target : mTargets) {
-            final int share = CapacityShare.slots(mEndpoints, target, mDaemons, CAPACITY_FACTOR);
-            slots.put(target, share == 0 ? mStartSlots : share);
+        for (final Target target : mKnownTargets) {
+            final int share = CapacityShare.slots(mEndpoints, target, mDaemons, EVEN_SHARE_FACTOR);
+            slots.put(target, share == 0 ? mUnservedTargetSlots : share);
         }
         return slots;
     }
--- a/daemon/src/main/java/org/whinhead/daemon/request/CallerReply.java
+++ b/daemon/src/main/java/org/whinhead/daemon/request/CallerReply.java
@@ -13,14 +13,14 @@
      * @param index the token's index in the caller's answer
      * @param text the token's text
      */
-    void token(long index, String text);
+    void sendToken(long index, String text);
 
     /**
      * Hands on a new ticket.
      *
      * @param ticket the ticket as the caller will present it
      */
-    void ticket(String ticket);
+    void sendTicket(String ticket);
 
     /**
      * Ends a generated answer.
@@ -34,7 +34,7 @@
      *
      * @param answer the answer
      */
-    void answer(PlainAnswer answer);
+    void sendAnswer(PlainAnswer answer);
 
     /**
      * Gives a final refusal.
--- a/daemon/src/main/java/org/whinhead/daemon/request/LiveRequests.java
+++ b/daemon/src/main/java/org/whinhead/daemon/request/LiveRequests.java
@@ -10,7 +10,7 @@
 public final class LiveRequests {
 
     private final Map<RequestId, LiveRequest> mRequests = new ConcurrentHashMap<>();
-    private final AtomicInteger mOwed = new AtomicInteger();
+    private final AtomicInteger mOpenResponses = new AtomicInteger();
 
     /**
      * Adds a request.
@@ -65,18 +65,18 @@
     }
 
     /** An answer is owed to a caller from now on. */
-    public void answerOwed() {
-        mOwed.incrementAndGet();
+    public void responseOpened() {
+        mOpenResponses.incrementAndGet();
     }
 
     /** An answer was written whole, or its caller left. */
-    public void answerEnded() {
-        mOwed.decrementAndGet();
+    public void responseClosed() {
+        mOpenResponses.decrementAndGet();
     }
 
     /** Tells whether no caller waits for any byte of an answer. */
     public boolean isIdle() {
-        return mOwed.get() == 0;
+        return mOpenResponses.get() == 0;
     }
 
     /** Returns how many are in progress. */
--- a/daemon/src/main/java/org/whinhead/daemon/ring/EventRing.java
+++ b/daemon/src/main/java/org/whinhead/daemon/ring/EventRing.java
@@ -22,12 +22,12 @@
     private static final Duration CLOSE_TIMEOUT = Duration.ofSeconds(2);
 
     /** New work leaves this share of the ring to events of work in progress. */
-    private static final int RESERVED_SHARE = 4;
+    private static final int RESERVED_DIVISOR = 4;
 
     private final String mName;
     private final Disruptor<Slot<E>> mDisruptor;
     private final RingBuffer<Slot<E>> mRing;
-    private final int mReserved;
+    private final int mReservedSlots;
 
     /**
      * Makes a ring that is not started yet.
@@ -38,7 +38,7 @@
      */
     public EventRing(final String name, final int slots, final EventHandler<E> handler) {
         mName = name;
-        mReserved = slots / RESERVED_SHARE;
+        mReservedSlots = slots / RESERVED_DIVISOR;
         mDisruptor =
                 new Disruptor<>(
                         Slot::new,
@@ -46,7 +46,7 @@
                         task -> new Thread(task, name),
                         ProducerType.MULTI,
                         new BlockingWaitStrategy());
-        mDisruptor.setDefaultExceptionHandler(new FaultLog());
+        mDisruptor.setDefaultExceptionHandler(new FaultLogger());
         mDisruptor.handleEventsWith(
                 (slot, sequence, endOfBatch) -> handler.handle(slot.takeEvent(), endOfBatch));
         mRing = mDisruptor.getRingBuffer();
@@ -64,7 +64,7 @@
      * @return false if the ring is nearly full; nothing was taken in then
      */
     public boolean offerNew(final E event) {
-        return mRing.hasAvailableCapacity(mReserved) && offer(event);
+        return mRing.hasAvailableCapacity(mReservedSlots) && offer(event);
     }
 
     /**
@@ -78,7 +78,7 @@
     }
 
     /** Returns how many events wait, for metrics. */
-    public long waiting() {
+    public long waitingEvents() {
         return mRing.getBufferSize() - mRing.remainingCapacity();
     }
 
@@ -116,7 +116,7 @@
      * Guards against a fault in one event that would end the thread and with it all its work: it is
      * logged with its cause, and the ring goes on with the next event.
      */
-    private final class FaultLog implements ExceptionHandler<Slot<E>> {
+    private final class FaultLogger implements ExceptionHandler<Slot<E>> {
         @Override
         public void handleEventException(
                 final Throwable fault, final long sequence, final Slot<E> slot) {
--- a/daemon/src/test/java/org/whinhead/daemon/burn/BurnCollectorTest.java
+++ b/daemon/src/test/java/org/whinhead/daemon/burn/BurnCollectorTest.java
@@ -67,7 +67,7 @@
     void answerIsMeasuredAsItsCallerGotIt() {
         final MeasuredReply reply = begin();
         answer(reply, 0);
-        mCollector.ended(reply, true);
+        mCollector.recordEnd(reply, true);
 
         assertThat(counts()).isEqualTo(new Counts(1, 1, 0, 0, 1, 1, 1, 0, 3, 7));
     }
@@ -81,7 +81,7 @@
     void answerThatWasCutIsNotCompleted() {
         final MeasuredReply reply = begin();
         answer(reply, 0);
-        mCollector.ended(reply, false);
+        mCollector.recordEnd(reply, false);
 
         assertThat(counts()).isEqualTo(new Counts(0, 0, 0, 0, 1, 1, 1, 0, 3, 7));
     }
@@ -94,13 +94,13 @@
     @Test
     void requestOverTwoConnectionsCountsOnce() {
         final MeasuredReply former = begin();
-        former.token(0, "a");
+        former.sendToken(0, "a");
         former.supersede();
-        mCollector.ended(former, false);
+        mCollector.recordEnd(former, false);
         final MeasuredReply later = begin();
         mNow = mNow.plusSeconds(5);
         answer(later, 1);
-        mCollector.ended(later, true);
+        mCollector.recordEnd(later, true);
 
         assertThat(counts()).isEqualTo(new Counts(1, 1, 0, 0, 1, 1, 1, 0, 4, 7));
     }
@@ -108,18 +108,18 @@
     @Test
     void eachEndCountsByItsCause() {
         final MeasuredReply left = begin();
-        mCollector.ended(left, false);
+        mCollector.recordEnd(left, false);
         final MeasuredReply lost = begin();
         lost.refuse(refusal(ErrorCode.ENDPOINT_LOST, Verdict.MAY_HAVE_RUN));
-        mCollector.ended(lost, true);
+        mCollector.recordEnd(lost, true);
         final MeasuredReply handed = begin();
         handed.handBack("ticket", refusal(ErrorCode.STOPPING, Verdict.MAY_HAVE_RUN));
-        mCollector.ended(handed, true);
+        mCollector.recordEnd(handed, true);
         final MeasuredReply broken = begin();
-        broken.answer(new PlainAnswer(500, "text/plain", new byte[0]));
-        mCollector.ended(broken, true);
-        mCollector.refused(CUSTOMER, Refusal.notRun(ErrorCode.OVERLOADED, "full"));
-        mCollector.refused(CUSTOMER, Refusal.notRun(ErrorCode.BUDGET_SPENT, "spent"));
+        broken.sendAnswer(new PlainAnswer(500, "text/plain", new byte[0]));
+        mCollector.recordEnd(broken, true);
+        mCollector.recordRefusal(CUSTOMER, Refusal.notRun(ErrorCode.OVERLOADED, "full"));
+        mCollector.recordRefusal(CUSTOMER, Refusal.notRun(ErrorCode.BUDGET_SPENT, "spent"));
 
         assertThat(counts()).isEqualTo(new Counts(3, 0, 1, 2, 0, 0, 0, 0, 0, 0));
     }
@@ -131,15 +131,15 @@
     @Test
     void floodIsBoundedAndSaidSo() {
         final Refusal refusal = Refusal.notRun(ErrorCode.OVERLOADED, "full");
-        for (int index = 0; index < BurnCollector.MOST_WAITING + 5; index++) {
-            mCollector.refused(CUSTOMER, refusal);
+        for (int index = 0; index < BurnCollector.MAX_WAITING_SAMPLES + 5; index++) {
+            mCollector.recordRefusal(CUSTOMER, refusal);
         }
 
         final DaemonReport report = mCollector.report();
 
         assertThat(report.leftOut()).isEqualTo(5);
         assertThat(report.series().get(0).minutes().get(0).counts().notRun())
-                .isEqualTo(BurnCollector.MOST_WAITING);
+                .isEqualTo(BurnCollector.MAX_WAITING_SAMPLES);
         assertThat(mCollector.report().leftOut()).isEqualTo(5);
     }
 
@@ -158,7 +158,7 @@
     private void answer(final MeasuredReply reply, final long firstIndex) {
         mNow = mNow.plusMillis(300);
         for (long index = firstIndex; index < firstIndex + 3; index++) {
-            reply.token(index, "word ");
+            reply.sendToken(index, "word ");
         }
         mNow = mNow.plusMillis(100);
         reply.complete(COMPLETION);
@@ -178,16 +178,16 @@
 
     private static final class IgnoredReply implements CallerReply {
         @Override
-        public void token(final long index, final String text) {}
+        public void sendToken(final long index, final String text) {}
 
         @Override
-        public void ticket(final String ticket) {}
+        public void sendTicket(final String ticket) {}
 
         @Override
         public void complete(final Completion completion) {}
 
         @Override
-        public void answer(final PlainAnswer answer) {}
+        public void sendAnswer(final PlainAnswer answer) {}
 
         @Override
         public void refuse(final Refusal refusal) {}
--- a/daemon/src/test/java/org/whinhead/daemon/limits/DaemonAdmissionTest.java
+++ b/daemon/src/test/java/org/whinhead/daemon/limits/DaemonAdmissionTest.java
@@ -44,7 +44,7 @@
                             + "0".repeat(64)
                             + "'],'weight':1,'tokensPerSecond':100}");
 
-    private final LimitBoard mBoard = new LimitBoard(2);
+    private final LimitTracker mBoard = new LimitTracker(2);
     private final DaemonAdmission mAdmission =
             new DaemonAdmission(mBoard, AdmissionSettings.DEFAULT);
     private int mNext;
@@ -88,9 +88,9 @@
         assertThat(mAdmission.takeAdmitted(START)).hasSize(5);
         mBoard.endpointsChanged(List.of());
         assertThat(mAdmission.takeAdmitted(START)).isEmpty();
-        assertThat(mAdmission.counts()).isEqualTo(new LimitCounts(7, 5, 0, 0));
+        assertThat(mAdmission.counts()).isEqualTo(new AdmissionCounts(7, 5, 0, 0));
         mBoard.daemonsChanged(1);
-        assertThat(mBoard.inputs().slots()).containsValue(2);
+        assertThat(mBoard.snapshot().slots()).containsValue(2);
     }
 
     // A daemon dies and its callers come back here with tickets. They go on at once, beyond the
@@ -105,7 +105,7 @@
         assertThat(mAdmission.offer(request(50), START)).isEmpty();
         assertThat(mAdmission.takeAdmitted(START)).hasSize(1);
         mBoard.endpointsChanged(List.of(engine(VmState.LIVE)));
-        assertThat(mAdmission.counts()).isEqualTo(new LimitCounts(0, 4, 3, 1));
+        assertThat(mAdmission.counts()).isEqualTo(new AdmissionCounts(0, 4, 3, 1));
         mAdmission.requestEnded(first.id(), 0, START);
         assertThat(mAdmission.offer(request(300), START)).isEmpty();
     }
--- a/daemon/src/test/java/org/whinhead/daemon/ring/EventRingTest.java
+++ b/daemon/src/test/java/org/whinhead/daemon/ring/EventRingTest.java
@@ -34,7 +34,7 @@
         }
 
         assertThat(mRing.offer(SLOTS)).isFalse();
-        assertThat(mRing.waiting()).isEqualTo(SLOTS);
+        assertThat(mRing.waitingEvents()).isEqualTo(SLOTS);
 
         mRing.start();
         assertThat(take(SLOTS)).containsExactly(0, 1, 2, 3, 4, 5, 6, 7);
@@ -62,7 +62,7 @@
         }
 
         assertThat(taken).isEqualTo(SLOTS - 1);
-        assertThat(mRing.waiting()).isEqualTo(taken);
+        assertThat(mRing.waitingEvents()).isEqualTo(taken);
         assertThat(mRing.offer(LAST)).isTrue();
         assertThat(mRing.offer(LAST)).isFalse();
     }
