--- a/daemon/src/main/java/org/whinhead/daemon/caller/AnswerFormat.java
+++ b/daemon/src/main/java/org/whinhead/daemon/caller/AnswerFormat.java
@@ -1,20 +1,20 @@
 package org.whinhead.daemon.caller;
 
-/** Writes an answer the way its caller asked for it; on the caller's IO thread. */
+/** Writes an answer in the format that its caller requested; used on the caller's IO thread. */
 interface AnswerFormat {
 
     /**
-     * Takes one step of the answer.
+     * Writes or buffers one part of the answer.
      *
-     * @param part the step
-     * @param writer the response
+     * @param part the part
+     * @param writer the writer of the response
      */
     void write(ReplyPart part, ExchangeWriter writer);
 
     /**
-     * Writes what a batch of steps came to.
+     * Writes what the parts of a batch left in the buffer.
      *
-     * @param writer the response
+     * @param writer the writer of the response
      */
     default void flushBatch(final ExchangeWriter writer) {}
 }
--- a/daemon/src/main/java/org/whinhead/daemon/caller/BodyReceiver.java
+++ b/daemon/src/main/java/org/whinhead/daemon/caller/BodyReceiver.java
@@ -10,10 +10,10 @@
 import org.whinhead.api.verdict.RequestException;
 import org.xnio.XnioExecutor;
 
-/** Reads request bodies whole, within bounds of size and time. */
+/** Reads whole request bodies within a size limit and a timeout. */
 final class BodyReceiver {
 
-    /** Takes a whole body; on the connection's IO thread, where the exchange stays open. */
+    /** Handles a whole body on the connection's IO thread; the exchange stays open. */
     @FunctionalInterface
     interface BodyHandler {
         void handle(byte[] body) throws RequestException;
@@ -27,30 +27,33 @@
         mTimeout = timeout;
     }
 
-    /** Reads the body and hands it on; refuses the request if it breaks a bound. */
-    void receive(final HttpServerExchange exchange, final BodyHandler taker) {
+    /**
+     * Reads the body and passes it to the handler; refuses the request if the body is too large or
+     * late.
+     */
+    void receive(final HttpServerExchange exchange, final BodyHandler handler) {
         if (exchange.getRequestContentLength() > mMaxBytes) {
             Refusals.send(exchange, tooLarge());
             return;
         }
-        final BodyRead reading = new BodyRead(exchange, taker);
-        reading.start();
+        final BodyRead bodyRead = new BodyRead(exchange, handler);
+        bodyRead.start();
     }
 
     private Refusal tooLarge() {
         return Refusal.notRun(ErrorCode.BODY_TOO_LARGE, "at most " + mMaxBytes + " bytes");
     }
 
-    /** One body on its way in. */
+    /** The reading of one body. */
     private final class BodyRead {
         private final HttpServerExchange mExchange;
         private final BodyHandler mHandler;
         private XnioExecutor.Key mTimer;
         private boolean mEnded;
 
-        private BodyRead(final HttpServerExchange exchange, final BodyHandler taker) {
+        private BodyRead(final HttpServerExchange exchange, final BodyHandler handler) {
             mExchange = exchange;
-            mHandler = taker;
+            mHandler = handler;
         }
 
         private void start() {
@@ -92,8 +95,8 @@
         }
 
         /**
-         * Guards against a caller that sends half a request and then nothing: without a bound it
-         * would hold its connection and the bytes read so far for ever.
+         * Refuses a request whose body is late: a caller that stops sending halfway would otherwise
+         * hold its connection and the bytes read so far forever.
          */
         private void timedOut() {
             if (endOnce()) {
--- a/daemon/src/main/java/org/whinhead/daemon/caller/BufferedFormat.java
+++ b/daemon/src/main/java/org/whinhead/daemon/caller/BufferedFormat.java
@@ -3,20 +3,20 @@
 import io.undertow.util.Headers;
 import java.nio.charset.StandardCharsets;
 
-/** Gathers the tokens and sends one JSON answer. */
+/** Buffers the tokens and writes them as one JSON response. */
 final class BufferedFormat implements AnswerFormat {
 
     private final ChatResponseJson mJson;
     private final StringBuilder mText = new StringBuilder();
 
     /**
-     * Makes a format.
+     * Creates a format.
      *
-     * @param chunks makes the JSON
-     * @param deliveredText the beginning of the answer that the caller sent along
+     * @param json creates the JSON
+     * @param deliveredText the beginning of the answer, as sent by a caller that resumes it
      */
-    BufferedFormat(final ChatResponseJson chunks, final String deliveredText) {
-        mJson = chunks;
+    BufferedFormat(final ChatResponseJson json, final String deliveredText) {
+        mJson = json;
         mText.append(deliveredText);
     }
 
@@ -27,9 +27,9 @@
         } else if (part instanceof ReplyPart.NewTicket ticket) {
             writer.exchange().getResponseHeaders().put(CallerHeaders.TICKET, ticket.ticket());
         } else if (part instanceof ReplyPart.Completed completed) {
-            final String json =
+            final String response =
                     mJson.completion(mText.toString(), completed.completion()).toString();
-            final byte[] body = json.getBytes(StandardCharsets.UTF_8);
+            final byte[] body = response.getBytes(StandardCharsets.UTF_8);
             writer.exchange().getResponseHeaders().put(Headers.CONTENT_TYPE, "application/json");
             writer.exchange().getResponseHeaders().put(Headers.CONTENT_LENGTH, body.length);
             writer.write(body);
--- a/daemon/src/main/java/org/whinhead/daemon/caller/CallerApi.java
+++ b/daemon/src/main/java/org/whinhead/daemon/caller/CallerApi.java
@@ -13,22 +13,22 @@
 import org.whinhead.daemon.view.EntryAddress;
 import org.whinhead.requests.TicketCodec;
 
-/** Puts the callers' interface together; made by its builder. */
+/** Entry point to the {@link Builder} of the callers' HTTP interface. */
 public final class CallerApi {
 
     private CallerApi() {}
 
     /**
-     * Starts a builder.
+     * Returns a new builder.
      *
-     * @param daemon the daemon, in whose name requests are named
+     * @param daemon the daemon, whose id prefixes generated request names
      * @return the builder
      */
     public static Builder builder(final DaemonId daemon) {
         return new Builder(daemon);
     }
 
-    /** Builds the handler of callers' requests. */
+    /** Builds the HTTP handler of callers' requests. */
     public static final class Builder {
         private static final Duration BODY_TIMEOUT = Duration.ofSeconds(10);
         private static final Duration ADDRESS_CACHE_TIME = Duration.ofSeconds(5);
@@ -39,7 +39,7 @@
         private Supplier<List<EntryAddress>> mAddresses = List::of;
         private LiveRequests mRequests;
         private DecisionLoop mLoop;
-        private BurnCollector mBurn;
+        private BurnCollector mBurnCollector;
         private TicketCodec mTickets;
         private BooleanSupplier mStopping = () -> false;
         private InstantSource mClock = InstantSource.system();
@@ -52,38 +52,38 @@
             mDaemon = daemon;
         }
 
-        /** Sets what requests are checked against. */
+        /** Sets the supplier of the deployment view that requests are checked against. */
         public Builder view(final Supplier<DeploymentView> view) {
             mView = view;
             return this;
         }
 
-        /** Sets where the addresses that callers may use come from. */
+        /** Sets the supplier of the addresses that callers may use. */
         public Builder addresses(final Supplier<List<EntryAddress>> addresses) {
             mAddresses = addresses;
             return this;
         }
 
-        /** Sets the requests in progress and the loop that decides on them; required. */
+        /** Sets the registry of requests in progress and their decision loop; required. */
         public Builder decisions(final LiveRequests requests, final DecisionLoop loop) {
             mRequests = requests;
             mLoop = loop;
             return this;
         }
 
-        /** Sets what counts ended requests; required. */
-        public Builder burn(final BurnCollector burn) {
-            mBurn = burn;
+        /** Sets the collector of samples of ended requests; required. */
+        public Builder burn(final BurnCollector burnCollector) {
+            mBurnCollector = burnCollector;
             return this;
         }
 
-        /** Sets what reads tickets; required. */
+        /** Sets the codec that reads tickets; required. */
         public Builder tickets(final TicketCodec tickets) {
             mTickets = tickets;
             return this;
         }
 
-        /** Sets what tells whether the daemon is stopping. */
+        /** Sets the supplier that returns whether the daemon is stopping. */
         public Builder stopping(final BooleanSupplier stopping) {
             mStopping = stopping;
             return this;
@@ -95,20 +95,20 @@
             return this;
         }
 
-        /** Sets the largest body and the most requests in progress; required. */
+        /** Sets the maximum body size in bytes and number of requests in progress; required. */
         public Builder limits(final long maxBodyBytes, final int maxInProgress) {
             mMaxBodyBytes = maxBodyBytes;
             mMaxInProgress = maxInProgress;
             return this;
         }
 
-        /** Sets how many bytes of an answer may wait for a slow caller; 256 KiB by default. */
+        /** Sets the maximum bytes of an answer that wait for a slow caller; 256 KiB by default. */
         public Builder maxWaitingBytes(final int maxWaitingBytes) {
             mMaxWaitingBytes = maxWaitingBytes;
             return this;
         }
 
-        /** Sets how long a body may take to arrive; ten seconds by default. */
+        /** Sets the timeout for receiving a body; ten seconds by default. */
         public Builder bodyTimeout(final Duration bodyTimeout) {
             mBodyTimeout = bodyTimeout;
             return this;
@@ -116,17 +116,22 @@
 
         /** Builds the handler. */
         public CallerHandler build() {
-            final RequestSubmitter intake =
+            final RequestSubmitter submitter =
                     new RequestSubmitter(
-                            mRequests, mLoop, mBurn, mStopping, mMaxInProgress, mMaxWaitingBytes);
-            final BodyReceiver bodies = new BodyReceiver(mMaxBodyBytes, mBodyTimeout);
+                            mRequests,
+                            mLoop,
+                            mBurnCollector,
+                            mStopping,
+                            mMaxInProgress,
+                            mMaxWaitingBytes);
+            final BodyReceiver bodyReceiver = new BodyReceiver(mMaxBodyBytes, mBodyTimeout);
             final RequestNames names = new RequestNames(mDaemon);
             return new CallerHandler(
                     mView,
                     names,
-                    mBurn,
-                    new ChatHandler(mView, intake, bodies, names, mTickets, mClock),
-                    new ServiceHandler(mView, intake, bodies, names, mClock),
+                    mBurnCollector,
+                    new ChatHandler(mView, submitter, bodyReceiver, names, mTickets, mClock),
+                    new ServiceHandler(mView, submitter, bodyReceiver, names, mClock),
                     new ListingHandler(mView, mAddresses, ADDRESS_CACHE_TIME));
         }
     }
--- a/daemon/src/main/java/org/whinhead/daemon/caller/CallerHandler.java
+++ b/daemon/src/main/java/org/whinhead/daemon/caller/CallerHandler.java
@@ -13,7 +13,7 @@
 import org.whinhead.daemon.burn.BurnCollector;
 import org.whinhead.daemon.view.DeploymentView;
 
-/** Finds out who asks for what, and passes the request on. */
+/** Authenticates callers and routes their requests to the handler of the path. */
 public final class CallerHandler implements HttpHandler {
 
     private static final String CHAT = "/v1/chat/completions";
@@ -22,7 +22,7 @@
 
     private final Supplier<DeploymentView> mView;
     private final RequestNames mNames;
-    private final BurnCollector mBurn;
+    private final BurnCollector mBurnCollector;
     private final ChatHandler mChat;
     private final ServiceHandler mServices;
     private final ListingHandler mListings;
@@ -30,13 +30,13 @@
     CallerHandler(
             final Supplier<DeploymentView> view,
             final RequestNames names,
-            final BurnCollector burn,
+            final BurnCollector burnCollector,
             final ChatHandler chat,
             final ServiceHandler services,
             final ListingHandler listings) {
         mView = view;
         mNames = names;
-        mBurn = burn;
+        mBurnCollector = burnCollector;
         mChat = chat;
         mServices = services;
         mListings = listings;
@@ -72,10 +72,10 @@
         }
     }
 
-    /** Finds the customer, against whose tier a refusal from now on counts. */
+    /** Returns the customer; later refusals of this request count in the samples of its tier. */
     private Customer countedCustomer(final HttpServerExchange exchange) throws RequestException {
         final Customer customer = customer(exchange);
-        Refusals.setListener(exchange, refusal -> mBurn.recordRefusal(customer, refusal));
+        Refusals.setListener(exchange, refusal -> mBurnCollector.recordRefusal(customer, refusal));
         return customer;
     }
 
--- a/daemon/src/main/java/org/whinhead/daemon/caller/CallerHeaders.java
+++ b/daemon/src/main/java/org/whinhead/daemon/caller/CallerHeaders.java
@@ -2,7 +2,7 @@
 
 import io.undertow.util.HttpString;
 
-/** Headers of the callers' interface. */
+/** The names of the HTTP headers of the callers' interface. */
 final class CallerHeaders {
 
     static final HttpString REQUEST_ID = new HttpString("X-Request-Id");
@@ -11,7 +11,7 @@
     static final HttpString LAST_EVENT_ID = new HttpString("Last-Event-ID");
     static final HttpString IDEMPOTENCY_KEY = new HttpString("Idempotency-Key");
 
-    /** Set to {@code true} by a caller that sent the request before and has no answer to it. */
+    /** {@code true} if the caller sent the request before and received no answer. */
     static final HttpString REPEAT = new HttpString("X-Whinhead-Repeat");
 
     static final HttpString IDEMPOTENT = new HttpString("X-Idempotent");
--- a/daemon/src/main/java/org/whinhead/daemon/caller/ChatFields.java
+++ b/daemon/src/main/java/org/whinhead/daemon/caller/ChatFields.java
@@ -1,6 +1,6 @@
 package org.whinhead.daemon.caller;
 
-/** Names of fields in chat bodies. */
+/** The names of JSON fields in chat requests and responses, and the assistant's role. */
 final class ChatFields {
 
     static final String MODEL = "model";
--- a/daemon/src/main/java/org/whinhead/daemon/caller/ChatHandler.java
+++ b/daemon/src/main/java/org/whinhead/daemon/caller/ChatHandler.java
@@ -18,7 +18,7 @@
 import org.whinhead.daemon.view.DeploymentView;
 import org.whinhead.requests.TicketCodec;
 
-/** Takes chat requests: {@code POST /v1/chat/completions}. */
+/** Parses and submits chat requests: {@code POST /v1/chat/completions}. */
 final class ChatHandler {
 
     private final Supplier<DeploymentView> mView;
@@ -30,14 +30,14 @@
 
     ChatHandler(
             final Supplier<DeploymentView> view,
-            final RequestSubmitter intake,
-            final BodyReceiver bodies,
+            final RequestSubmitter submitter,
+            final BodyReceiver bodyReceiver,
             final RequestNames names,
             final TicketCodec tickets,
             final InstantSource clock) {
         mView = view;
-        mSubmitter = intake;
-        mBodyReceiver = bodies;
+        mSubmitter = submitter;
+        mBodyReceiver = bodyReceiver;
         mNames = names;
         mTickets = tickets;
         mClock = clock;
@@ -57,7 +57,7 @@
             throws RequestException {
         final ChatRequest request = ChatRequestParser.parse(bytes);
         final ModelRef model = model(request.model());
-        final Optional<ResumeRequest> comeback =
+        final Optional<ResumeRequest> resume =
                 ResumeRequest.parse(
                         exchange,
                         mTickets,
@@ -66,17 +66,17 @@
                         request,
                         mClock.instant());
         final RequestId id =
-                comeback.isPresent() ? comeback.get().requestId() : identity(customer, name);
-        final ChatResponseJson chunks = new ChatResponseJson(name, request.model());
+                resume.isPresent() ? resume.get().requestId() : uniqueRequestId(customer, name);
+        final ChatResponseJson json = new ChatResponseJson(name, request.model());
         mSubmitter.submit(
                 exchange,
                 spec(request, model, customer, id),
                 new RequestBody.Chat(request.encoder(model, customer.tier().priority())),
                 request.streamed()
-                        ? new StreamedFormat(chunks)
-                        : new BufferedFormat(chunks, request.deliveredText()),
+                        ? new StreamedFormat(json)
+                        : new BufferedFormat(json, request.deliveredText()),
                 live ->
-                        comeback.<DecisionEvent>map(c -> c.toEvent(live))
+                        resume.<DecisionEvent>map(r -> r.toEvent(live))
                                 .orElseGet(() -> new DecisionEvent.Arrived(live)));
     }
 
@@ -90,14 +90,14 @@
     }
 
     /**
-     * Guards against a caller that asks again under the same name while its first request runs:
-     * generation may be repeated, so the second gets an identity and an answer of its own.
+     * Returns the request's id. A name that is in progress already gets a new id: generation may be
+     * repeated, so the second request is answered on its own.
      */
-    private RequestId identity(final Customer customer, final String name) {
-        final RequestId asked = mNames.requestId(customer, name);
-        return mSubmitter.isInProgress(asked)
+    private RequestId uniqueRequestId(final Customer customer, final String name) {
+        final RequestId named = mNames.requestId(customer, name);
+        return mSubmitter.isInProgress(named)
                 ? mNames.requestId(customer, mNames.newName())
-                : asked;
+                : named;
     }
 
     private RequestSpec spec(
--- a/daemon/src/main/java/org/whinhead/daemon/caller/ChatRequest.java
+++ b/daemon/src/main/java/org/whinhead/daemon/caller/ChatRequest.java
@@ -9,14 +9,14 @@
 import org.whinhead.daemon.request.RequestBody;
 
 /**
- * A caller's checked chat request.
+ * A caller's validated chat request.
  *
- * @param body the body as it came, not to be changed
- * @param model the model's name as the caller gave it
+ * @param body the body as received, which must not be modified
+ * @param model the model's name as in the request
  * @param prompt the contents of all messages, joined by line feeds
- * @param maxTokens the most tokens to generate
- * @param streamed whether tokens are wanted as they come
- * @param deliveredText text that the caller already has, if it comes back
+ * @param maxTokens the maximum number of tokens to generate, at least 1
+ * @param streamed whether the caller requested the tokens as a stream
+ * @param deliveredText the text that the caller already has; empty unless it resumes an answer
  */
 record ChatRequest(
         ObjectNode body,
@@ -35,7 +35,7 @@
         Objects.requireNonNull(deliveredText, "deliveredText");
     }
 
-    /** Returns what makes the bodies for engines. */
+    /** Returns the encoder of the bodies that are sent to engines. */
     RequestBody.ChatEncoder encoder(final ModelRef resolved, final int priority) {
         return (text, tokens) -> encode(resolved, priority, text, tokens);
     }
--- a/daemon/src/main/java/org/whinhead/daemon/caller/ChatRequestParser.java
+++ b/daemon/src/main/java/org/whinhead/daemon/caller/ChatRequestParser.java
@@ -14,7 +14,7 @@
 import org.whinhead.api.verdict.Refusal;
 import org.whinhead.api.verdict.RequestException;
 
-/** Checks chat bodies; each error names the place in the body. */
+/** Parses and validates chat bodies; each error names the place in the body. */
 final class ChatRequestParser {
 
     private static final ObjectMapper MAPPER =
@@ -23,7 +23,7 @@
                     .enable(JsonParser.Feature.STRICT_DUPLICATE_DETECTION);
     private static final Set<String> ROLES = Set.of("system", "user", "assistant", "tool");
     private static final int DEFAULT_MAX_TOKENS = 1024;
-    private static final int MAX_MAX_TOKENS = 1_000_000;
+    private static final int MAX_TOKENS_LIMIT = 1_000_000;
 
     private ChatRequestParser() {}
 
@@ -38,7 +38,7 @@
                 prompt(body.path(ChatFields.MESSAGES)),
                 maxTokens(body.path(ChatFields.MAX_TOKENS)),
                 streamed(body.path(ChatFields.STREAM)),
-                delivered(body.path(ChatFields.DELIVERED_TEXT)));
+                deliveredText(body.path(ChatFields.DELIVERED_TEXT)));
     }
 
     private static JsonNode read(final byte[] bytes) throws RequestException {
@@ -58,7 +58,7 @@
 
     private static String prompt(final JsonNode messages) throws RequestException {
         if (!messages.isArray() || messages.isEmpty()) {
-            throw malformed(ChatFields.MESSAGES + ": expected a list with a message");
+            throw malformed(ChatFields.MESSAGES + ": expected a non-empty list");
         }
         final StringJoiner prompt = new StringJoiner("\n");
         for (int index = 0; index < messages.size(); index++) {
@@ -89,11 +89,11 @@
         if (node.isMissingNode()) {
             return DEFAULT_MAX_TOKENS;
         }
-        if (!node.isInt() || node.intValue() < 1 || node.intValue() > MAX_MAX_TOKENS) {
+        if (!node.isInt() || node.intValue() < 1 || node.intValue() > MAX_TOKENS_LIMIT) {
             throw malformed(
                     ChatFields.MAX_TOKENS
                             + ": expected a whole number from 1 to "
-                            + MAX_MAX_TOKENS);
+                            + MAX_TOKENS_LIMIT);
         }
         return node.intValue();
     }
@@ -105,7 +105,7 @@
         return node.asBoolean(false);
     }
 
-    private static String delivered(final JsonNode node) throws RequestException {
+    private static String deliveredText(final JsonNode node) throws RequestException {
         if (!node.isMissingNode() && !node.isTextual()) {
             throw malformed(ChatFields.DELIVERED_TEXT + ": expected a text");
         }
--- a/daemon/src/main/java/org/whinhead/daemon/caller/ChatResponseJson.java
+++ b/daemon/src/main/java/org/whinhead/daemon/caller/ChatResponseJson.java
@@ -5,17 +5,17 @@
 import org.whinhead.requests.Completion;
 
 /**
- * Makes the JSON of chat answers.
+ * Creates the JSON of chat responses.
  *
- * @param id the answer's id
- * @param model the model's name as the caller gave it
+ * @param id the id of the response
+ * @param model the model's name as in the caller's request
  */
 record ChatResponseJson(String id, String model) {
 
     private static final String CHUNK = "chat.completion.chunk";
     private static final String COMPLETION = "chat.completion";
 
-    /** Makes the chunk of one token. */
+    /** Returns the chunk of one token. */
     ObjectNode tokenChunk(final String text) {
         final ObjectNode root = root(CHUNK);
         final ObjectNode choice = choice(root);
@@ -24,7 +24,7 @@
         return root;
     }
 
-    /** Makes the last chunk. */
+    /** Returns the last chunk, which has the finish reason and the usage. */
     ObjectNode finalChunk(final Completion completion) {
         final ObjectNode root = root(CHUNK);
         final ObjectNode choice = choice(root);
@@ -33,7 +33,7 @@
         return withUsage(root, completion);
     }
 
-    /** Makes a whole answer. */
+    /** Returns the response of a request that is not streamed. */
     ObjectNode completion(final String text, final Completion completion) {
         final ObjectNode root = root(COMPLETION);
         final ObjectNode choice = choice(root);
--- a/daemon/src/main/java/org/whinhead/daemon/caller/DisconnectDetector.java
+++ b/daemon/src/main/java/org/whinhead/daemon/caller/DisconnectDetector.java
@@ -7,29 +7,30 @@
 import org.xnio.conduits.StreamSourceConduit;
 
 /**
- * Notices that a caller closed its connection while its request is worked on.
+ * Detects that a caller closes its connection while its request is in progress.
  *
- * <p>The server reads nothing from a connection whose request was read whole until the response has
- * ended, so it would not see the caller hang up before a write fails, and the engine would go on
- * generating for nobody. The watch reads in the meantime: the end of input is a hang-up; bytes of a
- * pipelined request are kept for the server, and reading stops. When the exchange ends the server
- * sets its own listener again.
+ * <p>The server does not read from a connection between the end of the request and the end of the
+ * response, so it would notice a disconnect only when a write fails, and the engine would generate
+ * in vain. The detector reads in the meantime: the end of input is a disconnect; bytes of a
+ * pipelined request are stored for the server, and reading stops. The server sets its own listener
+ * again when the exchange ends.
  */
 final class DisconnectDetector {
 
     private final AbstractServerConnection mConnection;
     private final Runnable mOnDisconnect;
 
-    private DisconnectDetector(final AbstractServerConnection connection, final Runnable left) {
+    private DisconnectDetector(
+            final AbstractServerConnection connection, final Runnable onDisconnect) {
         mConnection = connection;
-        mOnDisconnect = left;
+        mOnDisconnect = onDisconnect;
     }
 
-    /** Starts to watch; on the connection's IO thread, when the request was read whole. */
-    static void start(final HttpServerExchange exchange, final Runnable left) {
+    /** Starts reading; called on the connection's IO thread after the whole request was read. */
+    static void start(final HttpServerExchange exchange, final Runnable onDisconnect) {
         if (exchange.getConnection() instanceof AbstractServerConnection connection
                 && connection.getExtraBytes() == null) {
-            new DisconnectDetector(connection, left).listenForReads();
+            new DisconnectDetector(connection, onDisconnect).listenForReads();
         }
     }
 
--- a/daemon/src/main/java/org/whinhead/daemon/caller/ExchangeWriter.java
+++ b/daemon/src/main/java/org/whinhead/daemon/caller/ExchangeWriter.java
@@ -9,11 +9,11 @@
 import org.xnio.channels.StreamSinkChannel;
 
 /**
- * Writes a response as fast as the caller takes it; used on the connection's IO thread only.
+ * Writes a response with back pressure; used on the connection's IO thread only.
  *
- * <p>Guards against a caller that reads slowly or not at all: what it has not taken yet would fill
- * the daemon's memory. The bytes that wait are counted, and past the bound the connection is closed
- * and the request cancelled as if the caller had hung up.
+ * <p>The unwritten bytes of a caller that reads slowly or not at all would fill the daemon's
+ * memory. Above the limit of waiting bytes the connection is closed and the request is cancelled as
+ * if the caller had disconnected.
  */
 final class ExchangeWriter {
 
@@ -28,29 +28,33 @@
     private boolean mIsShutDown;
     private boolean mClosed;
 
-    /** Is told once how a response ended. */
+    /** Receives the end of a response, once. */
     @FunctionalInterface
     interface EndListener {
-        /** The response was written to its end and given to the kernel, or was cut before. */
+        /**
+         * Handles the end.
+         *
+         * @param whole whether the whole response was passed to the kernel
+         */
         void ended(boolean whole);
     }
 
     ExchangeWriter(
             final HttpServerExchange exchange,
             final int maxWaitingBytes,
-            final Runnable callerLeft,
-            final EndListener ended) {
+            final Runnable onCallerDisconnect,
+            final EndListener endListener) {
         mExchange = exchange;
         mMaxWaitingBytes = maxWaitingBytes;
-        mOnCallerDisconnect = callerLeft;
-        mEndListener = ended;
+        mOnCallerDisconnect = onCallerDisconnect;
+        mEndListener = endListener;
     }
 
     HttpServerExchange exchange() {
         return mExchange;
     }
 
-    /** Tells whether a byte of the response may have been sent. */
+    /** Returns whether a byte of the response may have been sent. */
     boolean hasBegun() {
         return mChannel != null;
     }
@@ -71,7 +75,7 @@
         }
     }
 
-    /** Ends the response once everything has been written. */
+    /** Ends the response once all waiting bytes are written. */
     void end() {
         if (!mClosed && !mEnding) {
             mEnding = true;
@@ -79,7 +83,7 @@
         }
     }
 
-    /** Closes the connection; the request is cancelled unless its response was ending. */
+    /** Closes the connection and, unless the response was ending, cancels the request. */
     void abort() {
         if (mClosed) {
             return;
--- a/daemon/src/main/java/org/whinhead/daemon/caller/KeyAuthenticator.java
+++ b/daemon/src/main/java/org/whinhead/daemon/caller/KeyAuthenticator.java
@@ -11,7 +11,7 @@
 import org.whinhead.api.verdict.Refusal;
 import org.whinhead.api.verdict.RequestException;
 
-/** Finds the customer whose key a request carries. */
+/** Authenticates customers by the bearer key of a request. */
 final class KeyAuthenticator {
 
     private static final String SCHEME = "Bearer ";
@@ -22,8 +22,10 @@
     private KeyAuthenticator() {}
 
     /**
-     * Finds the customer. Guards against a key that is guessed from the time that a comparison
-     * takes: every hash is compared, each in full, whether or not one matched before.
+     * Returns the customer of a key. All hashes are compared, each in constant time and also after
+     * a match, so that the duration reveals nothing about a key.
+     *
+     * @throws RequestException if the header has no bearer key or no customer has the key
      */
     static Customer authenticate(final String authorization, final List<Customer> customers)
             throws RequestException {
--- a/daemon/src/main/java/org/whinhead/daemon/caller/ListingHandler.java
+++ b/daemon/src/main/java/org/whinhead/daemon/caller/ListingHandler.java
@@ -11,7 +11,7 @@
 import org.whinhead.daemon.view.DeploymentView;
 import org.whinhead.daemon.view.EntryAddress;
 
-/** Lists models and the system's addresses. */
+/** Answers requests for the lists of models and of daemon addresses. */
 final class ListingHandler {
 
     private final Supplier<DeploymentView> mView;
@@ -21,13 +21,13 @@
     ListingHandler(
             final Supplier<DeploymentView> view,
             final Supplier<List<EntryAddress>> addresses,
-            final Duration keep) {
+            final Duration addressCacheTime) {
         mView = view;
         mAddresses = addresses;
-        mAddressCacheTime = keep;
+        mAddressCacheTime = addressCacheTime;
     }
 
-    /** Answers with the models: {@code GET /v1/models}. */
+    /** Sends the list of models: {@code GET /v1/models}. */
     void listModels(final HttpServerExchange exchange) {
         final ObjectNode root = JsonNodeFactory.instance.objectNode().put("object", "list");
         final ArrayNode data = root.putArray("data");
@@ -37,7 +37,7 @@
         send(exchange, root);
     }
 
-    /** Answers with the addresses that callers may use: {@code GET /v1/addresses}. */
+    /** Sends the addresses that callers may use: {@code GET /v1/addresses}. */
     void listAddresses(final HttpServerExchange exchange) {
         final ObjectNode root = JsonNodeFactory.instance.objectNode();
         final ArrayNode addresses = root.putArray("addresses");
--- a/daemon/src/main/java/org/whinhead/daemon/caller/PlainFormat.java
+++ b/daemon/src/main/java/org/whinhead/daemon/caller/PlainFormat.java
@@ -4,7 +4,7 @@
 import io.undertow.util.Headers;
 import org.whinhead.requests.PlainAnswer;
 
-/** Sends a plain service's answer as it came. */
+/** Writes the answer of a plain service unchanged. */
 final class PlainFormat implements AnswerFormat {
 
     @Override
--- a/daemon/src/main/java/org/whinhead/daemon/caller/QueuedReply.java
+++ b/daemon/src/main/java/org/whinhead/daemon/caller/QueuedReply.java
@@ -9,7 +9,7 @@
 import org.whinhead.requests.PlainAnswer;
 import org.xnio.XnioIoThread;
 
-/** Carries an answer's steps to the caller's IO thread, several at a time when they come fast. */
+/** Passes the parts of an answer to the caller's IO thread, in batches if they arrive fast. */
 final class QueuedReply implements CallerReply {
 
     private final Queue<ReplyPart> mParts = new ConcurrentLinkedQueue<>();
@@ -67,7 +67,7 @@
     }
 
     private void drain() {
-        // Cleared before the queue is read: a part added later schedules a drain of its own.
+        // Cleared before the queue is read: a part that is added later schedules another drain.
         mScheduled.set(false);
         ReplyPart part = mParts.poll();
         while (part != null) {
--- a/daemon/src/main/java/org/whinhead/daemon/caller/RefusalBody.java
+++ b/daemon/src/main/java/org/whinhead/daemon/caller/RefusalBody.java
@@ -6,7 +6,7 @@
 import java.time.Duration;
 import org.whinhead.api.verdict.Refusal;
 
-/** The JSON form of a refusal. */
+/** Creates the JSON body of a refusal. */
 final class RefusalBody {
 
     private static final ObjectMapper MAPPER = new ObjectMapper();
@@ -28,7 +28,7 @@
         }
     }
 
-    /** Returns a wait in whole seconds, rounded up so that nobody comes back too early. */
+    /** Returns a wait in whole seconds, rounded up so that callers don't retry too early. */
     static long roundUpToSeconds(final Duration wait) {
         return (wait.toMillis() + MILLIS_PER_SECOND - 1) / MILLIS_PER_SECOND;
     }
--- a/daemon/src/main/java/org/whinhead/daemon/caller/Refusals.java
+++ b/daemon/src/main/java/org/whinhead/daemon/caller/Refusals.java
@@ -11,7 +11,7 @@
 import org.whinhead.api.verdict.Verdict;
 import org.xnio.IoUtils;
 
-/** Writes refusals as whole responses. */
+/** Writes refusals as HTTP responses. */
 final class Refusals {
 
     private static final String JSON = "application/json";
@@ -22,7 +22,7 @@
 
     private Refusals() {}
 
-    /** Sets who is told if a request is refused before it was taken in. */
+    /** Sets the listener of a refusal that precedes the submission of the request. */
     static void setListener(final HttpServerExchange exchange, final Consumer<Refusal> listener) {
         exchange.putAttachment(LISTENER, listener);
     }
@@ -41,11 +41,11 @@
     }
 
     /**
-     * Returns what a caller may be told of its request, all its submissions together.
+     * Changes the verdict "not run" of a repeated request to "may have run".
      *
-     * <p>Guards against "not run" for a filing that ran: its first submission ran at a daemon that
-     * then died, and the second one is refused here, for example because the log is out. This
-     * daemon knows only that the second did not run, so it does not say more of a repeat.
+     * <p>The first submission may have run at a daemon that died before it answered, while this one
+     * is refused, for example because the log is not available. This daemon knows only that the
+     * repeat did not run.
      */
     private static Refusal weakenIfRepeat(
             final HttpServerExchange exchange, final Refusal refusal) {
@@ -57,9 +57,9 @@
                 refusal.code(), Verdict.MAY_HAVE_RUN, refusal.detail(), refusal.retryAfter());
     }
 
-    /** Refuses a request that was read whole and has a writer. */
-    static void write(final ExchangeWriter writer, final Refusal decided) {
-        final Refusal refusal = weakenIfRepeat(writer.exchange(), decided);
+    /** Writes the refusal of a request whose body was read and that has a writer. */
+    static void write(final ExchangeWriter writer, final Refusal original) {
+        final Refusal refusal = weakenIfRepeat(writer.exchange(), original);
         final byte[] body = RefusalBody.of(refusal);
         setStatusAndHeaders(writer.exchange(), refusal);
         writer.exchange().getResponseHeaders().put(Headers.CONTENT_LENGTH, body.length);
@@ -68,14 +68,14 @@
     }
 
     /**
-     * Refuses a request before it was taken in; on the connection's IO thread.
+     * Sends the refusal of a request before its submission; called on the connection's IO thread.
      *
-     * <p>Guards against a caller that never ends its body: the response goes out at once, and if
-     * the rest has not come within a short while, the connection is closed. Closing at once would
-     * make the kernel reset the connection, and the caller might never see the refusal.
+     * <p>A caller might never end its body, so the connection is closed if the rest of the body
+     * does not arrive within the linger time. Closing it immediately would make the kernel reset
+     * the connection, and the caller might not receive the refusal.
      */
-    static void send(final HttpServerExchange exchange, final Refusal decided) {
-        final Refusal refusal = weakenIfRepeat(exchange, decided);
+    static void send(final HttpServerExchange exchange, final Refusal original) {
+        final Refusal refusal = weakenIfRepeat(exchange, original);
         setStatusAndHeaders(exchange, refusal);
         final Consumer<Refusal> listener = exchange.getAttachment(LISTENER);
         if (listener != null) {
--- a/daemon/src/main/java/org/whinhead/daemon/caller/ReplyPart.java
+++ b/daemon/src/main/java/org/whinhead/daemon/caller/ReplyPart.java
@@ -4,10 +4,10 @@
 import org.whinhead.requests.Completion;
 import org.whinhead.requests.PlainAnswer;
 
-/** One step of an answer on its way from the decision thread to the caller's IO thread. */
+/** A part of an answer that the decision thread passes to the caller's IO thread. */
 sealed interface ReplyPart {
 
-    /** A token at its index. */
+    /** A token and its index in the answer. */
     record Token(long index, String text) implements ReplyPart {}
 
     /** A ticket that replaces earlier ones. */
@@ -22,6 +22,6 @@
     /** A final refusal. */
     record Refused(Refusal refusal) implements ReplyPart {}
 
-    /** A ticket for the rest of the answer, because this daemon stops. */
+    /** A ticket for the rest of the answer; sent because this daemon stops. */
     record HandedBack(String ticket, Refusal refusal) implements ReplyPart {}
 }
--- a/daemon/src/main/java/org/whinhead/daemon/caller/RequestNames.java
+++ b/daemon/src/main/java/org/whinhead/daemon/caller/RequestNames.java
@@ -10,7 +10,7 @@
 import org.whinhead.api.verdict.Refusal;
 import org.whinhead.api.verdict.RequestException;
 
-/** Names requests, by what the caller says or anew. */
+/** Determines the name of each request: the caller's or a generated one. */
 final class RequestNames {
 
     private static final int MAX_LENGTH = 200;
@@ -23,28 +23,36 @@
         mDaemon = daemon;
     }
 
-    /** Returns the caller's name for the request, or a new one, and echoes it. */
+    /**
+     * Returns the caller's name for the request, or a new one, and sets it as response header.
+     *
+     * @throws RequestException if the caller's name is malformed
+     */
     String assignName(final HttpServerExchange exchange) throws RequestException {
-        final String given = readNameHeader(exchange, CallerHeaders.REQUEST_ID);
-        final String shown = given.isEmpty() ? newName() : given;
-        exchange.getResponseHeaders().put(CallerHeaders.REQUEST_ID, shown);
-        return shown;
+        final String callerName = readNameHeader(exchange, CallerHeaders.REQUEST_ID);
+        final String requestName = callerName.isEmpty() ? newName() : callerName;
+        exchange.getResponseHeaders().put(CallerHeaders.REQUEST_ID, requestName);
+        return requestName;
     }
 
-    /** Returns a name that no other request of the deployment has. */
+    /** Returns a generated name, unique in the deployment. */
     String newName() {
         return mDaemon + "-" + mLastNumber.incrementAndGet();
     }
 
     /**
-     * Returns the identity of a request. It begins with the customer, so that two customers who use
-     * the same name or idempotency key never meet in one request.
+     * Returns the id of a request. It begins with the customer's id, so that two customers who use
+     * the same name or idempotency key never share a request id.
      */
     RequestId requestId(final Customer customer, final String name) {
         return new RequestId(customer.id() + SEPARATOR + name);
     }
 
-    /** Returns a header that names something; empty if it was not sent. */
+    /**
+     * Returns the value of a header that has a name or key; empty if the header is missing.
+     *
+     * @throws RequestException if the value is empty, too long or not printable ASCII
+     */
     static String readNameHeader(final HttpServerExchange exchange, final HttpString name)
             throws RequestException {
         final String value = exchange.getRequestHeaders().getFirst(name);
--- a/daemon/src/main/java/org/whinhead/daemon/caller/RequestSubmitter.java
+++ b/daemon/src/main/java/org/whinhead/daemon/caller/RequestSubmitter.java
@@ -20,7 +20,7 @@
 import org.whinhead.daemon.request.RequestBody;
 import org.xnio.XnioIoThread;
 
-/** Takes checked requests in: from here on the decision thread answers for them. */
+/** Submits validated requests to the decision loop, which answers them from then on. */
 final class RequestSubmitter {
 
     private static final Duration RETRY_AFTER = Duration.ofSeconds(1);
@@ -28,7 +28,7 @@
 
     private final LiveRequests mRequests;
     private final DecisionLoop mLoop;
-    private final BurnCollector mBurn;
+    private final BurnCollector mBurnCollector;
     private final BooleanSupplier mStopping;
     private final int mMaxInProgress;
     private final int mMaxWaitingBytes;
@@ -36,34 +36,42 @@
     RequestSubmitter(
             final LiveRequests requests,
             final DecisionLoop loop,
-            final BurnCollector burn,
+            final BurnCollector burnCollector,
             final BooleanSupplier stopping,
             final int maxInProgress,
             final int maxWaitingBytes) {
         mRequests = requests;
         mLoop = loop;
-        mBurn = burn;
+        mBurnCollector = burnCollector;
         mStopping = stopping;
         mMaxInProgress = maxInProgress;
         mMaxWaitingBytes = maxWaitingBytes;
     }
 
-    /** Refuses while the daemon stops or has its hands full. */
+    /**
+     * Checks that the daemon accepts requests.
+     *
+     * @throws RequestException if the daemon is stopping or has too many requests in progress
+     */
     void checkAccepting() throws RequestException {
         if (mStopping.getAsBoolean()) {
-            throw refused(ErrorCode.STOPPING, "ask for another address");
+            throw refused(ErrorCode.STOPPING, "the daemon is stopping, use another address");
         }
         if (mRequests.count() >= mMaxInProgress) {
             throw refused(ErrorCode.OVERLOADED, "too many requests in progress");
         }
     }
 
-    /** Tells whether a request of this identity is in progress here. */
+    /** Returns whether a request with this id is in progress at this daemon. */
     boolean isInProgress(final RequestId id) {
         return mRequests.find(id).isPresent();
     }
 
-    /** Takes a request in; on its connection's IO thread. */
+    /**
+     * Submits a request; called on its connection's IO thread.
+     *
+     * @throws RequestException if the decision ring has no room for new requests
+     */
     void submit(
             final HttpServerExchange exchange,
             final RequestSpec spec,
@@ -80,7 +88,7 @@
                         () -> reportCallerLeft(live.get()),
                         whole -> responseEnded(measured.get(), whole));
         final XnioIoThread thread = exchange.getIoThread();
-        measured.set(mBurn.measure(spec, new QueuedReply(thread, format, writer)));
+        measured.set(mBurnCollector.measure(spec, new QueuedReply(thread, format, writer)));
         live.set(new LiveRequest(spec, body, measured.get(), thread));
         if (!mLoop.offerNew(event.apply(live.get()))) {
             throw refused(ErrorCode.OVERLOADED, "the decision ring is full");
@@ -91,7 +99,7 @@
 
     private void responseEnded(final MeasuredReply reply, final boolean whole) {
         mRequests.responseClosed();
-        mBurn.recordEnd(reply, whole);
+        mBurnCollector.recordEnd(reply, whole);
     }
 
     private static RequestException refused(final ErrorCode code, final String detail) {
@@ -99,8 +107,8 @@
     }
 
     /**
-     * Tells the decision thread that a caller left. Guards against a full ring: the news must not
-     * be lost, or the engine would go on for nobody, so it is offered again until there is room.
+     * Reports to the decision loop that a caller left, with retries while the ring is full: a lost
+     * report would leave the engine generating in vain.
      */
     private void reportCallerLeft(final LiveRequest request) {
         if (!mLoop.offer(new DecisionEvent.CallerLeft(request))) {
--- a/daemon/src/main/java/org/whinhead/daemon/caller/ResumeRequest.java
+++ b/daemon/src/main/java/org/whinhead/daemon/caller/ResumeRequest.java
@@ -19,23 +19,28 @@
 import org.whinhead.requests.TicketCodec;
 
 /**
- * What a caller that comes back for the rest of an answer brings along.
+ * A caller's request for the rest of an interrupted answer.
  *
- * @param ticket where the answer was being made
- * @param haveTokens how many tokens the caller already has
- * @param haveText their text
+ * @param ticket the ticket, which names the answer's attempt, endpoint and stream
+ * @param deliveredTokens the number of tokens that the caller already has
+ * @param deliveredText the text of these tokens
  */
 record ResumeRequest(Ticket ticket, long deliveredTokens, String deliveredText) {
 
     private static final Logger LOGGER = LoggerFactory.getLogger(ResumeRequest.class);
     private static final EndpointId NO_ENDPOINT = new EndpointId("none");
 
-    /** Reads a ticket and what goes with it; empty if the request brings none. */
+    /**
+     * Parses the ticket header and the delivered tokens; empty if there is no ticket.
+     *
+     * @throws RequestException if the last event id is not a number, or only one of it and the
+     *     delivered text is present
+     */
     static Optional<ResumeRequest> parse(
             final HttpServerExchange exchange,
             final TicketCodec tickets,
             final Customer customer,
-            final RequestId identity,
+            final RequestId requestId,
             final ChatRequest request,
             final Instant now)
             throws RequestException {
@@ -45,35 +50,35 @@
         }
         final long tokens = deliveredTokens(exchange);
         if (request.deliveredText().isEmpty() != (tokens == 0)) {
-            throw refused(ChatFields.DELIVERED_TEXT + ": does not go with Last-Event-ID");
+            throw refused(ChatFields.DELIVERED_TEXT + ": expected together with Last-Event-ID");
         }
-        final Ticket ticket = ticket(text, tickets, customer, identity, now);
+        final Ticket ticket = ticket(text, tickets, customer, requestId, now);
         return Optional.of(new ResumeRequest(ticket, tokens, request.deliveredText()));
     }
 
     /**
-     * Reads a ticket, or makes one that names no stream where it cannot be read.
+     * Reads a ticket, or creates one without a stream if the ticket is invalid.
      *
-     * <p>Guards against losing an accepted request over a key: the daemon that signed the ticket is
-     * gone and had another key, or the key was replaced meanwhile. Generation may be repeated, and
-     * the caller brings the text that it has, so the answer goes on from there; all that is lost is
-     * the stream. A forged ticket gains nothing: its bearer could have sent the text by itself.
+     * <p>An accepted request must not be lost because the daemon that signed the ticket had another
+     * key, or the key was replaced. Generation may be repeated, so the answer continues from the
+     * caller's text and only the stream is lost. A forged ticket gains nothing: its bearer could
+     * have sent the text without it.
      */
     private static Ticket ticket(
             final String text,
             final TicketCodec tickets,
             final Customer customer,
-            final RequestId identity,
+            final RequestId requestId,
             final Instant now) {
         try {
             return tickets.read(text, customer.id(), now);
         } catch (final RequestException e) {
             LOGGER.atWarn()
-                    .addKeyValue("request", identity)
+                    .addKeyValue("request", requestId)
                     .addKeyValue("cause", e.getMessage())
-                    .log("a ticket cannot be used; the answer goes on from the caller's text");
+                    .log("ticket not valid, answer resumed from the caller's text");
             return new Ticket(
-                    new AttemptId(identity, 1),
+                    new AttemptId(requestId, 1),
                     customer.id(),
                     NO_ENDPOINT,
                     "",
@@ -83,7 +88,7 @@
         }
     }
 
-    /** Returns the identity that the request has had from the beginning. */
+    /** Returns the id that the request had in its first submission. */
     RequestId requestId() {
         return ticket.attempt().request();
     }
@@ -103,12 +108,12 @@
                 return index + 1;
             }
         } catch (final NumberFormatException e) {
-            // Refused below, as a negative number is.
+            // Refused below, like a negative number.
         }
         throw refused("header " + CallerHeaders.LAST_EVENT_ID + ": expected a whole number");
     }
 
-    /** The request has run before, whatever is wrong with what the caller brings. */
+    /** Returns a refusal that says "may have run": the ticket shows that the request ran before. */
     private static RequestException refused(final String detail) {
         return new RequestException(
                 new Refusal(
--- a/daemon/src/main/java/org/whinhead/daemon/caller/ServiceHandler.java
+++ b/daemon/src/main/java/org/whinhead/daemon/caller/ServiceHandler.java
@@ -16,7 +16,7 @@
 import org.whinhead.daemon.view.DeploymentView;
 import org.whinhead.settings.deployment.DocumentValue.ServiceEntry;
 
-/** Takes calls of plain services: {@code /v1/services/{service}/{path}}. */
+/** Submits calls of plain services: {@code /v1/services/{service}/{path}}. */
 final class ServiceHandler {
 
     static final String PREFIX = "/v1/services/";
@@ -31,13 +31,13 @@
 
     ServiceHandler(
             final Supplier<DeploymentView> view,
-            final RequestSubmitter intake,
-            final BodyReceiver bodies,
+            final RequestSubmitter submitter,
+            final BodyReceiver bodyReceiver,
             final RequestNames names,
             final InstantSource clock) {
         mView = view;
-        mSubmitter = intake;
-        mBodyReceiver = bodies;
+        mSubmitter = submitter;
+        mBodyReceiver = bodyReceiver;
         mNames = names;
         mClock = clock;
     }
@@ -58,9 +58,10 @@
                                                 Refusal.notRun(
                                                         ErrorCode.UNKNOWN_TARGET,
                                                         "service " + service)));
-        final boolean idempotent = rules.isIdempotent(path) && !saysNotIdempotent(exchange);
-        final String given = RequestNames.readNameHeader(exchange, CallerHeaders.IDEMPOTENCY_KEY);
-        final String key = given.isEmpty() ? name : given;
+        final boolean idempotent = rules.isIdempotent(path) && !isMarkedNotIdempotent(exchange);
+        final String keyHeader =
+                RequestNames.readNameHeader(exchange, CallerHeaders.IDEMPOTENCY_KEY);
+        final String key = keyHeader.isEmpty() ? name : keyHeader;
         final RequestSpec spec = spec(customer, key, service, idempotent);
         mBodyReceiver.receive(
                 exchange,
@@ -73,7 +74,7 @@
                                 DecisionEvent.Arrived::new));
     }
 
-    private static boolean saysNotIdempotent(final HttpServerExchange exchange)
+    private static boolean isMarkedNotIdempotent(final HttpServerExchange exchange)
             throws RequestException {
         return NOT_IDEMPOTENT.equals(
                 RequestNames.readNameHeader(exchange, CallerHeaders.IDEMPOTENT));
@@ -84,10 +85,10 @@
             final String key,
             final String service,
             final boolean idempotent) {
-        final RequestId asked = mNames.requestId(customer, service + "/" + key);
-        // A second call under the same key may run beside the first only if it may be repeated.
-        final boolean renamed = idempotent && mSubmitter.isInProgress(asked);
-        final RequestId id = renamed ? mNames.requestId(customer, mNames.newName()) : asked;
+        final RequestId keyed = mNames.requestId(customer, service + "/" + key);
+        // A second call with the same key runs in parallel only if calls may be repeated.
+        final boolean needsNewId = idempotent && mSubmitter.isInProgress(keyed);
+        final RequestId id = needsNewId ? mNames.requestId(customer, mNames.newName()) : keyed;
         final Instant now = mClock.instant();
         return RequestSpec.builder(id)
                 .customer(customer.id())
--- a/daemon/src/main/java/org/whinhead/daemon/caller/StreamedFormat.java
+++ b/daemon/src/main/java/org/whinhead/daemon/caller/StreamedFormat.java
@@ -7,7 +7,7 @@
 import org.whinhead.api.verdict.Refusal;
 import org.whinhead.requests.Completion;
 
-/** Sends tokens as server-sent events as they come. */
+/** Writes each token as a server-sent event as it arrives. */
 final class StreamedFormat implements AnswerFormat {
 
     private static final String EVENT_STREAM = "text/event-stream";
@@ -17,8 +17,8 @@
     private final StringBuilder mBatch = new StringBuilder();
     private String mTicket = "";
 
-    StreamedFormat(final ChatResponseJson chunks) {
-        mJson = chunks;
+    StreamedFormat(final ChatResponseJson json) {
+        mJson = json;
     }
 
     @Override
--- a/daemon/src/main/java/org/whinhead/daemon/caller/package-info.java
+++ b/daemon/src/main/java/org/whinhead/daemon/caller/package-info.java
@@ -1,2 +1,2 @@
-/** The callers' HTTP interface: checks, answers, refusals and back pressure. */
+/** The callers' HTTP interface: authentication, validation, answers, refusals, back pressure. */
 package org.whinhead.daemon.caller;
