--- a/daemon/src/main/java/org/whinhead/daemon/decision/DecisionEvent.java
+++ b/daemon/src/main/java/org/whinhead/daemon/decision/DecisionEvent.java
@@ -16,20 +16,20 @@
 import org.whinhead.requests.RequestCoordinator;
 import org.whinhead.requests.Ticket;
 
-/** What the decision thread is told. */
+/** An event that the decision loop applies to the coordinator. */
 public sealed interface DecisionEvent {
 
     /**
-     * Passes the event to the coordinator.
+     * Applies the event to the coordinator.
      *
      * @param coordinator the coordinator
      * @param requests the requests in progress
-     * @param now the time
+     * @param now the current time
      */
     void applyTo(RequestCoordinator coordinator, LiveRequests requests, Instant now);
 
     /**
-     * A new request was read whole.
+     * The whole body of a new request was read.
      *
      * @param request the request
      */
@@ -55,19 +55,19 @@
             return new Refusal(
                     ErrorCode.ALREADY_CLAIMED,
                     Verdict.MAY_HAVE_RUN,
-                    "it is in progress here",
+                    "the request is in progress at this daemon",
                     Optional.of(RETRY_AFTER));
         }
     }
 
     /**
-     * A caller came back for the rest of an answer. From here on the answer goes over the new
-     * connection, also if the request is still in progress here for the former one.
+     * A caller requested the rest of an answer. The answer continues over the new connection, also
+     * if this daemon still answers the request over the former one.
      *
-     * @param request the request, rebuilt from the repeated body
-     * @param ticket where the answer was being made
-     * @param haveTokens how many tokens the caller already has
-     * @param haveText their text
+     * @param request the request, created from the repeated body
+     * @param ticket the ticket, which names the answer's attempt, endpoint and stream
+     * @param deliveredTokens the number of tokens that the caller already has
+     * @param deliveredText the text of these tokens
      */
     record ResumeRequested(
             LiveRequest request, Ticket ticket, long deliveredTokens, String deliveredText)
@@ -83,10 +83,10 @@
     }
 
     /**
-     * A caller hung up. Comes after the event that brought its request, so a request that has come
-     * back over another connection since is not touched.
+     * A caller disconnected. The event follows the one that added the request, and has no effect if
+     * the request was resumed over another connection since.
      *
-     * @param request its request
+     * @param request the caller's request
      */
     record CallerLeft(LiveRequest request) implements DecisionEvent {
         @Override
@@ -101,12 +101,12 @@
     }
 
     /**
-     * Something happened to an attempt.
+     * An attempt reported an event.
      *
-     * @param event what happened
+     * @param event the event
      */
     record AttemptReported(AttemptEvent event) implements DecisionEvent {
-        /** Checks the event. */
+        /** Creates an event. */
         public AttemptReported {
             Objects.requireNonNull(event, "event");
         }
@@ -125,7 +125,7 @@
      *
      * @param request the request
      * @param outcome the decision
-     * @param dispatchBy until when a granted request may be dispatched
+     * @param dispatchBy the time by which a granted request must be dispatched
      */
     record ClaimDecided(RequestId request, ClaimOutcome outcome, Instant dispatchBy)
             implements DecisionEvent {
@@ -134,18 +134,19 @@
                 final RequestCoordinator coordinator,
                 final LiveRequests requests,
                 final Instant now) {
-            // Guards against a pause between the decision and this event, after which the key may
-            // have been given anew: a grant that is over is none, and the request does not run.
-            final boolean over = outcome == ClaimOutcome.GRANTED && !now.isBefore(dispatchBy);
-            coordinator.onClaimDecided(request, over ? ClaimOutcome.UNAVAILABLE : outcome, now);
+            // After a pause between the decision and this event, the key may have been granted to
+            // another request: an expired grant counts as none, and the request does not run.
+            final boolean isExpired = outcome == ClaimOutcome.GRANTED && !now.isBefore(dispatchBy);
+            coordinator.onClaimDecided(
+                    request, isExpired ? ClaimOutcome.UNAVAILABLE : outcome, now);
         }
     }
 
     /**
-     * An endpoint was announced to leave.
+     * The departure of an endpoint was announced.
      *
      * @param endpoint the endpoint
-     * @param goneBy when it stops answering
+     * @param goneBy the time at which the endpoint stops answering
      */
     record EndpointLeaving(EndpointId endpoint, Instant goneBy) implements DecisionEvent {
         @Override
@@ -158,9 +159,9 @@
     }
 
     /**
-     * The daemon was told to stop.
+     * The daemon begins its shutdown.
      *
-     * @param goneBy when it stops answering
+     * @param goneBy the time at which the daemon stops answering
      */
     record Stopping(Instant goneBy) implements DecisionEvent {
         @Override
@@ -172,7 +173,7 @@
         }
     }
 
-    /** Time passed. */
+    /** A periodic tick, for deadlines and timeouts. */
     record Tick() implements DecisionEvent {
         @Override
         public void applyTo(
@@ -184,9 +185,10 @@
     }
 
     /**
-     * Work of another duty that must happen between two decisions, for example a new view.
+     * A task from another thread, run on the decision thread between two decisions, for example the
+     * installation of a new view.
      *
-     * @param work the work; it must not block
+     * @param action the code to run; must not block
      */
     record Task(Runnable action) implements DecisionEvent {
         @Override
--- a/daemon/src/main/java/org/whinhead/daemon/decision/DecisionLoop.java
+++ b/daemon/src/main/java/org/whinhead/daemon/decision/DecisionLoop.java
@@ -5,7 +5,7 @@
 import org.whinhead.daemon.ring.EventRing;
 import org.whinhead.requests.RequestCoordinator;
 
-/** Runs the coordinator on one thread, fed by a bounded ring. */
+/** Event loop that makes all coordinator calls on one thread, fed by a bounded ring. */
 public final class DecisionLoop implements AutoCloseable {
 
     private final EventRing<DecisionEvent> mRing;
@@ -15,12 +15,12 @@
     private volatile boolean mStopped;
 
     /**
-     * Makes a loop that is not started yet.
+     * Creates a loop that is not started yet.
      *
      * @param name the thread's name
-     * @param slots the ring's size, a power of two
+     * @param slots the ring's size in events, a power of two
      * @param requests the requests in progress
-     * @param clock the time
+     * @param clock the source of the current time
      */
     public DecisionLoop(
             final String name,
@@ -35,7 +35,7 @@
     /**
      * Starts the thread.
      *
-     * @param coordinator told of every event, on the loop's thread only
+     * @param coordinator receives every event, on the loop's thread only
      */
     public void start(final RequestCoordinator coordinator) {
         mCoordinator = coordinator;
@@ -43,10 +43,10 @@
     }
 
     /**
-     * Offers an event that begins a request.
+     * Offers an event that starts a request, for which the reserved slots are not available.
      *
      * @param event the event
-     * @return false if the ring is nearly full; nothing was taken in then
+     * @return whether the event was accepted; false if fewer slots than the reserved ones are free
      */
     public boolean offerNew(final DecisionEvent event) {
         return mRing.offerNew(event);
@@ -56,22 +56,23 @@
      * Offers an event.
      *
      * @param event the event
-     * @return false if the ring is full; nothing was taken in then
+     * @return whether the event was accepted; false if the ring is full
      */
     public boolean offer(final DecisionEvent event) {
         return mRing.offer(event);
     }
 
-    /** Returns how many events wait, for metrics. */
+    /** Returns the number of waiting events, for metrics. */
     public long waitingEvents() {
         return mRing.waitingEvents();
     }
 
     /**
-     * Decides nothing from now on; events that come are dropped.
+     * Stops applying events; later events are accepted and dropped.
      *
-     * <p>A daemon that ends closes its callers' connections, which looks as if they had hung up.
-     * Their streams would be cancelled at the engines, where other daemons read them on.
+     * <p>A daemon that exits closes its callers' connections, which looks as if the callers had
+     * disconnected. Their streams would be cancelled at the engines, from which other daemons
+     * resume them.
      */
     public void stopDeciding() {
         mStopped = true;
--- a/daemon/src/main/java/org/whinhead/daemon/decision/package-info.java
+++ b/daemon/src/main/java/org/whinhead/daemon/decision/package-info.java
@@ -1,4 +1,2 @@
-/**
- * The decision duty: one thread, fed by a bounded ring, on which every coordinator call happens.
- */
+/** The decision loop: one thread, fed by a bounded ring, that makes all coordinator calls. */
 package org.whinhead.daemon.decision;
--- a/daemon/src/main/java/org/whinhead/daemon/engine/ActionDispatcher.java
+++ b/daemon/src/main/java/org/whinhead/daemon/engine/ActionDispatcher.java
@@ -11,7 +11,7 @@
 import org.whinhead.requests.Ticket;
 import org.whinhead.requests.TicketCodec;
 
-/** Carries out the coordinator's actions by handing them to the IO threads. */
+/** Executes the coordinator's actions by passing them to the IO threads. */
 public final class ActionDispatcher implements RequestActions {
 
     private final LiveRequests mRequests;
@@ -20,22 +20,22 @@
     private final ClaimService mClaimService;
 
     /**
-     * Makes a dispatcher.
+     * Creates a dispatcher.
      *
      * @param requests the requests in progress
-     * @param transport the way to the endpoints
-     * @param tickets writes tickets
-     * @param claims takes the claims
+     * @param transport starts and cancels attempts at endpoints
+     * @param tickets encodes tickets
+     * @param claimService requests and withdraws claims
      */
     public ActionDispatcher(
             final LiveRequests requests,
             final AttemptTransport transport,
             final TicketCodec tickets,
-            final ClaimService claims) {
+            final ClaimService claimService) {
         mRequests = requests;
         mTransport = transport;
         mTickets = tickets;
-        mClaimService = claims;
+        mClaimService = claimService;
     }
 
     @Override
--- a/daemon/src/main/java/org/whinhead/daemon/engine/AttemptEventPublisher.java
+++ b/daemon/src/main/java/org/whinhead/daemon/engine/AttemptEventPublisher.java
@@ -11,10 +11,10 @@
 import org.whinhead.requests.AttemptFailure;
 
 /**
- * Hands one attempt's events to the decision thread in order; on one IO thread.
+ * Publishes one attempt's events to the decision loop in order; used on one IO thread.
  *
- * <p>Guards against a full ring: a lost token event would leave a hole in the answer. Events that
- * find no place wait here, and the endpoint's connection is not read on until they are through.
+ * <p>A lost token event would leave a gap in the answer. While the decision ring is full, events
+ * wait here, and reading from the endpoint's connection is paused until all of them are published.
  */
 final class AttemptEventPublisher {
 
@@ -26,10 +26,10 @@
     private final Queue<AttemptEvent> mWaiting = new ArrayDeque<>();
     private HttpCall mCall;
 
-    AttemptEventPublisher(final AttemptId attempt, final DecisionLoop loop, final Runnable ended) {
+    AttemptEventPublisher(final AttemptId attempt, final DecisionLoop loop, final Runnable onEnd) {
         mAttempt = attempt;
         mLoop = loop;
-        mOnEnd = ended;
+        mOnEnd = onEnd;
     }
 
     AttemptId attempt() {
@@ -48,7 +48,7 @@
         publish(new AttemptEvent.Token(mAttempt, index, text));
     }
 
-    /** Publishes the attempt's last event. */
+    /** Publishes the attempt's last event and runs the end callback. */
     void publishLast(final AttemptEvent event) {
         mOnEnd.run();
         publish(event);
--- a/daemon/src/main/java/org/whinhead/daemon/engine/AttemptFailures.java
+++ b/daemon/src/main/java/org/whinhead/daemon/engine/AttemptFailures.java
@@ -4,7 +4,7 @@
 import org.whinhead.clients.http.HttpFailure;
 import org.whinhead.requests.AttemptFailure;
 
-/** What a failed call or a refusing status means for an attempt. */
+/** Maps failed HTTP calls and error statuses to attempt failures. */
 final class AttemptFailures {
 
     private AttemptFailures() {}
--- a/daemon/src/main/java/org/whinhead/daemon/engine/AttemptTransport.java
+++ b/daemon/src/main/java/org/whinhead/daemon/engine/AttemptTransport.java
@@ -18,7 +18,7 @@
 import org.whinhead.daemon.request.RequestBody;
 import org.xnio.XnioIoThread;
 
-/** Starts and cancels attempts at endpoints; called on the decision thread, never blocks. */
+/** Starts and cancels attempts at endpoints; called on the decision thread, does not block. */
 public final class AttemptTransport {
 
     private static final String JSON = "application/json";
@@ -38,12 +38,12 @@
     private final Map<AttemptId, HttpCall> mCalls = new ConcurrentHashMap<>();
 
     /**
-     * Makes a transport.
+     * Creates a transport.
      *
-     * @param caller makes the calls
-     * @param loop told what becomes of attempts
-     * @param connectTimeout how long connecting may take
-     * @param silenceTimeout how long an endpoint may send nothing
+     * @param caller the HTTP client
+     * @param loop receives the events of attempts
+     * @param connectTimeout the timeout for connecting
+     * @param silenceTimeout the longest time that an endpoint may send nothing
      */
     public AttemptTransport(
             final HttpCaller caller,
@@ -63,7 +63,7 @@
      * @param attempt the attempt
      * @param endpoint the engine
      * @param deliveredText text that the caller already has; empty to start over
-     * @param deliveredTokens how many tokens that text has
+     * @param deliveredTokens the number of tokens of that text
      */
     public void generate(
             final LiveRequest request,
@@ -72,7 +72,8 @@
             final String deliveredText,
             final long deliveredTokens) {
         if (!(request.body() instanceof RequestBody.Chat chat)) {
-            throw new IllegalStateException(attempt + " generates for a plain service");
+            throw new IllegalStateException(
+                    attempt + ": a call of a plain service cannot generate");
         }
         final OutgoingRequest outgoing =
                 requestBuilder(endpoint.uri(), CHAT_PATH, attempt)
@@ -83,13 +84,13 @@
     }
 
     /**
-     * Resumes a stream.
+     * Reads a stream that the engine still holds.
      *
      * @param request the request
      * @param attempt the attempt
      * @param endpoint the engine
-     * @param streamId the engine's name for the stream
-     * @param fromIndex the first token wanted
+     * @param streamId the engine's id of the stream
+     * @param fromIndex the index of the first token to read, at least 0
      */
     public void resume(
             final LiveRequest request,
@@ -110,12 +111,12 @@
     }
 
     /**
-     * Moves a stream's KV cache.
+     * Moves a stream's KV cache to another engine.
      *
      * @param request the request
      * @param attempt the new attempt, at the receiving engine
-     * @param from the leaving engine
-     * @param streamId the leaving engine's name for the stream
+     * @param from the engine that leaves
+     * @param streamId the id of the stream at the engine that leaves
      * @param to the receiving engine
      */
     public void move(
@@ -128,17 +129,17 @@
                 requestBuilder(from.uri(), STREAMS_PATH + streamId + EXPORT_SUFFIX, attempt)
                         .method(Methods.POST)
                         .build();
-        final AttemptEventPublisher events = publisher(attempt);
-        final CacheExport move =
+        final AttemptEventPublisher publisher = publisher(attempt);
+        final CacheExport exportListener =
                 new CacheExport(
-                        events,
+                        publisher,
                         cache ->
                                 start(
                                         attempt,
                                         importRequest(attempt, to, cache),
                                         request.thread(),
-                                        new CacheImport(events)));
-        start(attempt, export, request.thread(), move);
+                                        new CacheImport(publisher)));
+        start(attempt, export, request.thread(), exportListener);
     }
 
     private OutgoingRequest importRequest(
@@ -158,7 +159,8 @@
      */
     public void call(final LiveRequest request, final AttemptId attempt, final Endpoint endpoint) {
         if (!(request.body() instanceof RequestBody.Plain plain)) {
-            throw new IllegalStateException(attempt + " calls with a chat request");
+            throw new IllegalStateException(
+                    attempt + ": a chat request cannot call a plain service");
         }
         final OutgoingRequest outgoing =
                 requestBuilder(endpoint.uri(), plain.path(), attempt)
@@ -170,11 +172,11 @@
     }
 
     /**
-     * Ends an attempt.
+     * Cancels an attempt, also at its endpoint if the stream's id is known.
      *
      * @param attempt the attempt
-     * @param endpoint where it runs
-     * @param streamId the endpoint's name for the stream; empty if not known yet
+     * @param endpoint the endpoint that runs the attempt
+     * @param streamId the endpoint's id of the stream; empty if not known yet
      */
     public void cancel(final AttemptId attempt, final Endpoint endpoint, final String streamId) {
         release(attempt);
@@ -188,7 +190,7 @@
     }
 
     /**
-     * Stops reading an attempt's answer and leaves it running at its endpoint.
+     * Stops reading an attempt's answer; the attempt continues at its endpoint.
      *
      * @param attempt the attempt
      */
@@ -199,7 +201,7 @@
         }
     }
 
-    /** Returns how many calls are under way, for metrics. */
+    /** Returns the number of active calls, for metrics. */
     public int activeCalls() {
         return mCalls.size();
     }
@@ -221,13 +223,13 @@
     private OutgoingRequest.Builder requestBuilder(
             final URI base, final String path, final AttemptId attempt) {
         return OutgoingRequest.to(base, path)
-                .header(REQUEST_HEADER, asHeader(attempt.request().value()))
+                .header(REQUEST_HEADER, toAscii(attempt.request().value()))
                 .header(ATTEMPT_HEADER, Integer.toString(attempt.number()))
                 .connectTimeout(mConnectTimeout)
                 .silenceTimeout(mSilenceTimeout);
     }
 
-    private static String asHeader(final String value) {
+    private static String toAscii(final String value) {
         return new String(value.getBytes(StandardCharsets.US_ASCII), StandardCharsets.US_ASCII);
     }
 }
--- a/daemon/src/main/java/org/whinhead/daemon/engine/BufferedResponse.java
+++ b/daemon/src/main/java/org/whinhead/daemon/engine/BufferedResponse.java
@@ -9,7 +9,7 @@
 import org.whinhead.clients.http.ResponseListener;
 import org.whinhead.requests.AttemptFailure;
 
-/** Reads an attempt's whole response, up to a bound. */
+/** Buffers an attempt's whole response, up to a size limit. */
 abstract class BufferedResponse implements ResponseListener {
 
     private final AttemptEventPublisher mPublisher;
@@ -20,12 +20,12 @@
     private String mContentType = "";
     private boolean mEnded;
 
-    BufferedResponse(final AttemptEventPublisher events, final int maxBytes) {
-        mPublisher = events;
+    BufferedResponse(final AttemptEventPublisher publisher, final int maxBytes) {
+        mPublisher = publisher;
         mMaxBytes = maxBytes;
     }
 
-    /** Takes the whole response. */
+    /** Handles the whole response. */
     abstract void handleResponse(int status, String contentType, byte[] body);
 
     AttemptEventPublisher publisher() {
@@ -54,9 +54,9 @@
                     AttemptFailure.FAULTED, "the answer is larger than " + mMaxBytes + " bytes");
             return;
         }
-        final byte[] some = new byte[bytes.remaining()];
-        bytes.get(some);
-        mBody.write(some, 0, some.length);
+        final byte[] chunk = new byte[bytes.remaining()];
+        bytes.get(chunk);
+        mBody.write(chunk, 0, chunk.length);
     }
 
     @Override
--- a/daemon/src/main/java/org/whinhead/daemon/engine/CacheExport.java
+++ b/daemon/src/main/java/org/whinhead/daemon/engine/CacheExport.java
@@ -4,16 +4,16 @@
 import java.util.function.Consumer;
 import org.whinhead.requests.AttemptFailure;
 
-/** Takes a stream's KV cache from the leaving engine, the first half of a move. */
+/** Receives a stream's KV cache from the engine that leaves, the first half of a move. */
 final class CacheExport extends BufferedResponse {
 
     private static final int MAX_CACHE_BYTES = 64 * 1024 * 1024;
 
     private final Consumer<byte[]> mOnExported;
 
-    CacheExport(final AttemptEventPublisher events, final Consumer<byte[]> exported) {
-        super(events, MAX_CACHE_BYTES);
-        mOnExported = exported;
+    CacheExport(final AttemptEventPublisher publisher, final Consumer<byte[]> onExported) {
+        super(publisher, MAX_CACHE_BYTES);
+        mOnExported = onExported;
     }
 
     @Override
--- a/daemon/src/main/java/org/whinhead/daemon/engine/CacheImport.java
+++ b/daemon/src/main/java/org/whinhead/daemon/engine/CacheImport.java
@@ -6,14 +6,14 @@
 import org.whinhead.requests.AttemptEvent;
 import org.whinhead.requests.AttemptFailure;
 
-/** Hands a stream's KV cache to the receiving engine, the second half of a move. */
+/** Handles the response to a KV cache import at the receiving engine, which ends a move. */
 final class CacheImport extends BufferedResponse {
 
     private static final ObjectMapper MAPPER = new ObjectMapper();
     private static final int MAX_ANSWER_BYTES = 64 * 1024;
 
-    CacheImport(final AttemptEventPublisher events) {
-        super(events, MAX_ANSWER_BYTES);
+    CacheImport(final AttemptEventPublisher publisher) {
+        super(publisher, MAX_ANSWER_BYTES);
     }
 
     @Override
--- a/daemon/src/main/java/org/whinhead/daemon/engine/ClaimService.java
+++ b/daemon/src/main/java/org/whinhead/daemon/engine/ClaimService.java
@@ -2,18 +2,18 @@
 
 import org.whinhead.api.request.RequestId;
 
-/** Takes the at-most-once claims of requests; every call returns at once. */
+/** Requests and withdraws the at-most-once claims of requests; no call blocks. */
 public interface ClaimService {
 
     /**
-     * Asks for a claim; the decision comes back as an event.
+     * Requests a claim; the decision follows as a {@code ClaimDecided} event.
      *
      * @param request the request
      */
     void claim(RequestId request);
 
     /**
-     * Gives up a granted claim of a request that certainly did not run.
+     * Withdraws the granted claim of a request that certainly did not run.
      *
      * @param request the request
      */
--- a/daemon/src/main/java/org/whinhead/daemon/engine/EngineStream.java
+++ b/daemon/src/main/java/org/whinhead/daemon/engine/EngineStream.java
@@ -14,19 +14,19 @@
 import org.whinhead.requests.AttemptEvent;
 import org.whinhead.requests.AttemptFailure;
 
-/** Turns an engine's stream of server-sent events into attempt events. */
+/** Converts an engine's server-sent events to attempt events. */
 final class EngineStream implements ResponseListener {
 
     private static final ObjectMapper MAPPER = new ObjectMapper();
     private static final String STREAM_HEADER = "X-Stream-Id";
     private static final String DONE = "[DONE]";
     private static final int MAX_EVENT_BYTES = 256 * 1024;
-    private static final String NOT_PARSED = "the engine's event is not understood";
+    private static final String NOT_PARSED = "the engine's event is not a valid chat chunk";
 
     private final AttemptEventPublisher mPublisher;
     private final boolean mIsResumed;
     private final String mKnownStreamId;
-    private final SseParser mParser = new SseParser(MAX_EVENT_BYTES, this::event);
+    private final SseParser mParser = new SseParser(MAX_EVENT_BYTES, this::handleEvent);
     private HttpCall mCall;
     private int mStatus;
     private long mNextIndex;
@@ -34,20 +34,20 @@
     private boolean mEnded;
 
     private EngineStream(
-            final AttemptEventPublisher events, final boolean resumes, final String streamId) {
-        mPublisher = events;
-        mIsResumed = resumes;
+            final AttemptEventPublisher publisher, final boolean isResumed, final String streamId) {
+        mPublisher = publisher;
+        mIsResumed = isResumed;
         mKnownStreamId = streamId;
     }
 
-    /** Reads a stream that the engine opens and names. */
-    static EngineStream opening(final AttemptEventPublisher events) {
-        return new EngineStream(events, false, "");
+    /** Returns the listener of a new stream, whose id is in the engine's response. */
+    static EngineStream opening(final AttemptEventPublisher publisher) {
+        return new EngineStream(publisher, false, "");
     }
 
-    /** Reads on in a stream that the engine still holds. */
-    static EngineStream resuming(final AttemptEventPublisher events, final String streamId) {
-        return new EngineStream(events, true, streamId);
+    /** Returns the listener of a resumed stream that the engine still holds. */
+    static EngineStream resuming(final AttemptEventPublisher publisher, final String streamId) {
+        return new EngineStream(publisher, true, streamId);
     }
 
     @Override
@@ -60,8 +60,8 @@
     public void began(final int status, final HeaderMap headers) {
         mStatus = status;
         if (status == StatusCodes.OK) {
-            final String named = headers.getFirst(STREAM_HEADER);
-            mPublisher.publishOpened(named == null ? mKnownStreamId : named);
+            final String streamId = headers.getFirst(STREAM_HEADER);
+            mPublisher.publishOpened(streamId == null ? mKnownStreamId : streamId);
         }
     }
 
@@ -110,7 +110,7 @@
         return AttemptFailures.ofStatus(status);
     }
 
-    private void event(final SseEvent event) {
+    private void handleEvent(final SseEvent event) {
         if (mEnded) {
             return;
         }
@@ -156,7 +156,7 @@
                 mNextIndex);
     }
 
-    /** Ends an attempt whose stream can not be trusted any more. */
+    /** Cancels the call and fails the attempt, because the stream is not valid. */
     private void failAsFaulted(final String detail) {
         if (!mEnded) {
             mEnded = true;
--- a/daemon/src/main/java/org/whinhead/daemon/engine/IgnoredResponse.java
+++ b/daemon/src/main/java/org/whinhead/daemon/engine/IgnoredResponse.java
@@ -5,12 +5,12 @@
 import org.whinhead.clients.http.HttpFailure;
 import org.whinhead.clients.http.ResponseListener;
 
-/** Takes the response of a call whose outcome changes nothing, such as a cancellation. */
+/** Discards the response to a call whose outcome is irrelevant, such as a cancellation. */
 final class IgnoredResponse implements ResponseListener {
 
     @Override
     public void began(final int status, final HeaderMap headers) {
-        // The outcome changes nothing.
+        // The outcome is irrelevant.
     }
 
     @Override
@@ -20,11 +20,11 @@
 
     @Override
     public void ended() {
-        // The outcome changes nothing.
+        // The outcome is irrelevant.
     }
 
     @Override
     public void failed(final HttpFailure failure, final String detail) {
-        // An endpoint that can not be reached stops the stream by itself.
+        // An endpoint that cannot be reached stops the stream by itself.
     }
 }
--- a/daemon/src/main/java/org/whinhead/daemon/engine/ServiceResponse.java
+++ b/daemon/src/main/java/org/whinhead/daemon/engine/ServiceResponse.java
@@ -5,19 +5,19 @@
 import org.whinhead.requests.AttemptFailure;
 import org.whinhead.requests.PlainAnswer;
 
-/** Turns a plain service's response into attempt events. */
+/** Converts a plain service's response to attempt events. */
 final class ServiceResponse extends BufferedResponse {
 
     private static final int MAX_ANSWER_BYTES = 4 * 1024 * 1024;
 
-    ServiceResponse(final AttemptEventPublisher events) {
-        super(events, MAX_ANSWER_BYTES);
+    ServiceResponse(final AttemptEventPublisher publisher) {
+        super(publisher, MAX_ANSWER_BYTES);
     }
 
     /**
-     * Guards against a refusal or fault passed off as an answer: 429, 503 and other 5xx are
-     * failures that may be tried elsewhere; every other status is the service's own answer, also a
-     * 4xx, whose body the caller needs.
+     * Publishes the answer or the failure. 429, 503 and other 5xx are failures, which may be
+     * retried at another endpoint; every other status, also another 4xx, is an answer whose body
+     * the caller needs.
      */
     @Override
     void handleResponse(final int status, final String contentType, final byte[] body) {
--- a/daemon/src/main/java/org/whinhead/daemon/engine/package-info.java
+++ b/daemon/src/main/java/org/whinhead/daemon/engine/package-info.java
@@ -1,2 +1,2 @@
-/** Attempts at endpoints: calls that become events for the decision thread. */
+/** Attempts at endpoints: HTTP calls whose results become events of the decision loop. */
 package org.whinhead.daemon.engine;
--- a/daemon/src/main/java/org/whinhead/daemon/request/CallerReply.java
+++ b/daemon/src/main/java/org/whinhead/daemon/request/CallerReply.java
@@ -4,11 +4,11 @@
 import org.whinhead.requests.Completion;
 import org.whinhead.requests.PlainAnswer;
 
-/** Where one request's answer goes; called on the decision thread and never blocks. */
+/** Sends the answer of one request; called on the decision thread, does not block. */
 public interface CallerReply {
 
     /**
-     * Hands on a token.
+     * Sends a token.
      *
      * @param index the token's index in the caller's answer
      * @param text the token's text
@@ -16,41 +16,42 @@
     void sendToken(long index, String text);
 
     /**
-     * Hands on a new ticket.
+     * Sends a new ticket, which replaces earlier ones.
      *
-     * @param ticket the ticket as the caller will present it
+     * @param ticket the encoded ticket
      */
     void sendTicket(String ticket);
 
     /**
      * Ends a generated answer.
      *
-     * @param completion how it went
+     * @param completion the finish reason and token counts
      */
     void complete(Completion completion);
 
     /**
-     * Gives a plain service's answer.
+     * Sends a plain service's answer.
      *
      * @param answer the answer
      */
     void sendAnswer(PlainAnswer answer);
 
     /**
-     * Gives a final refusal.
+     * Sends a final refusal.
      *
      * @param refusal the refusal
      */
     void refuse(Refusal refusal);
 
     /**
-     * Sends the caller away with a ticket: a streamed answer ends with it, a whole one is refused.
+     * Ends the answer with a ticket for its rest: a streamed answer ends with the ticket, a
+     * buffered one is refused.
      *
-     * @param ticket the ticket as the caller will present it
-     * @param refusal what a caller that waits for a whole answer is told
+     * @param ticket the encoded ticket
+     * @param refusal the refusal that accompanies the ticket
      */
     void handBack(String ticket, Refusal refusal);
 
-    /** Closes the connection, because the caller has come back over another one. */
+    /** Closes the connection, because the caller has resumed the answer over another one. */
     void supersede();
 }
--- a/daemon/src/main/java/org/whinhead/daemon/request/LiveRequest.java
+++ b/daemon/src/main/java/org/whinhead/daemon/request/LiveRequest.java
@@ -7,15 +7,15 @@
 /**
  * A request in progress.
  *
- * @param spec what decisions need to know of it
- * @param body what an endpoint is sent
- * @param reply where its answer goes
- * @param thread the IO thread of its caller's connection, on which its attempts run too
+ * @param spec the properties that decisions depend on
+ * @param body the body to send to an endpoint
+ * @param reply sends the answer to the caller
+ * @param thread the IO thread of the caller's connection, which also runs the attempts
  */
 public record LiveRequest(
         RequestSpec spec, RequestBody body, CallerReply reply, XnioIoThread thread) {
 
-    /** Checks every part. */
+    /** Creates a request. */
     public LiveRequest {
         Objects.requireNonNull(spec, "spec");
         Objects.requireNonNull(body, "body");
--- a/daemon/src/main/java/org/whinhead/daemon/request/LiveRequests.java
+++ b/daemon/src/main/java/org/whinhead/daemon/request/LiveRequests.java
@@ -6,7 +6,7 @@
 import java.util.concurrent.atomic.AtomicInteger;
 import org.whinhead.api.request.RequestId;
 
-/** All requests in progress of one daemon; changed on the decision thread, read on any. */
+/** Registry of one daemon's requests in progress; written by the decision thread, read by any. */
 public final class LiveRequests {
 
     private final Map<RequestId, LiveRequest> mRequests = new ConcurrentHashMap<>();
@@ -16,16 +16,16 @@
      * Adds a request.
      *
      * @param request the request
-     * @return false if one of the same identity is in progress; nothing was added then
+     * @return whether the request was added; false if one with the same id is in progress
      */
     public boolean add(final LiveRequest request) {
         return mRequests.putIfAbsent(request.spec().id(), request) == null;
     }
 
     /**
-     * Finds a request.
+     * Returns a request.
      *
-     * @param id its identity
+     * @param id the id of the request
      * @return the request, or empty if it has ended
      */
     public Optional<LiveRequest> find(final RequestId id) {
@@ -33,7 +33,7 @@
     }
 
     /**
-     * Puts a request in the place of one of the same identity, whose connection is closed.
+     * Adds a request and closes the connection of a former one with the same id.
      *
      * @param request the request
      */
@@ -47,15 +47,15 @@
     /**
      * Removes a request.
      *
-     * @param id its identity
-     * @return the request, or empty if it has ended before
+     * @param id the id of the request
+     * @return the request, or empty if it has already ended
      */
     public Optional<LiveRequest> remove(final RequestId id) {
         return Optional.ofNullable(mRequests.remove(id));
     }
 
     /**
-     * Removes a request unless another one has taken its place.
+     * Removes a request unless another one has replaced it.
      *
      * @param request the request
      * @return whether it was removed
@@ -64,22 +64,22 @@
         return mRequests.remove(request.spec().id(), request);
     }
 
-    /** An answer is owed to a caller from now on. */
+    /** Counts a response that is not yet written. */
     public void responseOpened() {
         mOpenResponses.incrementAndGet();
     }
 
-    /** An answer was written whole, or its caller left. */
+    /** Counts the end of a response: it was written whole, or its caller left. */
     public void responseClosed() {
         mOpenResponses.decrementAndGet();
     }
 
-    /** Tells whether no caller waits for any byte of an answer. */
+    /** Returns whether no response is waiting to be written. */
     public boolean isIdle() {
         return mOpenResponses.get() == 0;
     }
 
-    /** Returns how many are in progress. */
+    /** Returns the number of requests in progress. */
     public int count() {
         return mRequests.size();
     }
--- a/daemon/src/main/java/org/whinhead/daemon/request/RequestBody.java
+++ b/daemon/src/main/java/org/whinhead/daemon/request/RequestBody.java
@@ -3,16 +3,16 @@
 import java.util.Objects;
 import org.whinhead.api.Arguments;
 
-/** What an endpoint is sent of a request. */
+/** The body of a request, from which the bodies sent to endpoints are created. */
 public sealed interface RequestBody {
 
     /**
      * A chat request.
      *
-     * @param encoder makes the body that an engine is sent
+     * @param encoder encodes the body of each attempt
      */
     record Chat(ChatEncoder encoder) implements RequestBody {
-        /** Checks the encoder. */
+        /** Creates a chat request. */
         public Chat {
             Objects.requireNonNull(encoder, "encoder");
         }
@@ -22,14 +22,14 @@
      * A call of a plain service.
      *
      * @param method the HTTP method
-     * @param path the path and query at the service
+     * @param path the path and query in the service
      * @param contentType the body's media type
-     * @param idempotencyKey the key that names the call to the service
+     * @param idempotencyKey the key by which the service recognizes repeats
      * @param body the body; not copied
      */
     record Plain(String method, String path, String contentType, String idempotencyKey, byte[] body)
             implements RequestBody {
-        /** Checks every part. */
+        /** Creates a call. */
         public Plain {
             Arguments.requireText(method, "method");
             Arguments.requireText(path, "path");
@@ -39,15 +39,15 @@
         }
     }
 
-    /** Makes the bodies of a chat request's attempts. */
+    /** Encodes the bodies of a chat request's attempts. */
     @FunctionalInterface
     interface ChatEncoder {
         /**
-         * Makes the body of one attempt.
+         * Encodes the body of one attempt.
          *
          * @param deliveredText text that the caller already has; empty to start over
-         * @param deliveredTokens how many tokens that text has
-         * @return the body
+         * @param deliveredTokens the number of tokens of that text
+         * @return the encoded body
          */
         byte[] encode(String deliveredText, long deliveredTokens);
     }
--- a/daemon/src/main/java/org/whinhead/daemon/request/package-info.java
+++ b/daemon/src/main/java/org/whinhead/daemon/request/package-info.java
@@ -1,2 +1,2 @@
-/** Requests in progress: their bodies, where their answers go, and the coordinator's actions. */
+/** Requests in progress, their bodies and the replies to their callers. */
 package org.whinhead.daemon.request;
--- a/daemon/src/test/java/org/whinhead/daemon/decision/DecisionLoopTest.java
+++ b/daemon/src/test/java/org/whinhead/daemon/decision/DecisionLoopTest.java
@@ -10,11 +10,12 @@
 import org.whinhead.daemon.request.LiveRequests;
 import org.whinhead.requests.RequestCoordinator;
 
+/** Checks that the loop passes events to the coordinator until it stops deciding. */
 class DecisionLoopTest {
 
     private static final int SLOTS = 8;
 
-    private final List<String> mTold = new CopyOnWriteArrayList<>();
+    private final List<String> mCalledMethods = new CopyOnWriteArrayList<>();
     private final DecisionLoop mLoop =
             new DecisionLoop("loop", SLOTS, new LiveRequests(), InstantSource.system());
 
@@ -24,7 +25,7 @@
                         getClass().getClassLoader(),
                         new Class<?>[] {RequestCoordinator.class},
                         (proxy, method, arguments) -> {
-                            mTold.add(method.getName());
+                            mCalledMethods.add(method.getName());
                             return null;
                         });
     }
@@ -35,17 +36,19 @@
         mLoop.offer(new DecisionEvent.Tick());
         mLoop.close();
 
-        assertThat(mTold).containsExactly("tick");
+        assertThat(mCalledMethods).containsExactly("tick");
     }
 
-    /** A daemon that ends took its own closing of connections for callers that hung up. */
+    /**
+     * An exiting daemon closes its connections and must not treat this as callers disconnecting.
+     */
     @Test
-    void nothingIsDecidedAfterTheStop() {
+    void eventsAfterStopDecidingAreDropped() {
         mLoop.start(coordinator());
         mLoop.stopDeciding();
 
         assertThat(mLoop.offer(new DecisionEvent.Tick())).isTrue();
         mLoop.close();
-        assertThat(mTold).isEmpty();
+        assertThat(mCalledMethods).isEmpty();
     }
 }
