--- a/daemon/src/main/java/org/whinhead/daemon/burn/BurnCollector.java
+++ b/daemon/src/main/java/org/whinhead/daemon/burn/BurnCollector.java
@@ -22,16 +22,16 @@
 import org.whinhead.settings.deployment.DocumentValue.TierEntry;
 
 /**
- * Takes one sample of each ended request. IO threads leave their samples in a bounded queue without
- * a lock; the decision thread counts them.
+ * Collects one sample of each ended request for the error-budget report. IO threads add samples to
+ * a bounded queue without a lock; the decision thread records them.
  *
- * <p>Guards against a flood of refused requests: they end on IO threads, and an event for each in
- * the decision ring would take the room that requests in progress need. When the queue is full the
- * sample is dropped, and the report says how many were.
+ * <p>Requests that are refused end on IO threads; a flood of them in the decision ring would take
+ * the slots that requests in progress need. When the queue is full, samples are dropped, and the
+ * report contains their number.
  */
 public final class BurnCollector {
 
-    /** The most samples that wait to be counted. */
+    /** The maximum number of samples that wait to be recorded. */
     static final int MAX_WAITING_SAMPLES = 16_384;
 
     private final BurnRecorder mRecorder;
@@ -43,11 +43,11 @@
     private DeploymentSettings mAppliedSettings;
 
     /**
-     * Makes a collector.
+     * Creates a collector.
      *
-     * @param recorder counts the samples
-     * @param clock tells the time
-     * @param settings the settings in force, whose tiers the samples are judged by
+     * @param recorder records the samples
+     * @param clock the source of the current time
+     * @param settings the current settings, whose tiers have the objectives for the samples
      */
     public BurnCollector(
             final BurnRecorder recorder,
@@ -59,21 +59,21 @@
     }
 
     /**
-     * Begins to measure a request.
+     * Starts measuring a request.
      *
      * @param spec the request
-     * @param reply where its answer goes
-     * @return the reply to be used from now on
+     * @param reply sends the answer to the caller
+     * @return a reply that measures and delegates, to use in place of the given one
      */
     public MeasuredReply measure(final RequestSpec spec, final CallerReply reply) {
         return new MeasuredReply(spec, reply, mClock);
     }
 
     /**
-     * Takes the sample of a request whose connection is done with it; on any thread.
+     * Adds the sample of a request whose response ended; called on any thread.
      *
-     * @param reply the request's measure
-     * @param whole whether the response was written to its end
+     * @param reply the measuring reply of the request
+     * @param whole whether the whole response was written
      */
     public void recordEnd(final MeasuredReply reply, final boolean whole) {
         final Instant at = mClock.instant();
@@ -81,10 +81,10 @@
     }
 
     /**
-     * Takes the sample of a request that was refused before it was taken in; on any thread.
+     * Adds the sample of a request that was refused before its submission; called on any thread.
      *
-     * @param customer who asked
-     * @param refusal what was answered
+     * @param customer the customer of the request
+     * @param refusal the refusal that was sent
      */
     public void recordRefusal(final Customer customer, final Refusal refusal) {
         final RequestSample sample =
@@ -99,12 +99,12 @@
         offer(() -> sample);
     }
 
-    /** Returns how many samples wait to be counted, for metrics. */
+    /** Returns the number of samples that wait to be recorded, for metrics. */
     public int waitingSamples() {
         return mWaitingCount.get();
     }
 
-    /** Counts the samples that wait; on the decision thread. */
+    /** Records the waiting samples; called on the decision thread. */
     public void recordWaiting() {
         updateObjectives();
         mRecorder.leftOut(mDropped.sumThenReset());
@@ -116,7 +116,7 @@
         }
     }
 
-    /** Returns what was counted so far; on the decision thread. */
+    /** Returns the report of all samples so far; called on the decision thread. */
     public DaemonReport report() {
         recordWaiting();
         return mRecorder.report(mClock.instant());
--- a/daemon/src/main/java/org/whinhead/daemon/burn/BurnHandler.java
+++ b/daemon/src/main/java/org/whinhead/daemon/burn/BurnHandler.java
@@ -11,7 +11,7 @@
 import org.whinhead.report.DaemonReport;
 import org.whinhead.report.DaemonReportJson;
 
-/** Answers {@code GET /operator/burn} with what the daemon has counted. */
+/** Answers {@code GET /operator/burn} with the report of this daemon's request samples. */
 public final class BurnHandler implements HttpHandler {
 
     private static final String JSON = "application/json";
@@ -20,10 +20,10 @@
     private final DecisionLoop mLoop;
 
     /**
-     * Makes a handler.
+     * Creates a handler.
      *
-     * @param collector what counts
-     * @param loop the decision thread, on which it counts
+     * @param collector the collector of samples
+     * @param loop the decision loop, on whose thread the collector creates the report
      */
     public BurnHandler(final BurnCollector collector, final DecisionLoop loop) {
         mCollector = collector;
@@ -47,7 +47,7 @@
         }
     }
 
-    /** Copies the counts on the decision thread; a worker writes them out, which takes longer. */
+    /** Creates the report on the decision thread; a worker writes the JSON, which takes longer. */
     private void createReport(final HttpServerExchange exchange) {
         final DaemonReport report = mCollector.report();
         exchange.getConnection()
--- a/daemon/src/main/java/org/whinhead/daemon/burn/MeasuredReply.java
+++ b/daemon/src/main/java/org/whinhead/daemon/burn/MeasuredReply.java
@@ -13,7 +13,7 @@
 import org.whinhead.requests.Completion;
 import org.whinhead.requests.PlainAnswer;
 
-/** Takes a request's measure while its answer passes; used on the decision thread only. */
+/** Decorates a reply and measures its latency and tokens; used on the decision thread only. */
 public final class MeasuredReply implements CallerReply {
 
     private final RequestSpec mSpec;
@@ -81,8 +81,8 @@
     /**
      * Returns the sample of the ended request.
      *
-     * @param whole whether the response was written to its end
-     * @param at when it ended
+     * @param whole whether the whole response was written
+     * @param at the time at which the response ended
      */
     RequestSample sample(final boolean whole, final Instant at) {
         return new RequestSample(
@@ -101,21 +101,23 @@
     }
 
     /**
-     * Guards against an answer that counts as completed although its caller hung up while the last
-     * bytes waited: cost would be divided by answers that nobody got.
+     * Returns the outcome. A completed answer whose caller disconnected before the last bytes were
+     * written counts as left: the cost per completed request would be too low otherwise.
      */
     private Outcome outcome(final boolean whole) {
         return mOutcome == Outcome.COMPLETED && !whole ? Outcome.CALLER_LEFT : mOutcome;
     }
 
-    /** A caller that came back had its first token before. */
+    /** Returns the latency of the first token; empty if the caller resumed and already had it. */
     private Optional<Duration> firstToken() {
         return mTokens > 0 && mFirstIndex == 0
                 ? Optional.of(Duration.between(mSpec.arrived(), mFirstTokenAt))
                 : Optional.empty();
     }
 
-    /** How long a caller that left had waited for its next token is not known. */
+    /**
+     * Returns the mean time between tokens; empty without a measured end, as of a caller that left.
+     */
     private Optional<Duration> betweenTokens() {
         return mTokens > 1 && mEndedAt != null
                 ? Optional.of(Duration.between(mFirstTokenAt, mEndedAt).dividedBy(mTokens - 1))
--- a/daemon/src/main/java/org/whinhead/daemon/burn/OutcomeClassifier.java
+++ b/daemon/src/main/java/org/whinhead/daemon/burn/OutcomeClassifier.java
@@ -5,14 +5,16 @@
 import org.whinhead.report.Outcome;
 import org.whinhead.requests.PlainAnswer;
 
-/** Tells how a request's end counts. */
+/** Classifies the end of a request as an outcome for the report. */
 final class OutcomeClassifier {
 
     private static final int FIRST_SERVER_ERROR_STATUS = 500;
 
     private OutcomeClassifier() {}
 
-    /** A repeat of a claimed request counts as failed: its caller has no answer. */
+    /**
+     * Classifies a refusal; a repeat of a claimed request has failed, as its caller has no answer.
+     */
     static Outcome classify(final Refusal refusal) {
         return switch (refusal.code()) {
             case MALFORMED_REQUEST,
@@ -39,7 +41,9 @@
         };
     }
 
-    /** What a plain service refuses of its own accord is the answer that was asked for. */
+    /**
+     * Classifies a plain service's answer; a status below 500 is complete, also a refusal by 4xx.
+     */
     static Outcome classify(final PlainAnswer answer) {
         return answer.status() < FIRST_SERVER_ERROR_STATUS
                 ? Outcome.COMPLETED
--- a/daemon/src/main/java/org/whinhead/daemon/burn/package-info.java
+++ b/daemon/src/main/java/org/whinhead/daemon/burn/package-info.java
@@ -1,2 +1,2 @@
-/** Counts ended requests for the report on service-level burn. */
+/** Samples of ended requests for the report on the burn of error budgets. */
 package org.whinhead.daemon.burn;
--- a/daemon/src/main/java/org/whinhead/daemon/limits/AdmissionCounts.java
+++ b/daemon/src/main/java/org/whinhead/daemon/limits/AdmissionCounts.java
@@ -1,15 +1,15 @@
 package org.whinhead.daemon.limits;
 
 /**
- * What admission holds and has seen.
+ * Counts of the requests that wait, run and were resumed.
  *
- * @param waiting requests that wait for a slot
- * @param running requests that hold a slot
- * @param returned requests that came back with a ticket so far
- * @param returnedWithoutBudget those of them for which no budget was left
+ * @param waiting the number of requests that wait for a slot
+ * @param running the number of requests that hold a slot
+ * @param resumed the number of requests resumed with a ticket so far
+ * @param resumedWithoutBudget the number of these for which no budget was left
  */
 public record AdmissionCounts(int waiting, int running, long resumed, long resumedWithoutBudget) {
 
-    /** Nothing so far. */
+    /** The counts before the first request. */
     public static final AdmissionCounts NONE = new AdmissionCounts(0, 0, 0, 0);
 }
--- a/daemon/src/main/java/org/whinhead/daemon/limits/AdmissionMetrics.java
+++ b/daemon/src/main/java/org/whinhead/daemon/limits/AdmissionMetrics.java
@@ -10,10 +10,10 @@
     private AdmissionMetrics() {}
 
     /**
-     * Adds the metrics.
+     * Registers the metrics.
      *
-     * @param meters where to
-     * @param admission what they tell of
+     * @param meters the registry of metrics
+     * @param admission the admission whose counts are measured
      */
     public static void register(final Meters meters, final DaemonAdmission admission) {
         meters.gauge(
@@ -29,12 +29,12 @@
         meters.gauge(
                 "whinhead.admission.returned",
                 UNIT,
-                "Requests that came back with a ticket and went on without a queue.",
+                "Requests resumed with a ticket, which bypass the queue.",
                 () -> admission.counts().resumed());
         meters.gauge(
                 "whinhead.admission.returned.without.budget",
                 UNIT,
-                "Requests that came back and went on though no budget was left.",
+                "Requests resumed although no budget was left.",
                 () -> admission.counts().resumedWithoutBudget());
     }
 }
--- a/daemon/src/main/java/org/whinhead/daemon/limits/DaemonAdmission.java
+++ b/daemon/src/main/java/org/whinhead/daemon/limits/DaemonAdmission.java
@@ -19,12 +19,12 @@
 import org.whinhead.api.verdict.Refusal;
 
 /**
- * The daemon's admission: tiers, weights and budgets of the settings in force, and this daemon's
- * share of the endpoints' slots.
+ * The daemon's admission, by the tiers, weights and budgets of the current settings and this
+ * daemon's share of the endpoints' slots.
  *
- * <p>Guards against limits that fall behind: news sent over the bounded ring could be dropped when
- * it is full, and a budget that was cut would go on being spent. The latest inputs are looked at
- * before each decision instead, so none can be lost or overtaken.
+ * <p>The latest snapshot of the limits is applied before each decision, so that no change is lost
+ * or reordered. A change sent over the bounded ring could be dropped when the ring is full, and a
+ * reduced budget would still be spent in full.
  */
 public final class DaemonAdmission implements Admission {
 
@@ -36,21 +36,21 @@
     private volatile AdmissionCounts mCounts = AdmissionCounts.NONE;
 
     /**
-     * Makes empty queues.
+     * Creates an admission with empty queues.
      *
-     * @param board where the inputs stand
-     * @param settings bounds of the queues
+     * @param limits the source of limit snapshots
+     * @param settings the bounds of the queues
      */
-    public DaemonAdmission(final LimitTracker board, final AdmissionSettings settings) {
-        mLimits = Objects.requireNonNull(board, "board");
+    public DaemonAdmission(final LimitTracker limits, final AdmissionSettings settings) {
+        mLimits = Objects.requireNonNull(limits, "limits");
         mAdmission = new TieredAdmission(settings, mBudget);
     }
 
     /**
      * Offers a new request.
      *
-     * <p>Guards against a customer who was taken out of the settings after its key was checked: it
-     * has no weight and no budget any more, and would run without limits.
+     * <p>Refuses a customer that was removed from the settings after its key was checked: it has
+     * neither weight nor budget any more, and its requests would run without limits.
      */
     @Override
     public Optional<Refusal> offer(final RequestSpec spec, final Instant now) {
@@ -92,7 +92,7 @@
         mAdmission.requestEnded(request, generatedTokens, now);
     }
 
-    /** Returns the counts as of the last look, from any thread. */
+    /** Returns the counts as of the last admission; callable on any thread. */
     public AdmissionCounts counts() {
         return mCounts;
     }
--- a/daemon/src/main/java/org/whinhead/daemon/limits/LimitSnapshot.java
+++ b/daemon/src/main/java/org/whinhead/daemon/limits/LimitSnapshot.java
@@ -9,12 +9,12 @@
 import org.whinhead.api.model.Customer;
 
 /**
- * What admission is told of the outside, as one consistent value.
+ * An immutable and consistent snapshot of the limits that admission applies.
  *
- * @param customers the customers in force
- * @param rates what each team may spend
+ * @param customers the customers of the current settings
+ * @param rates the rate of each team in tokens per second
  * @param slots this daemon's slots of each target that is or was served
- * @param daemons how many live daemons share endpoints and budgets
+ * @param daemons the number of live daemons that share endpoints and budgets, at least 1
  */
 record LimitSnapshot(
         List<Customer> customers, List<TeamRate> rates, Map<Target, Integer> slots, int daemons) {
--- a/daemon/src/main/java/org/whinhead/daemon/limits/LimitTracker.java
+++ b/daemon/src/main/java/org/whinhead/daemon/limits/LimitTracker.java
@@ -17,14 +17,14 @@
 import org.whinhead.settings.deployment.DocumentValue;
 
 /**
- * Collects what admission depends on from the duties that learn it, and holds the latest as one
- * value; told from any thread, read from the decision thread.
+ * Tracks the settings, endpoints and number of daemons, and publishes the limits that follow as one
+ * immutable snapshot; updated on any thread, read on the decision thread.
  */
 public final class LimitTracker {
 
     /**
-     * How far above the even share of an endpoint's slots one daemon may go: callers come unevenly
-     * to the daemons, and the endpoints queue what is too much at once.
+     * The slots that one daemon may use, as a multiple of its even share: callers are spread
+     * unevenly over the daemons, and the endpoints queue the excess.
      */
     private static final double EVEN_SHARE_FACTOR = 1.5;
 
@@ -36,18 +36,18 @@
     private volatile LimitSnapshot mSnapshot = LimitSnapshot.EMPTY;
 
     /**
-     * Makes a board on which nothing is known.
+     * Creates a tracker without settings and endpoints.
      *
-     * @param startSlots the slots of a target that no endpoint serves now
+     * @param unservedTargetSlots the slots of a target that no endpoint serves now
      */
-    public LimitTracker(final int startSlots) {
-        mUnservedTargetSlots = startSlots;
+    public LimitTracker(final int unservedTargetSlots) {
+        mUnservedTargetSlots = unservedTargetSlots;
     }
 
     /**
-     * Takes the settings in force.
+     * Updates the settings.
      *
-     * @param settings the settings
+     * @param settings the current settings
      */
     public synchronized void settingsChanged(final DeploymentSettings settings) {
         mSettings = settings;
@@ -55,9 +55,9 @@
     }
 
     /**
-     * Takes the endpoints that are known.
+     * Updates the endpoints.
      *
-     * @param endpoints all of them
+     * @param endpoints all known endpoints
      */
     public synchronized void endpointsChanged(final List<Endpoint> endpoints) {
         mEndpoints = List.copyOf(endpoints);
@@ -65,9 +65,9 @@
     }
 
     /**
-     * Takes the number of live daemons.
+     * Updates the number of live daemons.
      *
-     * @param daemons how many, this one among them; less than 1 counts as 1
+     * @param daemons the number with this daemon; less than 1 counts as 1
      */
     public synchronized void daemonsChanged(final int daemons) {
         final int known = Math.max(1, daemons);
@@ -86,7 +86,9 @@
         mSnapshot = new LimitSnapshot(customers, rates(customers), slots(), mDaemons);
     }
 
-    /** A team without a budget of its own may spend what its customers may spend together. */
+    /**
+     * Returns the rate of each team; without a budget of its own, the sum of its customers' rates.
+     */
     private List<TeamRate> rates(final List<Customer> customers) {
         final Map<TeamId, Long> rates = new TreeMap<>();
         customers.forEach(
@@ -103,11 +105,11 @@
     }
 
     /**
-     * Works out the slots of each target.
+     * Returns the slots of each target.
      *
-     * <p>Guards against a wrong reason: with no slot at all, requests for a model whose last engine
-     * left would wait in the queue and be told of overload. A few are let through, so that the
-     * coordinator looks for an endpoint and says that there is none.
+     * <p>A target without endpoints has a few slots: with none, requests for a model whose last
+     * engine left would wait in the queue and be refused as overload. The few that are admitted
+     * make the coordinator look for an endpoint and refuse with "no endpoint".
      */
     private Map<Target, Integer> slots() {
         for (final Endpoint endpoint : mEndpoints) {
--- a/daemon/src/main/java/org/whinhead/daemon/limits/package-info.java
+++ b/daemon/src/main/java/org/whinhead/daemon/limits/package-info.java
@@ -1,2 +1,2 @@
-/** What one daemon may run and spend: admission fed with the settings and endpoints in force. */
+/** Admission by the current settings and endpoints, and this daemon's share of both. */
 package org.whinhead.daemon.limits;
--- a/daemon/src/main/java/org/whinhead/daemon/ring/EventHandler.java
+++ b/daemon/src/main/java/org/whinhead/daemon/ring/EventHandler.java
@@ -12,7 +12,7 @@
      * Handles an event.
      *
      * @param event the event
-     * @param endOfBatch whether no further event waited when the ring was last looked at
+     * @param endOfBatch whether the event is the last one of those read from the ring together
      */
     void handle(E event, boolean endOfBatch);
 }
--- a/daemon/src/main/java/org/whinhead/daemon/ring/EventRing.java
+++ b/daemon/src/main/java/org/whinhead/daemon/ring/EventRing.java
@@ -12,7 +12,7 @@
 import org.slf4j.LoggerFactory;
 
 /**
- * A thread that handles events one after the other, fed by a bounded ring.
+ * A bounded ring buffer of events and the thread that handles them in order.
  *
  * @param <E> the type of the events
  */
@@ -21,7 +21,7 @@
     private static final Logger LOGGER = LoggerFactory.getLogger(EventRing.class);
     private static final Duration CLOSE_TIMEOUT = Duration.ofSeconds(2);
 
-    /** New work leaves this share of the ring to events of work in progress. */
+    /** The ring's size divided by this is reserved for events of work in progress. */
     private static final int RESERVED_DIVISOR = 4;
 
     private final String mName;
@@ -30,11 +30,11 @@
     private final int mReservedSlots;
 
     /**
-     * Makes a ring that is not started yet.
+     * Creates a ring that is not started yet.
      *
      * @param name the thread's name
-     * @param slots the ring's size, a power of two
-     * @param handler told of every event, on the ring's thread only; it must not block
+     * @param slots the ring's size in events, a power of two
+     * @param handler handles every event, on the ring's thread only; must not block
      */
     public EventRing(final String name, final int slots, final EventHandler<E> handler) {
         mName = name;
@@ -52,16 +52,16 @@
         mRing = mDisruptor.getRingBuffer();
     }
 
-    /** Starts the thread; events offered before wait until then. */
+    /** Starts the thread, which first handles the events that were offered before. */
     public void start() {
         mDisruptor.start();
     }
 
     /**
-     * Offers an event that begins something; the reserved share is not for it.
+     * Offers an event that starts new work, for which the reserved slots are not available.
      *
      * @param event the event
-     * @return false if the ring is nearly full; nothing was taken in then
+     * @return whether the event was accepted; false if fewer slots than the reserved ones are free
      */
     public boolean offerNew(final E event) {
         return mRing.hasAvailableCapacity(mReservedSlots) && offer(event);
@@ -71,23 +71,23 @@
      * Offers an event.
      *
      * @param event the event
-     * @return false if the ring is full; nothing was taken in then
+     * @return whether the event was accepted; false if the ring is full
      */
     public boolean offer(final E event) {
         return mRing.tryPublishEvent((slot, sequence) -> slot.mEvent = event);
     }
 
-    /** Returns how many events wait, for metrics. */
+    /** Returns the number of waiting events, for metrics. */
     public long waitingEvents() {
         return mRing.getBufferSize() - mRing.remainingCapacity();
     }
 
-    /** Stops the thread after the event in hand; events that wait are dropped. */
+    /** Stops the thread after the current event; waiting events are dropped. */
     public void halt() {
         mDisruptor.halt();
     }
 
-    /** Stops the thread once the waiting events are handled, after a bounded time at the latest. */
+    /** Stops the thread after it handled the waiting events, or after a timeout. */
     @Override
     public void close() {
         try {
@@ -95,16 +95,18 @@
         } catch (final TimeoutException e) {
             LOGGER.atWarn()
                     .addKeyValue("ring", mName)
-                    .log("events were still waiting when the ring was stopped");
+                    .log("event ring stopped with unhandled events");
             mDisruptor.halt();
         }
     }
 
-    /** One place of the ring. */
+    /** One slot of the ring. */
     private static final class Slot<E> {
         private E mEvent;
 
-        /** Takes the event out, so that the ring keeps no request alive. */
+        /**
+         * Removes and returns the event; a reference in the ring would keep its request in memory.
+         */
         private E takeEvent() {
             final E event = mEvent;
             mEvent = null;
@@ -113,24 +115,24 @@
     }
 
     /**
-     * Guards against a fault in one event that would end the thread and with it all its work: it is
-     * logged with its cause, and the ring goes on with the next event.
+     * Logs the exceptions of the handler with their cause. The ring continues with the next event;
+     * otherwise a fault in one event would end the thread and all its work.
      */
     private final class FaultLogger implements ExceptionHandler<Slot<E>> {
         @Override
         public void handleEventException(
                 final Throwable fault, final long sequence, final Slot<E> slot) {
-            log(fault, "an event failed");
+            log(fault, "event handler failed, event skipped");
         }
 
         @Override
         public void handleOnStartException(final Throwable fault) {
-            log(fault, "the ring could not start");
+            log(fault, "event ring failed to start");
         }
 
         @Override
         public void handleOnShutdownException(final Throwable fault) {
-            log(fault, "the ring could not stop");
+            log(fault, "event ring failed to stop");
         }
 
         private void log(final Throwable fault, final String message) {
--- a/daemon/src/main/java/org/whinhead/daemon/ring/package-info.java
+++ b/daemon/src/main/java/org/whinhead/daemon/ring/package-info.java
@@ -1,2 +1,2 @@
-/** The bounded ring that joins the daemon's threads. */
+/** The bounded event ring through which the daemon's threads communicate. */
 package org.whinhead.daemon.ring;
--- a/daemon/src/test/java/org/whinhead/daemon/burn/BurnCollectorTest.java
+++ b/daemon/src/test/java/org/whinhead/daemon/burn/BurnCollectorTest.java
@@ -29,6 +29,7 @@
 import org.whinhead.settings.deployment.DocumentPath;
 import org.whinhead.settings.deployment.StoredDocument;
 
+/** Checks how ended requests count in the report, and the bound of waiting samples. */
 class BurnCollectorTest {
 
     private static final Instant START = Instant.parse("2026-12-02T16:30:00Z");
@@ -60,11 +61,11 @@
                     () -> SETTINGS);
 
     /**
-     * A clerk gets three words: the first after 300 ms, the others 50 ms apart. The first is in
-     * time and the pace is not, and work for another attempt shows as recomputed.
+     * The first of three tokens arrives after 300 ms, the others 50 ms apart: the first token meets
+     * its target, the time between tokens does not. Tokens of another attempt count as recomputed.
      */
     @Test
-    void answerIsMeasuredAsItsCallerGotIt() {
+    void completedAnswerCountsItsTokensAndLatencies() {
         final MeasuredReply reply = begin();
         answer(reply, 0);
         mCollector.recordEnd(reply, true);
@@ -73,12 +74,11 @@
     }
 
     /**
-     * A clerk closes the page while the last bytes of the answer wait for a slow link. The daemon
-     * is done with the request, but nobody got the answer: counted as completed, it would make the
-     * cost of a completed request look lower than it is.
+     * A caller disconnects while the last bytes of the answer wait for a slow connection. Counted
+     * as completed, the answer would lower the reported cost per completed request.
      */
     @Test
-    void answerThatWasCutIsNotCompleted() {
+    void answerNotFullyWrittenIsNotCompleted() {
         final MeasuredReply reply = begin();
         answer(reply, 0);
         mCollector.recordEnd(reply, false);
@@ -87,9 +87,8 @@
     }
 
     /**
-     * A clerk's link breaks and the clerk comes back over another connection, before the daemon
-     * notices. One request has two connections; it must count once, and its later first token is
-     * not a first token.
+     * A caller resumes over another connection before the daemon detects the end of the former one.
+     * The request must count once, and the first token after the resume must not count as first.
      */
     @Test
     void requestOverTwoConnectionsCountsOnce() {
@@ -106,7 +105,7 @@
     }
 
     @Test
-    void eachEndCountsByItsCause() {
+    void outcomeFollowsFromTheCauseOfTheEnd() {
         final MeasuredReply left = begin();
         mCollector.recordEnd(left, false);
         final MeasuredReply lost = begin();
@@ -125,11 +124,11 @@
     }
 
     /**
-     * Callers hammer a daemon that is full, while its decision thread is busy. What cannot be
-     * counted must not fill the memory, and the report must not look whole.
+     * Many requests are refused while the decision thread is busy. Waiting samples must not fill
+     * the memory, and the report must contain the number of dropped ones.
      */
     @Test
-    void floodIsBoundedAndSaidSo() {
+    void samplesBeyondTheBoundAreDroppedAndReported() {
         final Refusal refusal = Refusal.notRun(ErrorCode.OVERLOADED, "full");
         for (int index = 0; index < BurnCollector.MAX_WAITING_SAMPLES + 5; index++) {
             mCollector.recordRefusal(CUSTOMER, refusal);
--- a/daemon/src/test/java/org/whinhead/daemon/limits/DaemonAdmissionTest.java
+++ b/daemon/src/test/java/org/whinhead/daemon/limits/DaemonAdmissionTest.java
@@ -29,6 +29,7 @@
 import org.whinhead.settings.deployment.DocumentPath;
 import org.whinhead.settings.deployment.StoredDocument;
 
+/** Checks that admission follows changes of settings, endpoints and the number of daemons. */
 class DaemonAdmissionTest {
 
     private static final Instant START = Instant.parse("2026-01-01T00:00:00Z");
@@ -44,28 +45,28 @@
                             + "0".repeat(64)
                             + "'],'weight':1,'tokensPerSecond':100}");
 
-    private final LimitTracker mBoard = new LimitTracker(2);
+    private final LimitTracker mLimits = new LimitTracker(2);
     private final DaemonAdmission mAdmission =
-            new DaemonAdmission(mBoard, AdmissionSettings.DEFAULT);
-    private int mNext;
+            new DaemonAdmission(mLimits, AdmissionSettings.DEFAULT);
+    private int mLastNumber;
 
-    // An operator takes a customer out while one of its requests is on its way from the key check
-    // to the queue. Without settings it would have no budget to keep and run without any limit.
+    // An operator removes a customer between the key check of a request and its admission. Without
+    // settings the customer has no budget, and the request would run without limit.
     @Test
     void customerWithoutSettingsIsRefused() {
-        mBoard.settingsChanged(settings());
+        mLimits.settingsChanged(settings());
         assertThat(mAdmission.offer(request(10), START)).isEmpty();
-        mBoard.settingsChanged(DeploymentSettings.EMPTY);
+        mLimits.settingsChanged(DeploymentSettings.EMPTY);
         assertThat(mAdmission.offer(request(10), START))
                 .contains(Refusal.notRun(ErrorCode.UNKNOWN_KEY, "customer was removed"));
     }
 
-    // A team calls one of two daemons only. That daemon must stop at half of the team's rate, with
-    // the burst of five seconds, or the team could spend its rate once at each daemon.
+    // A team calls only one of two daemons. The daemon must limit it to half of the team's rate,
+    // with a burst of five seconds, or the team could spend its whole rate at each daemon.
     @Test
-    void teamIsHeldToTheDaemonsShareAndToldWhenToComeBack() {
-        mBoard.settingsChanged(settings());
-        mBoard.daemonsChanged(2);
+    void teamIsLimitedToTheDaemonsShareWithRetryAfter() {
+        mLimits.settingsChanged(settings());
+        mLimits.daemonsChanged(2);
         assertThat(mAdmission.offer(request(250), START)).isEmpty();
         final Refusal refusal = mAdmission.offer(request(100), START).orElseThrow();
         assertThat(refusal.code()).isEqualTo(ErrorCode.BUDGET_SPENT);
@@ -74,46 +75,45 @@
         assertThat(mAdmission.offer(request(100), START.plusSeconds(2))).isEmpty();
     }
 
-    // Engines come and go. The daemon runs its share of their slots at once; when the last has
-    // left,
-    // a few requests still go through, so that callers hear "no endpoint" and not "overloaded".
+    // The daemon admits requests up to its share of the engines' slots. After the last engine left,
+    // a few are still admitted, so that callers receive "no endpoint" and not "overloaded".
     @Test
     void slotsFollowTheEndpointsAndTheDaemons() {
-        mBoard.settingsChanged(settings());
-        mBoard.endpointsChanged(List.of(engine(VmState.LIVE), engine(VmState.LEAVING)));
-        mBoard.daemonsChanged(3);
+        mLimits.settingsChanged(settings());
+        mLimits.endpointsChanged(List.of(engine(VmState.LIVE), engine(VmState.LEAVING)));
+        mLimits.daemonsChanged(3);
         for (int i = 0; i < 12; i++) {
             mAdmission.offer(request(1), START);
         }
         assertThat(mAdmission.takeAdmitted(START)).hasSize(5);
-        mBoard.endpointsChanged(List.of());
+        mLimits.endpointsChanged(List.of());
         assertThat(mAdmission.takeAdmitted(START)).isEmpty();
         assertThat(mAdmission.counts()).isEqualTo(new AdmissionCounts(7, 5, 0, 0));
-        mBoard.daemonsChanged(1);
-        assertThat(mBoard.snapshot().slots()).containsValue(2);
+        mLimits.daemonsChanged(1);
+        assertThat(mLimits.snapshot().slots()).containsValue(2);
     }
 
-    // A daemon dies and its callers come back here with tickets. They go on at once, beyond the
-    // slots, but are counted: nothing new is admitted until they are done.
+    // A daemon dies and its callers resume here with tickets. Their requests run immediately,
+    // beyond the slots, but they count: no new request is admitted until they end.
     @Test
-    void returnedRequestsTakeSlotsAndBudget() {
-        mBoard.settingsChanged(settings());
+    void resumedRequestsUseSlotsAndBudget() {
+        mLimits.settingsChanged(settings());
         final RequestSpec first = request(400);
         mAdmission.resume(first, 300, START);
         mAdmission.resume(request(400), 400, START);
         mAdmission.resume(request(50), 50, START);
         assertThat(mAdmission.offer(request(50), START)).isEmpty();
         assertThat(mAdmission.takeAdmitted(START)).hasSize(1);
-        mBoard.endpointsChanged(List.of(engine(VmState.LIVE)));
+        mLimits.endpointsChanged(List.of(engine(VmState.LIVE)));
         assertThat(mAdmission.counts()).isEqualTo(new AdmissionCounts(0, 4, 3, 1));
         mAdmission.requestEnded(first.id(), 0, START);
         assertThat(mAdmission.offer(request(300), START)).isEmpty();
     }
 
     private RequestSpec request(final int maxTokens) {
-        mNext++;
+        mLastNumber++;
         final Duration second = Duration.ofSeconds(1);
-        return RequestSpec.builder(new RequestId("r" + mNext))
+        return RequestSpec.builder(new RequestId("r" + mLastNumber))
                 .customer(new CustomerId("clinic"))
                 .tier(new Tier("standard", 5, second, second, second.multipliedBy(30)))
                 .model(MODEL)
--- a/daemon/src/test/java/org/whinhead/daemon/limits/RefusalsPageTest.java
+++ b/daemon/src/test/java/org/whinhead/daemon/limits/RefusalsPageTest.java
@@ -9,9 +9,10 @@
 import org.whinhead.api.verdict.ErrorCode;
 import org.whinhead.api.verdict.Verdict;
 
+/** Checks that the page on refusals is complete. */
 class RefusalsPageTest {
 
-    // A new code is added, an operator on call sees it at night, and the page has no line on it.
+    // Fails if a code or verdict is added without a line on the page that operators look it up in.
     @Test
     void everyCodeWithItsStatusAndEveryVerdictIsListed() throws IOException {
         final String page = Files.readString(Path.of("..", "docs", "REFUSALS.md"));
--- a/daemon/src/test/java/org/whinhead/daemon/ring/EventRingTest.java
+++ b/daemon/src/test/java/org/whinhead/daemon/ring/EventRingTest.java
@@ -10,7 +10,7 @@
 import org.junit.jupiter.api.AfterEach;
 import org.junit.jupiter.api.Test;
 
-/** Checks the ring's bound, its reserved share and that it goes on after a fault. */
+/** Checks the ring's bound, its reserved slots and that a fault does not stop it. */
 final class EventRingTest {
 
     private static final int SLOTS = 8;
@@ -25,10 +25,10 @@
         mRing.close();
     }
 
-    // A daemon is offered more than it can take. What it refused must not run later: the caller
-    // was told so. The thread starts once the ring is full; a close handles whatever was taken in.
+    // A refused event must not be handled later, as its caller already received a refusal. The
+    // thread starts once the ring is full; close handles the accepted events.
     @Test
-    void aFullRingRefusesAndTakesNothingIn() throws InterruptedException {
+    void fullRingRefusesEventsAndHandlesOnlyAcceptedOnes() throws InterruptedException {
         for (int event = 0; event < SLOTS; event++) {
             assertThat(mRing.offer(event)).isTrue();
         }
@@ -42,9 +42,9 @@
         assertThat(mHandled).isEmpty();
     }
 
-    // A fault in one request's event ends the thread, and every other request hangs.
+    // A fault in one request's event must not end the thread: all other requests would hang.
     @Test
-    void aFaultInOneEventDoesNotStopTheNext() throws InterruptedException {
+    void faultInOneEventDoesNotStopTheNext() throws InterruptedException {
         mRing.offer(FAULTY);
         mRing.offer(LAST);
 
@@ -53,23 +53,23 @@
         assertThat(take(1)).containsExactly(LAST);
     }
 
-    // New requests fill the ring, and the events that would end requests in progress are lost.
+    // If new requests could fill the ring, events that end requests in progress would be lost.
     @Test
-    void theReservedPartRefusesNewEventsOnly() {
-        int taken = 0;
-        while (mRing.offerNew(taken)) {
-            taken++;
+    void reservedSlotsRefuseOnlyNewWork() {
+        int accepted = 0;
+        while (mRing.offerNew(accepted)) {
+            accepted++;
         }
 
-        assertThat(taken).isEqualTo(SLOTS - 1);
-        assertThat(mRing.waitingEvents()).isEqualTo(taken);
+        assertThat(accepted).isEqualTo(SLOTS - 1);
+        assertThat(mRing.waitingEvents()).isEqualTo(accepted);
         assertThat(mRing.offer(LAST)).isTrue();
         assertThat(mRing.offer(LAST)).isFalse();
     }
 
     private void handle(final int event, final boolean endOfBatch) {
         if (event == FAULTY) {
-            throw new IllegalStateException("a fault that the test asked for");
+            throw new IllegalStateException("fault injected by the test");
         }
         mHandled.add(event);
     }
