--- a/daemon/src/main/java/org/whinhead/daemon/burn/BurnCollector.java
+++ b/daemon/src/main/java/org/whinhead/daemon/burn/BurnCollector.java
@@ -22,17 +22,17 @@
 import org.whinhead.settings.deployment.DocumentValue.TierEntry;
 
 /**
- * Takes one sample of each ended request. IO threads leave their samples in a bounded queue without
- * a lock; the decision thread counts them.
+ * Collects one sample of each ended request for the error-budget report. IO threads add samples to
+ * a bounded queue without a lock; the decision thread records them.
  *
- * <p>Guards against a flood of refused requests: they end on IO threads, and an event for each in
- * the decision ring would take the room that requests in progress need. When the queue is full the
- * sample is dropped, and the report says how many were.
+ * <p>Requests that are refused end on IO threads; a flood of them in the decision ring would take
+ * the slots that requests in progress need. When the queue is full, samples are dropped, and the
+ * report contains their number.
  */
 public final class BurnCollector {
 
-    /** The most samples that wait to be counted. */
-    static final int MOST_WAITING = 16_384;
+    /** The maximum number of samples that wait to be recorded. */
+    static final int MAX_WAITING_SAMPLES = 16_384;
 
     private final BurnRecorder mRecorder;
     private final InstantSource mClock;
@@ -40,14 +40,14 @@
     private final Queue<Supplier<RequestSample>> mWaiting = new ConcurrentLinkedQueue<>();
     private final AtomicInteger mWaitingCount = new AtomicInteger();
     private final LongAdder mDropped = new LongAdder();
-    private DeploymentSettings mJudgedBy;
+    private DeploymentSettings mAppliedSettings;
 
     /**
-     * Makes a collector.
+     * Creates a collector.
      *
-     * @param recorder counts the samples
-     * @param clock tells the time
-     * @param settings the settings in force, whose tiers the samples are judged by
+     * @param recorder records the samples
+     * @param clock the source of the current time
+     * @param settings the current settings, whose tiers have the objectives for the samples
      */
     public BurnCollector(
             final BurnRecorder recorder,
@@ -59,38 +59,38 @@
     }
 
     /**
-     * Begins to measure a request.
+     * Starts measuring a request.
      *
      * @param spec the request
-     * @param reply where its answer goes
-     * @return the reply to be used from now on
+     * @param reply sends the answer to the caller
+     * @return a reply that measures and delegates, to use in place of the given one
      */
     public MeasuredReply measure(final RequestSpec spec, final CallerReply reply) {
         return new MeasuredReply(spec, reply, mClock);
     }
 
     /**
-     * Takes the sample of a request whose connection is done with it; on any thread.
+     * Adds the sample of a request whose response ended; called on any thread.
      *
-     * @param reply the request's measure
-     * @param whole whether the response was written to its end
+     * @param reply the measuring reply of the request
+     * @param whole whether the whole response was written
      */
-    public void ended(final MeasuredReply reply, final boolean whole) {
+    public void recordEnd(final MeasuredReply reply, final boolean whole) {
         final Instant at = mClock.instant();
         offer(() -> reply.sample(whole, at));
     }
 
     /**
-     * Takes the sample of a request that was refused before it was taken in; on any thread.
+     * Adds the sample of a request that was refused before its submission; called on any thread.
      *
-     * @param customer who asked
-     * @param refusal what was answered
+     * @param customer the customer of the request
+     * @param refusal the refusal that was sent
      */
-    public void refused(final Customer customer, final Refusal refusal) {
+    public void recordRefusal(final Customer customer, final Refusal refusal) {
         final RequestSample sample =
                 new RequestSample(
                         new SeriesKey(customer.id(), customer.tier().name()),
-                        Outcomes.of(refusal),
+                        OutcomeClassifier.classify(refusal),
                         Optional.empty(),
                         Optional.empty(),
                         0,
@@ -99,14 +99,14 @@
         offer(() -> sample);
     }
 
-    /** Returns how many samples wait to be counted, for metrics. */
-    public int waiting() {
+    /** Returns the number of samples that wait to be recorded, for metrics. */
+    public int waitingSamples() {
         return mWaitingCount.get();
     }
 
-    /** Counts the samples that wait; on the decision thread. */
-    public void count() {
-        adoptObjectives();
+    /** Records the waiting samples; called on the decision thread. */
+    public void recordWaiting() {
+        updateObjectives();
         mRecorder.leftOut(mDropped.sumThenReset());
         Supplier<RequestSample> next = mWaiting.poll();
         while (next != null) {
@@ -116,14 +116,14 @@
         }
     }
 
-    /** Returns what was counted so far; on the decision thread. */
+    /** Returns the report of all samples so far; called on the decision thread. */
     public DaemonReport report() {
-        count();
+        recordWaiting();
         return mRecorder.report(mClock.instant());
     }
 
     private void offer(final Supplier<RequestSample> sample) {
-        if (mWaitingCount.incrementAndGet() > MOST_WAITING) {
+        if (mWaitingCount.incrementAndGet() > MAX_WAITING_SAMPLES) {
             mWaitingCount.decrementAndGet();
             mDropped.increment();
             return;
@@ -131,10 +131,10 @@
         mWaiting.add(sample);
     }
 
-    private void adoptObjectives() {
+    private void updateObjectives() {
         final DeploymentSettings settings = mSettings.get();
-        if (settings != mJudgedBy) {
-            mJudgedBy = settings;
+        if (settings != mAppliedSettings) {
+            mAppliedSettings = settings;
             mRecorder.objectives(settings.tiers().stream().map(BurnCollector::objective).toList());
         }
     }
--- a/daemon/src/main/java/org/whinhead/daemon/burn/MeasuredReply.java
+++ b/daemon/src/main/java/org/whinhead/daemon/burn/MeasuredReply.java
@@ -13,7 +13,7 @@
 import org.whinhead.requests.Completion;
 import org.whinhead.requests.PlainAnswer;
 
-/** Takes a request's measure while its answer passes; used on the decision thread only. */
+/** Decorates a reply and measures its latency and tokens; used on the decision thread only. */
 public final class MeasuredReply implements CallerReply {
 
     private final RequestSpec mSpec;
@@ -22,8 +22,8 @@
     private long mTokens;
     private long mFirstIndex;
     private long mRecomputedTokens;
-    private Instant mFirstToken;
-    private Instant mEnd;
+    private Instant mFirstTokenAt;
+    private Instant mEndedAt;
     private Outcome mOutcome = Outcome.CALLER_LEFT;
 
     MeasuredReply(final RequestSpec spec, final CallerReply reply, final InstantSource clock) {
@@ -33,18 +33,18 @@
     }
 
     @Override
-    public void token(final long index, final String text) {
+    public void sendToken(final long index, final String text) {
         if (mTokens == 0) {
             mFirstIndex = index;
-            mFirstToken = mClock.instant();
+            mFirstTokenAt = mClock.instant();
         }
         mTokens++;
-        mReply.token(index, text);
+        mReply.sendToken(index, text);
     }
 
     @Override
-    public void ticket(final String ticket) {
-        mReply.ticket(ticket);
+    public void sendTicket(final String ticket) {
+        mReply.sendTicket(ticket);
     }
 
     @Override
@@ -55,14 +55,14 @@
     }
 
     @Override
-    public void answer(final PlainAnswer answer) {
-        end(Outcomes.of(answer));
-        mReply.answer(answer);
+    public void sendAnswer(final PlainAnswer answer) {
+        end(OutcomeClassifier.classify(answer));
+        mReply.sendAnswer(answer);
     }
 
     @Override
     public void refuse(final Refusal refusal) {
-        end(Outcomes.of(refusal));
+        end(OutcomeClassifier.classify(refusal));
         mReply.refuse(refusal);
     }
 
@@ -81,8 +81,8 @@
     /**
      * Returns the sample of the ended request.
      *
-     * @param whole whether the response was written to its end
-     * @param at when it ended
+     * @param whole whether the whole response was written
+     * @param at the time at which the response ended
      */
     RequestSample sample(final boolean whole, final Instant at) {
         return new RequestSample(
@@ -97,28 +97,30 @@
 
     private void end(final Outcome outcome) {
         mOutcome = outcome;
-        mEnd = mClock.instant();
+        mEndedAt = mClock.instant();
     }
 
     /**
-     * Guards against an answer that counts as completed although its caller hung up while the last
-     * bytes waited: cost would be divided by answers that nobody got.
+     * Returns the outcome. A completed answer whose caller disconnected before the last bytes were
+     * written counts as left: the cost per completed request would be too low otherwise.
      */
     private Outcome outcome(final boolean whole) {
         return mOutcome == Outcome.COMPLETED && !whole ? Outcome.CALLER_LEFT : mOutcome;
     }
 
-    /** A caller that came back had its first token before. */
+    /** Returns the latency of the first token; empty if the caller resumed and already had it. */
     private Optional<Duration> firstToken() {
         return mTokens > 0 && mFirstIndex == 0
-                ? Optional.of(Duration.between(mSpec.arrived(), mFirstToken))
+                ? Optional.of(Duration.between(mSpec.arrived(), mFirstTokenAt))
                 : Optional.empty();
     }
 
-    /** How long a caller that left had waited for its next token is not known. */
+    /**
+     * Returns the mean time between tokens; empty without a measured end, as of a caller that left.
+     */
     private Optional<Duration> betweenTokens() {
-        return mTokens > 1 && mEnd != null
-                ? Optional.of(Duration.between(mFirstToken, mEnd).dividedBy(mTokens - 1))
+        return mTokens > 1 && mEndedAt != null
+                ? Optional.of(Duration.between(mFirstTokenAt, mEndedAt).dividedBy(mTokens - 1))
                 : Optional.empty();
     }
 }
--- a/daemon/src/main/java/org/whinhead/daemon/caller/BodyReceiver.java
+++ b/daemon/src/main/java/org/whinhead/daemon/caller/BodyReceiver.java
@@ -10,13 +10,13 @@
 import org.whinhead.api.verdict.RequestException;
 import org.xnio.XnioExecutor;
 
-/** Reads request bodies whole, within bounds of size and time. */
+/** Reads whole request bodies within a size limit and a timeout. */
 final class BodyReceiver {
 
-    /** Takes a whole body; on the connection's IO thread, where the exchange stays open. */
+    /** Handles a whole body on the connection's IO thread; the exchange stays open. */
     @FunctionalInterface
-    interface Taker {
-        void take(byte[] body) throws RequestException;
+    interface BodyHandler {
+        void handle(byte[] body) throws RequestException;
     }
 
     private final long mMaxBytes;
@@ -27,30 +27,33 @@
         mTimeout = timeout;
     }
 
-    /** Reads the body and hands it on; refuses the request if it breaks a bound. */
-    void receive(final HttpServerExchange exchange, final Taker taker) {
+    /**
+     * Reads the body and passes it to the handler; refuses the request if the body is too large or
+     * late.
+     */
+    void receive(final HttpServerExchange exchange, final BodyHandler handler) {
         if (exchange.getRequestContentLength() > mMaxBytes) {
             Refusals.send(exchange, tooLarge());
             return;
         }
-        final Reading reading = new Reading(exchange, taker);
-        reading.start();
+        final BodyRead bodyRead = new BodyRead(exchange, handler);
+        bodyRead.start();
     }
 
     private Refusal tooLarge() {
         return Refusal.notRun(ErrorCode.BODY_TOO_LARGE, "at most " + mMaxBytes + " bytes");
     }
 
-    /** One body on its way in. */
-    private final class Reading {
+    /** The reading of one body. */
+    private final class BodyRead {
         private final HttpServerExchange mExchange;
-        private final Taker mTaker;
+        private final BodyHandler mHandler;
         private XnioExecutor.Key mTimer;
-        private boolean mOver;
+        private boolean mEnded;
 
-        private Reading(final HttpServerExchange exchange, final Taker taker) {
+        private BodyRead(final HttpServerExchange exchange, final BodyHandler handler) {
             mExchange = exchange;
-            mTaker = taker;
+            mHandler = handler;
         }
 
         private void start() {
@@ -63,22 +66,24 @@
             receiver.setMaxBufferSize((int) Math.min(mMaxBytes, Integer.MAX_VALUE));
             receiver.receiveFullBytes(
                     (exchange, body) ->
-                            exchange.dispatch(SameThreadExecutor.INSTANCE, () -> whole(body)),
+                            exchange.dispatch(
+                                    SameThreadExecutor.INSTANCE, () -> bodyReceived(body)),
                     (exchange, cause) ->
-                            exchange.dispatch(SameThreadExecutor.INSTANCE, () -> broken(cause)));
+                            exchange.dispatch(
+                                    SameThreadExecutor.INSTANCE, () -> receiveFailed(cause)));
         }
 
-        private void whole(final byte[] body) {
+        private void bodyReceived(final byte[] body) {
             if (endOnce()) {
                 try {
-                    mTaker.take(body);
+                    mHandler.handle(body);
                 } catch (final RequestException e) {
                     Refusals.send(mExchange, e.refusal());
                 }
             }
         }
 
-        private void broken(final Exception cause) {
+        private void receiveFailed(final Exception cause) {
             if (!endOnce()) {
                 return;
             }
@@ -90,8 +95,8 @@
         }
 
         /**
-         * Guards against a caller that sends half a request and then nothing: without a bound it
-         * would hold its connection and the bytes read so far for ever.
+         * Refuses a request whose body is late: a caller that stops sending halfway would otherwise
+         * hold its connection and the bytes read so far forever.
          */
         private void timedOut() {
             if (endOnce()) {
@@ -102,10 +107,10 @@
         }
 
         private boolean endOnce() {
-            if (mOver) {
+            if (mEnded) {
                 return false;
             }
-            mOver = true;
+            mEnded = true;
             mTimer.remove();
             return true;
         }
--- a/daemon/src/main/java/org/whinhead/daemon/caller/CallerHandler.java
+++ b/daemon/src/main/java/org/whinhead/daemon/caller/CallerHandler.java
@@ -13,7 +13,7 @@
 import org.whinhead.daemon.burn.BurnCollector;
 import org.whinhead.daemon.view.DeploymentView;
 
-/** Finds out who asks for what, and passes the request on. */
+/** Authenticates callers and routes their requests to the handler of the path. */
 public final class CallerHandler implements HttpHandler {
 
     private static final String CHAT = "/v1/chat/completions";
@@ -22,7 +22,7 @@
 
     private final Supplier<DeploymentView> mView;
     private final RequestNames mNames;
-    private final BurnCollector mBurn;
+    private final BurnCollector mBurnCollector;
     private final ChatHandler mChat;
     private final ServiceHandler mServices;
     private final ListingHandler mListings;
@@ -30,13 +30,13 @@
     CallerHandler(
             final Supplier<DeploymentView> view,
             final RequestNames names,
-            final BurnCollector burn,
+            final BurnCollector burnCollector,
             final ChatHandler chat,
             final ServiceHandler services,
             final ListingHandler listings) {
         mView = view;
         mNames = names;
-        mBurn = burn;
+        mBurnCollector = burnCollector;
         mChat = chat;
         mServices = services;
         mListings = listings;
@@ -45,7 +45,7 @@
     @Override
     public void handleRequest(final HttpServerExchange exchange) {
         try {
-            final String name = mNames.shown(exchange);
+            final String name = mNames.assignName(exchange);
             route(exchange, name);
         } catch (final RequestException e) {
             Refusals.send(exchange, e.refusal());
@@ -59,28 +59,28 @@
         final boolean get = method.equals(Methods.GET);
         final boolean post = method.equals(Methods.POST);
         if (post && path.equals(CHAT)) {
-            mChat.handle(exchange, counted(exchange), name);
+            mChat.handle(exchange, countedCustomer(exchange), name);
         } else if ((get || post) && path.startsWith(ServiceHandler.PREFIX)) {
-            mServices.handle(exchange, counted(exchange), name);
+            mServices.handle(exchange, countedCustomer(exchange), name);
         } else if (get && path.equals(MODELS)) {
             customer(exchange);
-            mListings.models(exchange);
+            mListings.listModels(exchange);
         } else if (get && path.equals(ADDRESSES)) {
-            mListings.addresses(exchange);
+            mListings.listAddresses(exchange);
         } else {
             throw new RequestException(Refusal.notRun(ErrorCode.UNKNOWN_PATH, method + " " + path));
         }
     }
 
-    /** Finds the customer, against whose tier a refusal from now on counts. */
-    private Customer counted(final HttpServerExchange exchange) throws RequestException {
+    /** Returns the customer; later refusals of this request count in the samples of its tier. */
+    private Customer countedCustomer(final HttpServerExchange exchange) throws RequestException {
         final Customer customer = customer(exchange);
-        Refusals.listen(exchange, refusal -> mBurn.refused(customer, refusal));
+        Refusals.setListener(exchange, refusal -> mBurnCollector.recordRefusal(customer, refusal));
         return customer;
     }
 
     private Customer customer(final HttpServerExchange exchange) throws RequestException {
-        return KeyCheck.customer(
+        return KeyAuthenticator.authenticate(
                 exchange.getRequestHeaders().getFirst(Headers.AUTHORIZATION),
                 mView.get().customers());
     }
--- a/daemon/src/main/java/org/whinhead/daemon/caller/ChatHandler.java
+++ b/daemon/src/main/java/org/whinhead/daemon/caller/ChatHandler.java
@@ -18,26 +18,26 @@
 import org.whinhead.daemon.view.DeploymentView;
 import org.whinhead.requests.TicketCodec;
 
-/** Takes chat requests: {@code POST /v1/chat/completions}. */
+/** Parses and submits chat requests: {@code POST /v1/chat/completions}. */
 final class ChatHandler {
 
     private final Supplier<DeploymentView> mView;
-    private final Intake mIntake;
-    private final BodyReceiver mBodies;
+    private final RequestSubmitter mSubmitter;
+    private final BodyReceiver mBodyReceiver;
     private final RequestNames mNames;
     private final TicketCodec mTickets;
     private final InstantSource mClock;
 
     ChatHandler(
             final Supplier<DeploymentView> view,
-            final Intake intake,
-            final BodyReceiver bodies,
+            final RequestSubmitter submitter,
+            final BodyReceiver bodyReceiver,
             final RequestNames names,
             final TicketCodec tickets,
             final InstantSource clock) {
         mView = view;
-        mIntake = intake;
-        mBodies = bodies;
+        mSubmitter = submitter;
+        mBodyReceiver = bodyReceiver;
         mNames = names;
         mTickets = tickets;
         mClock = clock;
@@ -45,11 +45,11 @@
 
     void handle(final HttpServerExchange exchange, final Customer customer, final String name)
             throws RequestException {
-        mIntake.checkOpen();
-        mBodies.receive(exchange, body -> received(exchange, customer, name, body));
+        mSubmitter.checkAccepting();
+        mBodyReceiver.receive(exchange, body -> submit(exchange, customer, name, body));
     }
 
-    private void received(
+    private void submit(
             final HttpServerExchange exchange,
             final Customer customer,
             final String name,
@@ -57,26 +57,26 @@
             throws RequestException {
         final ChatRequest request = ChatRequestParser.parse(bytes);
         final ModelRef model = model(request.model());
-        final Optional<Comeback> comeback =
-                Comeback.read(
+        final Optional<ResumeRequest> resume =
+                ResumeRequest.parse(
                         exchange,
                         mTickets,
                         customer,
-                        mNames.identity(customer, name),
+                        mNames.requestId(customer, name),
                         request,
                         mClock.instant());
         final RequestId id =
-                comeback.isPresent() ? comeback.get().request() : identity(customer, name);
-        final ChatChunks chunks = new ChatChunks(name, request.model());
-        mIntake.takeIn(
+                resume.isPresent() ? resume.get().requestId() : uniqueRequestId(customer, name);
+        final ChatResponseJson json = new ChatResponseJson(name, request.model());
+        mSubmitter.submit(
                 exchange,
                 spec(request, model, customer, id),
                 new RequestBody.Chat(request.encoder(model, customer.tier().priority())),
                 request.streamed()
-                        ? new StreamedFormat(chunks)
-                        : new WholeFormat(chunks, request.deliveredText()),
+                        ? new StreamedFormat(json)
+                        : new BufferedFormat(json, request.deliveredText()),
                 live ->
-                        comeback.<DecisionEvent>map(c -> c.event(live))
+                        resume.<DecisionEvent>map(r -> r.toEvent(live))
                                 .orElseGet(() -> new DecisionEvent.Arrived(live)));
     }
 
@@ -90,12 +90,14 @@
     }
 
     /**
-     * Guards against a caller that asks again under the same name while its first request runs:
-     * generation may be repeated, so the second gets an identity and an answer of its own.
+     * Returns the request's id. A name that is in progress already gets a new id: generation may be
+     * repeated, so the second request is answered on its own.
      */
-    private RequestId identity(final Customer customer, final String name) {
-        final RequestId asked = mNames.identity(customer, name);
-        return mIntake.isInProgress(asked) ? mNames.identity(customer, mNames.fresh()) : asked;
+    private RequestId uniqueRequestId(final Customer customer, final String name) {
+        final RequestId named = mNames.requestId(customer, name);
+        return mSubmitter.isInProgress(named)
+                ? mNames.requestId(customer, mNames.newName())
+                : named;
     }
 
     private RequestSpec spec(
--- a/daemon/src/main/java/org/whinhead/daemon/caller/ChatChunks.java
+++ b/daemon/src/main/java/org/whinhead/daemon/caller/ChatResponseJson.java
@@ -5,18 +5,18 @@
 import org.whinhead.requests.Completion;
 
 /**
- * Makes the JSON of chat answers.
+ * Creates the JSON of chat responses.
  *
- * @param id the answer's id
- * @param model the model's name as the caller gave it
+ * @param id the id of the response
+ * @param model the model's name as in the caller's request
  */
-record ChatChunks(String id, String model) {
+record ChatResponseJson(String id, String model) {
 
     private static final String CHUNK = "chat.completion.chunk";
-    private static final String WHOLE = "chat.completion";
+    private static final String COMPLETION = "chat.completion";
 
-    /** Makes the chunk of one token. */
-    ObjectNode token(final String text) {
+    /** Returns the chunk of one token. */
+    ObjectNode tokenChunk(final String text) {
         final ObjectNode root = root(CHUNK);
         final ObjectNode choice = choice(root);
         choice.putObject("delta").put(ChatFields.CONTENT, text);
@@ -24,8 +24,8 @@
         return root;
     }
 
-    /** Makes the last chunk. */
-    ObjectNode end(final Completion completion) {
+    /** Returns the last chunk, which has the finish reason and the usage. */
+    ObjectNode finalChunk(final Completion completion) {
         final ObjectNode root = root(CHUNK);
         final ObjectNode choice = choice(root);
         choice.putObject("delta");
@@ -33,9 +33,9 @@
         return withUsage(root, completion);
     }
 
-    /** Makes a whole answer. */
-    ObjectNode whole(final String text, final Completion completion) {
-        final ObjectNode root = root(WHOLE);
+    /** Returns the response of a request that is not streamed. */
+    ObjectNode completion(final String text, final Completion completion) {
+        final ObjectNode root = root(COMPLETION);
         final ObjectNode choice = choice(root);
         choice.putObject("message")
                 .put(ChatFields.ROLE, ChatFields.ASSISTANT)
--- a/daemon/src/main/java/org/whinhead/daemon/caller/ExchangeWriter.java
+++ b/daemon/src/main/java/org/whinhead/daemon/caller/ExchangeWriter.java
@@ -9,48 +9,52 @@
 import org.xnio.channels.StreamSinkChannel;
 
 /**
- * Writes a response as fast as the caller takes it; used on the connection's IO thread only.
+ * Writes a response with back pressure; used on the connection's IO thread only.
  *
- * <p>Guards against a caller that reads slowly or not at all: what it has not taken yet would fill
- * the daemon's memory. The bytes that wait are counted, and past the bound the connection is closed
- * and the request cancelled as if the caller had hung up.
+ * <p>The unwritten bytes of a caller that reads slowly or not at all would fill the daemon's
+ * memory. Above the limit of waiting bytes the connection is closed and the request is cancelled as
+ * if the caller had disconnected.
  */
 final class ExchangeWriter {
 
     private final HttpServerExchange mExchange;
     private final int mMaxWaitingBytes;
-    private final Runnable mCallerLeft;
-    private final EndListener mEnded;
+    private final Runnable mOnCallerDisconnect;
+    private final EndListener mEndListener;
     private final Deque<ByteBuffer> mWaiting = new ArrayDeque<>();
     private StreamSinkChannel mChannel;
     private int mWaitingBytes;
     private boolean mEnding;
-    private boolean mShutDown;
+    private boolean mIsShutDown;
     private boolean mClosed;
 
-    /** Is told once how a response ended. */
+    /** Receives the end of a response, once. */
     @FunctionalInterface
     interface EndListener {
-        /** The response was written to its end and given to the kernel, or was cut before. */
+        /**
+         * Handles the end.
+         *
+         * @param whole whether the whole response was passed to the kernel
+         */
         void ended(boolean whole);
     }
 
     ExchangeWriter(
             final HttpServerExchange exchange,
             final int maxWaitingBytes,
-            final Runnable callerLeft,
-            final EndListener ended) {
+            final Runnable onCallerDisconnect,
+            final EndListener endListener) {
         mExchange = exchange;
         mMaxWaitingBytes = maxWaitingBytes;
-        mCallerLeft = callerLeft;
-        mEnded = ended;
+        mOnCallerDisconnect = onCallerDisconnect;
+        mEndListener = endListener;
     }
 
     HttpServerExchange exchange() {
         return mExchange;
     }
 
-    /** Tells whether a byte of the response may have been sent. */
+    /** Returns whether a byte of the response may have been sent. */
     boolean hasBegun() {
         return mChannel != null;
     }
@@ -65,39 +69,39 @@
         }
         mWaiting.add(ByteBuffer.wrap(bytes));
         mWaitingBytes += bytes.length;
-        pump();
+        writeWaiting();
         if (!mClosed && mWaitingBytes > mMaxWaitingBytes) {
-            callerLeft();
+            abort();
         }
     }
 
-    /** Ends the response once everything has been written. */
+    /** Ends the response once all waiting bytes are written. */
     void end() {
         if (!mClosed && !mEnding) {
             mEnding = true;
-            pump();
+            writeWaiting();
         }
     }
 
-    /** Closes the connection; the request is cancelled unless its response was ending. */
-    void callerLeft() {
+    /** Closes the connection and, unless the response was ending, cancels the request. */
+    void abort() {
         if (mClosed) {
             return;
         }
         mClosed = true;
         mWaiting.clear();
         IoUtils.safeClose(mExchange.getConnection());
-        mEnded.ended(false);
+        mEndListener.ended(false);
         if (!mEnding) {
-            mCallerLeft.run();
+            mOnCallerDisconnect.run();
         }
     }
 
-    private void pump() {
+    private void writeWaiting() {
         try {
             if (mChannel == null) {
                 mChannel = mExchange.getResponseChannel();
-                mChannel.getWriteSetter().set(ignored -> pump());
+                mChannel.getWriteSetter().set(ignored -> writeWaiting());
             }
             if (writeAll() && (mEnding ? shutDown() : mChannel.flush())) {
                 mChannel.suspendWrites();
@@ -106,7 +110,7 @@
                 mChannel.resumeWrites();
             }
         } catch (final IOException e) {
-            callerLeft();
+            abort();
         }
     }
 
@@ -124,9 +128,9 @@
     }
 
     private boolean shutDown() throws IOException {
-        if (!mShutDown) {
+        if (!mIsShutDown) {
             mChannel.shutdownWrites();
-            mShutDown = true;
+            mIsShutDown = true;
         }
         return mChannel.flush();
     }
@@ -135,7 +139,7 @@
         if (mEnding && !mClosed) {
             mClosed = true;
             mExchange.endExchange();
-            mEnded.ended(true);
+            mEndListener.ended(true);
         }
     }
 }
--- a/daemon/src/main/java/org/whinhead/daemon/caller/KeyCheck.java
+++ b/daemon/src/main/java/org/whinhead/daemon/caller/KeyAuthenticator.java
@@ -11,21 +11,23 @@
 import org.whinhead.api.verdict.Refusal;
 import org.whinhead.api.verdict.RequestException;
 
-/** Finds the customer whose key a request carries. */
-final class KeyCheck {
+/** Authenticates customers by the bearer key of a request. */
+final class KeyAuthenticator {
 
     private static final String SCHEME = "Bearer ";
     private static final String ALGORITHM = "SHA-256";
     private static final String NO_HEADER = "the Authorization header has no bearer key";
     private static final String NO_MATCH = "no customer has this key";
 
-    private KeyCheck() {}
+    private KeyAuthenticator() {}
 
     /**
-     * Finds the customer. Guards against a key that is guessed from the time that a comparison
-     * takes: every hash is compared, each in full, whether or not one matched before.
+     * Returns the customer of a key. All hashes are compared, each in constant time and also after
+     * a match, so that the duration reveals nothing about a key.
+     *
+     * @throws RequestException if the header has no bearer key or no customer has the key
      */
-    static Customer customer(final String authorization, final List<Customer> customers)
+    static Customer authenticate(final String authorization, final List<Customer> customers)
             throws RequestException {
         if (authorization == null || !authorization.startsWith(SCHEME)) {
             throw refused(NO_HEADER);
--- a/daemon/src/main/java/org/whinhead/daemon/caller/ListingHandler.java
+++ b/daemon/src/main/java/org/whinhead/daemon/caller/ListingHandler.java
@@ -11,24 +11,24 @@
 import org.whinhead.daemon.view.DeploymentView;
 import org.whinhead.daemon.view.EntryAddress;
 
-/** Lists models and the system's addresses. */
+/** Answers requests for the lists of models and of daemon addresses. */
 final class ListingHandler {
 
     private final Supplier<DeploymentView> mView;
     private final Supplier<List<EntryAddress>> mAddresses;
-    private final Duration mKeep;
+    private final Duration mAddressCacheTime;
 
     ListingHandler(
             final Supplier<DeploymentView> view,
             final Supplier<List<EntryAddress>> addresses,
-            final Duration keep) {
+            final Duration addressCacheTime) {
         mView = view;
         mAddresses = addresses;
-        mKeep = keep;
+        mAddressCacheTime = addressCacheTime;
     }
 
-    /** Answers with the models: {@code GET /v1/models}. */
-    void models(final HttpServerExchange exchange) {
+    /** Sends the list of models: {@code GET /v1/models}. */
+    void listModels(final HttpServerExchange exchange) {
         final ObjectNode root = JsonNodeFactory.instance.objectNode().put("object", "list");
         final ArrayNode data = root.putArray("data");
         mView.get().models().keySet().stream()
@@ -37,8 +37,8 @@
         send(exchange, root);
     }
 
-    /** Answers with the addresses that callers may use: {@code GET /v1/addresses}. */
-    void addresses(final HttpServerExchange exchange) {
+    /** Sends the addresses that callers may use: {@code GET /v1/addresses}. */
+    void listAddresses(final HttpServerExchange exchange) {
         final ObjectNode root = JsonNodeFactory.instance.objectNode();
         final ArrayNode addresses = root.putArray("addresses");
         for (final EntryAddress address : mAddresses.get()) {
@@ -47,7 +47,7 @@
                     .put("uri", address.uri().toString())
                     .put("domain", address.domain().toString());
         }
-        root.put("keepMillis", mKeep.toMillis());
+        root.put("keepMillis", mAddressCacheTime.toMillis());
         send(exchange, root);
     }
 
--- a/daemon/src/main/java/org/whinhead/daemon/caller/PlainFormat.java
+++ b/daemon/src/main/java/org/whinhead/daemon/caller/PlainFormat.java
@@ -4,11 +4,11 @@
 import io.undertow.util.Headers;
 import org.whinhead.requests.PlainAnswer;
 
-/** Sends a plain service's answer as it came. */
+/** Writes the answer of a plain service unchanged. */
 final class PlainFormat implements AnswerFormat {
 
     @Override
-    public void take(final ReplyPart part, final ExchangeWriter writer) {
+    public void write(final ReplyPart part, final ExchangeWriter writer) {
         if (part instanceof ReplyPart.Answered answered) {
             send(answered.answer(), writer);
         } else if (part instanceof ReplyPart.Refused refused) {
--- a/daemon/src/main/java/org/whinhead/daemon/caller/QueuedReply.java
+++ b/daemon/src/main/java/org/whinhead/daemon/caller/QueuedReply.java
@@ -9,7 +9,7 @@
 import org.whinhead.requests.PlainAnswer;
 import org.xnio.XnioIoThread;
 
-/** Carries an answer's steps to the caller's IO thread, several at a time when they come fast. */
+/** Passes the parts of an answer to the caller's IO thread, in batches if they arrive fast. */
 final class QueuedReply implements CallerReply {
 
     private final Queue<ReplyPart> mParts = new ConcurrentLinkedQueue<>();
@@ -25,12 +25,12 @@
     }
 
     @Override
-    public void token(final long index, final String text) {
+    public void sendToken(final long index, final String text) {
         enqueue(new ReplyPart.Token(index, text));
     }
 
     @Override
-    public void ticket(final String ticket) {
+    public void sendTicket(final String ticket) {
         enqueue(new ReplyPart.NewTicket(ticket));
     }
 
@@ -40,7 +40,7 @@
     }
 
     @Override
-    public void answer(final PlainAnswer answer) {
+    public void sendAnswer(final PlainAnswer answer) {
         enqueue(new ReplyPart.Answered(answer));
     }
 
@@ -56,7 +56,7 @@
 
     @Override
     public void supersede() {
-        mThread.execute(mWriter::callerLeft);
+        mThread.execute(mWriter::abort);
     }
 
     private void enqueue(final ReplyPart part) {
@@ -67,17 +67,17 @@
     }
 
     private void drain() {
-        // Cleared before the queue is read: a part added later schedules a drain of its own.
+        // Cleared before the queue is read: a part that is added later schedules another drain.
         mScheduled.set(false);
         ReplyPart part = mParts.poll();
         while (part != null) {
             if (!mWriter.isClosed()) {
-                mFormat.take(part, mWriter);
+                mFormat.write(part, mWriter);
             }
             part = mParts.poll();
         }
         if (!mWriter.isClosed()) {
-            mFormat.endOfBatch(mWriter);
+            mFormat.flushBatch(mWriter);
         }
     }
 }
--- a/daemon/src/main/java/org/whinhead/daemon/caller/ServiceHandler.java
+++ b/daemon/src/main/java/org/whinhead/daemon/caller/ServiceHandler.java
@@ -16,7 +16,7 @@
 import org.whinhead.daemon.view.DeploymentView;
 import org.whinhead.settings.deployment.DocumentValue.ServiceEntry;
 
-/** Takes calls of plain services: {@code /v1/services/{service}/{path}}. */
+/** Submits calls of plain services: {@code /v1/services/{service}/{path}}. */
 final class ServiceHandler {
 
     static final String PREFIX = "/v1/services/";
@@ -24,27 +24,27 @@
     private static final String NOT_IDEMPOTENT = "false";
 
     private final Supplier<DeploymentView> mView;
-    private final Intake mIntake;
-    private final BodyReceiver mBodies;
+    private final RequestSubmitter mSubmitter;
+    private final BodyReceiver mBodyReceiver;
     private final RequestNames mNames;
     private final InstantSource mClock;
 
     ServiceHandler(
             final Supplier<DeploymentView> view,
-            final Intake intake,
-            final BodyReceiver bodies,
+            final RequestSubmitter submitter,
+            final BodyReceiver bodyReceiver,
             final RequestNames names,
             final InstantSource clock) {
         mView = view;
-        mIntake = intake;
-        mBodies = bodies;
+        mSubmitter = submitter;
+        mBodyReceiver = bodyReceiver;
         mNames = names;
         mClock = clock;
     }
 
     void handle(final HttpServerExchange exchange, final Customer customer, final String name)
             throws RequestException {
-        mIntake.checkOpen();
+        mSubmitter.checkAccepting();
         final String rest = exchange.getRequestPath().substring(PREFIX.length());
         final int slash = rest.indexOf('/');
         final String service = slash < 0 ? rest : rest.substring(0, slash);
@@ -58,14 +58,15 @@
                                                 Refusal.notRun(
                                                         ErrorCode.UNKNOWN_TARGET,
                                                         "service " + service)));
-        final boolean idempotent = rules.isIdempotent(path) && !saysNotIdempotent(exchange);
-        final String given = RequestNames.header(exchange, CallerHeaders.IDEMPOTENCY_KEY);
-        final String key = given.isEmpty() ? name : given;
+        final boolean idempotent = rules.isIdempotent(path) && !isMarkedNotIdempotent(exchange);
+        final String keyHeader =
+                RequestNames.readNameHeader(exchange, CallerHeaders.IDEMPOTENCY_KEY);
+        final String key = keyHeader.isEmpty() ? name : keyHeader;
         final RequestSpec spec = spec(customer, key, service, idempotent);
-        mBodies.receive(
+        mBodyReceiver.receive(
                 exchange,
                 body ->
-                        mIntake.takeIn(
+                        mSubmitter.submit(
                                 exchange,
                                 spec,
                                 plain(exchange, path, key, body),
@@ -73,9 +74,10 @@
                                 DecisionEvent.Arrived::new));
     }
 
-    private static boolean saysNotIdempotent(final HttpServerExchange exchange)
+    private static boolean isMarkedNotIdempotent(final HttpServerExchange exchange)
             throws RequestException {
-        return NOT_IDEMPOTENT.equals(RequestNames.header(exchange, CallerHeaders.IDEMPOTENT));
+        return NOT_IDEMPOTENT.equals(
+                RequestNames.readNameHeader(exchange, CallerHeaders.IDEMPOTENT));
     }
 
     private RequestSpec spec(
@@ -83,10 +85,10 @@
             final String key,
             final String service,
             final boolean idempotent) {
-        final RequestId asked = mNames.identity(customer, service + "/" + key);
-        // A second call under the same key may run beside the first only if it may be repeated.
-        final boolean renamed = idempotent && mIntake.isInProgress(asked);
-        final RequestId id = renamed ? mNames.identity(customer, mNames.fresh()) : asked;
+        final RequestId keyed = mNames.requestId(customer, service + "/" + key);
+        // A second call with the same key runs in parallel only if calls may be repeated.
+        final boolean needsNewId = idempotent && mSubmitter.isInProgress(keyed);
+        final RequestId id = needsNewId ? mNames.requestId(customer, mNames.newName()) : keyed;
         final Instant now = mClock.instant();
         return RequestSpec.builder(id)
                 .customer(customer.id())
--- a/daemon/src/main/java/org/whinhead/daemon/engine/ActionDispatcher.java
+++ b/daemon/src/main/java/org/whinhead/daemon/engine/ActionDispatcher.java
@@ -11,31 +11,31 @@
 import org.whinhead.requests.Ticket;
 import org.whinhead.requests.TicketCodec;
 
-/** Carries out the coordinator's actions by handing them to the IO threads. */
+/** Executes the coordinator's actions by passing them to the IO threads. */
 public final class ActionDispatcher implements RequestActions {
 
     private final LiveRequests mRequests;
     private final AttemptTransport mTransport;
     private final TicketCodec mTickets;
-    private final Claims mClaims;
+    private final ClaimService mClaimService;
 
     /**
-     * Makes a dispatcher.
+     * Creates a dispatcher.
      *
      * @param requests the requests in progress
-     * @param transport the way to the endpoints
-     * @param tickets writes tickets
-     * @param claims takes the claims
+     * @param transport starts and cancels attempts at endpoints
+     * @param tickets encodes tickets
+     * @param claimService requests and withdraws claims
      */
     public ActionDispatcher(
             final LiveRequests requests,
             final AttemptTransport transport,
             final TicketCodec tickets,
-            final Claims claims) {
+            final ClaimService claimService) {
         mRequests = requests;
         mTransport = transport;
         mTickets = tickets;
-        mClaims = claims;
+        mClaimService = claimService;
     }
 
     @Override
@@ -99,17 +99,17 @@
 
     @Override
     public void claim(final RequestId request) {
-        mClaims.claim(request);
+        mClaimService.claim(request);
     }
 
     @Override
     public void unclaim(final RequestId request) {
-        mClaims.withdraw(request);
+        mClaimService.withdraw(request);
     }
 
     @Override
     public void deliver(final RequestId request, final long index, final String text) {
-        mRequests.find(request).ifPresent(live -> live.reply().token(index, text));
+        mRequests.find(request).ifPresent(live -> live.reply().sendToken(index, text));
     }
 
     @Override
@@ -119,7 +119,7 @@
 
     @Override
     public void answer(final RequestId request, final PlainAnswer answer) {
-        mRequests.remove(request).ifPresent(live -> live.reply().answer(answer));
+        mRequests.remove(request).ifPresent(live -> live.reply().sendAnswer(answer));
     }
 
     @Override
@@ -129,7 +129,7 @@
 
     @Override
     public void ticket(final RequestId request, final Ticket ticket) {
-        mRequests.find(request).ifPresent(live -> live.reply().ticket(mTickets.write(ticket)));
+        mRequests.find(request).ifPresent(live -> live.reply().sendTicket(mTickets.write(ticket)));
     }
 
     @Override
--- a/daemon/src/main/java/org/whinhead/daemon/engine/Failures.java
+++ b/daemon/src/main/java/org/whinhead/daemon/engine/AttemptFailures.java
@@ -4,10 +4,10 @@
 import org.whinhead.clients.http.HttpFailure;
 import org.whinhead.requests.AttemptFailure;
 
-/** What a failed call or a refusing status means for an attempt. */
-final class Failures {
+/** Maps failed HTTP calls and error statuses to attempt failures. */
+final class AttemptFailures {
 
-    private Failures() {}
+    private AttemptFailures() {}
 
     static AttemptFailure of(final HttpFailure failure) {
         return switch (failure) {
--- a/daemon/src/main/java/org/whinhead/daemon/engine/AttemptTransport.java
+++ b/daemon/src/main/java/org/whinhead/daemon/engine/AttemptTransport.java
@@ -18,7 +18,7 @@
 import org.whinhead.daemon.request.RequestBody;
 import org.xnio.XnioIoThread;
 
-/** Starts and cancels attempts at endpoints; called on the decision thread, never blocks. */
+/** Starts and cancels attempts at endpoints; called on the decision thread, does not block. */
 public final class AttemptTransport {
 
     private static final String JSON = "application/json";
@@ -38,12 +38,12 @@
     private final Map<AttemptId, HttpCall> mCalls = new ConcurrentHashMap<>();
 
     /**
-     * Makes a transport.
+     * Creates a transport.
      *
-     * @param caller makes the calls
-     * @param loop told what becomes of attempts
-     * @param connectTimeout how long connecting may take
-     * @param silenceTimeout how long an endpoint may send nothing
+     * @param caller the HTTP client
+     * @param loop receives the events of attempts
+     * @param connectTimeout the timeout for connecting
+     * @param silenceTimeout the longest time that an endpoint may send nothing
      */
     public AttemptTransport(
             final HttpCaller caller,
@@ -63,7 +63,7 @@
      * @param attempt the attempt
      * @param endpoint the engine
      * @param deliveredText text that the caller already has; empty to start over
-     * @param deliveredTokens how many tokens that text has
+     * @param deliveredTokens the number of tokens of that text
      */
     public void generate(
             final LiveRequest request,
@@ -72,24 +72,25 @@
             final String deliveredText,
             final long deliveredTokens) {
         if (!(request.body() instanceof RequestBody.Chat chat)) {
-            throw new IllegalStateException(attempt + " generates for a plain service");
+            throw new IllegalStateException(
+                    attempt + ": a call of a plain service cannot generate");
         }
         final OutgoingRequest outgoing =
-                named(endpoint.uri(), CHAT_PATH, attempt)
+                requestBuilder(endpoint.uri(), CHAT_PATH, attempt)
                         .method(Methods.POST)
                         .body(chat.encoder().encode(deliveredText, deliveredTokens), JSON)
                         .build();
-        start(attempt, outgoing, request.thread(), EngineStream.opening(events(attempt)));
+        start(attempt, outgoing, request.thread(), EngineStream.opening(publisher(attempt)));
     }
 
     /**
-     * Resumes a stream.
+     * Reads a stream that the engine still holds.
      *
      * @param request the request
      * @param attempt the attempt
      * @param endpoint the engine
-     * @param streamId the engine's name for the stream
-     * @param fromIndex the first token wanted
+     * @param streamId the engine's id of the stream
+     * @param fromIndex the index of the first token to read, at least 0
      */
     public void resume(
             final LiveRequest request,
@@ -98,7 +99,7 @@
             final String streamId,
             final long fromIndex) {
         final OutgoingRequest.Builder builder =
-                named(endpoint.uri(), STREAMS_PATH + streamId, attempt);
+                requestBuilder(endpoint.uri(), STREAMS_PATH + streamId, attempt);
         if (fromIndex > 0) {
             builder.header(LAST_EVENT_HEADER, Long.toString(fromIndex - 1));
         }
@@ -106,16 +107,16 @@
                 attempt,
                 builder.build(),
                 request.thread(),
-                EngineStream.resuming(events(attempt), streamId));
+                EngineStream.resuming(publisher(attempt), streamId));
     }
 
     /**
-     * Moves a stream's KV cache.
+     * Moves a stream's KV cache to another engine.
      *
      * @param request the request
      * @param attempt the new attempt, at the receiving engine
-     * @param from the leaving engine
-     * @param streamId the leaving engine's name for the stream
+     * @param from the engine that leaves
+     * @param streamId the id of the stream at the engine that leaves
      * @param to the receiving engine
      */
     public void move(
@@ -125,25 +126,25 @@
             final String streamId,
             final Endpoint to) {
         final OutgoingRequest export =
-                named(from.uri(), STREAMS_PATH + streamId + EXPORT_SUFFIX, attempt)
+                requestBuilder(from.uri(), STREAMS_PATH + streamId + EXPORT_SUFFIX, attempt)
                         .method(Methods.POST)
                         .build();
-        final AttemptEvents events = events(attempt);
-        final CacheMove move =
-                new CacheMove(
-                        events,
+        final AttemptEventPublisher publisher = publisher(attempt);
+        final CacheExport exportListener =
+                new CacheExport(
+                        publisher,
                         cache ->
                                 start(
                                         attempt,
-                                        importing(attempt, to, cache),
+                                        importRequest(attempt, to, cache),
                                         request.thread(),
-                                        new CacheImport(events)));
-        start(attempt, export, request.thread(), move);
+                                        new CacheImport(publisher)));
+        start(attempt, export, request.thread(), exportListener);
     }
 
-    private OutgoingRequest importing(
+    private OutgoingRequest importRequest(
             final AttemptId attempt, final Endpoint to, final byte[] cache) {
-        return named(to.uri(), IMPORT_PATH, attempt)
+        return requestBuilder(to.uri(), IMPORT_PATH, attempt)
                 .method(Methods.POST)
                 .body(cache, "application/octet-stream")
                 .build();
@@ -158,29 +159,30 @@
      */
     public void call(final LiveRequest request, final AttemptId attempt, final Endpoint endpoint) {
         if (!(request.body() instanceof RequestBody.Plain plain)) {
-            throw new IllegalStateException(attempt + " calls with a chat request");
+            throw new IllegalStateException(
+                    attempt + ": a chat request cannot call a plain service");
         }
         final OutgoingRequest outgoing =
-                named(endpoint.uri(), plain.path(), attempt)
+                requestBuilder(endpoint.uri(), plain.path(), attempt)
                         .method(new HttpString(plain.method()))
                         .header(IDEMPOTENCY_HEADER, plain.idempotencyKey())
                         .body(plain.body(), plain.contentType())
                         .build();
-        start(attempt, outgoing, request.thread(), new ServiceCall(events(attempt)));
+        start(attempt, outgoing, request.thread(), new ServiceResponse(publisher(attempt)));
     }
 
     /**
-     * Ends an attempt.
+     * Cancels an attempt, also at its endpoint if the stream's id is known.
      *
      * @param attempt the attempt
-     * @param endpoint where it runs
-     * @param streamId the endpoint's name for the stream; empty if not known yet
+     * @param endpoint the endpoint that runs the attempt
+     * @param streamId the endpoint's id of the stream; empty if not known yet
      */
     public void cancel(final AttemptId attempt, final Endpoint endpoint, final String streamId) {
         release(attempt);
         if (!streamId.isEmpty()) {
             final OutgoingRequest delete =
-                    named(endpoint.uri(), STREAMS_PATH + streamId, attempt)
+                    requestBuilder(endpoint.uri(), STREAMS_PATH + streamId, attempt)
                             .method(Methods.DELETE)
                             .build();
             mCaller.start(delete, new IgnoredResponse());
@@ -188,7 +190,7 @@
     }
 
     /**
-     * Stops reading an attempt's answer and leaves it running at its endpoint.
+     * Stops reading an attempt's answer; the attempt continues at its endpoint.
      *
      * @param attempt the attempt
      */
@@ -199,13 +201,13 @@
         }
     }
 
-    /** Returns how many calls are under way, for metrics. */
-    public int underWay() {
+    /** Returns the number of active calls, for metrics. */
+    public int activeCalls() {
         return mCalls.size();
     }
 
-    private AttemptEvents events(final AttemptId attempt) {
-        return new AttemptEvents(attempt, mLoop, () -> mCalls.remove(attempt));
+    private AttemptEventPublisher publisher(final AttemptId attempt) {
+        return new AttemptEventPublisher(attempt, mLoop, () -> mCalls.remove(attempt));
     }
 
     private void start(
@@ -218,16 +220,16 @@
         call.begin();
     }
 
-    private OutgoingRequest.Builder named(
+    private OutgoingRequest.Builder requestBuilder(
             final URI base, final String path, final AttemptId attempt) {
         return OutgoingRequest.to(base, path)
-                .header(REQUEST_HEADER, asHeader(attempt.request().value()))
+                .header(REQUEST_HEADER, toAscii(attempt.request().value()))
                 .header(ATTEMPT_HEADER, Integer.toString(attempt.number()))
                 .connectTimeout(mConnectTimeout)
                 .silenceTimeout(mSilenceTimeout);
     }
 
-    private static String asHeader(final String value) {
+    private static String toAscii(final String value) {
         return new String(value.getBytes(StandardCharsets.US_ASCII), StandardCharsets.US_ASCII);
     }
 }
--- a/daemon/src/main/java/org/whinhead/daemon/engine/WholeResponse.java
+++ b/daemon/src/main/java/org/whinhead/daemon/engine/BufferedResponse.java
@@ -9,33 +9,33 @@
 import org.whinhead.clients.http.ResponseListener;
 import org.whinhead.requests.AttemptFailure;
 
-/** Reads an attempt's whole response, up to a bound. */
-abstract class WholeResponse implements ResponseListener {
+/** Buffers an attempt's whole response, up to a size limit. */
+abstract class BufferedResponse implements ResponseListener {
 
-    private final AttemptEvents mEvents;
+    private final AttemptEventPublisher mPublisher;
     private final int mMaxBytes;
     private final ByteArrayOutputStream mBody = new ByteArrayOutputStream();
     private HttpCall mCall;
     private int mStatus;
     private String mContentType = "";
-    private boolean mOver;
+    private boolean mEnded;
 
-    WholeResponse(final AttemptEvents events, final int maxBytes) {
-        mEvents = events;
+    BufferedResponse(final AttemptEventPublisher publisher, final int maxBytes) {
+        mPublisher = publisher;
         mMaxBytes = maxBytes;
     }
 
-    /** Takes the whole response. */
-    abstract void whole(int status, String contentType, byte[] body);
+    /** Handles the whole response. */
+    abstract void handleResponse(int status, String contentType, byte[] body);
 
-    AttemptEvents events() {
-        return mEvents;
+    AttemptEventPublisher publisher() {
+        return mPublisher;
     }
 
     @Override
     public final void starting(final HttpCall call) {
         mCall = call;
-        mEvents.starting(call);
+        mPublisher.setCall(call);
     }
 
     @Override
@@ -48,30 +48,30 @@
     @Override
     public final void arrived(final ByteBuffer bytes) {
         if (mBody.size() + bytes.remaining() > mMaxBytes) {
-            mOver = true;
+            mEnded = true;
             mCall.cancel();
-            mEvents.failed(
+            mPublisher.publishFailed(
                     AttemptFailure.FAULTED, "the answer is larger than " + mMaxBytes + " bytes");
             return;
         }
-        final byte[] some = new byte[bytes.remaining()];
-        bytes.get(some);
-        mBody.write(some, 0, some.length);
+        final byte[] chunk = new byte[bytes.remaining()];
+        bytes.get(chunk);
+        mBody.write(chunk, 0, chunk.length);
     }
 
     @Override
     public final void ended() {
-        if (!mOver) {
-            mOver = true;
-            whole(mStatus, mContentType, mBody.toByteArray());
+        if (!mEnded) {
+            mEnded = true;
+            handleResponse(mStatus, mContentType, mBody.toByteArray());
         }
     }
 
     @Override
     public final void failed(final HttpFailure failure, final String detail) {
-        if (!mOver) {
-            mOver = true;
-            mEvents.failed(Failures.of(failure), detail);
+        if (!mEnded) {
+            mEnded = true;
+            mPublisher.publishFailed(AttemptFailures.of(failure), detail);
         }
     }
 }
--- a/daemon/src/main/java/org/whinhead/daemon/limits/LimitMeters.java
+++ b/daemon/src/main/java/org/whinhead/daemon/limits/AdmissionMetrics.java
@@ -3,19 +3,19 @@
 import org.whinhead.daemon.operator.Meters;
 
 /** The metrics of admission. */
-public final class LimitMeters {
+public final class AdmissionMetrics {
 
     private static final String UNIT = "requests";
 
-    private LimitMeters() {}
+    private AdmissionMetrics() {}
 
     /**
-     * Adds the metrics.
+     * Registers the metrics.
      *
-     * @param meters where to
-     * @param admission what they tell of
+     * @param meters the registry of metrics
+     * @param admission the admission whose counts are measured
      */
-    public static void add(final Meters meters, final DaemonAdmission admission) {
+    public static void register(final Meters meters, final DaemonAdmission admission) {
         meters.gauge(
                 "whinhead.admission.waiting",
                 UNIT,
@@ -29,12 +29,12 @@
         meters.gauge(
                 "whinhead.admission.returned",
                 UNIT,
-                "Requests that came back with a ticket and went on without a queue.",
-                () -> admission.counts().returned());
+                "Requests resumed with a ticket, which bypass the queue.",
+                () -> admission.counts().resumed());
         meters.gauge(
                 "whinhead.admission.returned.without.budget",
                 UNIT,
-                "Requests that came back and went on though no budget was left.",
-                () -> admission.counts().returnedWithoutBudget());
+                "Requests resumed although no budget was left.",
+                () -> admission.counts().resumedWithoutBudget());
     }
 }
--- a/daemon/src/main/java/org/whinhead/daemon/limits/DaemonAdmission.java
+++ b/daemon/src/main/java/org/whinhead/daemon/limits/DaemonAdmission.java
@@ -19,43 +19,43 @@
 import org.whinhead.api.verdict.Refusal;
 
 /**
- * The daemon's admission: tiers, weights and budgets of the settings in force, and this daemon's
- * share of the endpoints' slots.
+ * The daemon's admission, by the tiers, weights and budgets of the current settings and this
+ * daemon's share of the endpoints' slots.
  *
- * <p>Guards against limits that fall behind: news sent over the bounded ring could be dropped when
- * it is full, and a budget that was cut would go on being spent. The latest inputs are looked at
- * before each decision instead, so none can be lost or overtaken.
+ * <p>The latest snapshot of the limits is applied before each decision, so that no change is lost
+ * or reordered. A change sent over the bounded ring could be dropped when the ring is full, and a
+ * reduced budget would still be spent in full.
  */
 public final class DaemonAdmission implements Admission {
 
-    private final LimitBoard mBoard;
+    private final LimitTracker mLimits;
     private final EvenShareBudget mBudget = new EvenShareBudget(BudgetSettings.DEFAULT);
     private final TieredAdmission mAdmission;
-    private LimitInputs mApplied = LimitInputs.EMPTY;
-    private Set<CustomerId> mCustomers = Set.of();
-    private volatile LimitCounts mCounts = LimitCounts.NONE;
+    private LimitSnapshot mAppliedSnapshot = LimitSnapshot.EMPTY;
+    private Set<CustomerId> mKnownCustomers = Set.of();
+    private volatile AdmissionCounts mCounts = AdmissionCounts.NONE;
 
     /**
-     * Makes empty queues.
+     * Creates an admission with empty queues.
      *
-     * @param board where the inputs stand
-     * @param settings bounds of the queues
+     * @param limits the source of limit snapshots
+     * @param settings the bounds of the queues
      */
-    public DaemonAdmission(final LimitBoard board, final AdmissionSettings settings) {
-        mBoard = Objects.requireNonNull(board, "board");
+    public DaemonAdmission(final LimitTracker limits, final AdmissionSettings settings) {
+        mLimits = Objects.requireNonNull(limits, "limits");
         mAdmission = new TieredAdmission(settings, mBudget);
     }
 
     /**
      * Offers a new request.
      *
-     * <p>Guards against a customer who was taken out of the settings after its key was checked: it
-     * has no weight and no budget any more, and would run without limits.
+     * <p>Refuses a customer that was removed from the settings after its key was checked: it has
+     * neither weight nor budget any more, and its requests would run without limits.
      */
     @Override
     public Optional<Refusal> offer(final RequestSpec spec, final Instant now) {
-        refresh(now);
-        if (!mCustomers.contains(spec.customer())) {
+        applyLatestSnapshot(now);
+        if (!mKnownCustomers.contains(spec.customer())) {
             return Optional.of(Refusal.notRun(ErrorCode.UNKNOWN_KEY, "customer was removed"));
         }
         return mAdmission.offer(spec, now);
@@ -63,10 +63,10 @@
 
     @Override
     public List<RequestSpec> takeAdmitted(final Instant now) {
-        refresh(now);
+        applyLatestSnapshot(now);
         final List<RequestSpec> admitted = mAdmission.takeAdmitted(now);
         mCounts =
-                new LimitCounts(
+                new AdmissionCounts(
                         mAdmission.waiting(),
                         mAdmission.running(),
                         mAdmission.resumed(),
@@ -76,13 +76,13 @@
 
     @Override
     public List<ShedRequest> takeShed(final Instant now) {
-        refresh(now);
+        applyLatestSnapshot(now);
         return mAdmission.takeShed(now);
     }
 
     @Override
     public void resume(final RequestSpec spec, final long restTokens, final Instant now) {
-        refresh(now);
+        applyLatestSnapshot(now);
         mAdmission.resume(spec, restTokens, now);
     }
 
@@ -92,22 +92,22 @@
         mAdmission.requestEnded(request, generatedTokens, now);
     }
 
-    /** Returns the counts as of the last look, from any thread. */
-    public LimitCounts counts() {
+    /** Returns the counts as of the last admission; callable on any thread. */
+    public AdmissionCounts counts() {
         return mCounts;
     }
 
-    private void refresh(final Instant now) {
-        final LimitInputs latest = mBoard.inputs();
-        if (latest == mApplied) {
+    private void applyLatestSnapshot(final Instant now) {
+        final LimitSnapshot latest = mLimits.snapshot();
+        if (latest == mAppliedSnapshot) {
             return;
         }
-        mApplied = latest;
+        mAppliedSnapshot = latest;
         final Set<CustomerId> customers = new HashSet<>();
         for (final Customer customer : latest.customers()) {
             customers.add(customer.id());
         }
-        mCustomers = customers;
+        mKnownCustomers = customers;
         mAdmission.customersChanged(latest.customers());
         mBudget.ratesChanged(latest.rates(), latest.daemons(), now);
         latest.slots().forEach(mAdmission::capacityChanged);
--- a/daemon/src/main/java/org/whinhead/daemon/limits/LimitInputs.java
+++ b/daemon/src/main/java/org/whinhead/daemon/limits/LimitSnapshot.java
@@ -9,19 +9,19 @@
 import org.whinhead.api.model.Customer;
 
 /**
- * What admission is told of the outside, as one consistent value.
+ * An immutable and consistent snapshot of the limits that admission applies.
  *
- * @param customers the customers in force
- * @param rates what each team may spend
+ * @param customers the customers of the current settings
+ * @param rates the rate of each team in tokens per second
  * @param slots this daemon's slots of each target that is or was served
- * @param daemons how many live daemons share endpoints and budgets
+ * @param daemons the number of live daemons that share endpoints and budgets, at least 1
  */
-record LimitInputs(
+record LimitSnapshot(
         List<Customer> customers, List<TeamRate> rates, Map<Target, Integer> slots, int daemons) {
 
-    static final LimitInputs EMPTY = new LimitInputs(List.of(), List.of(), Map.of(), 1);
+    static final LimitSnapshot EMPTY = new LimitSnapshot(List.of(), List.of(), Map.of(), 1);
 
-    LimitInputs {
+    LimitSnapshot {
         customers = List.copyOf(customers);
         rates = List.copyOf(rates);
         slots = Map.copyOf(slots);
--- a/daemon/src/main/java/org/whinhead/daemon/limits/LimitBoard.java
+++ b/daemon/src/main/java/org/whinhead/daemon/limits/LimitTracker.java
@@ -17,37 +17,37 @@
 import org.whinhead.settings.deployment.DocumentValue;
 
 /**
- * Collects what admission depends on from the duties that learn it, and holds the latest as one
- * value; told from any thread, read from the decision thread.
+ * Tracks the settings, endpoints and number of daemons, and publishes the limits that follow as one
+ * immutable snapshot; updated on any thread, read on the decision thread.
  */
-public final class LimitBoard {
+public final class LimitTracker {
 
     /**
-     * How far above the even share of an endpoint's slots one daemon may go: callers come unevenly
-     * to the daemons, and the endpoints queue what is too much at once.
+     * The slots that one daemon may use, as a multiple of its even share: callers are spread
+     * unevenly over the daemons, and the endpoints queue the excess.
      */
-    private static final double CAPACITY_FACTOR = 1.5;
+    private static final double EVEN_SHARE_FACTOR = 1.5;
 
-    private final int mStartSlots;
-    private final Set<Target> mTargets = new HashSet<>();
+    private final int mUnservedTargetSlots;
+    private final Set<Target> mKnownTargets = new HashSet<>();
     private DeploymentSettings mSettings = DeploymentSettings.EMPTY;
     private List<Endpoint> mEndpoints = List.of();
     private int mDaemons = 1;
-    private volatile LimitInputs mInputs = LimitInputs.EMPTY;
+    private volatile LimitSnapshot mSnapshot = LimitSnapshot.EMPTY;
 
     /**
-     * Makes a board on which nothing is known.
+     * Creates a tracker without settings and endpoints.
      *
-     * @param startSlots the slots of a target that no endpoint serves now
+     * @param unservedTargetSlots the slots of a target that no endpoint serves now
      */
-    public LimitBoard(final int startSlots) {
-        mStartSlots = startSlots;
+    public LimitTracker(final int unservedTargetSlots) {
+        mUnservedTargetSlots = unservedTargetSlots;
     }
 
     /**
-     * Takes the settings in force.
+     * Updates the settings.
      *
-     * @param settings the settings
+     * @param settings the current settings
      */
     public synchronized void settingsChanged(final DeploymentSettings settings) {
         mSettings = settings;
@@ -55,9 +55,9 @@
     }
 
     /**
-     * Takes the endpoints that are known.
+     * Updates the endpoints.
      *
-     * @param endpoints all of them
+     * @param endpoints all known endpoints
      */
     public synchronized void endpointsChanged(final List<Endpoint> endpoints) {
         mEndpoints = List.copyOf(endpoints);
@@ -65,9 +65,9 @@
     }
 
     /**
-     * Takes the number of live daemons.
+     * Updates the number of live daemons.
      *
-     * @param daemons how many, this one among them; less than 1 counts as 1
+     * @param daemons the number with this daemon; less than 1 counts as 1
      */
     public synchronized void daemonsChanged(final int daemons) {
         final int known = Math.max(1, daemons);
@@ -77,16 +77,18 @@
         }
     }
 
-    LimitInputs inputs() {
-        return mInputs;
+    LimitSnapshot snapshot() {
+        return mSnapshot;
     }
 
     private void publish() {
         final List<Customer> customers = mSettings.customers();
-        mInputs = new LimitInputs(customers, rates(customers), slots(), mDaemons);
+        mSnapshot = new LimitSnapshot(customers, rates(customers), slots(), mDaemons);
     }
 
-    /** A team without a budget of its own may spend what its customers may spend together. */
+    /**
+     * Returns the rate of each team; without a budget of its own, the sum of its customers' rates.
+     */
     private List<TeamRate> rates(final List<Customer> customers) {
         final Map<TeamId, Long> rates = new TreeMap<>();
         customers.forEach(
@@ -103,28 +105,28 @@
     }
 
     /**
-     * Works out the slots of each target.
+     * Returns the slots of each target.
      *
-     * <p>Guards against a wrong reason: with no slot at all, requests for a model whose last engine
-     * left would wait in the queue and be told of overload. A few are let through, so that the
-     * coordinator looks for an endpoint and says that there is none.
+     * <p>A target without endpoints has a few slots: with none, requests for a model whose last
+     * engine left would wait in the queue and be refused as overload. The few that are admitted
+     * make the coordinator look for an endpoint and refuse with "no endpoint".
      */
     private Map<Target, Integer> slots() {
         for (final Endpoint endpoint : mEndpoints) {
             if (endpoint.kind() == EndpointKind.PLAIN_SERVICE) {
-                mTargets.add(new Target(endpoint.kind(), endpoint.service()));
+                mKnownTargets.add(new Target(endpoint.kind(), endpoint.service()));
             } else {
                 endpoint.models()
                         .forEach(
                                 model ->
-                                        mTargets.add(
+                                        mKnownTargets.add(
                                                 new Target(endpoint.kind(), model.toString())));
             }
         }
         final Map<Target, Integer> slots = new HashMap<>();
-        for (final Target target : mTargets) {
-            final int share = CapacityShare.slots(mEndpoints, target, mDaemons, CAPACITY_FACTOR);
-            slots.put(target, share == 0 ? mStartSlots : share);
+        for (final Target target : mKnownTargets) {
+            final int share = CapacityShare.slots(mEndpoints, target, mDaemons, EVEN_SHARE_FACTOR);
+            slots.put(target, share == 0 ? mUnservedTargetSlots : share);
         }
         return slots;
     }
--- a/daemon/src/test/java/org/whinhead/daemon/burn/BurnCollectorTest.java
+++ b/daemon/src/test/java/org/whinhead/daemon/burn/BurnCollectorTest.java
@@ -29,6 +29,7 @@
 import org.whinhead.settings.deployment.DocumentPath;
 import org.whinhead.settings.deployment.StoredDocument;
 
+/** Checks how ended requests count in the report, and the bound of waiting samples. */
 class BurnCollectorTest {
 
     private static final Instant START = Instant.parse("2026-12-02T16:30:00Z");
@@ -60,86 +61,84 @@
                     () -> SETTINGS);
 
     /**
-     * A clerk gets three words: the first after 300 ms, the others 50 ms apart. The first is in
-     * time and the pace is not, and work for another attempt shows as recomputed.
+     * The first of three tokens arrives after 300 ms, the others 50 ms apart: the first token meets
+     * its target, the time between tokens does not. Tokens of another attempt count as recomputed.
      */
     @Test
-    void answerIsMeasuredAsItsCallerGotIt() {
+    void completedAnswerCountsItsTokensAndLatencies() {
         final MeasuredReply reply = begin();
         answer(reply, 0);
-        mCollector.ended(reply, true);
+        mCollector.recordEnd(reply, true);
 
         assertThat(counts()).isEqualTo(new Counts(1, 1, 0, 0, 1, 1, 1, 0, 3, 7));
     }
 
     /**
-     * A clerk closes the page while the last bytes of the answer wait for a slow link. The daemon
-     * is done with the request, but nobody got the answer: counted as completed, it would make the
-     * cost of a completed request look lower than it is.
+     * A caller disconnects while the last bytes of the answer wait for a slow connection. Counted
+     * as completed, the answer would lower the reported cost per completed request.
      */
     @Test
-    void answerThatWasCutIsNotCompleted() {
+    void answerNotFullyWrittenIsNotCompleted() {
         final MeasuredReply reply = begin();
         answer(reply, 0);
-        mCollector.ended(reply, false);
+        mCollector.recordEnd(reply, false);
 
         assertThat(counts()).isEqualTo(new Counts(0, 0, 0, 0, 1, 1, 1, 0, 3, 7));
     }
 
     /**
-     * A clerk's link breaks and the clerk comes back over another connection, before the daemon
-     * notices. One request has two connections; it must count once, and its later first token is
-     * not a first token.
+     * A caller resumes over another connection before the daemon detects the end of the former one.
+     * The request must count once, and the first token after the resume must not count as first.
      */
     @Test
     void requestOverTwoConnectionsCountsOnce() {
         final MeasuredReply former = begin();
-        former.token(0, "a");
+        former.sendToken(0, "a");
         former.supersede();
-        mCollector.ended(former, false);
+        mCollector.recordEnd(former, false);
         final MeasuredReply later = begin();
         mNow = mNow.plusSeconds(5);
         answer(later, 1);
-        mCollector.ended(later, true);
+        mCollector.recordEnd(later, true);
 
         assertThat(counts()).isEqualTo(new Counts(1, 1, 0, 0, 1, 1, 1, 0, 4, 7));
     }
 
     @Test
-    void eachEndCountsByItsCause() {
+    void outcomeFollowsFromTheCauseOfTheEnd() {
         final MeasuredReply left = begin();
-        mCollector.ended(left, false);
+        mCollector.recordEnd(left, false);
         final MeasuredReply lost = begin();
         lost.refuse(refusal(ErrorCode.ENDPOINT_LOST, Verdict.MAY_HAVE_RUN));
-        mCollector.ended(lost, true);
+        mCollector.recordEnd(lost, true);
         final MeasuredReply handed = begin();
         handed.handBack("ticket", refusal(ErrorCode.STOPPING, Verdict.MAY_HAVE_RUN));
-        mCollector.ended(handed, true);
+        mCollector.recordEnd(handed, true);
         final MeasuredReply broken = begin();
-        broken.answer(new PlainAnswer(500, "text/plain", new byte[0]));
-        mCollector.ended(broken, true);
-        mCollector.refused(CUSTOMER, Refusal.notRun(ErrorCode.OVERLOADED, "full"));
-        mCollector.refused(CUSTOMER, Refusal.notRun(ErrorCode.BUDGET_SPENT, "spent"));
+        broken.sendAnswer(new PlainAnswer(500, "text/plain", new byte[0]));
+        mCollector.recordEnd(broken, true);
+        mCollector.recordRefusal(CUSTOMER, Refusal.notRun(ErrorCode.OVERLOADED, "full"));
+        mCollector.recordRefusal(CUSTOMER, Refusal.notRun(ErrorCode.BUDGET_SPENT, "spent"));
 
         assertThat(counts()).isEqualTo(new Counts(3, 0, 1, 2, 0, 0, 0, 0, 0, 0));
     }
 
     /**
-     * Callers hammer a daemon that is full, while its decision thread is busy. What cannot be
-     * counted must not fill the memory, and the report must not look whole.
+     * Many requests are refused while the decision thread is busy. Waiting samples must not fill
+     * the memory, and the report must contain the number of dropped ones.
      */
     @Test
-    void floodIsBoundedAndSaidSo() {
+    void samplesBeyondTheBoundAreDroppedAndReported() {
         final Refusal refusal = Refusal.notRun(ErrorCode.OVERLOADED, "full");
-        for (int index = 0; index < BurnCollector.MOST_WAITING + 5; index++) {
-            mCollector.refused(CUSTOMER, refusal);
+        for (int index = 0; index < BurnCollector.MAX_WAITING_SAMPLES + 5; index++) {
+            mCollector.recordRefusal(CUSTOMER, refusal);
         }
 
         final DaemonReport report = mCollector.report();
 
         assertThat(report.leftOut()).isEqualTo(5);
         assertThat(report.series().get(0).minutes().get(0).counts().notRun())
-                .isEqualTo(BurnCollector.MOST_WAITING);
+                .isEqualTo(BurnCollector.MAX_WAITING_SAMPLES);
         assertThat(mCollector.report().leftOut()).isEqualTo(5);
     }
 
@@ -158,7 +157,7 @@
     private void answer(final MeasuredReply reply, final long firstIndex) {
         mNow = mNow.plusMillis(300);
         for (long index = firstIndex; index < firstIndex + 3; index++) {
-            reply.token(index, "word ");
+            reply.sendToken(index, "word ");
         }
         mNow = mNow.plusMillis(100);
         reply.complete(COMPLETION);
@@ -178,16 +177,16 @@
 
     private static final class IgnoredReply implements CallerReply {
         @Override
-        public void token(final long index, final String text) {}
+        public void sendToken(final long index, final String text) {}
 
         @Override
-        public void ticket(final String ticket) {}
+        public void sendTicket(final String ticket) {}
 
         @Override
         public void complete(final Completion completion) {}
 
         @Override
-        public void answer(final PlainAnswer answer) {}
+        public void sendAnswer(final PlainAnswer answer) {}
 
         @Override
         public void refuse(final Refusal refusal) {}
