--- a/bench/src/main/java/org/whinhead/bench/log/ClaimsRun.java
+++ b/bench/src/main/java/org/whinhead/bench/log/ClaimsRun.java
@@ -11,7 +11,7 @@
 import org.HdrHistogram.Histogram;
 import org.whinhead.bench.BenchOptions;
 import org.whinhead.bench.FigureTable;
-import org.whinhead.daemon.log.LogTerms;
+import org.whinhead.daemon.log.LogServiceSettings;
 import org.whinhead.demo.LocalDeployment;
 import org.whinhead.standins.log.LogConfig;
 
@@ -29,7 +29,7 @@
 
     static void run(final BenchOptions options, final PrintStream out) throws Exception {
         try (LocalDeployment deployment =
-                new LocalDeployment(LogConfig.DEFAULT, LogTerms.DEFAULT)) {
+                new LocalDeployment(LogConfig.DEFAULT, LogServiceSettings.DEFAULT)) {
             for (int i = 0; i < DAEMONS; i++) {
                 deployment.startDaemon();
             }
--- a/bench/src/main/java/org/whinhead/bench/log/LeaseRun.java
+++ b/bench/src/main/java/org/whinhead/bench/log/LeaseRun.java
@@ -8,7 +8,7 @@
 import org.whinhead.bench.BenchOptions;
 import org.whinhead.bench.FigureTable;
 import org.whinhead.daemon.Daemon;
-import org.whinhead.daemon.log.LogTerms;
+import org.whinhead.daemon.log.LogServiceSettings;
 import org.whinhead.demo.Await;
 import org.whinhead.demo.LocalDeployment;
 import org.whinhead.standins.log.LogConfig;
@@ -28,7 +28,7 @@
         final Histogram stopped = new Histogram(DIGITS);
         final Histogram crashed = new Histogram(DIGITS);
         try (LocalDeployment deployment =
-                new LocalDeployment(LogConfig.DEFAULT, LogTerms.DEFAULT)) {
+                new LocalDeployment(LogConfig.DEFAULT, LogServiceSettings.DEFAULT)) {
             for (int i = 0; i < 2 * ROUNDS + 2; i++) {
                 deployment.startDaemon();
             }
@@ -72,7 +72,7 @@
                         .orElseThrow();
         final Optional<LeaseState> lease =
                 Optional.ofNullable(
-                                newest.logStanding()
+                                newest.logSnapshot()
                                         .fold()
                                         .state()
                                         .leases()
@@ -87,7 +87,7 @@
     }
 
     private static long position(final Daemon daemon) {
-        return daemon.logStanding().fold().state().asOf();
+        return daemon.logSnapshot().fold().state().asOf();
     }
 
     private static void row(final FigureTable table, final String label, final Histogram times) {
--- a/bench/src/main/java/org/whinhead/bench/log/SettingsRun.java
+++ b/bench/src/main/java/org/whinhead/bench/log/SettingsRun.java
@@ -9,7 +9,7 @@
 import org.HdrHistogram.Histogram;
 import org.whinhead.bench.BenchOptions;
 import org.whinhead.bench.FigureTable;
-import org.whinhead.daemon.log.LogTerms;
+import org.whinhead.daemon.log.LogServiceSettings;
 import org.whinhead.demo.Await;
 import org.whinhead.demo.LocalDeployment;
 import org.whinhead.standins.log.LogConfig;
@@ -28,7 +28,7 @@
 
     static void run(final BenchOptions options, final PrintStream out) throws Exception {
         try (LocalDeployment deployment =
-                new LocalDeployment(LogConfig.DEFAULT, LogTerms.DEFAULT)) {
+                new LocalDeployment(LogConfig.DEFAULT, LogServiceSettings.DEFAULT)) {
             for (int i = 0; i < DAEMONS; i++) {
                 deployment.startDaemon();
             }
@@ -77,7 +77,7 @@
             Await.until(
                     "in force",
                     BOUND,
-                    () -> deployment.daemon(daemon).logStanding().revision() >= revision);
+                    () -> deployment.daemon(daemon).logSnapshot().revision() >= revision);
         }
         everywhere.recordValue(System.nanoTime() - start);
         return revision;
--- a/bench/src/main/java/org/whinhead/bench/overhead/OverheadBenchmark.java
+++ b/bench/src/main/java/org/whinhead/bench/overhead/OverheadBenchmark.java
@@ -7,7 +7,7 @@
 import org.whinhead.bench.BenchOptions;
 import org.whinhead.bench.Benchmark;
 import org.whinhead.bench.FigureTable;
-import org.whinhead.daemon.log.LogTerms;
+import org.whinhead.daemon.log.LogServiceSettings;
 import org.whinhead.demo.LocalDeployment;
 import org.whinhead.standins.log.LogConfig;
 
@@ -38,7 +38,7 @@
     @Override
     public void run(final BenchOptions options, final PrintStream out) {
         try (LocalDeployment deployment =
-                new LocalDeployment(LogConfig.DEFAULT, LogTerms.DEFAULT)) {
+                new LocalDeployment(LogConfig.DEFAULT, LogServiceSettings.DEFAULT)) {
             deployment.startDaemon();
             deployment.load();
             measure(deployment, options, out);
--- a/bench/src/main/java/org/whinhead/bench/peers/TrafficFleet.java
+++ b/bench/src/main/java/org/whinhead/bench/peers/TrafficFleet.java
@@ -19,8 +19,8 @@
 import org.whinhead.clients.vms.ListedVm;
 import org.whinhead.clients.vms.VmListing;
 import org.whinhead.clients.vms.VmRole;
-import org.whinhead.daemon.peers.PeerDuty;
-import org.whinhead.daemon.peers.PeerDutyListener;
+import org.whinhead.daemon.peers.PeerService;
+import org.whinhead.daemon.peers.PeerServiceListener;
 import org.whinhead.daemon.view.EntryAddress;
 import org.whinhead.peer.PeerException;
 import org.whinhead.routing.LoadReport;
@@ -40,7 +40,7 @@
     private static final URI NOWHERE = URI.create("http://127.0.0.1:1");
     private static final String HOST = "127.0.0.1";
 
-    private final List<PeerDuty> mDuties = new ArrayList<>();
+    private final List<PeerService> mDuties = new ArrayList<>();
     private final List<ListedVm> mVms = new ArrayList<>();
     private final List<Endpoint> mEndpoints = new ArrayList<>();
 
@@ -57,7 +57,7 @@
         for (int i = 0; i < daemons; i++) {
             final DaemonSettings settings = settings(i, authority.issue("vm-entry-" + i));
             mDuties.add(
-                    PeerDuty.start(
+                    PeerService.start(
                             settings,
                             new DaemonId(settings.name()),
                             InstantSource.system(),
@@ -96,7 +96,7 @@
                 .listen(new ListenAddresses(free, free, free))
                 .publicUri(publicUri(number))
                 .platform(new PlatformUris(NOWHERE, NOWHERE, NOWHERE, NOWHERE))
-                .seeds(mDuties.stream().map(PeerDuty::address).toList())
+                .seeds(mDuties.stream().map(PeerService::address).toList())
                 .tls(Optional.of(tls))
                 .build();
     }
@@ -105,11 +105,11 @@
     void feed() {
         final Instant now = Instant.now();
         final VmListing listing = new VmListing(now, mVms);
-        for (final PeerDuty duty : mDuties) {
-            duty.listed(listing);
+        for (final PeerService duty : mDuties) {
+            duty.vmListRead(listing);
             for (final Endpoint endpoint : mEndpoints) {
-                if (duty.polls(endpoint.id())) {
-                    duty.polled(new LoadReport(endpoint.id(), now, 3, 1, 250));
+                if (duty.isPolledHere(endpoint.id())) {
+                    duty.loadPolled(new LoadReport(endpoint.id(), now, 3, 1, 250));
                 }
             }
         }
@@ -141,11 +141,11 @@
 
     @Override
     public void close() {
-        mDuties.forEach(PeerDuty::close);
+        mDuties.forEach(PeerService::close);
     }
 
     /** Decisions are no part of what is measured here. */
-    private static final class Silent implements PeerDutyListener {
+    private static final class Silent implements PeerServiceListener {
         @Override
         public boolean endpointsChanged(final List<Endpoint> endpoints) {
             return true;
--- a/daemon/src/main/java/org/whinhead/daemon/OpenConnections.java
+++ b/daemon/src/main/java/org/whinhead/daemon/ConnectionTracker.java
@@ -15,19 +15,19 @@
  * reach a daemon that decides nothing any more and wait there for ever. While the daemon stops,
  * each answer ends its connection; at the end those left are closed.
  */
-final class OpenConnections {
+final class ConnectionTracker {
 
     private final Set<ServerConnection> mOpen = ConcurrentHashMap.newKeySet();
     private final BooleanSupplier mStopping;
 
-    OpenConnections(final BooleanSupplier stopping) {
+    ConnectionTracker(final BooleanSupplier stopping) {
         mStopping = stopping;
     }
 
     /** Returns a handler that notes the connection before the given one. */
     HttpHandler tracking(final HttpHandler next) {
         return exchange -> {
-            note(exchange);
+            track(exchange);
             next.handleRequest(exchange);
         };
     }
@@ -37,7 +37,7 @@
         mOpen.clear();
     }
 
-    private void note(final HttpServerExchange exchange) {
+    private void track(final HttpServerExchange exchange) {
         final ServerConnection connection = exchange.getConnection();
         if (mOpen.add(connection)) {
             connection.addCloseListener(mOpen::remove);
--- a/daemon/src/main/java/org/whinhead/daemon/Daemon.java
+++ b/daemon/src/main/java/org/whinhead/daemon/Daemon.java
@@ -28,9 +28,9 @@
 import org.whinhead.daemon.limits.DaemonAdmission;
 import org.whinhead.daemon.limits.LimitBoard;
 import org.whinhead.daemon.limits.LimitMeters;
-import org.whinhead.daemon.log.LogStanding;
+import org.whinhead.daemon.log.LogSnapshot;
 import org.whinhead.daemon.operator.Meters;
-import org.whinhead.daemon.operator.OperatorCalls;
+import org.whinhead.daemon.operator.OperatorCallDispatcher;
 import org.whinhead.daemon.operator.OperatorHandler;
 import org.whinhead.daemon.peers.PeerMeters;
 import org.whinhead.daemon.request.LiveRequests;
@@ -51,10 +51,10 @@
     private static final Duration CONNECT_TIMEOUT = Duration.ofSeconds(1);
     private static final Duration SILENCE_TIMEOUT = Duration.ofSeconds(30);
     private static final long TICK_MILLIS = 20;
-    private static final long COUNT_MILLIS = 1_000;
-    private static final String RANDOM = "L64X128MixRandom";
-    private static final int CALLERS = 0;
-    private static final int OPERATORS = 1;
+    private static final long BURN_COUNT_MILLIS = 1_000;
+    private static final String RANDOM_ALGORITHM = "L64X128MixRandom";
+    private static final int CALLER_LISTENER = 0;
+    private static final int OPERATOR_LISTENER = 1;
 
     private final DaemonSettings mSettings;
     private final DaemonOptions mOptions;
@@ -62,7 +62,7 @@
     private final LimitBoard mLimits = new LimitBoard(AdmissionSettings.DEFAULT.initialSlots());
     private final DaemonAdmission mAdmission =
             new DaemonAdmission(mLimits, AdmissionSettings.DEFAULT);
-    private final Standing mStanding;
+    private final LocalDaemonState mState;
     private final BurnCollector mBurn;
     private final DecisionLoop mLoop;
     private final AffinityRouter mRouter;
@@ -70,7 +70,7 @@
     private final LogWiring mLog;
     private final DefaultRequestCoordinator mCoordinator;
     private final PeerWiring mPeers;
-    private final OpenConnections mConnections;
+    private final ConnectionTracker mConnections;
     private final Undertow mServer;
     private final XnioExecutor.Key mTicks;
     private final XnioExecutor.Key mCounting;
@@ -78,36 +78,36 @@
     private Daemon(final DaemonSettings settings, final DaemonOptions options) {
         mSettings = settings;
         mOptions = options;
-        mStanding = new Standing(settings, mRequests, mLimits);
-        mBurn = burn();
+        mState = new LocalDaemonState(settings, mRequests, mLimits);
+        mBurn = newBurnCollector();
         mLoop =
                 new DecisionLoop(
                         settings.name() + "-decisions",
                         settings.limits().ringSize(),
                         mRequests,
                         options.clock());
-        final RandomGenerator random = RandomGenerator.of(RANDOM);
+        final RandomGenerator random = RandomGenerator.of(RANDOM_ALGORITHM);
         mRouter = new AffinityRouter(RoutingSettings.of(settings.domain()), random);
         mCaller = new HttpCaller(options.worker());
-        mLog = new LogWiring(settings, options, mCaller, mStanding, mRequests, mLoop);
-        mCoordinator = coordinator(random);
+        mLog = new LogWiring(settings, options, mCaller, mState, mRequests, mLoop);
+        mCoordinator = newCoordinator(random);
         mLoop.start(mCoordinator);
         mPeers =
                 new PeerWiring(
                         settings,
                         options,
                         mCaller,
-                        mStanding,
+                        mState,
                         mLoop,
                         mRouter,
                         mLimits,
-                        mLog.duty());
-        mConnections = new OpenConnections(mStanding::isStopping);
-        mServer = server();
+                        mLog.service());
+        mConnections = new ConnectionTracker(mState::isStopping);
+        mServer = newServer();
         mServer.start();
         mLog.start();
-        mTicks = every(TICK_MILLIS, new DecisionEvent.Tick());
-        mCounting = every(COUNT_MILLIS, new DecisionEvent.Update(mBurn::count));
+        mTicks = scheduleEvent(TICK_MILLIS, new DecisionEvent.Tick());
+        mCounting = scheduleEvent(BURN_COUNT_MILLIS, new DecisionEvent.Update(mBurn::count));
         mPeers.start(settings, mCaller);
     }
 
@@ -130,12 +130,12 @@
 
     /** Returns the address that callers connect to. */
     public URI callerUri() {
-        return listening(CALLERS);
+        return listenerUri(CALLER_LISTENER);
     }
 
     /** Returns the address that operators connect to. */
     public URI operatorUri() {
-        return listening(OPERATORS);
+        return listenerUri(OPERATOR_LISTENER);
     }
 
     /** Returns the address that other daemons connect to. */
@@ -145,12 +145,12 @@
 
     /** Returns this incarnation's identity. */
     public DaemonId id() {
-        return mStanding.id();
+        return mState.id();
     }
 
     /** Returns what this daemon knows from the log. */
-    public LogStanding logStanding() {
-        return mLog.duty().standing();
+    public LogSnapshot logSnapshot() {
+        return mLog.service().snapshot();
     }
 
     /**
@@ -160,7 +160,7 @@
      * @param revision the log offset of the last change
      */
     public void settingsChanged(final DeploymentSettings settings, final long revision) {
-        mStanding.settingsChanged(settings, revision);
+        mState.settingsChanged(settings, revision);
     }
 
     /**
@@ -170,7 +170,7 @@
      * @throws InterruptedException if the thread is interrupted while it waits
      */
     public void stop() throws InterruptedException {
-        mStanding.beginStop();
+        mState.beginStop();
         final Duration bound = mSettings.gracefulStop();
         final Instant goneBy = mOptions.clock().instant().plus(bound);
         LOGGER.atInfo().addKeyValue("inProgress", mRequests.count()).log("the daemon stops");
@@ -185,7 +185,7 @@
                                 },
                                 TICK_MILLIS,
                                 TimeUnit.MILLISECONDS);
-        mPeers.peers().stopping(goneBy);
+        mPeers.peers().announceStop(goneBy);
         mLoop.offer(new DecisionEvent.Stopping(goneBy));
         final boolean finished = idle.await(bound.toMillis(), TimeUnit.MILLISECONDS);
         look.remove();
@@ -195,7 +195,7 @@
 
     @Override
     public void close() {
-        mStanding.beginStop();
+        mState.beginStop();
         mPeers.close();
         mTicks.remove();
         mCounting.remove();
@@ -207,7 +207,7 @@
         mLoop.close();
     }
 
-    private DefaultRequestCoordinator coordinator(final RandomGenerator random) {
+    private DefaultRequestCoordinator newCoordinator(final RandomGenerator random) {
         final AttemptTransport transport =
                 new AttemptTransport(mCaller, mLoop, CONNECT_TIMEOUT, SILENCE_TIMEOUT);
         final ActionDispatcher actions =
@@ -221,7 +221,7 @@
                 .build();
     }
 
-    private Undertow server() {
+    private Undertow newServer() {
         final HostPort callers = mSettings.listen().callers();
         final HostPort operators = mSettings.listen().operators();
         return Undertow.builder()
@@ -235,21 +235,21 @@
                 .build();
     }
 
-    private BurnCollector burn() {
+    private BurnCollector newBurnCollector() {
         final InstantSource clock = mOptions.clock();
         final BurnRecorder recorder =
                 new BurnRecorder(id(), mSettings.publicUri(), clock.instant());
-        return new BurnCollector(recorder, clock, mStanding::settings);
+        return new BurnCollector(recorder, clock, mState::settings);
     }
 
     private HttpHandler callerHandler() {
         return CallerServer.builder(id())
-                .view(mStanding::view)
-                .addresses(mStanding::addresses)
+                .view(mState::view)
+                .addresses(mState::addresses)
                 .decisions(mRequests, mLoop)
                 .burn(mBurn)
                 .tickets(mOptions.tickets())
-                .stopping(mStanding::isStopping)
+                .stopping(mState::isStopping)
                 .clock(mOptions.clock())
                 .limits(mSettings.limits().maxBodyBytes(), mSettings.limits().maxInProgress())
                 .bodyTimeout(mOptions.bodyTimeout())
@@ -259,14 +259,17 @@
     private HttpHandler operatorHandler() {
         return new OperatorHandler(
                 mSettings,
-                mStanding,
-                meters(),
-                new OperatorCalls(
-                        mSettings.name(), mLog.duty(), mPeers.peers().inForce(), this::decisions),
+                mState,
+                newMeters(),
+                new OperatorCallDispatcher(
+                        mSettings.name(),
+                        mLog.service(),
+                        mPeers.peers().revisionQuery(),
+                        this::findDecisions),
                 new BurnHandler(mBurn, mLoop));
     }
 
-    private CompletionStage<List<Decision>> decisions(final String id) {
+    private CompletionStage<List<Decision>> findDecisions(final String id) {
         final CompletableFuture<List<Decision>> found = new CompletableFuture<>();
         final Runnable look = () -> found.complete(mCoordinator.decisionLog().findByName(id));
         if (!mLoop.offerNew(new DecisionEvent.Update(look))) {
@@ -275,7 +278,7 @@
         return found;
     }
 
-    private Meters meters() {
+    private Meters newMeters() {
         final Meters meters = new Meters();
         meters.gauge(
                 "whinhead.requests.in.progress",
@@ -297,13 +300,13 @@
         return meters;
     }
 
-    private URI listening(final int listener) {
+    private URI listenerUri(final int listener) {
         final InetSocketAddress address =
                 (InetSocketAddress) mServer.getListenerInfo().get(listener).getAddress();
         return URI.create("http://" + new HostPort(address.getHostString(), address.getPort()));
     }
 
-    private XnioExecutor.Key every(final long millis, final DecisionEvent event) {
+    private XnioExecutor.Key scheduleEvent(final long millis, final DecisionEvent event) {
         return mOptions.worker()
                 .getIoThread()
                 .executeAtInterval(() -> mLoop.offer(event), millis, TimeUnit.MILLISECONDS);
--- a/daemon/src/main/java/org/whinhead/daemon/DaemonOptions.java
+++ b/daemon/src/main/java/org/whinhead/daemon/DaemonOptions.java
@@ -7,7 +7,7 @@
 import java.util.Objects;
 import org.whinhead.api.Arguments;
 import org.whinhead.daemon.log.AdvancingClock;
-import org.whinhead.daemon.log.LogTerms;
+import org.whinhead.daemon.log.LogServiceSettings;
 import org.whinhead.requests.RequestSettings;
 import org.whinhead.requests.TicketCodec;
 import org.whinhead.requests.TicketKey;
@@ -28,7 +28,7 @@
         InstantSource clock,
         TicketCodec tickets,
         Duration bodyTimeout,
-        LogTerms log,
+        LogServiceSettings log,
         RequestSettings requests) {
 
     private static final Duration DEFAULT_BODY_TIMEOUT = Duration.ofSeconds(10);
@@ -60,7 +60,7 @@
                 clock,
                 tickets,
                 DEFAULT_BODY_TIMEOUT,
-                LogTerms.DEFAULT,
+                LogServiceSettings.DEFAULT,
                 RequestSettings.builder().build());
     }
 
@@ -90,7 +90,7 @@
      * @param terms the bounds
      * @return a copy
      */
-    public DaemonOptions withLog(final LogTerms terms) {
+    public DaemonOptions withLog(final LogServiceSettings terms) {
         return new DaemonOptions(worker, clock, tickets, bodyTimeout, terms, requests);
     }
 
--- a/daemon/src/main/java/org/whinhead/daemon/Standing.java
+++ b/daemon/src/main/java/org/whinhead/daemon/LocalDaemonState.java
@@ -10,13 +10,13 @@
 import org.whinhead.daemon.operator.DaemonStatus;
 import org.whinhead.daemon.request.LiveRequests;
 import org.whinhead.daemon.view.DeploymentView;
+import org.whinhead.daemon.view.DeploymentViewFactory;
 import org.whinhead.daemon.view.EntryAddress;
-import org.whinhead.daemon.view.ViewMaker;
 import org.whinhead.settings.daemon.DaemonSettings;
 import org.whinhead.settings.deployment.DeploymentSettings;
 
 /** What a daemon knows of itself and of the settings in force; read from any thread. */
-final class Standing implements DaemonStatus {
+final class LocalDaemonState implements DaemonStatus {
 
     private final DaemonId mId;
     private final EntryAddress mOwn;
@@ -28,7 +28,8 @@
     private volatile boolean mEndpointsKnown;
     private volatile boolean mStopping;
 
-    Standing(final DaemonSettings settings, final LiveRequests requests, final LimitBoard limits) {
+    LocalDaemonState(
+            final DaemonSettings settings, final LiveRequests requests, final LimitBoard limits) {
         mId = new DaemonId(settings.name() + "-" + UUID.randomUUID());
         mOwn = new EntryAddress(settings.publicUri(), settings.domain());
         mRequests = requests;
@@ -37,15 +38,15 @@
 
     void settingsChanged(final DeploymentSettings settings, final long revision) {
         mLimits.settingsChanged(settings);
-        mInForce = new InForce(settings, ViewMaker.of(settings), revision);
+        mInForce = new InForce(settings, DeploymentViewFactory.of(settings), revision);
     }
 
-    void addressesListed(final List<EntryAddress> listed) {
+    void addressesChanged(final List<EntryAddress> listed) {
         mLimits.daemonsChanged(listed.size());
         mListed = listed;
     }
 
-    void endpointsKnown(final List<Endpoint> endpoints) {
+    void endpointsChanged(final List<Endpoint> endpoints) {
         mLimits.endpointsChanged(endpoints);
         mEndpointsKnown = true;
     }
--- a/daemon/src/main/java/org/whinhead/daemon/LogWiring.java
+++ b/daemon/src/main/java/org/whinhead/daemon/LogWiring.java
@@ -9,9 +9,9 @@
 import org.whinhead.daemon.decision.DecisionEvent;
 import org.whinhead.daemon.decision.DecisionLoop;
 import org.whinhead.daemon.engine.Claims;
-import org.whinhead.daemon.log.LogDuty;
 import org.whinhead.daemon.log.LogListener;
-import org.whinhead.daemon.log.LogStanding;
+import org.whinhead.daemon.log.LogService;
+import org.whinhead.daemon.log.LogSnapshot;
 import org.whinhead.daemon.request.LiveRequests;
 import org.whinhead.requests.ClaimOutcome;
 import org.whinhead.settings.daemon.DaemonSettings;
@@ -24,25 +24,25 @@
     private static final long RETRY_MILLIS = 5;
 
     private final HttpCaller mCaller;
-    private final Standing mStanding;
+    private final LocalDaemonState mState;
     private final LiveRequests mRequests;
     private final DecisionLoop mLoop;
-    private final LogDuty mDuty;
+    private final LogService mService;
     private volatile boolean mClosed;
 
     LogWiring(
             final DaemonSettings settings,
             final DaemonOptions options,
             final HttpCaller caller,
-            final Standing standing,
+            final LocalDaemonState standing,
             final LiveRequests requests,
             final DecisionLoop loop) {
         mCaller = caller;
-        mStanding = standing;
+        mState = standing;
         mRequests = requests;
         mLoop = loop;
-        mDuty =
-                new LogDuty(
+        mService =
+                new LogService(
                         standing.id(),
                         new LogClient(caller, settings.platform().log(), LOG_TIMEOUT),
                         caller.anyThread(),
@@ -52,18 +52,18 @@
     }
 
     void start() {
-        mDuty.start();
+        mService.start();
     }
 
-    LogDuty duty() {
-        return mDuty;
+    LogService service() {
+        return mService;
     }
 
     @Override
-    public void settingsChanged(final LogStanding standing) {
+    public void settingsChanged(final LogSnapshot standing) {
         // A log on which nothing was ever put says nothing of the settings.
         if (standing.revision() >= 0) {
-            mStanding.settingsChanged(standing.settings(), standing.revision());
+            mState.settingsChanged(standing.settings(), standing.revision());
         }
     }
 
@@ -73,14 +73,14 @@
                 .find(request)
                 .ifPresent(
                         live ->
-                                mDuty.claim(
+                                mService.claim(
                                         request,
                                         ClaimKey.of(live.spec().customer(), request.value())));
     }
 
     @Override
     public void withdraw(final RequestId request) {
-        mDuty.withdraw(request);
+        mService.withdraw(request);
     }
 
     /**
@@ -102,6 +102,6 @@
     @Override
     public void close() {
         mClosed = true;
-        mDuty.close();
+        mService.close();
     }
 }
--- a/daemon/src/main/java/org/whinhead/daemon/PeerWiring.java
+++ b/daemon/src/main/java/org/whinhead/daemon/PeerWiring.java
@@ -14,12 +14,12 @@
 import org.whinhead.clients.vms.VmListing;
 import org.whinhead.daemon.decision.DecisionEvent;
 import org.whinhead.daemon.decision.DecisionLoop;
-import org.whinhead.daemon.duty.EndpointWatch;
-import org.whinhead.daemon.duty.NoticeWatch;
+import org.whinhead.daemon.duty.EndpointPoller;
+import org.whinhead.daemon.duty.ReclaimNoticePoller;
 import org.whinhead.daemon.limits.LimitBoard;
-import org.whinhead.daemon.log.LogDuty;
-import org.whinhead.daemon.peers.PeerDuty;
-import org.whinhead.daemon.peers.PeerDutyListener;
+import org.whinhead.daemon.log.LogService;
+import org.whinhead.daemon.peers.PeerService;
+import org.whinhead.daemon.peers.PeerServiceListener;
 import org.whinhead.daemon.view.EntryAddress;
 import org.whinhead.membership.LeavingNotice;
 import org.whinhead.peer.PeerException;
@@ -28,41 +28,41 @@
 import org.whinhead.settings.daemon.DaemonSettings;
 
 /** Joins what platform and peers tell, and passes what follows from it on to the decisions. */
-final class PeerWiring implements EndpointWatch.Listener, PeerDutyListener, AutoCloseable {
+final class PeerWiring implements EndpointPoller.Listener, PeerServiceListener, AutoCloseable {
 
     private static final Logger LOGGER = LoggerFactory.getLogger(PeerWiring.class);
 
     private final DaemonOptions mOptions;
-    private final Standing mStanding;
+    private final LocalDaemonState mState;
     private final DecisionLoop mLoop;
     private final AffinityRouter mRouter;
     private final LimitBoard mLimits;
-    private final PeerDuty mPeers;
-    private EndpointWatch mWatch;
-    private NoticeWatch mNotices;
+    private final PeerService mPeers;
+    private EndpointPoller mEndpoints;
+    private ReclaimNoticePoller mNotices;
 
     PeerWiring(
             final DaemonSettings settings,
             final DaemonOptions options,
             final HttpCaller caller,
-            final Standing standing,
+            final LocalDaemonState standing,
             final DecisionLoop loop,
             final AffinityRouter router,
             final LimitBoard limits,
-            final LogDuty log) {
+            final LogService log) {
         mOptions = options;
-        mStanding = standing;
+        mState = standing;
         mLoop = loop;
         mRouter = router;
         mLimits = limits;
         try {
             mPeers =
-                    PeerDuty.start(
+                    PeerService.start(
                             settings,
                             standing.id(),
                             options.clock(),
                             caller.anyThread(),
-                            () -> log.standing().fold().state().asOf(),
+                            () -> log.snapshot().fold().state().asOf(),
                             this);
         } catch (final PeerException e) {
             throw new IllegalArgumentException(e.getMessage(), e);
@@ -71,46 +71,46 @@
 
     /** Starts to follow the platform. */
     void start(final DaemonSettings settings, final HttpCaller caller) {
-        mWatch =
-                new EndpointWatch(
+        mEndpoints =
+                new EndpointPoller(
                         settings.name() + "-platform",
                         caller,
                         new VmListClient(caller, settings.platform().vms()),
                         this);
         mNotices =
-                new NoticeWatch(
+                new ReclaimNoticePoller(
                         new NoticeClient(caller, settings.platform().cloud()),
                         caller.anyThread(),
-                        this::noticed);
+                        this::onReclaimNotice);
     }
 
-    PeerDuty peers() {
+    PeerService peers() {
         return mPeers;
     }
 
-    private void noticed(final ReclaimNotice notice) {
-        mPeers.noticed(new LeavingNotice(Set.of(notice.vm()), notice.goneBy()));
+    private void onReclaimNotice(final ReclaimNotice notice) {
+        mPeers.noticeReceived(new LeavingNotice(Set.of(notice.vm()), notice.goneBy()));
     }
 
     @Override
-    public void endpoints(final List<Endpoint> endpoints) {
-        mPeers.described(endpoints);
+    public void endpointsDescribed(final List<Endpoint> endpoints) {
+        mPeers.endpointsDescribed(endpoints);
     }
 
     @Override
-    public void load(final LoadReport report) {
+    public void loadPolled(final LoadReport report) {
         loadReported(report);
-        mPeers.polled(report);
+        mPeers.loadPolled(report);
     }
 
     @Override
-    public void listed(final VmListing listing) {
-        mPeers.listed(listing);
+    public void vmListRead(final VmListing listing) {
+        mPeers.vmListRead(listing);
     }
 
     @Override
-    public boolean polls(final EndpointId endpoint) {
-        return mPeers.polls(endpoint);
+    public boolean isPolledHere(final EndpointId endpoint) {
+        return mPeers.isPolledHere(endpoint);
     }
 
     @Override
@@ -119,7 +119,7 @@
         final boolean taken =
                 mLoop.offer(new DecisionEvent.Update(() -> mRouter.endpointsChanged(endpoints)));
         if (taken) {
-            mStanding.endpointsKnown(endpoints);
+            mState.endpointsChanged(endpoints);
         }
         return taken;
     }
@@ -132,7 +132,7 @@
 
     @Override
     public void addressesChanged(final List<EntryAddress> addresses) {
-        mStanding.addressesListed(addresses);
+        mState.addressesChanged(addresses);
     }
 
     /**
@@ -142,7 +142,7 @@
     @Override
     public boolean ownVmLeaving(final Instant goneBy) {
         LOGGER.atInfo().addKeyValue("goneBy", goneBy).log("the own VM is taken back");
-        mStanding.beginStop();
+        mState.beginStop();
         return mLoop.offer(new DecisionEvent.Stopping(goneBy));
     }
 
@@ -155,7 +155,7 @@
     @Override
     public void close() {
         mNotices.close();
-        mWatch.close();
+        mEndpoints.close();
         mPeers.close();
     }
 }
--- a/daemon/src/main/java/org/whinhead/daemon/duty/EndpointWatch.java
+++ b/daemon/src/main/java/org/whinhead/daemon/duty/EndpointPoller.java
@@ -25,21 +25,21 @@
 import org.xnio.XnioIoThread;
 
 /** The platform duty: polls the VM list, and the models and the load of the engines on it. */
-public final class EndpointWatch implements AutoCloseable {
+public final class EndpointPoller implements AutoCloseable {
 
-    private static final Logger LOGGER = LoggerFactory.getLogger(EndpointWatch.class);
-    private static final Duration PERIOD = Duration.ofMillis(500);
+    private static final Logger LOGGER = LoggerFactory.getLogger(EndpointPoller.class);
+    private static final Duration POLL_INTERVAL = Duration.ofMillis(500);
     private static final int RING_SLOTS = 1024;
 
-    private final DutyLoop mLoop;
+    private final TaskLoop mLoop;
     private final VmListClient mVmList;
     private final EngineClient mEngines;
     private final Listener mListener;
     private final Map<VmId, Set<ModelRef>> mModels = new HashMap<>();
     private final XnioExecutor.Key mTimer;
     private List<ListedVm> mVms = List.of();
-    private List<Endpoint> mTold = List.of();
-    private boolean mListed;
+    private List<Endpoint> mPublishedEndpoints = List.of();
+    private boolean mVmListRead;
 
     /** Told of changes, on the duty's thread. */
     public interface Listener {
@@ -48,21 +48,21 @@
          *
          * @param endpoints all endpoints
          */
-        void endpoints(List<Endpoint> endpoints);
+        void endpointsDescribed(List<Endpoint> endpoints);
 
         /**
          * A load report arrived.
          *
          * @param report the report
          */
-        void load(LoadReport report);
+        void loadPolled(LoadReport report);
 
         /**
          * The VM list was read.
          *
          * @param listing the list
          */
-        void listed(VmListing listing);
+        void vmListRead(VmListing listing);
 
         /**
          * Tells whether to ask an endpoint for its load.
@@ -70,7 +70,7 @@
          * @param endpoint the endpoint
          * @return false if another daemon asks it and shares the answer
          */
-        boolean polls(EndpointId endpoint);
+        boolean isPolledHere(EndpointId endpoint);
     }
 
     /**
@@ -81,18 +81,20 @@
      * @param vmList the client of the VM list
      * @param listener told of changes
      */
-    public EndpointWatch(
+    public EndpointPoller(
             final String name,
             final HttpCaller caller,
             final VmListClient vmList,
             final Listener listener) {
-        mLoop = new DutyLoop(name, RING_SLOTS);
+        mLoop = new TaskLoop(name, RING_SLOTS);
         mVmList = vmList;
         mEngines = new EngineClient(caller);
         mListener = listener;
         final XnioIoThread timers = caller.anyThread();
         timers.execute(this::poll);
-        mTimer = timers.executeAtInterval(this::poll, PERIOD.toMillis(), TimeUnit.MILLISECONDS);
+        mTimer =
+                timers.executeAtInterval(
+                        this::poll, POLL_INTERVAL.toMillis(), TimeUnit.MILLISECONDS);
     }
 
     @Override
@@ -104,21 +106,23 @@
     private void poll() {
         mLoop.offer(
                 () -> {
-                    run(mVmList.read(), this::listed, "the VM list can not be read");
-                    mVms.stream().filter(vm -> vm.role() == VmRole.ENGINE).forEach(this::ask);
+                    whenRead(mVmList.read(), this::onVmList, "the VM list can not be read");
+                    mVms.stream()
+                            .filter(vm -> vm.role() == VmRole.ENGINE)
+                            .forEach(this::pollEngine);
                 });
     }
 
-    private void ask(final ListedVm vm) {
+    private void pollEngine(final ListedVm vm) {
         final String problem = "engine " + vm.vm().id() + " does not answer";
-        run(mEngines.models(vm.uri()), models -> loaded(vm, models), problem);
-        if (!mListener.polls(new EndpointId(vm.vm().id().value()))) {
+        whenRead(mEngines.models(vm.uri()), models -> onModels(vm, models), problem);
+        if (!mListener.isPolledHere(new EndpointId(vm.vm().id().value()))) {
             return;
         }
-        run(
+        whenRead(
                 mEngines.load(vm.uri()),
                 load ->
-                        mListener.load(
+                        mListener.loadPolled(
                                 new LoadReport(
                                         new EndpointId(vm.vm().id().value()),
                                         load.asOf(),
@@ -128,7 +132,7 @@
                 problem);
     }
 
-    private <T> void run(
+    private <T> void whenRead(
             final CompletionStage<T> stage, final Consumer<T> taken, final String problem) {
         stage.whenComplete(
                 (result, fault) -> {
@@ -140,32 +144,32 @@
                 });
     }
 
-    private void listed(final VmListing listing) {
-        final boolean first = !mListed;
-        mListed = true;
+    private void onVmList(final VmListing listing) {
+        final boolean first = !mVmListRead;
+        mVmListRead = true;
         mVms = listing.vms();
         mModels.keySet().retainAll(mVms.stream().map(vm -> vm.vm().id()).toList());
-        mListener.listed(listing);
-        tell();
+        mListener.vmListRead(listing);
+        publishEndpoints();
         if (first) {
-            mVms.stream().filter(vm -> vm.role() == VmRole.ENGINE).forEach(this::ask);
+            mVms.stream().filter(vm -> vm.role() == VmRole.ENGINE).forEach(this::pollEngine);
         }
     }
 
-    private void loaded(final ListedVm vm, final Set<ModelRef> models) {
+    private void onModels(final ListedVm vm, final Set<ModelRef> models) {
         mModels.put(vm.vm().id(), models);
-        tell();
+        publishEndpoints();
     }
 
-    private void tell() {
+    private void publishEndpoints() {
         final List<Endpoint> endpoints =
                 mVms.stream()
                         .filter(vm -> vm.role() != VmRole.ENTRY)
                         .map(vm -> vm.endpoint(mModels.getOrDefault(vm.vm().id(), Set.of())))
                         .toList();
-        if (!endpoints.equals(mTold)) {
-            mTold = endpoints;
-            mListener.endpoints(endpoints);
+        if (!endpoints.equals(mPublishedEndpoints)) {
+            mPublishedEndpoints = endpoints;
+            mListener.endpointsDescribed(endpoints);
         }
     }
 }
--- a/daemon/src/main/java/org/whinhead/daemon/duty/NoticeWatch.java
+++ b/daemon/src/main/java/org/whinhead/daemon/duty/ReclaimNoticePoller.java
@@ -10,14 +10,14 @@
 import org.xnio.XnioIoThread;
 
 /** Waits for reclaim notices and passes each on, on an IO thread. */
-public final class NoticeWatch implements AutoCloseable {
+public final class ReclaimNoticePoller implements AutoCloseable {
 
-    private static final Logger LOGGER = LoggerFactory.getLogger(NoticeWatch.class);
+    private static final Logger LOGGER = LoggerFactory.getLogger(ReclaimNoticePoller.class);
     private static final long RETRY_MILLIS = 500;
 
     private final NoticeClient mClient;
     private final XnioIoThread mTimers;
-    private final Consumer<ReclaimNotice> mTaken;
+    private final Consumer<ReclaimNotice> mListener;
     private volatile boolean mClosed;
 
     /**
@@ -27,13 +27,13 @@
      * @param timers where a failed read is tried again
      * @param taken takes each notice
      */
-    public NoticeWatch(
+    public ReclaimNoticePoller(
             final NoticeClient client,
             final XnioIoThread timers,
             final Consumer<ReclaimNotice> taken) {
         mClient = client;
         mTimers = timers;
-        mTaken = taken;
+        mListener = taken;
         read(0);
     }
 
@@ -44,17 +44,17 @@
 
     private void read(final long after) {
         if (!mClosed) {
-            mClient.read(after).whenComplete((page, fault) -> ended(after, page, fault));
+            mClient.read(after).whenComplete((page, fault) -> onRead(after, page, fault));
         }
     }
 
-    private void ended(final long after, final NoticePage page, final Throwable fault) {
+    private void onRead(final long after, final NoticePage page, final Throwable fault) {
         if (fault != null) {
             LOGGER.atDebug().addKeyValue("cause", fault.getMessage()).log("no notices to be had");
             mTimers.executeAfter(() -> read(after), RETRY_MILLIS, TimeUnit.MILLISECONDS);
             return;
         }
-        page.notices().forEach(mTaken);
+        page.notices().forEach(mListener);
         read(page.next());
     }
 }
--- a/daemon/src/main/java/org/whinhead/daemon/duty/DutyLoop.java
+++ b/daemon/src/main/java/org/whinhead/daemon/duty/TaskLoop.java
@@ -3,7 +3,7 @@
 import org.whinhead.daemon.ring.EventRing;
 
 /** A duty's thread, which runs short tasks from a bounded ring one after the other. */
-public final class DutyLoop implements AutoCloseable {
+public final class TaskLoop implements AutoCloseable {
 
     private final EventRing<Runnable> mRing;
 
@@ -13,7 +13,7 @@
      * @param name the thread's name
      * @param slots the ring's size, a power of two
      */
-    public DutyLoop(final String name, final int slots) {
+    public TaskLoop(final String name, final int slots) {
         mRing = new EventRing<>(name, slots, (task, endOfBatch) -> task.run());
         mRing.start();
     }
--- a/daemon/src/main/java/org/whinhead/daemon/log/AdvancingClock.java
+++ b/daemon/src/main/java/org/whinhead/daemon/log/AdvancingClock.java
@@ -16,7 +16,7 @@
 
     private final InstantSource mWall;
     private final LongSupplier mNanos;
-    private Instant mLast;
+    private Instant mLastInstant;
     private long mLastNanos;
 
     /**
@@ -28,17 +28,17 @@
     public AdvancingClock(final InstantSource wall, final LongSupplier nanos) {
         mWall = Objects.requireNonNull(wall, "wall");
         mNanos = Objects.requireNonNull(nanos, "nanos");
-        mLast = wall.instant();
+        mLastInstant = wall.instant();
         mLastNanos = nanos.getAsLong();
     }
 
     @Override
     public synchronized Instant instant() {
         final long nanos = mNanos.getAsLong();
-        final Instant progressed = mLast.plusNanos(Math.max(0, nanos - mLastNanos));
+        final Instant progressed = mLastInstant.plusNanos(Math.max(0, nanos - mLastNanos));
         final Instant wall = mWall.instant();
         mLastNanos = nanos;
-        mLast = wall.isAfter(progressed) ? wall : progressed;
-        return mLast;
+        mLastInstant = wall.isAfter(progressed) ? wall : progressed;
+        return mLastInstant;
     }
 }
--- a/daemon/src/main/java/org/whinhead/daemon/log/ChangeDesk.java
+++ b/daemon/src/main/java/org/whinhead/daemon/log/ChangeCoordinator.java
@@ -21,7 +21,7 @@
 import org.whinhead.state.settings.SettingsState;
 
 /** Gets operators' changes decided through the fold; on the duty's thread. */
-final class ChangeDesk {
+final class ChangeCoordinator {
 
     private static final int MAX_PENDING = 1_024;
     private static final String NOT_KNOWN = "settings.not-known";
@@ -31,7 +31,7 @@
     private final Duration mTimeout;
     private final Map<String, Pending> mPending = new LinkedHashMap<>();
 
-    ChangeDesk(final RecordSink sink, final Duration timeout) {
+    ChangeCoordinator(final RecordSink sink, final Duration timeout) {
         mSink = sink;
         mTimeout = timeout;
     }
@@ -45,10 +45,10 @@
      * @param logAnswers whether the log is known to answer
      * @param now the time
      */
-    void ask(
+    void submit(
             final SettingsChange change,
-            final CompletableFuture<ChangeAnswer> answer,
-            final LogStanding standing,
+            final CompletableFuture<ChangeResult> answer,
+            final LogSnapshot standing,
             final boolean logAnswers,
             final Instant now) {
         final SettingsState state = standing.fold().state().settings();
@@ -62,7 +62,7 @@
             same.answers().add(answer);
             return;
         }
-        final Optional<ChangeAnswer> early = beforeAppend(change, standing, logAnswers);
+        final Optional<ChangeResult> early = checkBeforeAppend(change, standing, logAnswers);
         if (early.isPresent()) {
             answer.complete(early.get());
         } else {
@@ -70,32 +70,32 @@
         }
     }
 
-    private Optional<ChangeAnswer> beforeAppend(
-            final SettingsChange change, final LogStanding standing, final boolean logAnswers) {
+    private Optional<ChangeResult> checkBeforeAppend(
+            final SettingsChange change, final LogSnapshot standing, final boolean logAnswers) {
         if (!standing.fold().caughtUp() || standing.fold().blocked()) {
-            return Optional.of(notRun("the settings were not read from the log yet"));
+            return Optional.of(notPublished("the settings were not read from the log yet"));
         }
         final SettingsState state = standing.fold().state().settings();
         final long inForce = state.revisionNumber(change.path());
         // A lower revision here may only mean that this daemon lags; then the fold decides.
         if (inForce > change.baseRevision()) {
-            return Optional.of(new ChangeAnswer.Conflict(inForce, author(state, change.path())));
+            return Optional.of(new ChangeResult.Conflict(inForce, author(state, change.path())));
         }
-        final List<SettingsProblem> problems = problems(change, standing);
+        final List<SettingsProblem> problems = findProblems(change, standing);
         if (!problems.isEmpty()) {
-            return Optional.of(new ChangeAnswer.Invalid(problems));
+            return Optional.of(new ChangeResult.Invalid(problems));
         }
         if (change.dryRun()) {
-            return Optional.of(new ChangeAnswer.InForce(inForce));
+            return Optional.of(new ChangeResult.InForce(inForce));
         }
         if (!logAnswers || mPending.size() >= MAX_PENDING) {
-            return Optional.of(notRun("the log does not answer"));
+            return Optional.of(notPublished("the log does not answer"));
         }
         return Optional.empty();
     }
 
-    private static List<SettingsProblem> problems(
-            final SettingsChange change, final LogStanding standing) {
+    private static List<SettingsProblem> findProblems(
+            final SettingsChange change, final LogSnapshot standing) {
         final Validation validation =
                 DocumentRules.validate(change.path(), change.document(), standing.settings());
         if (validation.mayBePublished()) {
@@ -111,7 +111,7 @@
 
     private void append(
             final SettingsChange change,
-            final CompletableFuture<ChangeAnswer> answer,
+            final CompletableFuture<ChangeResult> answer,
             final Instant now) {
         final boolean queued =
                 mSink.offer(
@@ -128,16 +128,16 @@
                                 now)
                         .isPresent();
         if (!queued) {
-            answer.complete(notRun("too many changes wait for the log"));
+            answer.complete(notPublished("too many changes wait for the log"));
             return;
         }
-        final List<CompletableFuture<ChangeAnswer>> answers = new ArrayList<>();
+        final List<CompletableFuture<ChangeResult>> answers = new ArrayList<>();
         answers.add(answer);
         mPending.put(change.changeId(), new Pending(answers, now.plus(mTimeout)));
     }
 
     /** Answers the changes that the fold has decided by now. */
-    void folded(final SettingsState state) {
+    void completeDecided(final SettingsState state) {
         if (mPending.isEmpty()) {
             return;
         }
@@ -155,7 +155,7 @@
     }
 
     /** Time passed: ends the waits that are over. */
-    void tick(final Instant now) {
+    void expirePending(final Instant now) {
         mPending.values()
                 .removeIf(
                         pending -> {
@@ -171,23 +171,23 @@
      * The record is queued or its fate unknown: it may take effect once the log is back. The
      * operator learns what became of it by asking again with the same change identity.
      */
-    static ChangeAnswer outcomeUnknown() {
-        return new ChangeAnswer.Undecided(
+    static ChangeResult outcomeUnknown() {
+        return new ChangeResult.Undecided(
                 Verdict.MAY_HAVE_RUN, "outcome unknown, ask again with the same changeId");
     }
 
-    static ChangeAnswer notRun(final String message) {
-        return new ChangeAnswer.Undecided(Verdict.NOT_RUN, message);
+    static ChangeResult notPublished(final String message) {
+        return new ChangeResult.Undecided(Verdict.NOT_RUN, message);
     }
 
-    private static ChangeAnswer answer(final ChangeOutcome outcome, final SettingsState state) {
+    private static ChangeResult answer(final ChangeOutcome outcome, final SettingsState state) {
         return switch (outcome.result()) {
-            case WON -> new ChangeAnswer.InForce(outcome.revision());
+            case WON -> new ChangeResult.InForce(outcome.revision());
             case LOST_RACE ->
-                    new ChangeAnswer.Conflict(
+                    new ChangeResult.Conflict(
                             outcome.revision(), author(state, outcome.path(), outcome.revision()));
-            case INVALID -> new ChangeAnswer.Refused(outcome.problems());
-            case NOT_AUTHORISED -> new ChangeAnswer.Forbidden();
+            case INVALID -> new ChangeResult.Refused(outcome.problems());
+            case NOT_AUTHORISED -> new ChangeResult.Forbidden();
         };
     }
 
@@ -204,8 +204,8 @@
                 .orElse("");
     }
 
-    private record Pending(List<CompletableFuture<ChangeAnswer>> answers, Instant deadline) {
-        void answer(final ChangeAnswer answer) {
+    private record Pending(List<CompletableFuture<ChangeResult>> answers, Instant deadline) {
+        void answer(final ChangeResult answer) {
             answers.forEach(waiting -> waiting.complete(answer));
         }
     }
--- a/daemon/src/main/java/org/whinhead/daemon/log/ChangeAnswer.java
+++ b/daemon/src/main/java/org/whinhead/daemon/log/ChangeResult.java
@@ -6,14 +6,14 @@
 import org.whinhead.settings.SettingsProblem;
 
 /** What an operator is told of a change. */
-public sealed interface ChangeAnswer {
+public sealed interface ChangeResult {
 
     /**
      * The change is in force here; for a dry run, it would be valid.
      *
      * @param revision the revision in force
      */
-    record InForce(long revision) implements ChangeAnswer {}
+    record InForce(long revision) implements ChangeResult {}
 
     /**
      * Another change of the path came first.
@@ -21,7 +21,7 @@
      * @param winningRevision the revision in force when this one was decided
      * @param author who made that revision; empty if that is not kept
      */
-    record Conflict(long winningRevision, String author) implements ChangeAnswer {
+    record Conflict(long winningRevision, String author) implements ChangeResult {
         /** Checks the author. */
         public Conflict {
             Objects.requireNonNull(author, "author");
@@ -33,7 +33,7 @@
      *
      * @param problems what is wrong
      */
-    record Invalid(List<SettingsProblem> problems) implements ChangeAnswer {
+    record Invalid(List<SettingsProblem> problems) implements ChangeResult {
         /** Copies the list. */
         public Invalid {
             problems = List.copyOf(problems);
@@ -45,7 +45,7 @@
      *
      * @param problems what is wrong, as texts
      */
-    record Refused(List<String> problems) implements ChangeAnswer {
+    record Refused(List<String> problems) implements ChangeResult {
         /** Copies the list. */
         public Refused {
             problems = List.copyOf(problems);
@@ -53,7 +53,7 @@
     }
 
     /** The path is outside the author's subtree. */
-    record Forbidden() implements ChangeAnswer {}
+    record Forbidden() implements ChangeResult {}
 
     /**
      * The change is not decided.
@@ -61,7 +61,7 @@
      * @param verdict whether it may yet take effect
      * @param message what to do, for people
      */
-    record Undecided(Verdict verdict, String message) implements ChangeAnswer {
+    record Undecided(Verdict verdict, String message) implements ChangeResult {
         /** Checks both parts. */
         public Undecided {
             Objects.requireNonNull(verdict, "verdict");
--- a/daemon/src/main/java/org/whinhead/daemon/log/CheckpointStream.java
+++ b/daemon/src/main/java/org/whinhead/daemon/log/CheckpointStream.java
@@ -21,18 +21,20 @@
 
     private static final int PART_BYTES = 256 * 1024;
 
-    private final StreamPump mPump;
+    private final LogStreamClient mClient;
     private final CheckpointAssembler mAssembler = new CheckpointAssembler();
     private final CheckpointPublisher mPublisher;
     private final Consumer<FoldState> mInstall;
     private boolean mStarted;
 
     CheckpointStream(
-            final StreamPump pump, final LogTerms terms, final Consumer<FoldState> install) {
-        mPump = pump;
+            final LogStreamClient pump,
+            final LogServiceSettings terms,
+            final Consumer<FoldState> install) {
+        mClient = pump;
         mPublisher = new CheckpointPublisher(pump.writer(), terms.checkpointEvery(), PART_BYTES);
         mInstall = install;
-        pump.handler(this);
+        pump.setHandler(this);
     }
 
     /** Tells whether the newest checkpoint at the start was looked for. */
@@ -44,11 +46,11 @@
         if (holder) {
             mPublisher.publishIfDue(view, now);
         }
-        mPump.run(!mStarted || wanted || holder || !mPump.writer().isIdle(), now);
+        mClient.sendDue(!mStarted || wanted || holder || !mClient.writer().isIdle(), now);
     }
 
     @Override
-    public void read(final List<LogEntry> entries, final boolean atHead, final Instant now) {
+    public void onRecords(final List<LogEntry> entries, final boolean atHead, final Instant now) {
         for (final LogEntry entry : entries) {
             if (entry.record() instanceof LogRecord.Checkpoint part) {
                 final Optional<FoldState> complete = mAssembler.addPart(part);
@@ -62,7 +64,7 @@
     }
 
     @Override
-    public void expired(final long oldest, final Instant now) {
-        mPump.reader().seek(oldest);
+    public void onExpired(final long oldest, final Instant now) {
+        mClient.reader().seek(oldest);
     }
 }
--- a/daemon/src/main/java/org/whinhead/daemon/log/ClaimStream.java
+++ b/daemon/src/main/java/org/whinhead/daemon/log/ClaimStream.java
@@ -19,42 +19,42 @@
 /** Claims requests' keys through the claim stream; on the duty's thread. */
 final class ClaimStream implements StreamHandler {
 
-    private final StreamPump mPump;
+    private final LogStreamClient mClient;
     private final DaemonId mSelf;
-    private final LogTerms mTerms;
+    private final LogServiceSettings mSettings;
     private final LogListener mListener;
     private final ClaimTable mTable;
-    private final ClaimCoordinator mDesk;
-    private final Map<Long, RequestId> mAsked = new HashMap<>();
+    private final ClaimCoordinator mCoordinator;
+    private final Map<Long, RequestId> mPending = new HashMap<>();
     private final Map<RequestId, Granted> mGranted = new LinkedHashMap<>();
     private long mAttempts;
 
     ClaimStream(
-            final StreamPump pump,
+            final LogStreamClient pump,
             final DaemonId self,
-            final LogTerms terms,
+            final LogServiceSettings terms,
             final LogListener listener) {
-        mPump = pump;
+        mClient = pump;
         mSelf = self;
-        mTerms = terms;
+        mSettings = terms;
         mListener = listener;
         mTable = new ClaimTable(terms.claimWindow(), RecordDeduplicator.DEFAULT_MAX_INCARNATIONS);
-        mDesk = new ClaimCoordinator(mTable, pump.writer(), terms.claims(), this::decided);
-        pump.handler(this);
+        mCoordinator = new ClaimCoordinator(mTable, pump.writer(), terms.claims(), this::onDecided);
+        pump.setHandler(this);
     }
 
     void claim(final RequestId request, final ClaimKey key, final Instant now) {
         mAttempts++;
         final long attempt = ClaimKey.attemptHash(mSelf, mAttempts);
-        mAsked.put(attempt, request);
-        mDesk.claim(key, attempt, now.plus(mTerms.claimTimeout()), now);
+        mPending.put(attempt, request);
+        mCoordinator.claim(key, attempt, now.plus(mSettings.claimTimeout()), now);
     }
 
     /** Frees the key of a request that was granted and certainly did not run. */
     void withdraw(final RequestId request, final Instant now) {
         final Granted granted = mGranted.remove(request);
         if (granted != null) {
-            mDesk.withdraw(granted.key(), granted.attempt(), now);
+            mCoordinator.withdraw(granted.key(), granted.attempt(), now);
         }
     }
 
@@ -64,16 +64,16 @@
         while (granted.hasNext() && granted.next().dispatchBy().isBefore(now)) {
             granted.remove();
         }
-        mDesk.tick(now);
-        mPump.run(true, now);
+        mCoordinator.tick(now);
+        mClient.sendDue(true, now);
     }
 
-    private void decided(
+    private void onDecided(
             final ClaimKey key,
             final long attempt,
             final ClaimResult result,
             final Instant dispatchBy) {
-        final RequestId request = mAsked.remove(attempt);
+        final RequestId request = mPending.remove(attempt);
         if (result == ClaimResult.GRANTED) {
             mGranted.remove(request);
             mGranted.put(request, new Granted(key, attempt, dispatchBy));
@@ -90,14 +90,14 @@
     }
 
     @Override
-    public void read(final List<LogEntry> entries, final boolean atHead, final Instant now) {
-        entries.forEach(entry -> mDesk.apply(entry, now));
+    public void onRecords(final List<LogEntry> entries, final boolean atHead, final Instant now) {
+        entries.forEach(entry -> mCoordinator.apply(entry, now));
     }
 
     @Override
-    public void expired(final long oldest, final Instant now) {
+    public void onExpired(final long oldest, final Instant now) {
         mTable.reset();
-        mPump.reader().seek(oldest);
+        mClient.reader().seek(oldest);
     }
 
     private record Granted(ClaimKey key, long attempt, Instant dispatchBy) {}
--- a/daemon/src/main/java/org/whinhead/daemon/log/FleetStream.java
+++ b/daemon/src/main/java/org/whinhead/daemon/log/FleetStream.java
@@ -17,43 +17,43 @@
 /** Folds the fleet stream and keeps the checkpoint duty's lease; on the duty's thread. */
 final class FleetStream implements StreamHandler {
 
-    private final StreamPump mPump;
+    private final LogStreamClient mClient;
     private final LogFold mFold =
             new LogFold(
                     // Who may change which path is checked against the daemon's own settings file
                     // before a change is published, so the fold takes any author.
                     new SettingsLedger(
-                            new FoldRules(),
+                            new FoldSettingsValidator(),
                             (author, path, current) -> true,
                             SettingsLedger.Limits.DEFAULT),
                     RecordDeduplicator.DEFAULT_MAX_INCARNATIONS);
     private final LeaseElector mCheckpointLease;
 
     FleetStream(
-            final StreamPump pump,
+            final LogStreamClient pump,
             final DaemonId self,
-            final LogTerms terms,
+            final LogServiceSettings terms,
             final RandomGenerator random) {
-        mPump = pump;
+        mClient = pump;
         mCheckpointLease =
                 new LeaseElector(
                         CheckpointPublisher.DUTY, self, terms.leases(), pump.writer(), random);
-        pump.handler(this);
+        pump.setHandler(this);
     }
 
     FoldView view() {
         return mFold.view();
     }
 
-    StreamPump pump() {
-        return mPump;
+    LogStreamClient client() {
+        return mClient;
     }
 
     boolean needsCheckpoint() {
-        return mPump.reader().needsCheckpoint();
+        return mClient.reader().needsCheckpoint();
     }
 
-    boolean writesCheckpoints(final Instant now) {
+    boolean canWriteCheckpoints(final Instant now) {
         return mCheckpointLease.canAct(now);
     }
 
@@ -61,24 +61,24 @@
         final FoldView view = mFold.view();
         // A daemon that does not know the head cannot tell whether a lease is free.
         mCheckpointLease.tick(view.caughtUp() && !view.blocked(), now);
-        mPump.run(reading, now);
+        mClient.sendDue(reading, now);
     }
 
     /** Gives the duty up, so that another daemon need not wait for the lease's end. */
     void release(final Instant now) {
         mCheckpointLease.release(now);
-        mPump.run(false, now);
+        mClient.sendDue(false, now);
     }
 
     @Override
-    public void read(final List<LogEntry> entries, final boolean atHead, final Instant now) {
+    public void onRecords(final List<LogEntry> entries, final boolean atHead, final Instant now) {
         boolean whole = true;
         for (final LogEntry entry : entries) {
             final LogFold.ApplyResult applied = mFold.apply(entry);
             whole &= applied != LogFold.ApplyResult.GAP && applied != LogFold.ApplyResult.BLOCKED;
         }
         if (!whole) {
-            mPump.reader().seek(mFold.nextOffset());
+            mClient.reader().seek(mFold.nextOffset());
         } else if (atHead) {
             mFold.markCaughtUp();
         }
@@ -86,15 +86,15 @@
     }
 
     @Override
-    public void expired(final long oldest, final Instant now) {
+    public void onExpired(final long oldest, final Instant now) {
         // Nothing to do: the reader now asks for a checkpoint.
     }
 
     /** Goes on from a state as of a higher offset. */
     void install(final FoldState state, final FoldView.Source source, final Instant now) {
         if (mFold.installSnapshot(state, source)) {
-            mPump.reader().seek(state.asOf());
-            state.newest().forEach(mPump.writer()::onRecordRead);
+            mClient.reader().seek(state.asOf());
+            state.newest().forEach(mClient.writer()::onRecordRead);
             observeLease(now);
         }
     }
--- a/daemon/src/main/java/org/whinhead/daemon/log/FoldRules.java
+++ b/daemon/src/main/java/org/whinhead/daemon/log/FoldSettingsValidator.java
@@ -9,15 +9,15 @@
 import org.whinhead.state.settings.SettingsValidator;
 
 /** Lets the fold decide by what no schema number changes: the envelope and the links. */
-final class FoldRules implements SettingsValidator {
+final class FoldSettingsValidator implements SettingsValidator {
 
-    private static final int VERSION = 1;
+    private static final int SUPPORTED_RULES_VERSION = 1;
 
     private DeploymentSettings mSettings = DeploymentSettings.EMPTY;
 
     @Override
     public boolean supports(final int rules) {
-        return rules == VERSION;
+        return rules == SUPPORTED_RULES_VERSION;
     }
 
     @Override
--- a/daemon/src/main/java/org/whinhead/daemon/log/LogListener.java
+++ b/daemon/src/main/java/org/whinhead/daemon/log/LogListener.java
@@ -12,7 +12,7 @@
      *
      * @param standing what is known now; the head of the log was reached at least once
      */
-    void settingsChanged(LogStanding standing);
+    void settingsChanged(LogSnapshot standing);
 
     /**
      * A claim was decided.
--- a/daemon/src/main/java/org/whinhead/daemon/log/LogDuty.java
+++ b/daemon/src/main/java/org/whinhead/daemon/log/LogService.java
@@ -25,39 +25,39 @@
  * Follows and writes the log on a thread of its own: the shared state with its checkpoints, the
  * changes of settings, and the claims.
  */
-public final class LogDuty implements AutoCloseable {
+public final class LogService implements AutoCloseable {
 
-    private static final String FLEET = "fleet";
-    private static final String CHECKPOINTS = "checkpoints";
-    private static final String CLAIMS = "claims-0";
+    private static final String FLEET_STREAM = "fleet";
+    private static final String CHECKPOINT_STREAM = "checkpoints";
+    private static final String CLAIM_STREAM = "claims-0";
     private static final Duration TICK = Duration.ofMillis(10);
     private static final Duration FIRST_BACKOFF = Duration.ofMillis(50);
-    private static final Duration LONGEST_BACKOFF = Duration.ofSeconds(1);
-    private static final int RING = 4_096;
-    private static final int READ = 500;
-    private static final int READ_CHECKPOINTS = 16;
+    private static final Duration MAX_BACKOFF = Duration.ofSeconds(1);
+    private static final int RING_SLOTS = 4_096;
+    private static final int MAX_RECORDS_PER_READ = 500;
+    private static final int MAX_CHECKPOINT_PARTS_PER_READ = 16;
     private static final WriterLimits FLEET_LIMITS = new WriterLimits(1_024, 64);
     private static final WriterLimits CHECKPOINT_LIMITS = new WriterLimits(256, 1);
     private static final WriterLimits CLAIM_LIMITS = new WriterLimits(4, 1);
-    private static final LogStanding NOTHING =
-            new LogStanding(
+    private static final LogSnapshot EMPTY_SNAPSHOT =
+            new LogSnapshot(
                     new FoldView(FoldState.EMPTY, FoldView.Source.NONE, false, false),
                     DeploymentSettings.EMPTY,
                     -1);
 
     private final DaemonId mSelf;
     private final LogClient mClient;
-    private final LogTerms mTerms;
+    private final LogServiceSettings mSettings;
     private final LogListener mListener;
     private final RandomGenerator mRandom;
-    private final DutyRing mRing;
+    private final TimedTaskLoop mLoop;
     private final FleetStream mFleet;
     private final CheckpointStream mCheckpoints;
     private final ClaimStream mClaims;
-    private final ChangeDesk mChanges;
-    private volatile LogStanding mStanding = NOTHING;
-    private volatile boolean mAnswering;
-    private boolean mTold;
+    private final ChangeCoordinator mChanges;
+    private volatile LogSnapshot mSnapshot = EMPTY_SNAPSHOT;
+    private volatile boolean mLogAnswering;
+    private boolean mSettingsAnnounced;
 
     /**
      * Makes a duty that is not started yet.
@@ -69,55 +69,69 @@
      * @param terms the bounds
      * @param listener told what comes of it
      */
-    public LogDuty(
+    public LogService(
             final DaemonId self,
             final LogClient client,
             final XnioIoThread timer,
             final InstantSource clock,
-            final LogTerms terms,
+            final LogServiceSettings terms,
             final LogListener listener) {
         mSelf = Objects.requireNonNull(self, "self");
         mClient = Objects.requireNonNull(client, "client");
-        mTerms = Objects.requireNonNull(terms, "terms");
+        mSettings = Objects.requireNonNull(terms, "terms");
         mListener = Objects.requireNonNull(listener, "listener");
         mRandom = RandomGenerator.of("L64X128MixRandom");
-        mRing = new DutyRing(self + "-log", RING, timer, clock, this::afterBatch);
-        mFleet = new FleetStream(pump(FLEET, READ, FLEET_LIMITS), self, terms, mRandom);
+        mLoop = new TimedTaskLoop(self + "-log", RING_SLOTS, timer, clock, this::afterBatch);
+        mFleet =
+                new FleetStream(
+                        streamClient(FLEET_STREAM, MAX_RECORDS_PER_READ, FLEET_LIMITS),
+                        self,
+                        terms,
+                        mRandom);
         mCheckpoints =
                 new CheckpointStream(
-                        pump(CHECKPOINTS, READ_CHECKPOINTS, CHECKPOINT_LIMITS),
+                        streamClient(
+                                CHECKPOINT_STREAM,
+                                MAX_CHECKPOINT_PARTS_PER_READ,
+                                CHECKPOINT_LIMITS),
                         terms,
                         state -> mFleet.install(state, FoldView.Source.LOG, clock.instant()));
-        mClaims = new ClaimStream(pump(CLAIMS, READ, CLAIM_LIMITS), self, terms, listener);
-        mChanges = new ChangeDesk(mFleet.pump().writer(), terms.changeTimeout());
+        mClaims =
+                new ClaimStream(
+                        streamClient(CLAIM_STREAM, MAX_RECORDS_PER_READ, CLAIM_LIMITS),
+                        self,
+                        terms,
+                        listener);
+        mChanges = new ChangeCoordinator(mFleet.client().writer(), terms.changeTimeout());
     }
 
-    private StreamPump pump(final String stream, final int read, final WriterLimits limits) {
-        return new StreamPump(
+    private LogStreamClient streamClient(
+            final String stream, final int read, final WriterLimits limits) {
+        return new LogStreamClient(
                 stream,
                 mClient,
-                mRing,
-                new LogReader(read, mTerms.readWait(), backoff()),
+                mLoop,
+                new LogReader(read, mSettings.readWait(), backoff()),
                 new LogWriter(mSelf, limits, backoff()));
     }
 
     private Backoff backoff() {
-        return new Backoff(FIRST_BACKOFF, LONGEST_BACKOFF, mRandom);
+        return new Backoff(FIRST_BACKOFF, MAX_BACKOFF, mRandom);
     }
 
     /** Starts the thread. */
     public void start() {
-        mRing.start(TICK);
+        mLoop.start(TICK);
     }
 
     /** Returns what is known from the log; from any thread. */
-    public LogStanding standing() {
-        return mStanding;
+    public LogSnapshot snapshot() {
+        return mSnapshot;
     }
 
     /** Tells whether the log's last answer was not a failure; from any thread. */
     public boolean isLogAnswering() {
-        return mAnswering;
+        return mLogAnswering;
     }
 
     /**
@@ -126,19 +140,19 @@
      * @param change the change
      * @return the answer, within the terms' bound
      */
-    public CompletionStage<ChangeAnswer> change(final SettingsChange change) {
-        final CompletableFuture<ChangeAnswer> answer = new CompletableFuture<>();
+    public CompletionStage<ChangeResult> submitChange(final SettingsChange change) {
+        final CompletableFuture<ChangeResult> answer = new CompletableFuture<>();
         final boolean taken =
-                mRing.offerNew(
+                mLoop.offerNew(
                         now ->
-                                mChanges.ask(
+                                mChanges.submit(
                                         change,
                                         answer,
-                                        mStanding,
-                                        mFleet.pump().isAnswering(),
+                                        mSnapshot,
+                                        mFleet.client().isAnswering(),
                                         now));
         if (!taken) {
-            answer.complete(ChangeDesk.notRun("too many events wait"));
+            answer.complete(ChangeCoordinator.notPublished("too many events wait"));
         }
         return answer;
     }
@@ -150,7 +164,7 @@
      * @param key its key
      */
     public void claim(final RequestId request, final ClaimKey key) {
-        if (!mRing.offerNew(now -> mClaims.claim(request, key, now))) {
+        if (!mLoop.offerNew(now -> mClaims.claim(request, key, now))) {
             mListener.claimDecided(request, ClaimOutcome.UNAVAILABLE, Instant.MIN);
         }
     }
@@ -162,7 +176,7 @@
      */
     public void withdraw(final RequestId request) {
         // If the ring is full the key stays claimed, which only costs the caller a new key.
-        mRing.offerNew(now -> mClaims.withdraw(request, now));
+        mLoop.offerNew(now -> mClaims.withdraw(request, now));
     }
 
     /**
@@ -170,42 +184,42 @@
      *
      * @param state the state
      */
-    public void install(final FoldState state) {
-        mRing.offerNew(now -> mFleet.install(state, FoldView.Source.PEER, now));
+    public void installSnapshot(final FoldState state) {
+        mLoop.offerNew(now -> mFleet.install(state, FoldView.Source.PEER, now));
     }
 
     private void afterBatch(final Instant now) {
-        mChanges.tick(now);
+        mChanges.expirePending(now);
         mCheckpoints.run(
-                mFleet.needsCheckpoint(), mFleet.writesCheckpoints(now), mFleet.view(), now);
+                mFleet.needsCheckpoint(), mFleet.canWriteCheckpoints(now), mFleet.view(), now);
         // A checkpoint first, so that a stream of many records need not be read from its start.
         mFleet.run(mCheckpoints.isStarted(), now);
         mClaims.run(now);
-        mAnswering = mFleet.pump().isAnswering();
+        mLogAnswering = mFleet.client().isAnswering();
         publish();
     }
 
     private void publish() {
-        final LogStanding former = mStanding;
+        final LogSnapshot former = mSnapshot;
         final FoldView view = mFleet.view();
         if (view == former.fold()) {
             return;
         }
-        final LogStanding standing = LogStanding.of(view, former);
-        mStanding = standing;
+        final LogSnapshot standing = LogSnapshot.of(view, former);
+        mSnapshot = standing;
         final boolean changed = standing.settings() != former.settings();
         // Guards against serving by settings that newer records on the log have replaced: nothing
         // is put in force before the head was reached once. After that an outage changes nothing.
-        if (view.caughtUp() && (changed || !mTold)) {
-            mTold = true;
+        if (view.caughtUp() && (changed || !mSettingsAnnounced)) {
+            mSettingsAnnounced = true;
             mListener.settingsChanged(standing);
         }
-        mChanges.folded(view.state().settings());
+        mChanges.completeDecided(view.state().settings());
     }
 
     @Override
     public void close() {
-        mRing.offerNew(mFleet::release);
-        mRing.close();
+        mLoop.offerNew(mFleet::release);
+        mLoop.close();
     }
 }
--- a/daemon/src/main/java/org/whinhead/daemon/log/LogTerms.java
+++ b/daemon/src/main/java/org/whinhead/daemon/log/LogServiceSettings.java
@@ -17,7 +17,7 @@
  * @param leases the times of leases
  * @param checkpointEvery how often a checkpoint is written; a small share of the log's retention
  */
-public record LogTerms(
+public record LogServiceSettings(
         Duration readWait,
         Duration changeTimeout,
         Duration claimTimeout,
@@ -26,22 +26,23 @@
         LeaseTiming leases,
         Duration checkpointEvery) {
 
-    private static final Duration WINDOW = Duration.ofMinutes(30);
+    private static final Duration CLAIM_WINDOW = Duration.ofMinutes(30);
 
     /**
      * With 9 daemons and this linger, claims take at most 225 appends a second, which is below what
      * the log takes.
      */
-    private static final Duration LINGER = Duration.ofMillis(40);
+    private static final Duration CLAIM_BATCH_LINGER = Duration.ofMillis(40);
 
     /** The values of a process in use. */
-    public static final LogTerms DEFAULT =
-            new LogTerms(
+    public static final LogServiceSettings DEFAULT =
+            new LogServiceSettings(
                     Duration.ofSeconds(1),
                     Duration.ofSeconds(8),
                     Duration.ofMillis(1_500),
-                    WINDOW,
-                    new ClaimLimits(WINDOW.dividedBy(2), LINGER, 100, 4_096, 1_000_000),
+                    CLAIM_WINDOW,
+                    new ClaimLimits(
+                            CLAIM_WINDOW.dividedBy(2), CLAIM_BATCH_LINGER, 100, 4_096, 1_000_000),
                     new LeaseTiming(
                             Duration.ofSeconds(10),
                             Duration.ofSeconds(1),
@@ -50,7 +51,7 @@
                     Duration.ofMinutes(5));
 
     /** Checks every part. */
-    public LogTerms {
+    public LogServiceSettings {
         Objects.requireNonNull(readWait, "readWait");
         Objects.requireNonNull(changeTimeout, "changeTimeout");
         Objects.requireNonNull(claimTimeout, "claimTimeout");
@@ -66,8 +67,8 @@
      * @param every how often a checkpoint is written
      * @return a copy
      */
-    public LogTerms withCheckpointEvery(final Duration every) {
-        return new LogTerms(
+    public LogServiceSettings withCheckpointInterval(final Duration every) {
+        return new LogServiceSettings(
                 readWait, changeTimeout, claimTimeout, claimWindow, claims, leases, every);
     }
 }
--- a/daemon/src/main/java/org/whinhead/daemon/log/LogStanding.java
+++ b/daemon/src/main/java/org/whinhead/daemon/log/LogSnapshot.java
@@ -13,10 +13,10 @@
  * @param settings the documents in force, typed
  * @param revision the newest revision of any path, deletions among them; -1 if there is none
  */
-public record LogStanding(FoldView fold, DeploymentSettings settings, long revision) {
+public record LogSnapshot(FoldView fold, DeploymentSettings settings, long revision) {
 
     /** Checks the parts. */
-    public LogStanding {
+    public LogSnapshot {
         Objects.requireNonNull(fold, "fold");
         Objects.requireNonNull(settings, "settings");
     }
@@ -27,21 +27,21 @@
      * @param wanted the revision
      * @return whether it is below the fold's position
      */
-    public boolean holds(final long wanted) {
+    public boolean hasFolded(final long wanted) {
         return fold.state().asOf() > wanted;
     }
 
-    static LogStanding of(final FoldView fold, final LogStanding former) {
+    static LogSnapshot of(final FoldView fold, final LogSnapshot former) {
         if (former.fold().state().settings() == fold.state().settings()) {
-            return new LogStanding(fold, former.settings(), former.revision());
+            return new LogSnapshot(fold, former.settings(), former.revision());
         }
         final var state = fold.state().settings();
         final DeploymentSettings settings =
                 former.settings().refreshed(state.documents(), state::revisionNumber);
-        return new LogStanding(fold, settings, newest(state.history().values()));
+        return new LogSnapshot(fold, settings, newestRevision(state.history().values()));
     }
 
-    private static long newest(final Iterable<List<SettingRevision>> history) {
+    private static long newestRevision(final Iterable<List<SettingRevision>> history) {
         long newest = -1;
         for (final List<SettingRevision> revisions : history) {
             newest = Math.max(newest, revisions.get(revisions.size() - 1).revision());
--- a/daemon/src/main/java/org/whinhead/daemon/log/StreamPump.java
+++ b/daemon/src/main/java/org/whinhead/daemon/log/LogStreamClient.java
@@ -21,37 +21,37 @@
 import org.whinhead.state.writer.ReadRequest;
 
 /** Carries one stream's reads and appends to the log and back; on the duty's thread. */
-final class StreamPump {
+final class LogStreamClient {
 
-    private static final Logger LOGGER = LoggerFactory.getLogger(StreamPump.class);
-    private static final DaemonId FOREIGN = new DaemonId("unreadable");
+    private static final Logger LOGGER = LoggerFactory.getLogger(LogStreamClient.class);
+    private static final DaemonId UNREADABLE_WRITER = new DaemonId("unreadable");
     private static final String EMPTY_BODY = "{}";
 
     private final String mStream;
     private final LogClient mClient;
-    private final DutyRing mRing;
+    private final TimedTaskLoop mLoop;
     private final LogReader mReader;
     private final LogWriter mWriter;
     private final LogRecordCodec mCodec = new LogRecordCodec();
     private StreamHandler mHandler;
-    private Instant mHeardAt = Instant.MIN;
+    private Instant mLastAnswerAt = Instant.MIN;
     private boolean mAnswering;
-    private int mMax = Integer.MAX_VALUE;
+    private int mMaxRecords = Integer.MAX_VALUE;
 
-    StreamPump(
+    LogStreamClient(
             final String stream,
             final LogClient client,
-            final DutyRing ring,
+            final TimedTaskLoop ring,
             final LogReader reader,
             final LogWriter writer) {
         mStream = Objects.requireNonNull(stream, "stream");
         mClient = client;
-        mRing = ring;
+        mLoop = ring;
         mReader = reader;
         mWriter = writer;
     }
 
-    void handler(final StreamHandler handler) {
+    void setHandler(final StreamHandler handler) {
         mHandler = handler;
     }
 
@@ -69,12 +69,12 @@
     }
 
     /** Returns when the log last answered. */
-    Instant heardAt() {
-        return mHeardAt;
+    Instant lastAnswerAt() {
+        return mLastAnswerAt;
     }
 
     /** Sends what is due. */
-    void run(final boolean reading, final Instant now) {
+    void sendDue(final boolean reading, final Instant now) {
         mWriter.nextBatch(now).ifPresent(this::append);
         if (reading) {
             mReader.nextRead(now).ifPresent(this::read);
@@ -84,12 +84,12 @@
     private void append(final List<LogRecord> batch) {
         final List<byte[]> bytes = batch.stream().map(mCodec::encode).toList();
         mClient.append(mStream, bytes)
-                .thenAccept(result -> mRing.deliver(now -> appended(result, now)));
+                .thenAccept(result -> mLoop.offerUntilAccepted(now -> onAppendResult(result, now)));
     }
 
-    private void appended(final AppendResult result, final Instant now) {
+    private void onAppendResult(final AppendResult result, final Instant now) {
         if (result instanceof AppendResult.Appended) {
-            heard(now);
+            recordAnswer(now);
             mWriter.onAppended();
         } else if (result instanceof AppendResult.NotAppended refused) {
             mAnswering = false;
@@ -99,42 +99,46 @@
         }
     }
 
-    private void heard(final Instant now) {
+    private void recordAnswer(final Instant now) {
         mAnswering = true;
-        mHeardAt = now;
+        mLastAnswerAt = now;
     }
 
     private void read(final ReadRequest due) {
         final ReadRequest request =
                 new ReadRequest(
                         due.fromOffset(),
-                        Math.min(due.maxRecords(), mMax),
+                        Math.min(due.maxRecords(), mMaxRecords),
                         due.maxWait(),
                         due.sentAt());
         mClient.read(mStream, request.fromOffset(), request.maxRecords(), request.maxWait())
-                .thenAccept(result -> mRing.deliver(now -> answered(request, result, now)));
+                .thenAccept(
+                        result ->
+                                mLoop.offerUntilAccepted(
+                                        now -> onReadResult(request, result, now)));
     }
 
-    private void answered(final ReadRequest request, final ReadResult result, final Instant now) {
+    private void onReadResult(
+            final ReadRequest request, final ReadResult result, final Instant now) {
         if (result instanceof ReadResult.Records records) {
-            heard(now);
-            taken(request, records, now);
+            recordAnswer(now);
+            onRecords(request, records, now);
         } else if (result instanceof ReadResult.Expired expired) {
-            heard(now);
+            recordAnswer(now);
             mReader.onExpired(expired.oldest());
-            mHandler.expired(expired.oldest(), now);
+            mHandler.onExpired(expired.oldest(), now);
         } else if (result instanceof ReadResult.Unavailable failed) {
             mAnswering = false;
             // Guards against records that together outgrow the bound on an answer: the same read
             // would fail for ever, so fewer are asked for.
             if (failed.tooLarge()) {
-                mMax = Math.max(1, request.maxRecords() / 2);
+                mMaxRecords = Math.max(1, request.maxRecords() / 2);
             }
             mReader.onFailure(failed.retryAfter(), now);
         }
     }
 
-    private void taken(
+    private void onRecords(
             final ReadRequest request, final ReadResult.Records records, final Instant now) {
         final List<LogEntry> entries = new ArrayList<>();
         for (final StoredRecord record : records.entries()) {
@@ -146,7 +150,7 @@
         if (atHead) {
             mWriter.onHeadReached(request.sentAt());
         }
-        mHandler.read(entries, atHead, now);
+        mHandler.onRecords(entries, atHead, now);
     }
 
     /**
@@ -162,11 +166,11 @@
                     .addKeyValue("stream", mStream)
                     .addKeyValue("offset", stored.offset())
                     .log("a record cannot be read and is stepped over");
-            final RecordId id = new RecordId(FOREIGN, stored.offset() + 1);
+            final RecordId id = new RecordId(UNREADABLE_WRITER, stored.offset() + 1);
             return new LogEntry(
                     stored.offset(),
                     stored.at(),
-                    new LogRecord.Unknown(id, FOREIGN.value(), EMPTY_BODY));
+                    new LogRecord.Unknown(id, UNREADABLE_WRITER.value(), EMPTY_BODY));
         }
     }
 }
--- a/daemon/src/main/java/org/whinhead/daemon/log/StreamHandler.java
+++ b/daemon/src/main/java/org/whinhead/daemon/log/StreamHandler.java
@@ -14,7 +14,7 @@
      * @param atHead whether they reach to the head of the stream
      * @param now the time
      */
-    void read(List<LogEntry> entries, boolean atHead, Instant now);
+    void onRecords(List<LogEntry> entries, boolean atHead, Instant now);
 
     /**
      * The records at the position have expired.
@@ -22,5 +22,5 @@
      * @param oldest the oldest offset that is left
      * @param now the time
      */
-    void expired(long oldest, Instant now);
+    void onExpired(long oldest, Instant now);
 }
--- a/daemon/src/main/java/org/whinhead/daemon/log/DutyTask.java
+++ b/daemon/src/main/java/org/whinhead/daemon/log/TimedTask.java
@@ -4,7 +4,7 @@
 
 /** One event of a duty. */
 @FunctionalInterface
-interface DutyTask {
+interface TimedTask {
 
     /**
      * Handles the event; on the duty's thread.
--- a/daemon/src/main/java/org/whinhead/daemon/log/DutyRing.java
+++ b/daemon/src/main/java/org/whinhead/daemon/log/TimedTaskLoop.java
@@ -8,14 +8,14 @@
 import org.xnio.XnioIoThread;
 
 /** A duty's thread, fed by a bounded ring. */
-final class DutyRing implements AutoCloseable {
+final class TimedTaskLoop implements AutoCloseable {
 
     private static final long RETRY_MILLIS = 5;
 
-    private final EventRing<DutyTask> mRing;
+    private final EventRing<TimedTask> mRing;
     private final XnioIoThread mTimer;
     private final InstantSource mClock;
-    private final DutyTask mAfterBatch;
+    private final TimedTask mAfterBatch;
     private XnioExecutor.Key mTicks;
     private volatile boolean mClosed;
 
@@ -28,12 +28,12 @@
      * @param clock the time
      * @param afterBatch run when no event waits any more, at each tick at least
      */
-    DutyRing(
+    TimedTaskLoop(
             final String name,
             final int slots,
             final XnioIoThread timer,
             final InstantSource clock,
-            final DutyTask afterBatch) {
+            final TimedTask afterBatch) {
         mTimer = timer;
         mClock = clock;
         mAfterBatch = afterBatch;
@@ -47,7 +47,7 @@
                         () -> mRing.offer(now -> {}), tick.toMillis(), TimeUnit.MILLISECONDS);
     }
 
-    private void apply(final DutyTask task, final boolean endOfBatch) {
+    private void apply(final TimedTask task, final boolean endOfBatch) {
         task.run(mClock.instant());
         if (endOfBatch) {
             mAfterBatch.run(mClock.instant());
@@ -55,7 +55,7 @@
     }
 
     /** Offers an event that begins something; false if the ring is nearly full. */
-    boolean offerNew(final DutyTask task) {
+    boolean offerNew(final TimedTask task) {
         return !mClosed && mRing.offerNew(task);
     }
 
@@ -65,9 +65,10 @@
      * <p>Guards against a full ring, which would otherwise lose the answer and end the reading of
      * its stream for good: the event is offered again until there is room.
      */
-    void deliver(final DutyTask task) {
+    void offerUntilAccepted(final TimedTask task) {
         if (!mClosed && !mRing.offer(task)) {
-            mTimer.executeAfter(() -> deliver(task), RETRY_MILLIS, TimeUnit.MILLISECONDS);
+            mTimer.executeAfter(
+                    () -> offerUntilAccepted(task), RETRY_MILLIS, TimeUnit.MILLISECONDS);
         }
     }
 
--- a/daemon/src/main/java/org/whinhead/daemon/operator/ChangeHandler.java
+++ b/daemon/src/main/java/org/whinhead/daemon/operator/ChangeHandler.java
@@ -10,8 +10,8 @@
 import io.undertow.util.StatusCodes;
 import java.io.IOException;
 import java.util.Optional;
-import org.whinhead.daemon.log.ChangeAnswer;
-import org.whinhead.daemon.log.LogDuty;
+import org.whinhead.daemon.log.ChangeResult;
+import org.whinhead.daemon.log.LogService;
 import org.whinhead.daemon.log.SettingsChange;
 import org.whinhead.settings.daemon.OperatorKey;
 
@@ -22,10 +22,10 @@
     private static final int MAX_BODY_BYTES = 1024 * 1024;
     private static final long NO_REVISION = -1;
 
-    private final LogDuty mDuty;
+    private final LogService mLog;
 
-    ChangeHandler(final LogDuty duty) {
-        mDuty = duty;
+    ChangeHandler(final LogService duty) {
+        mLog = duty;
     }
 
     void post(final HttpServerExchange exchange, final OperatorKey key) {
@@ -33,29 +33,31 @@
         receiver.setMaxBufferSize(MAX_BODY_BYTES);
         receiver.receiveFullBytes(
                 (same, body) ->
-                        same.dispatch(SameThreadExecutor.INSTANCE, () -> take(same, key, body)),
-                (same, cause) -> same.dispatch(SameThreadExecutor.INSTANCE, () -> broken(same)));
+                        same.dispatch(SameThreadExecutor.INSTANCE, () -> submit(same, key, body)),
+                (same, cause) ->
+                        same.dispatch(SameThreadExecutor.INSTANCE, () -> sendTooLarge(same)));
     }
 
-    private static void broken(final HttpServerExchange exchange) {
-        OperatorReplies.fail(
+    private static void sendTooLarge(final HttpServerExchange exchange) {
+        OperatorReplies.sendError(
                 exchange,
                 StatusCodes.REQUEST_ENTITY_TOO_LARGE,
                 "operator.body-too-large",
                 MAX_BODY_BYTES);
     }
 
-    private void take(final HttpServerExchange exchange, final OperatorKey key, final byte[] body) {
+    private void submit(
+            final HttpServerExchange exchange, final OperatorKey key, final byte[] body) {
         final SettingsChange change;
         try {
             change = parse(body, key);
         } catch (final IOException | IllegalArgumentException e) {
-            OperatorReplies.fail(
+            OperatorReplies.sendError(
                     exchange, StatusCodes.BAD_REQUEST, "operator.bad-body", e.getMessage());
             return;
         }
         if (!key.mayChange(change.path())) {
-            OperatorReplies.fail(
+            OperatorReplies.sendError(
                     exchange,
                     StatusCodes.FORBIDDEN,
                     "operator.outside-subtree",
@@ -63,11 +65,11 @@
                     change.path());
             return;
         }
-        mDuty.change(change)
+        mLog.submitChange(change)
                 .thenAccept(
                         answer ->
                                 exchange.getIoThread()
-                                        .execute(() -> answer(exchange, key, change, answer)));
+                                        .execute(() -> sendResult(exchange, key, change, answer)));
     }
 
     private static SettingsChange parse(final byte[] body, final OperatorKey key)
@@ -96,38 +98,38 @@
         return said.isBlank() || said.equals(key.name()) ? key.name() : key.name() + "/" + said;
     }
 
-    private static void answer(
+    private static void sendResult(
             final HttpServerExchange exchange,
             final OperatorKey key,
             final SettingsChange change,
-            final ChangeAnswer answer) {
+            final ChangeResult answer) {
         final ObjectNode root = OperatorReplies.object();
-        if (answer instanceof ChangeAnswer.InForce inForce) {
+        if (answer instanceof ChangeResult.InForce inForce) {
             root.put("revision", inForce.revision());
-            OperatorReplies.json(exchange, StatusCodes.OK, root);
-        } else if (answer instanceof ChangeAnswer.Conflict conflict) {
+            OperatorReplies.sendJson(exchange, StatusCodes.OK, root);
+        } else if (answer instanceof ChangeResult.Conflict conflict) {
             root.put("winningRevision", conflict.winningRevision());
             root.put("author", conflict.author());
-            OperatorReplies.json(exchange, StatusCodes.CONFLICT, root);
-        } else if (answer instanceof ChangeAnswer.Undecided undecided) {
+            OperatorReplies.sendJson(exchange, StatusCodes.CONFLICT, root);
+        } else if (answer instanceof ChangeResult.Undecided undecided) {
             root.put("message", undecided.message());
             root.put("verdict", undecided.verdict().wireName());
-            OperatorReplies.json(exchange, StatusCodes.SERVICE_UNAVAILABLE, root);
-        } else if (answer instanceof ChangeAnswer.Forbidden) {
-            OperatorReplies.fail(
+            OperatorReplies.sendJson(exchange, StatusCodes.SERVICE_UNAVAILABLE, root);
+        } else if (answer instanceof ChangeResult.Forbidden) {
+            OperatorReplies.sendError(
                     exchange,
                     StatusCodes.FORBIDDEN,
                     "operator.outside-subtree",
                     key.name(),
                     change.path());
         } else {
-            problems(root.putArray("problems"), answer);
-            OperatorReplies.json(exchange, StatusCodes.UNPROCESSABLE_ENTITY, root);
+            addProblems(root.putArray("problems"), answer);
+            OperatorReplies.sendJson(exchange, StatusCodes.UNPROCESSABLE_ENTITY, root);
         }
     }
 
-    private static void problems(final ArrayNode problems, final ChangeAnswer answer) {
-        if (answer instanceof ChangeAnswer.Invalid invalid) {
+    private static void addProblems(final ArrayNode problems, final ChangeResult answer) {
+        if (answer instanceof ChangeResult.Invalid invalid) {
             invalid.problems()
                     .forEach(
                             problem ->
@@ -135,7 +137,7 @@
                                             .put("path", problem.path())
                                             .put("messageKey", problem.messageKey())
                                             .put("message", problem.message()));
-        } else if (answer instanceof ChangeAnswer.Refused refused) {
+        } else if (answer instanceof ChangeResult.Refused refused) {
             refused.problems().forEach(problems::add);
         }
     }
--- a/daemon/src/main/java/org/whinhead/daemon/operator/DecisionSource.java
+++ b/daemon/src/main/java/org/whinhead/daemon/operator/DecisionSource.java
@@ -14,5 +14,5 @@
      * @param id the request's identity, with or without the customer and service before it
      * @return the decisions, oldest first, on any thread
      */
-    CompletionStage<List<Decision>> about(String id);
+    CompletionStage<List<Decision>> findDecisions(String id);
 }
--- a/daemon/src/main/java/org/whinhead/daemon/operator/ExplainHandler.java
+++ b/daemon/src/main/java/org/whinhead/daemon/operator/ExplainHandler.java
@@ -17,20 +17,22 @@
     }
 
     void explain(final HttpServerExchange exchange) {
-        final String id = Parameters.text(exchange, "id");
+        final String id = QueryParameters.text(exchange, "id");
         if (id.isEmpty()) {
-            OperatorReplies.fail(
+            OperatorReplies.sendError(
                     exchange, StatusCodes.BAD_REQUEST, "operator.bad-parameter", "id", id);
             return;
         }
-        OperatorReplies.later(
-                exchange, mDecisions.about(id), decisions -> answer(exchange, id, decisions));
+        OperatorReplies.sendWhenComplete(
+                exchange,
+                mDecisions.findDecisions(id),
+                decisions -> answer(exchange, id, decisions));
     }
 
     private static void answer(
             final HttpServerExchange exchange, final String id, final List<Decision> decisions) {
         if (decisions.isEmpty()) {
-            OperatorReplies.fail(exchange, StatusCodes.NOT_FOUND, "operator.no-decisions", id);
+            OperatorReplies.sendError(exchange, StatusCodes.NOT_FOUND, "operator.no-decisions", id);
             return;
         }
         final ObjectNode root = OperatorReplies.object().put("id", id);
@@ -44,6 +46,6 @@
             decision.endpoint().ifPresent(endpoint -> node.put("endpoint", endpoint.value()));
             node.put("cause", decision.cause());
         }
-        OperatorReplies.json(exchange, StatusCodes.OK, root);
+        OperatorReplies.sendJson(exchange, StatusCodes.OK, root);
     }
 }
--- a/daemon/src/main/java/org/whinhead/daemon/operator/OperatorCalls.java
+++ b/daemon/src/main/java/org/whinhead/daemon/operator/OperatorCallDispatcher.java
@@ -3,15 +3,15 @@
 import com.fasterxml.jackson.databind.node.ObjectNode;
 import io.undertow.server.HttpServerExchange;
 import io.undertow.util.StatusCodes;
-import org.whinhead.daemon.log.LogDuty;
-import org.whinhead.daemon.log.LogStanding;
+import org.whinhead.daemon.log.LogService;
+import org.whinhead.daemon.log.LogSnapshot;
 import org.whinhead.settings.daemon.OperatorKey;
 import org.whinhead.state.fold.FoldView;
 
 /** The operators' calls about what stands on the log and what was decided. */
-public final class OperatorCalls {
+public final class OperatorCallDispatcher {
 
-    private final LogDuty mDuty;
+    private final LogService mLog;
     private final SettingsHandler mSettings;
     private final ChangeHandler mChanges;
     private final ExplainHandler mExplain;
@@ -24,12 +24,12 @@
      * @param peers asks the other daemons
      * @param decisions finds decisions
      */
-    public OperatorCalls(
+    public OperatorCallDispatcher(
             final String self,
-            final LogDuty duty,
-            final PeersInForce peers,
+            final LogService duty,
+            final RevisionQuery peers,
             final DecisionSource decisions) {
-        mDuty = duty;
+        mLog = duty;
         mSettings = new SettingsHandler(duty, self, peers);
         mChanges = new ChangeHandler(duty);
         mExplain = new ExplainHandler(decisions);
@@ -45,7 +45,7 @@
             case "POST /operator/settings" -> mChanges.post(exchange, key);
             case "GET /operator/explain" -> mExplain.explain(exchange);
             default ->
-                    OperatorReplies.fail(
+                    OperatorReplies.sendError(
                             exchange,
                             StatusCodes.NOT_FOUND,
                             "operator.no-such-call",
@@ -55,18 +55,18 @@
     }
 
     /** Tells whether the daemon follows the log and knows the rules in force. */
-    boolean isAble() {
-        final FoldView fold = mDuty.standing().fold();
-        return fold.caughtUp() && !fold.blocked() && mDuty.isLogAnswering();
+    boolean isLogUsable() {
+        final FoldView fold = mLog.snapshot().fold();
+        return fold.caughtUp() && !fold.blocked() && mLog.isLogAnswering();
     }
 
     /** Describes how far the log was followed. */
-    void describe(final ObjectNode root) {
-        final LogStanding standing = mDuty.standing();
+    void addLogStatus(final ObjectNode root) {
+        final LogSnapshot standing = mLog.snapshot();
         root.put("position", standing.fold().state().asOf());
         root.put("source", standing.fold().source().name().toLowerCase());
         root.put("caughtUp", standing.fold().caughtUp());
         root.put("blocked", standing.fold().blocked());
-        root.put("answering", mDuty.isLogAnswering());
+        root.put("answering", mLog.isLogAnswering());
     }
 }
--- a/daemon/src/main/java/org/whinhead/daemon/operator/OperatorHandler.java
+++ b/daemon/src/main/java/org/whinhead/daemon/operator/OperatorHandler.java
@@ -22,7 +22,7 @@
     private final DaemonSettings mSettings;
     private final DaemonStatus mStatus;
     private final Meters mMeters;
-    private final OperatorCalls mCalls;
+    private final OperatorCallDispatcher mCalls;
     private final BurnHandler mBurn;
 
     /**
@@ -38,7 +38,7 @@
             final DaemonSettings settings,
             final DaemonStatus status,
             final Meters meters,
-            final OperatorCalls calls,
+            final OperatorCallDispatcher calls,
             final BurnHandler burn) {
         mSettings = settings;
         mStatus = status;
@@ -50,29 +50,30 @@
     @Override
     public void handleRequest(final HttpServerExchange exchange) {
         if (!exchange.getRequestMethod().equals(Methods.GET)) {
-            asOperator(exchange, key -> mCalls.handle(exchange, key));
+            authenticate(exchange, key -> mCalls.handle(exchange, key));
             return;
         }
         switch (exchange.getRequestPath()) {
-            case "/health/live" -> text(exchange, StatusCodes.OK, "live\n");
+            case "/health/live" -> sendText(exchange, StatusCodes.OK, "live\n");
             case "/health/ready" -> ready(exchange);
-            case "/metrics" -> text(exchange, StatusCodes.OK, mMeters.text());
-            case "/operator/status" -> asOperator(exchange, key -> status(exchange));
-            case "/operator/addresses" -> asOperator(exchange, key -> addresses(exchange));
-            case "/operator/burn" -> asOperator(exchange, key -> mBurn.handleRequest(exchange));
-            default -> asOperator(exchange, key -> mCalls.handle(exchange, key));
+            case "/metrics" -> sendText(exchange, StatusCodes.OK, mMeters.text());
+            case "/operator/status" -> authenticate(exchange, key -> status(exchange));
+            case "/operator/addresses" -> authenticate(exchange, key -> addresses(exchange));
+            case "/operator/burn" -> authenticate(exchange, key -> mBurn.handleRequest(exchange));
+            default -> authenticate(exchange, key -> mCalls.handle(exchange, key));
         }
     }
 
     private void ready(final HttpServerExchange exchange) {
         if (mStatus.isReady()) {
-            text(exchange, StatusCodes.OK, "ready\n");
+            sendText(exchange, StatusCodes.OK, "ready\n");
         } else {
-            text(exchange, StatusCodes.SERVICE_UNAVAILABLE, "not ready\n");
+            sendText(exchange, StatusCodes.SERVICE_UNAVAILABLE, "not ready\n");
         }
     }
 
-    private void asOperator(final HttpServerExchange exchange, final Consumer<OperatorKey> answer) {
+    private void authenticate(
+            final HttpServerExchange exchange, final Consumer<OperatorKey> answer) {
         final String header = exchange.getRequestHeaders().getFirst(Headers.AUTHORIZATION);
         final Optional<OperatorKey> key =
                 Optional.ofNullable(header)
@@ -84,7 +85,7 @@
         if (key.isPresent()) {
             answer.accept(key.get());
         } else {
-            OperatorReplies.fail(exchange, StatusCodes.UNAUTHORIZED, "operator.unknown-key");
+            OperatorReplies.sendError(exchange, StatusCodes.UNAUTHORIZED, "operator.unknown-key");
         }
     }
 
@@ -94,14 +95,14 @@
         root.put("incarnation", mStatus.id().value());
         root.put("domain", mSettings.domain().toString());
         final boolean usable = mStatus.settings().notUsable().isEmpty();
-        root.put("able", mStatus.isReady() && usable && mCalls.isAble());
+        root.put("able", mStatus.isReady() && usable && mCalls.isLogUsable());
         final ArrayNode notUsable = root.putArray("notUsable");
         mStatus.settings().notUsable().forEach(path -> notUsable.add(path.text()));
         root.put("settingsRevision", mStatus.settingsRevision());
         root.put("inProgress", mStatus.inProgress());
         root.put("stopping", mStatus.isStopping());
-        mCalls.describe(root.putObject("log"));
-        OperatorReplies.json(exchange, StatusCodes.OK, root);
+        mCalls.addLogStatus(root.putObject("log"));
+        OperatorReplies.sendJson(exchange, StatusCodes.OK, root);
     }
 
     private void addresses(final HttpServerExchange exchange) {
@@ -114,10 +115,10 @@
                     .put("domain", address.domain().toString())
                     .put("state", "live");
         }
-        OperatorReplies.json(exchange, StatusCodes.OK, root);
+        OperatorReplies.sendJson(exchange, StatusCodes.OK, root);
     }
 
-    private static void text(
+    private static void sendText(
             final HttpServerExchange exchange, final int status, final String text) {
         exchange.setStatusCode(status);
         exchange.getResponseHeaders().put(Headers.CONTENT_TYPE, "text/plain; charset=utf-8");
--- a/daemon/src/main/java/org/whinhead/daemon/operator/OperatorReplies.java
+++ b/daemon/src/main/java/org/whinhead/daemon/operator/OperatorReplies.java
@@ -21,22 +21,22 @@
         return JsonNodeFactory.instance.objectNode();
     }
 
-    static void json(final HttpServerExchange exchange, final int status, final JsonNode body) {
+    static void sendJson(final HttpServerExchange exchange, final int status, final JsonNode body) {
         exchange.setStatusCode(status);
         exchange.getResponseHeaders().put(Headers.CONTENT_TYPE, JSON);
         exchange.getResponseSender().send(body.toString());
     }
 
-    static void fail(
+    static void sendError(
             final HttpServerExchange exchange,
             final int status,
             final String key,
             final Object... arguments) {
-        json(exchange, status, object().put("message", OperatorMessages.text(key, arguments)));
+        sendJson(exchange, status, object().put("message", OperatorMessages.text(key, arguments)));
     }
 
     /** Answers on the exchange's IO thread once the stage has ended. */
-    static <T> void later(
+    static <T> void sendWhenComplete(
             final HttpServerExchange exchange,
             final CompletionStage<T> stage,
             final Consumer<T> answer) {
@@ -48,12 +48,12 @@
                                         exchange.getIoThread()
                                                 .execute(
                                                         () ->
-                                                                end(
+                                                                sendOutcome(
                                                                         exchange, value, fault,
                                                                         answer))));
     }
 
-    private static <T> void end(
+    private static <T> void sendOutcome(
             final HttpServerExchange exchange,
             final T value,
             final Throwable fault,
@@ -61,7 +61,11 @@
         if (fault == null) {
             answer.accept(value);
         } else {
-            fail(exchange, StatusCodes.INTERNAL_SERVER_ERROR, "operator.fault", fault.getMessage());
+            sendError(
+                    exchange,
+                    StatusCodes.INTERNAL_SERVER_ERROR,
+                    "operator.fault",
+                    fault.getMessage());
         }
     }
 }
--- a/daemon/src/main/java/org/whinhead/daemon/operator/Parameters.java
+++ b/daemon/src/main/java/org/whinhead/daemon/operator/QueryParameters.java
@@ -5,9 +5,9 @@
 import java.util.OptionalLong;
 
 /** Reads the parameters of an operator's call. */
-final class Parameters {
+final class QueryParameters {
 
-    private Parameters() {}
+    private QueryParameters() {}
 
     /** Returns a parameter's first value; empty if it was not sent. */
     static String text(final HttpServerExchange exchange, final String name) {
--- a/daemon/src/main/java/org/whinhead/daemon/operator/PeersInForce.java
+++ b/daemon/src/main/java/org/whinhead/daemon/operator/RevisionQuery.java
@@ -5,7 +5,7 @@
 
 /** Tells which other daemons have folded the log up to a revision. */
 @FunctionalInterface
-public interface PeersInForce {
+public interface RevisionQuery {
 
     /**
      * Asks the other daemons, within a bound of time.
@@ -13,7 +13,7 @@
      * @param revision the revision
      * @return who is known to hold it and who is not, on any thread
      */
-    CompletionStage<Report> upTo(long revision);
+    CompletionStage<Report> query(long revision);
 
     /**
      * What is known of the other daemons.
--- a/daemon/src/main/java/org/whinhead/daemon/operator/SettingsHandler.java
+++ b/daemon/src/main/java/org/whinhead/daemon/operator/SettingsHandler.java
@@ -11,8 +11,8 @@
 import java.util.List;
 import java.util.Optional;
 import java.util.OptionalLong;
-import org.whinhead.daemon.log.LogDuty;
-import org.whinhead.daemon.log.LogStanding;
+import org.whinhead.daemon.log.LogService;
+import org.whinhead.daemon.log.LogSnapshot;
 import org.whinhead.state.settings.SettingRevision;
 import org.whinhead.state.settings.SettingsState;
 
@@ -20,23 +20,23 @@
 final class SettingsHandler {
 
     private static final ObjectMapper MAPPER = new ObjectMapper();
-    private static final String BELOW = "/";
-    private static final long DEFAULT_MAX = 20;
+    private static final String SUBTREE_SUFFIX = "/";
+    private static final long DEFAULT_MAX_REVISIONS = 20;
 
-    private final LogDuty mDuty;
+    private final LogService mLog;
     private final String mSelf;
-    private final PeersInForce mPeers;
+    private final RevisionQuery mPeers;
 
-    SettingsHandler(final LogDuty duty, final String self, final PeersInForce peers) {
-        mDuty = duty;
+    SettingsHandler(final LogService duty, final String self, final RevisionQuery peers) {
+        mLog = duty;
         mSelf = self;
         mPeers = peers;
     }
 
     void get(final HttpServerExchange exchange) {
-        final String path = Parameters.text(exchange, "path");
+        final String path = QueryParameters.text(exchange, "path");
         final SettingsState state = state();
-        if (path.endsWith(BELOW)) {
+        if (path.endsWith(SUBTREE_SUFFIX)) {
             final ArrayNode list = JsonNodeFactory.instance.arrayNode();
             state.documents().tailMap(path, false).keySet().stream()
                     .takeWhile(below -> below.startsWith(path))
@@ -46,29 +46,29 @@
                                             inForce(
                                                     below,
                                                     state.currentRevision(below).orElseThrow())));
-            OperatorReplies.json(exchange, StatusCodes.OK, list);
+            OperatorReplies.sendJson(exchange, StatusCodes.OK, list);
             return;
         }
         final Optional<SettingRevision> revision = state.currentRevision(path);
         if (revision.isPresent() && revision.get().document().isPresent()) {
-            OperatorReplies.json(exchange, StatusCodes.OK, inForce(path, revision.get()));
+            OperatorReplies.sendJson(exchange, StatusCodes.OK, inForce(path, revision.get()));
         } else {
-            nothingThere(exchange, path, revision);
+            sendNotFound(exchange, path, revision);
         }
     }
 
     private SettingsState state() {
-        return mDuty.standing().fold().state().settings();
+        return mLog.snapshot().fold().state().settings();
     }
 
-    private static void nothingThere(
+    private static void sendNotFound(
             final HttpServerExchange exchange,
             final String path,
             final Optional<SettingRevision> deletion) {
         final ObjectNode root = OperatorReplies.object();
         root.put("message", OperatorMessages.text("operator.nothing-there", path));
         deletion.ifPresent(revision -> root.put("revision", revision.revision()));
-        OperatorReplies.json(exchange, StatusCodes.NOT_FOUND, root);
+        OperatorReplies.sendJson(exchange, StatusCodes.NOT_FOUND, root);
     }
 
     private static ObjectNode inForce(final String path, final SettingRevision revision) {
@@ -96,45 +96,46 @@
     }
 
     void history(final HttpServerExchange exchange) {
-        final String path = Parameters.text(exchange, "path");
+        final String path = QueryParameters.text(exchange, "path");
         final List<SettingRevision> kept = state().history().getOrDefault(path, List.of());
         if (kept.isEmpty()) {
-            nothingThere(exchange, path, Optional.empty());
+            sendNotFound(exchange, path, Optional.empty());
             return;
         }
-        final long max = Parameters.number(exchange, "max").orElse(DEFAULT_MAX);
+        final long max = QueryParameters.number(exchange, "max").orElse(DEFAULT_MAX_REVISIONS);
         final ObjectNode root = OperatorReplies.object();
         final ArrayNode array = root.putArray("revisions");
         for (int i = kept.size() - 1; i >= 0 && array.size() < max; i--) {
             describe(array.addObject(), kept.get(i)).put("changeId", kept.get(i).changeId());
         }
-        OperatorReplies.json(exchange, StatusCodes.OK, root);
+        OperatorReplies.sendJson(exchange, StatusCodes.OK, root);
     }
 
     void inForce(final HttpServerExchange exchange) {
-        final OptionalLong revision = Parameters.number(exchange, "revision");
+        final OptionalLong revision = QueryParameters.number(exchange, "revision");
         if (revision.isEmpty()) {
-            OperatorReplies.fail(
+            OperatorReplies.sendError(
                     exchange,
                     StatusCodes.BAD_REQUEST,
                     "operator.bad-parameter",
                     "revision",
-                    Parameters.text(exchange, "revision"));
+                    QueryParameters.text(exchange, "revision"));
             return;
         }
         final long wanted = revision.getAsLong();
-        OperatorReplies.later(
+        OperatorReplies.sendWhenComplete(
                 exchange,
-                mPeers.upTo(wanted),
-                report -> OperatorReplies.json(exchange, StatusCodes.OK, report(wanted, report)));
+                mPeers.query(wanted),
+                report ->
+                        OperatorReplies.sendJson(exchange, StatusCodes.OK, report(wanted, report)));
     }
 
-    private ObjectNode report(final long wanted, final PeersInForce.Report peers) {
+    private ObjectNode report(final long wanted, final RevisionQuery.Report peers) {
         final ObjectNode root = OperatorReplies.object();
         final ArrayNode inForce = root.putArray("inForce");
         final ArrayNode missing = root.putArray("missing");
-        final LogStanding standing = mDuty.standing();
-        (standing.holds(wanted) ? inForce : missing).add(mSelf);
+        final LogSnapshot standing = mLog.snapshot();
+        (standing.hasFolded(wanted) ? inForce : missing).add(mSelf);
         peers.inForce().forEach(inForce::add);
         peers.missing().forEach(missing::add);
         return root;
--- a/daemon/src/main/java/org/whinhead/daemon/peers/LoadSharing.java
+++ b/daemon/src/main/java/org/whinhead/daemon/peers/LoadReportSharing.java
@@ -25,25 +25,25 @@
  * Decides whose load this daemon asks for and passes the answers on to the peers that route by
  * them.
  */
-final class LoadSharing {
+final class LoadReportSharing {
 
-    private static final Duration SHORTEST_INTERVAL = Duration.ofSeconds(1);
+    private static final Duration MIN_INTERVAL = Duration.ofSeconds(1);
 
     /** Keeps the bytes of digests about the same a second, however many peers there are. */
     private static final Duration INTERVAL_PER_PEER = Duration.ofMillis(60);
 
     private final DaemonMember mSelf;
-    private final Map<EndpointId, LoadReport> mFresh = new HashMap<>();
+    private final Map<EndpointId, LoadReport> mUnsentReports = new HashMap<>();
     private List<DaemonAddress> mPeers = List.of();
-    private Instant mNext = Instant.MIN;
+    private Instant mNextDigest = Instant.MIN;
     private volatile Optional<Set<EndpointId>> mPolled = Optional.empty();
 
-    LoadSharing(final DaemonMember self) {
+    LoadReportSharing(final DaemonMember self) {
         mSelf = self;
     }
 
     /** Tells, from any thread, whether this daemon polls an endpoint; all before the first plan. */
-    boolean polls(final EndpointId endpoint) {
+    boolean isPolledHere(final EndpointId endpoint) {
         return mPolled.map(polled -> polled.contains(endpoint)).orElse(true);
     }
 
@@ -51,12 +51,12 @@
         final List<DaemonLocation> places = new ArrayList<>();
         for (final DaemonMember member : view.daemons()) {
             if (member.vm().state() == VmState.LIVE) {
-                places.add(place(member));
+                places.add(location(member));
             }
         }
         final WatchPlan plan =
                 WatchPlan.of(
-                        place(mSelf),
+                        location(mSelf),
                         places,
                         List.copyOf(view.endpoints()),
                         WatchPlan.Limits.DEFAULT);
@@ -70,12 +70,12 @@
     }
 
     /** All daemons name each other by their VMs, so that they agree on who polls what. */
-    private static DaemonLocation place(final DaemonMember member) {
+    private static DaemonLocation location(final DaemonMember member) {
         return new DaemonLocation(new DaemonId(member.id().value()), member.vm().domain());
     }
 
-    void polled(final LoadReport report) {
-        mFresh.put(report.endpoint(), report);
+    void addReport(final LoadReport report) {
+        mUnsentReports.put(report.endpoint(), report);
     }
 
     List<DaemonAddress> peers() {
@@ -83,20 +83,20 @@
     }
 
     /** Returns the digest to send now, if one is due and there is news. */
-    Optional<Envelope> due(final Instant now) {
-        if (now.isBefore(mNext) || mFresh.isEmpty()) {
+    Optional<Envelope> nextDigest(final Instant now) {
+        if (now.isBefore(mNextDigest) || mUnsentReports.isEmpty()) {
             return Optional.empty();
         }
-        mNext = now.plus(interval());
+        mNextDigest = now.plus(interval());
         final PeerProto.LoadDigest.Builder digest = PeerProto.LoadDigest.newBuilder();
-        mFresh.values().forEach(report -> digest.addReports(encode(report)));
-        mFresh.clear();
+        mUnsentReports.values().forEach(report -> digest.addReports(encode(report)));
+        mUnsentReports.clear();
         return Optional.of(Envelope.newBuilder().setLoadDigest(digest).build());
     }
 
     private Duration interval() {
         final Duration interval = INTERVAL_PER_PEER.multipliedBy(mPeers.size());
-        return interval.compareTo(SHORTEST_INTERVAL) > 0 ? interval : SHORTEST_INTERVAL;
+        return interval.compareTo(MIN_INTERVAL) > 0 ? interval : MIN_INTERVAL;
     }
 
     private static PeerProto.EndpointLoad encode(final LoadReport report) {
--- a/daemon/src/main/java/org/whinhead/daemon/peers/OwnMember.java
+++ b/daemon/src/main/java/org/whinhead/daemon/peers/OwnMemberFactory.java
@@ -10,11 +10,11 @@
 import org.whinhead.settings.daemon.DaemonSettings;
 
 /** Makes the description of itself that a daemon gives to its peers. */
-final class OwnMember {
+final class OwnMemberFactory {
 
     private static final String MACHINE_CLASS = "entry";
 
-    private OwnMember() {}
+    private OwnMemberFactory() {}
 
     /**
      * Describes the daemon. One that listens on every address is reached at the address that
--- a/daemon/src/main/java/org/whinhead/daemon/peers/PeerMeters.java
+++ b/daemon/src/main/java/org/whinhead/daemon/peers/PeerMeters.java
@@ -19,7 +19,7 @@
      * @param meters where to
      * @param duty the duty
      */
-    public static void register(final Meters meters, final PeerDuty duty) {
+    public static void register(final Meters meters, final PeerService duty) {
         for (final VmState state : VmState.values()) {
             final String name = state.name().toLowerCase(Locale.ROOT);
             meters.gauge(
@@ -48,7 +48,7 @@
                 PeerCounters::bytesSent);
     }
 
-    private static long count(final PeerDuty duty, final VmState state) {
+    private static long count(final PeerService duty, final VmState state) {
         return duty.view().daemons().stream()
                 .filter(member -> member.vm().state() == state)
                 .count();
@@ -60,7 +60,7 @@
 
     private static void counter(
             final Meters meters,
-            final PeerDuty duty,
+            final PeerService duty,
             final String name,
             final String description,
             final ToLongFunction<PeerCounters> read) {
--- a/daemon/src/main/java/org/whinhead/daemon/peers/InForceQuestions.java
+++ b/daemon/src/main/java/org/whinhead/daemon/peers/PeerPositionQuery.java
@@ -10,7 +10,7 @@
 import java.util.function.Supplier;
 import org.whinhead.api.model.VmId;
 import org.whinhead.api.model.VmState;
-import org.whinhead.daemon.operator.PeersInForce;
+import org.whinhead.daemon.operator.RevisionQuery;
 import org.whinhead.membership.DaemonMember;
 import org.whinhead.membership.MembershipView;
 import org.whinhead.peer.PeerTransport;
@@ -19,7 +19,7 @@
 import org.whinhead.peer.generated.PeerProto.SettingsReply;
 
 /** Asks the other daemons how far they have folded the log, and answers their questions. */
-final class InForceQuestions implements PeersInForce {
+final class PeerPositionQuery implements RevisionQuery {
 
     private static final Duration TIMEOUT = Duration.ofSeconds(1);
     private static final Envelope QUERY =
@@ -30,7 +30,7 @@
     private final Supplier<MembershipView> mView;
     private final LongSupplier mPosition;
 
-    InForceQuestions(
+    PeerPositionQuery(
             final PeerTransport transport,
             final VmId self,
             final Supplier<MembershipView> view,
@@ -49,15 +49,15 @@
     }
 
     @Override
-    public CompletionStage<Report> upTo(final long revision) {
+    public CompletionStage<Report> query(final long revision) {
         final List<DaemonMember> asked =
                 mView.get().daemons().stream()
                         .filter(member -> !member.id().equals(mSelf))
-                        .filter(InForceQuestions::isExpectedToServe)
+                        .filter(PeerPositionQuery::isExpectedToServe)
                         .sorted(Comparator.comparing(DaemonMember::id))
                         .toList();
         final List<CompletableFuture<Boolean>> answers =
-                asked.stream().map(member -> holds(member, revision)).toList();
+                asked.stream().map(member -> hasFolded(member, revision)).toList();
         return CompletableFuture.allOf(answers.toArray(CompletableFuture[]::new))
                 .thenApply(all -> report(asked, answers));
     }
@@ -68,7 +68,7 @@
         return state == VmState.LIVE || state == VmState.SUSPECT;
     }
 
-    private CompletableFuture<Boolean> holds(final DaemonMember member, final long revision) {
+    private CompletableFuture<Boolean> hasFolded(final DaemonMember member, final long revision) {
         return mTransport
                 .request(member.address(), QUERY, TIMEOUT)
                 .handle(
--- a/daemon/src/main/java/org/whinhead/daemon/peers/PeerDuty.java
+++ b/daemon/src/main/java/org/whinhead/daemon/peers/PeerService.java
@@ -18,8 +18,8 @@
 import org.whinhead.api.model.VmId;
 import org.whinhead.api.model.VmState;
 import org.whinhead.clients.vms.VmListing;
-import org.whinhead.daemon.duty.DutyLoop;
-import org.whinhead.daemon.operator.PeersInForce;
+import org.whinhead.daemon.duty.TaskLoop;
+import org.whinhead.daemon.operator.RevisionQuery;
 import org.whinhead.membership.DaemonAddress;
 import org.whinhead.membership.DaemonMember;
 import org.whinhead.membership.LeavingNotice;
@@ -44,43 +44,44 @@
 import org.xnio.XnioIoThread;
 
 /** Talks with the other daemons on a thread of its own: who is live, and who knows what. */
-public final class PeerDuty implements AutoCloseable {
+public final class PeerService implements AutoCloseable {
 
-    private static final Logger LOGGER = LoggerFactory.getLogger(PeerDuty.class);
+    private static final Logger LOGGER = LoggerFactory.getLogger(PeerService.class);
     private static final int RING_SLOTS = 4096;
     private static final long TICK_MILLIS = 100;
     private static final long RETRY_MILLIS = 5;
-    private static final long FAREWELL_MILLIS = 2_000;
-    private static final long LONGEST_FAREWELL_MILLIS = 3_000;
+    private static final long STOP_ANNOUNCEMENT_MILLIS = 2_000;
+    private static final long MAX_STOP_ANNOUNCEMENT_MILLIS = 3_000;
     private static final Duration RELOAD_INTERVAL = Duration.ofSeconds(10);
-    private static final String RANDOM = "L64X128MixRandom";
+    private static final String RANDOM_ALGORITHM = "L64X128MixRandom";
 
     private final DaemonSettings mSettings;
     private final InstantSource mClock;
     private final XnioIoThread mTimers;
-    private final PeerDutyListener mListener;
-    private final DutyLoop mLoop;
+    private final PeerServiceListener mListener;
+    private final TaskLoop mLoop;
     private final NettyPeerTransport mTransport;
     private final DaemonMember mSelf;
-    private final Seeds mSeeds;
-    private final ListedVms mListed;
-    private final LoadSharing mLoad;
-    private final ViewOutlet mOutlet;
-    private final InForceQuestions mInForce;
+    private final SeedSelector mSeeds;
+    private final VmListConverter mVmListConverter;
+    private final LoadReportSharing mLoad;
+    private final ViewChangePublisher mPublisher;
+    private final PeerPositionQuery mPositionQuery;
     private final XnioExecutor.Key mTicks;
     private volatile Membership mMembership;
     private volatile MembershipView mView;
-    private volatile CompletableFuture<Void> mFarewell = CompletableFuture.completedFuture(null);
+    private volatile CompletableFuture<Void> mStopAnnounced =
+            CompletableFuture.completedFuture(null);
     private Instant mNextReload;
 
-    private PeerDuty(
+    private PeerService(
             final DaemonSettings settings,
             final DaemonId id,
             final InstantSource clock,
             final XnioIoThread timers,
             final LongSupplier position,
-            final PeerDutyListener listener,
-            final DutyLoop loop)
+            final PeerServiceListener listener,
+            final TaskLoop loop)
             throws PeerException {
         mSettings = settings;
         mClock = clock;
@@ -93,14 +94,14 @@
                         new PeerIdentity(settings.vm(), id),
                         tlsFiles(settings),
                         clock,
-                        RandomGenerator.of(RANDOM),
-                        this::arrived);
-        mSelf = OwnMember.of(settings, listen());
-        mSeeds = new Seeds(settings.seeds(), mSelf.address());
-        mListed = new ListedVms(mSelf);
-        mLoad = new LoadSharing(mSelf);
-        mOutlet = new ViewOutlet(settings.vm(), vm -> mMembership.goneBy(vm), listener);
-        mInForce = new InForceQuestions(mTransport, settings.vm(), this::view, position);
+                        RandomGenerator.of(RANDOM_ALGORITHM),
+                        this::enqueue);
+        mSelf = OwnMemberFactory.of(settings, listen());
+        mSeeds = new SeedSelector(settings.seeds(), mSelf.address());
+        mVmListConverter = new VmListConverter(mSelf);
+        mLoad = new LoadReportSharing(mSelf);
+        mPublisher = new ViewChangePublisher(settings.vm(), vm -> mMembership.goneBy(vm), listener);
+        mPositionQuery = new PeerPositionQuery(mTransport, settings.vm(), this::view, position);
         final Instant now = clock.instant();
         mNextReload = now.plus(RELOAD_INTERVAL);
         final Membership membership =
@@ -108,7 +109,7 @@
                         MembershipSettings.defaults(),
                         mSelf,
                         now.toEpochMilli(),
-                        RandomGenerator.of(RANDOM),
+                        RandomGenerator.of(RANDOM_ALGORITHM),
                         new Actions(),
                         now);
         mView = membership.view();
@@ -130,17 +131,17 @@
      * @return the duty, which listens
      * @throws PeerException if the peer address or the TLS files cannot be used
      */
-    public static PeerDuty start(
+    public static PeerService start(
             final DaemonSettings settings,
             final DaemonId id,
             final InstantSource clock,
             final XnioIoThread timers,
             final LongSupplier position,
-            final PeerDutyListener listener)
+            final PeerServiceListener listener)
             throws PeerException {
-        final DutyLoop loop = new DutyLoop(settings.name() + "-peers", RING_SLOTS);
+        final TaskLoop loop = new TaskLoop(settings.name() + "-peers", RING_SLOTS);
         try {
-            return new PeerDuty(settings, id, clock, timers, position, listener, loop);
+            return new PeerService(settings, id, clock, timers, position, listener, loop);
         } catch (final PeerException e) {
             loop.close();
             throw e;
@@ -175,8 +176,8 @@
     }
 
     /** Returns what asks the other daemons how far they have folded the log. */
-    public PeersInForce inForce() {
-        return mInForce;
+    public RevisionQuery revisionQuery() {
+        return mPositionQuery;
     }
 
     /** Returns what the transport has counted, from any thread. */
@@ -190,8 +191,8 @@
      * @param endpoint the endpoint
      * @return false if peers ask it and share the answer
      */
-    public boolean polls(final EndpointId endpoint) {
-        return mLoad.polls(endpoint);
+    public boolean isPolledHere(final EndpointId endpoint) {
+        return mLoad.isPolledHere(endpoint);
     }
 
     /**
@@ -199,12 +200,12 @@
      *
      * @param listing the list
      */
-    public void listed(final VmListing listing) {
+    public void vmListRead(final VmListing listing) {
         mLoop.offer(
                 () -> {
                     final Instant now = mClock.instant();
-                    mMembership.listReceived(mListed.snapshot(listing, mView), now);
-                    mOutlet.publish(mView, now);
+                    mMembership.listReceived(mVmListConverter.snapshot(listing, mView), now);
+                    mPublisher.publish(mView, now);
                 });
     }
 
@@ -213,11 +214,11 @@
      *
      * @param endpoints all endpoints of the list
      */
-    public void described(final List<Endpoint> endpoints) {
-        deliver(
+    public void endpointsDescribed(final List<Endpoint> endpoints) {
+        offerUntilAccepted(
                 () -> {
-                    mOutlet.described(endpoints);
-                    mOutlet.publish(mView, mClock.instant());
+                    mPublisher.endpointsDescribed(endpoints);
+                    mPublisher.publish(mView, mClock.instant());
                 });
     }
 
@@ -226,12 +227,12 @@
      *
      * @param notice the VMs
      */
-    public void noticed(final LeavingNotice notice) {
-        deliver(
+    public void noticeReceived(final LeavingNotice notice) {
+        offerUntilAccepted(
                 () -> {
                     final Instant now = mClock.instant();
                     mMembership.noticeReceived(notice, now);
-                    mOutlet.publish(mView, now);
+                    mPublisher.publish(mView, now);
                 });
     }
 
@@ -240,8 +241,8 @@
      *
      * @param report the answer
      */
-    public void polled(final LoadReport report) {
-        mLoop.offer(() -> mLoad.polled(report));
+    public void loadPolled(final LoadReport report) {
+        mLoop.offer(() -> mLoad.addReport(report));
     }
 
     /**
@@ -253,17 +254,19 @@
      *
      * @param goneBy when it stops answering
      */
-    public void stopping(final Instant goneBy) {
+    public void announceStop(final Instant goneBy) {
         final CompletableFuture<Void> told = new CompletableFuture<>();
-        mFarewell = told;
-        deliver(
+        mStopAnnounced = told;
+        offerUntilAccepted(
                 () -> {
                     final Instant now = mClock.instant();
-                    mOutlet.ownStop();
+                    mPublisher.ownStopBegun();
                     mMembership.shutdownStarted(goneBy, now);
                     mMembership.tick(now);
                     mTimers.executeAfter(
-                            () -> told.complete(null), FAREWELL_MILLIS, TimeUnit.MILLISECONDS);
+                            () -> told.complete(null),
+                            STOP_ANNOUNCEMENT_MILLIS,
+                            TimeUnit.MILLISECONDS);
                 });
     }
 
@@ -271,54 +274,55 @@
      * Hands over what comes only once. Guards against a full ring, which would lose a notice and
      * leave its VM open to new work on every daemon: it is offered again until there is room.
      */
-    private void deliver(final Runnable task) {
+    private void offerUntilAccepted(final Runnable task) {
         if (!mLoop.offer(task)) {
-            mTimers.executeAfter(() -> deliver(task), RETRY_MILLIS, TimeUnit.MILLISECONDS);
+            mTimers.executeAfter(
+                    () -> offerUntilAccepted(task), RETRY_MILLIS, TimeUnit.MILLISECONDS);
         }
     }
 
-    private void arrived(final IncomingMessage message) {
+    private void enqueue(final IncomingMessage message) {
         // A message that finds the ring full is lost like any other; peers say all again.
-        mLoop.offer(() -> received(message));
+        mLoop.offer(() -> receive(message));
     }
 
-    private void received(final IncomingMessage message) {
+    private void receive(final IncomingMessage message) {
         if (mMembership == null) {
             // The address is taken before this daemon can tell it to others, so nobody waits yet.
             return;
         }
         try {
-            take(message);
+            handle(message);
         } catch (final IllegalArgumentException e) {
             LOGGER.atDebug().addKeyValue("from", message.from()).log(e.getMessage());
         }
     }
 
-    private void take(final IncomingMessage message) {
+    private void handle(final IncomingMessage message) {
         final Envelope envelope = message.envelope();
         if (envelope.hasLoadDigest()) {
-            LoadSharing.decode(envelope.getLoadDigest()).forEach(mListener::loadReported);
+            LoadReportSharing.decode(envelope.getLoadDigest()).forEach(mListener::loadReported);
             return;
         }
         if (envelope.hasSettingsQuery()) {
-            message.reply(mInForce.answer());
+            message.reply(mPositionQuery.answer());
             return;
         }
         final Optional<MembershipMessage> decoded = MembershipCodec.decode(envelope);
         if (decoded.isPresent()) {
             final Instant now = mClock.instant();
             mMembership.messageReceived(message.from(), decoded.get(), now);
-            mOutlet.publish(mView, now);
+            mPublisher.publish(mView, now);
         }
     }
 
     private void tick() {
         final Instant now = mClock.instant();
         mMembership.tick(now);
-        mOutlet.publish(mView, now);
+        mPublisher.publish(mView, now);
         final Envelope greeting = MembershipCodec.encode(mMembership.ownHeartbeat());
-        mSeeds.due(mView, now).forEach(seed -> mTransport.connectToSeed(seed, greeting));
-        mLoad.due(now)
+        mSeeds.seedsToContact(mView, now).forEach(seed -> mTransport.connectToSeed(seed, greeting));
+        mLoad.nextDigest(now)
                 .ifPresent(digest -> mLoad.peers().forEach(peer -> mTransport.send(peer, digest)));
         if (!now.isBefore(mNextReload)) {
             mNextReload = now.plus(RELOAD_INTERVAL);
@@ -328,7 +332,9 @@
 
     @Override
     public void close() {
-        mFarewell.completeOnTimeout(null, LONGEST_FAREWELL_MILLIS, TimeUnit.MILLISECONDS).join();
+        mStopAnnounced
+                .completeOnTimeout(null, MAX_STOP_ANNOUNCEMENT_MILLIS, TimeUnit.MILLISECONDS)
+                .join();
         mTicks.remove();
         mLoop.close();
         mTransport.close();
@@ -350,7 +356,7 @@
             }
             mView = view;
             mLoad.viewChanged(view);
-            mOutlet.viewChanged();
+            mPublisher.viewChanged();
         }
 
         private boolean wasGone(final VmId vm) {
--- a/daemon/src/main/java/org/whinhead/daemon/peers/PeerDutyListener.java
+++ b/daemon/src/main/java/org/whinhead/daemon/peers/PeerServiceListener.java
@@ -8,7 +8,7 @@
 import org.whinhead.routing.LoadReport;
 
 /** Told by the peer duty, on its thread; must not block. */
-public interface PeerDutyListener {
+public interface PeerServiceListener {
 
     /**
      * The endpoints or the states of their VMs changed.
--- a/daemon/src/main/java/org/whinhead/daemon/peers/Seeds.java
+++ b/daemon/src/main/java/org/whinhead/daemon/peers/SeedSelector.java
@@ -13,25 +13,25 @@
 import org.whinhead.settings.daemon.HostPort;
 
 /** Says which addresses of the settings to call, because no daemon is known there. */
-final class Seeds {
+final class SeedSelector {
 
     private static final Duration INTERVAL = Duration.ofSeconds(2);
 
     private final List<HostPort> mSeeds;
     private final HostPort mOwn;
-    private Instant mNext = Instant.MIN;
+    private Instant mNextContact = Instant.MIN;
 
-    Seeds(final List<HostPort> seeds, final DaemonAddress own) {
+    SeedSelector(final List<HostPort> seeds, final DaemonAddress own) {
         mSeeds = seeds;
         mOwn = hostPort(own);
     }
 
     /** Returns the addresses to call now; none until the interval has passed. */
-    List<InetSocketAddress> due(final MembershipView view, final Instant now) {
-        if (now.isBefore(mNext)) {
+    List<InetSocketAddress> seedsToContact(final MembershipView view, final Instant now) {
+        if (now.isBefore(mNextContact)) {
             return List.of();
         }
-        mNext = now.plus(INTERVAL);
+        mNextContact = now.plus(INTERVAL);
         final Set<HostPort> known = new HashSet<>();
         known.add(mOwn);
         for (final DaemonMember member : view.daemons()) {
--- a/daemon/src/main/java/org/whinhead/daemon/peers/ViewOutlet.java
+++ b/daemon/src/main/java/org/whinhead/daemon/peers/ViewChangePublisher.java
@@ -21,32 +21,32 @@
 import org.whinhead.membership.MembershipView;
 
 /** Tells the daemon what changed in the view, each thing until it was taken in. */
-final class ViewOutlet {
+final class ViewChangePublisher {
 
     /** What is left to a VM that the list alone calls leaving, without saying until when. */
-    private static final Duration PRESUMED_NOTICE = Duration.ofSeconds(5);
+    private static final Duration DEFAULT_NOTICE = Duration.ofSeconds(5);
 
     private final VmId mSelf;
     private final Function<VmId, Optional<Instant>> mGoneBy;
-    private final PeerDutyListener mListener;
-    private final Set<EndpointId> mToldLeaving = new HashSet<>();
+    private final PeerServiceListener mListener;
+    private final Set<EndpointId> mPublishedLeaving = new HashSet<>();
     private Map<EndpointId, Endpoint> mDescribed = Map.of();
-    private List<Endpoint> mToldEndpoints = List.of();
+    private List<Endpoint> mPublishedEndpoints = List.of();
     private boolean mEndpointsKnown;
-    private boolean mOwnTold;
+    private boolean mOwnLeavingPublished;
     private boolean mPending;
 
-    ViewOutlet(
+    ViewChangePublisher(
             final VmId self,
             final Function<VmId, Optional<Instant>> goneBy,
-            final PeerDutyListener listener) {
+            final PeerServiceListener listener) {
         mSelf = self;
         mGoneBy = goneBy;
         mListener = listener;
     }
 
     /** Takes in the endpoints with the models that they have loaded, which the list lacks. */
-    void described(final List<Endpoint> endpoints) {
+    void endpointsDescribed(final List<Endpoint> endpoints) {
         final Map<EndpointId, Endpoint> described = new HashMap<>();
         endpoints.forEach(endpoint -> described.put(endpoint.id(), endpoint));
         mDescribed = described;
@@ -59,8 +59,8 @@
     }
 
     /** The daemon stops by itself and need not be told that its VM is leaving. */
-    void ownStop() {
-        mOwnTold = true;
+    void ownStopBegun() {
+        mOwnLeavingPublished = true;
     }
 
     /**
@@ -75,60 +75,60 @@
         }
         mPending = false;
         mListener.addressesChanged(addresses(view));
-        tellOwnVm(view, now);
+        publishOwnVmLeaving(view, now);
         if (mEndpointsKnown) {
-            final List<Endpoint> endpoints = merged(view);
-            tellEndpoints(endpoints);
-            tellLeaving(endpoints, now);
+            final List<Endpoint> endpoints = mergeEndpoints(view);
+            publishEndpoints(endpoints);
+            publishLeaving(endpoints, now);
         }
     }
 
-    private void tellEndpoints(final List<Endpoint> endpoints) {
-        if (endpoints.equals(mToldEndpoints) && !endpoints.isEmpty()) {
+    private void publishEndpoints(final List<Endpoint> endpoints) {
+        if (endpoints.equals(mPublishedEndpoints) && !endpoints.isEmpty()) {
             return;
         }
         if (mListener.endpointsChanged(endpoints)) {
-            mToldEndpoints = endpoints;
+            mPublishedEndpoints = endpoints;
         } else {
             mPending = true;
         }
     }
 
-    private void tellLeaving(final List<Endpoint> endpoints, final Instant now) {
+    private void publishLeaving(final List<Endpoint> endpoints, final Instant now) {
         final Set<EndpointId> leaving = new HashSet<>();
         for (final Endpoint endpoint : endpoints) {
             if (endpoint.vm().state() == VmState.LEAVING) {
                 leaving.add(endpoint.id());
-                if (!mToldLeaving.contains(endpoint.id())) {
-                    tellLeaving(endpoint, now);
+                if (!mPublishedLeaving.contains(endpoint.id())) {
+                    publishLeaving(endpoint, now);
                 }
             }
         }
-        mToldLeaving.retainAll(leaving);
+        mPublishedLeaving.retainAll(leaving);
     }
 
-    private void tellLeaving(final Endpoint endpoint, final Instant now) {
+    private void publishLeaving(final Endpoint endpoint, final Instant now) {
         if (mListener.endpointLeaving(endpoint.id(), goneBy(endpoint.vm().id(), now))) {
-            mToldLeaving.add(endpoint.id());
+            mPublishedLeaving.add(endpoint.id());
         } else {
             mPending = true;
         }
     }
 
-    private void tellOwnVm(final MembershipView view, final Instant now) {
+    private void publishOwnVmLeaving(final MembershipView view, final Instant now) {
         final boolean leaving =
                 view.daemon(mSelf).filter(self -> self.vm().state() == VmState.LEAVING).isPresent();
-        if (leaving && !mOwnTold) {
-            mOwnTold = mListener.ownVmLeaving(goneBy(mSelf, now));
-            mPending |= !mOwnTold;
+        if (leaving && !mOwnLeavingPublished) {
+            mOwnLeavingPublished = mListener.ownVmLeaving(goneBy(mSelf, now));
+            mPending |= !mOwnLeavingPublished;
         }
     }
 
     private Instant goneBy(final VmId vm, final Instant now) {
-        return mGoneBy.apply(vm).orElseGet(() -> now.plus(PRESUMED_NOTICE));
+        return mGoneBy.apply(vm).orElseGet(() -> now.plus(DEFAULT_NOTICE));
     }
 
-    private List<Endpoint> merged(final MembershipView view) {
+    private List<Endpoint> mergeEndpoints(final MembershipView view) {
         final Map<EndpointId, Endpoint> merged = new HashMap<>(mDescribed);
         for (final Endpoint endpoint : view.endpoints()) {
             final Endpoint described = mDescribed.getOrDefault(endpoint.id(), endpoint);
--- a/daemon/src/main/java/org/whinhead/daemon/peers/ListedVms.java
+++ b/daemon/src/main/java/org/whinhead/daemon/peers/VmListConverter.java
@@ -14,11 +14,11 @@
 import org.whinhead.membership.VmListSnapshot;
 
 /** Turns the platform's VM list into what membership takes. */
-final class ListedVms {
+final class VmListConverter {
 
     private final DaemonMember mSelf;
 
-    ListedVms(final DaemonMember self) {
+    VmListConverter(final DaemonMember self) {
         mSelf = self;
     }
 
@@ -27,7 +27,7 @@
         final List<Endpoint> endpoints = new ArrayList<>();
         for (final ListedVm vm : listing.vms()) {
             if (vm.role() == VmRole.ENTRY) {
-                address(vm, view)
+                peerAddress(vm, view)
                         .map(address -> new DaemonMember(vm.vm(), address, vm.uri()))
                         .ifPresent(daemons::add);
             } else {
@@ -41,7 +41,7 @@
      * The list names no peer ports. A daemon that was not heard of is taken to listen on the same
      * port as this one; on the own host that port is this daemon's, so nothing can be presumed.
      */
-    private Optional<DaemonAddress> address(final ListedVm vm, final MembershipView view) {
+    private Optional<DaemonAddress> peerAddress(final ListedVm vm, final MembershipView view) {
         final Optional<DaemonMember> known = view.daemon(vm.vm().id());
         if (known.isPresent()) {
             return known.map(DaemonMember::address);
--- a/daemon/src/main/java/org/whinhead/daemon/view/ViewMaker.java
+++ b/daemon/src/main/java/org/whinhead/daemon/view/DeploymentViewFactory.java
@@ -12,9 +12,9 @@
 import org.whinhead.settings.deployment.DocumentValue.ServiceEntry;
 
 /** Makes the view that requests are checked against from the settings in force. */
-public final class ViewMaker {
+public final class DeploymentViewFactory {
 
-    private ViewMaker() {}
+    private DeploymentViewFactory() {}
 
     /**
      * Makes a view.
--- a/demo/src/main/java/org/whinhead/demo/LocalDeployment.java
+++ b/demo/src/main/java/org/whinhead/demo/LocalDeployment.java
@@ -21,7 +21,7 @@
 import org.whinhead.daemon.Daemon;
 import org.whinhead.daemon.DaemonOptions;
 import org.whinhead.daemon.WorkerPool;
-import org.whinhead.daemon.log.LogTerms;
+import org.whinhead.daemon.log.LogServiceSettings;
 import org.whinhead.settings.KeyHashes;
 import org.whinhead.settings.daemon.DaemonSettings;
 import org.whinhead.settings.daemon.HostPort;
@@ -62,7 +62,7 @@
     private final LogStandIn mLog;
     private final ServiceStandIn mService;
     private final VmListStandIn mVms;
-    private final LogTerms mTerms;
+    private final LogServiceSettings mTerms;
     private final List<XnioWorker> mWorkers = new ArrayList<>();
     private final Set<Integer> mStopped = new HashSet<>();
     private final List<Daemon> mDaemons = new ArrayList<>();
@@ -74,7 +74,7 @@
      * @param log the log's settings
      * @param terms the bounds of the daemons' log duty
      */
-    public LocalDeployment(final LogConfig log, final LogTerms terms) {
+    public LocalDeployment(final LogConfig log, final LogServiceSettings terms) {
         mLog = LogStandIn.start(log, mStandIns);
         mService =
                 ServiceStandIn.start(ServiceConfig.of("filing", Duration.ofMillis(1)), mStandIns);
--- a/demo/src/test/java/org/whinhead/demo/SharedStateTest.java
+++ b/demo/src/test/java/org/whinhead/demo/SharedStateTest.java
@@ -12,7 +12,7 @@
 import org.junit.jupiter.api.AfterEach;
 import org.junit.jupiter.api.Test;
 import org.junit.jupiter.api.Timeout;
-import org.whinhead.daemon.log.LogTerms;
+import org.whinhead.daemon.log.LogServiceSettings;
 import org.whinhead.standins.log.LogConfig;
 
 @Timeout(120)
@@ -24,7 +24,7 @@
 
     private LocalDeployment mDeployment;
 
-    private void start(final LogConfig log, final LogTerms terms) throws Exception {
+    private void start(final LogConfig log, final LogServiceSettings terms) throws Exception {
         mDeployment = new LocalDeployment(log, terms);
         mDeployment.startDaemon();
         mDeployment.startDaemon();
@@ -32,7 +32,7 @@
     }
 
     private void start() throws Exception {
-        start(LogConfig.DEFAULT, LogTerms.DEFAULT);
+        start(LogConfig.DEFAULT, LogServiceSettings.DEFAULT);
     }
 
     @AfterEach
@@ -187,7 +187,7 @@
     void newDaemonCatchesUpFromCheckpointAndTail() throws Exception {
         start(
                 new LogConfig("127.0.0.1", 0, 300, Duration.ofSeconds(3)),
-                LogTerms.DEFAULT.withCheckpointEvery(Duration.ofMillis(300)));
+                LogServiceSettings.DEFAULT.withCheckpointInterval(Duration.ofMillis(300)));
         Await.until(
                 "the first records expire",
                 Duration.ofSeconds(60),
