--- a/daemon/src/main/java/org/whinhead/daemon/log/AdvancingClock.java
+++ b/daemon/src/main/java/org/whinhead/daemon/log/AdvancingClock.java
@@ -6,11 +6,11 @@
 import java.util.function.LongSupplier;
 
 /**
- * A clock that is never set back and goes on while the VM is suspended.
+ * A clock that never goes backward and keeps advancing while the VM is suspended.
  *
- * <p>Guards against a lease holder that acts past its lease. A wall clock that is set back, and a
- * monotonic clock that stood still while the VM was suspended, both show a lease as longer than the
- * others count it. The later of the two never does: a step forward only ends leases early.
+ * <p>Guards against a lease holder that acts after its lease has expired. A wall clock that is set
+ * back and a monotonic clock that stops during a suspension make a lease look longer than other
+ * daemons count it. The later of both never does: a step forward only ends leases early.
  */
 public final class AdvancingClock implements InstantSource {
 
@@ -20,10 +20,10 @@
     private long mLastNanos;
 
     /**
-     * Makes a clock.
+     * Creates a clock.
      *
      * @param wall the wall clock
-     * @param nanos the monotonic clock
+     * @param nanos the monotonic clock, in nanoseconds
      */
     public AdvancingClock(final InstantSource wall, final LongSupplier nanos) {
         mWall = Objects.requireNonNull(wall, "wall");
@@ -35,10 +35,10 @@
     @Override
     public synchronized Instant instant() {
         final long nanos = mNanos.getAsLong();
-        final Instant progressed = mLastInstant.plusNanos(Math.max(0, nanos - mLastNanos));
+        final Instant advanced = mLastInstant.plusNanos(Math.max(0, nanos - mLastNanos));
         final Instant wall = mWall.instant();
         mLastNanos = nanos;
-        mLastInstant = wall.isAfter(progressed) ? wall : progressed;
+        mLastInstant = wall.isAfter(advanced) ? wall : advanced;
         return mLastInstant;
     }
 }
--- a/daemon/src/main/java/org/whinhead/daemon/log/ChangeCoordinator.java
+++ b/daemon/src/main/java/org/whinhead/daemon/log/ChangeCoordinator.java
@@ -20,7 +20,7 @@
 import org.whinhead.state.settings.SettingRevision;
 import org.whinhead.state.settings.SettingsState;
 
-/** Gets operators' changes decided through the fold; on the duty's thread. */
+/** Publishes changes of settings and returns the fold's decisions; on the log thread. */
 final class ChangeCoordinator {
 
     private static final int MAX_PENDING = 1_024;
@@ -37,67 +37,68 @@
     }
 
     /**
-     * Takes a change.
+     * Submits a change.
      *
      * @param change the change
-     * @param answer completed with exactly one answer
-     * @param standing what is known
-     * @param logAnswers whether the log is known to answer
-     * @param now the time
+     * @param result completed exactly once, with the decision or the failure
+     * @param snapshot the state read from the log
+     * @param logAnswering whether the log's last answer was not a failure
+     * @param now the current time
      */
     void submit(
             final SettingsChange change,
-            final CompletableFuture<ChangeResult> answer,
-            final LogSnapshot standing,
-            final boolean logAnswers,
+            final CompletableFuture<ChangeResult> result,
+            final LogSnapshot snapshot,
+            final boolean logAnswering,
             final Instant now) {
-        final SettingsState state = standing.fold().state().settings();
+        final SettingsState state = snapshot.fold().state().settings();
         final Optional<ChangeOutcome> decided = state.outcome(change.changeId());
         if (decided.isPresent()) {
-            answer.complete(answer(decided.get(), state));
+            result.complete(toResult(decided.get(), state));
             return;
         }
-        final Pending same = mPending.get(change.changeId());
-        if (same != null) {
-            same.answers().add(answer);
+        final Pending pending = mPending.get(change.changeId());
+        if (pending != null) {
+            pending.results().add(result);
             return;
         }
-        final Optional<ChangeResult> early = checkBeforeAppend(change, standing, logAnswers);
-        if (early.isPresent()) {
-            answer.complete(early.get());
+        final Optional<ChangeResult> earlyResult =
+                checkBeforeAppend(change, snapshot, logAnswering);
+        if (earlyResult.isPresent()) {
+            result.complete(earlyResult.get());
         } else {
-            append(change, answer, now);
+            append(change, result, now);
         }
     }
 
     private Optional<ChangeResult> checkBeforeAppend(
-            final SettingsChange change, final LogSnapshot standing, final boolean logAnswers) {
-        if (!standing.fold().caughtUp() || standing.fold().blocked()) {
-            return Optional.of(notPublished("the settings were not read from the log yet"));
+            final SettingsChange change, final LogSnapshot snapshot, final boolean logAnswering) {
+        if (!snapshot.fold().caughtUp() || snapshot.fold().blocked()) {
+            return Optional.of(notPublished("the settings have not been read from the log yet"));
         }
-        final SettingsState state = standing.fold().state().settings();
+        final SettingsState state = snapshot.fold().state().settings();
         final long inForce = state.revisionNumber(change.path());
-        // A lower revision here may only mean that this daemon lags; then the fold decides.
+        // A lower revision may only mean that this daemon lags; the fold decides then.
         if (inForce > change.baseRevision()) {
             return Optional.of(new ChangeResult.Conflict(inForce, author(state, change.path())));
         }
-        final List<SettingsProblem> problems = findProblems(change, standing);
+        final List<SettingsProblem> problems = findProblems(change, snapshot);
         if (!problems.isEmpty()) {
             return Optional.of(new ChangeResult.Invalid(problems));
         }
         if (change.dryRun()) {
             return Optional.of(new ChangeResult.InForce(inForce));
         }
-        if (!logAnswers || mPending.size() >= MAX_PENDING) {
+        if (!logAnswering || mPending.size() >= MAX_PENDING) {
             return Optional.of(notPublished("the log does not answer"));
         }
         return Optional.empty();
     }
 
     private static List<SettingsProblem> findProblems(
-            final SettingsChange change, final LogSnapshot standing) {
+            final SettingsChange change, final LogSnapshot snapshot) {
         final Validation validation =
-                DocumentRules.validate(change.path(), change.document(), standing.settings());
+                DocumentRules.validate(change.path(), change.document(), snapshot.settings());
         if (validation.mayBePublished()) {
             return List.of();
         }
@@ -111,7 +112,7 @@
 
     private void append(
             final SettingsChange change,
-            final CompletableFuture<ChangeResult> answer,
+            final CompletableFuture<ChangeResult> result,
             final Instant now) {
         final boolean queued =
                 mSink.offer(
@@ -128,15 +129,15 @@
                                 now)
                         .isPresent();
         if (!queued) {
-            answer.complete(notPublished("too many changes wait for the log"));
+            result.complete(notPublished("too many changes are waiting for the log"));
             return;
         }
-        final List<CompletableFuture<ChangeResult>> answers = new ArrayList<>();
-        answers.add(answer);
-        mPending.put(change.changeId(), new Pending(answers, now.plus(mTimeout)));
+        final List<CompletableFuture<ChangeResult>> results = new ArrayList<>();
+        results.add(result);
+        mPending.put(change.changeId(), new Pending(results, now.plus(mTimeout)));
     }
 
-    /** Answers the changes that the fold has decided by now. */
+    /** Completes the pending changes that the fold has decided. */
     void completeDecided(final SettingsState state) {
         if (mPending.isEmpty()) {
             return;
@@ -148,39 +149,40 @@
                         entry -> {
                             final ChangeOutcome outcome = outcomes.get(entry.getKey());
                             if (outcome != null) {
-                                entry.getValue().answer(answer(outcome, state));
+                                entry.getValue().complete(toResult(outcome, state));
                             }
                             return outcome != null;
                         });
     }
 
-    /** Time passed: ends the waits that are over. */
+    /** Completes the pending changes whose deadline has passed as undecided. */
     void expirePending(final Instant now) {
         mPending.values()
                 .removeIf(
                         pending -> {
-                            final boolean over = !now.isBefore(pending.deadline());
-                            if (over) {
-                                pending.answer(outcomeUnknown());
+                            final boolean expired = !now.isBefore(pending.deadline());
+                            if (expired) {
+                                pending.complete(outcomeUnknown());
                             }
-                            return over;
+                            return expired;
                         });
     }
 
     /**
-     * The record is queued or its fate unknown: it may take effect once the log is back. The
-     * operator learns what became of it by asking again with the same change identity.
+     * Returns the result of a change whose record is queued or may be on the log: the change may
+     * take effect once the log answers again. The operator learns the decision by repeating the
+     * change with the same identifier.
      */
     static ChangeResult outcomeUnknown() {
         return new ChangeResult.Undecided(
-                Verdict.MAY_HAVE_RUN, "outcome unknown, ask again with the same changeId");
+                Verdict.MAY_HAVE_RUN, "outcome unknown, repeat the change with the same changeId");
     }
 
     static ChangeResult notPublished(final String message) {
         return new ChangeResult.Undecided(Verdict.NOT_RUN, message);
     }
 
-    private static ChangeResult answer(final ChangeOutcome outcome, final SettingsState state) {
+    private static ChangeResult toResult(final ChangeOutcome outcome, final SettingsState state) {
         return switch (outcome.result()) {
             case WON -> new ChangeResult.InForce(outcome.revision());
             case LOST_RACE ->
@@ -198,15 +200,15 @@
     private static String author(
             final SettingsState state, final String path, final long revision) {
         return state.history().getOrDefault(path, List.of()).stream()
-                .filter(kept -> kept.revision() == revision)
+                .filter(revised -> revised.revision() == revision)
                 .map(SettingRevision::author)
                 .findFirst()
                 .orElse("");
     }
 
-    private record Pending(List<CompletableFuture<ChangeResult>> answers, Instant deadline) {
-        void answer(final ChangeResult answer) {
-            answers.forEach(waiting -> waiting.complete(answer));
+    private record Pending(List<CompletableFuture<ChangeResult>> results, Instant deadline) {
+        void complete(final ChangeResult result) {
+            results.forEach(future -> future.complete(result));
         }
     }
 }
--- a/daemon/src/main/java/org/whinhead/daemon/log/ChangeResult.java
+++ b/daemon/src/main/java/org/whinhead/daemon/log/ChangeResult.java
@@ -5,21 +5,21 @@
 import org.whinhead.api.verdict.Verdict;
 import org.whinhead.settings.SettingsProblem;
 
-/** What an operator is told of a change. */
+/** The result of an operator's change of settings. */
 public sealed interface ChangeResult {
 
     /**
-     * The change is in force here; for a dry run, it would be valid.
+     * The change is in force on this daemon; for a dry run, the change is valid.
      *
-     * @param revision the revision in force
+     * @param revision the revision of the path that is in force
      */
     record InForce(long revision) implements ChangeResult {}
 
     /**
-     * Another change of the path came first.
+     * Another change of the path was decided first.
      *
-     * @param winningRevision the revision in force when this one was decided
-     * @param author who made that revision; empty if that is not kept
+     * @param winningRevision the revision in force when this change was decided
+     * @param author the author of that revision; empty if the history no longer holds it
      */
     record Conflict(long winningRevision, String author) implements ChangeResult {
         /** Checks the author. */
@@ -29,9 +29,9 @@
     }
 
     /**
-     * The document is not valid, as found before it was published.
+     * The document is not valid; the change was not published.
      *
-     * @param problems what is wrong
+     * @param problems the problems of the document
      */
     record Invalid(List<SettingsProblem> problems) implements ChangeResult {
         /** Copies the list. */
@@ -41,9 +41,9 @@
     }
 
     /**
-     * The change was published and the fold refused it.
+     * The change was published, but the fold of the log refused it.
      *
-     * @param problems what is wrong, as texts
+     * @param problems the problems of the document, as texts
      */
     record Refused(List<String> problems) implements ChangeResult {
         /** Copies the list. */
@@ -56,10 +56,10 @@
     record Forbidden() implements ChangeResult {}
 
     /**
-     * The change is not decided.
+     * The change has no decision.
      *
-     * @param verdict whether it may yet take effect
-     * @param message what to do, for people
+     * @param verdict whether the change may still take effect
+     * @param message the cause or the advice for the operator
      */
     record Undecided(Verdict verdict, String message) implements ChangeResult {
         /** Checks both parts. */
--- a/daemon/src/main/java/org/whinhead/daemon/log/CheckpointStream.java
+++ b/daemon/src/main/java/org/whinhead/daemon/log/CheckpointStream.java
@@ -12,10 +12,10 @@
 import org.whinhead.state.record.LogRecord;
 
 /**
- * Reads and writes checkpoints; on the duty's thread.
+ * Reads and writes checkpoints; on the log thread.
  *
- * <p>The stream is followed only by who needs it: a daemon that starts or whose position in the
- * fleet stream has expired, and the holder of the duty that writes it.
+ * <p>A daemon reads the stream only when it starts, when its position in the fleet stream has
+ * expired, or while it holds the lease of the checkpoint writer.
  */
 final class CheckpointStream implements StreamHandler {
 
@@ -25,28 +25,29 @@
     private final CheckpointAssembler mAssembler = new CheckpointAssembler();
     private final CheckpointPublisher mPublisher;
     private final Consumer<FoldState> mInstall;
-    private boolean mStarted;
+    private boolean mInitialReadDone;
 
     CheckpointStream(
-            final LogStreamClient pump,
-            final LogServiceSettings terms,
+            final LogStreamClient client,
+            final LogServiceSettings settings,
             final Consumer<FoldState> install) {
-        mClient = pump;
-        mPublisher = new CheckpointPublisher(pump.writer(), terms.checkpointEvery(), PART_BYTES);
+        mClient = client;
+        mPublisher =
+                new CheckpointPublisher(client.writer(), settings.checkpointEvery(), PART_BYTES);
         mInstall = install;
-        pump.setHandler(this);
+        client.setHandler(this);
     }
 
-    /** Tells whether the newest checkpoint at the start was looked for. */
-    boolean isStarted() {
-        return mStarted;
+    /** Returns whether the stream was read to its head once and its newest checkpoint installed. */
+    boolean isInitialReadDone() {
+        return mInitialReadDone;
     }
 
-    void run(final boolean wanted, final boolean holder, final FoldView view, final Instant now) {
-        if (holder) {
+    void run(final boolean needed, final boolean canWrite, final FoldView view, final Instant now) {
+        if (canWrite) {
             mPublisher.publishIfDue(view, now);
         }
-        mClient.sendDue(!mStarted || wanted || holder || !mClient.writer().isIdle(), now);
+        mClient.sendDue(!mInitialReadDone || needed || canWrite || !mClient.writer().isIdle(), now);
     }
 
     @Override
@@ -59,7 +60,7 @@
         }
         if (atHead) {
             mAssembler.newest().ifPresent(mInstall);
-            mStarted = true;
+            mInitialReadDone = true;
         }
     }
 
--- a/daemon/src/main/java/org/whinhead/daemon/log/ClaimStream.java
+++ b/daemon/src/main/java/org/whinhead/daemon/log/ClaimStream.java
@@ -16,7 +16,7 @@
 import org.whinhead.state.fold.RecordDeduplicator;
 import org.whinhead.state.record.LogEntry;
 
-/** Claims requests' keys through the claim stream; on the duty's thread. */
+/** Claims the keys of requests through the claim stream; on the log thread. */
 final class ClaimStream implements StreamHandler {
 
     private final LogStreamClient mClient;
@@ -30,17 +30,19 @@
     private long mAttempts;
 
     ClaimStream(
-            final LogStreamClient pump,
+            final LogStreamClient client,
             final DaemonId self,
-            final LogServiceSettings terms,
+            final LogServiceSettings settings,
             final LogListener listener) {
-        mClient = pump;
+        mClient = client;
         mSelf = self;
-        mSettings = terms;
+        mSettings = settings;
         mListener = listener;
-        mTable = new ClaimTable(terms.claimWindow(), RecordDeduplicator.DEFAULT_MAX_INCARNATIONS);
-        mCoordinator = new ClaimCoordinator(mTable, pump.writer(), terms.claims(), this::onDecided);
-        pump.setHandler(this);
+        mTable =
+                new ClaimTable(settings.claimWindow(), RecordDeduplicator.DEFAULT_MAX_INCARNATIONS);
+        mCoordinator =
+                new ClaimCoordinator(mTable, client.writer(), settings.claims(), this::onDecided);
+        client.setHandler(this);
     }
 
     void claim(final RequestId request, final ClaimKey key, final Instant now) {
@@ -50,7 +52,7 @@
         mCoordinator.claim(key, attempt, now.plus(mSettings.claimTimeout()), now);
     }
 
-    /** Frees the key of a request that was granted and certainly did not run. */
+    /** Withdraws the claim of a request that was granted and certainly did not run. */
     void withdraw(final RequestId request, final Instant now) {
         final Granted granted = mGranted.remove(request);
         if (granted != null) {
@@ -60,7 +62,7 @@
 
     void run(final Instant now) {
         final Iterator<Granted> granted = mGranted.values().iterator();
-        // Oldest first; a grant that can no longer be dispatched need not be kept for withdrawal.
+        // Oldest first; a grant past its dispatch deadline needs no withdrawal.
         while (granted.hasNext() && granted.next().dispatchBy().isBefore(now)) {
             granted.remove();
         }
@@ -78,10 +80,10 @@
             mGranted.remove(request);
             mGranted.put(request, new Granted(key, attempt, dispatchBy));
         }
-        mListener.claimDecided(request, outcome(result), dispatchBy);
+        mListener.claimDecided(request, toOutcome(result), dispatchBy);
     }
 
-    private static ClaimOutcome outcome(final ClaimResult result) {
+    private static ClaimOutcome toOutcome(final ClaimResult result) {
         return switch (result) {
             case GRANTED -> ClaimOutcome.GRANTED;
             case HELD_ELSEWHERE -> ClaimOutcome.HELD_ELSEWHERE;
--- a/daemon/src/main/java/org/whinhead/daemon/log/FleetStream.java
+++ b/daemon/src/main/java/org/whinhead/daemon/log/FleetStream.java
@@ -14,14 +14,14 @@
 import org.whinhead.state.record.LogEntry;
 import org.whinhead.state.settings.SettingsLedger;
 
-/** Folds the fleet stream and keeps the checkpoint duty's lease; on the duty's thread. */
+/** Folds the fleet stream and renews the checkpoint writer's lease; on the log thread. */
 final class FleetStream implements StreamHandler {
 
     private final LogStreamClient mClient;
     private final LogFold mFold =
             new LogFold(
-                    // Who may change which path is checked against the daemon's own settings file
-                    // before a change is published, so the fold takes any author.
+                    // The author's permission is checked against the daemon's own settings file
+                    // before a change is published, so the fold accepts any author.
                     new SettingsLedger(
                             new FoldSettingsValidator(),
                             (author, path, current) -> true,
@@ -30,15 +30,15 @@
     private final LeaseElector mCheckpointLease;
 
     FleetStream(
-            final LogStreamClient pump,
+            final LogStreamClient client,
             final DaemonId self,
-            final LogServiceSettings terms,
+            final LogServiceSettings settings,
             final RandomGenerator random) {
-        mClient = pump;
+        mClient = client;
         mCheckpointLease =
                 new LeaseElector(
-                        CheckpointPublisher.DUTY, self, terms.leases(), pump.writer(), random);
-        pump.setHandler(this);
+                        CheckpointPublisher.DUTY, self, settings.leases(), client.writer(), random);
+        client.setHandler(this);
     }
 
     FoldView view() {
@@ -59,12 +59,12 @@
 
     void run(final boolean reading, final Instant now) {
         final FoldView view = mFold.view();
-        // A daemon that does not know the head cannot tell whether a lease is free.
+        // A daemon that has not reached the head cannot know whether the lease is free.
         mCheckpointLease.tick(view.caughtUp() && !view.blocked(), now);
         mClient.sendDue(reading, now);
     }
 
-    /** Gives the duty up, so that another daemon need not wait for the lease's end. */
+    /** Releases the checkpoint lease, so that another daemon need not wait until it expires. */
     void release(final Instant now) {
         mCheckpointLease.release(now);
         mClient.sendDue(false, now);
@@ -72,12 +72,13 @@
 
     @Override
     public void onRecords(final List<LogEntry> entries, final boolean atHead, final Instant now) {
-        boolean whole = true;
+        boolean allApplied = true;
         for (final LogEntry entry : entries) {
             final LogFold.ApplyResult applied = mFold.apply(entry);
-            whole &= applied != LogFold.ApplyResult.GAP && applied != LogFold.ApplyResult.BLOCKED;
+            allApplied &=
+                    applied != LogFold.ApplyResult.GAP && applied != LogFold.ApplyResult.BLOCKED;
         }
-        if (!whole) {
+        if (!allApplied) {
             mClient.reader().seek(mFold.nextOffset());
         } else if (atHead) {
             mFold.markCaughtUp();
@@ -87,10 +88,10 @@
 
     @Override
     public void onExpired(final long oldest, final Instant now) {
-        // Nothing to do: the reader now asks for a checkpoint.
+        // No action: the reader now reports that it needs a checkpoint.
     }
 
-    /** Goes on from a state as of a higher offset. */
+    /** Replaces the state by one as of a higher offset and continues reading there. */
     void install(final FoldState state, final FoldView.Source source, final Instant now) {
         if (mFold.installSnapshot(state, source)) {
             mClient.reader().seek(state.asOf());
--- a/daemon/src/main/java/org/whinhead/daemon/log/FoldSettingsValidator.java
+++ b/daemon/src/main/java/org/whinhead/daemon/log/FoldSettingsValidator.java
@@ -8,12 +8,12 @@
 import org.whinhead.state.settings.SettingsState;
 import org.whinhead.state.settings.SettingsValidator;
 
-/** Lets the fold decide by what no schema number changes: the envelope and the links. */
+/** Validates documents by the rules that no schema number changes: envelope and references. */
 final class FoldSettingsValidator implements SettingsValidator {
 
     private static final int SUPPORTED_RULES_VERSION = 1;
 
-    private DeploymentSettings mSettings = DeploymentSettings.EMPTY;
+    private DeploymentSettings mParsed = DeploymentSettings.EMPTY;
 
     @Override
     public boolean supports(final int rules) {
@@ -26,9 +26,9 @@
             final String path,
             final Optional<String> document,
             final SettingsState current) {
-        // The result depends on the arguments alone; what was parsed before is only reused.
-        mSettings = mSettings.refreshed(current.documents(), current::revisionNumber);
-        return DocumentRules.validate(path, document, mSettings).foldProblems().stream()
+        // The field only caches parsed documents; the result depends on the arguments alone.
+        mParsed = mParsed.refreshed(current.documents(), current::revisionNumber);
+        return DocumentRules.validate(path, document, mParsed).foldProblems().stream()
                 .map(SettingsProblem::toString)
                 .toList();
     }
--- a/daemon/src/main/java/org/whinhead/daemon/log/LogListener.java
+++ b/daemon/src/main/java/org/whinhead/daemon/log/LogListener.java
@@ -4,22 +4,22 @@
 import org.whinhead.api.request.RequestId;
 import org.whinhead.requests.ClaimOutcome;
 
-/** Told by the log duty, on its thread; must not block. */
+/** Receives settings and claim decisions on the log thread; must not block. */
 public interface LogListener {
 
     /**
-     * Other settings are in force.
+     * Handles a change of the settings in force.
      *
-     * @param standing what is known now; the head of the log was reached at least once
+     * @param snapshot the state read from the log, whose head was reached at least once
      */
-    void settingsChanged(LogSnapshot standing);
+    void settingsChanged(LogSnapshot snapshot);
 
     /**
-     * A claim was decided.
+     * Handles the decision on a claim.
      *
      * @param request the request
      * @param outcome the decision
-     * @param dispatchBy until when a granted request may be dispatched
+     * @param dispatchBy the latest time at which a granted request may be dispatched
      */
     void claimDecided(RequestId request, ClaimOutcome outcome, Instant dispatchBy);
 }
--- a/daemon/src/main/java/org/whinhead/daemon/log/LogService.java
+++ b/daemon/src/main/java/org/whinhead/daemon/log/LogService.java
@@ -22,8 +22,8 @@
 import org.xnio.XnioIoThread;
 
 /**
- * Follows and writes the log on a thread of its own: the shared state with its checkpoints, the
- * changes of settings, and the claims.
+ * Follows and writes the log on its own thread, the log thread: the shared state with its
+ * checkpoints, the changes of settings, and the claims.
  */
 public final class LogService implements AutoCloseable {
 
@@ -60,25 +60,25 @@
     private boolean mSettingsAnnounced;
 
     /**
-     * Makes a duty that is not started yet.
+     * Creates a service that is not started yet.
      *
      * @param self this incarnation of the daemon
-     * @param client the log
-     * @param timer the IO thread that ticks
-     * @param clock the time, which goes on through a suspension and is never set back
-     * @param terms the bounds
-     * @param listener told what comes of it
+     * @param client the client of the log
+     * @param timer the IO thread that schedules ticks and retries
+     * @param clock the clock, which never goes backward and keeps advancing during a suspension
+     * @param settings the time and size limits
+     * @param listener the receiver of settings and claim decisions
      */
     public LogService(
             final DaemonId self,
             final LogClient client,
             final XnioIoThread timer,
             final InstantSource clock,
-            final LogServiceSettings terms,
+            final LogServiceSettings settings,
             final LogListener listener) {
         mSelf = Objects.requireNonNull(self, "self");
         mClient = Objects.requireNonNull(client, "client");
-        mSettings = Objects.requireNonNull(terms, "terms");
+        mSettings = Objects.requireNonNull(settings, "terms");
         mListener = Objects.requireNonNull(listener, "listener");
         mRandom = RandomGenerator.of("L64X128MixRandom");
         mLoop = new TimedTaskLoop(self + "-log", RING_SLOTS, timer, clock, this::afterBatch);
@@ -86,7 +86,7 @@
                 new FleetStream(
                         streamClient(FLEET_STREAM, MAX_RECORDS_PER_READ, FLEET_LIMITS),
                         self,
-                        terms,
+                        settings,
                         mRandom);
         mCheckpoints =
                 new CheckpointStream(
@@ -94,24 +94,24 @@
                                 CHECKPOINT_STREAM,
                                 MAX_CHECKPOINT_PARTS_PER_READ,
                                 CHECKPOINT_LIMITS),
-                        terms,
+                        settings,
                         state -> mFleet.install(state, FoldView.Source.LOG, clock.instant()));
         mClaims =
                 new ClaimStream(
                         streamClient(CLAIM_STREAM, MAX_RECORDS_PER_READ, CLAIM_LIMITS),
                         self,
-                        terms,
+                        settings,
                         listener);
-        mChanges = new ChangeCoordinator(mFleet.client().writer(), terms.changeTimeout());
+        mChanges = new ChangeCoordinator(mFleet.client().writer(), settings.changeTimeout());
     }
 
     private LogStreamClient streamClient(
-            final String stream, final int read, final WriterLimits limits) {
+            final String stream, final int maxRecords, final WriterLimits limits) {
         return new LogStreamClient(
                 stream,
                 mClient,
                 mLoop,
-                new LogReader(read, mSettings.readWait(), backoff()),
+                new LogReader(maxRecords, mSettings.readWait(), backoff()),
                 new LogWriter(mSelf, limits, backoff()));
     }
 
@@ -124,44 +124,44 @@
         mLoop.start(TICK);
     }
 
-    /** Returns what is known from the log; from any thread. */
+    /** Returns the newest snapshot of the state read from the log; from any thread. */
     public LogSnapshot snapshot() {
         return mSnapshot;
     }
 
-    /** Tells whether the log's last answer was not a failure; from any thread. */
+    /** Returns whether the log's last answer was not a failure; from any thread. */
     public boolean isLogAnswering() {
         return mLogAnswering;
     }
 
     /**
-     * Asks for a change of settings; from any thread.
+     * Submits a change of settings; from any thread.
      *
      * @param change the change
-     * @return the answer, within the terms' bound
+     * @return the result, completed within {@link LogServiceSettings#changeTimeout()}
      */
     public CompletionStage<ChangeResult> submitChange(final SettingsChange change) {
-        final CompletableFuture<ChangeResult> answer = new CompletableFuture<>();
-        final boolean taken =
+        final CompletableFuture<ChangeResult> result = new CompletableFuture<>();
+        final boolean accepted =
                 mLoop.offerNew(
                         now ->
                                 mChanges.submit(
                                         change,
-                                        answer,
+                                        result,
                                         mSnapshot,
                                         mFleet.client().isAnswering(),
                                         now));
-        if (!taken) {
-            answer.complete(ChangeCoordinator.notPublished("too many events wait"));
+        if (!accepted) {
+            result.complete(ChangeCoordinator.notPublished("too many events are waiting"));
         }
-        return answer;
+        return result;
     }
 
     /**
-     * Asks for the claim of a request; one decision follows within the terms' bound.
+     * Claims the key of a request; the listener receives one decision within the claim timeout.
      *
      * @param request the request
-     * @param key its key
+     * @param key the key to claim
      */
     public void claim(final RequestId request, final ClaimKey key) {
         if (!mLoop.offerNew(now -> mClaims.claim(request, key, now))) {
@@ -170,17 +170,17 @@
     }
 
     /**
-     * Gives up the claim of a request that was granted and certainly did not run.
+     * Withdraws the claim of a request that was granted and certainly did not run.
      *
      * @param request the request
      */
     public void withdraw(final RequestId request) {
-        // If the ring is full the key stays claimed, which only costs the caller a new key.
+        // If the ring is full, the key stays claimed, and the caller only needs a new key.
         mLoop.offerNew(now -> mClaims.withdraw(request, now));
     }
 
     /**
-     * Takes a state from a peer, for a start while the log is out.
+     * Installs a state from a peer, for a start while the log is unavailable.
      *
      * @param state the state
      */
@@ -192,27 +192,27 @@
         mChanges.expirePending(now);
         mCheckpoints.run(
                 mFleet.needsCheckpoint(), mFleet.canWriteCheckpoints(now), mFleet.view(), now);
-        // A checkpoint first, so that a stream of many records need not be read from its start.
-        mFleet.run(mCheckpoints.isStarted(), now);
+        // The checkpoint is read first, so that a long stream need not be read from its start.
+        mFleet.run(mCheckpoints.isInitialReadDone(), now);
         mClaims.run(now);
         mLogAnswering = mFleet.client().isAnswering();
         publish();
     }
 
     private void publish() {
-        final LogSnapshot former = mSnapshot;
+        final LogSnapshot previous = mSnapshot;
         final FoldView view = mFleet.view();
-        if (view == former.fold()) {
+        if (view == previous.fold()) {
             return;
         }
-        final LogSnapshot standing = LogSnapshot.of(view, former);
-        mSnapshot = standing;
-        final boolean changed = standing.settings() != former.settings();
-        // Guards against serving by settings that newer records on the log have replaced: nothing
-        // is put in force before the head was reached once. After that an outage changes nothing.
+        final LogSnapshot next = LogSnapshot.of(view, previous);
+        mSnapshot = next;
+        final boolean changed = next.settings() != previous.settings();
+        // Guards against serving with settings that newer records on the log have replaced: no
+        // settings are put in force before the head was reached once. A later outage keeps them.
         if (view.caughtUp() && (changed || !mSettingsAnnounced)) {
             mSettingsAnnounced = true;
-            mListener.settingsChanged(standing);
+            mListener.settingsChanged(next);
         }
         mChanges.completeDecided(view.state().settings());
     }
--- a/daemon/src/main/java/org/whinhead/daemon/log/LogServiceSettings.java
+++ b/daemon/src/main/java/org/whinhead/daemon/log/LogServiceSettings.java
@@ -6,16 +6,16 @@
 import org.whinhead.state.lease.LeaseTiming;
 
 /**
- * The bounds of the log duty.
+ * The time and size limits of the log service.
  *
- * @param readWait how long a read waits for a record
- * @param changeTimeout how long an operator's change may wait for its decision
- * @param claimTimeout how long a claim may wait for its decision
- * @param claimWindow how long a key is held; with a sixth more it is less than the log's retention,
- *     and it is the same on every daemon
- * @param claims the bounds of claims
- * @param leases the times of leases
- * @param checkpointEvery how often a checkpoint is written; a small share of the log's retention
+ * @param readWait the longest time that a read waits for a record
+ * @param changeTimeout the longest time that an operator's change waits for its decision
+ * @param claimTimeout the longest time that a claim waits for its decision
+ * @param claimWindow the time for which a key stays claimed; the same on every daemon, and with a
+ *     sixth more still less than the log's retention
+ * @param claims the limits of claims
+ * @param leases the durations of leases
+ * @param checkpointEvery the interval between checkpoints; a small share of the log's retention
  */
 public record LogServiceSettings(
         Duration readWait,
@@ -28,13 +28,10 @@
 
     private static final Duration CLAIM_WINDOW = Duration.ofMinutes(30);
 
-    /**
-     * With 9 daemons and this linger, claims take at most 225 appends a second, which is below what
-     * the log takes.
-     */
+    /** Limits the claims of 9 daemons to 225 appends a second, fewer than the log accepts. */
     private static final Duration CLAIM_BATCH_LINGER = Duration.ofMillis(40);
 
-    /** The values of a process in use. */
+    /** The settings used in production. */
     public static final LogServiceSettings DEFAULT =
             new LogServiceSettings(
                     Duration.ofSeconds(1),
@@ -62,13 +59,13 @@
     }
 
     /**
-     * Returns these terms with another interval of checkpoints.
+     * Returns these settings with another interval between checkpoints.
      *
-     * @param every how often a checkpoint is written
+     * @param interval the interval between checkpoints
      * @return a copy
      */
-    public LogServiceSettings withCheckpointInterval(final Duration every) {
+    public LogServiceSettings withCheckpointInterval(final Duration interval) {
         return new LogServiceSettings(
-                readWait, changeTimeout, claimTimeout, claimWindow, claims, leases, every);
+                readWait, changeTimeout, claimTimeout, claimWindow, claims, leases, interval);
     }
 }
--- a/daemon/src/main/java/org/whinhead/daemon/log/LogSnapshot.java
+++ b/daemon/src/main/java/org/whinhead/daemon/log/LogSnapshot.java
@@ -7,11 +7,11 @@
 import org.whinhead.state.settings.SettingRevision;
 
 /**
- * What a daemon knows from the log at one time; immutable.
+ * An immutable snapshot of the state that a daemon has read from the log.
  *
- * @param fold the shared state
- * @param settings the documents in force, typed
- * @param revision the newest revision of any path, deletions among them; -1 if there is none
+ * @param fold the shared state folded from the records
+ * @param settings the documents in force, parsed
+ * @param revision the newest revision of any path, deletions included; -1 if there is none
  */
 public record LogSnapshot(FoldView fold, DeploymentSettings settings, long revision) {
 
@@ -22,22 +22,22 @@
     }
 
     /**
-     * Tells whether every record up to a revision was folded.
+     * Returns whether every record up to a revision was folded.
      *
-     * @param wanted the revision
-     * @return whether it is below the fold's position
+     * @param target the revision
+     * @return whether the revision is below the fold's position
      */
-    public boolean hasFolded(final long wanted) {
-        return fold.state().asOf() > wanted;
+    public boolean hasFolded(final long target) {
+        return fold.state().asOf() > target;
     }
 
-    static LogSnapshot of(final FoldView fold, final LogSnapshot former) {
-        if (former.fold().state().settings() == fold.state().settings()) {
-            return new LogSnapshot(fold, former.settings(), former.revision());
+    static LogSnapshot of(final FoldView fold, final LogSnapshot previous) {
+        if (previous.fold().state().settings() == fold.state().settings()) {
+            return new LogSnapshot(fold, previous.settings(), previous.revision());
         }
         final var state = fold.state().settings();
         final DeploymentSettings settings =
-                former.settings().refreshed(state.documents(), state::revisionNumber);
+                previous.settings().refreshed(state.documents(), state::revisionNumber);
         return new LogSnapshot(fold, settings, newestRevision(state.history().values()));
     }
 
--- a/daemon/src/main/java/org/whinhead/daemon/log/LogStreamClient.java
+++ b/daemon/src/main/java/org/whinhead/daemon/log/LogStreamClient.java
@@ -20,7 +20,7 @@
 import org.whinhead.state.writer.LogWriter;
 import org.whinhead.state.writer.ReadRequest;
 
-/** Carries one stream's reads and appends to the log and back; on the duty's thread. */
+/** Sends one stream's reads and appends to the log and handles results; on the log thread. */
 final class LogStreamClient {
 
     private static final Logger LOGGER = LoggerFactory.getLogger(LogStreamClient.class);
@@ -41,12 +41,12 @@
     LogStreamClient(
             final String stream,
             final LogClient client,
-            final TimedTaskLoop ring,
+            final TimedTaskLoop loop,
             final LogReader reader,
             final LogWriter writer) {
         mStream = Objects.requireNonNull(stream, "stream");
         mClient = client;
-        mLoop = ring;
+        mLoop = loop;
         mReader = reader;
         mWriter = writer;
     }
@@ -63,17 +63,17 @@
         return mWriter;
     }
 
-    /** Tells whether the log's last answer about this stream was not a failure. */
+    /** Returns whether the log's last answer about this stream was not a failure. */
     boolean isAnswering() {
         return mAnswering;
     }
 
-    /** Returns when the log last answered. */
+    /** Returns the time of the log's last answer that was not a failure. */
     Instant lastAnswerAt() {
         return mLastAnswerAt;
     }
 
-    /** Sends what is due. */
+    /** Sends the append that is due and, if reading is wanted, the read that is due. */
     void sendDue(final boolean reading, final Instant now) {
         mWriter.nextBatch(now).ifPresent(this::append);
         if (reading) {
@@ -91,9 +91,9 @@
         if (result instanceof AppendResult.Appended) {
             recordAnswer(now);
             mWriter.onAppended();
-        } else if (result instanceof AppendResult.NotAppended refused) {
+        } else if (result instanceof AppendResult.NotAppended rejected) {
             mAnswering = false;
-            mWriter.onRefused(refused.retryAfter(), now);
+            mWriter.onRefused(rejected.retryAfter(), now);
         } else {
             mWriter.onOutcomeUnknown(now);
         }
@@ -127,14 +127,14 @@
             recordAnswer(now);
             mReader.onExpired(expired.oldest());
             mHandler.onExpired(expired.oldest(), now);
-        } else if (result instanceof ReadResult.Unavailable failed) {
+        } else if (result instanceof ReadResult.Unavailable unavailable) {
             mAnswering = false;
-            // Guards against records that together outgrow the bound on an answer: the same read
-            // would fail for ever, so fewer are asked for.
-            if (failed.tooLarge()) {
+            // Guards against records that together exceed the size limit of an answer: the same
+            // read would fail forever, so the next one asks for fewer.
+            if (unavailable.tooLarge()) {
                 mMaxRecords = Math.max(1, request.maxRecords() / 2);
             }
-            mReader.onFailure(failed.retryAfter(), now);
+            mReader.onFailure(unavailable.retryAfter(), now);
         }
     }
 
@@ -154,8 +154,8 @@
     }
 
     /**
-     * Guards against a damaged or foreign record in the stream, at which every daemon would stop
-     * for good: it is read as one of an unknown kind, which every fold steps over alike.
+     * Decodes a record. Guards against a damaged or foreign record, at which every daemon would
+     * stop for good: it is decoded as a record of an unknown kind, which every fold skips.
      */
     private LogEntry decode(final StoredRecord stored) {
         try {
@@ -165,7 +165,7 @@
                     .setCause(e)
                     .addKeyValue("stream", mStream)
                     .addKeyValue("offset", stored.offset())
-                    .log("a record cannot be read and is stepped over");
+                    .log("unreadable log record skipped");
             final RecordId id = new RecordId(UNREADABLE_WRITER, stored.offset() + 1);
             return new LogEntry(
                     stored.offset(),
--- a/daemon/src/main/java/org/whinhead/daemon/log/SettingsChange.java
+++ b/daemon/src/main/java/org/whinhead/daemon/log/SettingsChange.java
@@ -5,15 +5,15 @@
 import org.whinhead.api.Arguments;
 
 /**
- * A change that an operator asks for.
+ * A change of a settings document that an operator requests.
  *
- * @param changeId the operator's name for the change, the same with each try
- * @param path the path
- * @param baseRevision the revision that it replaces, or -1
- * @param document the new document, or empty to delete it
- * @param author the operator's name
- * @param reason why, for the auditor
- * @param dryRun whether it is only checked
+ * @param changeId the operator's identifier of the change, the same in each retry
+ * @param path the path of the document
+ * @param baseRevision the revision that the change replaces, or -1 if the path has none
+ * @param document the new document, or empty to delete the present one
+ * @param author the name of the operator
+ * @param reason the reason of the change, for audits
+ * @param dryRun whether the change is only validated
  */
 public record SettingsChange(
         String changeId,
--- a/daemon/src/main/java/org/whinhead/daemon/log/StreamHandler.java
+++ b/daemon/src/main/java/org/whinhead/daemon/log/StreamHandler.java
@@ -4,23 +4,23 @@
 import java.util.List;
 import org.whinhead.state.record.LogEntry;
 
-/** Told what was read from one stream; on the duty's thread. */
+/** Receives the records read from one stream; on the log thread. */
 interface StreamHandler {
 
     /**
-     * Records were read, in order.
+     * Handles records in the order of the stream.
      *
-     * @param entries the records; perhaps none
-     * @param atHead whether they reach to the head of the stream
-     * @param now the time
+     * @param entries the records; may be empty
+     * @param atHead whether the read reached the head of the stream
+     * @param now the current time
      */
     void onRecords(List<LogEntry> entries, boolean atHead, Instant now);
 
     /**
-     * The records at the position have expired.
+     * Handles the expiry of the records at the reader's position.
      *
-     * @param oldest the oldest offset that is left
-     * @param now the time
+     * @param oldest the oldest offset that the log still holds
+     * @param now the current time
      */
     void onExpired(long oldest, Instant now);
 }
--- a/daemon/src/main/java/org/whinhead/daemon/log/TimedTask.java
+++ b/daemon/src/main/java/org/whinhead/daemon/log/TimedTask.java
@@ -2,14 +2,14 @@
 
 import java.time.Instant;
 
-/** One event of a duty. */
+/** A task of a {@link TimedTaskLoop}. */
 @FunctionalInterface
 interface TimedTask {
 
     /**
-     * Handles the event; on the duty's thread.
+     * Runs the task on the loop's thread.
      *
-     * @param now the time
+     * @param now the current time
      */
     void run(Instant now);
 }
--- a/daemon/src/main/java/org/whinhead/daemon/log/TimedTaskLoop.java
+++ b/daemon/src/main/java/org/whinhead/daemon/log/TimedTaskLoop.java
@@ -7,7 +7,7 @@
 import org.xnio.XnioExecutor;
 import org.xnio.XnioIoThread;
 
-/** A duty's thread, fed by a bounded ring. */
+/** A thread that runs tasks from a bounded ring in order and passes each the current time. */
 final class TimedTaskLoop implements AutoCloseable {
 
     private static final long RETRY_MILLIS = 5;
@@ -20,13 +20,13 @@
     private volatile boolean mClosed;
 
     /**
-     * Makes a ring that is not started yet.
+     * Creates a loop that is not started yet.
      *
      * @param name the thread's name
-     * @param slots the ring's size, a power of two
-     * @param timer the IO thread that ticks
-     * @param clock the time
-     * @param afterBatch run when no event waits any more, at each tick at least
+     * @param slots the number of slots of the ring, a power of two
+     * @param timer the IO thread that schedules ticks and retries
+     * @param clock the source of the time that tasks receive
+     * @param afterBatch the task to run at the end of each batch, at least once per tick
      */
     TimedTaskLoop(
             final String name,
@@ -54,16 +54,16 @@
         }
     }
 
-    /** Offers an event that begins something; false if the ring is nearly full. */
+    /** Offers a task that starts new work; false if the ring is nearly full or the loop closed. */
     boolean offerNew(final TimedTask task) {
         return !mClosed && mRing.offerNew(task);
     }
 
     /**
-     * Hands over an event that something waits for, such as the answer to a read.
+     * Adds a task that other work waits for, such as the result of a read.
      *
-     * <p>Guards against a full ring, which would otherwise lose the answer and end the reading of
-     * its stream for good: the event is offered again until there is room.
+     * <p>Guards against a full ring, which would lose the result and end the reading of its stream
+     * for good: the task is offered again until the ring has room.
      */
     void offerUntilAccepted(final TimedTask task) {
         if (!mClosed && !mRing.offer(task)) {
--- a/daemon/src/main/java/org/whinhead/daemon/log/package-info.java
+++ b/daemon/src/main/java/org/whinhead/daemon/log/package-info.java
@@ -1,2 +1,2 @@
-/** The duty that follows and writes the log: the shared state, changes of settings and claims. */
+/** The service that follows and writes the log: shared state, settings changes and claims. */
 package org.whinhead.daemon.log;
