--- a/daemon/src/main/java/org/whinhead/daemon/operator/ChangeHandler.java
+++ b/daemon/src/main/java/org/whinhead/daemon/operator/ChangeHandler.java
@@ -15,7 +15,7 @@
 import org.whinhead.daemon.log.SettingsChange;
 import org.whinhead.settings.daemon.OperatorKey;
 
-/** Takes operators' changes of settings and answers once they are decided. */
+/** Submits operators' changes of settings and replies once they are decided. */
 final class ChangeHandler {
 
     private static final ObjectMapper MAPPER = new ObjectMapper();
@@ -24,18 +24,20 @@
 
     private final LogService mLog;
 
-    ChangeHandler(final LogService duty) {
-        mLog = duty;
+    ChangeHandler(final LogService log) {
+        mLog = log;
     }
 
     void post(final HttpServerExchange exchange, final OperatorKey key) {
         final Receiver receiver = exchange.getRequestReceiver();
         receiver.setMaxBufferSize(MAX_BODY_BYTES);
         receiver.receiveFullBytes(
-                (same, body) ->
-                        same.dispatch(SameThreadExecutor.INSTANCE, () -> submit(same, key, body)),
-                (same, cause) ->
-                        same.dispatch(SameThreadExecutor.INSTANCE, () -> sendTooLarge(same)));
+                (received, body) ->
+                        received.dispatch(
+                                SameThreadExecutor.INSTANCE, () -> submit(received, key, body)),
+                (received, cause) ->
+                        received.dispatch(
+                                SameThreadExecutor.INSTANCE, () -> sendTooLarge(received)));
     }
 
     private static void sendTooLarge(final HttpServerExchange exchange) {
@@ -67,9 +69,9 @@
         }
         mLog.submitChange(change)
                 .thenAccept(
-                        answer ->
+                        result ->
                                 exchange.getIoThread()
-                                        .execute(() -> sendResult(exchange, key, change, answer)));
+                                        .execute(() -> sendResult(exchange, key, change, result)));
     }
 
     private static SettingsChange parse(final byte[] body, final OperatorKey key)
@@ -93,29 +95,31 @@
                 root.path("dryRun").asBoolean());
     }
 
-    /** Names the key first, whose holder is certain; the name in the body is the caller's word. */
-    private static String author(final OperatorKey key, final String said) {
-        return said.isBlank() || said.equals(key.name()) ? key.name() : key.name() + "/" + said;
+    /** Returns the key's authenticated name, followed by the body's unauthenticated name. */
+    private static String author(final OperatorKey key, final String claimedName) {
+        return claimedName.isBlank() || claimedName.equals(key.name())
+                ? key.name()
+                : key.name() + "/" + claimedName;
     }
 
     private static void sendResult(
             final HttpServerExchange exchange,
             final OperatorKey key,
             final SettingsChange change,
-            final ChangeResult answer) {
+            final ChangeResult result) {
         final ObjectNode root = OperatorReplies.object();
-        if (answer instanceof ChangeResult.InForce inForce) {
+        if (result instanceof ChangeResult.InForce inForce) {
             root.put("revision", inForce.revision());
             OperatorReplies.sendJson(exchange, StatusCodes.OK, root);
-        } else if (answer instanceof ChangeResult.Conflict conflict) {
+        } else if (result instanceof ChangeResult.Conflict conflict) {
             root.put("winningRevision", conflict.winningRevision());
             root.put("author", conflict.author());
             OperatorReplies.sendJson(exchange, StatusCodes.CONFLICT, root);
-        } else if (answer instanceof ChangeResult.Undecided undecided) {
+        } else if (result instanceof ChangeResult.Undecided undecided) {
             root.put("message", undecided.message());
             root.put("verdict", undecided.verdict().wireName());
             OperatorReplies.sendJson(exchange, StatusCodes.SERVICE_UNAVAILABLE, root);
-        } else if (answer instanceof ChangeResult.Forbidden) {
+        } else if (result instanceof ChangeResult.Forbidden) {
             OperatorReplies.sendError(
                     exchange,
                     StatusCodes.FORBIDDEN,
@@ -123,13 +127,13 @@
                     key.name(),
                     change.path());
         } else {
-            addProblems(root.putArray("problems"), answer);
+            addProblems(root.putArray("problems"), result);
             OperatorReplies.sendJson(exchange, StatusCodes.UNPROCESSABLE_ENTITY, root);
         }
     }
 
-    private static void addProblems(final ArrayNode problems, final ChangeResult answer) {
-        if (answer instanceof ChangeResult.Invalid invalid) {
+    private static void addProblems(final ArrayNode problems, final ChangeResult result) {
+        if (result instanceof ChangeResult.Invalid invalid) {
             invalid.problems()
                     .forEach(
                             problem ->
@@ -137,7 +141,7 @@
                                             .put("path", problem.path())
                                             .put("messageKey", problem.messageKey())
                                             .put("message", problem.message()));
-        } else if (answer instanceof ChangeResult.Refused refused) {
+        } else if (result instanceof ChangeResult.Refused refused) {
             refused.problems().forEach(problems::add);
         }
     }
--- a/daemon/src/main/java/org/whinhead/daemon/operator/DaemonStatus.java
+++ b/daemon/src/main/java/org/whinhead/daemon/operator/DaemonStatus.java
@@ -5,27 +5,27 @@
 import org.whinhead.daemon.view.EntryAddress;
 import org.whinhead.settings.deployment.DeploymentSettings;
 
-/** What a daemon tells of itself; read from any thread. */
+/** The status that a daemon reports of itself; may be read from any thread. */
 public interface DaemonStatus {
 
-    /** Returns the daemon's incarnation. */
+    /** Returns the identity of the daemon's incarnation. */
     DaemonId id();
 
-    /** Tells whether it can take requests. */
+    /** Returns whether the daemon can accept requests. */
     boolean isReady();
 
-    /** Tells whether it was told to stop. */
+    /** Returns whether the daemon is stopping. */
     boolean isStopping();
 
-    /** Returns how many requests are in progress. */
+    /** Returns the number of requests in progress. */
     int inProgress();
 
     /** Returns the settings in force. */
     DeploymentSettings settings();
 
-    /** Returns the log offset that the settings in force go back to; -1 if there is none. */
+    /** Returns the log offset of the newest settings change in force; -1 if there is none. */
     long settingsRevision();
 
-    /** Returns the addresses that callers are told. */
+    /** Returns the addresses that callers are given. */
     List<EntryAddress> addresses();
 }
--- a/daemon/src/main/java/org/whinhead/daemon/operator/DecisionSource.java
+++ b/daemon/src/main/java/org/whinhead/daemon/operator/DecisionSource.java
@@ -4,15 +4,15 @@
 import java.util.concurrent.CompletionStage;
 import org.whinhead.requests.Decision;
 
-/** Finds the decisions that are kept about a request. */
+/** Finds the recorded decisions about a request. */
 @FunctionalInterface
 public interface DecisionSource {
 
     /**
-     * Asks the decision thread.
+     * Finds decisions on the decision thread.
      *
-     * @param id the request's identity, with or without the customer and service before it
-     * @return the decisions, oldest first, on any thread
+     * @param id the request's identity, with or without the prefix of customer and service
+     * @return the decisions, oldest first; completed on any thread
      */
     CompletionStage<List<Decision>> findDecisions(String id);
 }
--- a/daemon/src/main/java/org/whinhead/daemon/operator/ExplainHandler.java
+++ b/daemon/src/main/java/org/whinhead/daemon/operator/ExplainHandler.java
@@ -7,7 +7,7 @@
 import java.util.List;
 import org.whinhead.requests.Decision;
 
-/** Tells an operator what was decided about a request, and why. */
+/** Replies to operators with the decisions about a request and their causes. */
 final class ExplainHandler {
 
     private final DecisionSource mDecisions;
@@ -26,10 +26,10 @@
         OperatorReplies.sendWhenComplete(
                 exchange,
                 mDecisions.findDecisions(id),
-                decisions -> answer(exchange, id, decisions));
+                decisions -> sendDecisions(exchange, id, decisions));
     }
 
-    private static void answer(
+    private static void sendDecisions(
             final HttpServerExchange exchange, final String id, final List<Decision> decisions) {
         if (decisions.isEmpty()) {
             OperatorReplies.sendError(exchange, StatusCodes.NOT_FOUND, "operator.no-decisions", id);
--- a/daemon/src/main/java/org/whinhead/daemon/operator/Meters.java
+++ b/daemon/src/main/java/org/whinhead/daemon/operator/Meters.java
@@ -5,19 +5,19 @@
 import io.micrometer.prometheusmetrics.PrometheusMeterRegistry;
 import java.util.function.Supplier;
 
-/** The daemon's metrics. */
+/** The registry of the daemon's metrics. */
 public final class Meters {
 
     private final PrometheusMeterRegistry mRegistry =
             new PrometheusMeterRegistry(PrometheusConfig.DEFAULT);
 
     /**
-     * Adds a metric that is read when it is asked for.
+     * Registers a gauge whose value is read at each scrape.
      *
-     * @param name the name, beginning with {@code whinhead.}
-     * @param unit what it counts in
-     * @param description what it tells
-     * @param value reads it, from any thread
+     * @param name the metric's name, beginning with {@code whinhead.}
+     * @param unit the unit of the value
+     * @param description the description for operators
+     * @param value the supplier of the value, called from any thread
      */
     public void gauge(
             final String name,
@@ -27,7 +27,7 @@
         Gauge.builder(name, value).baseUnit(unit).description(description).register(mRegistry);
     }
 
-    /** Returns all metrics in Prometheus's text form. */
+    /** Returns all metrics in the Prometheus text format. */
     public String text() {
         return mRegistry.scrape();
     }
--- a/daemon/src/main/java/org/whinhead/daemon/operator/OperatorCallDispatcher.java
+++ b/daemon/src/main/java/org/whinhead/daemon/operator/OperatorCallDispatcher.java
@@ -8,7 +8,7 @@
 import org.whinhead.settings.daemon.OperatorKey;
 import org.whinhead.state.fold.FoldView;
 
-/** The operators' calls about what stands on the log and what was decided. */
+/** Dispatches operators' calls about the settings on the log and the decisions on requests. */
 public final class OperatorCallDispatcher {
 
     private final LogService mLog;
@@ -17,25 +17,25 @@
     private final ExplainHandler mExplain;
 
     /**
-     * Makes the calls.
+     * Creates a dispatcher.
      *
      * @param self the daemon's name
-     * @param duty follows the log
-     * @param peers asks the other daemons
-     * @param decisions finds decisions
+     * @param log the log service
+     * @param peers the query of the other daemons' revisions
+     * @param decisions the source of decisions
      */
     public OperatorCallDispatcher(
             final String self,
-            final LogService duty,
+            final LogService log,
             final RevisionQuery peers,
             final DecisionSource decisions) {
-        mLog = duty;
-        mSettings = new SettingsHandler(duty, self, peers);
-        mChanges = new ChangeHandler(duty);
+        mLog = log;
+        mSettings = new SettingsHandler(log, self, peers);
+        mChanges = new ChangeHandler(log);
         mExplain = new ExplainHandler(decisions);
     }
 
-    /** Handles a call of an operator whose key is known. */
+    /** Handles a call of an authenticated operator. */
     void handle(final HttpServerExchange exchange, final OperatorKey key) {
         final String call = exchange.getRequestMethod() + " " + exchange.getRequestPath();
         switch (call) {
@@ -54,19 +54,19 @@
         }
     }
 
-    /** Tells whether the daemon follows the log and knows the rules in force. */
+    /** Returns whether the log answers and the fold has caught up and supports its rules. */
     boolean isLogUsable() {
         final FoldView fold = mLog.snapshot().fold();
         return fold.caughtUp() && !fold.blocked() && mLog.isLogAnswering();
     }
 
-    /** Describes how far the log was followed. */
+    /** Adds the fold's position in the log and the log's availability to a status reply. */
     void addLogStatus(final ObjectNode root) {
-        final LogSnapshot standing = mLog.snapshot();
-        root.put("position", standing.fold().state().asOf());
-        root.put("source", standing.fold().source().name().toLowerCase());
-        root.put("caughtUp", standing.fold().caughtUp());
-        root.put("blocked", standing.fold().blocked());
+        final LogSnapshot snapshot = mLog.snapshot();
+        root.put("position", snapshot.fold().state().asOf());
+        root.put("source", snapshot.fold().source().name().toLowerCase());
+        root.put("caughtUp", snapshot.fold().caughtUp());
+        root.put("blocked", snapshot.fold().blocked());
         root.put("answering", mLog.isLogAnswering());
     }
 }
--- a/daemon/src/main/java/org/whinhead/daemon/operator/OperatorHandler.java
+++ b/daemon/src/main/java/org/whinhead/daemon/operator/OperatorHandler.java
@@ -14,7 +14,7 @@
 import org.whinhead.settings.daemon.DaemonSettings;
 import org.whinhead.settings.daemon.OperatorKey;
 
-/** Answers operators and the probes of health. */
+/** Serves operators' calls, metrics and health probes. */
 public final class OperatorHandler implements HttpHandler {
 
     private static final String SCHEME = "Bearer ";
@@ -26,13 +26,13 @@
     private final BurnHandler mBurn;
 
     /**
-     * Makes a handler.
+     * Creates a handler.
      *
-     * @param settings whose operators may ask
-     * @param status what the daemon knows of itself
+     * @param settings the daemon's settings, with the operators' keys
+     * @param status the daemon's status
      * @param meters the metrics
-     * @param calls the calls about the log and the decisions
-     * @param burn what was counted of ended requests
+     * @param calls the dispatcher of calls about the log and the decisions
+     * @param burn the handler of the report on ended requests
      */
     public OperatorHandler(
             final DaemonSettings settings,
@@ -55,16 +55,16 @@
         }
         switch (exchange.getRequestPath()) {
             case "/health/live" -> sendText(exchange, StatusCodes.OK, "live\n");
-            case "/health/ready" -> ready(exchange);
+            case "/health/ready" -> sendReadiness(exchange);
             case "/metrics" -> sendText(exchange, StatusCodes.OK, mMeters.text());
-            case "/operator/status" -> authenticate(exchange, key -> status(exchange));
-            case "/operator/addresses" -> authenticate(exchange, key -> addresses(exchange));
+            case "/operator/status" -> authenticate(exchange, key -> sendStatus(exchange));
+            case "/operator/addresses" -> authenticate(exchange, key -> sendAddresses(exchange));
             case "/operator/burn" -> authenticate(exchange, key -> mBurn.handleRequest(exchange));
             default -> authenticate(exchange, key -> mCalls.handle(exchange, key));
         }
     }
 
-    private void ready(final HttpServerExchange exchange) {
+    private void sendReadiness(final HttpServerExchange exchange) {
         if (mStatus.isReady()) {
             sendText(exchange, StatusCodes.OK, "ready\n");
         } else {
@@ -73,7 +73,7 @@
     }
 
     private void authenticate(
-            final HttpServerExchange exchange, final Consumer<OperatorKey> answer) {
+            final HttpServerExchange exchange, final Consumer<OperatorKey> handler) {
         final String header = exchange.getRequestHeaders().getFirst(Headers.AUTHORIZATION);
         final Optional<OperatorKey> key =
                 Optional.ofNullable(header)
@@ -83,13 +83,13 @@
                                         mSettings.operator(
                                                 text.substring(SCHEME.length()).strip()));
         if (key.isPresent()) {
-            answer.accept(key.get());
+            handler.accept(key.get());
         } else {
             OperatorReplies.sendError(exchange, StatusCodes.UNAUTHORIZED, "operator.unknown-key");
         }
     }
 
-    private void status(final HttpServerExchange exchange) {
+    private void sendStatus(final HttpServerExchange exchange) {
         final ObjectNode root = OperatorReplies.object();
         root.put("daemon", mSettings.name());
         root.put("incarnation", mStatus.id().value());
@@ -105,7 +105,7 @@
         OperatorReplies.sendJson(exchange, StatusCodes.OK, root);
     }
 
-    private void addresses(final HttpServerExchange exchange) {
+    private void sendAddresses(final HttpServerExchange exchange) {
         final ObjectNode root = OperatorReplies.object();
         final ArrayNode addresses = root.putArray("addresses");
         for (final EntryAddress address : mStatus.addresses()) {
--- a/daemon/src/main/java/org/whinhead/daemon/operator/OperatorMessages.java
+++ b/daemon/src/main/java/org/whinhead/daemon/operator/OperatorMessages.java
@@ -2,7 +2,7 @@
 
 import org.whinhead.api.message.MessageBundle;
 
-/** The texts that operators are told. */
+/** The message texts of the operators' interface. */
 final class OperatorMessages {
 
     private static final MessageBundle TEXTS = MessageBundle.beside(OperatorMessages.class);
--- a/daemon/src/main/java/org/whinhead/daemon/operator/OperatorReplies.java
+++ b/daemon/src/main/java/org/whinhead/daemon/operator/OperatorReplies.java
@@ -10,7 +10,7 @@
 import java.util.concurrent.CompletionStage;
 import java.util.function.Consumer;
 
-/** Sends operators their answers. */
+/** Sends replies to operators. */
 final class OperatorReplies {
 
     private static final String JSON = "application/json";
@@ -35,11 +35,11 @@
         sendJson(exchange, status, object().put("message", OperatorMessages.text(key, arguments)));
     }
 
-    /** Answers on the exchange's IO thread once the stage has ended. */
+    /** Sends a reply, or an error if the stage failed, on the IO thread once it has ended. */
     static <T> void sendWhenComplete(
             final HttpServerExchange exchange,
             final CompletionStage<T> stage,
-            final Consumer<T> answer) {
+            final Consumer<T> reply) {
         exchange.dispatch(
                 SameThreadExecutor.INSTANCE,
                 () ->
@@ -50,16 +50,16 @@
                                                         () ->
                                                                 sendOutcome(
                                                                         exchange, value, fault,
-                                                                        answer))));
+                                                                        reply))));
     }
 
     private static <T> void sendOutcome(
             final HttpServerExchange exchange,
             final T value,
             final Throwable fault,
-            final Consumer<T> answer) {
+            final Consumer<T> reply) {
         if (fault == null) {
-            answer.accept(value);
+            reply.accept(value);
         } else {
             sendError(
                     exchange,
--- a/daemon/src/main/java/org/whinhead/daemon/operator/RevisionQuery.java
+++ b/daemon/src/main/java/org/whinhead/daemon/operator/RevisionQuery.java
@@ -3,23 +3,23 @@
 import java.util.List;
 import java.util.concurrent.CompletionStage;
 
-/** Tells which other daemons have folded the log up to a revision. */
+/** Queries which other daemons have folded the log up to a revision. */
 @FunctionalInterface
 public interface RevisionQuery {
 
     /**
-     * Asks the other daemons, within a bound of time.
+     * Queries the other daemons, within a time limit.
      *
      * @param revision the revision
-     * @return who is known to hold it and who is not, on any thread
+     * @return the daemons with and without the revision; completed on any thread
      */
     CompletionStage<Report> query(long revision);
 
     /**
-     * What is known of the other daemons.
+     * The replies of the other daemons.
      *
-     * @param inForce the daemons that are known to hold the revision
-     * @param missing the daemons that do not, or cannot be asked
+     * @param inForce the daemons that have folded the log up to the revision
+     * @param missing the daemons that have not, or that did not reply
      */
     record Report(List<String> inForce, List<String> missing) {
 
--- a/daemon/src/main/java/org/whinhead/daemon/operator/SettingsHandler.java
+++ b/daemon/src/main/java/org/whinhead/daemon/operator/SettingsHandler.java
@@ -16,7 +16,7 @@
 import org.whinhead.state.settings.SettingRevision;
 import org.whinhead.state.settings.SettingsState;
 
-/** Shows operators the settings in force, their history and where they are in force. */
+/** Serves the settings in force, their history and the daemons that have folded a revision. */
 final class SettingsHandler {
 
     private static final ObjectMapper MAPPER = new ObjectMapper();
@@ -27,8 +27,8 @@
     private final String mSelf;
     private final RevisionQuery mPeers;
 
-    SettingsHandler(final LogService duty, final String self, final RevisionQuery peers) {
-        mLog = duty;
+    SettingsHandler(final LogService log, final String self, final RevisionQuery peers) {
+        mLog = log;
         mSelf = self;
         mPeers = peers;
     }
@@ -39,13 +39,13 @@
         if (path.endsWith(SUBTREE_SUFFIX)) {
             final ArrayNode list = JsonNodeFactory.instance.arrayNode();
             state.documents().tailMap(path, false).keySet().stream()
-                    .takeWhile(below -> below.startsWith(path))
+                    .takeWhile(child -> child.startsWith(path))
                     .forEach(
-                            below ->
+                            child ->
                                     list.add(
                                             inForce(
-                                                    below,
-                                                    state.currentRevision(below).orElseThrow())));
+                                                    child,
+                                                    state.currentRevision(child).orElseThrow())));
             OperatorReplies.sendJson(exchange, StatusCodes.OK, list);
             return;
         }
@@ -90,23 +90,24 @@
                     ? MAPPER.readTree(revision.document().get())
                     : JsonNodeFactory.instance.nullNode();
         } catch (final IOException e) {
-            // The fold takes only JSON; if it ever took more, the operator sees the text.
+            // The fold accepts only JSON; any other text would be shown as a string.
             return JsonNodeFactory.instance.textNode(revision.document().get());
         }
     }
 
     void history(final HttpServerExchange exchange) {
         final String path = QueryParameters.text(exchange, "path");
-        final List<SettingRevision> kept = state().history().getOrDefault(path, List.of());
-        if (kept.isEmpty()) {
+        final List<SettingRevision> revisions = state().history().getOrDefault(path, List.of());
+        if (revisions.isEmpty()) {
             sendNotFound(exchange, path, Optional.empty());
             return;
         }
         final long max = QueryParameters.number(exchange, "max").orElse(DEFAULT_MAX_REVISIONS);
         final ObjectNode root = OperatorReplies.object();
         final ArrayNode array = root.putArray("revisions");
-        for (int i = kept.size() - 1; i >= 0 && array.size() < max; i--) {
-            describe(array.addObject(), kept.get(i)).put("changeId", kept.get(i).changeId());
+        for (int i = revisions.size() - 1; i >= 0 && array.size() < max; i--) {
+            describe(array.addObject(), revisions.get(i))
+                    .put("changeId", revisions.get(i).changeId());
         }
         OperatorReplies.sendJson(exchange, StatusCodes.OK, root);
     }
@@ -122,20 +123,20 @@
                     QueryParameters.text(exchange, "revision"));
             return;
         }
-        final long wanted = revision.getAsLong();
+        final long target = revision.getAsLong();
         OperatorReplies.sendWhenComplete(
                 exchange,
-                mPeers.query(wanted),
+                mPeers.query(target),
                 report ->
-                        OperatorReplies.sendJson(exchange, StatusCodes.OK, report(wanted, report)));
+                        OperatorReplies.sendJson(exchange, StatusCodes.OK, report(target, report)));
     }
 
-    private ObjectNode report(final long wanted, final RevisionQuery.Report peers) {
+    private ObjectNode report(final long target, final RevisionQuery.Report peers) {
         final ObjectNode root = OperatorReplies.object();
         final ArrayNode inForce = root.putArray("inForce");
         final ArrayNode missing = root.putArray("missing");
-        final LogSnapshot standing = mLog.snapshot();
-        (standing.hasFolded(wanted) ? inForce : missing).add(mSelf);
+        final LogSnapshot snapshot = mLog.snapshot();
+        (snapshot.hasFolded(target) ? inForce : missing).add(mSelf);
         peers.inForce().forEach(inForce::add);
         peers.missing().forEach(missing::add);
         return root;
--- a/daemon/src/main/java/org/whinhead/daemon/operator/package-info.java
+++ b/daemon/src/main/java/org/whinhead/daemon/operator/package-info.java
@@ -1,2 +1,2 @@
-/** The operators' HTTP interface: health, metrics and what the daemon knows. */
+/** The operators' HTTP interface: health, metrics, status, settings and decisions. */
 package org.whinhead.daemon.operator;
--- a/daemon/src/main/java/org/whinhead/daemon/view/DeploymentView.java
+++ b/daemon/src/main/java/org/whinhead/daemon/view/DeploymentView.java
@@ -9,10 +9,10 @@
 import org.whinhead.settings.deployment.DocumentValue.ServiceEntry;
 
 /**
- * What the settings in force say that callers' requests are checked against.
+ * The customers, models and services in force, against which callers' requests are checked.
  *
  * @param customers all customers
- * @param models the models by each name that a caller may use
+ * @param models the models by every name that a caller may use
  * @param services the plain services by name
  */
 public record DeploymentView(
@@ -20,7 +20,7 @@
         Map<String, ModelRef> models,
         Map<String, ServiceEntry> services) {
 
-    /** A view before any settings are known. */
+    /** The view before any settings are known. */
     public static final DeploymentView EMPTY = new DeploymentView(List.of(), Map.of(), Map.of());
 
     /** Copies every part. */
@@ -33,7 +33,7 @@
     /**
      * Finds a model.
      *
-     * @param name the name as a caller gave it
+     * @param name the name in the caller's request
      * @return the model, or empty if none is configured
      */
     public Optional<ModelRef> model(final String name) {
--- a/daemon/src/main/java/org/whinhead/daemon/view/DeploymentViewFactory.java
+++ b/daemon/src/main/java/org/whinhead/daemon/view/DeploymentViewFactory.java
@@ -11,13 +11,13 @@
 import org.whinhead.settings.deployment.DocumentValue.ModelEntry;
 import org.whinhead.settings.deployment.DocumentValue.ServiceEntry;
 
-/** Makes the view that requests are checked against from the settings in force. */
+/** Creates the view that requests are checked against from the settings in force. */
 public final class DeploymentViewFactory {
 
     private DeploymentViewFactory() {}
 
     /**
-     * Makes a view.
+     * Creates a view.
      *
      * @param settings the settings in force
      * @return the view
@@ -30,7 +30,7 @@
                         .collect(Collectors.toMap(ServiceEntry::name, Function.identity())));
     }
 
-    /** Names each version and adapter in full, and by the bare name the version preferred. */
+    /** Maps full names, and each bare model name to its version with the largest target share. */
     private static Map<String, ModelRef> models(final DeploymentSettings settings) {
         final Map<String, ModelRef> models = new HashMap<>();
         for (final ModelEntry entry : settings.models()) {
--- a/daemon/src/main/java/org/whinhead/daemon/view/EntryAddress.java
+++ b/daemon/src/main/java/org/whinhead/daemon/view/EntryAddress.java
@@ -5,10 +5,10 @@
 import org.whinhead.api.model.FailureDomain;
 
 /**
- * An address that callers may use.
+ * An address at which callers can reach a daemon.
  *
  * @param uri the address
- * @param domain the failure domain that it stands in
+ * @param domain the failure domain of the daemon's VM
  */
 public record EntryAddress(URI uri, FailureDomain domain) {
 
--- a/daemon/src/main/java/org/whinhead/daemon/view/package-info.java
+++ b/daemon/src/main/java/org/whinhead/daemon/view/package-info.java
@@ -1,2 +1,2 @@
-/** What a daemon knows of the deployment at one time, as immutable values. */
+/** Immutable views of the deployment for the checks of callers' requests. */
 package org.whinhead.daemon.view;
