--- a/daemon/src/main/java/org/whinhead/daemon/duty/EndpointPoller.java
+++ b/daemon/src/main/java/org/whinhead/daemon/duty/EndpointPoller.java
@@ -24,7 +24,7 @@
 import org.xnio.XnioExecutor;
 import org.xnio.XnioIoThread;
 
-/** The platform duty: polls the VM list, and the models and the load of the engines on it. */
+/** Polls the platform's VM list, and the models and the load of the engines on the list. */
 public final class EndpointPoller implements AutoCloseable {
 
     private static final Logger LOGGER = LoggerFactory.getLogger(EndpointPoller.class);
@@ -41,45 +41,45 @@
     private List<Endpoint> mPublishedEndpoints = List.of();
     private boolean mVmListRead;
 
-    /** Told of changes, on the duty's thread. */
+    /** Receives the results on the poller's thread. */
     public interface Listener {
         /**
-         * The endpoints changed.
+         * Handles a change of the listed endpoints or their loaded models.
          *
          * @param endpoints all endpoints
          */
         void endpointsDescribed(List<Endpoint> endpoints);
 
         /**
-         * A load report arrived.
+         * Handles an engine's load report.
          *
          * @param report the report
          */
         void loadPolled(LoadReport report);
 
         /**
-         * The VM list was read.
+         * Handles a VM list that was read.
          *
          * @param listing the list
          */
         void vmListRead(VmListing listing);
 
         /**
-         * Tells whether to ask an endpoint for its load.
+         * Returns whether this daemon polls the load of an endpoint.
          *
          * @param endpoint the endpoint
-         * @return false if another daemon asks it and shares the answer
+         * @return false if another daemon polls the endpoint and shares the report
          */
         boolean isPolledHere(EndpointId endpoint);
     }
 
     /**
-     * Starts the duty.
+     * Creates a poller and starts its thread.
      *
      * @param name the thread's name
-     * @param caller makes the calls
+     * @param caller the HTTP client
      * @param vmList the client of the VM list
-     * @param listener told of changes
+     * @param listener the receiver of the results
      */
     public EndpointPoller(
             final String name,
@@ -106,7 +106,7 @@
     private void poll() {
         mLoop.offer(
                 () -> {
-                    whenRead(mVmList.read(), this::onVmList, "the VM list can not be read");
+                    whenRead(mVmList.read(), this::onVmList, "VM list cannot be read");
                     mVms.stream()
                             .filter(vm -> vm.role() == VmRole.ENGINE)
                             .forEach(this::pollEngine);
@@ -133,11 +133,11 @@
     }
 
     private <T> void whenRead(
-            final CompletionStage<T> stage, final Consumer<T> taken, final String problem) {
+            final CompletionStage<T> stage, final Consumer<T> handler, final String problem) {
         stage.whenComplete(
                 (result, fault) -> {
                     if (fault == null) {
-                        mLoop.offer(() -> taken.accept(result));
+                        mLoop.offer(() -> handler.accept(result));
                     } else {
                         LOGGER.atDebug().addKeyValue("cause", fault.getMessage()).log(problem);
                     }
--- a/daemon/src/main/java/org/whinhead/daemon/duty/ReclaimNoticePoller.java
+++ b/daemon/src/main/java/org/whinhead/daemon/duty/ReclaimNoticePoller.java
@@ -9,7 +9,7 @@
 import org.whinhead.clients.cloud.ReclaimNotice;
 import org.xnio.XnioIoThread;
 
-/** Waits for reclaim notices and passes each on, on an IO thread. */
+/** Long-polls the cloud for reclaim notices and passes each to a listener on an IO thread. */
 public final class ReclaimNoticePoller implements AutoCloseable {
 
     private static final Logger LOGGER = LoggerFactory.getLogger(ReclaimNoticePoller.class);
@@ -21,19 +21,19 @@
     private volatile boolean mClosed;
 
     /**
-     * Starts to wait.
+     * Creates a poller and starts the first read.
      *
-     * @param client reads notices
-     * @param timers where a failed read is tried again
-     * @param taken takes each notice
+     * @param client the client that reads notices
+     * @param timers the IO thread that schedules retries of failed reads
+     * @param listener the receiver of each notice
      */
     public ReclaimNoticePoller(
             final NoticeClient client,
             final XnioIoThread timers,
-            final Consumer<ReclaimNotice> taken) {
+            final Consumer<ReclaimNotice> listener) {
         mClient = client;
         mTimers = timers;
-        mListener = taken;
+        mListener = listener;
         read(0);
     }
 
@@ -50,7 +50,9 @@
 
     private void onRead(final long after, final NoticePage page, final Throwable fault) {
         if (fault != null) {
-            LOGGER.atDebug().addKeyValue("cause", fault.getMessage()).log("no notices to be had");
+            LOGGER.atDebug()
+                    .addKeyValue("cause", fault.getMessage())
+                    .log("reclaim notices cannot be read");
             mTimers.executeAfter(() -> read(after), RETRY_MILLIS, TimeUnit.MILLISECONDS);
             return;
         }
--- a/daemon/src/main/java/org/whinhead/daemon/duty/package-info.java
+++ b/daemon/src/main/java/org/whinhead/daemon/duty/package-info.java
@@ -1,2 +1,2 @@
-/** Duties beside the decisions: each has its own thread, fed by its own bounded ring. */
+/** Pollers of the platform, and the loop that runs background tasks on its own thread. */
 package org.whinhead.daemon.duty;
--- a/daemon/src/main/java/org/whinhead/daemon/peers/LoadReportSharing.java
+++ b/daemon/src/main/java/org/whinhead/daemon/peers/LoadReportSharing.java
@@ -22,14 +22,14 @@
 import org.whinhead.routing.WatchPlan;
 
 /**
- * Decides whose load this daemon asks for and passes the answers on to the peers that route by
- * them.
+ * Selects the endpoints whose load this daemon polls, and sends digests of the reports to the peers
+ * that use them for routing.
  */
 final class LoadReportSharing {
 
     private static final Duration MIN_INTERVAL = Duration.ofSeconds(1);
 
-    /** Keeps the bytes of digests about the same a second, however many peers there are. */
+    /** Keeps the bytes of digests sent per second about constant for any number of peers. */
     private static final Duration INTERVAL_PER_PEER = Duration.ofMillis(60);
 
     private final DaemonMember mSelf;
@@ -42,22 +42,22 @@
         mSelf = self;
     }
 
-    /** Tells, from any thread, whether this daemon polls an endpoint; all before the first plan. */
+    /** Returns whether this daemon polls an endpoint; true before any plan; from any thread. */
     boolean isPolledHere(final EndpointId endpoint) {
         return mPolled.map(polled -> polled.contains(endpoint)).orElse(true);
     }
 
     void viewChanged(final MembershipView view) {
-        final List<DaemonLocation> places = new ArrayList<>();
+        final List<DaemonLocation> locations = new ArrayList<>();
         for (final DaemonMember member : view.daemons()) {
             if (member.vm().state() == VmState.LIVE) {
-                places.add(location(member));
+                locations.add(location(member));
             }
         }
         final WatchPlan plan =
                 WatchPlan.of(
                         location(mSelf),
-                        places,
+                        locations,
                         List.copyOf(view.endpoints()),
                         WatchPlan.Limits.DEFAULT);
         mPolled = Optional.of(Set.copyOf(plan.polled()));
@@ -69,7 +69,7 @@
                         .toList();
     }
 
-    /** All daemons name each other by their VMs, so that they agree on who polls what. */
+    /** Returns a location identified by the VM, so that all daemons compute the same plan. */
     private static DaemonLocation location(final DaemonMember member) {
         return new DaemonLocation(new DaemonId(member.id().value()), member.vm().domain());
     }
@@ -82,7 +82,7 @@
         return mPeers;
     }
 
-    /** Returns the digest to send now, if one is due and there is news. */
+    /** Returns the digest to send now, if one is due and there are unsent reports. */
     Optional<Envelope> nextDigest(final Instant now) {
         if (now.isBefore(mNextDigest) || mUnsentReports.isEmpty()) {
             return Optional.empty();
@@ -109,7 +109,7 @@
                 .build();
     }
 
-    /** Reads a peer's digest. */
+    /** Decodes a peer's digest. */
     static List<LoadReport> decode(final PeerProto.LoadDigest digest) {
         final List<LoadReport> reports = new ArrayList<>(digest.getReportsCount());
         for (final PeerProto.EndpointLoad load : digest.getReportsList()) {
--- a/daemon/src/main/java/org/whinhead/daemon/peers/OwnMemberFactory.java
+++ b/daemon/src/main/java/org/whinhead/daemon/peers/OwnMemberFactory.java
@@ -9,7 +9,7 @@
 import org.whinhead.membership.DaemonMember;
 import org.whinhead.settings.daemon.DaemonSettings;
 
-/** Makes the description of itself that a daemon gives to its peers. */
+/** Creates the description of this daemon that its peers receive. */
 final class OwnMemberFactory {
 
     private static final String MACHINE_CLASS = "entry";
@@ -17,14 +17,14 @@
     private OwnMemberFactory() {}
 
     /**
-     * Describes the daemon. One that listens on every address is reached at the address that
-     * callers are told.
+     * Returns the description of the daemon. If it listens on a wildcard address, its peers use the
+     * host of its address for callers.
      */
     static DaemonMember of(final DaemonSettings settings, final int port) {
-        final String listens = settings.listen().peers().host();
-        final boolean anywhere =
-                new InetSocketAddress(listens, port).getAddress().isAnyLocalAddress();
-        final String host = anywhere ? settings.publicUri().getHost() : listens;
+        final String listenHost = settings.listen().peers().host();
+        final boolean wildcard =
+                new InetSocketAddress(listenHost, port).getAddress().isAnyLocalAddress();
+        final String host = wildcard ? settings.publicUri().getHost() : listenHost;
         final VmId id = settings.vm();
         final Vm vm =
                 new Vm(
--- a/daemon/src/main/java/org/whinhead/daemon/peers/PeerMeters.java
+++ b/daemon/src/main/java/org/whinhead/daemon/peers/PeerMeters.java
@@ -8,48 +8,48 @@
 import org.whinhead.peer.PeerCounters;
 import org.whinhead.peer.PeerRefusal;
 
-/** The metrics of the peer duty. */
+/** The metrics of the peer service. */
 public final class PeerMeters {
 
     private PeerMeters() {}
 
     /**
-     * Adds them.
+     * Registers the metrics.
      *
-     * @param meters where to
-     * @param duty the duty
+     * @param meters the registry
+     * @param peers the peer service
      */
-    public static void register(final Meters meters, final PeerService duty) {
+    public static void register(final Meters meters, final PeerService peers) {
         for (final VmState state : VmState.values()) {
             final String name = state.name().toLowerCase(Locale.ROOT);
             meters.gauge(
                     "whinhead.peers." + name,
                     "daemons",
                     "Daemons that this one sees as " + name + ", itself included.",
-                    () -> count(duty, state));
+                    () -> count(peers, state));
         }
         counter(
                 meters,
-                duty,
+                peers,
                 "refused.connections",
                 "Connections of peers that were closed on them, for any reason.",
                 PeerMeters::refusals);
         counter(
                 meters,
-                duty,
+                peers,
                 "dropped.messages",
                 "Messages that a peer did not take in time.",
                 PeerCounters::messagesDropped);
         counter(
                 meters,
-                duty,
+                peers,
                 "sent.bytes",
                 "Bytes of messages to peers, before TLS.",
                 PeerCounters::bytesSent);
     }
 
-    private static long count(final PeerService duty, final VmState state) {
-        return duty.view().daemons().stream()
+    private static long count(final PeerService peers, final VmState state) {
+        return peers.view().daemons().stream()
                 .filter(member -> member.vm().state() == state)
                 .count();
     }
@@ -60,7 +60,7 @@
 
     private static void counter(
             final Meters meters,
-            final PeerService duty,
+            final PeerService peers,
             final String name,
             final String description,
             final ToLongFunction<PeerCounters> read) {
@@ -69,6 +69,6 @@
                 "whinhead.peers." + name,
                 unit,
                 description,
-                () -> read.applyAsLong(duty.counters()));
+                () -> read.applyAsLong(peers.counters()));
     }
 }
--- a/daemon/src/main/java/org/whinhead/daemon/peers/PeerPositionQuery.java
+++ b/daemon/src/main/java/org/whinhead/daemon/peers/PeerPositionQuery.java
@@ -18,7 +18,7 @@
 import org.whinhead.peer.generated.PeerProto.SettingsQuery;
 import org.whinhead.peer.generated.PeerProto.SettingsReply;
 
-/** Asks the other daemons how far they have folded the log, and answers their questions. */
+/** Queries the positions of the other daemons in the log, and answers their queries. */
 final class PeerPositionQuery implements RevisionQuery {
 
     private static final Duration TIMEOUT = Duration.ofSeconds(1);
@@ -41,7 +41,7 @@
         mPosition = position;
     }
 
-    /** Answers a peer's question. */
+    /** Returns the reply to a peer's query: this daemon's position in the log. */
     Envelope answer() {
         return Envelope.newBuilder()
                 .setSettingsReply(SettingsReply.newBuilder().setPosition(mPosition.getAsLong()))
@@ -50,19 +50,19 @@
 
     @Override
     public CompletionStage<Report> query(final long revision) {
-        final List<DaemonMember> asked =
+        final List<DaemonMember> queried =
                 mView.get().daemons().stream()
                         .filter(member -> !member.id().equals(mSelf))
                         .filter(PeerPositionQuery::isExpectedToServe)
                         .sorted(Comparator.comparing(DaemonMember::id))
                         .toList();
-        final List<CompletableFuture<Boolean>> answers =
-                asked.stream().map(member -> hasFolded(member, revision)).toList();
-        return CompletableFuture.allOf(answers.toArray(CompletableFuture[]::new))
-                .thenApply(all -> report(asked, answers));
+        final List<CompletableFuture<Boolean>> replies =
+                queried.stream().map(member -> hasFolded(member, revision)).toList();
+        return CompletableFuture.allOf(replies.toArray(CompletableFuture[]::new))
+                .thenApply(ignored -> report(queried, replies));
     }
 
-    /** Those that leave need not follow any more; those that are silent may still serve. */
+    /** Leaving daemons need not follow the log any more; suspected ones may still serve. */
     private static boolean isExpectedToServe(final DaemonMember member) {
         final VmState state = member.vm().state();
         return state == VmState.LIVE || state == VmState.SUSPECT;
@@ -79,11 +79,11 @@
     }
 
     private static Report report(
-            final List<DaemonMember> asked, final List<CompletableFuture<Boolean>> answers) {
+            final List<DaemonMember> queried, final List<CompletableFuture<Boolean>> replies) {
         final List<String> inForce = new ArrayList<>();
         final List<String> missing = new ArrayList<>();
-        for (int i = 0; i < asked.size(); i++) {
-            (answers.get(i).join() ? inForce : missing).add(asked.get(i).id().value());
+        for (int i = 0; i < queried.size(); i++) {
+            (replies.get(i).join() ? inForce : missing).add(queried.get(i).id().value());
         }
         return new Report(inForce, missing);
     }
--- a/daemon/src/main/java/org/whinhead/daemon/peers/PeerService.java
+++ b/daemon/src/main/java/org/whinhead/daemon/peers/PeerService.java
@@ -43,7 +43,7 @@
 import org.xnio.XnioExecutor;
 import org.xnio.XnioIoThread;
 
-/** Talks with the other daemons on a thread of its own: who is live, and who knows what. */
+/** Exchanges membership, load reports and log positions with peers on its own thread. */
 public final class PeerService implements AutoCloseable {
 
     private static final Logger LOGGER = LoggerFactory.getLogger(PeerService.class);
@@ -120,15 +120,15 @@
     }
 
     /**
-     * Starts the duty.
+     * Creates a service and starts its thread.
      *
      * @param settings the daemon's settings
      * @param id the daemon's incarnation
-     * @param clock the time
-     * @param timers the IO thread that ticks
-     * @param position how far this daemon has folded the log, from any thread
-     * @param listener told what comes of it
-     * @return the duty, which listens
+     * @param clock the clock
+     * @param timers the IO thread that schedules ticks and retries
+     * @param position the supplier of this daemon's position in the log; called from any thread
+     * @param listener the receiver of events
+     * @return the service, which listens for peers
      * @throws PeerException if the peer address or the TLS files cannot be used
      */
     public static PeerService start(
@@ -165,38 +165,38 @@
         }
     }
 
-    /** Returns where peers reach this daemon. */
+    /** Returns the address at which peers reach this daemon. */
     public HostPort address() {
         return new HostPort(mSelf.address().host(), mSelf.address().port());
     }
 
-    /** Returns the newest view, from any thread. */
+    /** Returns the newest membership view; from any thread. */
     public MembershipView view() {
         return mView;
     }
 
-    /** Returns what asks the other daemons how far they have folded the log. */
+    /** Returns the query of the other daemons' positions in the log. */
     public RevisionQuery revisionQuery() {
         return mPositionQuery;
     }
 
-    /** Returns what the transport has counted, from any thread. */
+    /** Returns the counters of the transport; from any thread. */
     public PeerCounters counters() {
         return mTransport.counters();
     }
 
     /**
-     * Tells whether this daemon asks an endpoint for its load; from any thread.
+     * Returns whether this daemon polls the load of an endpoint; from any thread.
      *
      * @param endpoint the endpoint
-     * @return false if peers ask it and share the answer
+     * @return false if peers poll the endpoint and share the reports
      */
     public boolean isPolledHere(final EndpointId endpoint) {
         return mLoad.isPolledHere(endpoint);
     }
 
     /**
-     * The platform's VM list was read; from any thread.
+     * Handles a VM list read from the platform; from any thread.
      *
      * @param listing the list
      */
@@ -210,7 +210,7 @@
     }
 
     /**
-     * The endpoints were described with the models that they have loaded; from any thread.
+     * Handles the endpoints of the VM list with their loaded models; from any thread.
      *
      * @param endpoints all endpoints of the list
      */
@@ -223,9 +223,9 @@
     }
 
     /**
-     * The cloud said that VMs are taken back; from any thread.
+     * Handles the cloud's notice that VMs will be reclaimed; from any thread.
      *
-     * @param notice the VMs
+     * @param notice the VMs and the time at which they stop
      */
     public void noticeReceived(final LeavingNotice notice) {
         offerUntilAccepted(
@@ -237,26 +237,26 @@
     }
 
     /**
-     * This daemon asked an endpoint for its load; from any thread.
+     * Handles a load report that this daemon polled; from any thread.
      *
-     * @param report the answer
+     * @param report the report
      */
     public void loadPolled(final LoadReport report) {
         mLoop.offer(() -> mLoad.addReport(report));
     }
 
     /**
-     * This daemon begins its graceful stop; from any thread. The peers are told at once.
+     * Announces the graceful stop of this daemon to its peers at once; from any thread.
      *
-     * <p>Guards against a goodbye that is lost with its connection, after which peers name this
-     * daemon to callers until they suspect it: {@link #close} waits until two seconds have passed,
-     * in which heartbeats show the peers what they lack.
+     * <p>Guards against an announcement that is lost with its connection, after which peers would
+     * list this daemon to callers until they suspect it: {@link #close} waits until two seconds
+     * have passed, in which heartbeats repeat the announcement.
      *
-     * @param goneBy when it stops answering
+     * @param goneBy the time at which the daemon stops answering
      */
     public void announceStop(final Instant goneBy) {
-        final CompletableFuture<Void> told = new CompletableFuture<>();
-        mStopAnnounced = told;
+        final CompletableFuture<Void> announced = new CompletableFuture<>();
+        mStopAnnounced = announced;
         offerUntilAccepted(
                 () -> {
                     final Instant now = mClock.instant();
@@ -264,15 +264,16 @@
                     mMembership.shutdownStarted(goneBy, now);
                     mMembership.tick(now);
                     mTimers.executeAfter(
-                            () -> told.complete(null),
+                            () -> announced.complete(null),
                             STOP_ANNOUNCEMENT_MILLIS,
                             TimeUnit.MILLISECONDS);
                 });
     }
 
     /**
-     * Hands over what comes only once. Guards against a full ring, which would lose a notice and
-     * leave its VM open to new work on every daemon: it is offered again until there is room.
+     * Adds a task whose event is not repeated. Guards against a full ring, which would lose a
+     * notice, so that every daemon would send new work to its VM: the task is offered again until
+     * the ring has room.
      */
     private void offerUntilAccepted(final Runnable task) {
         if (!mLoop.offer(task)) {
@@ -282,13 +283,13 @@
     }
 
     private void enqueue(final IncomingMessage message) {
-        // A message that finds the ring full is lost like any other; peers say all again.
+        // A full ring drops the message, as the network may; peers repeat their state.
         mLoop.offer(() -> receive(message));
     }
 
     private void receive(final IncomingMessage message) {
         if (mMembership == null) {
-            // The address is taken before this daemon can tell it to others, so nobody waits yet.
+            // The transport listens before membership exists; no peer waits for a reply yet.
             return;
         }
         try {
@@ -320,8 +321,9 @@
         final Instant now = mClock.instant();
         mMembership.tick(now);
         mPublisher.publish(mView, now);
-        final Envelope greeting = MembershipCodec.encode(mMembership.ownHeartbeat());
-        mSeeds.seedsToContact(mView, now).forEach(seed -> mTransport.connectToSeed(seed, greeting));
+        final Envelope heartbeat = MembershipCodec.encode(mMembership.ownHeartbeat());
+        mSeeds.seedsToContact(mView, now)
+                .forEach(seed -> mTransport.connectToSeed(seed, heartbeat));
         mLoad.nextDigest(now)
                 .ifPresent(digest -> mLoad.peers().forEach(peer -> mTransport.send(peer, digest)));
         if (!now.isBefore(mNextReload)) {
@@ -340,7 +342,7 @@
         mTransport.close();
     }
 
-    /** Carries out what membership decides. */
+    /** Executes the actions that membership decides. */
     private final class Actions implements MembershipActions {
         @Override
         public void send(final DaemonAddress to, final MembershipMessage message) {
--- a/daemon/src/main/java/org/whinhead/daemon/peers/PeerServiceListener.java
+++ b/daemon/src/main/java/org/whinhead/daemon/peers/PeerServiceListener.java
@@ -7,43 +7,43 @@
 import org.whinhead.daemon.view.EntryAddress;
 import org.whinhead.routing.LoadReport;
 
-/** Told by the peer duty, on its thread; must not block. */
+/** Receives the events of the peer service on its thread; must not block. */
 public interface PeerServiceListener {
 
     /**
-     * The endpoints or the states of their VMs changed.
+     * Handles a change of the endpoints or of the states of their VMs.
      *
-     * @param endpoints all that may still answer
-     * @return false if this could not be taken in now and must be told again
+     * @param endpoints all endpoints that may still answer
+     * @return false if the event was not accepted and must be repeated
      */
     boolean endpointsChanged(List<Endpoint> endpoints);
 
     /**
-     * An endpoint's VM is leaving; told once.
+     * Handles the leaving of an endpoint's VM; called until accepted.
      *
      * @param endpoint the endpoint
-     * @param goneBy when it stops answering
-     * @return false if this could not be taken in now and must be told again
+     * @param goneBy the time at which the endpoint stops answering
+     * @return false if the event was not accepted and must be repeated
      */
     boolean endpointLeaving(EndpointId endpoint, Instant goneBy);
 
     /**
-     * Other daemons are open to callers.
+     * Handles a change of the addresses at which daemons accept callers.
      *
      * @param addresses the addresses, best first
      */
     void addressesChanged(List<EntryAddress> addresses);
 
     /**
-     * The own VM is taken back; told once, and not after an own stop.
+     * Handles the reclaim of the own VM; called until accepted, but not after an own stop began.
      *
-     * @param goneBy when it stops
-     * @return false if this could not be taken in now and must be told again
+     * @param goneBy the time at which the VM stops
+     * @return false if the event was not accepted and must be repeated
      */
     boolean ownVmLeaving(Instant goneBy);
 
     /**
-     * A peer shared a load report.
+     * Handles a load report from a peer.
      *
      * @param report the report
      */
--- a/daemon/src/main/java/org/whinhead/daemon/peers/SeedSelector.java
+++ b/daemon/src/main/java/org/whinhead/daemon/peers/SeedSelector.java
@@ -12,7 +12,7 @@
 import org.whinhead.membership.MembershipView;
 import org.whinhead.settings.daemon.HostPort;
 
-/** Says which addresses of the settings to call, because no daemon is known there. */
+/** Selects the seed addresses to contact: those at which no daemon is known. */
 final class SeedSelector {
 
     private static final Duration INTERVAL = Duration.ofSeconds(2);
@@ -26,7 +26,7 @@
         mOwn = hostPort(own);
     }
 
-    /** Returns the addresses to call now; none until the interval has passed. */
+    /** Returns the addresses to contact now; none until the interval has passed. */
     List<InetSocketAddress> seedsToContact(final MembershipView view, final Instant now) {
         if (now.isBefore(mNextContact)) {
             return List.of();
--- a/daemon/src/main/java/org/whinhead/daemon/peers/ViewChangePublisher.java
+++ b/daemon/src/main/java/org/whinhead/daemon/peers/ViewChangePublisher.java
@@ -20,10 +20,10 @@
 import org.whinhead.membership.DaemonMember;
 import org.whinhead.membership.MembershipView;
 
-/** Tells the daemon what changed in the view, each thing until it was taken in. */
+/** Publishes changes of the membership view and repeats each until the listener accepts it. */
 final class ViewChangePublisher {
 
-    /** What is left to a VM that the list alone calls leaving, without saying until when. */
+    /** The remaining time presumed for a leaving VM if only the VM list reports it. */
     private static final Duration DEFAULT_NOTICE = Duration.ofSeconds(5);
 
     private final VmId mSelf;
@@ -45,7 +45,7 @@
         mListener = listener;
     }
 
-    /** Takes in the endpoints with the models that they have loaded, which the list lacks. */
+    /** Updates the endpoints with their loaded models, which the VM list lacks. */
     void endpointsDescribed(final List<Endpoint> endpoints) {
         final Map<EndpointId, Endpoint> described = new HashMap<>();
         endpoints.forEach(endpoint -> described.put(endpoint.id(), endpoint));
@@ -58,16 +58,17 @@
         mPending = true;
     }
 
-    /** The daemon stops by itself and need not be told that its VM is leaving. */
+    /** Suppresses the event of the own VM's leaving, because the daemon is already stopping. */
     void ownStopBegun() {
         mOwnLeavingPublished = true;
     }
 
     /**
-     * Tells what was not told yet.
+     * Publishes the changes that the listener has not accepted yet.
      *
-     * <p>Guards against a full decision ring, which would lose the news of a leaving endpoint and
-     * with it keep sending work there: what was not taken in is told again at the next tick.
+     * <p>Guards against a full decision ring, which would lose the event of a leaving endpoint, so
+     * that requests would still be sent there: an event that was not accepted is repeated at the
+     * next tick.
      */
     void publish(final MembershipView view, final Instant now) {
         if (!mPending) {
@@ -129,24 +130,24 @@
     }
 
     private List<Endpoint> mergeEndpoints(final MembershipView view) {
-        final Map<EndpointId, Endpoint> merged = new HashMap<>(mDescribed);
+        final Map<EndpointId, Endpoint> mergedById = new HashMap<>(mDescribed);
         for (final Endpoint endpoint : view.endpoints()) {
             final Endpoint described = mDescribed.getOrDefault(endpoint.id(), endpoint);
-            merged.put(endpoint.id(), described.withVmState(endpoint.vm().state()));
+            mergedById.put(endpoint.id(), described.withVmState(endpoint.vm().state()));
         }
-        final List<Endpoint> endpoints = new ArrayList<>(merged.values());
+        final List<Endpoint> endpoints = new ArrayList<>(mergedById.values());
         endpoints.removeIf(endpoint -> !endpoint.vm().state().mayStillAnswer());
         endpoints.sort(Comparator.comparing(endpoint -> endpoint.id().value()));
         return endpoints;
     }
 
     private static List<EntryAddress> addresses(final MembershipView view) {
-        final Map<URI, EntryAddress> known = new HashMap<>();
+        final Map<URI, EntryAddress> byUri = new HashMap<>();
         for (final DaemonMember member : view.daemons()) {
-            known.put(
+            byUri.put(
                     member.callerAddress(),
                     new EntryAddress(member.callerAddress(), member.vm().domain()));
         }
-        return view.callerAddresses().stream().distinct().map(known::get).toList();
+        return view.callerAddresses().stream().distinct().map(byUri::get).toList();
     }
 }
--- a/daemon/src/main/java/org/whinhead/daemon/peers/VmListConverter.java
+++ b/daemon/src/main/java/org/whinhead/daemon/peers/VmListConverter.java
@@ -13,7 +13,7 @@
 import org.whinhead.membership.MembershipView;
 import org.whinhead.membership.VmListSnapshot;
 
-/** Turns the platform's VM list into what membership takes. */
+/** Converts the platform's VM list to the snapshot that membership reads. */
 final class VmListConverter {
 
     private final DaemonMember mSelf;
@@ -38,8 +38,9 @@
     }
 
     /**
-     * The list names no peer ports. A daemon that was not heard of is taken to listen on the same
-     * port as this one; on the own host that port is this daemon's, so nothing can be presumed.
+     * Returns the peer address of a listed VM; the list holds no peer ports. A daemon unknown to
+     * membership is presumed to listen on the same port as this one, except on this daemon's host,
+     * where that port is its own.
      */
     private Optional<DaemonAddress> peerAddress(final ListedVm vm, final MembershipView view) {
         final Optional<DaemonMember> known = view.daemon(vm.vm().id());
--- a/daemon/src/main/java/org/whinhead/daemon/peers/package-info.java
+++ b/daemon/src/main/java/org/whinhead/daemon/peers/package-info.java
@@ -1,2 +1,2 @@
-/** The peer duty: membership, shared load reports and questions between daemons. */
+/** The peer service: membership, shared load reports and queries between daemons. */
 package org.whinhead.daemon.peers;
