--- a/daemon/src/main/java/org/whinhead/daemon/ConnectionTracker.java
+++ b/daemon/src/main/java/org/whinhead/daemon/ConnectionTracker.java
@@ -9,11 +9,11 @@
 import org.xnio.IoUtils;
 
 /**
- * Keeps track of a server's connections, which outlive its listeners on shared IO threads.
+ * Tracks a server's connections, which outlive its listeners on shared IO threads.
  *
- * <p>Guards against a client that keeps its connection to a stopped daemon: its next request would
- * reach a daemon that decides nothing any more and wait there for ever. While the daemon stops,
- * each answer ends its connection; at the end those left are closed.
+ * <p>Guards against a client that keeps its connection to a stopped daemon: the client's next
+ * request would wait forever, because the daemon no longer makes decisions. While the daemon stops,
+ * each answer ends its connection; {@link #close} closes the rest.
  */
 final class ConnectionTracker {
 
@@ -24,7 +24,7 @@
         mStopping = stopping;
     }
 
-    /** Returns a handler that notes the connection before the given one. */
+    /** Returns a handler that tracks the connection and calls the next handler. */
     HttpHandler tracking(final HttpHandler next) {
         return exchange -> {
             track(exchange);
--- a/daemon/src/main/java/org/whinhead/daemon/Daemon.java
+++ b/daemon/src/main/java/org/whinhead/daemon/Daemon.java
@@ -44,7 +44,7 @@
 import org.whinhead.settings.deployment.DeploymentSettings;
 import org.xnio.XnioExecutor;
 
-/** One daemon: its servers, its duties and their wiring. Many may run in one process. */
+/** A daemon: its servers, its background services and their wiring. One process may run several. */
 public final class Daemon implements AutoCloseable {
 
     private static final Logger LOGGER = LoggerFactory.getLogger(Daemon.class);
@@ -114,8 +114,8 @@
     /**
      * Starts a daemon.
      *
-     * @param settings its settings
-     * @param options what it shares with others of the process
+     * @param settings the daemon's settings
+     * @param options the resources and limits beside the settings
      * @return the daemon, which listens
      */
     public static Daemon start(final DaemonSettings settings, final DaemonOptions options) {
@@ -124,7 +124,7 @@
                 .addKeyValue("daemon", daemon.id())
                 .addKeyValue("callers", daemon.callerUri())
                 .addKeyValue("operators", daemon.operatorUri())
-                .log("the daemon listens");
+                .log("daemon started");
         return daemon;
     }
 
@@ -148,7 +148,7 @@
         return mState.id();
     }
 
-    /** Returns what this daemon knows from the log. */
+    /** Returns the snapshot of the state that this daemon has read from the log. */
     public LogSnapshot logSnapshot() {
         return mLog.service().snapshot();
     }
@@ -156,7 +156,7 @@
     /**
      * Puts settings in force.
      *
-     * @param settings what holds from now on
+     * @param settings the settings to apply
      * @param revision the log offset of the last change
      */
     public void settingsChanged(final DeploymentSettings settings, final long revision) {
@@ -164,18 +164,19 @@
     }
 
     /**
-     * Stops gracefully: new requests are refused and callers are told other addresses, requests in
-     * progress go on within the settings' bound, and then the daemon closes.
+     * Stops gracefully: refuses new requests and gives callers other addresses, lets requests in
+     * progress continue for at most the graceful-stop time of the settings, and then closes the
+     * daemon.
      *
      * @throws InterruptedException if the thread is interrupted while it waits
      */
     public void stop() throws InterruptedException {
         mState.beginStop();
-        final Duration bound = mSettings.gracefulStop();
-        final Instant goneBy = mOptions.clock().instant().plus(bound);
-        LOGGER.atInfo().addKeyValue("inProgress", mRequests.count()).log("the daemon stops");
+        final Duration limit = mSettings.gracefulStop();
+        final Instant goneBy = mOptions.clock().instant().plus(limit);
+        LOGGER.atInfo().addKeyValue("inProgress", mRequests.count()).log("daemon stopping");
         final CountDownLatch idle = new CountDownLatch(1);
-        final XnioExecutor.Key look =
+        final XnioExecutor.Key idleCheck =
                 mCaller.anyThread()
                         .executeAtInterval(
                                 () -> {
@@ -187,9 +188,9 @@
                                 TimeUnit.MILLISECONDS);
         mPeers.peers().announceStop(goneBy);
         mLoop.offer(new DecisionEvent.Stopping(goneBy));
-        final boolean finished = idle.await(bound.toMillis(), TimeUnit.MILLISECONDS);
-        look.remove();
-        LOGGER.atInfo().addKeyValue("finished", finished).log("the daemon has stopped");
+        final boolean finished = idle.await(limit.toMillis(), TimeUnit.MILLISECONDS);
+        idleCheck.remove();
+        LOGGER.atInfo().addKeyValue("finished", finished).log("daemon stopped");
         close();
     }
 
@@ -271,8 +272,8 @@
 
     private CompletionStage<List<Decision>> findDecisions(final String id) {
         final CompletableFuture<List<Decision>> found = new CompletableFuture<>();
-        final Runnable look = () -> found.complete(mCoordinator.decisionLog().findByName(id));
-        if (!mLoop.offerNew(new DecisionEvent.Update(look))) {
+        final Runnable search = () -> found.complete(mCoordinator.decisionLog().findByName(id));
+        if (!mLoop.offerNew(new DecisionEvent.Update(search))) {
             found.completeExceptionally(new IllegalStateException("the decision ring is full"));
         }
         return found;
--- a/daemon/src/main/java/org/whinhead/daemon/DaemonMain.java
+++ b/daemon/src/main/java/org/whinhead/daemon/DaemonMain.java
@@ -23,7 +23,7 @@
 import org.whinhead.settings.deployment.DocumentList;
 import org.whinhead.settings.deployment.StoredDocument;
 
-/** The command {@code bin/whinheadd}: runs one daemon until it is told to stop. */
+/** The command {@code bin/whinheadd}: runs one daemon until the process receives a stop signal. */
 public final class DaemonMain {
 
     private static final String HELP = "--help";
@@ -108,7 +108,7 @@
         } else {
             LOGGER.atWarn()
                     .addKeyValue("option", TICKET_KEYS)
-                    .log("tickets of this daemon can be read by no other: name the shared keys");
+                    .log("no shared ticket keys: other daemons cannot read this daemon's tickets");
         }
         final Daemon daemon = Daemon.start(SettingsReader.read(settings), options);
         if (line.hasOption(DEPLOYMENT)) {
@@ -118,7 +118,7 @@
         new CountDownLatch(1).await();
     }
 
-    /** Ends the process with 0, which the virtual machine would not do after a signal. */
+    /** Ends the process with status 0; after a signal the JVM would end it with another. */
     private static void stop(final Daemon daemon) {
         try {
             daemon.stop();
--- a/daemon/src/main/java/org/whinhead/daemon/DaemonOptions.java
+++ b/daemon/src/main/java/org/whinhead/daemon/DaemonOptions.java
@@ -14,14 +14,14 @@
 import org.xnio.XnioWorker;
 
 /**
- * What a daemon is given beside its settings.
+ * The resources and limits of a daemon beside its settings.
  *
  * @param worker the IO threads, which may be shared and are not closed with the daemon
- * @param clock tells the time; it is never set back and goes on while the VM is suspended
- * @param tickets reads and writes tickets, with the keys that all daemons of a deployment share
- * @param bodyTimeout how long a caller's body may take to arrive
- * @param log the bounds of the log duty
- * @param requests how patient decisions on requests are and how often they try
+ * @param clock the clock; it never goes backward and keeps advancing while the VM is suspended
+ * @param tickets the codec of tickets, with the keys that all daemons of a deployment share
+ * @param bodyTimeout the longest time that a caller's body may take to arrive
+ * @param log the limits of the log service
+ * @param requests the timeouts and retry limits of requests
  */
 public record DaemonOptions(
         XnioWorker worker,
@@ -45,7 +45,7 @@
     }
 
     /**
-     * Returns the options of a process in use, with a ticket key that no other process has.
+     * Returns the options used in production, with a random ticket key that no other process has.
      *
      * @param worker the IO threads
      * @return the options
@@ -65,9 +65,9 @@
     }
 
     /**
-     * Returns these options with another bound on bodies.
+     * Returns these options with another body timeout.
      *
-     * @param timeout how long a caller's body may take to arrive
+     * @param timeout the longest time that a caller's body may take to arrive
      * @return a copy
      */
     public DaemonOptions withBodyTimeout(final Duration timeout) {
@@ -77,7 +77,7 @@
     /**
      * Returns these options with the deployment's ticket keys.
      *
-     * @param codec reads and writes tickets
+     * @param codec the codec with the shared keys
      * @return a copy
      */
     public DaemonOptions withTickets(final TicketCodec codec) {
@@ -85,17 +85,17 @@
     }
 
     /**
-     * Returns these options with other bounds of the log duty.
+     * Returns these options with other limits of the log service.
      *
-     * @param terms the bounds
+     * @param settings the limits
      * @return a copy
      */
-    public DaemonOptions withLog(final LogServiceSettings terms) {
-        return new DaemonOptions(worker, clock, tickets, bodyTimeout, terms, requests);
+    public DaemonOptions withLog(final LogServiceSettings settings) {
+        return new DaemonOptions(worker, clock, tickets, bodyTimeout, settings, requests);
     }
 
     /**
-     * Returns these options with other settings of the decisions on requests.
+     * Returns these options with other timeouts and retry limits of requests.
      *
      * @param settings the settings
      * @return a copy
--- a/daemon/src/main/java/org/whinhead/daemon/LocalDaemonState.java
+++ b/daemon/src/main/java/org/whinhead/daemon/LocalDaemonState.java
@@ -15,7 +15,7 @@
 import org.whinhead.settings.daemon.DaemonSettings;
 import org.whinhead.settings.deployment.DeploymentSettings;
 
-/** What a daemon knows of itself and of the settings in force; read from any thread. */
+/** The state of this daemon and the settings in force; may be read from any thread. */
 final class LocalDaemonState implements DaemonStatus {
 
     private final DaemonId mId;
@@ -24,7 +24,7 @@
     private final LimitBoard mLimits;
     private volatile InForce mInForce =
             new InForce(DeploymentSettings.EMPTY, DeploymentView.EMPTY, -1);
-    private volatile List<EntryAddress> mListed = List.of();
+    private volatile List<EntryAddress> mAddresses = List.of();
     private volatile boolean mEndpointsKnown;
     private volatile boolean mStopping;
 
@@ -41,9 +41,9 @@
         mInForce = new InForce(settings, DeploymentViewFactory.of(settings), revision);
     }
 
-    void addressesChanged(final List<EntryAddress> listed) {
-        mLimits.daemonsChanged(listed.size());
-        mListed = listed;
+    void addressesChanged(final List<EntryAddress> addresses) {
+        mLimits.daemonsChanged(addresses.size());
+        mAddresses = addresses;
     }
 
     void endpointsChanged(final List<Endpoint> endpoints) {
@@ -89,20 +89,20 @@
         return mInForce.revision();
     }
 
-    /** Returns the listed addresses; without its own, if it stops, and with it otherwise. */
+    /** Returns the listed addresses; includes the own address unless the daemon is stopping. */
     @Override
     public List<EntryAddress> addresses() {
         final URI own = mOwn.uri();
-        final boolean listed = mListed.stream().anyMatch(address -> address.uri().equals(own));
+        final boolean listed = mAddresses.stream().anyMatch(address -> address.uri().equals(own));
         if (mStopping) {
-            return mListed.stream().filter(address -> !address.uri().equals(own)).toList();
+            return mAddresses.stream().filter(address -> !address.uri().equals(own)).toList();
         }
         if (listed) {
-            return mListed;
+            return mAddresses;
         }
-        return Stream.concat(mListed.stream(), Stream.of(mOwn)).toList();
+        return Stream.concat(mAddresses.stream(), Stream.of(mOwn)).toList();
     }
 
-    /** The settings in force with what follows from them. */
+    /** The settings in force, the view derived from them and their revision. */
     private record InForce(DeploymentSettings settings, DeploymentView view, long revision) {}
 }
--- a/daemon/src/main/java/org/whinhead/daemon/LogWiring.java
+++ b/daemon/src/main/java/org/whinhead/daemon/LogWiring.java
@@ -17,7 +17,7 @@
 import org.whinhead.settings.daemon.DaemonSettings;
 import org.whinhead.state.claim.ClaimKey;
 
-/** Ties the log duty to the settings in force and to the decisions on requests. */
+/** Connects the log service to the settings in force and to the decisions on requests. */
 final class LogWiring implements LogListener, Claims, AutoCloseable {
 
     private static final Duration LOG_TIMEOUT = Duration.ofSeconds(2);
@@ -34,16 +34,16 @@
             final DaemonSettings settings,
             final DaemonOptions options,
             final HttpCaller caller,
-            final LocalDaemonState standing,
+            final LocalDaemonState state,
             final LiveRequests requests,
             final DecisionLoop loop) {
         mCaller = caller;
-        mState = standing;
+        mState = state;
         mRequests = requests;
         mLoop = loop;
         mService =
                 new LogService(
-                        standing.id(),
+                        state.id(),
                         new LogClient(caller, settings.platform().log(), LOG_TIMEOUT),
                         caller.anyThread(),
                         options.clock(),
@@ -60,10 +60,10 @@
     }
 
     @Override
-    public void settingsChanged(final LogSnapshot standing) {
-        // A log on which nothing was ever put says nothing of the settings.
-        if (standing.revision() >= 0) {
-            mState.settingsChanged(standing.settings(), standing.revision());
+    public void settingsChanged(final LogSnapshot snapshot) {
+        // An empty log holds no settings, so those already in force remain.
+        if (snapshot.revision() >= 0) {
+            mState.settingsChanged(snapshot.settings(), snapshot.revision());
         }
     }
 
@@ -84,8 +84,9 @@
     }
 
     /**
-     * Hands a decision to the decision thread. Guards against a full ring, which would leave the
-     * caller without an answer until its request times out: it is offered until there is room.
+     * Passes a claim's decision to the decision thread. Guards against a full ring, which would
+     * leave the caller without an answer until its request times out: the event is offered again
+     * until the ring has room.
      */
     @Override
     public void claimDecided(
--- a/daemon/src/main/java/org/whinhead/daemon/PeerWiring.java
+++ b/daemon/src/main/java/org/whinhead/daemon/PeerWiring.java
@@ -27,7 +27,7 @@
 import org.whinhead.routing.LoadReport;
 import org.whinhead.settings.daemon.DaemonSettings;
 
-/** Joins what platform and peers tell, and passes what follows from it on to the decisions. */
+/** Passes platform events to the peer service, and events of both to the decision thread. */
 final class PeerWiring implements EndpointPoller.Listener, PeerServiceListener, AutoCloseable {
 
     private static final Logger LOGGER = LoggerFactory.getLogger(PeerWiring.class);
@@ -45,13 +45,13 @@
             final DaemonSettings settings,
             final DaemonOptions options,
             final HttpCaller caller,
-            final LocalDaemonState standing,
+            final LocalDaemonState state,
             final DecisionLoop loop,
             final AffinityRouter router,
             final LimitBoard limits,
             final LogService log) {
         mOptions = options;
-        mState = standing;
+        mState = state;
         mLoop = loop;
         mRouter = router;
         mLimits = limits;
@@ -59,7 +59,7 @@
             mPeers =
                     PeerService.start(
                             settings,
-                            standing.id(),
+                            state.id(),
                             options.clock(),
                             caller.anyThread(),
                             () -> log.snapshot().fold().state().asOf(),
@@ -69,7 +69,7 @@
         }
     }
 
-    /** Starts to follow the platform. */
+    /** Starts polling the platform. */
     void start(final DaemonSettings settings, final HttpCaller caller) {
         mEndpoints =
                 new EndpointPoller(
@@ -116,12 +116,12 @@
     @Override
     public boolean endpointsChanged(final List<Endpoint> endpoints) {
         mLimits.endpointsChanged(endpoints);
-        final boolean taken =
+        final boolean accepted =
                 mLoop.offer(new DecisionEvent.Update(() -> mRouter.endpointsChanged(endpoints)));
-        if (taken) {
+        if (accepted) {
             mState.endpointsChanged(endpoints);
         }
-        return taken;
+        return accepted;
     }
 
     @Override
@@ -136,12 +136,14 @@
     }
 
     /**
-     * Guards against a daemon that takes new requests until its VM disappears, which cuts every
-     * answer in progress without a ticket: a notice of its own VM is a stop with an end.
+     * Begins a graceful stop that ends when the VM does. Guards against a daemon that accepts new
+     * requests until its VM disappears, which would cut every answer in progress without a ticket.
      */
     @Override
     public boolean ownVmLeaving(final Instant goneBy) {
-        LOGGER.atInfo().addKeyValue("goneBy", goneBy).log("the own VM is taken back");
+        LOGGER.atInfo()
+                .addKeyValue("goneBy", goneBy)
+                .log("own VM is being reclaimed, daemon stopping");
         mState.beginStop();
         return mLoop.offer(new DecisionEvent.Stopping(goneBy));
     }
--- a/daemon/src/main/java/org/whinhead/daemon/WorkerPool.java
+++ b/daemon/src/main/java/org/whinhead/daemon/WorkerPool.java
@@ -6,7 +6,7 @@
 import org.xnio.Xnio;
 import org.xnio.XnioWorker;
 
-/** Makes the IO threads of a process; several daemons in one process may share them. */
+/** Creates the IO threads of a process; several daemons in one process may share them. */
 public final class WorkerPool {
 
     private static final int TASK_THREADS = 1;
@@ -16,10 +16,10 @@
     /**
      * Starts a worker.
      *
-     * @param name the threads' name
-     * @param ioThreads how many IO threads
+     * @param name the name of the threads
+     * @param ioThreads the number of IO threads
      * @return the worker
-     * @throws IOException if the threads can not be started
+     * @throws IOException if the threads cannot be started
      */
     public static XnioWorker start(final String name, final int ioThreads) throws IOException {
         return Xnio.getInstance()
--- a/daemon/src/main/java/org/whinhead/daemon/package-info.java
+++ b/daemon/src/main/java/org/whinhead/daemon/package-info.java
@@ -1,2 +1,2 @@
-/** The daemon: wires decisions to callers, endpoints, peers and the platform. */
+/** The daemon: connects the decisions on requests to callers, endpoints, peers and the platform. */
 package org.whinhead.daemon;
