--- a/daemon/src/main/java/org/whinhead/daemon/OpenConnections.java
+++ b/daemon/src/main/java/org/whinhead/daemon/ConnectionTracker.java
@@ -9,25 +9,25 @@
 import org.xnio.IoUtils;
 
 /**
- * Keeps track of a server's connections, which outlive its listeners on shared IO threads.
+ * Tracks a server's connections, which outlive its listeners on shared IO threads.
  *
- * <p>Guards against a client that keeps its connection to a stopped daemon: its next request would
- * reach a daemon that decides nothing any more and wait there for ever. While the daemon stops,
- * each answer ends its connection; at the end those left are closed.
+ * <p>Guards against a client that keeps its connection to a stopped daemon: the client's next
+ * request would wait forever, because the daemon no longer makes decisions. While the daemon stops,
+ * each answer ends its connection; {@link #close} closes the rest.
  */
-final class OpenConnections {
+final class ConnectionTracker {
 
     private final Set<ServerConnection> mOpen = ConcurrentHashMap.newKeySet();
     private final BooleanSupplier mStopping;
 
-    OpenConnections(final BooleanSupplier stopping) {
+    ConnectionTracker(final BooleanSupplier stopping) {
         mStopping = stopping;
     }
 
-    /** Returns a handler that notes the connection before the given one. */
+    /** Returns a handler that tracks the connection and calls the next handler. */
     HttpHandler tracking(final HttpHandler next) {
         return exchange -> {
-            note(exchange);
+            track(exchange);
             next.handleRequest(exchange);
         };
     }
@@ -37,7 +37,7 @@
         mOpen.clear();
     }
 
-    private void note(final HttpServerExchange exchange) {
+    private void track(final HttpServerExchange exchange) {
         final ServerConnection connection = exchange.getConnection();
         if (mOpen.add(connection)) {
             connection.addCloseListener(mOpen::remove);
--- a/daemon/src/main/java/org/whinhead/daemon/Daemon.java
+++ b/daemon/src/main/java/org/whinhead/daemon/Daemon.java
@@ -28,9 +28,9 @@
 import org.whinhead.daemon.limits.AdmissionMetrics;
 import org.whinhead.daemon.limits.DaemonAdmission;
 import org.whinhead.daemon.limits.LimitTracker;
-import org.whinhead.daemon.log.LogStanding;
+import org.whinhead.daemon.log.LogSnapshot;
 import org.whinhead.daemon.operator.Meters;
-import org.whinhead.daemon.operator.OperatorCalls;
+import org.whinhead.daemon.operator.OperatorCallDispatcher;
 import org.whinhead.daemon.operator.OperatorHandler;
 import org.whinhead.daemon.peers.PeerMeters;
 import org.whinhead.daemon.request.LiveRequests;
@@ -44,17 +44,17 @@
 import org.whinhead.settings.deployment.DeploymentSettings;
 import org.xnio.XnioExecutor;
 
-/** One daemon: its servers, its duties and their wiring. Many may run in one process. */
+/** A daemon: its servers, its background services and their wiring. One process may run several. */
 public final class Daemon implements AutoCloseable {
 
     private static final Logger LOGGER = LoggerFactory.getLogger(Daemon.class);
     private static final Duration CONNECT_TIMEOUT = Duration.ofSeconds(1);
     private static final Duration SILENCE_TIMEOUT = Duration.ofSeconds(30);
     private static final long TICK_MILLIS = 20;
-    private static final long COUNT_MILLIS = 1_000;
-    private static final String RANDOM = "L64X128MixRandom";
-    private static final int CALLERS = 0;
-    private static final int OPERATORS = 1;
+    private static final long BURN_COUNT_MILLIS = 1_000;
+    private static final String RANDOM_ALGORITHM = "L64X128MixRandom";
+    private static final int CALLER_LISTENER = 0;
+    private static final int OPERATOR_LISTENER = 1;
 
     private final DaemonSettings mSettings;
     private final DaemonOptions mOptions;
@@ -62,7 +62,7 @@
     private final LimitTracker mLimits = new LimitTracker(AdmissionSettings.DEFAULT.initialSlots());
     private final DaemonAdmission mAdmission =
             new DaemonAdmission(mLimits, AdmissionSettings.DEFAULT);
-    private final Standing mStanding;
+    private final LocalDaemonState mState;
     private final BurnCollector mBurn;
     private final DecisionLoop mLoop;
     private final AffinityRouter mRouter;
@@ -70,7 +70,7 @@
     private final LogWiring mLog;
     private final DefaultRequestCoordinator mCoordinator;
     private final PeerWiring mPeers;
-    private final OpenConnections mConnections;
+    private final ConnectionTracker mConnections;
     private final Undertow mServer;
     private final XnioExecutor.Key mTicks;
     private final XnioExecutor.Key mCounting;
@@ -78,44 +78,44 @@
     private Daemon(final DaemonSettings settings, final DaemonOptions options) {
         mSettings = settings;
         mOptions = options;
-        mStanding = new Standing(settings, mRequests, mLimits);
-        mBurn = burn();
+        mState = new LocalDaemonState(settings, mRequests, mLimits);
+        mBurn = newBurnCollector();
         mLoop =
                 new DecisionLoop(
                         settings.name() + "-decisions",
                         settings.limits().ringSize(),
                         mRequests,
                         options.clock());
-        final RandomGenerator random = RandomGenerator.of(RANDOM);
+        final RandomGenerator random = RandomGenerator.of(RANDOM_ALGORITHM);
         mRouter = new AffinityRouter(RoutingSettings.of(settings.domain()), random);
         mCaller = new HttpCaller(options.worker());
-        mLog = new LogWiring(settings, options, mCaller, mStanding, mRequests, mLoop);
-        mCoordinator = coordinator(random);
+        mLog = new LogWiring(settings, options, mCaller, mState, mRequests, mLoop);
+        mCoordinator = newCoordinator(random);
         mLoop.start(mCoordinator);
         mPeers =
                 new PeerWiring(
                         settings,
                         options,
                         mCaller,
-                        mStanding,
+                        mState,
                         mLoop,
                         mRouter,
                         mLimits,
-                        mLog.duty());
-        mConnections = new OpenConnections(mStanding::isStopping);
-        mServer = server();
+                        mLog.service());
+        mConnections = new ConnectionTracker(mState::isStopping);
+        mServer = newServer();
         mServer.start();
         mLog.start();
-        mTicks = every(TICK_MILLIS, new DecisionEvent.Tick());
-        mCounting = every(COUNT_MILLIS, new DecisionEvent.Task(mBurn::recordWaiting));
+        mTicks = scheduleEvent(TICK_MILLIS, new DecisionEvent.Tick());
+        mCounting = scheduleEvent(BURN_COUNT_MILLIS, new DecisionEvent.Task(mBurn::recordWaiting));
         mPeers.start(settings, mCaller);
     }
 
     /**
      * Starts a daemon.
      *
-     * @param settings its settings
-     * @param options what it shares with others of the process
+     * @param settings the daemon's settings
+     * @param options the resources and limits beside the settings
      * @return the daemon, which listens
      */
     public static Daemon start(final DaemonSettings settings, final DaemonOptions options) {
@@ -124,18 +124,18 @@
                 .addKeyValue("daemon", daemon.id())
                 .addKeyValue("callers", daemon.callerUri())
                 .addKeyValue("operators", daemon.operatorUri())
-                .log("the daemon listens");
+                .log("daemon started");
         return daemon;
     }
 
     /** Returns the address that callers connect to. */
     public URI callerUri() {
-        return listening(CALLERS);
+        return listenerUri(CALLER_LISTENER);
     }
 
     /** Returns the address that operators connect to. */
     public URI operatorUri() {
-        return listening(OPERATORS);
+        return listenerUri(OPERATOR_LISTENER);
     }
 
     /** Returns the address that other daemons connect to. */
@@ -145,37 +145,38 @@
 
     /** Returns this incarnation's identity. */
     public DaemonId id() {
-        return mStanding.id();
+        return mState.id();
     }
 
-    /** Returns what this daemon knows from the log. */
-    public LogStanding logStanding() {
-        return mLog.duty().standing();
+    /** Returns the snapshot of the state that this daemon has read from the log. */
+    public LogSnapshot logSnapshot() {
+        return mLog.service().snapshot();
     }
 
     /**
      * Puts settings in force.
      *
-     * @param settings what holds from now on
+     * @param settings the settings to apply
      * @param revision the log offset of the last change
      */
     public void settingsChanged(final DeploymentSettings settings, final long revision) {
-        mStanding.settingsChanged(settings, revision);
+        mState.settingsChanged(settings, revision);
     }
 
     /**
-     * Stops gracefully: new requests are refused and callers are told other addresses, requests in
-     * progress go on within the settings' bound, and then the daemon closes.
+     * Stops gracefully: refuses new requests and gives callers other addresses, lets requests in
+     * progress continue for at most the graceful-stop time of the settings, and then closes the
+     * daemon.
      *
      * @throws InterruptedException if the thread is interrupted while it waits
      */
     public void stop() throws InterruptedException {
-        mStanding.beginStop();
-        final Duration bound = mSettings.gracefulStop();
-        final Instant goneBy = mOptions.clock().instant().plus(bound);
-        LOGGER.atInfo().addKeyValue("inProgress", mRequests.count()).log("the daemon stops");
+        mState.beginStop();
+        final Duration limit = mSettings.gracefulStop();
+        final Instant goneBy = mOptions.clock().instant().plus(limit);
+        LOGGER.atInfo().addKeyValue("inProgress", mRequests.count()).log("daemon stopping");
         final CountDownLatch idle = new CountDownLatch(1);
-        final XnioExecutor.Key look =
+        final XnioExecutor.Key idleCheck =
                 mCaller.anyThread()
                         .executeAtInterval(
                                 () -> {
@@ -185,17 +186,17 @@
                                 },
                                 TICK_MILLIS,
                                 TimeUnit.MILLISECONDS);
-        mPeers.peers().stopping(goneBy);
+        mPeers.peers().announceStop(goneBy);
         mLoop.offer(new DecisionEvent.Stopping(goneBy));
-        final boolean finished = idle.await(bound.toMillis(), TimeUnit.MILLISECONDS);
-        look.remove();
-        LOGGER.atInfo().addKeyValue("finished", finished).log("the daemon has stopped");
+        final boolean finished = idle.await(limit.toMillis(), TimeUnit.MILLISECONDS);
+        idleCheck.remove();
+        LOGGER.atInfo().addKeyValue("finished", finished).log("daemon stopped");
         close();
     }
 
     @Override
     public void close() {
-        mStanding.beginStop();
+        mState.beginStop();
         mPeers.close();
         mTicks.remove();
         mCounting.remove();
@@ -207,7 +208,7 @@
         mLoop.close();
     }
 
-    private DefaultRequestCoordinator coordinator(final RandomGenerator random) {
+    private DefaultRequestCoordinator newCoordinator(final RandomGenerator random) {
         final AttemptTransport transport =
                 new AttemptTransport(mCaller, mLoop, CONNECT_TIMEOUT, SILENCE_TIMEOUT);
         final ActionDispatcher actions =
@@ -221,7 +222,7 @@
                 .build();
     }
 
-    private Undertow server() {
+    private Undertow newServer() {
         final HostPort callers = mSettings.listen().callers();
         final HostPort operators = mSettings.listen().operators();
         return Undertow.builder()
@@ -235,21 +236,21 @@
                 .build();
     }
 
-    private BurnCollector burn() {
+    private BurnCollector newBurnCollector() {
         final InstantSource clock = mOptions.clock();
         final BurnRecorder recorder =
                 new BurnRecorder(id(), mSettings.publicUri(), clock.instant());
-        return new BurnCollector(recorder, clock, mStanding::settings);
+        return new BurnCollector(recorder, clock, mState::settings);
     }
 
     private HttpHandler callerHandler() {
         return CallerApi.builder(id())
-                .view(mStanding::view)
-                .addresses(mStanding::addresses)
+                .view(mState::view)
+                .addresses(mState::addresses)
                 .decisions(mRequests, mLoop)
                 .burn(mBurn)
                 .tickets(mOptions.tickets())
-                .stopping(mStanding::isStopping)
+                .stopping(mState::isStopping)
                 .clock(mOptions.clock())
                 .limits(mSettings.limits().maxBodyBytes(), mSettings.limits().maxInProgress())
                 .bodyTimeout(mOptions.bodyTimeout())
@@ -259,23 +260,26 @@
     private HttpHandler operatorHandler() {
         return new OperatorHandler(
                 mSettings,
-                mStanding,
-                meters(),
-                new OperatorCalls(
-                        mSettings.name(), mLog.duty(), mPeers.peers().inForce(), this::decisions),
+                mState,
+                newMeters(),
+                new OperatorCallDispatcher(
+                        mSettings.name(),
+                        mLog.service(),
+                        mPeers.peers().revisionQuery(),
+                        this::findDecisions),
                 new BurnHandler(mBurn, mLoop));
     }
 
-    private CompletionStage<List<Decision>> decisions(final String id) {
+    private CompletionStage<List<Decision>> findDecisions(final String id) {
         final CompletableFuture<List<Decision>> found = new CompletableFuture<>();
-        final Runnable look = () -> found.complete(mCoordinator.decisionLog().findByName(id));
-        if (!mLoop.offerNew(new DecisionEvent.Task(look))) {
+        final Runnable search = () -> found.complete(mCoordinator.decisionLog().findByName(id));
+        if (!mLoop.offerNew(new DecisionEvent.Task(search))) {
             found.completeExceptionally(new IllegalStateException("the decision ring is full"));
         }
         return found;
     }
 
-    private Meters meters() {
+    private Meters newMeters() {
         final Meters meters = new Meters();
         meters.gauge(
                 "whinhead.requests.in.progress",
@@ -297,13 +301,13 @@
         return meters;
     }
 
-    private URI listening(final int listener) {
+    private URI listenerUri(final int listener) {
         final InetSocketAddress address =
                 (InetSocketAddress) mServer.getListenerInfo().get(listener).getAddress();
         return URI.create("http://" + new HostPort(address.getHostString(), address.getPort()));
     }
 
-    private XnioExecutor.Key every(final long millis, final DecisionEvent event) {
+    private XnioExecutor.Key scheduleEvent(final long millis, final DecisionEvent event) {
         return mOptions.worker()
                 .getIoThread()
                 .executeAtInterval(() -> mLoop.offer(event), millis, TimeUnit.MILLISECONDS);
--- a/daemon/src/main/java/org/whinhead/daemon/Standing.java
+++ b/daemon/src/main/java/org/whinhead/daemon/LocalDaemonState.java
@@ -10,13 +10,13 @@
 import org.whinhead.daemon.operator.DaemonStatus;
 import org.whinhead.daemon.request.LiveRequests;
 import org.whinhead.daemon.view.DeploymentView;
+import org.whinhead.daemon.view.DeploymentViewFactory;
 import org.whinhead.daemon.view.EntryAddress;
-import org.whinhead.daemon.view.ViewMaker;
 import org.whinhead.settings.daemon.DaemonSettings;
 import org.whinhead.settings.deployment.DeploymentSettings;
 
-/** What a daemon knows of itself and of the settings in force; read from any thread. */
-final class Standing implements DaemonStatus {
+/** The state of this daemon and the settings in force; may be read from any thread. */
+final class LocalDaemonState implements DaemonStatus {
 
     private final DaemonId mId;
     private final EntryAddress mOwn;
@@ -24,11 +24,11 @@
     private final LimitTracker mLimits;
     private volatile InForce mInForce =
             new InForce(DeploymentSettings.EMPTY, DeploymentView.EMPTY, -1);
-    private volatile List<EntryAddress> mListed = List.of();
+    private volatile List<EntryAddress> mAddresses = List.of();
     private volatile boolean mEndpointsKnown;
     private volatile boolean mStopping;
 
-    Standing(
+    LocalDaemonState(
             final DaemonSettings settings, final LiveRequests requests, final LimitTracker limits) {
         mId = new DaemonId(settings.name() + "-" + UUID.randomUUID());
         mOwn = new EntryAddress(settings.publicUri(), settings.domain());
@@ -38,15 +38,15 @@
 
     void settingsChanged(final DeploymentSettings settings, final long revision) {
         mLimits.settingsChanged(settings);
-        mInForce = new InForce(settings, ViewMaker.of(settings), revision);
+        mInForce = new InForce(settings, DeploymentViewFactory.of(settings), revision);
     }
 
-    void addressesListed(final List<EntryAddress> listed) {
-        mLimits.daemonsChanged(listed.size());
-        mListed = listed;
+    void addressesChanged(final List<EntryAddress> addresses) {
+        mLimits.daemonsChanged(addresses.size());
+        mAddresses = addresses;
     }
 
-    void endpointsKnown(final List<Endpoint> endpoints) {
+    void endpointsChanged(final List<Endpoint> endpoints) {
         mLimits.endpointsChanged(endpoints);
         mEndpointsKnown = true;
     }
@@ -89,20 +89,20 @@
         return mInForce.revision();
     }
 
-    /** Returns the listed addresses; without its own, if it stops, and with it otherwise. */
+    /** Returns the listed addresses; includes the own address unless the daemon is stopping. */
     @Override
     public List<EntryAddress> addresses() {
         final URI own = mOwn.uri();
-        final boolean listed = mListed.stream().anyMatch(address -> address.uri().equals(own));
+        final boolean listed = mAddresses.stream().anyMatch(address -> address.uri().equals(own));
         if (mStopping) {
-            return mListed.stream().filter(address -> !address.uri().equals(own)).toList();
+            return mAddresses.stream().filter(address -> !address.uri().equals(own)).toList();
         }
         if (listed) {
-            return mListed;
+            return mAddresses;
         }
-        return Stream.concat(mListed.stream(), Stream.of(mOwn)).toList();
+        return Stream.concat(mAddresses.stream(), Stream.of(mOwn)).toList();
     }
 
-    /** The settings in force with what follows from them. */
+    /** The settings in force, the view derived from them and their revision. */
     private record InForce(DeploymentSettings settings, DeploymentView view, long revision) {}
 }
--- a/daemon/src/main/java/org/whinhead/daemon/LogWiring.java
+++ b/daemon/src/main/java/org/whinhead/daemon/LogWiring.java
@@ -9,41 +9,41 @@
 import org.whinhead.daemon.decision.DecisionEvent;
 import org.whinhead.daemon.decision.DecisionLoop;
 import org.whinhead.daemon.engine.ClaimService;
-import org.whinhead.daemon.log.LogDuty;
 import org.whinhead.daemon.log.LogListener;
-import org.whinhead.daemon.log.LogStanding;
+import org.whinhead.daemon.log.LogService;
+import org.whinhead.daemon.log.LogSnapshot;
 import org.whinhead.daemon.request.LiveRequests;
 import org.whinhead.requests.ClaimOutcome;
 import org.whinhead.settings.daemon.DaemonSettings;
 import org.whinhead.state.claim.ClaimKey;
 
-/** Ties the log duty to the settings in force and to the decisions on requests. */
+/** Connects the log service to the settings in force and to the decisions on requests. */
 final class LogWiring implements LogListener, ClaimService, AutoCloseable {
 
     private static final Duration LOG_TIMEOUT = Duration.ofSeconds(2);
     private static final long RETRY_MILLIS = 5;
 
     private final HttpCaller mCaller;
-    private final Standing mStanding;
+    private final LocalDaemonState mState;
     private final LiveRequests mRequests;
     private final DecisionLoop mLoop;
-    private final LogDuty mDuty;
+    private final LogService mService;
     private volatile boolean mClosed;
 
     LogWiring(
             final DaemonSettings settings,
             final DaemonOptions options,
             final HttpCaller caller,
-            final Standing standing,
+            final LocalDaemonState state,
             final LiveRequests requests,
             final DecisionLoop loop) {
         mCaller = caller;
-        mStanding = standing;
+        mState = state;
         mRequests = requests;
         mLoop = loop;
-        mDuty =
-                new LogDuty(
-                        standing.id(),
+        mService =
+                new LogService(
+                        state.id(),
                         new LogClient(caller, settings.platform().log(), LOG_TIMEOUT),
                         caller.anyThread(),
                         options.clock(),
@@ -52,18 +52,18 @@
     }
 
     void start() {
-        mDuty.start();
+        mService.start();
     }
 
-    LogDuty duty() {
-        return mDuty;
+    LogService service() {
+        return mService;
     }
 
     @Override
-    public void settingsChanged(final LogStanding standing) {
-        // A log on which nothing was ever put says nothing of the settings.
-        if (standing.revision() >= 0) {
-            mStanding.settingsChanged(standing.settings(), standing.revision());
+    public void settingsChanged(final LogSnapshot snapshot) {
+        // An empty log holds no settings, so those already in force remain.
+        if (snapshot.revision() >= 0) {
+            mState.settingsChanged(snapshot.settings(), snapshot.revision());
         }
     }
 
@@ -73,19 +73,20 @@
                 .find(request)
                 .ifPresent(
                         live ->
-                                mDuty.claim(
+                                mService.claim(
                                         request,
                                         ClaimKey.of(live.spec().customer(), request.value())));
     }
 
     @Override
     public void withdraw(final RequestId request) {
-        mDuty.withdraw(request);
+        mService.withdraw(request);
     }
 
     /**
-     * Hands a decision to the decision thread. Guards against a full ring, which would leave the
-     * caller without an answer until its request times out: it is offered until there is room.
+     * Passes a claim's decision to the decision thread. Guards against a full ring, which would
+     * leave the caller without an answer until its request times out: the event is offered again
+     * until the ring has room.
      */
     @Override
     public void claimDecided(
@@ -103,6 +104,6 @@
     @Override
     public void close() {
         mClosed = true;
-        mDuty.close();
+        mService.close();
     }
 }
--- a/daemon/src/main/java/org/whinhead/daemon/PeerWiring.java
+++ b/daemon/src/main/java/org/whinhead/daemon/PeerWiring.java
@@ -14,12 +14,12 @@
 import org.whinhead.clients.vms.VmListing;
 import org.whinhead.daemon.decision.DecisionEvent;
 import org.whinhead.daemon.decision.DecisionLoop;
-import org.whinhead.daemon.duty.EndpointWatch;
-import org.whinhead.daemon.duty.NoticeWatch;
+import org.whinhead.daemon.duty.EndpointPoller;
+import org.whinhead.daemon.duty.ReclaimNoticePoller;
 import org.whinhead.daemon.limits.LimitTracker;
-import org.whinhead.daemon.log.LogDuty;
-import org.whinhead.daemon.peers.PeerDuty;
-import org.whinhead.daemon.peers.PeerDutyListener;
+import org.whinhead.daemon.log.LogService;
+import org.whinhead.daemon.peers.PeerService;
+import org.whinhead.daemon.peers.PeerServiceListener;
 import org.whinhead.daemon.view.EntryAddress;
 import org.whinhead.membership.LeavingNotice;
 import org.whinhead.peer.PeerException;
@@ -27,101 +27,101 @@
 import org.whinhead.routing.LoadReport;
 import org.whinhead.settings.daemon.DaemonSettings;
 
-/** Joins what platform and peers tell, and passes what follows from it on to the decisions. */
-final class PeerWiring implements EndpointWatch.Listener, PeerDutyListener, AutoCloseable {
+/** Passes platform events to the peer service, and events of both to the decision thread. */
+final class PeerWiring implements EndpointPoller.Listener, PeerServiceListener, AutoCloseable {
 
     private static final Logger LOGGER = LoggerFactory.getLogger(PeerWiring.class);
 
     private final DaemonOptions mOptions;
-    private final Standing mStanding;
+    private final LocalDaemonState mState;
     private final DecisionLoop mLoop;
     private final AffinityRouter mRouter;
     private final LimitTracker mLimits;
-    private final PeerDuty mPeers;
-    private EndpointWatch mWatch;
-    private NoticeWatch mNotices;
+    private final PeerService mPeers;
+    private EndpointPoller mEndpoints;
+    private ReclaimNoticePoller mNotices;
 
     PeerWiring(
             final DaemonSettings settings,
             final DaemonOptions options,
             final HttpCaller caller,
-            final Standing standing,
+            final LocalDaemonState state,
             final DecisionLoop loop,
             final AffinityRouter router,
             final LimitTracker limits,
-            final LogDuty log) {
+            final LogService log) {
         mOptions = options;
-        mStanding = standing;
+        mState = state;
         mLoop = loop;
         mRouter = router;
         mLimits = limits;
         try {
             mPeers =
-                    PeerDuty.start(
+                    PeerService.start(
                             settings,
-                            standing.id(),
+                            state.id(),
                             options.clock(),
                             caller.anyThread(),
-                            () -> log.standing().fold().state().asOf(),
+                            () -> log.snapshot().fold().state().asOf(),
                             this);
         } catch (final PeerException e) {
             throw new IllegalArgumentException(e.getMessage(), e);
         }
     }
 
-    /** Starts to follow the platform. */
+    /** Starts polling the platform. */
     void start(final DaemonSettings settings, final HttpCaller caller) {
-        mWatch =
-                new EndpointWatch(
+        mEndpoints =
+                new EndpointPoller(
                         settings.name() + "-platform",
                         caller,
                         new VmListClient(caller, settings.platform().vms()),
                         this);
         mNotices =
-                new NoticeWatch(
+                new ReclaimNoticePoller(
                         new NoticeClient(caller, settings.platform().cloud()),
                         caller.anyThread(),
-                        this::noticed);
+                        this::onReclaimNotice);
     }
 
-    PeerDuty peers() {
+    PeerService peers() {
         return mPeers;
     }
 
-    private void noticed(final ReclaimNotice notice) {
-        mPeers.noticed(new LeavingNotice(Set.of(notice.vm()), notice.goneBy()));
+    private void onReclaimNotice(final ReclaimNotice notice) {
+        mPeers.noticeReceived(new LeavingNotice(Set.of(notice.vm()), notice.goneBy()));
     }
 
     @Override
-    public void endpoints(final List<Endpoint> endpoints) {
-        mPeers.described(endpoints);
+    public void endpointsDescribed(final List<Endpoint> endpoints) {
+        mPeers.endpointsDescribed(endpoints);
     }
 
     @Override
-    public void load(final LoadReport report) {
+    public void loadPolled(final LoadReport report) {
         loadReported(report);
-        mPeers.polled(report);
+        mPeers.loadPolled(report);
     }
 
     @Override
-    public void listed(final VmListing listing) {
-        mPeers.listed(listing);
+    public void vmListRead(final VmListing listing) {
+        mPeers.vmListRead(listing);
     }
 
     @Override
-    public boolean polls(final EndpointId endpoint) {
-        return mPeers.polls(endpoint);
+    public boolean isPolledHere(final EndpointId endpoint) {
+        return mPeers.isPolledHere(endpoint);
     }
 
     @Override
     public boolean endpointsChanged(final List<Endpoint> endpoints) {
         mLimits.endpointsChanged(endpoints);
-        final boolean taken =
+        final boolean accepted =
                 mLoop.offer(new DecisionEvent.Task(() -> mRouter.endpointsChanged(endpoints)));
-        if (taken) {
-            mStanding.endpointsKnown(endpoints);
+        if (accepted) {
+            mState.endpointsChanged(endpoints);
         }
-        return taken;
+        return accepted;
     }
 
     @Override
@@ -132,17 +132,19 @@
 
     @Override
     public void addressesChanged(final List<EntryAddress> addresses) {
-        mStanding.addressesListed(addresses);
+        mState.addressesChanged(addresses);
     }
 
     /**
-     * Guards against a daemon that takes new requests until its VM disappears, which cuts every
-     * answer in progress without a ticket: a notice of its own VM is a stop with an end.
+     * Begins a graceful stop that ends when the VM does. Guards against a daemon that accepts new
+     * requests until its VM disappears, which would cut every answer in progress without a ticket.
      */
     @Override
     public boolean ownVmLeaving(final Instant goneBy) {
-        LOGGER.atInfo().addKeyValue("goneBy", goneBy).log("the own VM is taken back");
-        mStanding.beginStop();
+        LOGGER.atInfo()
+                .addKeyValue("goneBy", goneBy)
+                .log("own VM is being reclaimed, daemon stopping");
+        mState.beginStop();
         return mLoop.offer(new DecisionEvent.Stopping(goneBy));
     }
 
@@ -155,7 +157,7 @@
     @Override
     public void close() {
         mNotices.close();
-        mWatch.close();
+        mEndpoints.close();
         mPeers.close();
     }
 }
--- a/daemon/src/main/java/org/whinhead/daemon/log/CheckpointStream.java
+++ b/daemon/src/main/java/org/whinhead/daemon/log/CheckpointStream.java
@@ -12,43 +12,46 @@
 import org.whinhead.state.record.LogRecord;
 
 /**
- * Reads and writes checkpoints; on the duty's thread.
+ * Reads and writes checkpoints; on the log thread.
  *
- * <p>The stream is followed only by who needs it: a daemon that starts or whose position in the
- * fleet stream has expired, and the holder of the duty that writes it.
+ * <p>A daemon reads the stream only when it starts, when its position in the fleet stream has
+ * expired, or while it holds the lease of the checkpoint writer.
  */
 final class CheckpointStream implements StreamHandler {
 
     private static final int PART_BYTES = 256 * 1024;
 
-    private final StreamPump mPump;
+    private final LogStreamClient mClient;
     private final CheckpointAssembler mAssembler = new CheckpointAssembler();
     private final CheckpointPublisher mPublisher;
     private final Consumer<FoldState> mInstall;
-    private boolean mStarted;
+    private boolean mInitialReadDone;
 
     CheckpointStream(
-            final StreamPump pump, final LogTerms terms, final Consumer<FoldState> install) {
-        mPump = pump;
-        mPublisher = new CheckpointPublisher(pump.writer(), terms.checkpointEvery(), PART_BYTES);
+            final LogStreamClient client,
+            final LogServiceSettings settings,
+            final Consumer<FoldState> install) {
+        mClient = client;
+        mPublisher =
+                new CheckpointPublisher(client.writer(), settings.checkpointEvery(), PART_BYTES);
         mInstall = install;
-        pump.handler(this);
+        client.setHandler(this);
     }
 
-    /** Tells whether the newest checkpoint at the start was looked for. */
-    boolean isStarted() {
-        return mStarted;
+    /** Returns whether the stream was read to its head once and its newest checkpoint installed. */
+    boolean isInitialReadDone() {
+        return mInitialReadDone;
     }
 
-    void run(final boolean wanted, final boolean holder, final FoldView view, final Instant now) {
-        if (holder) {
+    void run(final boolean needed, final boolean canWrite, final FoldView view, final Instant now) {
+        if (canWrite) {
             mPublisher.publishIfDue(view, now);
         }
-        mPump.run(!mStarted || wanted || holder || !mPump.writer().isIdle(), now);
+        mClient.sendDue(!mInitialReadDone || needed || canWrite || !mClient.writer().isIdle(), now);
     }
 
     @Override
-    public void read(final List<LogEntry> entries, final boolean atHead, final Instant now) {
+    public void onRecords(final List<LogEntry> entries, final boolean atHead, final Instant now) {
         for (final LogEntry entry : entries) {
             if (entry.record() instanceof LogRecord.Checkpoint part) {
                 final Optional<FoldState> complete = mAssembler.addPart(part);
@@ -57,12 +60,12 @@
         }
         if (atHead) {
             mAssembler.newest().ifPresent(mInstall);
-            mStarted = true;
+            mInitialReadDone = true;
         }
     }
 
     @Override
-    public void expired(final long oldest, final Instant now) {
-        mPump.reader().seek(oldest);
+    public void onExpired(final long oldest, final Instant now) {
+        mClient.reader().seek(oldest);
     }
 }
--- a/daemon/src/main/java/org/whinhead/daemon/log/FleetStream.java
+++ b/daemon/src/main/java/org/whinhead/daemon/log/FleetStream.java
@@ -14,71 +14,72 @@
 import org.whinhead.state.record.LogEntry;
 import org.whinhead.state.settings.SettingsLedger;
 
-/** Folds the fleet stream and keeps the checkpoint duty's lease; on the duty's thread. */
+/** Folds the fleet stream and renews the checkpoint writer's lease; on the log thread. */
 final class FleetStream implements StreamHandler {
 
-    private final StreamPump mPump;
+    private final LogStreamClient mClient;
     private final LogFold mFold =
             new LogFold(
-                    // Who may change which path is checked against the daemon's own settings file
-                    // before a change is published, so the fold takes any author.
+                    // The author's permission is checked against the daemon's own settings file
+                    // before a change is published, so the fold accepts any author.
                     new SettingsLedger(
-                            new FoldRules(),
+                            new FoldSettingsValidator(),
                             (author, path, current) -> true,
                             SettingsLedger.Limits.DEFAULT),
                     RecordDeduplicator.DEFAULT_MAX_INCARNATIONS);
     private final LeaseElector mCheckpointLease;
 
     FleetStream(
-            final StreamPump pump,
+            final LogStreamClient client,
             final DaemonId self,
-            final LogTerms terms,
+            final LogServiceSettings settings,
             final RandomGenerator random) {
-        mPump = pump;
+        mClient = client;
         mCheckpointLease =
                 new LeaseElector(
-                        CheckpointPublisher.DUTY, self, terms.leases(), pump.writer(), random);
-        pump.handler(this);
+                        CheckpointPublisher.DUTY, self, settings.leases(), client.writer(), random);
+        client.setHandler(this);
     }
 
     FoldView view() {
         return mFold.view();
     }
 
-    StreamPump pump() {
-        return mPump;
+    LogStreamClient client() {
+        return mClient;
     }
 
     boolean needsCheckpoint() {
-        return mPump.reader().needsCheckpoint();
+        return mClient.reader().needsCheckpoint();
     }
 
-    boolean writesCheckpoints(final Instant now) {
+    boolean canWriteCheckpoints(final Instant now) {
         return mCheckpointLease.canAct(now);
     }
 
     void run(final boolean reading, final Instant now) {
         final FoldView view = mFold.view();
-        // A daemon that does not know the head cannot tell whether a lease is free.
+        // A daemon that has not reached the head cannot know whether the lease is free.
         mCheckpointLease.tick(view.caughtUp() && !view.blocked(), now);
-        mPump.run(reading, now);
+        mClient.sendDue(reading, now);
     }
 
-    /** Gives the duty up, so that another daemon need not wait for the lease's end. */
+    /** Releases the checkpoint lease, so that another daemon need not wait until it expires. */
     void release(final Instant now) {
         mCheckpointLease.release(now);
-        mPump.run(false, now);
+        mClient.sendDue(false, now);
     }
 
     @Override
-    public void read(final List<LogEntry> entries, final boolean atHead, final Instant now) {
-        boolean whole = true;
+    public void onRecords(final List<LogEntry> entries, final boolean atHead, final Instant now) {
+        boolean allApplied = true;
         for (final LogEntry entry : entries) {
             final LogFold.ApplyResult applied = mFold.apply(entry);
-            whole &= applied != LogFold.ApplyResult.GAP && applied != LogFold.ApplyResult.BLOCKED;
+            allApplied &=
+                    applied != LogFold.ApplyResult.GAP && applied != LogFold.ApplyResult.BLOCKED;
         }
-        if (!whole) {
-            mPump.reader().seek(mFold.nextOffset());
+        if (!allApplied) {
+            mClient.reader().seek(mFold.nextOffset());
         } else if (atHead) {
             mFold.markCaughtUp();
         }
@@ -86,15 +87,15 @@
     }
 
     @Override
-    public void expired(final long oldest, final Instant now) {
-        // Nothing to do: the reader now asks for a checkpoint.
+    public void onExpired(final long oldest, final Instant now) {
+        // No action: the reader now reports that it needs a checkpoint.
     }
 
-    /** Goes on from a state as of a higher offset. */
+    /** Replaces the state by one as of a higher offset and continues reading there. */
     void install(final FoldState state, final FoldView.Source source, final Instant now) {
         if (mFold.installSnapshot(state, source)) {
-            mPump.reader().seek(state.asOf());
-            state.newest().forEach(mPump.writer()::onRecordRead);
+            mClient.reader().seek(state.asOf());
+            state.newest().forEach(mClient.writer()::onRecordRead);
             observeLease(now);
         }
     }
--- a/daemon/src/main/java/org/whinhead/daemon/log/DutyRing.java
+++ b/daemon/src/main/java/org/whinhead/daemon/log/TimedTaskLoop.java
@@ -7,33 +7,33 @@
 import org.xnio.XnioExecutor;
 import org.xnio.XnioIoThread;
 
-/** A duty's thread, fed by a bounded ring. */
-final class DutyRing implements AutoCloseable {
+/** A thread that runs tasks from a bounded ring in order and passes each the current time. */
+final class TimedTaskLoop implements AutoCloseable {
 
     private static final long RETRY_MILLIS = 5;
 
-    private final EventRing<DutyTask> mRing;
+    private final EventRing<TimedTask> mRing;
     private final XnioIoThread mTimer;
     private final InstantSource mClock;
-    private final DutyTask mAfterBatch;
+    private final TimedTask mAfterBatch;
     private XnioExecutor.Key mTicks;
     private volatile boolean mClosed;
 
     /**
-     * Makes a ring that is not started yet.
+     * Creates a loop that is not started yet.
      *
      * @param name the thread's name
-     * @param slots the ring's size, a power of two
-     * @param timer the IO thread that ticks
-     * @param clock the time
-     * @param afterBatch run when no event waits any more, at each tick at least
+     * @param slots the number of slots of the ring, a power of two
+     * @param timer the IO thread that schedules ticks and retries
+     * @param clock the source of the time that tasks receive
+     * @param afterBatch the task to run at the end of each batch, at least once per tick
      */
-    DutyRing(
+    TimedTaskLoop(
             final String name,
             final int slots,
             final XnioIoThread timer,
             final InstantSource clock,
-            final DutyTask afterBatch) {
+            final TimedTask afterBatch) {
         mTimer = timer;
         mClock = clock;
         mAfterBatch = afterBatch;
@@ -47,27 +47,28 @@
                         () -> mRing.offer(now -> {}), tick.toMillis(), TimeUnit.MILLISECONDS);
     }
 
-    private void apply(final DutyTask task, final boolean endOfBatch) {
+    private void apply(final TimedTask task, final boolean endOfBatch) {
         task.run(mClock.instant());
         if (endOfBatch) {
             mAfterBatch.run(mClock.instant());
         }
     }
 
-    /** Offers an event that begins something; false if the ring is nearly full. */
-    boolean offerNew(final DutyTask task) {
+    /** Offers a task that starts new work; false if the ring is nearly full or the loop closed. */
+    boolean offerNew(final TimedTask task) {
         return !mClosed && mRing.offerNew(task);
     }
 
     /**
-     * Hands over an event that something waits for, such as the answer to a read.
+     * Adds a task that other work waits for, such as the result of a read.
      *
-     * <p>Guards against a full ring, which would otherwise lose the answer and end the reading of
-     * its stream for good: the event is offered again until there is room.
+     * <p>Guards against a full ring, which would lose the result and end the reading of its stream
+     * for good: the task is offered again until the ring has room.
      */
-    void deliver(final DutyTask task) {
+    void offerUntilAccepted(final TimedTask task) {
         if (!mClosed && !mRing.offer(task)) {
-            mTimer.executeAfter(() -> deliver(task), RETRY_MILLIS, TimeUnit.MILLISECONDS);
+            mTimer.executeAfter(
+                    () -> offerUntilAccepted(task), RETRY_MILLIS, TimeUnit.MILLISECONDS);
         }
     }
 
--- a/daemon/src/main/java/org/whinhead/daemon/operator/ChangeHandler.java
+++ b/daemon/src/main/java/org/whinhead/daemon/operator/ChangeHandler.java
@@ -10,52 +10,56 @@
 import io.undertow.util.StatusCodes;
 import java.io.IOException;
 import java.util.Optional;
-import org.whinhead.daemon.log.ChangeAnswer;
-import org.whinhead.daemon.log.LogDuty;
+import org.whinhead.daemon.log.ChangeResult;
+import org.whinhead.daemon.log.LogService;
 import org.whinhead.daemon.log.SettingsChange;
 import org.whinhead.settings.daemon.OperatorKey;
 
-/** Takes operators' changes of settings and answers once they are decided. */
+/** Submits operators' changes of settings and replies once they are decided. */
 final class ChangeHandler {
 
     private static final ObjectMapper MAPPER = new ObjectMapper();
     private static final int MAX_BODY_BYTES = 1024 * 1024;
     private static final long NO_REVISION = -1;
 
-    private final LogDuty mDuty;
+    private final LogService mLog;
 
-    ChangeHandler(final LogDuty duty) {
-        mDuty = duty;
+    ChangeHandler(final LogService log) {
+        mLog = log;
     }
 
     void post(final HttpServerExchange exchange, final OperatorKey key) {
         final Receiver receiver = exchange.getRequestReceiver();
         receiver.setMaxBufferSize(MAX_BODY_BYTES);
         receiver.receiveFullBytes(
-                (same, body) ->
-                        same.dispatch(SameThreadExecutor.INSTANCE, () -> take(same, key, body)),
-                (same, cause) -> same.dispatch(SameThreadExecutor.INSTANCE, () -> broken(same)));
+                (received, body) ->
+                        received.dispatch(
+                                SameThreadExecutor.INSTANCE, () -> submit(received, key, body)),
+                (received, cause) ->
+                        received.dispatch(
+                                SameThreadExecutor.INSTANCE, () -> sendTooLarge(received)));
     }
 
-    private static void broken(final HttpServerExchange exchange) {
-        OperatorReplies.fail(
+    private static void sendTooLarge(final HttpServerExchange exchange) {
+        OperatorReplies.sendError(
                 exchange,
                 StatusCodes.REQUEST_ENTITY_TOO_LARGE,
                 "operator.body-too-large",
                 MAX_BODY_BYTES);
     }
 
-    private void take(final HttpServerExchange exchange, final OperatorKey key, final byte[] body) {
+    private void submit(
+            final HttpServerExchange exchange, final OperatorKey key, final byte[] body) {
         final SettingsChange change;
         try {
             change = parse(body, key);
         } catch (final IOException | IllegalArgumentException e) {
-            OperatorReplies.fail(
+            OperatorReplies.sendError(
                     exchange, StatusCodes.BAD_REQUEST, "operator.bad-body", e.getMessage());
             return;
         }
         if (!key.canChange(change.path())) {
-            OperatorReplies.fail(
+            OperatorReplies.sendError(
                     exchange,
                     StatusCodes.FORBIDDEN,
                     "operator.outside-subtree",
@@ -63,11 +67,11 @@
                     change.path());
             return;
         }
-        mDuty.change(change)
+        mLog.submitChange(change)
                 .thenAccept(
-                        answer ->
+                        result ->
                                 exchange.getIoThread()
-                                        .execute(() -> answer(exchange, key, change, answer)));
+                                        .execute(() -> sendResult(exchange, key, change, result)));
     }
 
     private static SettingsChange parse(final byte[] body, final OperatorKey key)
@@ -91,43 +95,45 @@
                 root.path("dryRun").asBoolean());
     }
 
-    /** Names the key first, whose holder is certain; the name in the body is the caller's word. */
-    private static String author(final OperatorKey key, final String said) {
-        return said.isBlank() || said.equals(key.name()) ? key.name() : key.name() + "/" + said;
+    /** Returns the key's authenticated name, followed by the body's unauthenticated name. */
+    private static String author(final OperatorKey key, final String claimedName) {
+        return claimedName.isBlank() || claimedName.equals(key.name())
+                ? key.name()
+                : key.name() + "/" + claimedName;
     }
 
-    private static void answer(
+    private static void sendResult(
             final HttpServerExchange exchange,
             final OperatorKey key,
             final SettingsChange change,
-            final ChangeAnswer answer) {
+            final ChangeResult result) {
         final ObjectNode root = OperatorReplies.object();
-        if (answer instanceof ChangeAnswer.InForce inForce) {
+        if (result instanceof ChangeResult.InForce inForce) {
             root.put("revision", inForce.revision());
-            OperatorReplies.json(exchange, StatusCodes.OK, root);
-        } else if (answer instanceof ChangeAnswer.Conflict conflict) {
+            OperatorReplies.sendJson(exchange, StatusCodes.OK, root);
+        } else if (result instanceof ChangeResult.Conflict conflict) {
             root.put("winningRevision", conflict.winningRevision());
             root.put("author", conflict.author());
-            OperatorReplies.json(exchange, StatusCodes.CONFLICT, root);
-        } else if (answer instanceof ChangeAnswer.Undecided undecided) {
+            OperatorReplies.sendJson(exchange, StatusCodes.CONFLICT, root);
+        } else if (result instanceof ChangeResult.Undecided undecided) {
             root.put("message", undecided.message());
             root.put("verdict", undecided.verdict().wireName());
-            OperatorReplies.json(exchange, StatusCodes.SERVICE_UNAVAILABLE, root);
-        } else if (answer instanceof ChangeAnswer.Forbidden) {
-            OperatorReplies.fail(
+            OperatorReplies.sendJson(exchange, StatusCodes.SERVICE_UNAVAILABLE, root);
+        } else if (result instanceof ChangeResult.Forbidden) {
+            OperatorReplies.sendError(
                     exchange,
                     StatusCodes.FORBIDDEN,
                     "operator.outside-subtree",
                     key.name(),
                     change.path());
         } else {
-            problems(root.putArray("problems"), answer);
-            OperatorReplies.json(exchange, StatusCodes.UNPROCESSABLE_ENTITY, root);
+            addProblems(root.putArray("problems"), result);
+            OperatorReplies.sendJson(exchange, StatusCodes.UNPROCESSABLE_ENTITY, root);
         }
     }
 
-    private static void problems(final ArrayNode problems, final ChangeAnswer answer) {
-        if (answer instanceof ChangeAnswer.Invalid invalid) {
+    private static void addProblems(final ArrayNode problems, final ChangeResult result) {
+        if (result instanceof ChangeResult.Invalid invalid) {
             invalid.problems()
                     .forEach(
                             problem ->
@@ -135,7 +141,7 @@
                                             .put("path", problem.path())
                                             .put("messageKey", problem.messageKey())
                                             .put("message", problem.message()));
-        } else if (answer instanceof ChangeAnswer.Refused refused) {
+        } else if (result instanceof ChangeResult.Refused refused) {
             refused.problems().forEach(problems::add);
         }
     }
--- a/daemon/src/main/java/org/whinhead/daemon/operator/OperatorHandler.java
+++ b/daemon/src/main/java/org/whinhead/daemon/operator/OperatorHandler.java
@@ -14,7 +14,7 @@
 import org.whinhead.settings.daemon.DaemonSettings;
 import org.whinhead.settings.daemon.OperatorKey;
 
-/** Answers operators and the probes of health. */
+/** Serves operators' calls, metrics and health probes. */
 public final class OperatorHandler implements HttpHandler {
 
     private static final String SCHEME = "Bearer ";
@@ -22,23 +22,23 @@
     private final DaemonSettings mSettings;
     private final DaemonStatus mStatus;
     private final Meters mMeters;
-    private final OperatorCalls mCalls;
+    private final OperatorCallDispatcher mCalls;
     private final BurnHandler mBurn;
 
     /**
-     * Makes a handler.
+     * Creates a handler.
      *
-     * @param settings whose operators may ask
-     * @param status what the daemon knows of itself
+     * @param settings the daemon's settings, with the operators' keys
+     * @param status the daemon's status
      * @param meters the metrics
-     * @param calls the calls about the log and the decisions
-     * @param burn what was counted of ended requests
+     * @param calls the dispatcher of calls about the log and the decisions
+     * @param burn the handler of the report on ended requests
      */
     public OperatorHandler(
             final DaemonSettings settings,
             final DaemonStatus status,
             final Meters meters,
-            final OperatorCalls calls,
+            final OperatorCallDispatcher calls,
             final BurnHandler burn) {
         mSettings = settings;
         mStatus = status;
@@ -50,29 +50,30 @@
     @Override
     public void handleRequest(final HttpServerExchange exchange) {
         if (!exchange.getRequestMethod().equals(Methods.GET)) {
-            asOperator(exchange, key -> mCalls.handle(exchange, key));
+            authenticate(exchange, key -> mCalls.handle(exchange, key));
             return;
         }
         switch (exchange.getRequestPath()) {
-            case "/health/live" -> text(exchange, StatusCodes.OK, "live\n");
-            case "/health/ready" -> ready(exchange);
-            case "/metrics" -> text(exchange, StatusCodes.OK, mMeters.text());
-            case "/operator/status" -> asOperator(exchange, key -> status(exchange));
-            case "/operator/addresses" -> asOperator(exchange, key -> addresses(exchange));
-            case "/operator/burn" -> asOperator(exchange, key -> mBurn.handleRequest(exchange));
-            default -> asOperator(exchange, key -> mCalls.handle(exchange, key));
+            case "/health/live" -> sendText(exchange, StatusCodes.OK, "live\n");
+            case "/health/ready" -> sendReadiness(exchange);
+            case "/metrics" -> sendText(exchange, StatusCodes.OK, mMeters.text());
+            case "/operator/status" -> authenticate(exchange, key -> sendStatus(exchange));
+            case "/operator/addresses" -> authenticate(exchange, key -> sendAddresses(exchange));
+            case "/operator/burn" -> authenticate(exchange, key -> mBurn.handleRequest(exchange));
+            default -> authenticate(exchange, key -> mCalls.handle(exchange, key));
         }
     }
 
-    private void ready(final HttpServerExchange exchange) {
+    private void sendReadiness(final HttpServerExchange exchange) {
         if (mStatus.isReady()) {
-            text(exchange, StatusCodes.OK, "ready\n");
+            sendText(exchange, StatusCodes.OK, "ready\n");
         } else {
-            text(exchange, StatusCodes.SERVICE_UNAVAILABLE, "not ready\n");
+            sendText(exchange, StatusCodes.SERVICE_UNAVAILABLE, "not ready\n");
         }
     }
 
-    private void asOperator(final HttpServerExchange exchange, final Consumer<OperatorKey> answer) {
+    private void authenticate(
+            final HttpServerExchange exchange, final Consumer<OperatorKey> handler) {
         final String header = exchange.getRequestHeaders().getFirst(Headers.AUTHORIZATION);
         final Optional<OperatorKey> key =
                 Optional.ofNullable(header)
@@ -82,29 +83,29 @@
                                         mSettings.operator(
                                                 text.substring(SCHEME.length()).strip()));
         if (key.isPresent()) {
-            answer.accept(key.get());
+            handler.accept(key.get());
         } else {
-            OperatorReplies.fail(exchange, StatusCodes.UNAUTHORIZED, "operator.unknown-key");
+            OperatorReplies.sendError(exchange, StatusCodes.UNAUTHORIZED, "operator.unknown-key");
         }
     }
 
-    private void status(final HttpServerExchange exchange) {
+    private void sendStatus(final HttpServerExchange exchange) {
         final ObjectNode root = OperatorReplies.object();
         root.put("daemon", mSettings.name());
         root.put("incarnation", mStatus.id().value());
         root.put("domain", mSettings.domain().toString());
         final boolean usable = mStatus.settings().unusablePaths().isEmpty();
-        root.put("able", mStatus.isReady() && usable && mCalls.isAble());
+        root.put("able", mStatus.isReady() && usable && mCalls.isLogUsable());
         final ArrayNode notUsable = root.putArray("notUsable");
         mStatus.settings().unusablePaths().forEach(path -> notUsable.add(path.text()));
         root.put("settingsRevision", mStatus.settingsRevision());
         root.put("inProgress", mStatus.inProgress());
         root.put("stopping", mStatus.isStopping());
-        mCalls.describe(root.putObject("log"));
-        OperatorReplies.json(exchange, StatusCodes.OK, root);
+        mCalls.addLogStatus(root.putObject("log"));
+        OperatorReplies.sendJson(exchange, StatusCodes.OK, root);
     }
 
-    private void addresses(final HttpServerExchange exchange) {
+    private void sendAddresses(final HttpServerExchange exchange) {
         final ObjectNode root = OperatorReplies.object();
         final ArrayNode addresses = root.putArray("addresses");
         for (final EntryAddress address : mStatus.addresses()) {
@@ -114,10 +115,10 @@
                     .put("domain", address.domain().toString())
                     .put("state", "live");
         }
-        OperatorReplies.json(exchange, StatusCodes.OK, root);
+        OperatorReplies.sendJson(exchange, StatusCodes.OK, root);
     }
 
-    private static void text(
+    private static void sendText(
             final HttpServerExchange exchange, final int status, final String text) {
         exchange.setStatusCode(status);
         exchange.getResponseHeaders().put(Headers.CONTENT_TYPE, "text/plain; charset=utf-8");
--- a/daemon/src/main/java/org/whinhead/daemon/operator/OperatorReplies.java
+++ b/daemon/src/main/java/org/whinhead/daemon/operator/OperatorReplies.java
@@ -10,7 +10,7 @@
 import java.util.concurrent.CompletionStage;
 import java.util.function.Consumer;
 
-/** Sends operators their answers. */
+/** Sends replies to operators. */
 final class OperatorReplies {
 
     private static final String JSON = "application/json";
@@ -21,25 +21,25 @@
         return JsonNodeFactory.instance.objectNode();
     }
 
-    static void json(final HttpServerExchange exchange, final int status, final JsonNode body) {
+    static void sendJson(final HttpServerExchange exchange, final int status, final JsonNode body) {
         exchange.setStatusCode(status);
         exchange.getResponseHeaders().put(Headers.CONTENT_TYPE, JSON);
         exchange.getResponseSender().send(body.toString());
     }
 
-    static void fail(
+    static void sendError(
             final HttpServerExchange exchange,
             final int status,
             final String key,
             final Object... arguments) {
-        json(exchange, status, object().put("message", OperatorMessages.text(key, arguments)));
+        sendJson(exchange, status, object().put("message", OperatorMessages.text(key, arguments)));
     }
 
-    /** Answers on the exchange's IO thread once the stage has ended. */
-    static <T> void later(
+    /** Sends a reply, or an error if the stage failed, on the IO thread once it has ended. */
+    static <T> void sendWhenComplete(
             final HttpServerExchange exchange,
             final CompletionStage<T> stage,
-            final Consumer<T> answer) {
+            final Consumer<T> reply) {
         exchange.dispatch(
                 SameThreadExecutor.INSTANCE,
                 () ->
@@ -48,20 +48,24 @@
                                         exchange.getIoThread()
                                                 .execute(
                                                         () ->
-                                                                end(
+                                                                sendOutcome(
                                                                         exchange, value, fault,
-                                                                        answer))));
+                                                                        reply))));
     }
 
-    private static <T> void end(
+    private static <T> void sendOutcome(
             final HttpServerExchange exchange,
             final T value,
             final Throwable fault,
-            final Consumer<T> answer) {
+            final Consumer<T> reply) {
         if (fault == null) {
-            answer.accept(value);
+            reply.accept(value);
         } else {
-            fail(exchange, StatusCodes.INTERNAL_SERVER_ERROR, "operator.fault", fault.getMessage());
+            sendError(
+                    exchange,
+                    StatusCodes.INTERNAL_SERVER_ERROR,
+                    "operator.fault",
+                    fault.getMessage());
         }
     }
 }
--- a/daemon/src/main/java/org/whinhead/daemon/operator/SettingsHandler.java
+++ b/daemon/src/main/java/org/whinhead/daemon/operator/SettingsHandler.java
@@ -11,64 +11,64 @@
 import java.util.List;
 import java.util.Optional;
 import java.util.OptionalLong;
-import org.whinhead.daemon.log.LogDuty;
-import org.whinhead.daemon.log.LogStanding;
+import org.whinhead.daemon.log.LogService;
+import org.whinhead.daemon.log.LogSnapshot;
 import org.whinhead.state.settings.SettingRevision;
 import org.whinhead.state.settings.SettingsState;
 
-/** Shows operators the settings in force, their history and where they are in force. */
+/** Serves the settings in force, their history and the daemons that have folded a revision. */
 final class SettingsHandler {
 
     private static final ObjectMapper MAPPER = new ObjectMapper();
-    private static final String BELOW = "/";
-    private static final long DEFAULT_MAX = 20;
+    private static final String SUBTREE_SUFFIX = "/";
+    private static final long DEFAULT_MAX_REVISIONS = 20;
 
-    private final LogDuty mDuty;
+    private final LogService mLog;
     private final String mSelf;
-    private final PeersInForce mPeers;
+    private final RevisionQuery mPeers;
 
-    SettingsHandler(final LogDuty duty, final String self, final PeersInForce peers) {
-        mDuty = duty;
+    SettingsHandler(final LogService log, final String self, final RevisionQuery peers) {
+        mLog = log;
         mSelf = self;
         mPeers = peers;
     }
 
     void get(final HttpServerExchange exchange) {
-        final String path = Parameters.text(exchange, "path");
+        final String path = QueryParameters.text(exchange, "path");
         final SettingsState state = state();
-        if (path.endsWith(BELOW)) {
+        if (path.endsWith(SUBTREE_SUFFIX)) {
             final ArrayNode list = JsonNodeFactory.instance.arrayNode();
             state.documents().tailMap(path, false).keySet().stream()
-                    .takeWhile(below -> below.startsWith(path))
+                    .takeWhile(child -> child.startsWith(path))
                     .forEach(
-                            below ->
+                            child ->
                                     list.add(
                                             inForce(
-                                                    below,
-                                                    state.currentRevision(below).orElseThrow())));
-            OperatorReplies.json(exchange, StatusCodes.OK, list);
+                                                    child,
+                                                    state.currentRevision(child).orElseThrow())));
+            OperatorReplies.sendJson(exchange, StatusCodes.OK, list);
             return;
         }
         final Optional<SettingRevision> revision = state.currentRevision(path);
         if (revision.isPresent() && revision.get().document().isPresent()) {
-            OperatorReplies.json(exchange, StatusCodes.OK, inForce(path, revision.get()));
+            OperatorReplies.sendJson(exchange, StatusCodes.OK, inForce(path, revision.get()));
         } else {
-            nothingThere(exchange, path, revision);
+            sendNotFound(exchange, path, revision);
         }
     }
 
     private SettingsState state() {
-        return mDuty.standing().fold().state().settings();
+        return mLog.snapshot().fold().state().settings();
     }
 
-    private static void nothingThere(
+    private static void sendNotFound(
             final HttpServerExchange exchange,
             final String path,
             final Optional<SettingRevision> deletion) {
         final ObjectNode root = OperatorReplies.object();
         root.put("message", OperatorMessages.text("operator.nothing-there", path));
         deletion.ifPresent(revision -> root.put("revision", revision.revision()));
-        OperatorReplies.json(exchange, StatusCodes.NOT_FOUND, root);
+        OperatorReplies.sendJson(exchange, StatusCodes.NOT_FOUND, root);
     }
 
     private static ObjectNode inForce(final String path, final SettingRevision revision) {
@@ -90,51 +90,53 @@
                     ? MAPPER.readTree(revision.document().get())
                     : JsonNodeFactory.instance.nullNode();
         } catch (final IOException e) {
-            // The fold takes only JSON; if it ever took more, the operator sees the text.
+            // The fold accepts only JSON; any other text would be shown as a string.
             return JsonNodeFactory.instance.textNode(revision.document().get());
         }
     }
 
     void history(final HttpServerExchange exchange) {
-        final String path = Parameters.text(exchange, "path");
-        final List<SettingRevision> kept = state().history().getOrDefault(path, List.of());
-        if (kept.isEmpty()) {
-            nothingThere(exchange, path, Optional.empty());
+        final String path = QueryParameters.text(exchange, "path");
+        final List<SettingRevision> revisions = state().history().getOrDefault(path, List.of());
+        if (revisions.isEmpty()) {
+            sendNotFound(exchange, path, Optional.empty());
             return;
         }
-        final long max = Parameters.number(exchange, "max").orElse(DEFAULT_MAX);
+        final long max = QueryParameters.number(exchange, "max").orElse(DEFAULT_MAX_REVISIONS);
         final ObjectNode root = OperatorReplies.object();
         final ArrayNode array = root.putArray("revisions");
-        for (int i = kept.size() - 1; i >= 0 && array.size() < max; i--) {
-            describe(array.addObject(), kept.get(i)).put("changeId", kept.get(i).changeId());
+        for (int i = revisions.size() - 1; i >= 0 && array.size() < max; i--) {
+            describe(array.addObject(), revisions.get(i))
+                    .put("changeId", revisions.get(i).changeId());
         }
-        OperatorReplies.json(exchange, StatusCodes.OK, root);
+        OperatorReplies.sendJson(exchange, StatusCodes.OK, root);
     }
 
     void inForce(final HttpServerExchange exchange) {
-        final OptionalLong revision = Parameters.number(exchange, "revision");
+        final OptionalLong revision = QueryParameters.number(exchange, "revision");
         if (revision.isEmpty()) {
-            OperatorReplies.fail(
+            OperatorReplies.sendError(
                     exchange,
                     StatusCodes.BAD_REQUEST,
                     "operator.bad-parameter",
                     "revision",
-                    Parameters.text(exchange, "revision"));
+                    QueryParameters.text(exchange, "revision"));
             return;
         }
-        final long wanted = revision.getAsLong();
-        OperatorReplies.later(
+        final long target = revision.getAsLong();
+        OperatorReplies.sendWhenComplete(
                 exchange,
-                mPeers.upTo(wanted),
-                report -> OperatorReplies.json(exchange, StatusCodes.OK, report(wanted, report)));
+                mPeers.query(target),
+                report ->
+                        OperatorReplies.sendJson(exchange, StatusCodes.OK, report(target, report)));
     }
 
-    private ObjectNode report(final long wanted, final PeersInForce.Report peers) {
+    private ObjectNode report(final long target, final RevisionQuery.Report peers) {
         final ObjectNode root = OperatorReplies.object();
         final ArrayNode inForce = root.putArray("inForce");
         final ArrayNode missing = root.putArray("missing");
-        final LogStanding standing = mDuty.standing();
-        (standing.holds(wanted) ? inForce : missing).add(mSelf);
+        final LogSnapshot snapshot = mLog.snapshot();
+        (snapshot.hasFolded(target) ? inForce : missing).add(mSelf);
         peers.inForce().forEach(inForce::add);
         peers.missing().forEach(missing::add);
         return root;
--- a/daemon/src/main/java/org/whinhead/daemon/peers/InForceQuestions.java
+++ b/daemon/src/main/java/org/whinhead/daemon/peers/PeerPositionQuery.java
@@ -10,7 +10,7 @@
 import java.util.function.Supplier;
 import org.whinhead.api.model.VmId;
 import org.whinhead.api.model.VmState;
-import org.whinhead.daemon.operator.PeersInForce;
+import org.whinhead.daemon.operator.RevisionQuery;
 import org.whinhead.membership.DaemonMember;
 import org.whinhead.membership.MembershipView;
 import org.whinhead.peer.PeerTransport;
@@ -18,8 +18,8 @@
 import org.whinhead.peer.generated.PeerProto.SettingsQuery;
 import org.whinhead.peer.generated.PeerProto.SettingsReply;
 
-/** Asks the other daemons how far they have folded the log, and answers their questions. */
-final class InForceQuestions implements PeersInForce {
+/** Queries the positions of the other daemons in the log, and answers their queries. */
+final class PeerPositionQuery implements RevisionQuery {
 
     private static final Duration TIMEOUT = Duration.ofSeconds(1);
     private static final Envelope QUERY =
@@ -30,7 +30,7 @@
     private final Supplier<MembershipView> mView;
     private final LongSupplier mPosition;
 
-    InForceQuestions(
+    PeerPositionQuery(
             final PeerTransport transport,
             final VmId self,
             final Supplier<MembershipView> view,
@@ -41,7 +41,7 @@
         mPosition = position;
     }
 
-    /** Answers a peer's question. */
+    /** Returns the reply to a peer's query: this daemon's position in the log. */
     Envelope answer() {
         return Envelope.newBuilder()
                 .setSettingsReply(SettingsReply.newBuilder().setPosition(mPosition.getAsLong()))
@@ -49,26 +49,26 @@
     }
 
     @Override
-    public CompletionStage<Report> upTo(final long revision) {
-        final List<DaemonMember> asked =
+    public CompletionStage<Report> query(final long revision) {
+        final List<DaemonMember> queried =
                 mView.get().daemons().stream()
                         .filter(member -> !member.id().equals(mSelf))
-                        .filter(InForceQuestions::isExpectedToServe)
+                        .filter(PeerPositionQuery::isExpectedToServe)
                         .sorted(Comparator.comparing(DaemonMember::id))
                         .toList();
-        final List<CompletableFuture<Boolean>> answers =
-                asked.stream().map(member -> holds(member, revision)).toList();
-        return CompletableFuture.allOf(answers.toArray(CompletableFuture[]::new))
-                .thenApply(all -> report(asked, answers));
+        final List<CompletableFuture<Boolean>> replies =
+                queried.stream().map(member -> hasFolded(member, revision)).toList();
+        return CompletableFuture.allOf(replies.toArray(CompletableFuture[]::new))
+                .thenApply(ignored -> report(queried, replies));
     }
 
-    /** Those that leave need not follow any more; those that are silent may still serve. */
+    /** Leaving daemons need not follow the log any more; suspected ones may still serve. */
     private static boolean isExpectedToServe(final DaemonMember member) {
         final VmState state = member.vm().state();
         return state == VmState.LIVE || state == VmState.SUSPECT;
     }
 
-    private CompletableFuture<Boolean> holds(final DaemonMember member, final long revision) {
+    private CompletableFuture<Boolean> hasFolded(final DaemonMember member, final long revision) {
         return mTransport
                 .request(member.address(), QUERY, TIMEOUT)
                 .handle(
@@ -79,11 +79,11 @@
     }
 
     private static Report report(
-            final List<DaemonMember> asked, final List<CompletableFuture<Boolean>> answers) {
+            final List<DaemonMember> queried, final List<CompletableFuture<Boolean>> replies) {
         final List<String> inForce = new ArrayList<>();
         final List<String> missing = new ArrayList<>();
-        for (int i = 0; i < asked.size(); i++) {
-            (answers.get(i).join() ? inForce : missing).add(asked.get(i).id().value());
+        for (int i = 0; i < queried.size(); i++) {
+            (replies.get(i).join() ? inForce : missing).add(queried.get(i).id().value());
         }
         return new Report(inForce, missing);
     }
--- a/daemon/src/main/java/org/whinhead/daemon/peers/PeerDuty.java
+++ b/daemon/src/main/java/org/whinhead/daemon/peers/PeerService.java
@@ -18,8 +18,8 @@
 import org.whinhead.api.model.VmId;
 import org.whinhead.api.model.VmState;
 import org.whinhead.clients.vms.VmListing;
-import org.whinhead.daemon.duty.DutyLoop;
-import org.whinhead.daemon.operator.PeersInForce;
+import org.whinhead.daemon.duty.TaskLoop;
+import org.whinhead.daemon.operator.RevisionQuery;
 import org.whinhead.membership.DaemonAddress;
 import org.whinhead.membership.DaemonMember;
 import org.whinhead.membership.LeavingNotice;
@@ -43,44 +43,45 @@
 import org.xnio.XnioExecutor;
 import org.xnio.XnioIoThread;
 
-/** Talks with the other daemons on a thread of its own: who is live, and who knows what. */
-public final class PeerDuty implements AutoCloseable {
+/** Exchanges membership, load reports and log positions with peers on its own thread. */
+public final class PeerService implements AutoCloseable {
 
-    private static final Logger LOGGER = LoggerFactory.getLogger(PeerDuty.class);
+    private static final Logger LOGGER = LoggerFactory.getLogger(PeerService.class);
     private static final int RING_SLOTS = 4096;
     private static final long TICK_MILLIS = 100;
     private static final long RETRY_MILLIS = 5;
-    private static final long FAREWELL_MILLIS = 2_000;
-    private static final long LONGEST_FAREWELL_MILLIS = 3_000;
+    private static final long STOP_ANNOUNCEMENT_MILLIS = 2_000;
+    private static final long MAX_STOP_ANNOUNCEMENT_MILLIS = 3_000;
     private static final Duration RELOAD_INTERVAL = Duration.ofSeconds(10);
-    private static final String RANDOM = "L64X128MixRandom";
+    private static final String RANDOM_ALGORITHM = "L64X128MixRandom";
 
     private final DaemonSettings mSettings;
     private final InstantSource mClock;
     private final XnioIoThread mTimers;
-    private final PeerDutyListener mListener;
-    private final DutyLoop mLoop;
+    private final PeerServiceListener mListener;
+    private final TaskLoop mLoop;
     private final NettyPeerTransport mTransport;
     private final DaemonMember mSelf;
-    private final Seeds mSeeds;
-    private final ListedVms mListed;
-    private final LoadSharing mLoad;
-    private final ViewOutlet mOutlet;
-    private final InForceQuestions mInForce;
+    private final SeedSelector mSeeds;
+    private final VmListConverter mVmListConverter;
+    private final LoadReportSharing mLoad;
+    private final ViewChangePublisher mPublisher;
+    private final PeerPositionQuery mPositionQuery;
     private final XnioExecutor.Key mTicks;
     private volatile Membership mMembership;
     private volatile MembershipView mView;
-    private volatile CompletableFuture<Void> mFarewell = CompletableFuture.completedFuture(null);
+    private volatile CompletableFuture<Void> mStopAnnounced =
+            CompletableFuture.completedFuture(null);
     private Instant mNextReload;
 
-    private PeerDuty(
+    private PeerService(
             final DaemonSettings settings,
             final DaemonId id,
             final InstantSource clock,
             final XnioIoThread timers,
             final LongSupplier position,
-            final PeerDutyListener listener,
-            final DutyLoop loop)
+            final PeerServiceListener listener,
+            final TaskLoop loop)
             throws PeerException {
         mSettings = settings;
         mClock = clock;
@@ -93,14 +94,14 @@
                         new PeerIdentity(settings.vm(), id),
                         tlsFiles(settings),
                         clock,
-                        RandomGenerator.of(RANDOM),
-                        this::arrived);
-        mSelf = OwnMember.of(settings, listen());
-        mSeeds = new Seeds(settings.seeds(), mSelf.address());
-        mListed = new ListedVms(mSelf);
-        mLoad = new LoadSharing(mSelf);
-        mOutlet = new ViewOutlet(settings.vm(), vm -> mMembership.goneBy(vm), listener);
-        mInForce = new InForceQuestions(mTransport, settings.vm(), this::view, position);
+                        RandomGenerator.of(RANDOM_ALGORITHM),
+                        this::enqueue);
+        mSelf = OwnMemberFactory.of(settings, listen());
+        mSeeds = new SeedSelector(settings.seeds(), mSelf.address());
+        mVmListConverter = new VmListConverter(mSelf);
+        mLoad = new LoadReportSharing(mSelf);
+        mPublisher = new ViewChangePublisher(settings.vm(), vm -> mMembership.goneBy(vm), listener);
+        mPositionQuery = new PeerPositionQuery(mTransport, settings.vm(), this::view, position);
         final Instant now = clock.instant();
         mNextReload = now.plus(RELOAD_INTERVAL);
         final Membership membership =
@@ -108,7 +109,7 @@
                         MembershipSettings.defaults(),
                         mSelf,
                         now.toEpochMilli(),
-                        RandomGenerator.of(RANDOM),
+                        RandomGenerator.of(RANDOM_ALGORITHM),
                         new Actions(),
                         now);
         mView = membership.view();
@@ -119,28 +120,28 @@
     }
 
     /**
-     * Starts the duty.
+     * Creates a service and starts its thread.
      *
      * @param settings the daemon's settings
      * @param id the daemon's incarnation
-     * @param clock the time
-     * @param timers the IO thread that ticks
-     * @param position how far this daemon has folded the log, from any thread
-     * @param listener told what comes of it
-     * @return the duty, which listens
+     * @param clock the clock
+     * @param timers the IO thread that schedules ticks and retries
+     * @param position the supplier of this daemon's position in the log; called from any thread
+     * @param listener the receiver of events
+     * @return the service, which listens for peers
      * @throws PeerException if the peer address or the TLS files cannot be used
      */
-    public static PeerDuty start(
+    public static PeerService start(
             final DaemonSettings settings,
             final DaemonId id,
             final InstantSource clock,
             final XnioIoThread timers,
             final LongSupplier position,
-            final PeerDutyListener listener)
+            final PeerServiceListener listener)
             throws PeerException {
-        final DutyLoop loop = new DutyLoop(settings.name() + "-peers", RING_SLOTS);
+        final TaskLoop loop = new TaskLoop(settings.name() + "-peers", RING_SLOTS);
         try {
-            return new PeerDuty(settings, id, clock, timers, position, listener, loop);
+            return new PeerService(settings, id, clock, timers, position, listener, loop);
         } catch (final PeerException e) {
             loop.close();
             throw e;
@@ -164,161 +165,166 @@
         }
     }
 
-    /** Returns where peers reach this daemon. */
+    /** Returns the address at which peers reach this daemon. */
     public HostPort address() {
         return new HostPort(mSelf.address().host(), mSelf.address().port());
     }
 
-    /** Returns the newest view, from any thread. */
+    /** Returns the newest membership view; from any thread. */
     public MembershipView view() {
         return mView;
     }
 
-    /** Returns what asks the other daemons how far they have folded the log. */
-    public PeersInForce inForce() {
-        return mInForce;
+    /** Returns the query of the other daemons' positions in the log. */
+    public RevisionQuery revisionQuery() {
+        return mPositionQuery;
     }
 
-    /** Returns what the transport has counted, from any thread. */
+    /** Returns the counters of the transport; from any thread. */
     public PeerCounters counters() {
         return mTransport.counters();
     }
 
     /**
-     * Tells whether this daemon asks an endpoint for its load; from any thread.
+     * Returns whether this daemon polls the load of an endpoint; from any thread.
      *
      * @param endpoint the endpoint
-     * @return false if peers ask it and share the answer
+     * @return false if peers poll the endpoint and share the reports
      */
-    public boolean polls(final EndpointId endpoint) {
-        return mLoad.polls(endpoint);
+    public boolean isPolledHere(final EndpointId endpoint) {
+        return mLoad.isPolledHere(endpoint);
     }
 
     /**
-     * The platform's VM list was read; from any thread.
+     * Handles a VM list read from the platform; from any thread.
      *
      * @param listing the list
      */
-    public void listed(final VmListing listing) {
+    public void vmListRead(final VmListing listing) {
         mLoop.offer(
                 () -> {
                     final Instant now = mClock.instant();
-                    mMembership.listReceived(mListed.snapshot(listing, mView), now);
-                    mOutlet.publish(mView, now);
+                    mMembership.listReceived(mVmListConverter.snapshot(listing, mView), now);
+                    mPublisher.publish(mView, now);
                 });
     }
 
     /**
-     * The endpoints were described with the models that they have loaded; from any thread.
+     * Handles the endpoints of the VM list with their loaded models; from any thread.
      *
      * @param endpoints all endpoints of the list
      */
-    public void described(final List<Endpoint> endpoints) {
-        deliver(
+    public void endpointsDescribed(final List<Endpoint> endpoints) {
+        offerUntilAccepted(
                 () -> {
-                    mOutlet.described(endpoints);
-                    mOutlet.publish(mView, mClock.instant());
+                    mPublisher.endpointsDescribed(endpoints);
+                    mPublisher.publish(mView, mClock.instant());
                 });
     }
 
     /**
-     * The cloud said that VMs are taken back; from any thread.
+     * Handles the cloud's notice that VMs will be reclaimed; from any thread.
      *
-     * @param notice the VMs
+     * @param notice the VMs and the time at which they stop
      */
-    public void noticed(final LeavingNotice notice) {
-        deliver(
+    public void noticeReceived(final LeavingNotice notice) {
+        offerUntilAccepted(
                 () -> {
                     final Instant now = mClock.instant();
                     mMembership.noticeReceived(notice, now);
-                    mOutlet.publish(mView, now);
+                    mPublisher.publish(mView, now);
                 });
     }
 
     /**
-     * This daemon asked an endpoint for its load; from any thread.
+     * Handles a load report that this daemon polled; from any thread.
      *
-     * @param report the answer
+     * @param report the report
      */
-    public void polled(final LoadReport report) {
-        mLoop.offer(() -> mLoad.polled(report));
+    public void loadPolled(final LoadReport report) {
+        mLoop.offer(() -> mLoad.addReport(report));
     }
 
     /**
-     * This daemon begins its graceful stop; from any thread. The peers are told at once.
+     * Announces the graceful stop of this daemon to its peers at once; from any thread.
      *
-     * <p>Guards against a goodbye that is lost with its connection, after which peers name this
-     * daemon to callers until they suspect it: {@link #close} waits until two seconds have passed,
-     * in which heartbeats show the peers what they lack.
+     * <p>Guards against an announcement that is lost with its connection, after which peers would
+     * list this daemon to callers until they suspect it: {@link #close} waits until two seconds
+     * have passed, in which heartbeats repeat the announcement.
      *
-     * @param goneBy when it stops answering
+     * @param goneBy the time at which the daemon stops answering
      */
-    public void stopping(final Instant goneBy) {
-        final CompletableFuture<Void> told = new CompletableFuture<>();
-        mFarewell = told;
-        deliver(
+    public void announceStop(final Instant goneBy) {
+        final CompletableFuture<Void> announced = new CompletableFuture<>();
+        mStopAnnounced = announced;
+        offerUntilAccepted(
                 () -> {
                     final Instant now = mClock.instant();
-                    mOutlet.ownStop();
+                    mPublisher.ownStopBegun();
                     mMembership.shutdownStarted(goneBy, now);
                     mMembership.tick(now);
                     mTimers.executeAfter(
-                            () -> told.complete(null), FAREWELL_MILLIS, TimeUnit.MILLISECONDS);
+                            () -> announced.complete(null),
+                            STOP_ANNOUNCEMENT_MILLIS,
+                            TimeUnit.MILLISECONDS);
                 });
     }
 
     /**
-     * Hands over what comes only once. Guards against a full ring, which would lose a notice and
-     * leave its VM open to new work on every daemon: it is offered again until there is room.
+     * Adds a task whose event is not repeated. Guards against a full ring, which would lose a
+     * notice, so that every daemon would send new work to its VM: the task is offered again until
+     * the ring has room.
      */
-    private void deliver(final Runnable task) {
+    private void offerUntilAccepted(final Runnable task) {
         if (!mLoop.offer(task)) {
-            mTimers.executeAfter(() -> deliver(task), RETRY_MILLIS, TimeUnit.MILLISECONDS);
+            mTimers.executeAfter(
+                    () -> offerUntilAccepted(task), RETRY_MILLIS, TimeUnit.MILLISECONDS);
         }
     }
 
-    private void arrived(final IncomingMessage message) {
-        // A message that finds the ring full is lost like any other; peers say all again.
-        mLoop.offer(() -> received(message));
+    private void enqueue(final IncomingMessage message) {
+        // A full ring drops the message, as the network may; peers repeat their state.
+        mLoop.offer(() -> receive(message));
     }
 
-    private void received(final IncomingMessage message) {
+    private void receive(final IncomingMessage message) {
         if (mMembership == null) {
-            // The address is taken before this daemon can tell it to others, so nobody waits yet.
+            // The transport listens before membership exists; no peer waits for a reply yet.
             return;
         }
         try {
-            take(message);
+            handle(message);
         } catch (final IllegalArgumentException e) {
             LOGGER.atDebug().addKeyValue("from", message.from()).log(e.getMessage());
         }
     }
 
-    private void take(final IncomingMessage message) {
+    private void handle(final IncomingMessage message) {
         final Envelope envelope = message.envelope();
         if (envelope.hasLoadDigest()) {
-            LoadSharing.decode(envelope.getLoadDigest()).forEach(mListener::loadReported);
+            LoadReportSharing.decode(envelope.getLoadDigest()).forEach(mListener::loadReported);
             return;
         }
         if (envelope.hasSettingsQuery()) {
-            message.reply(mInForce.answer());
+            message.reply(mPositionQuery.answer());
             return;
         }
         final Optional<MembershipMessage> decoded = MembershipCodec.decode(envelope);
         if (decoded.isPresent()) {
             final Instant now = mClock.instant();
             mMembership.messageReceived(message.from(), decoded.get(), now);
-            mOutlet.publish(mView, now);
+            mPublisher.publish(mView, now);
         }
     }
 
     private void tick() {
         final Instant now = mClock.instant();
         mMembership.tick(now);
-        mOutlet.publish(mView, now);
-        final Envelope greeting = MembershipCodec.encode(mMembership.ownHeartbeat());
-        mSeeds.due(mView, now).forEach(seed -> mTransport.connectToSeed(seed, greeting));
-        mLoad.due(now)
+        mPublisher.publish(mView, now);
+        final Envelope heartbeat = MembershipCodec.encode(mMembership.ownHeartbeat());
+        mSeeds.seedsToContact(mView, now)
+                .forEach(seed -> mTransport.connectToSeed(seed, heartbeat));
+        mLoad.nextDigest(now)
                 .ifPresent(digest -> mLoad.peers().forEach(peer -> mTransport.send(peer, digest)));
         if (!now.isBefore(mNextReload)) {
             mNextReload = now.plus(RELOAD_INTERVAL);
@@ -328,13 +334,15 @@
 
     @Override
     public void close() {
-        mFarewell.completeOnTimeout(null, LONGEST_FAREWELL_MILLIS, TimeUnit.MILLISECONDS).join();
+        mStopAnnounced
+                .completeOnTimeout(null, MAX_STOP_ANNOUNCEMENT_MILLIS, TimeUnit.MILLISECONDS)
+                .join();
         mTicks.remove();
         mLoop.close();
         mTransport.close();
     }
 
-    /** Carries out what membership decides. */
+    /** Executes the actions that membership decides. */
     private final class Actions implements MembershipActions {
         @Override
         public void send(final DaemonAddress to, final MembershipMessage message) {
@@ -350,7 +358,7 @@
             }
             mView = view;
             mLoad.viewChanged(view);
-            mOutlet.viewChanged();
+            mPublisher.viewChanged();
         }
 
         private boolean wasGone(final VmId vm) {
--- a/daemon/src/main/java/org/whinhead/daemon/peers/ViewOutlet.java
+++ b/daemon/src/main/java/org/whinhead/daemon/peers/ViewChangePublisher.java
@@ -20,33 +20,33 @@
 import org.whinhead.membership.DaemonMember;
 import org.whinhead.membership.MembershipView;
 
-/** Tells the daemon what changed in the view, each thing until it was taken in. */
-final class ViewOutlet {
+/** Publishes changes of the membership view and repeats each until the listener accepts it. */
+final class ViewChangePublisher {
 
-    /** What is left to a VM that the list alone calls leaving, without saying until when. */
-    private static final Duration PRESUMED_NOTICE = Duration.ofSeconds(5);
+    /** The remaining time presumed for a leaving VM if only the VM list reports it. */
+    private static final Duration DEFAULT_NOTICE = Duration.ofSeconds(5);
 
     private final VmId mSelf;
     private final Function<VmId, Optional<Instant>> mGoneBy;
-    private final PeerDutyListener mListener;
-    private final Set<EndpointId> mToldLeaving = new HashSet<>();
+    private final PeerServiceListener mListener;
+    private final Set<EndpointId> mPublishedLeaving = new HashSet<>();
     private Map<EndpointId, Endpoint> mDescribed = Map.of();
-    private List<Endpoint> mToldEndpoints = List.of();
+    private List<Endpoint> mPublishedEndpoints = List.of();
     private boolean mEndpointsKnown;
-    private boolean mOwnTold;
+    private boolean mOwnLeavingPublished;
     private boolean mPending;
 
-    ViewOutlet(
+    ViewChangePublisher(
             final VmId self,
             final Function<VmId, Optional<Instant>> goneBy,
-            final PeerDutyListener listener) {
+            final PeerServiceListener listener) {
         mSelf = self;
         mGoneBy = goneBy;
         mListener = listener;
     }
 
-    /** Takes in the endpoints with the models that they have loaded, which the list lacks. */
-    void described(final List<Endpoint> endpoints) {
+    /** Updates the endpoints with their loaded models, which the VM list lacks. */
+    void endpointsDescribed(final List<Endpoint> endpoints) {
         final Map<EndpointId, Endpoint> described = new HashMap<>();
         endpoints.forEach(endpoint -> described.put(endpoint.id(), endpoint));
         mDescribed = described;
@@ -58,16 +58,17 @@
         mPending = true;
     }
 
-    /** The daemon stops by itself and need not be told that its VM is leaving. */
-    void ownStop() {
-        mOwnTold = true;
+    /** Suppresses the event of the own VM's leaving, because the daemon is already stopping. */
+    void ownStopBegun() {
+        mOwnLeavingPublished = true;
     }
 
     /**
-     * Tells what was not told yet.
+     * Publishes the changes that the listener has not accepted yet.
      *
-     * <p>Guards against a full decision ring, which would lose the news of a leaving endpoint and
-     * with it keep sending work there: what was not taken in is told again at the next tick.
+     * <p>Guards against a full decision ring, which would lose the event of a leaving endpoint, so
+     * that requests would still be sent there: an event that was not accepted is repeated at the
+     * next tick.
      */
     void publish(final MembershipView view, final Instant now) {
         if (!mPending) {
@@ -75,78 +76,78 @@
         }
         mPending = false;
         mListener.addressesChanged(addresses(view));
-        tellOwnVm(view, now);
+        publishOwnVmLeaving(view, now);
         if (mEndpointsKnown) {
-            final List<Endpoint> endpoints = merged(view);
-            tellEndpoints(endpoints);
-            tellLeaving(endpoints, now);
+            final List<Endpoint> endpoints = mergeEndpoints(view);
+            publishEndpoints(endpoints);
+            publishLeaving(endpoints, now);
         }
     }
 
-    private void tellEndpoints(final List<Endpoint> endpoints) {
-        if (endpoints.equals(mToldEndpoints) && !endpoints.isEmpty()) {
+    private void publishEndpoints(final List<Endpoint> endpoints) {
+        if (endpoints.equals(mPublishedEndpoints) && !endpoints.isEmpty()) {
             return;
         }
         if (mListener.endpointsChanged(endpoints)) {
-            mToldEndpoints = endpoints;
+            mPublishedEndpoints = endpoints;
         } else {
             mPending = true;
         }
     }
 
-    private void tellLeaving(final List<Endpoint> endpoints, final Instant now) {
+    private void publishLeaving(final List<Endpoint> endpoints, final Instant now) {
         final Set<EndpointId> leaving = new HashSet<>();
         for (final Endpoint endpoint : endpoints) {
             if (endpoint.vm().state() == VmState.LEAVING) {
                 leaving.add(endpoint.id());
-                if (!mToldLeaving.contains(endpoint.id())) {
-                    tellLeaving(endpoint, now);
+                if (!mPublishedLeaving.contains(endpoint.id())) {
+                    publishLeaving(endpoint, now);
                 }
             }
         }
-        mToldLeaving.retainAll(leaving);
+        mPublishedLeaving.retainAll(leaving);
     }
 
-    private void tellLeaving(final Endpoint endpoint, final Instant now) {
+    private void publishLeaving(final Endpoint endpoint, final Instant now) {
         if (mListener.endpointLeaving(endpoint.id(), goneBy(endpoint.vm().id(), now))) {
-            mToldLeaving.add(endpoint.id());
+            mPublishedLeaving.add(endpoint.id());
         } else {
             mPending = true;
         }
     }
 
-    private void tellOwnVm(final MembershipView view, final Instant now) {
+    private void publishOwnVmLeaving(final MembershipView view, final Instant now) {
         final boolean leaving =
                 view.daemon(mSelf).filter(self -> self.vm().state() == VmState.LEAVING).isPresent();
-        if (leaving && !mOwnTold) {
-            mOwnTold = mListener.ownVmLeaving(goneBy(mSelf, now));
-            mPending |= !mOwnTold;
+        if (leaving && !mOwnLeavingPublished) {
+            mOwnLeavingPublished = mListener.ownVmLeaving(goneBy(mSelf, now));
+            mPending |= !mOwnLeavingPublished;
         }
     }
 
     private Instant goneBy(final VmId vm, final Instant now) {
-        return mGoneBy.apply(vm).orElseGet(() -> now.plus(PRESUMED_NOTICE));
+        return mGoneBy.apply(vm).orElseGet(() -> now.plus(DEFAULT_NOTICE));
     }
 
-    private List<Endpoint> merged(final MembershipView view) {
-        final Map<EndpointId, Endpoint> merged = new HashMap<>(mDescribed);
+    private List<Endpoint> mergeEndpoints(final MembershipView view) {
+        final Map<EndpointId, Endpoint> mergedById = new HashMap<>(mDescribed);
         for (final Endpoint endpoint : view.endpoints()) {
             final Endpoint described = mDescribed.getOrDefault(endpoint.id(), endpoint);
-            merged.put(endpoint.id(), described.withVmState(endpoint.vm().state()));
+            mergedById.put(endpoint.id(), described.withVmState(endpoint.vm().state()));
         }
-        final List<Endpoint> endpoints = new ArrayList<>(merged.values());
+        final List<Endpoint> endpoints = new ArrayList<>(mergedById.values());
         endpoints.removeIf(endpoint -> !endpoint.vm().state().canStillAnswer());
         endpoints.sort(Comparator.comparing(endpoint -> endpoint.id().value()));
         return endpoints;
     }
 
     private static List<EntryAddress> addresses(final MembershipView view) {
-        final Map<URI, EntryAddress> known = new HashMap<>();
+        final Map<URI, EntryAddress> byUri = new HashMap<>();
         for (final DaemonMember member : view.daemons()) {
-            known.put(
+            byUri.put(
                     member.callerAddress(),
                     new EntryAddress(member.callerAddress(), member.vm().domain()));
         }
-        return view.callerAddresses().stream().distinct().map(known::get).toList();
+        return view.callerAddresses().stream().distinct().map(byUri::get).toList();
     }
 }
