--- a/architecture/src/test/java/org/whinhead/architecture/LayersTest.java
+++ b/architecture/src/test/java/org/whinhead/architecture/LayersTest.java
@@ -14,7 +14,7 @@
 @AnalyzeClasses(packages = "org.whinhead", importOptions = ImportOption.DoNotIncludeTests.class)
 class LayersTest {
 
-    private static final String[] DECISIONS = {
+    private static final String[] DECISION_PACKAGES = {
         "org.whinhead.api..",
         "org.whinhead.state..",
         "org.whinhead.membership..",
@@ -32,10 +32,10 @@
     // The same decision replayed under the fault matrix gives another outcome than on the daemon:
     // it read the machine's clock or drew from an unseeded source behind the caller's back.
     @ArchTest
-    static final ArchRule DECISIONS_READ_NO_CLOCK =
+    static final ArchRule DECISION_PACKAGES_READ_NO_CLOCK =
             noClasses()
                     .that()
-                    .resideInAnyPackage(DECISIONS)
+                    .resideInAnyPackage(DECISION_PACKAGES)
                     .should()
                     .callMethod(Instant.class, "now")
                     .orShould()
@@ -50,10 +50,10 @@
                     .callConstructor(Random.class);
 
     @ArchTest
-    static final ArchRule DECISIONS_DO_NO_INPUT_OR_OUTPUT =
+    static final ArchRule DECISION_PACKAGES_DO_NO_IO =
             noClasses()
                     .that()
-                    .resideInAnyPackage(DECISIONS)
+                    .resideInAnyPackage(DECISION_PACKAGES)
                     .should()
                     .dependOnClassesThat()
                     .resideInAnyPackage(
@@ -65,10 +65,10 @@
                             "org.slf4j..");
 
     @ArchTest
-    static final ArchRule DECISIONS_START_NO_THREAD =
+    static final ArchRule DECISION_PACKAGES_START_NO_THREAD =
             noClasses()
                     .that()
-                    .resideInAnyPackage(DECISIONS)
+                    .resideInAnyPackage(DECISION_PACKAGES)
                     .should()
                     .dependOnClassesThat()
                     .areAssignableTo(Thread.class)
@@ -77,7 +77,7 @@
                     .resideInAPackage("java.util.concurrent.locks..");
 
     @ArchTest
-    static final ArchRule NOBODY_STARTS_A_PROCESS =
+    static final ArchRule NO_CLASS_STARTS_A_PROCESS =
             noClasses()
                     .should()
                     .dependOnClassesThat()
--- a/architecture/src/test/java/org/whinhead/architecture/PlatformBoundaryTest.java
+++ b/architecture/src/test/java/org/whinhead/architecture/PlatformBoundaryTest.java
@@ -12,7 +12,7 @@
 class PlatformBoundaryTest {
 
     @ArchTest
-    static final ArchRule NOTHING_DEPENDS_ON_THE_ADAPTER =
+    static final ArchRule NO_OTHER_PACKAGE_DEPENDS_ON_PLATFORM =
             noClasses()
                     .that()
                     .resideOutsideOfPackage("org.whinhead.platform..")
@@ -24,7 +24,7 @@
     // see
     // the objects that decide, only what it translates into.
     @ArchTest
-    static final ArchRule THE_ADAPTER_SEES_NO_DECISION =
+    static final ArchRule PLATFORM_DEPENDS_ON_NO_DECISION_PACKAGE =
             noClasses()
                     .that()
                     .resideInAPackage("org.whinhead.platform..")
@@ -38,7 +38,7 @@
                             "org.whinhead.requests..");
 
     @ArchTest
-    static final ArchRule DECISIONS_OF_SERVING_KNOW_NO_TRANSPORT =
+    static final ArchRule SERVING_DEPENDS_ON_NO_TRANSPORT =
             classes()
                     .that()
                     .resideInAPackage("org.whinhead.serving..")
--- a/faults/src/main/java/org/whinhead/faults/FaultsMain.java
+++ b/faults/src/main/java/org/whinhead/faults/FaultsMain.java
@@ -13,17 +13,17 @@
 import org.apache.commons.cli.Option;
 import org.apache.commons.cli.Options;
 import org.apache.commons.cli.ParseException;
-import org.whinhead.faults.fuzz.Chain;
-import org.whinhead.faults.matrix.Matrix;
+import org.whinhead.faults.fuzz.ActionSequence;
+import org.whinhead.faults.matrix.FaultMatrix;
 import org.whinhead.faults.matrix.MatrixPage;
 
 /** The command {@code bin/fuzz}: random chains for some minutes, or the page of the matrix. */
 public final class FaultsMain {
 
     private static final String HELP = "help";
-    private static final int HELD = 0;
-    private static final int BROKEN = 1;
-    private static final int USAGE = 2;
+    private static final int EXIT_PASSED = 0;
+    private static final int EXIT_FAILED = 1;
+    private static final int EXIT_USAGE = 2;
 
     private final PrintStream mOut;
     private final InstantSource mClock;
@@ -49,20 +49,21 @@
             final CommandLine line = new DefaultParser().parse(options, arguments);
             if (line.hasOption(HELP)) {
                 new HelpFormatter().printHelp("bin/fuzz --minutes N | --matrix FILE", options);
-                return HELD;
+                return EXIT_PASSED;
             }
             if (line.hasOption("matrix")) {
-                return matrix(Path.of(line.getOptionValue("matrix")), seed(line, Matrix.SEED));
+                return writeMatrix(
+                        Path.of(line.getOptionValue("matrix")), seed(line, FaultMatrix.SEED));
             }
             if (line.hasOption("minutes")) {
                 final double minutes = Double.parseDouble(line.getOptionValue("minutes"));
-                return fuzz(minutes, seed(line, mClock.millis()));
+                return runFuzz(minutes, seed(line, mClock.millis()));
             }
         } catch (final ParseException | NumberFormatException e) {
             mOut.println(e.getMessage());
         }
         new HelpFormatter().printHelp("bin/fuzz", options);
-        return USAGE;
+        return EXIT_USAGE;
     }
 
     private static Options options() {
@@ -85,36 +86,36 @@
         return line.hasOption("seed") ? Long.parseLong(line.getOptionValue("seed")) : otherwise;
     }
 
-    private int matrix(final Path file, final long seed) throws IOException {
-        final Matrix matrix = Matrix.play(seed);
-        Files.writeString(file, new MatrixPage(matrix).text(seed));
+    private int writeMatrix(final Path file, final long seed) throws IOException {
+        final FaultMatrix matrix = FaultMatrix.run(seed);
+        Files.writeString(file, new MatrixPage(matrix).render(seed));
         matrix.failures().forEach(result -> mOut.println(result.cell() + ": " + result.text()));
-        return matrix.failures().isEmpty() ? HELD : BROKEN;
+        return matrix.failures().isEmpty() ? EXIT_PASSED : EXIT_FAILED;
     }
 
-    private int fuzz(final double minutes, final long firstSeed) {
+    private int runFuzz(final double minutes, final long firstSeed) {
         final long millis = (long) (minutes * Duration.ofMinutes(1).toMillis());
         final long end = mClock.millis() + millis;
         mOut.println("first seed " + firstSeed);
         long seed = firstSeed;
         while (mClock.millis() < end) {
-            final Chain chain = Chain.draw(seed);
-            final Optional<Throwable> broken = chain.play();
+            final ActionSequence chain = ActionSequence.generate(seed);
+            final Optional<Throwable> broken = chain.run();
             if (broken.isPresent()) {
                 report(chain, broken.get());
-                return BROKEN;
+                return EXIT_FAILED;
             }
             seed++;
         }
         mOut.println(seed - firstSeed + " chains held");
-        return HELD;
+        return EXIT_PASSED;
     }
 
-    private void report(final Chain chain, final Throwable broken) {
+    private void report(final ActionSequence chain, final Throwable broken) {
         mOut.println("broken with --seed " + chain.seed() + ": " + broken);
         mOut.println("the whole chain:\n" + chain);
-        final Chain shrunk = chain.shrunk();
+        final ActionSequence shrunk = chain.shrink();
         mOut.println("shrunk:\n" + shrunk);
-        shrunk.play().ifPresent(less -> mOut.println("which breaks with " + less));
+        shrunk.run().ifPresent(less -> mOut.println("which breaks with " + less));
     }
 }
--- a/faults/src/main/java/org/whinhead/faults/matrix/Cell.java
+++ b/faults/src/main/java/org/whinhead/faults/matrix/Cell.java
@@ -13,10 +13,10 @@
  */
 public record Cell(Step step, Fault fault, int times) {
 
-    private static final int BETWEEN_MILLIS = 700;
-    private static final int AFTER_MILLIS = 2_200;
-    private static final int FRESH = 12;
-    private static final int FRESH_MILLIS = 200;
+    private static final int INTERVAL_MILLIS = 700;
+    private static final int AFTER_FAULT_MILLIS = 2_200;
+    private static final int LATER_REQUESTS = 12;
+    private static final int LATER_REQUESTS_MILLIS = 200;
 
     /** Returns every cell, also those that can't occur. */
     public static List<Cell> all() {
@@ -31,8 +31,8 @@
     }
 
     /** Returns why the cell can't occur; empty if it can. */
-    public Optional<String> impossible() {
-        return fault.impossibleAt(step);
+    public Optional<String> impossibleReason() {
+        return fault.impossibleReasonAt(step);
     }
 
     /**
@@ -42,27 +42,27 @@
      * @return what was seen
      * @throws AssertionError if an invariant is broken
      */
-    public Sight play(final long seed) {
-        final Scene scene = new Scene(seed);
+    public CellOutcome run(final long seed) {
+        final FaultScenario scene = new FaultScenario(seed);
         step.reach(scene);
-        fault.strike(scene);
+        fault.inject(scene);
         for (int time = 1; time < times; time++) {
-            scene.world().run(BETWEEN_MILLIS);
-            fault.strike(scene);
+            scene.world().advance(INTERVAL_MILLIS);
+            fault.inject(scene);
         }
-        scene.world().run(AFTER_MILLIS);
-        submitMore(scene);
+        scene.world().advance(AFTER_FAULT_MILLIS);
+        submitLaterRequests(scene);
         scene.world().settleAndCheck();
-        return Sight.of(scene.world());
+        return CellOutcome.of(scene.world());
     }
 
     /** New work, at a time when notices must be heeded and the list does not show them yet. */
-    private static void submitMore(final Scene scene) {
-        for (int number = 0; number < FRESH; number++) {
-            scene.world().chat(20, true, true);
-            scene.world().call(true);
+    private static void submitLaterRequests(final FaultScenario scene) {
+        for (int number = 0; number < LATER_REQUESTS; number++) {
+            scene.world().submitChat(20, true, true);
+            scene.world().submitCall(true);
         }
-        scene.world().run(FRESH_MILLIS);
+        scene.world().advance(LATER_REQUESTS_MILLIS);
     }
 
     @Override
--- a/faults/src/main/java/org/whinhead/faults/matrix/Sight.java
+++ b/faults/src/main/java/org/whinhead/faults/matrix/CellOutcome.java
@@ -15,37 +15,45 @@
  * @param refusedAsOld orders refused for their old fencing number
  * @param window the longest time by which an old order was obeyed after a newer holder's first
  */
-public record Sight(
-        int whole, int notRun, int mayHaveRun, int left, int refusedAsOld, Duration window) {
+public record CellOutcome(
+        int completed,
+        int notRun,
+        int mayHaveRun,
+        int disconnected,
+        int staleOrdersRefused,
+        Duration staleOrderWindow) {
 
-    static Sight of(final FakeWorld world) {
+    static CellOutcome of(final FakeWorld world) {
         int whole = 0;
         int notRun = 0;
         int left = 0;
         for (final FakeCaller caller : world.callers()) {
-            whole += caller.end() == FakeCaller.End.WHOLE ? 1 : 0;
-            left += caller.end() == FakeCaller.End.LEFT ? 1 : 0;
+            whole += caller.outcome() == FakeCaller.Outcome.WHOLE ? 1 : 0;
+            left += caller.outcome() == FakeCaller.Outcome.LEFT ? 1 : 0;
             notRun += wasNotRun(caller) ? 1 : 0;
         }
         final int rest = world.callers().size() - whole - notRun - left;
-        final int old = world.fleet().orders().refusedAsOld();
-        return new Sight(whole, notRun, rest, left, old, world.fleet().orders().window());
+        final int old = world.fleet().orders().staleRefusedCount();
+        return new CellOutcome(
+                whole, notRun, rest, left, old, world.fleet().orders().staleWindow());
     }
 
     private static boolean wasNotRun(final FakeCaller caller) {
-        return caller.end() == FakeCaller.End.REFUSED
+        return caller.outcome() == FakeCaller.Outcome.REFUSED
                 && caller.refusal().orElseThrow().verdict() == Verdict.NOT_RUN;
     }
 
     @Override
     public String toString() {
-        final StringBuilder text = new StringBuilder(whole + " whole");
+        final StringBuilder text = new StringBuilder(completed + " whole");
         append(text, notRun, " not run");
         append(text, mayHaveRun, " may have run");
-        append(text, left, " left");
-        append(text, refusedAsOld, " old orders refused");
-        if (!window.isZero()) {
-            text.append(", old order obeyed after ").append(window.toMillis()).append(" ms");
+        append(text, disconnected, " left");
+        append(text, staleOrdersRefused, " old orders refused");
+        if (!staleOrderWindow.isZero()) {
+            text.append(", old order obeyed after ")
+                    .append(staleOrderWindow.toMillis())
+                    .append(" ms");
         }
         return text.toString();
     }
--- a/faults/src/main/java/org/whinhead/faults/matrix/Matrix.java
+++ b/faults/src/main/java/org/whinhead/faults/matrix/FaultMatrix.java
@@ -4,14 +4,14 @@
 import java.util.Optional;
 
 /** Plays all cells and writes down what came of each. */
-public final class Matrix {
+public final class FaultMatrix {
 
     /** The seed that the tests and the page use. */
     public static final long SEED = 20261202;
 
     private final List<Result> mResults;
 
-    private Matrix(final List<Result> results) {
+    private FaultMatrix(final List<Result> results) {
         mResults = results;
     }
 
@@ -21,8 +21,9 @@
      * @param seed the source of chance
      * @return the results
      */
-    public static Matrix play(final long seed) {
-        return new Matrix(Cell.all().parallelStream().map(cell -> Result.of(cell, seed)).toList());
+    public static FaultMatrix run(final long seed) {
+        return new FaultMatrix(
+                Cell.all().parallelStream().map(cell -> Result.of(cell, seed)).toList());
     }
 
     /** Returns the cells in which an invariant broke. */
@@ -44,11 +45,11 @@
     public record Result(Cell cell, String text, Optional<Throwable> failure) {
 
         private static Result of(final Cell cell, final long seed) {
-            if (cell.impossible().isPresent()) {
-                return new Result(cell, "n/a: " + cell.impossible().get(), Optional.empty());
+            if (cell.impossibleReason().isPresent()) {
+                return new Result(cell, "n/a: " + cell.impossibleReason().get(), Optional.empty());
             }
             try {
-                return new Result(cell, cell.play(seed).toString(), Optional.empty());
+                return new Result(cell, cell.run(seed).toString(), Optional.empty());
             } catch (final AssertionError | RuntimeException broken) {
                 final String text = "FAILED: " + firstLine(String.valueOf(broken.getMessage()));
                 return new Result(cell, text, Optional.of(broken));
--- a/faults/src/main/java/org/whinhead/faults/matrix/Scene.java
+++ b/faults/src/main/java/org/whinhead/faults/matrix/FaultScenario.java
@@ -9,27 +9,27 @@
 import org.whinhead.faults.world.FakeWorld;
 
 /** A world at work, with the one request, call or change that a cell is about. */
-public final class Scene {
+public final class FaultScenario {
 
     private static final int DAEMONS = 3;
     private static final int ENGINES = 6;
     private static final int SERVICES = 3;
     private static final int WARM_UP_MILLIS = 2_500;
-    private static final int OTHERS = 6;
-    private static final int LONGEST_MILLIS = 12_000;
+    private static final int OTHER_REQUESTS = 6;
+    private static final int MAX_WAIT_MILLIS = 12_000;
 
     private final FakeWorld mWorld;
     private Optional<FakeCaller> mCaller = Optional.empty();
     private int mVersion = 1;
 
     /** Makes a world with a holder of the duty, settings in force and requests on their way. */
-    Scene(final long seed) {
+    FaultScenario(final long seed) {
         mWorld = new FakeWorld(seed, DAEMONS, ENGINES, SERVICES);
         mWorld.operator().change("team", "/team/budget", "100");
-        mWorld.run(WARM_UP_MILLIS);
-        for (int number = 0; number < OTHERS; number++) {
-            mWorld.chat(20 + 10 * number, number % 2 == 0, number % 3 != 0);
-            mWorld.call(number % 2 == 0);
+        mWorld.advance(WARM_UP_MILLIS);
+        for (int number = 0; number < OTHER_REQUESTS; number++) {
+            mWorld.submitChat(20 + 10 * number, number % 2 == 0, number % 3 != 0);
+            mWorld.submitCall(number % 2 == 0);
         }
     }
 
@@ -37,7 +37,7 @@
         return mWorld;
     }
 
-    void about(final FakeCaller caller) {
+    void setCaller(final FakeCaller caller) {
         mCaller = Optional.of(caller);
     }
 
@@ -47,11 +47,11 @@
 
     /** Lets time pass until the step is reached. */
     void runUntil(final BooleanSupplier reached) {
-        for (int millis = 0; millis < LONGEST_MILLIS; millis++) {
+        for (int millis = 0; millis < MAX_WAIT_MILLIS; millis++) {
             if (reached.getAsBoolean()) {
                 return;
             }
-            mWorld.run(1);
+            mWorld.advance(1);
         }
         throw new IllegalStateException("the step was not reached");
     }
@@ -64,7 +64,7 @@
 
     /** Returns the VM that works for the request, or else any that is there. */
     FakeBackend backend() {
-        return mCaller.flatMap(caller -> mWorld.fleet().workerOf(caller.id()))
+        return mCaller.flatMap(caller -> mWorld.fleet().backendProcessing(caller.id()))
                 .or(() -> mWorld.backends().stream().filter(FakeBackend::isServing).findFirst())
                 .orElseThrow();
     }
@@ -73,12 +73,12 @@
     FakeDaemon daemon() {
         return mCaller.flatMap(FakeCaller::daemon)
                 .filter(FakeDaemon::isAlive)
-                .orElseGet(this::holder);
+                .orElseGet(this::leaseHolder);
     }
 
     /** Returns the daemon that may act for the fleet, or else any. */
-    FakeDaemon holder() {
-        return mWorld.holder()
+    FakeDaemon leaseHolder() {
+        return mWorld.leaseHolder()
                 .or(() -> mWorld.daemons().stream().filter(FakeDaemon::isAlive).findFirst())
                 .orElseGet(mWorld::addDaemon);
     }
--- a/faults/src/main/java/org/whinhead/faults/matrix/MatrixPage.java
+++ b/faults/src/main/java/org/whinhead/faults/matrix/MatrixPage.java
@@ -25,15 +25,15 @@
                             + " left over");
 
     private final StringBuilder mText = new StringBuilder();
-    private final Matrix mMatrix;
+    private final FaultMatrix mMatrix;
 
     /** Makes a page for a run. */
-    public MatrixPage(final Matrix matrix) {
+    public MatrixPage(final FaultMatrix matrix) {
         mMatrix = matrix;
     }
 
     /** Returns the page as Markdown. */
-    public String text(final long seed) {
+    public String render(final long seed) {
         line("# Fault matrix");
         line("");
         line("Written by `bin/fuzz --matrix FILE` with seed " + seed + "; do not edit this part.");
@@ -57,9 +57,11 @@
     }
 
     private void totals() {
-        final List<Matrix.Result> results = mMatrix.results();
+        final List<FaultMatrix.Result> results = mMatrix.results();
         final long impossible =
-                results.stream().filter(result -> result.cell().impossible().isPresent()).count();
+                results.stream()
+                        .filter(result -> result.cell().impossibleReason().isPresent())
+                        .count();
         final long failed = mMatrix.failures().size();
         line(
                 String.format(
@@ -78,7 +80,7 @@
         line("| step | once | twice |");
         line("|---|---|---|");
         final Map<Step, String[]> rows = new TreeMap<>();
-        for (final Matrix.Result result : mMatrix.results()) {
+        for (final FaultMatrix.Result result : mMatrix.results()) {
             if (result.cell().fault() == fault) {
                 rows.computeIfAbsent(result.cell().step(), step -> new String[2])[
                                 result.cell().times() - 1] =
--- a/faults/src/main/java/org/whinhead/faults/matrix/Step.java
+++ b/faults/src/main/java/org/whinhead/faults/matrix/Step.java
@@ -10,18 +10,18 @@
 
 /** A moment in the life of a request, a call, a change of settings or an order. */
 public enum Step {
-    CLAIM_ASKED("a non-idempotent call waits for its claim", Step::askClaim, Subject.CALLER),
-    CLAIM_ON_LOG("its claim is on the log and not read back", Step::claimOnLog, Subject.CALLER),
-    DISPATCHED("a streamed answer was asked for, no token came", Step::dispatch, Subject.ENDPOINT),
-    STREAMING("ten tokens of an answer were delivered", Step::stream, Subject.ENDPOINT),
-    BUFFERING(
-            "a whole answer that must not run twice is half made", Step::buffer, Subject.ENDPOINT),
-    LAST_TOKEN("the engine has made the last token", Step::lastToken, Subject.ENDPOINT),
-    CALL_RUNNING("a non-idempotent call runs", Step::runCall, Subject.ENDPOINT),
-    ANSWER_ON_WAY("its answer is on the way", Step::answerCall, Subject.CALLER),
-    MOVING("the KV cache moves from a leaving engine", Step::move, Subject.ENDPOINT),
-    HANDED_BACK("a stopping daemon has sent the caller away", Step::handBack, Subject.ENDPOINT),
-    COMING_BACK("a cut-off caller has reached another daemon", Step::comeBack, Subject.ENDPOINT),
+    CLAIM_ASKED("a non-idempotent call waits for its claim", Step::askClaim, Target.CALLER),
+    CLAIM_ON_LOG("its claim is on the log and not read back", Step::claimOnLog, Target.CALLER),
+    DISPATCHED("a streamed answer was asked for, no token came", Step::dispatch, Target.ENDPOINT),
+    STREAMING("ten tokens of an answer were delivered", Step::stream, Target.ENDPOINT),
+    BUFFERING("a whole answer that must not run twice is half made", Step::buffer, Target.ENDPOINT),
+    LAST_TOKEN("the engine has made the last token", Step::lastToken, Target.ENDPOINT),
+    CALL_RUNNING("a non-idempotent call runs", Step::runCall, Target.ENDPOINT),
+    ANSWER_ON_WAY("its answer is on the way", Step::answerCall, Target.CALLER),
+    MOVING("the KV cache moves from a leaving engine", Step::move, Target.ENDPOINT),
+    HANDED_BACK("a stopping daemon has sent the caller away", Step::handBack, Target.ENDPOINT),
+    COMING_BACK(
+            "a cut-off caller has reached another daemon", Step::reconnectCaller, Target.ENDPOINT),
     SETTING_ASKED("a change waits for its append", Step::askChange),
     SETTING_ON_LOG("a change is on the log and read nowhere", Step::changeOnLog),
     SETTING_HALF_READ("a change is read by one daemon", Step::changeHalfRead),
@@ -33,15 +33,15 @@
     private static final int ORDER_DELAY_MILLIS = 300;
 
     private final String mDescription;
-    private final Consumer<Scene> mReach;
-    private final Set<Subject> mSubjects = EnumSet.noneOf(Subject.class);
+    private final Consumer<FaultScenario> mPreparation;
+    private final Set<Target> mTargets = EnumSet.noneOf(Target.class);
 
-    Step(final String description, final Consumer<Scene> reach, final Subject... subjects) {
+    Step(final String description, final Consumer<FaultScenario> reach, final Target... subjects) {
         mDescription = description;
-        mReach = reach;
-        mSubjects.addAll(Set.of(subjects));
-        if (mSubjects.contains(Subject.ENDPOINT)) {
-            mSubjects.add(Subject.CALLER);
+        mPreparation = reach;
+        mTargets.addAll(Set.of(subjects));
+        if (mTargets.contains(Target.ENDPOINT)) {
+            mTargets.add(Target.CALLER);
         }
     }
 
@@ -50,140 +50,141 @@
     }
 
     /** Tells whether there is such a thing at this step that a fault could hit. */
-    boolean has(final Subject subject) {
-        return subject == Subject.ANY || mSubjects.contains(subject);
+    boolean hasTarget(final Target subject) {
+        return subject == Target.ANY || mTargets.contains(subject);
     }
 
-    void reach(final Scene scene) {
-        mReach.accept(scene);
+    void reach(final FaultScenario scene) {
+        mPreparation.accept(scene);
     }
 
     /** What a fault hits. */
-    enum Subject {
+    enum Target {
         ANY,
         CALLER,
         ENDPOINT
     }
 
-    private static void askClaim(final Scene scene) {
-        scene.about(scene.world().call(false));
+    private static void askClaim(final FaultScenario scene) {
+        scene.setCaller(scene.world().submitCall(false));
         scene.runUntil(() -> scene.caller().daemon().isPresent());
     }
 
-    private static void claimOnLog(final Scene scene) {
-        scene.world().run(200);
-        final int before = scene.world().log().all(FakeLog.CLAIMS).size();
+    private static void claimOnLog(final FaultScenario scene) {
+        scene.world().advance(200);
+        final int before = scene.world().log().allEntries(FakeLog.CLAIMS).size();
         askClaim(scene);
-        scene.runUntil(() -> scene.world().log().all(FakeLog.CLAIMS).size() > before);
+        scene.runUntil(() -> scene.world().log().allEntries(FakeLog.CLAIMS).size() > before);
     }
 
-    private static void dispatch(final Scene scene) {
-        final FakeCaller caller = scene.world().chat(60, true, true);
-        scene.about(caller);
-        scene.runUntil(() -> scene.world().runs(caller.id()) > 0);
+    private static void dispatch(final FaultScenario scene) {
+        final FakeCaller caller = scene.world().submitChat(60, true, true);
+        scene.setCaller(caller);
+        scene.runUntil(() -> scene.world().runCount(caller.id()) > 0);
     }
 
-    private static void stream(final Scene scene) {
+    private static void stream(final FaultScenario scene) {
         dispatch(scene);
         scene.runUntil(() -> scene.caller().tokens().size() >= 10);
     }
 
-    private static void buffer(final Scene scene) {
-        final FakeCaller caller = scene.world().chat(60, false, false);
-        scene.about(caller);
-        scene.runUntil(() -> scene.world().runs(caller.id()) > 0);
-        scene.world().run(600);
+    private static void buffer(final FaultScenario scene) {
+        final FakeCaller caller = scene.world().submitChat(60, false, false);
+        scene.setCaller(caller);
+        scene.runUntil(() -> scene.world().runCount(caller.id()) > 0);
+        scene.world().advance(600);
     }
 
-    private static void lastToken(final Scene scene) {
+    private static void lastToken(final FaultScenario scene) {
         dispatch(scene);
-        scene.runUntil(() -> scene.world().fleet().hasMadeAll(scene.caller().id()));
+        scene.runUntil(() -> scene.world().fleet().hasGeneratedAll(scene.caller().id()));
     }
 
-    private static void runCall(final Scene scene) {
-        final FakeCaller caller = scene.world().call(false);
-        scene.about(caller);
-        scene.runUntil(() -> scene.world().runs(caller.id()) > 0);
+    private static void runCall(final FaultScenario scene) {
+        final FakeCaller caller = scene.world().submitCall(false);
+        scene.setCaller(caller);
+        scene.runUntil(() -> scene.world().runCount(caller.id()) > 0);
     }
 
-    private static void answerCall(final Scene scene) {
+    private static void answerCall(final FaultScenario scene) {
         runCall(scene);
-        scene.runUntil(() -> scene.world().fleet().workerOf(scene.caller().id()).isEmpty());
+        scene.runUntil(
+                () -> scene.world().fleet().backendProcessing(scene.caller().id()).isEmpty());
     }
 
-    private static void move(final Scene scene) {
+    private static void move(final FaultScenario scene) {
         stream(scene);
-        scene.world().leave(scene.backend(), 700);
-        scene.runUntil(() -> scene.world().wasDecided(scene.caller(), DecisionKind.MOVE_STARTED));
+        scene.world().reclaim(scene.backend(), 700);
+        scene.runUntil(() -> scene.world().hasDecision(scene.caller(), DecisionKind.MOVE_STARTED));
     }
 
-    private static void handBack(final Scene scene) {
+    private static void handBack(final FaultScenario scene) {
         stream(scene);
         scene.daemon().stop(700);
         scene.runUntil(() -> scene.caller().daemon().isEmpty());
     }
 
-    private static void comeBack(final Scene scene) {
+    private static void reconnectCaller(final FaultScenario scene) {
         stream(scene);
-        scene.caller().cutOff();
+        scene.caller().loseConnection();
         scene.runUntil(() -> scene.caller().daemon().isPresent());
     }
 
-    private static void askChange(final Scene scene) {
+    private static void askChange(final FaultScenario scene) {
         scene.changeVersion();
-        scene.world().run(1);
+        scene.world().advance(1);
     }
 
-    private static void changeOnLog(final Scene scene) {
+    private static void changeOnLog(final FaultScenario scene) {
         scene.changeVersion();
         scene.runUntil(
                 () ->
-                        scene.world().log().all(FakeLog.FLEET).stream()
+                        scene.world().log().allEntries(FakeLog.FLEET).stream()
                                         .filter(e -> e.record() instanceof LogRecord.SettingChanged)
                                         .count()
                                 > 1);
     }
 
-    private static void changeHalfRead(final Scene scene) {
+    private static void changeHalfRead(final FaultScenario scene) {
         scene.changeVersion();
         scene.runUntil(() -> scene.world().daemonsWithNewestSettings() == 1);
     }
 
-    private static void changeLease(final Scene scene) {
-        scene.holder().die();
-        final int before = leases(scene);
-        scene.runUntil(() -> leases(scene) > before);
+    private static void changeLease(final FaultScenario scene) {
+        scene.leaseHolder().crash();
+        final int before = leaseCount(scene);
+        scene.runUntil(() -> leaseCount(scene) > before);
     }
 
-    private static int leases(final Scene scene) {
+    private static int leaseCount(final FaultScenario scene) {
         return (int)
-                scene.world().log().all(FakeLog.FLEET).stream()
+                scene.world().log().allEntries(FakeLog.FLEET).stream()
                         .filter(entry -> entry.record() instanceof LogRecord.LeaseTaken)
                         .count();
     }
 
-    private static void noteOrder(final Scene scene) {
-        final int before = notes(scene);
+    private static void noteOrder(final FaultScenario scene) {
+        final int before = noteCount(scene);
         scene.changeVersion();
-        scene.runUntil(() -> notes(scene) > before);
+        scene.runUntil(() -> noteCount(scene) > before);
     }
 
-    private static int notes(final Scene scene) {
+    private static int noteCount(final FaultScenario scene) {
         return (int)
-                scene.world().log().all(FakeLog.FLEET).stream()
+                scene.world().log().allEntries(FakeLog.FLEET).stream()
                         .filter(entry -> entry.record() instanceof LogRecord.DutyNoted)
                         .count();
     }
 
-    private static void sendOrder(final Scene scene) {
-        scene.world().fleet().setOrderDelay(ORDER_DELAY_MILLIS);
+    private static void sendOrder(final FaultScenario scene) {
+        scene.world().fleet().setOrderDelayMillis(ORDER_DELAY_MILLIS);
         noteOrder(scene);
-        scene.world().run(ORDER_DELAY_MILLIS);
+        scene.world().advance(ORDER_DELAY_MILLIS);
     }
 
-    private static void carryOutOrder(final Scene scene) {
-        final int before = scene.world().fleet().orders().count();
+    private static void carryOutOrder(final FaultScenario scene) {
+        final int before = scene.world().fleet().orders().arrivedCount();
         scene.changeVersion();
-        scene.runUntil(() -> scene.world().fleet().orders().count() > before);
+        scene.runUntil(() -> scene.world().fleet().orders().arrivedCount() > before);
     }
 }
--- a/faults/src/main/java/org/whinhead/faults/world/DaemonClaims.java
+++ b/faults/src/main/java/org/whinhead/faults/world/DaemonClaims.java
@@ -20,25 +20,27 @@
 final class DaemonClaims {
 
     private static final Duration WINDOW = Duration.ofSeconds(40);
-    private static final Duration PATIENCE = Duration.ofSeconds(3);
-    private static final ClaimLimits TERMS =
+    private static final Duration MAX_WAIT = Duration.ofSeconds(3);
+    private static final ClaimLimits LIMITS =
             new ClaimLimits(Duration.ofSeconds(20), Duration.ofMillis(5), 64, 256, 100_000);
-    private static final int INCARNATIONS = 10_000;
+    private static final int MAX_INCARNATIONS = 10_000;
 
     private final FakeDaemon mDaemon;
     private final FakeProcess mProcess;
-    private final ClaimTable mTable = new ClaimTable(WINDOW, INCARNATIONS);
+    private final ClaimTable mTable = new ClaimTable(WINDOW, MAX_INCARNATIONS);
     private final LogClient mLog;
-    private final ClaimCoordinator mDesk;
-    private final Map<RequestId, Claim> mCurrent = new HashMap<>();
-    private final Map<Long, RequestId> mAsked = new HashMap<>();
+    private final ClaimCoordinator mCoordinator;
+    private final Map<RequestId, Claim> mCurrentClaims = new HashMap<>();
+    private final Map<Long, RequestId> mRequestsByAttempt = new HashMap<>();
     private long mAttempts;
 
     DaemonClaims(final FakeLog log, final FakeDaemon daemon, final FakeProcess process) {
         mDaemon = daemon;
         mProcess = process;
-        mLog = new LogClient(log, FakeLog.CLAIMS, daemon.id(), process, this::read, this::expired);
-        mDesk = new ClaimCoordinator(mTable, mLog.writer(), TERMS, this::decided);
+        mLog =
+                new LogClient(
+                        log, FakeLog.CLAIMS, daemon.id(), process, this::onRecord, this::onExpired);
+        mCoordinator = new ClaimCoordinator(mTable, mLog.writer(), LIMITS, this::onClaimDecided);
     }
 
     void claim(final RequestSpec spec, final Instant now) {
@@ -46,38 +48,38 @@
         mAttempts++;
         final long attempt = ClaimKey.attemptHash(self, mAttempts);
         final ClaimKey key = ClaimKey.of(spec.customer(), spec.id().value());
-        final Instant patience = now.plus(PATIENCE);
+        final Instant patience = now.plus(MAX_WAIT);
         final Instant deadline = patience.isBefore(spec.deadline()) ? patience : spec.deadline();
-        mCurrent.put(spec.id(), new Claim(key, attempt));
-        mAsked.put(attempt, spec.id());
-        mDesk.claim(key, attempt, deadline, now);
+        mCurrentClaims.put(spec.id(), new Claim(key, attempt));
+        mRequestsByAttempt.put(attempt, spec.id());
+        mCoordinator.claim(key, attempt, deadline, now);
     }
 
     void unclaim(final RequestId request, final Instant now) {
-        Optional.ofNullable(mCurrent.remove(request))
-                .ifPresent(claim -> mDesk.withdraw(claim.key(), claim.attempt(), now));
+        Optional.ofNullable(mCurrentClaims.remove(request))
+                .ifPresent(claim -> mCoordinator.withdraw(claim.key(), claim.attempt(), now));
     }
 
     void tick(final Instant now) {
-        mDesk.tick(now);
-        mLog.pump(now);
+        mCoordinator.tick(now);
+        mLog.sendDue(now);
     }
 
-    private void read(final LogEntry entry, final Instant now) {
-        mDesk.apply(entry, now);
+    private void onRecord(final LogEntry entry, final Instant now) {
+        mCoordinator.apply(entry, now);
     }
 
-    private void expired(final long oldest) {
+    private void onExpired(final long oldest) {
         mTable.reset();
         mLog.reader().seek(oldest);
     }
 
-    private void decided(
+    private void onClaimDecided(
             final ClaimKey key,
             final long attempt,
             final ClaimResult result,
             final Instant dispatchBy) {
-        mProcess.post(now -> handOver(key, attempt, result, dispatchBy, now));
+        mProcess.post(now -> deliverOutcome(key, attempt, result, dispatchBy, now));
     }
 
     /**
@@ -87,24 +89,24 @@
      * take for its own, and against a grant that waited past its validity: a claim counts only
      * while it is the request's newest, and what can't be used is withdrawn, as it never ran.
      */
-    private void handOver(
+    private void deliverOutcome(
             final ClaimKey key,
             final long attempt,
             final ClaimResult result,
             final Instant dispatchBy,
             final Instant now) {
-        final RequestId request = mAsked.remove(attempt);
-        final Claim current = mCurrent.get(request);
+        final RequestId request = mRequestsByAttempt.remove(attempt);
+        final Claim current = mCurrentClaims.get(request);
         final boolean isCurrent = current != null && current.attempt() == attempt;
         final boolean granted = result == ClaimResult.GRANTED;
         if (granted && (!isCurrent || !now.isBefore(dispatchBy))) {
-            mDesk.withdraw(key, attempt, now);
+            mCoordinator.withdraw(key, attempt, now);
         }
         if (!isCurrent) {
             return;
         }
         final boolean late = granted && !now.isBefore(dispatchBy);
-        mDaemon.claimDecided(request, late ? ClaimOutcome.UNAVAILABLE : outcome(result));
+        mDaemon.onClaimDecided(request, late ? ClaimOutcome.UNAVAILABLE : outcome(result));
     }
 
     private static ClaimOutcome outcome(final ClaimResult result) {
--- a/faults/src/main/java/org/whinhead/faults/world/DaemonState.java
+++ b/faults/src/main/java/org/whinhead/faults/world/DaemonState.java
@@ -22,43 +22,48 @@
 final class DaemonState {
 
     static final String DUTY = "fleet";
-    private static final LeaseTiming TERMS =
+    private static final LeaseTiming LEASE_TIMING =
             new LeaseTiming(
                     Duration.ofSeconds(4),
                     Duration.ofMillis(400),
                     Duration.ofSeconds(1),
                     Duration.ofMillis(300));
-    private static final Duration CHECKPOINT_EVERY = Duration.ofSeconds(5);
-    private static final int PART_BYTES = 4_000;
-    private static final int INCARNATIONS = 1_000;
+    private static final Duration CHECKPOINT_INTERVAL = Duration.ofSeconds(5);
+    private static final int CHECKPOINT_PART_BYTES = 4_000;
+    private static final int MAX_INCARNATIONS = 1_000;
     private static final SettingsLedger.Limits LIMITS = new SettingsLedger.Limits(8, 500);
 
-    private final LogFold mFold = new LogFold(newLedger(), INCARNATIONS);
+    private final LogFold mFold = new LogFold(newLedger(), MAX_INCARNATIONS);
     private final CheckpointAssembler mAssembler = new CheckpointAssembler();
-    private final LogClient mFleet;
-    private final LogClient mCheckpoints;
+    private final LogClient mFleetLog;
+    private final LogClient mCheckpointLog;
     private final CheckpointPublisher mPublisher;
-    private final LeaseElector mKeeper;
+    private final LeaseElector mElector;
 
     DaemonState(
             final FakeLog log, final DaemonId self, final FakeProcess process, final long seed) {
-        mFleet = new LogClient(log, FakeLog.FLEET, self, process, this::read, oldest -> {});
-        mFleet.whenAtHead(this::atHead);
-        mCheckpoints =
+        mFleetLog =
+                new LogClient(log, FakeLog.FLEET, self, process, this::onFleetRecord, oldest -> {});
+        mFleetLog.setHeadListener(this::onHeadReached);
+        mCheckpointLog =
                 new LogClient(
                         log,
                         FakeLog.CHECKPOINTS,
                         self,
                         process,
-                        this::readCheckpoint,
-                        this::checkpointsExpired);
-        mPublisher = new CheckpointPublisher(mCheckpoints.writer(), CHECKPOINT_EVERY, PART_BYTES);
-        mKeeper = new LeaseElector(DUTY, self, TERMS, mFleet.writer(), new SplittableRandom(seed));
+                        this::onCheckpointRecord,
+                        this::onCheckpointsExpired);
+        mPublisher =
+                new CheckpointPublisher(
+                        mCheckpointLog.writer(), CHECKPOINT_INTERVAL, CHECKPOINT_PART_BYTES);
+        mElector =
+                new LeaseElector(
+                        DUTY, self, LEASE_TIMING, mFleetLog.writer(), new SplittableRandom(seed));
     }
 
     static SettingsLedger newLedger() {
         return new SettingsLedger(
-                new AnyDocument(),
+                new FakeValidator(),
                 (author, path, current) -> path.startsWith("/" + author + "/"),
                 LIMITS);
     }
@@ -67,44 +72,44 @@
         return mFold.view();
     }
 
-    LeaseElector keeper() {
-        return mKeeper;
+    LeaseElector elector() {
+        return mElector;
     }
 
     LogClient log() {
-        return mFleet;
+        return mFleetLog;
     }
 
     /** Takes a peer's state, as a daemon does that starts while the log is out. */
-    void startFrom(final FoldView peer, final Instant now) {
+    void installFromPeer(final FoldView peer, final Instant now) {
         if (peer.source() != FoldView.Source.NONE) {
             install(new Installed(peer, FoldView.Source.PEER), now);
         }
     }
 
     void tick(final Instant now) {
-        mKeeper.tick(true, now);
-        if (mKeeper.canAct(now)) {
+        mElector.tick(true, now);
+        if (mElector.canAct(now)) {
             mPublisher.publishIfDue(mFold.view(), now);
         }
-        mFleet.pump(now);
-        mCheckpoints.pump(now);
+        mFleetLog.sendDue(now);
+        mCheckpointLog.sendDue(now);
     }
 
-    private void read(final LogEntry entry, final Instant now) {
+    private void onFleetRecord(final LogEntry entry, final Instant now) {
         if (mFold.apply(entry) == LogFold.ApplyResult.GAP) {
-            mFleet.reader().seek(mFold.nextOffset());
+            mFleetLog.reader().seek(mFold.nextOffset());
         }
-        afterFold(now);
+        updateLease(now);
     }
 
-    private void atHead() {
-        if (mFold.nextOffset() == mFleet.reader().nextOffset()) {
+    private void onHeadReached() {
+        if (mFold.nextOffset() == mFleetLog.reader().nextOffset()) {
             mFold.markCaughtUp();
         }
     }
 
-    private void readCheckpoint(final LogEntry entry, final Instant now) {
+    private void onCheckpointRecord(final LogEntry entry, final Instant now) {
         mAssembler.addPart((LogRecord.Checkpoint) entry.record());
         mAssembler
                 .newest()
@@ -117,26 +122,26 @@
                         });
     }
 
-    private void checkpointsExpired(final long oldest) {
-        mCheckpoints.reader().seek(oldest);
+    private void onCheckpointsExpired(final long oldest) {
+        mCheckpointLog.reader().seek(oldest);
     }
 
     private void install(final Installed installed, final Instant now) {
         if (mFold.installSnapshot(installed.view().state(), installed.source())) {
-            mFleet.reader().seek(mFold.nextOffset());
-            installed.view().state().newest().forEach(mFleet.writer()::onRecordRead);
-            afterFold(now);
+            mFleetLog.reader().seek(mFold.nextOffset());
+            installed.view().state().newest().forEach(mFleetLog.writer()::onRecordRead);
+            updateLease(now);
         }
     }
 
-    private void afterFold(final Instant now) {
-        mKeeper.onLeaseRead(Optional.ofNullable(mFold.view().state().leases().get(DUTY)), now);
+    private void updateLease(final Instant now) {
+        mElector.onLeaseRead(Optional.ofNullable(mFold.view().state().leases().get(DUTY)), now);
     }
 
     private record Installed(FoldView view, FoldView.Source source) {}
 
     /** Knows one version of the rules, by which only one word is wrong. */
-    private static final class AnyDocument implements SettingsValidator {
+    private static final class FakeValidator implements SettingsValidator {
 
         @Override
         public boolean supports(final int rules) {
--- a/faults/src/main/java/org/whinhead/faults/world/FakeLink.java
+++ b/faults/src/main/java/org/whinhead/faults/world/FakeAttemptConnection.java
@@ -5,7 +5,7 @@
 import org.whinhead.requests.AttemptFailure;
 
 /** One daemon's connection for one attempt; its events may come late, twice or never. */
-final class FakeLink {
+final class FakeAttemptConnection {
 
     private static final int MAX_DELAY_MILLIS = 8;
 
@@ -14,7 +14,7 @@
     private final AttemptId mAttempt;
     private boolean mOpen = true;
 
-    FakeLink(final FakeWorld world, final FakeDaemon daemon, final AttemptId attempt) {
+    FakeAttemptConnection(final FakeWorld world, final FakeDaemon daemon, final AttemptId attempt) {
         mWorld = world;
         mDaemon = daemon;
         mAttempt = attempt;
@@ -36,22 +36,22 @@
         mOpen = false;
     }
 
-    void opened(final String streamId) {
+    void sendOpened(final String streamId) {
         send(new AttemptEvent.Opened(mAttempt, streamId), true);
     }
 
-    void fail(final AttemptFailure failure) {
+    void sendFailure(final AttemptFailure failure) {
         send(new AttemptEvent.Failed(mAttempt, failure, "fake"), false);
     }
 
     void send(final AttemptEvent event, final boolean mayGetLost) {
-        if (mayGetLost && mWorld.chance(mWorld.lossPercent())) {
+        if (mayGetLost && mWorld.isDrawn(mWorld.lossPercent())) {
             return;
         }
-        final int copies = mWorld.chance(mWorld.lossPercent()) ? 2 : 1;
+        final int copies = mWorld.isDrawn(mWorld.lossPercent()) ? 2 : 1;
         for (int copy = 0; copy < copies; copy++) {
             final int delay = 1 + mWorld.random().nextInt(MAX_DELAY_MILLIS);
-            mWorld.time().after(delay, () -> mDaemon.handle(event));
+            mWorld.clock().schedule(delay, () -> mDaemon.onAttemptEvent(event));
         }
     }
 }
--- a/faults/src/main/java/org/whinhead/faults/world/FakeBackend.java
+++ b/faults/src/main/java/org/whinhead/faults/world/FakeBackend.java
@@ -32,21 +32,21 @@
     private static final int TOKEN_MILLIS = 20;
     private static final int MAX_WORK_MILLIS = 200;
     private static final int FAULT_PERCENT = 5;
-    private static final int OK = 200;
+    private static final int HTTP_OK = 200;
 
     private final FakeWorld mWorld;
     private Endpoint mEndpoint;
     private Instant mLeavingSince = Instant.MAX;
     private final Map<String, FakeStream> mStreams = new LinkedHashMap<>();
-    private final List<FakeLink> mCalls = new ArrayList<>();
-    private final List<Waiting> mWaiting = new ArrayList<>();
+    private final List<FakeAttemptConnection> mCalls = new ArrayList<>();
+    private final List<PendingWork> mPendingWork = new ArrayList<>();
     private Mode mMode = Mode.UP;
     private int mNextStream;
 
     FakeBackend(final FakeWorld world, final Endpoint endpoint) {
         mWorld = world;
         mEndpoint = endpoint;
-        world.time().after(TOKEN_MILLIS, this::step);
+        world.clock().schedule(TOKEN_MILLIS, this::generateTokens);
     }
 
     public Endpoint endpoint() {
@@ -66,8 +66,8 @@
         if (mode == Mode.DEAD) {
             die();
         } else if (mode == Mode.UP) {
-            final List<Waiting> waiting = List.copyOf(mWaiting);
-            mWaiting.clear();
+            final List<PendingWork> waiting = List.copyOf(mPendingWork);
+            mPendingWork.clear();
             waiting.forEach(each -> each.work().run());
         }
     }
@@ -84,16 +84,16 @@
     }
 
     /** Its VM was announced to leave. */
-    void leaving() {
+    void announceLeaving() {
         if (mLeavingSince == Instant.MAX) {
-            mLeavingSince = mWorld.time().now();
+            mLeavingSince = mWorld.clock().now();
             mEndpoint = mEndpoint.toBuilder().vm(mEndpoint.vm().withState(VmState.LEAVING)).build();
         }
     }
 
     /** The cloud stops the VM by order, which must not cut a request. */
-    void stopAsPlanned() {
-        if (mMode != Mode.DEAD && running() > 0) {
+    void stopByOrder() {
+        if (mMode != Mode.DEAD && runningCount() > 0) {
             throw new AssertionError("a planned stop cut requests at " + mEndpoint.id());
         }
         setMode(Mode.DEAD);
@@ -108,17 +108,17 @@
         return mMode == Mode.UP && mLeavingSince == Instant.MAX;
     }
 
-    boolean worksOn(final RequestId request) {
+    boolean isProcessing(final RequestId request) {
         return mStreams.values().stream().anyMatch(s -> s.isFor(request) && !s.isDone())
                 || mCalls.stream().anyMatch(link -> link.attempt().request().equals(request));
     }
 
-    boolean hasMadeAll(final RequestId request) {
+    boolean hasGeneratedAll(final RequestId request) {
         return mStreams.values().stream().anyMatch(s -> s.isFor(request) && s.isDone());
     }
 
     /** Returns how many requests it works on. */
-    int running() {
+    int runningCount() {
         return (int) mStreams.values().stream().filter(stream -> !stream.isDone()).count()
                 + mCalls.size();
     }
@@ -127,28 +127,28 @@
     public void cutConnections() {
         mStreams.values().stream()
                 .filter(stream -> stream.reader() != null)
-                .forEach(stream -> stream.reader().fail(AttemptFailure.CUT_DURING_ANSWER));
-        mCalls.forEach(link -> link.fail(AttemptFailure.CUT_BEFORE_ANSWER));
+                .forEach(stream -> stream.reader().sendFailure(AttemptFailure.CUT_DURING_ANSWER));
+        mCalls.forEach(link -> link.sendFailure(AttemptFailure.CUT_BEFORE_ANSWER));
         mCalls.clear();
     }
 
-    void generate(final FakeLink link, final long from) {
+    void generate(final FakeAttemptConnection link, final long from) {
         connect(link, false, () -> startStream(link, from));
     }
 
-    void call(final FakeLink link) {
+    void call(final FakeAttemptConnection link) {
         connect(link, false, () -> startCall(link));
     }
 
-    void resume(final FakeLink link, final String streamId, final long from) {
+    void resume(final FakeAttemptConnection link, final String streamId, final long from) {
         connect(
                 link,
                 true,
                 () -> {
                     if (mStreams.containsKey(streamId)) {
-                        mStreams.get(streamId).read(link, from);
+                        mStreams.get(streamId).attach(link, from);
                     } else {
-                        link.fail(AttemptFailure.STREAM_UNKNOWN);
+                        link.sendFailure(AttemptFailure.STREAM_UNKNOWN);
                     }
                 });
     }
@@ -161,22 +161,22 @@
                         : Optional.ofNullable(mStreams.remove(streamId));
         stream.map(FakeStream::reader)
                 .filter(reader -> mWorld.random().nextBoolean())
-                .ifPresent(reader -> reader.fail(AttemptFailure.CUT_DURING_ANSWER));
+                .ifPresent(reader -> reader.sendFailure(AttemptFailure.CUT_DURING_ANSWER));
         return stream;
     }
 
-    void importStream(final FakeLink link, final FakeStream source) {
+    void importStream(final FakeAttemptConnection link, final FakeStream source) {
         connect(
                 link,
                 false,
                 () -> {
-                    final FakeStream copy = source.movedTo(newStreamId());
+                    final FakeStream copy = source.copyWithId(newStreamId());
                     mStreams.put(copy.id(), copy);
                     link.send(new AttemptEvent.Moved(link.attempt(), copy.id()), true);
                 });
     }
 
-    void cancel(final FakeLink link, final String streamId) {
+    void cancel(final FakeAttemptConnection link, final String streamId) {
         if (streamId.isEmpty()) {
             mStreams.values().removeIf(stream -> stream.reader() == link);
         } else {
@@ -184,52 +184,53 @@
         }
     }
 
-    private void connect(final FakeLink link, final boolean always, final Runnable work) {
+    private void connect(
+            final FakeAttemptConnection link, final boolean always, final Runnable work) {
         if (!always) {
-            checkNewWork(link);
+            checkNoWorkAfterNotice(link);
         }
         if (mMode == Mode.DEAD) {
-            link.fail(AttemptFailure.CONNECT_FAILED);
+            link.sendFailure(AttemptFailure.CONNECT_FAILED);
         } else if (mMode == Mode.FROZEN) {
-            mWaiting.add(new Waiting(link, work));
+            mPendingWork.add(new PendingWork(link, work));
         } else if (mMode == Mode.REFUSING && !always) {
-            link.fail(AttemptFailure.REFUSED_BY_ENDPOINT);
+            link.sendFailure(AttemptFailure.REFUSED_BY_ENDPOINT);
         } else {
             work.run();
         }
     }
 
     /** A daemon that was not paused must know of the notice by now. */
-    private void checkNewWork(final FakeLink link) {
+    private void checkNoWorkAfterNotice(final FakeAttemptConnection link) {
         final Instant limit =
                 mLeavingSince == Instant.MAX ? Instant.MAX : mLeavingSince.plus(NEW_WORK_LIMIT);
-        if (mWorld.time().now().isAfter(limit) && !link.daemon().wasPausedSince(mLeavingSince)) {
+        if (mWorld.clock().now().isAfter(limit) && !link.daemon().wasPausedSince(mLeavingSince)) {
             throw new AssertionError("new work at leaving " + mEndpoint.id());
         }
     }
 
-    private void startStream(final FakeLink link, final long from) {
+    private void startStream(final FakeAttemptConnection link, final long from) {
         final RequestId request = link.attempt().request();
-        mWorld.ran(request);
+        mWorld.recordRun(request);
         final FakeStream stream = new FakeStream(mWorld, newStreamId(), request, from, from);
         mStreams.put(stream.id(), stream);
-        stream.read(link, from);
+        stream.attach(link, from);
     }
 
-    private void startCall(final FakeLink link) {
-        mWorld.ran(link.attempt().request());
+    private void startCall(final FakeAttemptConnection link) {
+        mWorld.recordRun(link.attempt().request());
         mCalls.add(link);
         final int work = 1 + mWorld.random().nextInt(MAX_WORK_MILLIS);
-        mWorld.time().after(work, () -> endCall(link));
+        mWorld.clock().schedule(work, () -> endCall(link));
     }
 
-    private void endCall(final FakeLink link) {
+    private void endCall(final FakeAttemptConnection link) {
         if (mCalls.remove(link)) {
-            if (mWorld.lossPercent() > 0 && mWorld.chance(FAULT_PERCENT)) {
-                link.fail(AttemptFailure.FAULTED);
+            if (mWorld.lossPercent() > 0 && mWorld.isDrawn(FAULT_PERCENT)) {
+                link.sendFailure(AttemptFailure.FAULTED);
                 return;
             }
-            final PlainAnswer answer = new PlainAnswer(OK, "text/plain", new byte[0]);
+            final PlainAnswer answer = new PlainAnswer(HTTP_OK, "text/plain", new byte[0]);
             link.send(new AttemptEvent.Answered(link.attempt(), answer), true);
         }
     }
@@ -237,16 +238,16 @@
     private void die() {
         cutConnections();
         mStreams.clear();
-        mWaiting.forEach(each -> each.link().fail(AttemptFailure.CUT_BEFORE_ANSWER));
-        mWaiting.clear();
+        mPendingWork.forEach(each -> each.link().sendFailure(AttemptFailure.CUT_BEFORE_ANSWER));
+        mPendingWork.clear();
     }
 
-    private void step() {
+    private void generateTokens() {
         if (mMode != Mode.FROZEN) {
-            List.copyOf(mStreams.values()).forEach(FakeStream::step);
+            List.copyOf(mStreams.values()).forEach(FakeStream::generateToken);
         }
         if (mMode != Mode.DEAD) {
-            mWorld.time().after(TOKEN_MILLIS, this::step);
+            mWorld.clock().schedule(TOKEN_MILLIS, this::generateTokens);
         }
     }
 
@@ -255,5 +256,5 @@
         return mEndpoint.id() + "-s" + mNextStream;
     }
 
-    private record Waiting(FakeLink link, Runnable work) {}
+    private record PendingWork(FakeAttemptConnection link, Runnable work) {}
 }
--- a/faults/src/main/java/org/whinhead/faults/world/FakeCaller.java
+++ b/faults/src/main/java/org/whinhead/faults/world/FakeCaller.java
@@ -14,7 +14,7 @@
 public final class FakeCaller {
 
     /** How its request ended for it. */
-    public enum End {
+    public enum Outcome {
         OPEN,
         WHOLE,
         REFUSED,
@@ -22,7 +22,7 @@
     }
 
     private static final int RECONNECT_MILLIS = 50;
-    private static final int MAX_REPEATS = 2;
+    private static final int MAX_RETRIES = 2;
 
     private final FakeWorld mWorld;
     private final RequestSpec mSpec;
@@ -31,10 +31,10 @@
     private Optional<Ticket> mTicket = Optional.empty();
     private Optional<Refusal> mRefusal = Optional.empty();
     private Optional<FakeDaemon> mDaemon = Optional.empty();
-    private Optional<FakeConnection> mConnection = Optional.empty();
-    private End mEnd = End.OPEN;
-    private boolean mCutOff;
-    private int mRepeats;
+    private Optional<FakeCallerConnection> mConnection = Optional.empty();
+    private Outcome mOutcome = Outcome.OPEN;
+    private boolean mLostConnection;
+    private int mRetries;
 
     FakeCaller(final FakeWorld world, final RequestSpec spec, final long length) {
         mWorld = world;
@@ -54,8 +54,8 @@
         return mLength;
     }
 
-    public End end() {
-        return mEnd;
+    public Outcome outcome() {
+        return mOutcome;
     }
 
     public Optional<Refusal> refusal() {
@@ -71,25 +71,25 @@
     }
 
     /** Tells whether an earlier submission was cut off, so that a later one knows less. */
-    boolean wasCutOff() {
-        return mCutOff;
+    boolean hasLostConnection() {
+        return mLostConnection;
     }
 
-    boolean wants(final FakeDaemon from) {
-        return mEnd == End.OPEN && mDaemon.filter(daemon -> daemon == from).isPresent();
+    boolean isAssignedTo(final FakeDaemon from) {
+        return mOutcome == Outcome.OPEN && mDaemon.filter(daemon -> daemon == from).isPresent();
     }
 
-    void connected(final FakeConnection connection) {
+    void onConnected(final FakeCallerConnection connection) {
         mConnection = Optional.of(connection);
     }
 
-    boolean listensAt(final FakeConnection connection) {
-        return mEnd == End.OPEN && mConnection.filter(own -> own == connection).isPresent();
+    boolean isCurrentConnection(final FakeCallerConnection connection) {
+        return mOutcome == Outcome.OPEN && mConnection.filter(own -> own == connection).isPresent();
     }
 
     void connect() {
-        final Optional<FakeDaemon> open = mWorld.openDaemon();
-        if (mEnd != End.OPEN) {
+        final Optional<FakeDaemon> open = mWorld.randomAcceptingDaemon();
+        if (mOutcome != Outcome.OPEN) {
             return;
         }
         if (open.isEmpty()) {
@@ -98,65 +98,65 @@
         }
         mDaemon = open;
         if (mTicket.isPresent()) {
-            open.get().returned(this, mTicket.get(), mTokens.size(), String.join("", mTokens));
+            open.get().onResume(this, mTicket.get(), mTokens.size(), String.join("", mTokens));
         } else {
-            open.get().arrived(this);
+            open.get().onRequest(this);
         }
     }
 
     void connectLater() {
-        mWorld.time().after(RECONNECT_MILLIS, this::connect);
+        mWorld.clock().schedule(RECONNECT_MILLIS, this::connect);
     }
 
     /** Hangs up for good. */
-    public void leave() {
-        if (mEnd == End.OPEN) {
-            mEnd = End.LEFT;
-            mDaemon.ifPresent(daemon -> daemon.callerLeft(id()));
+    public void disconnect() {
+        if (mOutcome == Outcome.OPEN) {
+            mOutcome = Outcome.LEFT;
+            mDaemon.ifPresent(daemon -> daemon.onCallerDisconnected(id()));
         }
     }
 
     /** The connection broke; the caller tries another daemon. */
-    public void cutOff() {
-        if (mEnd == End.OPEN) {
-            mCutOff = true;
+    public void loseConnection() {
+        if (mOutcome == Outcome.OPEN) {
+            mLostConnection = true;
             mConnection = Optional.empty();
             mDaemon = Optional.empty();
             connectLater();
         }
     }
 
-    void take(final String token) {
+    void receiveToken(final String token) {
         mTokens.add(token);
     }
 
-    void takeTicket(final Ticket ticket) {
+    void receiveTicket(final Ticket ticket) {
         mTicket = Optional.of(ticket);
     }
 
-    void sentAway(final Ticket ticket, final Duration after) {
+    void onHandedBack(final Ticket ticket, final Duration after) {
         mTicket = Optional.of(ticket);
         mDaemon = Optional.empty();
-        mWorld.time().after(after.toMillis(), this::connect);
+        mWorld.clock().schedule(after.toMillis(), this::connect);
     }
 
-    void whole() {
-        mEnd = End.WHOLE;
+    void onComplete() {
+        mOutcome = Outcome.WHOLE;
     }
 
-    void refused(final Refusal refusal) {
+    void onRefused(final Refusal refusal) {
         mRefusal = Optional.of(refusal);
         final boolean notRun = refusal.verdict() == Verdict.NOT_RUN;
-        if (notRun && !mCutOff && mWorld.runs(id()) > 0) {
+        if (notRun && !mLostConnection && mWorld.runCount(id()) > 0) {
             throw new AssertionError("refused as not run, but ran: " + id());
         }
         final boolean again = notRun && refusal.retryAfter().isPresent() && mTicket.isEmpty();
-        if (again && mRepeats < MAX_REPEATS) {
-            mRepeats++;
+        if (again && mRetries < MAX_RETRIES) {
+            mRetries++;
             mDaemon = Optional.empty();
-            mWorld.time().after(refusal.retryAfter().get().toMillis(), this::connect);
+            mWorld.clock().schedule(refusal.retryAfter().get().toMillis(), this::connect);
         } else {
-            mEnd = End.REFUSED;
+            mOutcome = Outcome.REFUSED;
         }
     }
 
--- a/faults/src/main/java/org/whinhead/faults/world/FakeConnection.java
+++ b/faults/src/main/java/org/whinhead/faults/world/FakeCallerConnection.java
@@ -4,16 +4,16 @@
 import java.util.List;
 
 /** One connection of a caller at one daemon; a whole answer is buffered until it is complete. */
-final class FakeConnection {
+final class FakeCallerConnection {
 
     private final FakeCaller mCaller;
     private final List<String> mBuffer = new ArrayList<>();
-    private long mNext;
+    private long mNextIndex;
 
-    FakeConnection(final FakeCaller caller, final long next) {
+    FakeCallerConnection(final FakeCaller caller, final long next) {
         mCaller = caller;
-        mNext = next;
-        caller.connected(this);
+        mNextIndex = next;
+        caller.onConnected(this);
     }
 
     FakeCaller caller() {
@@ -22,17 +22,17 @@
 
     /** Tells whether the caller still listens here. */
     boolean isCurrent() {
-        return mCaller.listensAt(this);
+        return mCaller.isCurrentConnection(this);
     }
 
-    void token(final long index, final String text) {
-        if (index != mNext) {
+    void deliver(final long index, final String text) {
+        if (index != mNextIndex) {
             throw new AssertionError(
-                    "token " + index + " in place of " + mNext + " for " + mCaller.id());
+                    "token " + index + " in place of " + mNextIndex + " for " + mCaller.id());
         }
-        mNext++;
+        mNextIndex++;
         if (mCaller.spec().streamed() && isCurrent()) {
-            mCaller.take(text);
+            mCaller.receiveToken(text);
         } else {
             mBuffer.add(text);
         }
@@ -40,8 +40,8 @@
 
     void complete() {
         if (isCurrent()) {
-            mBuffer.forEach(mCaller::take);
-            mCaller.whole();
+            mBuffer.forEach(mCaller::receiveToken);
+            mCaller.onComplete();
         }
     }
 }
--- a/faults/src/main/java/org/whinhead/faults/world/FakeTime.java
+++ b/faults/src/main/java/org/whinhead/faults/world/FakeClock.java
@@ -6,7 +6,7 @@
 import java.util.PriorityQueue;
 
 /** The world's clock and what is going to happen, in order of time. */
-public final class FakeTime {
+public final class FakeClock {
 
     private final PriorityQueue<Event> mEvents =
             new PriorityQueue<>(Comparator.comparing(Event::at).thenComparing(Event::sequence));
@@ -18,12 +18,12 @@
     }
 
     /** Plans work for a time from now. */
-    public void after(final long millis, final Runnable work) {
+    public void schedule(final long millis, final Runnable work) {
         mEvents.add(new Event(mNow.plusMillis(millis), mSequence++, work));
     }
 
     /** Lets a time pass, with all that happens in it. */
-    public void run(final Duration time) {
+    public void advance(final Duration time) {
         final Instant end = mNow.plus(time);
         while (!mEvents.isEmpty() && !mEvents.peek().at().isAfter(end)) {
             final Event event = mEvents.remove();
--- a/faults/src/main/java/org/whinhead/faults/world/FakeCloud.java
+++ b/faults/src/main/java/org/whinhead/faults/world/FakeCloud.java
@@ -11,26 +11,26 @@
 
     private final FakeWorld mWorld;
     private final Map<OrderId, FakeBackend> mStarted = new HashMap<>();
-    private boolean mRefusing;
+    private boolean mRefusingStarts;
 
     FakeCloud(final FakeWorld world) {
         mWorld = world;
     }
 
     /** Refuses all starts, or no more. */
-    public void setRefusing(final boolean refusing) {
-        mRefusing = refusing;
+    public void setRefusingStarts(final boolean refusing) {
+        mRefusingStarts = refusing;
     }
 
     /** Returns how many VMs were started by order. */
-    public int started() {
+    public int startedCount() {
         return mStarted.size();
     }
 
     /** Starts a VM, or returns the one that the order started before; empty if refused. */
     Optional<FakeBackend> start(final OrderId order, final FailureDomain domain) {
         final FakeBackend known = mStarted.get(order);
-        if (known != null || mRefusing) {
+        if (known != null || mRefusingStarts) {
             return Optional.ofNullable(known);
         }
         final FakeBackend started = mWorld.fleet().addEngine(domain);
--- a/faults/src/main/java/org/whinhead/faults/world/FakeDaemon.java
+++ b/faults/src/main/java/org/whinhead/faults/world/FakeDaemon.java
@@ -25,30 +25,30 @@
 public final class FakeDaemon implements RequestActions {
 
     private static final int TICK_MILLIS = 50;
-    private static final int CLAIM_MILLIS = 15;
-    private static final int STATE_MILLIS = 50;
-    private static final int ROUND_MILLIS = 250;
+    private static final int CLAIM_TICK_MILLIS = 15;
+    private static final int STATE_TICK_MILLIS = 50;
+    private static final int RECONCILE_MILLIS = 250;
     private static final int MAX_DELAY_MILLIS = 5;
 
     private final FakeWorld mWorld;
     private final FakeRouter mRouter;
     private final DefaultRequestCoordinator mCoordinator;
-    private final Map<AttemptId, FakeLink> mLinks = new HashMap<>();
-    private final Map<RequestId, FakeConnection> mConnections = new HashMap<>();
+    private final Map<AttemptId, FakeAttemptConnection> mAttempts = new HashMap<>();
+    private final Map<RequestId, FakeCallerConnection> mConnections = new HashMap<>();
     private final DaemonId mId;
     private final FakeProcess mProcess;
     private final DaemonClaims mClaims;
     private final DaemonState mState;
-    private final FleetDuty mDuty;
+    private final FleetControlLoop mFleetLoop;
     private boolean mStopping;
 
     FakeDaemon(final FakeWorld world, final DaemonId id, final long seed) {
         mWorld = world;
         mId = id;
-        mProcess = new FakeProcess(world.time());
+        mProcess = new FakeProcess(world.clock());
         mClaims = new DaemonClaims(world.log(), this, mProcess);
         mState = new DaemonState(world.log(), id, mProcess, seed);
-        mDuty = new FleetDuty(world, mState, mProcess);
+        mFleetLoop = new FleetControlLoop(world, mState, mProcess);
         mRouter = new FakeRouter(world, seed);
         mCoordinator =
                 DefaultRequestCoordinator.builder()
@@ -58,10 +58,10 @@
                         .settings(world.settings())
                         .random(new SplittableRandom(seed))
                         .build();
-        mProcess.every(TICK_MILLIS, mCoordinator::tick);
-        mProcess.every(ROUND_MILLIS, this::round);
-        mProcess.every(CLAIM_MILLIS, mClaims::tick);
-        mProcess.every(STATE_MILLIS, this::tickState);
+        mProcess.scheduleEvery(TICK_MILLIS, mCoordinator::tick);
+        mProcess.scheduleEvery(RECONCILE_MILLIS, this::refreshAndReconcile);
+        mProcess.scheduleEvery(CLAIM_TICK_MILLIS, mClaims::tick);
+        mProcess.scheduleEvery(STATE_TICK_MILLIS, this::tickState);
     }
 
     /** Returns its identity, which no later daemon shares. */
@@ -73,8 +73,8 @@
         return mCoordinator;
     }
 
-    int inProgressAt(final EndpointId endpoint) {
-        return mRouter.inProgressAt(endpoint);
+    int inFlightAt(final EndpointId endpoint) {
+        return mRouter.inFlightAt(endpoint);
     }
 
     /** Tells whether it was paused at or after a time. */
@@ -87,51 +87,56 @@
     }
 
     void changeSetting(final FakeOperator.Change change) {
-        mProcess.post(now -> change.offer(mState.log(), now));
+        mProcess.post(now -> change.appendTo(mState.log(), now));
     }
 
     public boolean isAlive() {
         return mProcess.isAlive();
     }
 
-    boolean isOpen() {
+    boolean isAccepting() {
         return isAlive() && !mStopping;
     }
 
     /** Returns what is left over once all requests have ended. */
-    String leftovers() {
-        return mCoordinator.requestCount() == 0 && mRouter.open().isEmpty() && mLinks.isEmpty()
+    String unfinishedWork() {
+        return mCoordinator.requestCount() == 0
+                        && mRouter.openSends().isEmpty()
+                        && mAttempts.isEmpty()
                 ? ""
-                : mCoordinator.requestCount() + " requests, " + mRouter.open() + mLinks.keySet();
+                : mCoordinator.requestCount()
+                        + " requests, "
+                        + mRouter.openSends()
+                        + mAttempts.keySet();
     }
 
-    void arrived(final FakeCaller caller) {
+    void onRequest(final FakeCaller caller) {
         mProcess.post(
                 now -> {
-                    if (!caller.wants(this)) {
+                    if (!caller.isAssignedTo(this)) {
                         return;
                     }
                     if (mConnections.containsKey(caller.id())) {
                         caller.connectLater();
                         return;
                     }
-                    mConnections.put(caller.id(), new FakeConnection(caller, 0));
+                    mConnections.put(caller.id(), new FakeCallerConnection(caller, 0));
                     mCoordinator.submit(caller.spec(), now);
                 });
     }
 
-    void returned(
+    void onResume(
             final FakeCaller caller, final Ticket ticket, final long have, final String text) {
         mProcess.post(
                 now -> {
-                    if (caller.wants(this)) {
-                        mConnections.put(caller.id(), new FakeConnection(caller, have));
+                    if (caller.isAssignedTo(this)) {
+                        mConnections.put(caller.id(), new FakeCallerConnection(caller, have));
                         mCoordinator.resume(caller.spec(), ticket, have, text, now);
                     }
                 });
     }
 
-    void callerLeft(final RequestId request) {
+    void onCallerDisconnected(final RequestId request) {
         mProcess.post(
                 now -> {
                     mConnections.remove(request);
@@ -139,25 +144,25 @@
                 });
     }
 
-    void endpointLeaving(final EndpointId endpoint, final Instant goneBy) {
+    void onEndpointLeaving(final EndpointId endpoint, final Instant goneBy) {
         mProcess.post(
                 now -> {
-                    mRouter.leaving(endpoint);
+                    mRouter.onEndpointLeaving(endpoint);
                     mCoordinator.onEndpointLeaving(endpoint, goneBy, now);
                 });
     }
 
-    void claimDecided(final RequestId request, final ClaimOutcome outcome) {
+    void onClaimDecided(final RequestId request, final ClaimOutcome outcome) {
         mProcess.post(now -> mCoordinator.onClaimDecided(request, outcome, now));
     }
 
-    void handle(final AttemptEvent event) {
+    void onAttemptEvent(final AttemptEvent event) {
         final boolean last =
                 event instanceof AttemptEvent.Failed
                         || event instanceof AttemptEvent.Finished
                         || event instanceof AttemptEvent.Answered;
         if (last) {
-            mLinks.remove(event.attempt());
+            mAttempts.remove(event.attempt());
         }
         mProcess.post(now -> mCoordinator.onAttemptEvent(event, now));
     }
@@ -170,16 +175,18 @@
     /** Shuts down as planned; at the end nothing may be in progress. */
     public void stop(final long noticeMillis) {
         mStopping = true;
-        final Instant goneBy = mWorld.time().now().plusMillis(noticeMillis);
+        final Instant goneBy = mWorld.clock().now().plusMillis(noticeMillis);
         mProcess.post(now -> mCoordinator.beginShutdown(goneBy, now));
-        mWorld.time().after(noticeMillis, () -> endOfStop(goneBy));
+        mWorld.clock().schedule(noticeMillis, () -> finishStop(goneBy));
     }
 
     /** Ends the process at once; its callers are cut off. */
-    public void die() {
-        mProcess.die();
-        mLinks.clear();
-        mWorld.callers().stream().filter(c -> c.wants(this)).forEach(FakeCaller::cutOff);
+    public void crash() {
+        mProcess.crash();
+        mAttempts.clear();
+        mWorld.callers().stream()
+                .filter(c -> c.isAssignedTo(this))
+                .forEach(FakeCaller::loseConnection);
         mConnections.clear();
     }
 
@@ -217,30 +224,30 @@
 
     @Override
     public void cancel(final AttemptId attempt, final Endpoint endpoint, final String streamId) {
-        final Optional<FakeLink> link = Optional.ofNullable(mLinks.remove(attempt));
-        link.ifPresent(FakeLink::close);
+        final Optional<FakeAttemptConnection> link = Optional.ofNullable(mAttempts.remove(attempt));
+        link.ifPresent(FakeAttemptConnection::close);
         final FakeBackend backend = mWorld.fleet().backend(endpoint.id());
         mProcess.send(delay(), () -> backend.cancel(link.orElse(null), streamId));
     }
 
     @Override
     public void release(final AttemptId attempt) {
-        Optional.ofNullable(mLinks.remove(attempt)).ifPresent(FakeLink::close);
+        Optional.ofNullable(mAttempts.remove(attempt)).ifPresent(FakeAttemptConnection::close);
     }
 
     @Override
     public void claim(final RequestId request) {
-        mClaims.claim(mWorld.caller(request).spec(), mWorld.time().now());
+        mClaims.claim(mWorld.caller(request).spec(), mWorld.clock().now());
     }
 
     @Override
     public void unclaim(final RequestId request) {
-        mClaims.unclaim(request, mWorld.time().now());
+        mClaims.unclaim(request, mWorld.clock().now());
     }
 
     @Override
     public void deliver(final RequestId request, final long index, final String text) {
-        mConnections.get(request).token(index, text);
+        mConnections.get(request).deliver(index, text);
     }
 
     @Override
@@ -255,36 +262,36 @@
 
     @Override
     public void refuse(final RequestId request, final Refusal refusal) {
-        final FakeConnection connection = mConnections.remove(request);
+        final FakeCallerConnection connection = mConnections.remove(request);
         if (connection.isCurrent()) {
-            connection.caller().refused(refusal);
+            connection.caller().onRefused(refusal);
         }
     }
 
     @Override
     public void ticket(final RequestId request, final Ticket ticket) {
-        final FakeConnection connection = mConnections.get(request);
+        final FakeCallerConnection connection = mConnections.get(request);
         if (connection.isCurrent()) {
-            connection.caller().takeTicket(ticket);
+            connection.caller().receiveTicket(ticket);
         }
     }
 
     @Override
     public void handBack(final RequestId request, final Ticket ticket, final Refusal refusal) {
-        final FakeConnection connection = mConnections.remove(request);
+        final FakeCallerConnection connection = mConnections.remove(request);
         if (connection.isCurrent()) {
-            connection.caller().sentAway(ticket, refusal.retryAfter().orElseThrow());
+            connection.caller().onHandedBack(ticket, refusal.retryAfter().orElseThrow());
         }
     }
 
     private void export(
-            final FakeLink link,
+            final FakeAttemptConnection link,
             final FakeBackend source,
             final String streamId,
             final Endpoint to) {
         final Optional<FakeStream> cache = source.export(streamId);
         if (cache.isEmpty()) {
-            link.fail(AttemptFailure.STREAM_UNKNOWN);
+            link.sendFailure(AttemptFailure.STREAM_UNKNOWN);
             return;
         }
         final FakeBackend target = mWorld.fleet().backend(to.id());
@@ -292,8 +299,8 @@
     }
 
     private void connect(final AttemptId attempt, final Endpoint endpoint, final Work work) {
-        final FakeLink link = new FakeLink(mWorld, this, attempt);
-        mLinks.put(attempt, link);
+        final FakeAttemptConnection link = new FakeAttemptConnection(mWorld, this, attempt);
+        mAttempts.put(attempt, link);
         mProcess.send(
                 delay(),
                 () -> {
@@ -303,9 +310,9 @@
                 });
     }
 
-    private void round(final Instant now) {
+    private void refreshAndReconcile(final Instant now) {
         mRouter.refresh(now);
-        mDuty.tick(now);
+        mFleetLoop.tick(now);
     }
 
     private void tickState(final Instant now) {
@@ -317,16 +324,16 @@
         return 1 + mWorld.random().nextInt(MAX_DELAY_MILLIS);
     }
 
-    private void endOfStop(final Instant goneBy) {
+    private void finishStop(final Instant goneBy) {
         final boolean wasPaused = goneBy.minusMillis(TICK_MILLIS).isBefore(mProcess.pausedUntil());
         if (isAlive() && !wasPaused && mCoordinator.requestCount() > 0) {
-            throw new AssertionError("a planned stop cut requests: " + leftovers());
+            throw new AssertionError("a planned stop cut requests: " + unfinishedWork());
         }
-        die();
+        crash();
     }
 
     /** What a connection is made for. */
     private interface Work {
-        void accept(FakeLink link, FakeBackend backend);
+        void accept(FakeAttemptConnection link, FakeBackend backend);
     }
 }
--- a/faults/src/main/java/org/whinhead/faults/world/FakeFleet.java
+++ b/faults/src/main/java/org/whinhead/faults/world/FakeFleet.java
@@ -37,16 +37,16 @@
     private final Map<EndpointId, Instant> mNotices = new LinkedHashMap<>();
     private final FakeVmList mVmList;
     private final FakeCloud mCloud;
-    private final FakeOrders mOrders;
+    private final FakeOrderExecutor mOrders;
     private int mEnginesNeeded;
-    private int mOrderDelay = 3;
+    private int mOrderDelayMillis = 3;
     private boolean mReportsFrozen;
 
     FakeFleet(final FakeWorld world) {
         mWorld = world;
         mVmList = new FakeVmList(world);
         mCloud = new FakeCloud(world);
-        mOrders = new FakeOrders(world);
+        mOrders = new FakeOrderExecutor(world);
     }
 
     /** Returns the three failure domains. */
@@ -79,7 +79,7 @@
         return mCloud;
     }
 
-    public FakeOrders orders() {
+    public FakeOrderExecutor orders() {
         return mOrders;
     }
 
@@ -88,8 +88,8 @@
     }
 
     /** Makes orders travel for so long. */
-    public void setOrderDelay(final int millis) {
-        mOrderDelay = millis;
+    public void setOrderDelayMillis(final int millis) {
+        mOrderDelayMillis = millis;
     }
 
     /** Makes load reports stay away, or come again. */
@@ -101,8 +101,8 @@
         return mReportsFrozen;
     }
 
-    int orderDelay() {
-        return mOrderDelay;
+    int orderDelayMillis() {
+        return mOrderDelayMillis;
     }
 
     int enginesNeeded() {
@@ -128,47 +128,49 @@
     }
 
     /** Announces that a VM leaves; daemons hear of it one after the other. */
-    void announce(final FakeBackend backend, final long noticeMillis) {
+    void announceLeaving(final FakeBackend backend, final long noticeMillis) {
         final EndpointId id = backend.endpoint().id();
-        final Instant goneBy = mWorld.time().now().plusMillis(noticeMillis);
+        final Instant goneBy = mWorld.clock().now().plusMillis(noticeMillis);
         mNotices.merge(id, goneBy, (one, other) -> one.isBefore(other) ? one : other);
-        backend.leaving();
+        backend.announceLeaving();
         for (final FakeDaemon daemon : mWorld.daemons()) {
             final int heard = mWorld.random().nextInt(100);
-            mWorld.time().after(heard, () -> daemon.endpointLeaving(id, goneBy));
+            mWorld.clock().schedule(heard, () -> daemon.onEndpointLeaving(id, goneBy));
         }
     }
 
     /** Tells a new daemon the notices so far. */
-    void tellNotices(final FakeDaemon daemon) {
-        mNotices.forEach(daemon::endpointLeaving);
+    void sendNotices(final FakeDaemon daemon) {
+        mNotices.forEach(daemon::onEndpointLeaving);
     }
 
     /** Returns the VM that works on a request. */
-    public Optional<FakeBackend> workerOf(final RequestId request) {
-        return mBackends.values().stream().filter(backend -> backend.worksOn(request)).findFirst();
+    public Optional<FakeBackend> backendProcessing(final RequestId request) {
+        return mBackends.values().stream()
+                .filter(backend -> backend.isProcessing(request))
+                .findFirst();
     }
 
     /** Tells whether some engine has made a request's whole answer. */
-    public boolean hasMadeAll(final RequestId request) {
-        return mBackends.values().stream().anyMatch(backend -> backend.hasMadeAll(request));
+    public boolean hasGeneratedAll(final RequestId request) {
+        return mBackends.values().stream().anyMatch(backend -> backend.hasGeneratedAll(request));
     }
 
-    int inProgressAt(final EndpointId endpoint) {
+    int inFlightAt(final EndpointId endpoint) {
         final int sends =
                 mWorld.daemons().stream()
                         .filter(FakeDaemon::isAlive)
-                        .mapToInt(daemon -> daemon.inProgressAt(endpoint))
+                        .mapToInt(daemon -> daemon.inFlightAt(endpoint))
                         .sum();
-        return Math.max(sends, backend(endpoint).running());
+        return Math.max(sends, backend(endpoint).runningCount());
     }
 
     /** Ends all faults. */
     void heal() {
         mVmList.setFrozen(false);
-        mCloud.setRefusing(false);
+        mCloud.setRefusingStarts(false);
         mReportsFrozen = false;
-        mOrderDelay = 3;
+        mOrderDelayMillis = 3;
         backends().forEach(backend -> backend.setMode(FakeBackend.Mode.UP));
     }
 
--- a/faults/src/main/java/org/whinhead/faults/world/FakeLog.java
+++ b/faults/src/main/java/org/whinhead/faults/world/FakeLog.java
@@ -26,15 +26,15 @@
     public static final Duration RETENTION = Duration.ofSeconds(60);
 
     private static final int MAX_DELAY_MILLIS = 5;
-    private static final int LATE_MILLIS = 7_000;
+    private static final int APPEND_DELAY_MILLIS = 7_000;
 
     private final FakeWorld mWorld;
     private final Map<String, Stream> mStreams = new TreeMap<>();
     private boolean mOut;
-    private int mSlowMillis;
+    private int mExtraLatencyMillis;
     private int mCapPerSecond = Integer.MAX_VALUE;
-    private int mLoseAnswers;
-    private int mLandLate;
+    private int mAnswersToLose;
+    private int mAppendsToDelay;
     private long mSecond;
     private int mAppendsInSecond;
 
@@ -52,41 +52,41 @@
     }
 
     /** Makes each call take so much longer. */
-    public void setSlow(final int millis) {
-        mSlowMillis = millis;
+    public void setExtraLatency(final int millis) {
+        mExtraLatencyMillis = millis;
     }
 
     /** Sets the most appends a second. */
-    public void setCap(final int appendsPerSecond) {
+    public void setAppendCap(final int appendsPerSecond) {
         mCapPerSecond = appendsPerSecond;
     }
 
     /** Loses the answers of the next appends after they took effect. */
     public void loseAnswers(final int count) {
-        mLoseAnswers = count;
+        mAnswersToLose = count;
     }
 
     /** Loses the answers of the next appends, which take effect only seconds later. */
-    public void landLate(final int count) {
-        mLandLate = count;
+    public void delayAppends(final int count) {
+        mAppendsToDelay = count;
     }
 
     /** Ends all faults. */
     void heal() {
         mOut = false;
-        mSlowMillis = 0;
+        mExtraLatencyMillis = 0;
         mCapPerSecond = Integer.MAX_VALUE;
-        mLoseAnswers = 0;
-        mLandLate = 0;
+        mAnswersToLose = 0;
+        mAppendsToDelay = 0;
     }
 
     /** Returns every record that a stream ever took, also the expired ones. */
-    public List<LogEntry> all(final String stream) {
+    public List<LogEntry> allEntries(final String stream) {
         return stream(stream).mEntries;
     }
 
-    long oldest(final String stream) {
-        final Instant limit = mWorld.time().now().minus(RETENTION);
+    long oldestOffset(final String stream) {
+        final Instant limit = mWorld.clock().now().minus(RETENTION);
         final Stream all = stream(stream);
         while (all.mOldest < all.mEntries.size()
                 && all.mEntries.get(all.mOldest).at().isBefore(limit)) {
@@ -96,40 +96,48 @@
     }
 
     void append(
-            final String stream, final List<LogRecord> records, final Consumer<Appended> answer) {
-        mWorld.time().after(delay(), () -> arrived(stream, records, answer));
+            final String stream,
+            final List<LogRecord> records,
+            final Consumer<AppendResult> answer) {
+        mWorld.clock().schedule(delay(), () -> onAppend(stream, records, answer));
     }
 
-    void read(final String stream, final long from, final int max, final Consumer<Read> answer) {
-        mWorld.time().after(delay(), () -> answerRead(stream, from, max, answer));
+    void read(
+            final String stream,
+            final long from,
+            final int max,
+            final Consumer<ReadResult> answer) {
+        mWorld.clock().schedule(delay(), () -> answerRead(stream, from, max, answer));
     }
 
-    private void arrived(
-            final String stream, final List<LogRecord> records, final Consumer<Appended> answer) {
-        final Appended result = take(stream, records);
-        mWorld.time().after(delay(), () -> answer.accept(result));
+    private void onAppend(
+            final String stream,
+            final List<LogRecord> records,
+            final Consumer<AppendResult> answer) {
+        final AppendResult result = decideAppend(stream, records);
+        mWorld.clock().schedule(delay(), () -> answer.accept(result));
     }
 
-    private Appended take(final String stream, final List<LogRecord> records) {
+    private AppendResult decideAppend(final String stream, final List<LogRecord> records) {
         if (mOut || isOverCap()) {
-            return Appended.REFUSED;
+            return AppendResult.REFUSED;
         }
-        final boolean chance = mWorld.chance(mWorld.lossPercent());
-        if (mLandLate > 0) {
-            mLandLate--;
-            mWorld.time().after(LATE_MILLIS, () -> store(stream, records));
-            return Appended.UNKNOWN;
+        final boolean chance = mWorld.isDrawn(mWorld.lossPercent());
+        if (mAppendsToDelay > 0) {
+            mAppendsToDelay--;
+            mWorld.clock().schedule(APPEND_DELAY_MILLIS, () -> store(stream, records));
+            return AppendResult.UNKNOWN;
         }
         store(stream, records);
-        if (mLoseAnswers > 0 || chance) {
-            mLoseAnswers = Math.max(0, mLoseAnswers - 1);
-            return Appended.UNKNOWN;
+        if (mAnswersToLose > 0 || chance) {
+            mAnswersToLose = Math.max(0, mAnswersToLose - 1);
+            return AppendResult.UNKNOWN;
         }
-        return Appended.DONE;
+        return AppendResult.DONE;
     }
 
     private boolean isOverCap() {
-        final long second = mWorld.time().now().getEpochSecond();
+        final long second = mWorld.clock().now().getEpochSecond();
         if (second != mSecond) {
             mSecond = second;
             mAppendsInSecond = 0;
@@ -141,25 +149,28 @@
     private void store(final String stream, final List<LogRecord> records) {
         final List<LogEntry> entries = stream(stream).mEntries;
         for (final LogRecord record : records) {
-            entries.add(new LogEntry(entries.size(), mWorld.time().now(), record));
+            entries.add(new LogEntry(entries.size(), mWorld.clock().now(), record));
         }
     }
 
     private void answerRead(
-            final String stream, final long from, final int max, final Consumer<Read> answer) {
-        final List<LogEntry> all = all(stream);
-        final long oldest = oldest(stream);
+            final String stream,
+            final long from,
+            final int max,
+            final Consumer<ReadResult> answer) {
+        final List<LogEntry> all = allEntries(stream);
+        final long oldest = oldestOffset(stream);
         final int end = (int) Math.min(all.size(), from + max);
         final List<LogEntry> entries =
                 from < oldest || from >= end
                         ? List.of()
                         : List.copyOf(all.subList((int) from, end));
-        final Read read = new Read(mOut, oldest, entries);
-        mWorld.time().after(delay(), () -> answer.accept(read));
+        final ReadResult read = new ReadResult(mOut, oldest, entries);
+        mWorld.clock().schedule(delay(), () -> answer.accept(read));
     }
 
     private int delay() {
-        return 1 + mWorld.random().nextInt(MAX_DELAY_MILLIS) + mSlowMillis / 2;
+        return 1 + mWorld.random().nextInt(MAX_DELAY_MILLIS) + mExtraLatencyMillis / 2;
     }
 
     private Stream stream(final String name) {
@@ -167,14 +178,14 @@
     }
 
     /** How an append ended for its sender. */
-    enum Appended {
+    enum AppendResult {
         DONE,
         REFUSED,
         UNKNOWN
     }
 
     /** The answer to a read. */
-    record Read(boolean failed, long oldest, List<LogEntry> entries) {}
+    record ReadResult(boolean failed, long oldest, List<LogEntry> entries) {}
 
     private static final class Stream {
         private final List<LogEntry> mEntries = new ArrayList<>();
--- a/faults/src/main/java/org/whinhead/faults/world/FakeOperator.java
+++ b/faults/src/main/java/org/whinhead/faults/world/FakeOperator.java
@@ -10,8 +10,8 @@
 /** Operators that change settings through any daemon and repeat a change that got no outcome. */
 public final class FakeOperator {
 
-    private static final int ASK_MILLIS = 100;
-    private static final int PATIENCE_MILLIS = 3_000;
+    private static final int POLL_MILLIS = 100;
+    private static final int MAX_WAIT_MILLIS = 3_000;
 
     private final FakeWorld mWorld;
     private final List<Change> mChanges = new ArrayList<>();
@@ -22,13 +22,13 @@
 
     /** Asks for a change, on top of the revision that the asked daemon shows. */
     public void change(final String author, final String path, final String text) {
-        final Optional<FakeDaemon> daemon = mWorld.openDaemon();
+        final Optional<FakeDaemon> daemon = mWorld.randomAcceptingDaemon();
         if (daemon.isEmpty()) {
             return;
         }
         final long base = daemon.get().state().view().state().settings().revisionNumber(path);
         final String name = "change-" + mChanges.size();
-        final Change change = new Change(name, author, path, base, text, mWorld.time().now());
+        final Change change = new Change(name, author, path, base, text, mWorld.clock().now());
         mChanges.add(change);
         submit(change, daemon.get());
     }
@@ -44,28 +44,30 @@
 
     private void submit(final Change change, final FakeDaemon daemon) {
         daemon.changeSetting(change);
-        final Instant until = mWorld.time().now().plusMillis(PATIENCE_MILLIS);
-        mWorld.time().after(ASK_MILLIS, () -> ask(change, daemon, until));
+        final Instant until = mWorld.clock().now().plusMillis(MAX_WAIT_MILLIS);
+        mWorld.clock().schedule(POLL_MILLIS, () -> pollOutcome(change, daemon, until));
     }
 
-    private void ask(final Change change, final FakeDaemon daemon, final Instant until) {
+    private void pollOutcome(final Change change, final FakeDaemon daemon, final Instant until) {
         if (daemon.isAlive()) {
             final Optional<ChangeOutcome> outcome =
                     daemon.state().view().state().settings().outcome(change.name());
             if (outcome.isPresent()) {
-                change.tell(outcome.get());
+                change.setOutcome(outcome.get());
                 return;
             }
         }
-        if (daemon.isAlive() && mWorld.time().now().isBefore(until)) {
-            mWorld.time().after(ASK_MILLIS, () -> ask(change, daemon, until));
+        if (daemon.isAlive() && mWorld.clock().now().isBefore(until)) {
+            mWorld.clock().schedule(POLL_MILLIS, () -> pollOutcome(change, daemon, until));
         } else {
-            mWorld.openDaemon()
+            mWorld.randomAcceptingDaemon()
                     .ifPresentOrElse(
                             next -> submit(change, next),
                             () ->
-                                    mWorld.time()
-                                            .after(ASK_MILLIS, () -> ask(change, daemon, until)));
+                                    mWorld.clock()
+                                            .schedule(
+                                                    POLL_MILLIS,
+                                                    () -> pollOutcome(change, daemon, until)));
         }
     }
 
@@ -75,7 +77,7 @@
         private final String mName;
         private final String mAuthor;
         private final String mPath;
-        private final long mBase;
+        private final long mBaseRevision;
         private final String mText;
         private final Instant mAt;
         private Optional<ChangeOutcome> mOutcome = Optional.empty();
@@ -90,7 +92,7 @@
             mName = name;
             mAuthor = author;
             mPath = path;
-            mBase = base;
+            mBaseRevision = base;
             mText = text;
             mAt = at;
         }
@@ -107,11 +109,11 @@
             return mOutcome;
         }
 
-        void tell(final ChangeOutcome outcome) {
+        void setOutcome(final ChangeOutcome outcome) {
             mOutcome = Optional.of(outcome);
         }
 
-        void offer(final LogClient log, final Instant now) {
+        void appendTo(final LogClient log, final Instant now) {
             log.writer()
                     .offer(
                             id ->
@@ -119,7 +121,7 @@
                                             id,
                                             mName,
                                             mPath,
-                                            mBase,
+                                            mBaseRevision,
                                             Optional.of(mText),
                                             mAuthor,
                                             "fake",
--- a/faults/src/main/java/org/whinhead/faults/world/FakeOrders.java
+++ b/faults/src/main/java/org/whinhead/faults/world/FakeOrderExecutor.java
@@ -9,71 +9,73 @@
 import org.whinhead.fleet.FleetOrder;
 
 /** Where orders arrive: the cloud, and engines of which some check the fencing number. */
-public final class FakeOrders {
+public final class FakeOrderExecutor {
 
-    private static final long DRAIN_MILLIS = 60_000;
+    private static final long DRAIN_NOTICE_MILLIS = 60_000;
 
     private final FakeWorld mWorld;
     private final Map<FakeBackend, Long> mNewest = new HashMap<>();
     private final Map<FakeBackend, Instant> mNewestAt = new HashMap<>();
-    private Duration mWindow = Duration.ZERO;
+    private Duration mStaleWindow = Duration.ZERO;
     private int mArrived;
-    private int mRefusedAsOld;
+    private int mStaleRefused;
 
-    FakeOrders(final FakeWorld world) {
+    FakeOrderExecutor(final FakeWorld world) {
         mWorld = world;
     }
 
     /** Returns how many orders arrived. */
-    public int count() {
+    public int arrivedCount() {
         return mArrived;
     }
 
     /** Returns how many orders an engine refused for their old fencing number. */
-    public int refusedAsOld() {
-        return mRefusedAsOld;
+    public int staleRefusedCount() {
+        return mStaleRefused;
     }
 
     /** Returns the longest time by which an old order was obeyed after a newer holder's first. */
-    public Duration window() {
-        return mWindow;
+    public Duration staleWindow() {
+        return mStaleWindow;
     }
 
-    void arrived(final FleetOrder order, final long fencing) {
+    void recordArrival(final FleetOrder order, final long fencing) {
         mArrived++;
     }
 
     /** Carries an order out; false if it was refused. */
-    boolean carryOut(final FleetOrder order, final long fencing) {
+    boolean execute(final FleetOrder order, final long fencing) {
         if (order instanceof FleetOrder.StartVm start) {
             return mWorld.fleet().cloud().start(order.id(), start.supply().domain()).isPresent();
         } else if (order instanceof FleetOrder.DrainVm drain) {
             backend(drain.vm())
-                    .ifPresent(backend -> mWorld.fleet().announce(backend, DRAIN_MILLIS));
+                    .ifPresent(
+                            backend ->
+                                    mWorld.fleet().announceLeaving(backend, DRAIN_NOTICE_MILLIS));
         } else if (order instanceof FleetOrder.StopVm stop) {
-            backend(stop.vm()).ifPresent(FakeBackend::stopAsPlanned);
+            backend(stop.vm()).ifPresent(FakeBackend::stopByOrder);
         } else if (order instanceof FleetOrder.LoadModel load) {
             final FakeBackend backend = mWorld.fleet().backend(load.endpoint());
-            return isObeyed(backend, fencing) && backend.load(load.model());
+            return isAccepted(backend, fencing) && backend.load(load.model());
         }
         return true;
     }
 
-    private boolean isObeyed(final FakeBackend backend, final long fencing) {
+    private boolean isAccepted(final FakeBackend backend, final long fencing) {
         final long newest = mNewest.getOrDefault(backend, Long.MIN_VALUE);
         if (fencing > newest) {
             mNewest.put(backend, fencing);
-            mNewestAt.put(backend, mWorld.time().now());
+            mNewestAt.put(backend, mWorld.clock().now());
         }
         if (fencing >= newest) {
             return true;
         }
         if (backend.endpoint().checksFencing()) {
-            mRefusedAsOld++;
+            mStaleRefused++;
             return false;
         }
-        final Duration late = Duration.between(mNewestAt.get(backend), mWorld.time().now());
-        mWindow = late.compareTo(mWindow) > 0 ? late : mWindow;
+        final Duration late = Duration.between(mNewestAt.get(backend), mWorld.clock().now());
+        mStaleWindow = late.compareTo(mStaleWindow) > 0 ? late : mStaleWindow;
         return true;
     }
 
--- a/faults/src/main/java/org/whinhead/faults/world/FakeProcess.java
+++ b/faults/src/main/java/org/whinhead/faults/world/FakeProcess.java
@@ -8,14 +8,14 @@
 /** A process that handles events one after the other and may pause or die. */
 final class FakeProcess {
 
-    private final FakeTime mTime;
+    private final FakeClock mClock;
     private final Deque<Consumer<Instant>> mInbox = new ArrayDeque<>();
     private Instant mPausedUntil = Instant.MIN;
     private boolean mAlive = true;
     private boolean mDraining;
 
-    FakeProcess(final FakeTime time) {
-        mTime = time;
+    FakeProcess(final FakeClock time) {
+        mClock = time;
     }
 
     boolean isAlive() {
@@ -26,13 +26,13 @@
         return mPausedUntil;
     }
 
-    void die() {
+    void crash() {
         mAlive = false;
     }
 
     void pause(final long millis) {
-        mPausedUntil = mTime.now().plusMillis(millis);
-        mTime.after(millis, this::drain);
+        mPausedUntil = mClock.now().plusMillis(millis);
+        mClock.schedule(millis, this::drain);
     }
 
     /** Handles an event now, or after a pause, in order and with the time of then. */
@@ -42,19 +42,19 @@
     }
 
     /** Handles an event again and again. */
-    void every(final long millis, final Consumer<Instant> work) {
+    void scheduleEvery(final long millis, final Consumer<Instant> work) {
         post(work);
         if (mAlive) {
-            mTime.after(millis, () -> every(millis, work));
+            mClock.schedule(millis, () -> scheduleEvery(millis, work));
         }
     }
 
     /** Sends something out after a delay; a pause holds back what has not left yet. */
     void send(final long delayMillis, final Runnable work) {
-        mTime.after(delayMillis, () -> depart(work));
+        mClock.schedule(delayMillis, () -> sendNow(work));
     }
 
-    private void depart(final Runnable work) {
+    private void sendNow(final Runnable work) {
         if (isPaused()) {
             mInbox.add(now -> work.run());
         } else if (mAlive) {
@@ -63,7 +63,7 @@
     }
 
     private boolean isPaused() {
-        return mTime.now().isBefore(mPausedUntil);
+        return mClock.now().isBefore(mPausedUntil);
     }
 
     private void drain() {
@@ -72,7 +72,7 @@
         }
         mDraining = true;
         while (mAlive && !isPaused() && !mInbox.isEmpty()) {
-            mInbox.remove().accept(mTime.now());
+            mInbox.remove().accept(mClock.now());
         }
         mDraining = false;
     }
--- a/faults/src/main/java/org/whinhead/faults/world/FakeRouter.java
+++ b/faults/src/main/java/org/whinhead/faults/world/FakeRouter.java
@@ -27,40 +27,40 @@
         mRouter =
                 new AffinityRouter(
                         RoutingSettings.of(FakeFleet.domains().get(0)), new SplittableRandom(seed));
-        mRouter.endpointsChanged(world.fleet().vmList().shown());
+        mRouter.endpointsChanged(world.fleet().vmList().endpoints());
     }
 
     /** Takes in the list and the load as of now, both of which lag. */
     void refresh(final Instant now) {
-        mRouter.endpointsChanged(mWorld.fleet().vmList().shown());
+        mRouter.endpointsChanged(mWorld.fleet().vmList().endpoints());
         for (final FakeBackend backend : mWorld.fleet().backends()) {
             if (backend.mode() == FakeBackend.Mode.UP && !mWorld.fleet().areReportsFrozen()) {
                 final EndpointId id = backend.endpoint().id();
                 final LoadReport report =
-                        new LoadReport(id, now.minusMillis(300), backend.running(), 0, 50);
+                        new LoadReport(id, now.minusMillis(300), backend.runningCount(), 0, 50);
                 mRouter.loadReported(report, now);
             }
         }
     }
 
-    void leaving(final EndpointId endpoint) {
+    void onEndpointLeaving(final EndpointId endpoint) {
         mRouter.endpointLeaving(endpoint);
     }
 
-    int inProgressAt(final EndpointId endpoint) {
+    int inFlightAt(final EndpointId endpoint) {
         return mRouter.inFlightAt(endpoint);
     }
 
     @Override
     public Optional<Endpoint> choose(
             final RequestSpec spec, final Set<EndpointId> excluded, final Instant now) {
-        return noted(mRouter.choose(spec, excluded, now), spec);
+        return recordSend(mRouter.choose(spec, excluded, now), spec);
     }
 
     @Override
     public Optional<Endpoint> dispatchTo(
             final EndpointId endpoint, final RequestSpec spec, final Instant now) {
-        return noted(mRouter.dispatchTo(endpoint, spec, now), spec);
+        return recordSend(mRouter.dispatchTo(endpoint, spec, now), spec);
     }
 
     @Override
@@ -84,11 +84,11 @@
     }
 
     /** Returns the sends that were never ended. */
-    List<String> open() {
+    List<String> openSends() {
         return mSends.stream().map(Send::toString).toList();
     }
 
-    private Optional<Endpoint> noted(final Optional<Endpoint> chosen, final RequestSpec spec) {
+    private Optional<Endpoint> recordSend(final Optional<Endpoint> chosen, final RequestSpec spec) {
         chosen.ifPresent(endpoint -> mSends.add(new Send(spec.id(), endpoint.id())));
         return chosen;
     }
--- a/faults/src/main/java/org/whinhead/faults/world/FakeStream.java
+++ b/faults/src/main/java/org/whinhead/faults/world/FakeStream.java
@@ -9,10 +9,10 @@
     private final String mId;
     private final FakeWorld mWorld;
     private final RequestId mRequest;
-    private final long mFirst;
+    private final long mFirstIndex;
     private final long mLength;
-    private long mMade;
-    private FakeLink mReader;
+    private long mGenerated;
+    private FakeAttemptConnection mReader;
 
     FakeStream(
             final FakeWorld world,
@@ -23,8 +23,8 @@
         mWorld = world;
         mId = id;
         mRequest = request;
-        mFirst = first;
-        mMade = made;
+        mFirstIndex = first;
+        mGenerated = made;
         mLength = world.caller(request).length();
     }
 
@@ -32,7 +32,7 @@
         return mId;
     }
 
-    FakeLink reader() {
+    FakeAttemptConnection reader() {
         return mReader;
     }
 
@@ -41,18 +41,18 @@
     }
 
     boolean isDone() {
-        return mMade >= mLength;
+        return mGenerated >= mLength;
     }
 
     /** Copies the stream as an import of its KV cache does. */
-    FakeStream movedTo(final String id) {
-        return new FakeStream(mWorld, id, mRequest, mFirst, mMade);
+    FakeStream copyWithId(final String id) {
+        return new FakeStream(mWorld, id, mRequest, mFirstIndex, mGenerated);
     }
 
-    void read(final FakeLink reader, final long from) {
+    void attach(final FakeAttemptConnection reader, final long from) {
         mReader = reader;
-        reader.opened(mId);
-        for (long index = Math.max(from, mFirst); index < mMade; index++) {
+        reader.sendOpened(mId);
+        for (long index = Math.max(from, mFirstIndex); index < mGenerated; index++) {
             sendToken(index);
         }
         if (isDone()) {
@@ -60,12 +60,12 @@
         }
     }
 
-    void step() {
+    void generateToken() {
         if (isDone()) {
             return;
         }
-        mMade++;
-        sendToken(mMade - 1);
+        mGenerated++;
+        sendToken(mGenerated - 1);
         if (isDone()) {
             sendEnd();
         }
@@ -73,7 +73,7 @@
 
     private void sendToken(final long index) {
         if (mReader != null) {
-            final String text = FakeWorld.token(mRequest, index);
+            final String text = FakeWorld.expectedToken(mRequest, index);
             mReader.send(new AttemptEvent.Token(mReader.attempt(), index, text), true);
         }
     }
--- a/faults/src/main/java/org/whinhead/faults/world/FakeWorld.java
+++ b/faults/src/main/java/org/whinhead/faults/world/FakeWorld.java
@@ -20,8 +20,8 @@
 public final class FakeWorld {
 
     private static final int PERCENT = 100;
-    private static final Duration SETTLE = Duration.ofSeconds(90);
-    private static final Duration SETTLE_AT_LEAST = Duration.ofSeconds(15);
+    private static final Duration MAX_SETTLE_TIME = Duration.ofSeconds(90);
+    private static final Duration MIN_SETTLE_TIME = Duration.ofSeconds(15);
     private static final Tier TIER =
             new Tier(
                     "clerk",
@@ -30,7 +30,7 @@
                     Duration.ofMillis(40),
                     Duration.ofSeconds(20));
 
-    private final FakeTime mTime = new FakeTime();
+    private final FakeClock mClock = new FakeClock();
     private final SplittableRandom mRandom;
     private final FakeFleet mFleet = new FakeFleet(this);
     private final List<FakeDaemon> mDaemons = new ArrayList<>();
@@ -51,12 +51,12 @@
     }
 
     /** Returns the one right token of a request's answer. */
-    public static String token(final RequestId request, final long index) {
+    public static String expectedToken(final RequestId request, final long index) {
         return request + "/" + index + " ";
     }
 
-    public FakeTime time() {
-        return mTime;
+    public FakeClock clock() {
+        return mClock;
     }
 
     public List<FakeBackend> backends() {
@@ -71,12 +71,12 @@
         return List.copyOf(mCallers.values());
     }
 
-    public int runs(final RequestId request) {
-        return mRequests.runs(request);
+    public int runCount(final RequestId request) {
+        return mRequests.runCount(request);
     }
 
-    public void run(final long millis) {
-        mTime.run(Duration.ofMillis(millis));
+    public void advance(final long millis) {
+        mClock.advance(Duration.ofMillis(millis));
     }
 
     /** Makes this share of events get lost, and as many come twice. */
@@ -85,7 +85,7 @@
     }
 
     /** Makes claims unavailable, or available again. */
-    public void setClaimsOut(final boolean out) {
+    public void setLogOut(final boolean out) {
         mLog.setOut(out);
     }
 
@@ -103,20 +103,22 @@
                 .filter(FakeDaemon::isAlive)
                 .findFirst()
                 .filter(peer -> mLog.isOut())
-                .ifPresent(peer -> daemon.state().startFrom(peer.state().view(), mTime.now()));
+                .ifPresent(
+                        peer -> daemon.state().installFromPeer(peer.state().view(), mClock.now()));
         mDaemons.add(daemon);
-        mFleet.tellNotices(daemon);
+        mFleet.sendNotices(daemon);
         return daemon;
     }
 
     /** Announces that a back end leaves; daemons hear of it one after the other. */
-    public void leave(final FakeBackend backend, final long noticeMillis) {
-        mFleet.announce(backend, noticeMillis);
-        mTime.after(noticeMillis, () -> backend.setMode(FakeBackend.Mode.DEAD));
+    public void reclaim(final FakeBackend backend, final long noticeMillis) {
+        mFleet.announceLeaving(backend, noticeMillis);
+        mClock.schedule(noticeMillis, () -> backend.setMode(FakeBackend.Mode.DEAD));
     }
 
     /** Submits a request to an engine. */
-    public FakeCaller chat(final int length, final boolean streamed, final boolean idempotent) {
+    public FakeCaller submitChat(
+            final int length, final boolean streamed, final boolean idempotent) {
         final RequestSpec.Builder spec =
                 spec().model(FakeFleet.model("1"))
                         .maxTokens(length)
@@ -126,7 +128,7 @@
     }
 
     /** Submits a call of a plain service. */
-    public FakeCaller call(final boolean idempotent) {
+    public FakeCaller submitCall(final boolean idempotent) {
         return submit(spec().service(FakeFleet.SERVICE).idempotent(idempotent).build(), 0);
     }
 
@@ -138,30 +140,30 @@
         addBackend(true);
         addBackend(false);
         addDaemon();
-        final Instant latest = mTime.now().plus(SETTLE);
-        mTime.run(SETTLE_AT_LEAST);
-        while (mTime.now().isBefore(latest) && !isQuiet()) {
-            mTime.run(Duration.ofSeconds(1));
+        final Instant latest = mClock.now().plus(MAX_SETTLE_TIME);
+        mClock.advance(MIN_SETTLE_TIME);
+        while (mClock.now().isBefore(latest) && !isQuiet()) {
+            mClock.advance(Duration.ofSeconds(1));
         }
         mCallers.values().forEach(mRequests::check);
         mState.checkSettled();
-        mFleet.checkSettled(mState.inForce(FakeFleet.POOL_PATH).orElse("1"));
+        mFleet.checkSettled(mState.documentInForce(FakeFleet.POOL_PATH).orElse("1"));
         for (final FakeDaemon daemon : mDaemons) {
-            if (daemon.isAlive() && !daemon.leftovers().isEmpty()) {
-                throw new AssertionError("left over: " + daemon.leftovers());
+            if (daemon.isAlive() && !daemon.unfinishedWork().isEmpty()) {
+                throw new AssertionError("left over: " + daemon.unfinishedWork());
             }
         }
     }
 
     private boolean isQuiet() {
-        final Instant now = mTime.now();
-        return mCallers.values().stream().noneMatch(c -> c.end() == FakeCaller.End.OPEN)
+        final Instant now = mClock.now();
+        return mCallers.values().stream().noneMatch(c -> c.outcome() == FakeCaller.Outcome.OPEN)
                 && mOperator.isIdle()
                 && mDaemons.stream()
                         .filter(FakeDaemon::isAlive)
-                        .allMatch(d -> !d.wasPausedSince(now) && d.leftovers().isEmpty())
+                        .allMatch(d -> !d.wasPausedSince(now) && d.unfinishedWork().isEmpty())
                 && mState.isSettled()
-                && mFleet.isSettled(mState.inForce(FakeFleet.POOL_PATH).orElse("1"));
+                && mFleet.isSettled(mState.documentInForce(FakeFleet.POOL_PATH).orElse("1"));
     }
 
     /** Returns the operators of settings. */
@@ -170,20 +172,20 @@
     }
 
     /** Returns the daemon that may act for the fleet. */
-    public Optional<FakeDaemon> holder() {
+    public Optional<FakeDaemon> leaseHolder() {
         return mDaemons.stream()
                 .filter(FakeDaemon::isAlive)
-                .filter(daemon -> daemon.state().keeper().canAct(mTime.now()))
+                .filter(daemon -> daemon.state().elector().canAct(mClock.now()))
                 .findFirst();
     }
 
     /** Returns how many daemons have the settings of the newest record. */
     public int daemonsWithNewestSettings() {
-        return mState.daemonsWithNewest();
+        return mState.daemonsWithNewestSettings();
     }
 
     /** Tells whether a daemon decided something about a caller's request. */
-    public boolean wasDecided(final FakeCaller caller, final DecisionKind kind) {
+    public boolean hasDecision(final FakeCaller caller, final DecisionKind kind) {
         return mDaemons.stream()
                 .flatMap(
                         daemon ->
@@ -218,7 +220,7 @@
         return mRandom;
     }
 
-    boolean chance(final int percent) {
+    boolean isDrawn(final int percent) {
         return mRandom.nextInt(PERCENT) < percent;
     }
 
@@ -240,23 +242,23 @@
         return mCallers.get(request);
     }
 
-    Optional<FakeDaemon> openDaemon() {
-        final List<FakeDaemon> open = mDaemons.stream().filter(FakeDaemon::isOpen).toList();
+    Optional<FakeDaemon> randomAcceptingDaemon() {
+        final List<FakeDaemon> open = mDaemons.stream().filter(FakeDaemon::isAccepting).toList();
         return open.isEmpty()
                 ? Optional.empty()
                 : Optional.of(open.get(mRandom.nextInt(open.size())));
     }
 
-    void ran(final RequestId request) {
-        mRequests.ran(request);
+    void recordRun(final RequestId request) {
+        mRequests.recordRun(request);
     }
 
     private RequestSpec.Builder spec() {
         return RequestSpec.builder(new RequestId("r" + mCallers.size()))
                 .customer(new CustomerId("clinic"))
                 .tier(TIER)
-                .arrived(mTime.now())
-                .deadline(mTime.now().plus(TIER.requestTimeout()));
+                .arrived(mClock.now())
+                .deadline(mClock.now().plus(TIER.requestTimeout()));
     }
 
     private FakeCaller submit(final RequestSpec spec, final int length) {
--- a/faults/src/main/java/org/whinhead/faults/world/FleetDuty.java
+++ b/faults/src/main/java/org/whinhead/faults/world/FleetControlLoop.java
@@ -19,39 +19,39 @@
 import org.whinhead.state.record.LogRecord;
 
 /** The fleet's duty on one daemon: real decisions, noted on the log before they are sent. */
-final class FleetDuty {
+final class FleetControlLoop {
 
     private static final FleetSettings SETTINGS =
             new FleetSettings(Duration.ofMillis(200), 1_000_000, 2, 4);
     private static final long MODEL_BYTES = 1_000;
-    private static final Duration REPEAT = Duration.ofSeconds(2);
-    private static final Duration LISTED_WITHIN = Duration.ofSeconds(5);
+    private static final Duration RESEND_INTERVAL = Duration.ofSeconds(2);
+    private static final Duration LIST_LAG = Duration.ofSeconds(5);
 
     private final FakeWorld mWorld;
     private final DaemonState mState;
     private final FakeProcess mProcess;
     private final FleetReconciler mReconciler = new FleetReconciler(SETTINGS);
-    private final Map<OrderId, Instant> mSent = new HashMap<>();
-    private final Map<OrderId, Instant> mAnswered = new HashMap<>();
+    private final Map<OrderId, Instant> mSentAt = new HashMap<>();
+    private final Map<OrderId, Instant> mAnsweredAt = new HashMap<>();
 
-    FleetDuty(final FakeWorld world, final DaemonState state, final FakeProcess process) {
+    FleetControlLoop(final FakeWorld world, final DaemonState state, final FakeProcess process) {
         mWorld = world;
         mState = state;
         mProcess = process;
     }
 
     void tick(final Instant now) {
-        if (!mState.keeper().canAct(now) || !mState.view().caughtUp()) {
+        if (!mState.elector().canAct(now) || !mState.view().caughtUp()) {
             return;
         }
         final FoldState state = mState.view().state();
         final List<FleetOrder> open =
-                OrderNotes.open(state.notes().getOrDefault(DaemonState.DUTY, Map.of()));
+                FleetOrderCodec.decodeAll(state.notes().getOrDefault(DaemonState.DUTY, Map.of()));
         for (final FleetOrder order : open) {
             if (isDone(order, now)) {
-                note(order, Optional.empty(), now);
+                appendNote(order, Optional.empty(), now);
             } else {
-                sendUnlessSent(order, now);
+                sendIfDue(order, now);
             }
         }
         if (mState.log().writer().pendingCount() == 0) {
@@ -59,30 +59,34 @@
                     new FleetView(List.of(pool(state)), members(), open, state.asOf());
             mReconciler
                     .reconcile(view, now)
-                    .forEach(order -> note(order, Optional.of(OrderNotes.body(order)), now));
+                    .forEach(
+                            order ->
+                                    appendNote(
+                                            order,
+                                            Optional.of(FleetOrderCodec.encode(order)),
+                                            now));
         }
     }
 
     /** A started VM counts as an open order until the lagging list shows it. */
     private boolean isDone(final FleetOrder order, final Instant now) {
-        final Instant answered = mAnswered.get(order.id());
+        final Instant answered = mAnsweredAt.get(order.id());
         return answered != null
-                && (!(order instanceof FleetOrder.StartVm)
-                        || now.isAfter(answered.plus(LISTED_WITHIN)));
+                && (!(order instanceof FleetOrder.StartVm) || now.isAfter(answered.plus(LIST_LAG)));
     }
 
     private Pool pool(final FoldState state) {
         final String version = state.settings().document(FakeFleet.POOL_PATH).orElse("1");
         return new Pool(
-                OrderNotes.POOL,
+                FleetOrderCodec.POOL,
                 FakeFleet.model(version),
                 MODEL_BYTES,
                 mWorld.fleet().enginesNeeded(),
-                FakeFleet.domains().stream().map(OrderNotes::supply).toList());
+                FakeFleet.domains().stream().map(FleetOrderCodec::supply).toList());
     }
 
     private List<PoolMember> members() {
-        return mWorld.fleet().vmList().shown().stream()
+        return mWorld.fleet().vmList().endpoints().stream()
                 .filter(endpoint -> endpoint.kind().isStreaming())
                 .map(this::member)
                 .toList();
@@ -90,14 +94,15 @@
 
     private PoolMember member(final Endpoint endpoint) {
         return new PoolMember(
-                OrderNotes.POOL,
+                FleetOrderCodec.POOL,
                 endpoint,
-                OrderNotes.supply(endpoint.vm().domain()),
-                mWorld.fleet().inProgressAt(endpoint.id()));
+                FleetOrderCodec.supply(endpoint.vm().domain()),
+                mWorld.fleet().inFlightAt(endpoint.id()));
     }
 
-    private void note(final FleetOrder order, final Optional<String> body, final Instant now) {
-        final OptionalLong fencing = mState.keeper().fencing();
+    private void appendNote(
+            final FleetOrder order, final Optional<String> body, final Instant now) {
+        final OptionalLong fencing = mState.elector().fencing();
         if (fencing.isPresent()) {
             mState.log()
                     .writer()
@@ -113,30 +118,30 @@
         }
     }
 
-    private void sendUnlessSent(final FleetOrder order, final Instant now) {
-        final Instant sent = mSent.get(order.id());
-        if (sent == null || now.isAfter(sent.plus(REPEAT))) {
-            mSent.put(order.id(), now);
-            final long fencing = mState.keeper().fencing().orElseThrow();
-            mProcess.send(mWorld.fleet().orderDelay(), () -> arrive(order, fencing));
+    private void sendIfDue(final FleetOrder order, final Instant now) {
+        final Instant sent = mSentAt.get(order.id());
+        if (sent == null || now.isAfter(sent.plus(RESEND_INTERVAL))) {
+            mSentAt.put(order.id(), now);
+            final long fencing = mState.elector().fencing().orElseThrow();
+            mProcess.send(mWorld.fleet().orderDelayMillis(), () -> executeOrder(order, fencing));
         }
     }
 
-    private void arrive(final FleetOrder order, final long fencing) {
-        mWorld.fleet().orders().arrived(order, fencing);
-        final boolean refused = !mWorld.fleet().orders().carryOut(order, fencing);
-        if (mWorld.chance(mWorld.lossPercent())) {
+    private void executeOrder(final FleetOrder order, final long fencing) {
+        mWorld.fleet().orders().recordArrival(order, fencing);
+        final boolean refused = !mWorld.fleet().orders().execute(order, fencing);
+        if (mWorld.isDrawn(mWorld.lossPercent())) {
             return;
         }
-        mWorld.time().after(1, () -> mProcess.post(now -> answered(order, refused, now)));
+        mWorld.clock().schedule(1, () -> mProcess.post(now -> onAnswer(order, refused, now)));
     }
 
-    private void answered(final FleetOrder order, final boolean refused, final Instant now) {
+    private void onAnswer(final FleetOrder order, final boolean refused, final Instant now) {
         if (order instanceof FleetOrder.StartVm start && refused) {
             mReconciler.recordRefusedStart(start.supply(), now);
-            mAnswered.put(order.id(), Instant.MIN);
+            mAnsweredAt.put(order.id(), Instant.MIN);
         } else {
-            mAnswered.put(order.id(), now);
+            mAnsweredAt.put(order.id(), now);
         }
     }
 }
--- a/faults/src/main/java/org/whinhead/faults/world/OrderNotes.java
+++ b/faults/src/main/java/org/whinhead/faults/world/FleetOrderCodec.java
@@ -14,18 +14,18 @@
 import org.whinhead.fleet.Supply;
 
 /** The text form of the fleet's orders in the notes of its duty. */
-final class OrderNotes {
+final class FleetOrderCodec {
 
     static final PoolName POOL = new PoolName("main");
     private static final String REASON = "noted";
 
-    private OrderNotes() {}
+    private FleetOrderCodec() {}
 
     static Supply supply(final FailureDomain domain) {
         return new Supply(domain, "small", Billing.RECLAIMABLE, 1);
     }
 
-    static String body(final FleetOrder order) {
+    static String encode(final FleetOrder order) {
         final String text;
         if (order instanceof FleetOrder.StartVm start) {
             final FailureDomain domain = start.supply().domain();
@@ -42,13 +42,13 @@
         return '"' + text + '"';
     }
 
-    static List<FleetOrder> open(final Map<String, String> notes) {
+    static List<FleetOrder> decodeAll(final Map<String, String> notes) {
         final List<FleetOrder> orders = new ArrayList<>();
-        notes.forEach((name, body) -> orders.add(order(new OrderId(name), body)));
+        notes.forEach((name, body) -> orders.add(decode(new OrderId(name), body)));
         return orders;
     }
 
-    private static FleetOrder order(final OrderId id, final String body) {
+    private static FleetOrder decode(final OrderId id, final String body) {
         final String[] words = body.substring(1, body.length() - 1).split(" ");
         return switch (words[0]) {
             case "start" ->
--- a/faults/src/main/java/org/whinhead/faults/world/LogClient.java
+++ b/faults/src/main/java/org/whinhead/faults/world/LogClient.java
@@ -16,11 +16,11 @@
 /** One daemon's writer and reader of one stream, with answers that wait while it is paused. */
 final class LogClient {
 
-    private static final int QUEUE = 256;
-    private static final int BATCH = 16;
-    private static final int READ = 64;
-    private static final Duration FIRST = Duration.ofMillis(20);
-    private static final Duration LONGEST = Duration.ofMillis(500);
+    private static final int QUEUE_RECORDS = 256;
+    private static final int BATCH_RECORDS = 16;
+    private static final int READ_RECORDS = 64;
+    private static final Duration FIRST_BACKOFF = Duration.ofMillis(20);
+    private static final Duration MAX_BACKOFF = Duration.ofMillis(500);
 
     private final FakeLog mLog;
     private final String mStream;
@@ -28,8 +28,8 @@
     private final LogWriter mWriter;
     private final LogReader mReader;
     private final BiConsumer<LogEntry, Instant> mConsumer;
-    private final LongConsumer mExpired;
-    private Runnable mAtHead = () -> {};
+    private final LongConsumer mExpiryListener;
+    private Runnable mHeadListener = () -> {};
 
     LogClient(
             final FakeLog log,
@@ -42,12 +42,18 @@
         mStream = stream;
         mProcess = process;
         mConsumer = consumer;
-        mExpired = expired;
+        mExpiryListener = expired;
         final SplittableRandom random = new SplittableRandom(self.hashCode() + stream.hashCode());
         mWriter =
                 new LogWriter(
-                        self, new WriterLimits(QUEUE, BATCH), new Backoff(FIRST, LONGEST, random));
-        mReader = new LogReader(READ, Duration.ZERO, new Backoff(FIRST, LONGEST, random));
+                        self,
+                        new WriterLimits(QUEUE_RECORDS, BATCH_RECORDS),
+                        new Backoff(FIRST_BACKOFF, MAX_BACKOFF, random));
+        mReader =
+                new LogReader(
+                        READ_RECORDS,
+                        Duration.ZERO,
+                        new Backoff(FIRST_BACKOFF, MAX_BACKOFF, random));
     }
 
     LogWriter writer() {
@@ -58,19 +64,19 @@
         return mReader;
     }
 
-    void whenAtHead(final Runnable atHead) {
-        mAtHead = atHead;
+    void setHeadListener(final Runnable atHead) {
+        mHeadListener = atHead;
     }
 
     /** Sends what is due. */
-    void pump(final Instant now) {
+    void sendDue(final Instant now) {
         mWriter.nextBatch(now)
                 .ifPresent(
                         batch ->
                                 mLog.append(
                                         mStream,
                                         batch,
-                                        answer -> mProcess.post(at -> appended(answer, at))));
+                                        answer -> mProcess.post(at -> onAppendResult(answer, at))));
         mReader.nextRead(now)
                 .ifPresent(
                         request ->
@@ -78,10 +84,12 @@
                                         mStream,
                                         request.fromOffset(),
                                         request.maxRecords(),
-                                        answer -> mProcess.post(at -> read(request, answer, at))));
+                                        answer ->
+                                                mProcess.post(
+                                                        at -> onReadResult(request, answer, at))));
     }
 
-    private void appended(final FakeLog.Appended answer, final Instant now) {
+    private void onAppendResult(final FakeLog.AppendResult answer, final Instant now) {
         switch (answer) {
             case DONE -> mWriter.onAppended();
             case REFUSED -> mWriter.onRefused(Duration.ZERO, now);
@@ -90,14 +98,15 @@
         }
     }
 
-    private void read(final ReadRequest request, final FakeLog.Read answer, final Instant now) {
+    private void onReadResult(
+            final ReadRequest request, final FakeLog.ReadResult answer, final Instant now) {
         if (answer.failed()) {
             mReader.onFailure(Duration.ZERO, now);
             return;
         }
         if (request.fromOffset() < answer.oldest()) {
             mReader.onExpired(answer.oldest());
-            mExpired.accept(answer.oldest());
+            mExpiryListener.accept(answer.oldest());
             return;
         }
         for (final LogEntry entry : answer.entries()) {
@@ -106,7 +115,7 @@
         }
         if (mReader.onRecords(request, answer.entries().size())) {
             mWriter.onHeadReached(request.sentAt());
-            mAtHead.run();
+            mHeadListener.run();
         }
     }
 }
--- a/faults/src/main/java/org/whinhead/faults/world/NoteReplay.java
+++ b/faults/src/main/java/org/whinhead/faults/world/NoteReplay.java
@@ -10,28 +10,29 @@
 /** Replays the leases of the fleet's duty and the notes that were made under them. */
 final class NoteReplay {
 
-    private final Set<RecordId> mCopies = new HashSet<>();
+    private final Set<RecordId> mSeenRecords = new HashSet<>();
     private final Set<String> mOpen = new TreeSet<>();
-    private long mFencing = LogRecord.NONE;
-    private long mNewest = LogRecord.NONE;
+    private long mFencingNumber = LogRecord.NONE;
+    private long mNewestLeaseOffset = LogRecord.NONE;
 
     void apply(final LogEntry entry) {
-        if (!mCopies.add(entry.record().id())) {
+        if (!mSeenRecords.add(entry.record().id())) {
             return;
         }
-        if (entry.record() instanceof LogRecord.LeaseTaken taken && taken.seenOffset() == mNewest) {
-            mFencing = entry.offset();
-            mNewest = entry.offset();
+        if (entry.record() instanceof LogRecord.LeaseTaken taken
+                && taken.seenOffset() == mNewestLeaseOffset) {
+            mFencingNumber = entry.offset();
+            mNewestLeaseOffset = entry.offset();
         } else if (entry.record() instanceof LogRecord.LeaseRenewed renewed
-                && renewed.seenOffset() == mFencing) {
-            mNewest = entry.offset();
+                && renewed.seenOffset() == mFencingNumber) {
+            mNewestLeaseOffset = entry.offset();
         } else if (entry.record() instanceof LogRecord.DutyNoted note) {
             apply(note);
         }
     }
 
     private void apply(final LogRecord.DutyNoted note) {
-        if (note.fencing() != mFencing) {
+        if (note.fencing() != mFencingNumber) {
             return;
         }
         if (note.body().isPresent()) {
@@ -42,7 +43,7 @@
     }
 
     /** Returns the names of the notes that stand. */
-    Set<String> open() {
+    Set<String> openNotes() {
         return mOpen;
     }
 }
--- a/faults/src/main/java/org/whinhead/faults/world/RequestOracle.java
+++ b/faults/src/main/java/org/whinhead/faults/world/RequestOracle.java
@@ -15,32 +15,32 @@
         mWorld = world;
     }
 
-    int runs(final RequestId request) {
+    int runCount(final RequestId request) {
         return mRuns.getOrDefault(request, 0);
     }
 
-    void ran(final RequestId request) {
+    void recordRun(final RequestId request) {
         mRuns.merge(request, 1, Integer::sum);
     }
 
     void check(final FakeCaller caller) {
         final RequestId id = caller.id();
-        require(caller.end() != FakeCaller.End.OPEN, "never ended", id);
-        final boolean whole = caller.end() == FakeCaller.End.WHOLE;
+        require(caller.outcome() != FakeCaller.Outcome.OPEN, "never ended", id);
+        final boolean whole = caller.outcome() == FakeCaller.Outcome.WHOLE;
         require(!whole || caller.tokens().size() == caller.length(), "not whole", id);
         for (int index = 0; index < caller.tokens().size(); index++) {
             require(
-                    caller.tokens().get(index).equals(FakeWorld.token(id, index)),
+                    caller.tokens().get(index).equals(FakeWorld.expectedToken(id, index)),
                     "foreign token",
                     id);
         }
-        require(caller.spec().idempotent() || runs(id) <= 1, "ran twice", id);
-        require(!whole || runs(id) > 0, "answered without a run", id);
+        require(caller.spec().idempotent() || runCount(id) <= 1, "ran twice", id);
+        require(!whole || runCount(id) > 0, "answered without a run", id);
         final boolean saidNotRun =
-                caller.end() == FakeCaller.End.REFUSED
+                caller.outcome() == FakeCaller.Outcome.REFUSED
                         && caller.refusal().get().verdict() == Verdict.NOT_RUN
-                        && !caller.wasCutOff();
-        require(!saidNotRun || runs(id) == 0, "ran after not-run", id);
+                        && !caller.hasLostConnection();
+        require(!saidNotRun || runCount(id) == 0, "ran after not-run", id);
     }
 
     private void require(final boolean holds, final String what, final RequestId request) {
@@ -53,8 +53,8 @@
     String describe(final RequestId request) {
         final StringBuilder text = new StringBuilder();
         final FakeCaller caller = mWorld.caller(request);
-        text.append(caller.spec()).append(' ').append(caller.end()).append(caller.refusal());
-        text.append(" ran ").append(runs(request)).append(" has ").append(caller.tokens());
+        text.append(caller.spec()).append(' ').append(caller.outcome()).append(caller.refusal());
+        text.append(" ran ").append(runCount(request)).append(" has ").append(caller.tokens());
         for (final FakeDaemon daemon : mWorld.daemons()) {
             text.append("\n daemon ").append(mWorld.daemons().indexOf(daemon));
             daemon.coordinator()
--- a/faults/src/main/java/org/whinhead/faults/world/StateOracle.java
+++ b/faults/src/main/java/org/whinhead/faults/world/StateOracle.java
@@ -20,7 +20,7 @@
 final class StateOracle {
 
     private final FakeWorld mWorld;
-    private final Map<DaemonId, Map<String, Long>> mSeen = new HashMap<>();
+    private final Map<DaemonId, Map<String, Long>> mSeenRevisions = new HashMap<>();
 
     StateOracle(final FakeWorld world) {
         mWorld = world;
@@ -29,7 +29,8 @@
     /** Checks one daemon: nothing is set back, and it alone may act. */
     void check(final FakeDaemon daemon, final Instant now) {
         final FoldState state = daemon.state().view().state();
-        final Map<String, Long> seen = mSeen.computeIfAbsent(daemon.id(), id -> new TreeMap<>());
+        final Map<String, Long> seen =
+                mSeenRevisions.computeIfAbsent(daemon.id(), id -> new TreeMap<>());
         for (final String path : state.settings().history().keySet()) {
             final long revision = state.settings().revisionNumber(path);
             final long last = seen.merge(path, revision, Math::max);
@@ -38,21 +39,26 @@
         final long holders =
                 mWorld.daemons().stream()
                         .filter(FakeDaemon::isAlive)
-                        .filter(each -> each.state().keeper().canAct(now))
+                        .filter(each -> each.state().elector().canAct(now))
                         .count();
         require(holders <= 1, "daemons that may act: " + holders);
     }
 
     /** Returns the document that stands in force after all records. */
-    Optional<String> inForce(final String path) {
+    Optional<String> documentInForce(final String path) {
         final Map<String, Long> inForce = new TreeMap<>();
         replay(inForce, new HashMap<>());
         return Optional.ofNullable(inForce.get(path))
-                .map(offset -> mWorld.log().all(FakeLog.FLEET).get(offset.intValue()).record())
+                .map(
+                        offset ->
+                                mWorld.log()
+                                        .allEntries(FakeLog.FLEET)
+                                        .get(offset.intValue())
+                                        .record())
                 .flatMap(record -> ((LogRecord.SettingChanged) record).document());
     }
 
-    int daemonsWithNewest() {
+    int daemonsWithNewestSettings() {
         final Map<String, Long> inForce = new TreeMap<>();
         replay(inForce, new HashMap<>());
         return (int)
@@ -63,7 +69,8 @@
     }
 
     boolean isSettled() {
-        return daemonsWithNewest() == mWorld.daemons().stream().filter(FakeDaemon::isAlive).count();
+        return daemonsWithNewestSettings()
+                == mWorld.daemons().stream().filter(FakeDaemon::isAlive).count();
     }
 
     private static Map<String, Long> revisions(final FakeDaemon daemon) {
@@ -96,7 +103,7 @@
 
     /** A note counts only under the lease in force where it stands in the log. */
     private void checkNotes() {
-        final List<LogEntry> all = mWorld.log().all(FakeLog.FLEET);
+        final List<LogEntry> all = mWorld.log().allEntries(FakeLog.FLEET);
         for (final FakeDaemon daemon : mWorld.daemons()) {
             if (daemon.isAlive()) {
                 final FoldState state = daemon.state().view().state();
@@ -105,14 +112,14 @@
                 final Set<String> notes =
                         state.notes().getOrDefault(DaemonState.DUTY, Map.of()).keySet();
                 require(
-                        notes.equals(replay.open()),
-                        "notes " + notes + " in place of " + replay.open());
+                        notes.equals(replay.openNotes()),
+                        "notes " + notes + " in place of " + replay.openNotes());
             }
         }
     }
 
     private void replay(final Map<String, Long> inForce, final Map<String, Long> won) {
-        final List<LogEntry> all = mWorld.log().all(FakeLog.FLEET);
+        final List<LogEntry> all = mWorld.log().allEntries(FakeLog.FLEET);
         final Set<RecordId> copies = new HashSet<>();
         final Set<String> decided = new HashSet<>();
         for (final LogEntry entry : all) {
--- a/faults/src/test/java/org/whinhead/faults/CoordinatorFuzzTest.java
+++ b/faults/src/test/java/org/whinhead/faults/CoordinatorFuzzTest.java
@@ -9,7 +9,7 @@
 import net.jqwik.api.state.Action;
 import net.jqwik.api.state.ActionChain;
 import net.jqwik.api.state.Transformer;
-import org.whinhead.faults.fuzz.Move;
+import org.whinhead.faults.fuzz.FuzzAction;
 import org.whinhead.faults.world.FakeWorld;
 
 /**
@@ -19,33 +19,35 @@
  */
 class CoordinatorFuzzTest {
 
-    private static final int MAX_STEPS = 60;
+    private static final int MAX_ACTIONS = 60;
     private static final long SEED = 20261202;
 
     /** Adds one step to the chain. */
-    private static final class AnyStep implements Action.Independent<FakeWorld> {
+    private static final class AnyAction implements Action.Independent<FakeWorld> {
         @Override
         public Arbitrary<Transformer<FakeWorld>> transformer() {
-            final Arbitrary<Move> common = Arbitraries.of(Move.CHAT, Move.CALL, Move.WAIT);
-            final Arbitrary<Move> moves = Arbitraries.oneOf(common, Arbitraries.of(Move.class));
+            final Arbitrary<FuzzAction> common =
+                    Arbitraries.of(FuzzAction.CHAT, FuzzAction.CALL, FuzzAction.WAIT);
+            final Arbitrary<FuzzAction> moves =
+                    Arbitraries.oneOf(common, Arbitraries.of(FuzzAction.class));
             return Combinators.combine(moves, Arbitraries.integers().between(0, 100))
-                    .as(AnyStep::transform);
+                    .as(AnyAction::transform);
         }
 
-        private static Transformer<FakeWorld> transform(final Move move, final int n) {
-            return Transformer.mutate(move + " " + n, world -> move.happen(world, n));
+        private static Transformer<FakeWorld> transform(final FuzzAction move, final int n) {
+            return Transformer.mutate(move + " " + n, world -> move.apply(world, n));
         }
     }
 
     @Provide
     Arbitrary<ActionChain<FakeWorld>> chains() {
         return ActionChain.startWith(() -> new FakeWorld(SEED, 2, 3, 2))
-                .withAction(new AnyStep())
-                .withMaxTransformations(MAX_STEPS);
+                .withAction(new AnyAction())
+                .withMaxTransformations(MAX_ACTIONS);
     }
 
     @Property(seed = "20261202", tries = 300)
-    void promisesHold(@ForAll("chains") final ActionChain<FakeWorld> chain) {
+    void invariantsHoldForAnyActionChain(@ForAll("chains") final ActionChain<FakeWorld> chain) {
         chain.run().settleAndCheck();
     }
 }
--- a/faults/src/test/java/org/whinhead/faults/StoryTest.java
+++ b/faults/src/test/java/org/whinhead/faults/PlannedStopTest.java
@@ -6,36 +6,38 @@
 import org.whinhead.faults.world.FakeCaller;
 import org.whinhead.faults.world.FakeWorld;
 
-class StoryTest {
+class PlannedStopTest {
 
     /**
      * A whole failure domain is reclaimed with notice while its engines generate. Every answer must
      * come whole, also those that may not run twice, and no token is computed again.
      */
     @Test
-    void announcedReclaimLosesNothingAndRecomputesNothing() {
+    void reclaimWithNoticeCompletesEveryAnswerInOneRun() {
         final FakeWorld world = new FakeWorld(1, 2, 6, 0);
         for (int number = 0; number < 40; number++) {
-            world.chat(100, number % 2 == 0, number % 3 != 0);
+            world.submitChat(100, number % 2 == 0, number % 3 != 0);
         }
-        world.run(500);
-        world.backends().subList(0, 2).forEach(backend -> world.leave(backend, 1500));
+        world.advance(500);
+        world.backends().subList(0, 2).forEach(backend -> world.reclaim(backend, 1500));
         world.settleAndCheck();
-        assertThat(world.callers()).allMatch(caller -> caller.end() == FakeCaller.End.WHOLE);
-        assertThat(world.callers()).allMatch(caller -> world.runs(caller.id()) == 1);
+        assertThat(world.callers())
+                .allMatch(caller -> caller.outcome() == FakeCaller.Outcome.WHOLE);
+        assertThat(world.callers()).allMatch(caller -> world.runCount(caller.id()) == 1);
     }
 
     /** A daemon stops as planned; its callers go on elsewhere with what they have. */
     @Test
-    void plannedStopHandsEveryStreamOver() {
+    void plannedStopCompletesEveryAnswerInOneRun() {
         final FakeWorld world = new FakeWorld(2, 2, 3, 0);
         for (int number = 0; number < 30; number++) {
-            world.chat(100, number % 2 == 0, number % 3 != 0);
+            world.submitChat(100, number % 2 == 0, number % 3 != 0);
         }
-        world.run(500);
+        world.advance(500);
         world.daemons().get(0).stop(1000);
         world.settleAndCheck();
-        assertThat(world.callers()).allMatch(caller -> caller.end() == FakeCaller.End.WHOLE);
-        assertThat(world.callers()).allMatch(caller -> world.runs(caller.id()) == 1);
+        assertThat(world.callers())
+                .allMatch(caller -> caller.outcome() == FakeCaller.Outcome.WHOLE);
+        assertThat(world.callers()).allMatch(caller -> world.runCount(caller.id()) == 1);
     }
 }
--- a/faults/src/test/java/org/whinhead/faults/matrix/FaultMatrixTest.java
+++ b/faults/src/test/java/org/whinhead/faults/matrix/FaultMatrixTest.java
@@ -10,16 +10,16 @@
 
     /** Any fault at any step, once and twice: no invariant of the oracle may break. */
     @TestFactory
-    Stream<DynamicTest> everyFaultAtEveryStep() {
+    Stream<DynamicTest> everyFaultAtEveryStepKeepsTheInvariants() {
         return Cell.all().stream()
                 .map(cell -> DynamicTest.dynamicTest(cell.toString(), () -> check(cell)));
     }
 
     private static void check(final Cell cell) {
-        if (cell.impossible().isPresent()) {
-            assertThat(cell.impossible().get()).isNotBlank();
+        if (cell.impossibleReason().isPresent()) {
+            assertThat(cell.impossibleReason().get()).isNotBlank();
         } else {
-            assertThat(cell.play(Matrix.SEED).whole()).isPositive();
+            assertThat(cell.run(FaultMatrix.SEED).completed()).isPositive();
         }
     }
 }
