--- a/architecture/src/test/java/org/whinhead/architecture/LayersTest.java
+++ b/architecture/src/test/java/org/whinhead/architecture/LayersTest.java
@@ -29,8 +29,8 @@
     static final ArchRule MODULES_HAVE_NO_CYCLES =
             slices().matching("org.whinhead.(*)..").should().beFreeOfCycles();
 
-    // The same decision replayed under the fault matrix gives another outcome than on the daemon:
-    // it read the machine's clock or drew from an unseeded source behind the caller's back.
+    // Decision code that reads the machine's clock or an unseeded random source decides differently
+    // in the fault matrix than on the daemon.
     @ArchTest
     static final ArchRule DECISION_PACKAGES_READ_NO_CLOCK =
             noClasses()
--- a/architecture/src/test/java/org/whinhead/architecture/PlatformBoundaryTest.java
+++ b/architecture/src/test/java/org/whinhead/architecture/PlatformBoundaryTest.java
@@ -20,9 +20,8 @@
                     .dependOnClassesThat()
                     .resideInAPackage("org.whinhead.platform..");
 
-    // A rule of the product hides in the adapter and is missing on the next platform: it must not
-    // see
-    // the objects that decide, only what it translates into.
+    // A rule of the product inside the adapter would be missing on the next platform: the adapter
+    // must not depend on the classes that decide, only on those that it translates to.
     @ArchTest
     static final ArchRule PLATFORM_DEPENDS_ON_NO_DECISION_PACKAGE =
             noClasses()
--- a/faults/src/main/java/org/whinhead/faults/FaultsMain.java
+++ b/faults/src/main/java/org/whinhead/faults/FaultsMain.java
@@ -17,7 +17,7 @@
 import org.whinhead.faults.matrix.FaultMatrix;
 import org.whinhead.faults.matrix.MatrixPage;
 
-/** The command {@code bin/fuzz}: random chains for some minutes, or the page of the matrix. */
+/** The command {@code bin/fuzz}: runs random action sequences or writes the fault matrix page. */
 public final class FaultsMain {
 
     private static final String HELP = "help";
@@ -37,7 +37,7 @@
      * Runs the command.
      *
      * @param arguments the command line
-     * @throws IOException if the page can't be written
+     * @throws IOException if the matrix page can't be written
      */
     public static void main(final String[] arguments) throws IOException {
         System.exit(new FaultsMain(System.out, InstantSource.system()).run(arguments));
@@ -69,21 +69,28 @@
     private static Options options() {
         final Options options = new Options();
         options.addOption(
-                option("minutes", "N", "plays random chains for so long; e.g. --minutes 0.5"));
+                option("minutes", "N", "runs random chains for N minutes; e.g. --minutes 0.5"));
         options.addOption(
-                option("seed", "S", "the first seed; default: the time, or CI's for a matrix"));
+                option(
+                        "seed",
+                        "S",
+                        "the first seed; default: the current time, or CI's seed for a matrix"));
         options.addOption(
-                option("matrix", "FILE", "plays the matrix, writes its page; e.g. docs/FAULTS.md"));
+                option(
+                        "matrix",
+                        "FILE",
+                        "runs the matrix and writes its page; e.g. docs/FAULTS.md"));
         options.addOption(Option.builder().longOpt(HELP).desc("prints this text").build());
         return options;
     }
 
-    private static Option option(final String name, final String argument, final String about) {
-        return Option.builder().longOpt(name).hasArg().argName(argument).desc(about).build();
+    private static Option option(
+            final String name, final String argument, final String description) {
+        return Option.builder().longOpt(name).hasArg().argName(argument).desc(description).build();
     }
 
-    private static long seed(final CommandLine line, final long otherwise) {
-        return line.hasOption("seed") ? Long.parseLong(line.getOptionValue("seed")) : otherwise;
+    private static long seed(final CommandLine line, final long defaultSeed) {
+        return line.hasOption("seed") ? Long.parseLong(line.getOptionValue("seed")) : defaultSeed;
     }
 
     private int writeMatrix(final Path file, final long seed) throws IOException {
@@ -99,10 +106,10 @@
         mOut.println("first seed " + firstSeed);
         long seed = firstSeed;
         while (mClock.millis() < end) {
-            final ActionSequence chain = ActionSequence.generate(seed);
-            final Optional<Throwable> broken = chain.run();
-            if (broken.isPresent()) {
-                report(chain, broken.get());
+            final ActionSequence sequence = ActionSequence.generate(seed);
+            final Optional<Throwable> failure = sequence.run();
+            if (failure.isPresent()) {
+                report(sequence, failure.get());
                 return EXIT_FAILED;
             }
             seed++;
@@ -111,11 +118,11 @@
         return EXIT_PASSED;
     }
 
-    private void report(final ActionSequence chain, final Throwable broken) {
-        mOut.println("broken with --seed " + chain.seed() + ": " + broken);
-        mOut.println("the whole chain:\n" + chain);
-        final ActionSequence shrunk = chain.shrink();
+    private void report(final ActionSequence sequence, final Throwable failure) {
+        mOut.println("broken with --seed " + sequence.seed() + ": " + failure);
+        mOut.println("the whole chain:\n" + sequence);
+        final ActionSequence shrunk = sequence.shrink();
         mOut.println("shrunk:\n" + shrunk);
-        shrunk.run().ifPresent(less -> mOut.println("which breaks with " + less));
+        shrunk.run().ifPresent(last -> mOut.println("which breaks with " + last));
     }
 }
--- a/faults/src/main/java/org/whinhead/faults/fuzz/ActionSequence.java
+++ b/faults/src/main/java/org/whinhead/faults/fuzz/ActionSequence.java
@@ -8,74 +8,74 @@
 import org.whinhead.faults.world.FakeWorld;
 
 /**
- * A sequence of moves in one world.
+ * A sequence of actions in one simulated world.
  *
- * @param seed the seed of the world
- * @param links the moves in order
+ * @param seed the seed of the world and of the generated sequence
+ * @param entries the actions in order
  */
 public record ActionSequence(long seed, List<Entry> entries) {
 
-    /** The most moves in a chain. */
+    /** The maximum number of actions in a generated sequence. */
     public static final int MAX_ACTIONS = 60;
 
     private static final int MAX_ARGUMENT = 100;
     private static final List<FuzzAction> COMMON =
             List.of(FuzzAction.CHAT, FuzzAction.CALL, FuzzAction.WAIT);
 
-    /** Copies the moves. */
+    /** Creates a sequence with a copy of the entries. */
     public ActionSequence {
         entries = List.copyOf(entries);
     }
 
-    /** Draws a chain. */
+    /** Returns a random sequence; the same seed gives the same sequence. */
     public static ActionSequence generate(final long seed) {
         final SplittableRandom random = new SplittableRandom(seed);
         final int length = 1 + random.nextInt(MAX_ACTIONS);
-        final List<Entry> links = new ArrayList<>();
-        for (int link = 0; link < length; link++) {
-            final List<FuzzAction> moves =
+        final List<Entry> generated = new ArrayList<>();
+        for (int index = 0; index < length; index++) {
+            final List<FuzzAction> candidates =
                     random.nextBoolean() ? COMMON : List.of(FuzzAction.values());
-            final FuzzAction move = moves.get(random.nextInt(moves.size()));
-            links.add(new Entry(move, random.nextInt(MAX_ARGUMENT + 1)));
+            final FuzzAction action = candidates.get(random.nextInt(candidates.size()));
+            generated.add(new Entry(action, random.nextInt(MAX_ARGUMENT + 1)));
         }
-        return new ActionSequence(seed, links);
+        return new ActionSequence(seed, generated);
     }
 
-    /** Plays the chain; returns what broke. */
+    /** Runs the sequence and the final checks; returns the failure, or empty if all checks hold. */
     public Optional<Throwable> run() {
         try {
             final FakeWorld world = new FakeWorld(seed, 2, 3, 2);
-            entries.forEach(link -> link.action().apply(world, link.argument()));
+            entries.forEach(entry -> entry.action().apply(world, entry.argument()));
             world.settleAndCheck();
             return Optional.empty();
-        } catch (final AssertionError | RuntimeException broken) {
-            return Optional.of(broken);
+        } catch (final AssertionError | RuntimeException failure) {
+            return Optional.of(failure);
         }
     }
 
-    /** Takes moves out, first many at a time, as long as something still breaks. */
+    /** Returns a shorter sequence that still fails; removes runs of entries, the longest first. */
     public ActionSequence shrink() {
-        ActionSequence least = this;
+        ActionSequence shortest = this;
         for (int size = Math.max(1, entries.size() / 2); size > 0; size /= 2) {
-            least = least.removeRunsOf(size);
+            shortest = shortest.removeRunsOf(size);
         }
-        return least;
+        return shortest;
     }
 
     private ActionSequence removeRunsOf(final int size) {
-        ActionSequence least = this;
+        ActionSequence shortest = this;
         int from = 0;
-        while (from < least.entries.size()) {
-            final List<Entry> rest = new ArrayList<>(least.entries);
-            rest.subList(from, Math.min(rest.size(), from + size)).clear();
-            final ActionSequence candidate = new ActionSequence(seed, rest);
+        while (from < shortest.entries.size()) {
+            final List<Entry> remaining = new ArrayList<>(shortest.entries);
+            remaining.subList(from, Math.min(remaining.size(), from + size)).clear();
+            final ActionSequence candidate = new ActionSequence(seed, remaining);
             if (candidate.run().isPresent()) {
-                least = candidate;
+                shortest = candidate;
             } else {
                 from += size;
             }
         }
-        return least;
+        return shortest;
     }
 
     @Override
@@ -84,10 +84,10 @@
     }
 
     /**
-     * One move of a chain.
+     * One action of a sequence.
      *
-     * @param move what happens
-     * @param number to which of them, or how much
+     * @param action the action
+     * @param argument the index of the affected object, or an amount; the action defines which
      */
     public record Entry(FuzzAction action, int argument) {
         @Override
--- a/faults/src/main/java/org/whinhead/faults/fuzz/FuzzAction.java
+++ b/faults/src/main/java/org/whinhead/faults/fuzz/FuzzAction.java
@@ -7,7 +7,7 @@
 import org.whinhead.faults.world.FakeFleet;
 import org.whinhead.faults.world.FakeWorld;
 
-/** One thing that happens in a chain, to the n-th of whatever it concerns. */
+/** An action of a random sequence: a request, a fault, its end, or the passing of time. */
 public enum FuzzAction {
     CHAT((world, n) -> world.submitChat(1 + n % 60, n % 3 != 0, n % 4 != 0)),
     CALL((world, n) -> world.submitCall(n % 3 == 0)),
@@ -40,11 +40,16 @@
 
     private final ObjIntConsumer<FakeWorld> mEffect;
 
-    FuzzAction(final ObjIntConsumer<FakeWorld> work) {
-        mEffect = work;
+    FuzzAction(final ObjIntConsumer<FakeWorld> effect) {
+        mEffect = effect;
     }
 
-    /** Lets it happen. */
+    /**
+     * Applies the action to a world.
+     *
+     * @param world the world
+     * @param n the index of the affected object, or an amount
+     */
     public void apply(final FakeWorld world, final int n) {
         mEffect.accept(world, n);
     }
--- a/faults/src/main/java/org/whinhead/faults/fuzz/package-info.java
+++ b/faults/src/main/java/org/whinhead/faults/fuzz/package-info.java
@@ -1,2 +1,2 @@
-/** Random chains of faults and work, with the same oracle as the matrix. */
+/** Random sequences of faults and requests, checked by the same oracles as the fault matrix. */
 package org.whinhead.faults.fuzz;
--- a/faults/src/main/java/org/whinhead/faults/matrix/Cell.java
+++ b/faults/src/main/java/org/whinhead/faults/matrix/Cell.java
@@ -5,11 +5,11 @@
 import java.util.Optional;
 
 /**
- * One fault at one step, provoked once or twice.
+ * A cell of the fault matrix: one fault injected at one step, once or twice.
  *
  * @param step the step
  * @param fault the fault
- * @param times how often it is provoked
+ * @param times the number of injections, 1 or 2
  */
 public record Cell(Step step, Fault fault, int times) {
 
@@ -18,7 +18,7 @@
     private static final int LATER_REQUESTS = 12;
     private static final int LATER_REQUESTS_MILLIS = 200;
 
-    /** Returns every cell, also those that can't occur. */
+    /** Returns every cell, including the impossible ones. */
     public static List<Cell> all() {
         final List<Cell> cells = new ArrayList<>();
         for (final Fault fault : Fault.values()) {
@@ -30,39 +30,39 @@
         return cells;
     }
 
-    /** Returns why the cell can't occur; empty if it can. */
+    /** Returns the reason why the cell can't occur; empty if it can. */
     public Optional<String> impossibleReason() {
         return fault.impossibleReasonAt(step);
     }
 
     /**
-     * Plays the cell and checks every invariant.
+     * Runs the cell and checks every invariant.
      *
-     * @param seed the source of chance
-     * @return what was seen
-     * @throws AssertionError if an invariant is broken
+     * @param seed the seed of the world
+     * @return the outcome
+     * @throws AssertionError if an invariant is violated
      */
     public CellOutcome run(final long seed) {
-        final FaultScenario scene = new FaultScenario(seed);
-        step.reach(scene);
-        fault.inject(scene);
-        for (int time = 1; time < times; time++) {
-            scene.world().advance(INTERVAL_MILLIS);
-            fault.inject(scene);
+        final FaultScenario scenario = new FaultScenario(seed);
+        step.reach(scenario);
+        fault.inject(scenario);
+        for (int injection = 1; injection < times; injection++) {
+            scenario.world().advance(INTERVAL_MILLIS);
+            fault.inject(scenario);
         }
-        scene.world().advance(AFTER_FAULT_MILLIS);
-        submitLaterRequests(scene);
-        scene.world().settleAndCheck();
-        return CellOutcome.of(scene.world());
+        scenario.world().advance(AFTER_FAULT_MILLIS);
+        submitLaterRequests(scenario);
+        scenario.world().settleAndCheck();
+        return CellOutcome.of(scenario.world());
     }
 
-    /** New work, at a time when notices must be heeded and the list does not show them yet. */
-    private static void submitLaterRequests(final FaultScenario scene) {
+    /** Submits requests when daemons must respect a notice that the VM list does not show yet. */
+    private static void submitLaterRequests(final FaultScenario scenario) {
         for (int number = 0; number < LATER_REQUESTS; number++) {
-            scene.world().submitChat(20, true, true);
-            scene.world().submitCall(true);
+            scenario.world().submitChat(20, true, true);
+            scenario.world().submitCall(true);
         }
-        scene.world().advance(LATER_REQUESTS_MILLIS);
+        scenario.world().advance(LATER_REQUESTS_MILLIS);
     }
 
     @Override
--- a/faults/src/main/java/org/whinhead/faults/matrix/CellOutcome.java
+++ b/faults/src/main/java/org/whinhead/faults/matrix/CellOutcome.java
@@ -6,14 +6,15 @@
 import org.whinhead.faults.world.FakeWorld;
 
 /**
- * What was seen in a cell in which every invariant held.
+ * The outcome of a cell in which every invariant held.
  *
- * @param whole callers with their whole answer
- * @param notRun callers refused as not run
- * @param mayHaveRun callers refused as perhaps run
- * @param left callers that hung up
- * @param refusedAsOld orders refused for their old fencing number
- * @param window the longest time by which an old order was obeyed after a newer holder's first
+ * @param completed the number of callers that received their whole answer
+ * @param notRun the number of callers whose request was refused as not run
+ * @param mayHaveRun the number of callers whose request was refused as possibly run
+ * @param disconnected the number of callers that hung up
+ * @param staleOrdersRefused the number of orders refused for an old fencing number
+ * @param staleOrderWindow the longest time after a newer lease holder's first order at which an
+ *     engine still executed an order of an older holder
  */
 public record CellOutcome(
         int completed,
@@ -24,18 +25,23 @@
         Duration staleOrderWindow) {
 
     static CellOutcome of(final FakeWorld world) {
-        int whole = 0;
+        int completed = 0;
         int notRun = 0;
-        int left = 0;
+        int disconnected = 0;
         for (final FakeCaller caller : world.callers()) {
-            whole += caller.outcome() == FakeCaller.Outcome.WHOLE ? 1 : 0;
-            left += caller.outcome() == FakeCaller.Outcome.LEFT ? 1 : 0;
+            completed += caller.outcome() == FakeCaller.Outcome.WHOLE ? 1 : 0;
+            disconnected += caller.outcome() == FakeCaller.Outcome.LEFT ? 1 : 0;
             notRun += wasNotRun(caller) ? 1 : 0;
         }
-        final int rest = world.callers().size() - whole - notRun - left;
-        final int old = world.fleet().orders().staleRefusedCount();
+        final int mayHaveRun = world.callers().size() - completed - notRun - disconnected;
+        final int staleRefused = world.fleet().orders().staleRefusedCount();
         return new CellOutcome(
-                whole, notRun, rest, left, old, world.fleet().orders().staleWindow());
+                completed,
+                notRun,
+                mayHaveRun,
+                disconnected,
+                staleRefused,
+                world.fleet().orders().staleWindow());
     }
 
     private static boolean wasNotRun(final FakeCaller caller) {
--- a/faults/src/main/java/org/whinhead/faults/matrix/Fault.java
+++ b/faults/src/main/java/org/whinhead/faults/matrix/Fault.java
@@ -9,7 +9,7 @@
 import org.whinhead.faults.world.FakeLog;
 import org.whinhead.faults.world.FakeWorld;
 
-/** A fault of the brief and how it is provoked. */
+/** The faults of the matrix, each with its injection. */
 public enum Fault {
     VM_RECLAIMED("the endpoint's VM is reclaimed with notice", Fault::reclaim),
     VM_LOST("the endpoint's VM is gone without notice", Fault::killEndpoint, Step.Target.ENDPOINT),
@@ -21,21 +21,24 @@
     CONNECTION_CUT(
             "connections to the endpoint break", Fault::cutConnections, Step.Target.ENDPOINT),
     DAEMON_RECLAIMED("the daemon's VM is reclaimed with notice", Fault::stopDaemon),
-    DAEMON_LOST("the daemon is gone without notice", scene -> scene.daemon().crash()),
+    DAEMON_LOST("the daemon is gone without notice", scenario -> scenario.daemon().crash()),
     DAEMON_LOST_IN_STOP("the daemon dies partway through its stop", Fault::killDaemonDuringStop),
-    DAEMON_PAUSED("the daemon is paused past its lease", scene -> scene.daemon().pause(7_000)),
+    DAEMON_PAUSED(
+            "the daemon is paused past its lease", scenario -> scenario.daemon().pause(7_000)),
     DAEMON_PAUSED_LONG("it is paused past the log's retention", Fault::pauseLong),
     HOLDER_PAUSED("the holder is paused and its orders arrive late", Fault::pauseHolder),
     HOLDER_LOST("the holder dies and what it noted lands under the next lease", Fault::killHolder),
     CALLER_CUT("the caller's connection breaks", Fault::cutCaller, Step.Target.CALLER),
-    CALLER_LEFT("the caller hangs up", scene -> scene.caller().disconnect(), Step.Target.CALLER),
-    EVENTS_LOST("events get lost and come twice", scene -> scene.world().setLossPercent(3)),
+    CALLER_LEFT(
+            "the caller hangs up", scenario -> scenario.caller().disconnect(), Step.Target.CALLER),
+    EVENTS_LOST("events get lost and come twice", scenario -> scenario.world().setLossPercent(3)),
     LOG_OUT("the log is out for six seconds", Fault::interruptLog),
     LOG_SLOW(
             "each call of the log takes a second",
-            scene -> scene.world().log().setExtraLatency(1_000)),
+            scenario -> scenario.world().log().setExtraLatency(1_000)),
     LOG_OVER_CAP(
-            "the log takes two appends a second", scene -> scene.world().log().setAppendCap(2)),
+            "the log takes two appends a second",
+            scenario -> scenario.world().log().setAppendCap(2)),
     LOG_ANSWER_LOST("appends take effect and lose their answers", Fault::loseAnswers),
     LOG_APPEND_LATE("appends lose their answers and land late", Fault::delayAppends),
     OPERATORS_RACE("operators change one path at the same time", Fault::changeConcurrently),
@@ -49,24 +52,24 @@
     private final Consumer<FaultScenario> mInjection;
     private final Step.Target mTarget;
 
-    Fault(final String description, final Consumer<FaultScenario> strike) {
-        this(description, strike, Step.Target.ANY);
+    Fault(final String description, final Consumer<FaultScenario> injection) {
+        this(description, injection, Step.Target.ANY);
     }
 
     Fault(
             final String description,
-            final Consumer<FaultScenario> strike,
-            final Step.Target subject) {
+            final Consumer<FaultScenario> injection,
+            final Step.Target target) {
         mDescription = description;
-        mInjection = strike;
-        mTarget = subject;
+        mInjection = injection;
+        mTarget = target;
     }
 
     public String description() {
         return mDescription;
     }
 
-    /** Returns why it can't occur at a step; empty if it can. */
+    /** Returns the reason why the fault can't occur at a step; empty if it can. */
     Optional<String> impossibleReasonAt(final Step step) {
         if (step.hasTarget(mTarget)) {
             return Optional.empty();
@@ -77,120 +80,120 @@
                         : "no endpoint works for it at this step");
     }
 
-    void inject(final FaultScenario scene) {
-        mInjection.accept(scene);
+    void inject(final FaultScenario scenario) {
+        mInjection.accept(scenario);
     }
 
-    private static void reclaim(final FaultScenario scene) {
-        scene.world().reclaim(scene.backend(), LONG_NOTICE_MILLIS);
+    private static void reclaim(final FaultScenario scenario) {
+        scenario.world().reclaim(scenario.backend(), LONG_NOTICE_MILLIS);
     }
 
-    private static void killEndpoint(final FaultScenario scene) {
-        scene.backend().setMode(FakeBackend.Mode.DEAD);
+    private static void killEndpoint(final FaultScenario scenario) {
+        scenario.backend().setMode(FakeBackend.Mode.DEAD);
     }
 
-    private static void killDuringReclaim(final FaultScenario scene) {
-        final FakeBackend backend = scene.backend();
-        scene.world().reclaim(backend, NOTICE_MILLIS);
-        scene.world().advance(150);
+    private static void killDuringReclaim(final FaultScenario scenario) {
+        final FakeBackend backend = scenario.backend();
+        scenario.world().reclaim(backend, NOTICE_MILLIS);
+        scenario.world().advance(150);
         backend.setMode(FakeBackend.Mode.DEAD);
     }
 
-    private static void reclaimDomain(final FaultScenario scene) {
-        final FailureDomain domain = scene.backend().endpoint().vm().domain();
-        final List<FakeBackend> there =
-                scene.world().backends().stream()
+    private static void reclaimDomain(final FaultScenario scenario) {
+        final FailureDomain domain = scenario.backend().endpoint().vm().domain();
+        final List<FakeBackend> backends =
+                scenario.world().backends().stream()
                         .filter(each -> each.endpoint().vm().domain().equals(domain))
                         .toList();
-        there.forEach(backend -> scene.world().reclaim(backend, LONG_NOTICE_MILLIS));
-        scene.daemon().stop(NOTICE_MILLIS);
+        backends.forEach(backend -> scenario.world().reclaim(backend, LONG_NOTICE_MILLIS));
+        scenario.daemon().stop(NOTICE_MILLIS);
     }
 
-    private static void reclaimDuringStop(final FaultScenario scene) {
-        final FakeBackend backend = scene.backend();
-        scene.daemon().stop(NOTICE_MILLIS);
-        scene.world().advance(300);
-        scene.world().reclaim(backend, NOTICE_MILLIS);
+    private static void reclaimDuringStop(final FaultScenario scenario) {
+        final FakeBackend backend = scenario.backend();
+        scenario.daemon().stop(NOTICE_MILLIS);
+        scenario.world().advance(300);
+        scenario.world().reclaim(backend, NOTICE_MILLIS);
     }
 
-    private static void refuseStarts(final FaultScenario scene) {
-        scene.world().fleet().cloud().setRefusingStarts(true);
-        killEndpoint(scene);
+    private static void refuseStarts(final FaultScenario scenario) {
+        scenario.world().fleet().cloud().setRefusingStarts(true);
+        killEndpoint(scenario);
     }
 
-    private static void freeze(final FaultScenario scene) {
-        scene.backend().setMode(FakeBackend.Mode.FROZEN);
+    private static void freeze(final FaultScenario scenario) {
+        scenario.backend().setMode(FakeBackend.Mode.FROZEN);
     }
 
-    private static void cutConnections(final FaultScenario scene) {
-        scene.backend().cutConnections();
+    private static void cutConnections(final FaultScenario scenario) {
+        scenario.backend().cutConnections();
     }
 
-    private static void stopDaemon(final FaultScenario scene) {
-        scene.daemon().stop(NOTICE_MILLIS);
+    private static void stopDaemon(final FaultScenario scenario) {
+        scenario.daemon().stop(NOTICE_MILLIS);
     }
 
-    private static void killDaemonDuringStop(final FaultScenario scene) {
-        final FakeDaemon daemon = scene.daemon();
+    private static void killDaemonDuringStop(final FaultScenario scenario) {
+        final FakeDaemon daemon = scenario.daemon();
         daemon.stop(NOTICE_MILLIS);
-        scene.world().advance(NOTICE_MILLIS / 2);
+        scenario.world().advance(NOTICE_MILLIS / 2);
         daemon.crash();
     }
 
-    private static void pauseLong(final FaultScenario scene) {
-        scene.daemon().pause(FakeLog.RETENTION.plusSeconds(5).toMillis());
+    private static void pauseLong(final FaultScenario scenario) {
+        scenario.daemon().pause(FakeLog.RETENTION.plusSeconds(5).toMillis());
     }
 
-    /** The order departs before the pause and arrives after another holder's first one. */
-    private static void pauseHolder(final FaultScenario scene) {
-        final FakeWorld world = scene.world();
-        final FakeDaemon holder = scene.leaseHolder();
+    /** Sends an order before the pause that arrives after the first order of the next holder. */
+    private static void pauseHolder(final FaultScenario scenario) {
+        final FakeWorld world = scenario.world();
+        final FakeDaemon holder = scenario.leaseHolder();
         world.fleet().setOrderDelayMillis(8_000);
-        scene.changeVersion();
+        scenario.changeVersion();
         world.advance(1_500);
         holder.pause(10_000);
         world.fleet().setOrderDelayMillis(3);
         world.advance(6_000);
-        scene.changeVersion();
+        scenario.changeVersion();
     }
 
-    private static void killHolder(final FaultScenario scene) {
-        final FakeDaemon holder = scene.leaseHolder();
-        scene.changeVersion();
-        scene.world().advance(200);
-        scene.world().log().delayAppends(2);
-        scene.world().advance(400);
+    private static void killHolder(final FaultScenario scenario) {
+        final FakeDaemon holder = scenario.leaseHolder();
+        scenario.changeVersion();
+        scenario.world().advance(200);
+        scenario.world().log().delayAppends(2);
+        scenario.world().advance(400);
         holder.crash();
     }
 
-    private static void cutCaller(final FaultScenario scene) {
-        scene.caller().loseConnection();
+    private static void cutCaller(final FaultScenario scenario) {
+        scenario.caller().loseConnection();
     }
 
-    private static void interruptLog(final FaultScenario scene) {
-        scene.world().log().setOut(true);
-        scene.world().clock().schedule(6_000, () -> scene.world().log().setOut(false));
+    private static void interruptLog(final FaultScenario scenario) {
+        scenario.world().log().setOut(true);
+        scenario.world().clock().schedule(6_000, () -> scenario.world().log().setOut(false));
     }
 
-    private static void loseAnswers(final FaultScenario scene) {
-        scene.world().log().loseAnswers(AFFECTED_APPENDS);
+    private static void loseAnswers(final FaultScenario scenario) {
+        scenario.world().log().loseAnswers(AFFECTED_APPENDS);
     }
 
-    private static void delayAppends(final FaultScenario scene) {
-        scene.world().log().delayAppends(AFFECTED_APPENDS);
+    private static void delayAppends(final FaultScenario scenario) {
+        scenario.world().log().delayAppends(AFFECTED_APPENDS);
     }
 
-    private static void changeConcurrently(final FaultScenario scene) {
-        scene.changeVersion();
-        scene.changeVersion();
-        scene.world().operator().change("team", "/team/budget", "200");
-        scene.world().operator().change("team", "/team/budget", "wrong");
-        scene.world().operator().change("other", "/team/budget", "300");
+    private static void changeConcurrently(final FaultScenario scenario) {
+        scenario.changeVersion();
+        scenario.changeVersion();
+        scenario.world().operator().change("team", "/team/budget", "200");
+        scenario.world().operator().change("team", "/team/budget", "wrong");
+        scenario.world().operator().change("other", "/team/budget", "300");
     }
 
-    private static void freezeLists(final FaultScenario scene) {
-        scene.world().fleet().vmList().setFrozen(true);
-        scene.world().fleet().setReportsFrozen(true);
-        scene.backend().setMode(FakeBackend.Mode.DEAD);
+    private static void freezeLists(final FaultScenario scenario) {
+        scenario.world().fleet().vmList().setFrozen(true);
+        scenario.world().fleet().setReportsFrozen(true);
+        scenario.backend().setMode(FakeBackend.Mode.DEAD);
     }
 }
--- a/faults/src/main/java/org/whinhead/faults/matrix/FaultMatrix.java
+++ b/faults/src/main/java/org/whinhead/faults/matrix/FaultMatrix.java
@@ -3,10 +3,10 @@
 import java.util.List;
 import java.util.Optional;
 
-/** Plays all cells and writes down what came of each. */
+/** The results of a run of all cells of the fault matrix. */
 public final class FaultMatrix {
 
-    /** The seed that the tests and the page use. */
+    /** The seed of the tests and of the matrix page. */
     public static final long SEED = 20261202;
 
     private final List<Result> mResults;
@@ -16,9 +16,9 @@
     }
 
     /**
-     * Plays every cell.
+     * Runs every cell, in parallel.
      *
-     * @param seed the source of chance
+     * @param seed the seed of each cell's world
      * @return the results
      */
     public static FaultMatrix run(final long seed) {
@@ -26,7 +26,7 @@
                 Cell.all().parallelStream().map(cell -> Result.of(cell, seed)).toList());
     }
 
-    /** Returns the cells in which an invariant broke. */
+    /** Returns the results of the cells that violated an invariant or threw an exception. */
     public List<Result> failures() {
         return mResults.stream().filter(result -> result.failure().isPresent()).toList();
     }
@@ -36,11 +36,11 @@
     }
 
     /**
-     * What came of one cell.
+     * The result of one cell.
      *
      * @param cell the cell
-     * @param text what was seen, or why it can't occur, or what broke
-     * @param failure what broke
+     * @param text the outcome, the reason why the cell can't occur, or the failure's first line
+     * @param failure the failure; empty if the invariants held or the cell can't occur
      */
     public record Result(Cell cell, String text, Optional<Throwable> failure) {
 
@@ -50,9 +50,9 @@
             }
             try {
                 return new Result(cell, cell.run(seed).toString(), Optional.empty());
-            } catch (final AssertionError | RuntimeException broken) {
-                final String text = "FAILED: " + firstLine(String.valueOf(broken.getMessage()));
-                return new Result(cell, text, Optional.of(broken));
+            } catch (final AssertionError | RuntimeException failure) {
+                final String text = "FAILED: " + firstLine(String.valueOf(failure.getMessage()));
+                return new Result(cell, text, Optional.of(failure));
             }
         }
 
--- a/faults/src/main/java/org/whinhead/faults/matrix/FaultScenario.java
+++ b/faults/src/main/java/org/whinhead/faults/matrix/FaultScenario.java
@@ -8,7 +8,7 @@
 import org.whinhead.faults.world.FakeFleet;
 import org.whinhead.faults.world.FakeWorld;
 
-/** A world at work, with the one request, call or change that a cell is about. */
+/** A running world for one cell of the matrix, with the request that the step drives, if any. */
 public final class FaultScenario {
 
     private static final int DAEMONS = 3;
@@ -22,7 +22,7 @@
     private Optional<FakeCaller> mCaller = Optional.empty();
     private int mVersion = 1;
 
-    /** Makes a world with a holder of the duty, settings in force and requests on their way. */
+    /** Creates a world with a holder of the fleet lease, applied settings and open requests. */
     FaultScenario(final long seed) {
         mWorld = new FakeWorld(seed, DAEMONS, ENGINES, SERVICES);
         mWorld.operator().change("team", "/team/budget", "100");
@@ -45,7 +45,7 @@
         return mCaller.orElseThrow();
     }
 
-    /** Lets time pass until the step is reached. */
+    /** Advances time until the step is reached; fails after 12 s of simulated time. */
     void runUntil(final BooleanSupplier reached) {
         for (int millis = 0; millis < MAX_WAIT_MILLIS; millis++) {
             if (reached.getAsBoolean()) {
@@ -56,27 +56,27 @@
         throw new IllegalStateException("the step was not reached");
     }
 
-    /** Asks for the next version of the model. */
+    /** Submits a settings change to the next version of the model. */
     void changeVersion() {
         mVersion++;
         mWorld.operator().change("ops", FakeFleet.POOL_PATH, Integer.toString(mVersion));
     }
 
-    /** Returns the VM that works for the request, or else any that is there. */
+    /** Returns the back end that processes the request, or else the first serving one. */
     FakeBackend backend() {
         return mCaller.flatMap(caller -> mWorld.fleet().backendProcessing(caller.id()))
                 .or(() -> mWorld.backends().stream().filter(FakeBackend::isServing).findFirst())
                 .orElseThrow();
     }
 
-    /** Returns the daemon that serves the request, or else the holder, or else any. */
+    /** Returns the daemon that serves the request, or else {@link #leaseHolder}. */
     FakeDaemon daemon() {
         return mCaller.flatMap(FakeCaller::daemon)
                 .filter(FakeDaemon::isAlive)
                 .orElseGet(this::leaseHolder);
     }
 
-    /** Returns the daemon that may act for the fleet, or else any. */
+    /** Returns the holder of the fleet lease, or else the first live daemon, or else a new one. */
     FakeDaemon leaseHolder() {
         return mWorld.leaseHolder()
                 .or(() -> mWorld.daemons().stream().filter(FakeDaemon::isAlive).findFirst())
--- a/faults/src/main/java/org/whinhead/faults/matrix/MatrixPage.java
+++ b/faults/src/main/java/org/whinhead/faults/matrix/MatrixPage.java
@@ -5,7 +5,7 @@
 import java.util.Map;
 import java.util.TreeMap;
 
-/** Writes the page of the fault matrix from one run. */
+/** Renders the page of the fault matrix from one run. */
 public final class MatrixPage {
 
     private static final List<String> INVARIANTS =
@@ -27,7 +27,7 @@
     private final StringBuilder mText = new StringBuilder();
     private final FaultMatrix mMatrix;
 
-    /** Makes a page for a run. */
+    /** Creates a page for a run of the matrix. */
     public MatrixPage(final FaultMatrix matrix) {
         mMatrix = matrix;
     }
--- a/faults/src/main/java/org/whinhead/faults/matrix/Step.java
+++ b/faults/src/main/java/org/whinhead/faults/matrix/Step.java
@@ -8,7 +8,7 @@
 import org.whinhead.requests.DecisionKind;
 import org.whinhead.state.record.LogRecord;
 
-/** A moment in the life of a request, a call, a change of settings or an order. */
+/** The steps of a request, a call, a settings change or a fleet order at which faults occur. */
 public enum Step {
     CLAIM_ASKED("a non-idempotent call waits for its claim", Step::askClaim, Target.CALLER),
     CLAIM_ON_LOG("its claim is on the log and not read back", Step::claimOnLog, Target.CALLER),
@@ -36,10 +36,13 @@
     private final Consumer<FaultScenario> mPreparation;
     private final Set<Target> mTargets = EnumSet.noneOf(Target.class);
 
-    Step(final String description, final Consumer<FaultScenario> reach, final Target... subjects) {
+    Step(
+            final String description,
+            final Consumer<FaultScenario> preparation,
+            final Target... targets) {
         mDescription = description;
-        mPreparation = reach;
-        mTargets.addAll(Set.of(subjects));
+        mPreparation = preparation;
+        mTargets.addAll(Set.of(targets));
         if (mTargets.contains(Target.ENDPOINT)) {
             mTargets.add(Target.CALLER);
         }
@@ -49,142 +52,143 @@
         return mDescription;
     }
 
-    /** Tells whether there is such a thing at this step that a fault could hit. */
-    boolean hasTarget(final Target subject) {
-        return subject == Target.ANY || mTargets.contains(subject);
+    /** Returns whether a fault with this target can occur at this step. */
+    boolean hasTarget(final Target target) {
+        return target == Target.ANY || mTargets.contains(target);
     }
 
-    void reach(final FaultScenario scene) {
-        mPreparation.accept(scene);
+    void reach(final FaultScenario scenario) {
+        mPreparation.accept(scenario);
     }
 
-    /** What a fault hits. */
+    /** The object that a fault affects. */
     enum Target {
         ANY,
         CALLER,
         ENDPOINT
     }
 
-    private static void askClaim(final FaultScenario scene) {
-        scene.setCaller(scene.world().submitCall(false));
-        scene.runUntil(() -> scene.caller().daemon().isPresent());
+    private static void askClaim(final FaultScenario scenario) {
+        scenario.setCaller(scenario.world().submitCall(false));
+        scenario.runUntil(() -> scenario.caller().daemon().isPresent());
     }
 
-    private static void claimOnLog(final FaultScenario scene) {
-        scene.world().advance(200);
-        final int before = scene.world().log().allEntries(FakeLog.CLAIMS).size();
-        askClaim(scene);
-        scene.runUntil(() -> scene.world().log().allEntries(FakeLog.CLAIMS).size() > before);
+    private static void claimOnLog(final FaultScenario scenario) {
+        scenario.world().advance(200);
+        final int before = scenario.world().log().allEntries(FakeLog.CLAIMS).size();
+        askClaim(scenario);
+        scenario.runUntil(() -> scenario.world().log().allEntries(FakeLog.CLAIMS).size() > before);
     }
 
-    private static void dispatch(final FaultScenario scene) {
-        final FakeCaller caller = scene.world().submitChat(60, true, true);
-        scene.setCaller(caller);
-        scene.runUntil(() -> scene.world().runCount(caller.id()) > 0);
+    private static void dispatch(final FaultScenario scenario) {
+        final FakeCaller caller = scenario.world().submitChat(60, true, true);
+        scenario.setCaller(caller);
+        scenario.runUntil(() -> scenario.world().runCount(caller.id()) > 0);
     }
 
-    private static void stream(final FaultScenario scene) {
-        dispatch(scene);
-        scene.runUntil(() -> scene.caller().tokens().size() >= 10);
+    private static void stream(final FaultScenario scenario) {
+        dispatch(scenario);
+        scenario.runUntil(() -> scenario.caller().tokens().size() >= 10);
     }
 
-    private static void buffer(final FaultScenario scene) {
-        final FakeCaller caller = scene.world().submitChat(60, false, false);
-        scene.setCaller(caller);
-        scene.runUntil(() -> scene.world().runCount(caller.id()) > 0);
-        scene.world().advance(600);
+    private static void buffer(final FaultScenario scenario) {
+        final FakeCaller caller = scenario.world().submitChat(60, false, false);
+        scenario.setCaller(caller);
+        scenario.runUntil(() -> scenario.world().runCount(caller.id()) > 0);
+        scenario.world().advance(600);
     }
 
-    private static void lastToken(final FaultScenario scene) {
-        dispatch(scene);
-        scene.runUntil(() -> scene.world().fleet().hasGeneratedAll(scene.caller().id()));
+    private static void lastToken(final FaultScenario scenario) {
+        dispatch(scenario);
+        scenario.runUntil(() -> scenario.world().fleet().hasGeneratedAll(scenario.caller().id()));
     }
 
-    private static void runCall(final FaultScenario scene) {
-        final FakeCaller caller = scene.world().submitCall(false);
-        scene.setCaller(caller);
-        scene.runUntil(() -> scene.world().runCount(caller.id()) > 0);
+    private static void runCall(final FaultScenario scenario) {
+        final FakeCaller caller = scenario.world().submitCall(false);
+        scenario.setCaller(caller);
+        scenario.runUntil(() -> scenario.world().runCount(caller.id()) > 0);
     }
 
-    private static void answerCall(final FaultScenario scene) {
-        runCall(scene);
-        scene.runUntil(
-                () -> scene.world().fleet().backendProcessing(scene.caller().id()).isEmpty());
+    private static void answerCall(final FaultScenario scenario) {
+        runCall(scenario);
+        scenario.runUntil(
+                () -> scenario.world().fleet().backendProcessing(scenario.caller().id()).isEmpty());
     }
 
-    private static void move(final FaultScenario scene) {
-        stream(scene);
-        scene.world().reclaim(scene.backend(), 700);
-        scene.runUntil(() -> scene.world().hasDecision(scene.caller(), DecisionKind.MOVE_STARTED));
+    private static void move(final FaultScenario scenario) {
+        stream(scenario);
+        scenario.world().reclaim(scenario.backend(), 700);
+        scenario.runUntil(
+                () -> scenario.world().hasDecision(scenario.caller(), DecisionKind.MOVE_STARTED));
     }
 
-    private static void handBack(final FaultScenario scene) {
-        stream(scene);
-        scene.daemon().stop(700);
-        scene.runUntil(() -> scene.caller().daemon().isEmpty());
+    private static void handBack(final FaultScenario scenario) {
+        stream(scenario);
+        scenario.daemon().stop(700);
+        scenario.runUntil(() -> scenario.caller().daemon().isEmpty());
     }
 
-    private static void reconnectCaller(final FaultScenario scene) {
-        stream(scene);
-        scene.caller().loseConnection();
-        scene.runUntil(() -> scene.caller().daemon().isPresent());
+    private static void reconnectCaller(final FaultScenario scenario) {
+        stream(scenario);
+        scenario.caller().loseConnection();
+        scenario.runUntil(() -> scenario.caller().daemon().isPresent());
     }
 
-    private static void askChange(final FaultScenario scene) {
-        scene.changeVersion();
-        scene.world().advance(1);
+    private static void askChange(final FaultScenario scenario) {
+        scenario.changeVersion();
+        scenario.world().advance(1);
     }
 
-    private static void changeOnLog(final FaultScenario scene) {
-        scene.changeVersion();
-        scene.runUntil(
+    private static void changeOnLog(final FaultScenario scenario) {
+        scenario.changeVersion();
+        scenario.runUntil(
                 () ->
-                        scene.world().log().allEntries(FakeLog.FLEET).stream()
+                        scenario.world().log().allEntries(FakeLog.FLEET).stream()
                                         .filter(e -> e.record() instanceof LogRecord.SettingChanged)
                                         .count()
                                 > 1);
     }
 
-    private static void changeHalfRead(final FaultScenario scene) {
-        scene.changeVersion();
-        scene.runUntil(() -> scene.world().daemonsWithNewestSettings() == 1);
+    private static void changeHalfRead(final FaultScenario scenario) {
+        scenario.changeVersion();
+        scenario.runUntil(() -> scenario.world().daemonsWithNewestSettings() == 1);
     }
 
-    private static void changeLease(final FaultScenario scene) {
-        scene.leaseHolder().crash();
-        final int before = leaseCount(scene);
-        scene.runUntil(() -> leaseCount(scene) > before);
+    private static void changeLease(final FaultScenario scenario) {
+        scenario.leaseHolder().crash();
+        final int before = leaseCount(scenario);
+        scenario.runUntil(() -> leaseCount(scenario) > before);
     }
 
-    private static int leaseCount(final FaultScenario scene) {
+    private static int leaseCount(final FaultScenario scenario) {
         return (int)
-                scene.world().log().allEntries(FakeLog.FLEET).stream()
+                scenario.world().log().allEntries(FakeLog.FLEET).stream()
                         .filter(entry -> entry.record() instanceof LogRecord.LeaseTaken)
                         .count();
     }
 
-    private static void noteOrder(final FaultScenario scene) {
-        final int before = noteCount(scene);
-        scene.changeVersion();
-        scene.runUntil(() -> noteCount(scene) > before);
+    private static void noteOrder(final FaultScenario scenario) {
+        final int before = noteCount(scenario);
+        scenario.changeVersion();
+        scenario.runUntil(() -> noteCount(scenario) > before);
     }
 
-    private static int noteCount(final FaultScenario scene) {
+    private static int noteCount(final FaultScenario scenario) {
         return (int)
-                scene.world().log().allEntries(FakeLog.FLEET).stream()
+                scenario.world().log().allEntries(FakeLog.FLEET).stream()
                         .filter(entry -> entry.record() instanceof LogRecord.DutyNoted)
                         .count();
     }
 
-    private static void sendOrder(final FaultScenario scene) {
-        scene.world().fleet().setOrderDelayMillis(ORDER_DELAY_MILLIS);
-        noteOrder(scene);
-        scene.world().advance(ORDER_DELAY_MILLIS);
+    private static void sendOrder(final FaultScenario scenario) {
+        scenario.world().fleet().setOrderDelayMillis(ORDER_DELAY_MILLIS);
+        noteOrder(scenario);
+        scenario.world().advance(ORDER_DELAY_MILLIS);
     }
 
-    private static void carryOutOrder(final FaultScenario scene) {
-        final int before = scene.world().fleet().orders().arrivedCount();
-        scene.changeVersion();
-        scene.runUntil(() -> scene.world().fleet().orders().arrivedCount() > before);
+    private static void carryOutOrder(final FaultScenario scenario) {
+        final int before = scenario.world().fleet().orders().arrivedCount();
+        scenario.changeVersion();
+        scenario.runUntil(() -> scenario.world().fleet().orders().arrivedCount() > before);
     }
 }
--- a/faults/src/main/java/org/whinhead/faults/matrix/package-info.java
+++ b/faults/src/main/java/org/whinhead/faults/matrix/package-info.java
@@ -1,2 +1,2 @@
-/** The fault matrix: every fault at every step, once and twice, against the world's oracle. */
+/** The fault matrix: every fault at every step, once and twice, checked by the oracles. */
 package org.whinhead.faults.matrix;
--- a/faults/src/main/java/org/whinhead/faults/package-info.java
+++ b/faults/src/main/java/org/whinhead/faults/package-info.java
@@ -1,2 +1,2 @@
-/** Faults at every step of the work, against the real decisions and an oracle. */
+/** Fault injection against the real decision code in a simulated world, checked by oracles. */
 package org.whinhead.faults;
--- a/faults/src/main/java/org/whinhead/faults/world/DaemonClaims.java
+++ b/faults/src/main/java/org/whinhead/faults/world/DaemonClaims.java
@@ -16,10 +16,10 @@
 import org.whinhead.state.claim.ClaimTable;
 import org.whinhead.state.record.LogEntry;
 
-/** One daemon's claims: a real desk and table over the log's stream of claims. */
+/** One daemon's claims: a real claim coordinator and claim table over the stream of claims. */
 final class DaemonClaims {
 
-    private static final Duration WINDOW = Duration.ofSeconds(40);
+    private static final Duration CLAIM_WINDOW = Duration.ofSeconds(40);
     private static final Duration MAX_WAIT = Duration.ofSeconds(3);
     private static final ClaimLimits LIMITS =
             new ClaimLimits(Duration.ofSeconds(20), Duration.ofMillis(5), 64, 256, 100_000);
@@ -27,7 +27,7 @@
 
     private final FakeDaemon mDaemon;
     private final FakeProcess mProcess;
-    private final ClaimTable mTable = new ClaimTable(WINDOW, MAX_INCARNATIONS);
+    private final ClaimTable mTable = new ClaimTable(CLAIM_WINDOW, MAX_INCARNATIONS);
     private final LogClient mLog;
     private final ClaimCoordinator mCoordinator;
     private final Map<RequestId, Claim> mCurrentClaims = new HashMap<>();
@@ -48,8 +48,8 @@
         mAttempts++;
         final long attempt = ClaimKey.attemptHash(self, mAttempts);
         final ClaimKey key = ClaimKey.of(spec.customer(), spec.id().value());
-        final Instant patience = now.plus(MAX_WAIT);
-        final Instant deadline = patience.isBefore(spec.deadline()) ? patience : spec.deadline();
+        final Instant latest = now.plus(MAX_WAIT);
+        final Instant deadline = latest.isBefore(spec.deadline()) ? latest : spec.deadline();
         mCurrentClaims.put(spec.id(), new Claim(key, attempt));
         mRequestsByAttempt.put(attempt, spec.id());
         mCoordinator.claim(key, attempt, deadline, now);
@@ -83,11 +83,11 @@
     }
 
     /**
-     * Hands an outcome to the coordinator.
+     * Delivers the outcome of a claim to the request coordinator.
      *
-     * <p>Guards against an outcome of an earlier claim that a later one of the same request would
-     * take for its own, and against a grant that waited past its validity: a claim counts only
-     * while it is the request's newest, and what can't be used is withdrawn, as it never ran.
+     * <p>An outcome counts only for the request's newest claim, so that a later claim does not
+     * receive the outcome of an earlier one. A grant that is outdated or past its validity is
+     * withdrawn, as the request never ran under it.
      */
     private void deliverOutcome(
             final ClaimKey key,
@@ -98,15 +98,15 @@
         final RequestId request = mRequestsByAttempt.remove(attempt);
         final Claim current = mCurrentClaims.get(request);
         final boolean isCurrent = current != null && current.attempt() == attempt;
-        final boolean granted = result == ClaimResult.GRANTED;
-        if (granted && (!isCurrent || !now.isBefore(dispatchBy))) {
+        final boolean isGranted = result == ClaimResult.GRANTED;
+        if (isGranted && (!isCurrent || !now.isBefore(dispatchBy))) {
             mCoordinator.withdraw(key, attempt, now);
         }
         if (!isCurrent) {
             return;
         }
-        final boolean late = granted && !now.isBefore(dispatchBy);
-        mDaemon.onClaimDecided(request, late ? ClaimOutcome.UNAVAILABLE : outcome(result));
+        final boolean isLate = isGranted && !now.isBefore(dispatchBy);
+        mDaemon.onClaimDecided(request, isLate ? ClaimOutcome.UNAVAILABLE : outcome(result));
     }
 
     private static ClaimOutcome outcome(final ClaimResult result) {
--- a/faults/src/main/java/org/whinhead/faults/world/DaemonState.java
+++ b/faults/src/main/java/org/whinhead/faults/world/DaemonState.java
@@ -18,10 +18,12 @@
 import org.whinhead.state.settings.SettingsState;
 import org.whinhead.state.settings.SettingsValidator;
 
-/** One daemon's shared state: a real fold, checkpoints, and the lease of the fleet's duty. */
+/** One daemon's replicated state: the real log fold, checkpoints and the election for the fleet. */
 final class DaemonState {
 
+    /** The name of the fleet's lease, under which its orders are noted. */
     static final String DUTY = "fleet";
+
     private static final LeaseTiming LEASE_TIMING =
             new LeaseTiming(
                     Duration.ofSeconds(4),
@@ -80,7 +82,7 @@
         return mFleetLog;
     }
 
-    /** Takes a peer's state, as a daemon does that starts while the log is out. */
+    /** Installs a peer's state, as a daemon does that starts during a log outage. */
     void installFromPeer(final FoldView peer, final Instant now) {
         if (peer.source() != FoldView.Source.NONE) {
             install(new Installed(peer, FoldView.Source.PEER), now);
@@ -140,7 +142,7 @@
 
     private record Installed(FoldView view, FoldView.Source source) {}
 
-    /** Knows one version of the rules, by which only one word is wrong. */
+    /** Supports rules version 1 only and rejects documents that contain "wrong". */
     private static final class FakeValidator implements SettingsValidator {
 
         @Override
--- a/faults/src/main/java/org/whinhead/faults/world/FakeAttemptConnection.java
+++ b/faults/src/main/java/org/whinhead/faults/world/FakeAttemptConnection.java
@@ -4,7 +4,7 @@
 import org.whinhead.requests.AttemptEvent;
 import org.whinhead.requests.AttemptFailure;
 
-/** One daemon's connection for one attempt; its events may come late, twice or never. */
+/** A daemon's connection for one attempt; its events may be delayed, duplicated or lost. */
 final class FakeAttemptConnection {
 
     private static final int MAX_DELAY_MILLIS = 8;
--- a/faults/src/main/java/org/whinhead/faults/world/FakeBackend.java
+++ b/faults/src/main/java/org/whinhead/faults/world/FakeBackend.java
@@ -17,10 +17,10 @@
 import org.whinhead.requests.AttemptFailure;
 import org.whinhead.requests.PlainAnswer;
 
-/** A fake engine or plain service, and the witness of what ran there. */
+/** A fake engine or plain service that reports each run of a request to the world. */
 public final class FakeBackend {
 
-    /** How it behaves towards new connections. */
+    /** The state of the back end, which decides how it handles connections. */
     public enum Mode {
         UP,
         REFUSING,
@@ -57,7 +57,7 @@
         return mMode;
     }
 
-    /** Changes how it behaves; what is dead stays dead. */
+    /** Changes the mode; a dead back end stays dead. */
     public void setMode(final Mode mode) {
         if (mMode == Mode.DEAD) {
             return;
@@ -68,11 +68,11 @@
         } else if (mode == Mode.UP) {
             final List<PendingWork> waiting = List.copyOf(mPendingWork);
             mPendingWork.clear();
-            waiting.forEach(each -> each.work().run());
+            waiting.forEach(pending -> pending.work().run());
         }
     }
 
-    /** Takes a model's weights in; false if it can't. */
+    /** Loads a model; returns false if the back end is dead. */
     boolean load(final ModelRef model) {
         if (mMode == Mode.DEAD) {
             return false;
@@ -83,7 +83,7 @@
         return true;
     }
 
-    /** Its VM was announced to leave. */
+    /** Marks the VM as leaving, as of the first announcement. */
     void announceLeaving() {
         if (mLeavingSince == Instant.MAX) {
             mLeavingSince = mWorld.clock().now();
@@ -91,10 +91,10 @@
         }
     }
 
-    /** The cloud stops the VM by order, which must not cut a request. */
+    /** Stops the VM by order; fails if that interrupts requests. */
     void stopByOrder() {
         if (mMode != Mode.DEAD && runningCount() > 0) {
-            throw new AssertionError("a planned stop cut requests at " + mEndpoint.id());
+            throw new AssertionError("a planned stop interrupted requests at " + mEndpoint.id());
         }
         setMode(Mode.DEAD);
     }
@@ -103,57 +103,58 @@
         return isServing() && mEndpoint.kind().isStreaming();
     }
 
-    /** Tells whether it is up and was not announced to leave. */
+    /** Returns whether the back end is up and not announced to leave. */
     public boolean isServing() {
         return mMode == Mode.UP && mLeavingSince == Instant.MAX;
     }
 
     boolean isProcessing(final RequestId request) {
         return mStreams.values().stream().anyMatch(s -> s.isFor(request) && !s.isDone())
-                || mCalls.stream().anyMatch(link -> link.attempt().request().equals(request));
+                || mCalls.stream()
+                        .anyMatch(connection -> connection.attempt().request().equals(request));
     }
 
     boolean hasGeneratedAll(final RequestId request) {
         return mStreams.values().stream().anyMatch(s -> s.isFor(request) && s.isDone());
     }
 
-    /** Returns how many requests it works on. */
+    /** Returns the number of requests in progress. */
     int runningCount() {
         return (int) mStreams.values().stream().filter(stream -> !stream.isDone()).count()
                 + mCalls.size();
     }
 
-    /** Breaks every connection; what runs goes on. */
+    /** Breaks every connection; streams continue to run, calls lose their answers. */
     public void cutConnections() {
         mStreams.values().stream()
                 .filter(stream -> stream.reader() != null)
                 .forEach(stream -> stream.reader().sendFailure(AttemptFailure.CUT_DURING_ANSWER));
-        mCalls.forEach(link -> link.sendFailure(AttemptFailure.CUT_BEFORE_ANSWER));
+        mCalls.forEach(connection -> connection.sendFailure(AttemptFailure.CUT_BEFORE_ANSWER));
         mCalls.clear();
     }
 
-    void generate(final FakeAttemptConnection link, final long from) {
-        connect(link, false, () -> startStream(link, from));
+    void generate(final FakeAttemptConnection connection, final long from) {
+        connect(connection, false, () -> startStream(connection, from));
     }
 
-    void call(final FakeAttemptConnection link) {
-        connect(link, false, () -> startCall(link));
+    void call(final FakeAttemptConnection connection) {
+        connect(connection, false, () -> startCall(connection));
     }
 
-    void resume(final FakeAttemptConnection link, final String streamId, final long from) {
+    void resume(final FakeAttemptConnection connection, final String streamId, final long from) {
         connect(
-                link,
+                connection,
                 true,
                 () -> {
                     if (mStreams.containsKey(streamId)) {
-                        mStreams.get(streamId).attach(link, from);
+                        mStreams.get(streamId).attach(connection, from);
                     } else {
-                        link.sendFailure(AttemptFailure.STREAM_UNKNOWN);
+                        connection.sendFailure(AttemptFailure.STREAM_UNKNOWN);
                     }
                 });
     }
 
-    /** Gives a stream's KV cache away and stops the stream. */
+    /** Stops a stream and returns it for import elsewhere; empty if that is impossible. */
     Optional<FakeStream> export(final String streamId) {
         final Optional<FakeStream> stream =
                 mMode == Mode.DEAD || mMode == Mode.FROZEN
@@ -165,80 +166,84 @@
         return stream;
     }
 
-    void importStream(final FakeAttemptConnection link, final FakeStream source) {
+    void importStream(final FakeAttemptConnection connection, final FakeStream source) {
         connect(
-                link,
+                connection,
                 false,
                 () -> {
                     final FakeStream copy = source.copyWithId(newStreamId());
                     mStreams.put(copy.id(), copy);
-                    link.send(new AttemptEvent.Moved(link.attempt(), copy.id()), true);
+                    connection.send(new AttemptEvent.Moved(connection.attempt(), copy.id()), true);
                 });
     }
 
-    void cancel(final FakeAttemptConnection link, final String streamId) {
+    void cancel(final FakeAttemptConnection connection, final String streamId) {
         if (streamId.isEmpty()) {
-            mStreams.values().removeIf(stream -> stream.reader() == link);
+            mStreams.values().removeIf(stream -> stream.reader() == connection);
         } else {
             mStreams.remove(streamId);
         }
     }
 
     private void connect(
-            final FakeAttemptConnection link, final boolean always, final Runnable work) {
-        if (!always) {
-            checkNoWorkAfterNotice(link);
+            final FakeAttemptConnection connection,
+            final boolean isResumption,
+            final Runnable work) {
+        if (!isResumption) {
+            checkNoWorkAfterNotice(connection);
         }
         if (mMode == Mode.DEAD) {
-            link.sendFailure(AttemptFailure.CONNECT_FAILED);
+            connection.sendFailure(AttemptFailure.CONNECT_FAILED);
         } else if (mMode == Mode.FROZEN) {
-            mPendingWork.add(new PendingWork(link, work));
-        } else if (mMode == Mode.REFUSING && !always) {
-            link.sendFailure(AttemptFailure.REFUSED_BY_ENDPOINT);
+            mPendingWork.add(new PendingWork(connection, work));
+        } else if (mMode == Mode.REFUSING && !isResumption) {
+            connection.sendFailure(AttemptFailure.REFUSED_BY_ENDPOINT);
         } else {
             work.run();
         }
     }
 
-    /** A daemon that was not paused must know of the notice by now. */
-    private void checkNoWorkAfterNotice(final FakeAttemptConnection link) {
+    /** Fails if a daemon sends work after the limit; daemons that were paused are exempt. */
+    private void checkNoWorkAfterNotice(final FakeAttemptConnection connection) {
         final Instant limit =
                 mLeavingSince == Instant.MAX ? Instant.MAX : mLeavingSince.plus(NEW_WORK_LIMIT);
-        if (mWorld.clock().now().isAfter(limit) && !link.daemon().wasPausedSince(mLeavingSince)) {
-            throw new AssertionError("new work at leaving " + mEndpoint.id());
+        if (mWorld.clock().now().isAfter(limit)
+                && !connection.daemon().wasPausedSince(mLeavingSince)) {
+            throw new AssertionError("new work at leaving endpoint " + mEndpoint.id());
         }
     }
 
-    private void startStream(final FakeAttemptConnection link, final long from) {
-        final RequestId request = link.attempt().request();
+    private void startStream(final FakeAttemptConnection connection, final long from) {
+        final RequestId request = connection.attempt().request();
         mWorld.recordRun(request);
         final FakeStream stream = new FakeStream(mWorld, newStreamId(), request, from, from);
         mStreams.put(stream.id(), stream);
-        stream.attach(link, from);
+        stream.attach(connection, from);
     }
 
-    private void startCall(final FakeAttemptConnection link) {
-        mWorld.recordRun(link.attempt().request());
-        mCalls.add(link);
-        final int work = 1 + mWorld.random().nextInt(MAX_WORK_MILLIS);
-        mWorld.clock().schedule(work, () -> endCall(link));
+    private void startCall(final FakeAttemptConnection connection) {
+        mWorld.recordRun(connection.attempt().request());
+        mCalls.add(connection);
+        final int workMillis = 1 + mWorld.random().nextInt(MAX_WORK_MILLIS);
+        mWorld.clock().schedule(workMillis, () -> endCall(connection));
     }
 
-    private void endCall(final FakeAttemptConnection link) {
-        if (mCalls.remove(link)) {
+    private void endCall(final FakeAttemptConnection connection) {
+        if (mCalls.remove(connection)) {
             if (mWorld.lossPercent() > 0 && mWorld.isDrawn(FAULT_PERCENT)) {
-                link.sendFailure(AttemptFailure.FAULTED);
+                connection.sendFailure(AttemptFailure.FAULTED);
                 return;
             }
             final PlainAnswer answer = new PlainAnswer(HTTP_OK, "text/plain", new byte[0]);
-            link.send(new AttemptEvent.Answered(link.attempt(), answer), true);
+            connection.send(new AttemptEvent.Answered(connection.attempt(), answer), true);
         }
     }
 
     private void die() {
         cutConnections();
         mStreams.clear();
-        mPendingWork.forEach(each -> each.link().sendFailure(AttemptFailure.CUT_BEFORE_ANSWER));
+        mPendingWork.forEach(
+                pending -> pending.connection().sendFailure(AttemptFailure.CUT_BEFORE_ANSWER));
         mPendingWork.clear();
     }
 
@@ -256,5 +261,5 @@
         return mEndpoint.id() + "-s" + mNextStream;
     }
 
-    private record PendingWork(FakeAttemptConnection link, Runnable work) {}
+    private record PendingWork(FakeAttemptConnection connection, Runnable work) {}
 }
--- a/faults/src/main/java/org/whinhead/faults/world/FakeCaller.java
+++ b/faults/src/main/java/org/whinhead/faults/world/FakeCaller.java
@@ -10,10 +10,10 @@
 import org.whinhead.api.verdict.Verdict;
 import org.whinhead.requests.Ticket;
 
-/** A caller that comes back when it is cut off or sent away, and checks what it is given. */
+/** A simulated caller that reconnects after a lost connection or a hand-back. */
 public final class FakeCaller {
 
-    /** How its request ended for it. */
+    /** The outcome of the request as the caller sees it. */
     public enum Outcome {
         OPEN,
         WHOLE,
@@ -70,13 +70,13 @@
         return mDaemon;
     }
 
-    /** Tells whether an earlier submission was cut off, so that a later one knows less. */
+    /** Returns whether a connection was lost; a later refusal covers the last submission only. */
     boolean hasLostConnection() {
         return mLostConnection;
     }
 
-    boolean isAssignedTo(final FakeDaemon from) {
-        return mOutcome == Outcome.OPEN && mDaemon.filter(daemon -> daemon == from).isPresent();
+    boolean isAssignedTo(final FakeDaemon daemon) {
+        return mOutcome == Outcome.OPEN && mDaemon.filter(own -> own == daemon).isPresent();
     }
 
     void onConnected(final FakeCallerConnection connection) {
@@ -108,7 +108,7 @@
         mWorld.clock().schedule(RECONNECT_MILLIS, this::connect);
     }
 
-    /** Hangs up for good. */
+    /** Hangs up without a reconnect. */
     public void disconnect() {
         if (mOutcome == Outcome.OPEN) {
             mOutcome = Outcome.LEFT;
@@ -116,7 +116,7 @@
         }
     }
 
-    /** The connection broke; the caller tries another daemon. */
+    /** Breaks the connection; the caller reconnects to any accepting daemon. */
     public void loseConnection() {
         if (mOutcome == Outcome.OPEN) {
             mLostConnection = true;
@@ -150,8 +150,8 @@
         if (notRun && !mLostConnection && mWorld.runCount(id()) > 0) {
             throw new AssertionError("refused as not run, but ran: " + id());
         }
-        final boolean again = notRun && refusal.retryAfter().isPresent() && mTicket.isEmpty();
-        if (again && mRetries < MAX_RETRIES) {
+        final boolean shouldRetry = notRun && refusal.retryAfter().isPresent() && mTicket.isEmpty();
+        if (shouldRetry && mRetries < MAX_RETRIES) {
             mRetries++;
             mDaemon = Optional.empty();
             mWorld.clock().schedule(refusal.retryAfter().get().toMillis(), this::connect);
--- a/faults/src/main/java/org/whinhead/faults/world/FakeCallerConnection.java
+++ b/faults/src/main/java/org/whinhead/faults/world/FakeCallerConnection.java
@@ -3,7 +3,7 @@
 import java.util.ArrayList;
 import java.util.List;
 
-/** One connection of a caller at one daemon; a whole answer is buffered until it is complete. */
+/** A caller's connection to one daemon; buffers an answer that is not streamed. */
 final class FakeCallerConnection {
 
     private final FakeCaller mCaller;
@@ -20,7 +20,7 @@
         return mCaller;
     }
 
-    /** Tells whether the caller still listens here. */
+    /** Returns whether the caller still uses this connection. */
     boolean isCurrent() {
         return mCaller.isCurrentConnection(this);
     }
@@ -28,7 +28,7 @@
     void deliver(final long index, final String text) {
         if (index != mNextIndex) {
             throw new AssertionError(
-                    "token " + index + " in place of " + mNextIndex + " for " + mCaller.id());
+                    "token " + index + " instead of " + mNextIndex + " for " + mCaller.id());
         }
         mNextIndex++;
         if (mCaller.spec().streamed() && isCurrent()) {
--- a/faults/src/main/java/org/whinhead/faults/world/FakeClock.java
+++ b/faults/src/main/java/org/whinhead/faults/world/FakeClock.java
@@ -5,7 +5,7 @@
 import java.util.Comparator;
 import java.util.PriorityQueue;
 
-/** The world's clock and what is going to happen, in order of time. */
+/** The simulated clock with its queue of scheduled events. */
 public final class FakeClock {
 
     private final PriorityQueue<Event> mEvents =
@@ -17,12 +17,12 @@
         return mNow;
     }
 
-    /** Plans work for a time from now. */
+    /** Schedules an event after a delay in milliseconds. */
     public void schedule(final long millis, final Runnable work) {
         mEvents.add(new Event(mNow.plusMillis(millis), mSequence++, work));
     }
 
-    /** Lets a time pass, with all that happens in it. */
+    /** Advances the clock and runs all events that fall due on the way. */
     public void advance(final Duration time) {
         final Instant end = mNow.plus(time);
         while (!mEvents.isEmpty() && !mEvents.peek().at().isAfter(end)) {
--- a/faults/src/main/java/org/whinhead/faults/world/FakeCloud.java
+++ b/faults/src/main/java/org/whinhead/faults/world/FakeCloud.java
@@ -6,7 +6,7 @@
 import org.whinhead.api.model.FailureDomain;
 import org.whinhead.fleet.OrderId;
 
-/** The cloud: the same order gives the same VM, and starts may be refused. */
+/** A fake cloud that starts one VM per order, even if the order is repeated, or refuses starts. */
 public final class FakeCloud {
 
     private final FakeWorld mWorld;
@@ -17,17 +17,17 @@
         mWorld = world;
     }
 
-    /** Refuses all starts, or no more. */
+    /** Sets whether new starts are refused. */
     public void setRefusingStarts(final boolean refusing) {
         mRefusingStarts = refusing;
     }
 
-    /** Returns how many VMs were started by order. */
+    /** Returns the number of VMs started by orders. */
     public int startedCount() {
         return mStarted.size();
     }
 
-    /** Starts a VM, or returns the one that the order started before; empty if refused. */
+    /** Starts a VM or returns the VM that the order started before; empty if refused. */
     Optional<FakeBackend> start(final OrderId order, final FailureDomain domain) {
         final FakeBackend known = mStarted.get(order);
         if (known != null || mRefusingStarts) {
--- a/faults/src/main/java/org/whinhead/faults/world/FakeDaemon.java
+++ b/faults/src/main/java/org/whinhead/faults/world/FakeDaemon.java
@@ -21,7 +21,7 @@
 import org.whinhead.requests.RequestActions;
 import org.whinhead.requests.Ticket;
 
-/** A daemon around a real coordinator; it may pause, stop or die. */
+/** A simulated daemon around a real request coordinator; it can be paused, stopped or crashed. */
 public final class FakeDaemon implements RequestActions {
 
     private static final int TICK_MILLIS = 50;
@@ -64,7 +64,7 @@
         mProcess.scheduleEvery(STATE_TICK_MILLIS, this::tickState);
     }
 
-    /** Returns its identity, which no later daemon shares. */
+    /** Returns the daemon's identity, which no later daemon reuses. */
     public DaemonId id() {
         return mId;
     }
@@ -77,7 +77,7 @@
         return mRouter.inFlightAt(endpoint);
     }
 
-    /** Tells whether it was paused at or after a time. */
+    /** Returns whether the daemon was paused at or after a time. */
     boolean wasPausedSince(final Instant time) {
         return !mProcess.pausedUntil().isBefore(time);
     }
@@ -98,7 +98,7 @@
         return isAlive() && !mStopping;
     }
 
-    /** Returns what is left over once all requests have ended. */
+    /** Describes the open requests, sends and attempts; empty if there are none. */
     String unfinishedWork() {
         return mCoordinator.requestCount() == 0
                         && mRouter.openSends().isEmpty()
@@ -126,12 +126,16 @@
     }
 
     void onResume(
-            final FakeCaller caller, final Ticket ticket, final long have, final String text) {
+            final FakeCaller caller,
+            final Ticket ticket,
+            final long receivedTokens,
+            final String text) {
         mProcess.post(
                 now -> {
                     if (caller.isAssignedTo(this)) {
-                        mConnections.put(caller.id(), new FakeCallerConnection(caller, have));
-                        mCoordinator.resume(caller.spec(), ticket, have, text, now);
+                        mConnections.put(
+                                caller.id(), new FakeCallerConnection(caller, receivedTokens));
+                        mCoordinator.resume(caller.spec(), ticket, receivedTokens, text, now);
                     }
                 });
     }
@@ -167,12 +171,12 @@
         mProcess.post(now -> mCoordinator.onAttemptEvent(event, now));
     }
 
-    /** Stops handling events for a while; what arrives waits. */
+    /** Pauses event handling for a time in ms; events that arrive meanwhile are queued. */
     public void pause(final long millis) {
         mProcess.pause(millis);
     }
 
-    /** Shuts down as planned; at the end nothing may be in progress. */
+    /** Shuts down as planned; fails if requests are still in progress when the notice ends. */
     public void stop(final long noticeMillis) {
         mStopping = true;
         final Instant goneBy = mWorld.clock().now().plusMillis(noticeMillis);
@@ -180,7 +184,7 @@
         mWorld.clock().schedule(noticeMillis, () -> finishStop(goneBy));
     }
 
-    /** Ends the process at once; its callers are cut off. */
+    /** Ends the process at once; its callers lose their connections. */
     public void crash() {
         mProcess.crash();
         mAttempts.clear();
@@ -196,7 +200,7 @@
             final Endpoint endpoint,
             final String deliveredText,
             final long deliveredTokens) {
-        connect(attempt, endpoint, (link, to) -> to.generate(link, deliveredTokens));
+        connect(attempt, endpoint, (connection, to) -> to.generate(connection, deliveredTokens));
     }
 
     @Override
@@ -205,7 +209,7 @@
             final Endpoint endpoint,
             final String streamId,
             final long fromIndex) {
-        connect(attempt, endpoint, (link, to) -> to.resume(link, streamId, fromIndex));
+        connect(attempt, endpoint, (connection, to) -> to.resume(connection, streamId, fromIndex));
     }
 
     @Override
@@ -214,20 +218,21 @@
             final Endpoint from,
             final String streamId,
             final Endpoint to) {
-        connect(attempt, from, (link, source) -> export(link, source, streamId, to));
+        connect(attempt, from, (connection, source) -> export(connection, source, streamId, to));
     }
 
     @Override
     public void call(final AttemptId attempt, final Endpoint endpoint) {
-        connect(attempt, endpoint, (link, to) -> to.call(link));
+        connect(attempt, endpoint, (connection, to) -> to.call(connection));
     }
 
     @Override
     public void cancel(final AttemptId attempt, final Endpoint endpoint, final String streamId) {
-        final Optional<FakeAttemptConnection> link = Optional.ofNullable(mAttempts.remove(attempt));
-        link.ifPresent(FakeAttemptConnection::close);
+        final Optional<FakeAttemptConnection> connection =
+                Optional.ofNullable(mAttempts.remove(attempt));
+        connection.ifPresent(FakeAttemptConnection::close);
         final FakeBackend backend = mWorld.fleet().backend(endpoint.id());
-        mProcess.send(delay(), () -> backend.cancel(link.orElse(null), streamId));
+        mProcess.send(delay(), () -> backend.cancel(connection.orElse(null), streamId));
     }
 
     @Override
@@ -285,27 +290,28 @@
     }
 
     private void export(
-            final FakeAttemptConnection link,
+            final FakeAttemptConnection connection,
             final FakeBackend source,
             final String streamId,
             final Endpoint to) {
-        final Optional<FakeStream> cache = source.export(streamId);
-        if (cache.isEmpty()) {
-            link.sendFailure(AttemptFailure.STREAM_UNKNOWN);
+        final Optional<FakeStream> stream = source.export(streamId);
+        if (stream.isEmpty()) {
+            connection.sendFailure(AttemptFailure.STREAM_UNKNOWN);
             return;
         }
         final FakeBackend target = mWorld.fleet().backend(to.id());
-        mProcess.send(delay(), () -> target.importStream(link, cache.get()));
+        mProcess.send(delay(), () -> target.importStream(connection, stream.get()));
     }
 
-    private void connect(final AttemptId attempt, final Endpoint endpoint, final Work work) {
-        final FakeAttemptConnection link = new FakeAttemptConnection(mWorld, this, attempt);
-        mAttempts.put(attempt, link);
+    private void connect(
+            final AttemptId attempt, final Endpoint endpoint, final Operation operation) {
+        final FakeAttemptConnection connection = new FakeAttemptConnection(mWorld, this, attempt);
+        mAttempts.put(attempt, connection);
         mProcess.send(
                 delay(),
                 () -> {
-                    if (link.isOpen()) {
-                        work.accept(link, mWorld.fleet().backend(endpoint.id()));
+                    if (connection.isOpen()) {
+                        operation.accept(connection, mWorld.fleet().backend(endpoint.id()));
                     }
                 });
     }
@@ -332,8 +338,8 @@
         crash();
     }
 
-    /** What a connection is made for. */
-    private interface Work {
-        void accept(FakeAttemptConnection link, FakeBackend backend);
+    /** The operation that an attempt starts at its back end once it is connected. */
+    private interface Operation {
+        void accept(FakeAttemptConnection connection, FakeBackend backend);
     }
 }
--- a/faults/src/main/java/org/whinhead/faults/world/FakeFleet.java
+++ b/faults/src/main/java/org/whinhead/faults/world/FakeFleet.java
@@ -18,12 +18,10 @@
 import org.whinhead.api.model.VmState;
 import org.whinhead.api.request.RequestId;
 
-/**
- * The VMs of engines and services in three failure domains, with the cloud and its lagging list.
- */
+/** The VMs of engines and services in three failure domains, with a delayed VM list. */
 public final class FakeFleet {
 
-    /** The setting that names the model's version. */
+    /** The path of the setting that holds the model's version. */
     public static final String POOL_PATH = "/ops/pool";
 
     static final String SERVICE = "filing";
@@ -58,7 +56,7 @@
         return ModelRef.of("draft", version);
     }
 
-    /** Adds the first VMs; the plan is to hold as many engines as these. */
+    /** Adds the first VMs; the pool then needs these engines less those of the largest domain. */
     void start(final int engines, final int services) {
         for (int count = 0; count < engines; count++) {
             addEngine(DOMAINS.get(count % DOMAINS.size()));
@@ -87,12 +85,12 @@
         return List.copyOf(mBackends.values());
     }
 
-    /** Makes orders travel for so long. */
+    /** Sets the time between the send of an order and its arrival. */
     public void setOrderDelayMillis(final int millis) {
         mOrderDelayMillis = millis;
     }
 
-    /** Makes load reports stay away, or come again. */
+    /** Stops or resumes load reports. */
     public void setReportsFrozen(final boolean frozen) {
         mReportsFrozen = frozen;
     }
@@ -127,31 +125,31 @@
         return add(Endpoint.plainService(id, SERVICE), id, domain);
     }
 
-    /** Announces that a VM leaves; daemons hear of it one after the other. */
+    /** Announces that a VM leaves; each daemon receives the notice after its own delay. */
     void announceLeaving(final FakeBackend backend, final long noticeMillis) {
         final EndpointId id = backend.endpoint().id();
         final Instant goneBy = mWorld.clock().now().plusMillis(noticeMillis);
         mNotices.merge(id, goneBy, (one, other) -> one.isBefore(other) ? one : other);
         backend.announceLeaving();
         for (final FakeDaemon daemon : mWorld.daemons()) {
-            final int heard = mWorld.random().nextInt(100);
-            mWorld.clock().schedule(heard, () -> daemon.onEndpointLeaving(id, goneBy));
+            final int delay = mWorld.random().nextInt(100);
+            mWorld.clock().schedule(delay, () -> daemon.onEndpointLeaving(id, goneBy));
         }
     }
 
-    /** Tells a new daemon the notices so far. */
+    /** Sends all notices so far to a new daemon. */
     void sendNotices(final FakeDaemon daemon) {
         mNotices.forEach(daemon::onEndpointLeaving);
     }
 
-    /** Returns the VM that works on a request. */
+    /** Returns the back end that processes a request. */
     public Optional<FakeBackend> backendProcessing(final RequestId request) {
         return mBackends.values().stream()
                 .filter(backend -> backend.isProcessing(request))
                 .findFirst();
     }
 
-    /** Tells whether some engine has made a request's whole answer. */
+    /** Returns whether an engine has generated a request's whole answer. */
     public boolean hasGeneratedAll(final RequestId request) {
         return mBackends.values().stream().anyMatch(backend -> backend.hasGeneratedAll(request));
     }
@@ -181,16 +179,18 @@
                 && serving.stream().allMatch(e -> e.endpoint().models().contains(model(version)));
     }
 
-    /** Checks after all faults that the plan is met and the wanted version is loaded. */
+    /** Checks that enough engines serve and that each has loaded the version. */
     void checkSettled(final String version) {
         final List<FakeBackend> serving =
                 backends().stream().filter(FakeBackend::isServingEngine).toList();
         if (serving.size() < mEnginesNeeded) {
-            throw new AssertionError("engines left: " + serving.size() + " of " + mEnginesNeeded);
+            throw new AssertionError(
+                    "serving engines: " + serving.size() + " of " + mEnginesNeeded);
         }
         for (final FakeBackend backend : serving) {
             if (!backend.endpoint().models().contains(model(version))) {
-                throw new AssertionError("not loaded at " + backend.endpoint() + ": " + version);
+                throw new AssertionError(
+                        "version not loaded at " + backend.endpoint() + ": " + version);
             }
         }
     }
--- a/faults/src/main/java/org/whinhead/faults/world/FakeLog.java
+++ b/faults/src/main/java/org/whinhead/faults/world/FakeLog.java
@@ -10,7 +10,7 @@
 import org.whinhead.state.record.LogEntry;
 import org.whinhead.state.record.LogRecord;
 
-/** The platform's log: streams under one cap, with outages, retention and lost answers. */
+/** A fake of the platform's log: streams under one append cap, with retention and faults. */
 public final class FakeLog {
 
     /** The stream of claims. */
@@ -22,7 +22,7 @@
     /** The stream of checkpoints. */
     public static final String CHECKPOINTS = "checkpoints";
 
-    /** How long records are kept. */
+    /** The time after which records expire. */
     public static final Duration RETENTION = Duration.ofSeconds(60);
 
     private static final int MAX_DELAY_MILLIS = 5;
@@ -42,7 +42,7 @@
         mWorld = world;
     }
 
-    /** Begins or ends an outage. */
+    /** Starts or ends an outage. */
     public void setOut(final boolean out) {
         mOut = out;
     }
@@ -51,17 +51,17 @@
         return mOut;
     }
 
-    /** Makes each call take so much longer. */
+    /** Adds a latency to each call, half on the way there and half on the way back. */
     public void setExtraLatency(final int millis) {
         mExtraLatencyMillis = millis;
     }
 
-    /** Sets the most appends a second. */
+    /** Sets the maximum number of appends a second over all streams. */
     public void setAppendCap(final int appendsPerSecond) {
         mCapPerSecond = appendsPerSecond;
     }
 
-    /** Loses the answers of the next appends after they took effect. */
+    /** Loses the answers of the next appends, which still take effect. */
     public void loseAnswers(final int count) {
         mAnswersToLose = count;
     }
@@ -80,7 +80,7 @@
         mAppendsToDelay = 0;
     }
 
-    /** Returns every record that a stream ever took, also the expired ones. */
+    /** Returns every record that a stream ever stored, including expired ones. */
     public List<LogEntry> allEntries(final String stream) {
         return stream(stream).mEntries;
     }
@@ -122,14 +122,14 @@
         if (mOut || isOverCap()) {
             return AppendResult.REFUSED;
         }
-        final boolean chance = mWorld.isDrawn(mWorld.lossPercent());
+        final boolean answerLost = mWorld.isDrawn(mWorld.lossPercent());
         if (mAppendsToDelay > 0) {
             mAppendsToDelay--;
             mWorld.clock().schedule(APPEND_DELAY_MILLIS, () -> store(stream, records));
             return AppendResult.UNKNOWN;
         }
         store(stream, records);
-        if (mAnswersToLose > 0 || chance) {
+        if (mAnswersToLose > 0 || answerLost) {
             mAnswersToLose = Math.max(0, mAnswersToLose - 1);
             return AppendResult.UNKNOWN;
         }
@@ -177,14 +177,14 @@
         return mStreams.computeIfAbsent(name, any -> new Stream());
     }
 
-    /** How an append ended for its sender. */
+    /** The result of an append as its sender sees it. */
     enum AppendResult {
         DONE,
         REFUSED,
         UNKNOWN
     }
 
-    /** The answer to a read. */
+    /** The answer to a read; {@code oldest} is the offset of the oldest record still stored. */
     record ReadResult(boolean failed, long oldest, List<LogEntry> entries) {}
 
     private static final class Stream {
--- a/faults/src/main/java/org/whinhead/faults/world/FakeOperator.java
+++ b/faults/src/main/java/org/whinhead/faults/world/FakeOperator.java
@@ -7,7 +7,7 @@
 import org.whinhead.state.record.LogRecord;
 import org.whinhead.state.settings.ChangeOutcome;
 
-/** Operators that change settings through any daemon and repeat a change that got no outcome. */
+/** Operators that change settings through any daemon and resubmit a change without an outcome. */
 public final class FakeOperator {
 
     private static final int POLL_MILLIS = 100;
@@ -20,7 +20,7 @@
         mWorld = world;
     }
 
-    /** Asks for a change, on top of the revision that the asked daemon shows. */
+    /** Submits a change based on a random daemon's revision; does nothing without a daemon. */
     public void change(final String author, final String path, final String text) {
         final Optional<FakeDaemon> daemon = mWorld.randomAcceptingDaemon();
         if (daemon.isEmpty()) {
@@ -33,7 +33,7 @@
         submit(change, daemon.get());
     }
 
-    /** Returns the changes that were asked for. */
+    /** Returns the submitted changes. */
     public List<Change> changes() {
         return List.copyOf(mChanges);
     }
@@ -71,7 +71,7 @@
         }
     }
 
-    /** One change and what its operator was told. */
+    /** A settings change and the outcome reported to its operator. */
     public static final class Change {
 
         private final String mName;
--- a/faults/src/main/java/org/whinhead/faults/world/FakeOrderExecutor.java
+++ b/faults/src/main/java/org/whinhead/faults/world/FakeOrderExecutor.java
@@ -8,7 +8,7 @@
 import org.whinhead.api.model.VmId;
 import org.whinhead.fleet.FleetOrder;
 
-/** Where orders arrive: the cloud, and engines of which some check the fencing number. */
+/** Executes fleet orders at the cloud and at engines, some of which check the fencing number. */
 public final class FakeOrderExecutor {
 
     private static final long DRAIN_NOTICE_MILLIS = 60_000;
@@ -24,17 +24,17 @@
         mWorld = world;
     }
 
-    /** Returns how many orders arrived. */
+    /** Returns the number of orders that arrived. */
     public int arrivedCount() {
         return mArrived;
     }
 
-    /** Returns how many orders an engine refused for their old fencing number. */
+    /** Returns the number of orders that engines refused for an old fencing number. */
     public int staleRefusedCount() {
         return mStaleRefused;
     }
 
-    /** Returns the longest time by which an old order was obeyed after a newer holder's first. */
+    /** Returns the longest time by which an old order ran after a newer holder's first order. */
     public Duration staleWindow() {
         return mStaleWindow;
     }
@@ -43,7 +43,7 @@
         mArrived++;
     }
 
-    /** Carries an order out; false if it was refused. */
+    /** Executes an order; returns false if it was refused. */
     boolean execute(final FleetOrder order, final long fencing) {
         if (order instanceof FleetOrder.StartVm start) {
             return mWorld.fleet().cloud().start(order.id(), start.supply().domain()).isPresent();
@@ -74,8 +74,8 @@
             mStaleRefused++;
             return false;
         }
-        final Duration late = Duration.between(mNewestAt.get(backend), mWorld.clock().now());
-        mStaleWindow = late.compareTo(mStaleWindow) > 0 ? late : mStaleWindow;
+        final Duration age = Duration.between(mNewestAt.get(backend), mWorld.clock().now());
+        mStaleWindow = age.compareTo(mStaleWindow) > 0 ? age : mStaleWindow;
         return true;
     }
 
--- a/faults/src/main/java/org/whinhead/faults/world/FakeProcess.java
+++ b/faults/src/main/java/org/whinhead/faults/world/FakeProcess.java
@@ -5,7 +5,7 @@
 import java.util.Deque;
 import java.util.function.Consumer;
 
-/** A process that handles events one after the other and may pause or die. */
+/** A process that handles events one at a time and can be paused or crashed. */
 final class FakeProcess {
 
     private final FakeClock mClock;
@@ -14,8 +14,8 @@
     private boolean mAlive = true;
     private boolean mDraining;
 
-    FakeProcess(final FakeClock time) {
-        mClock = time;
+    FakeProcess(final FakeClock clock) {
+        mClock = clock;
     }
 
     boolean isAlive() {
@@ -35,30 +35,30 @@
         mClock.schedule(millis, this::drain);
     }
 
-    /** Handles an event now, or after a pause, in order and with the time of then. */
-    void post(final Consumer<Instant> work) {
-        mInbox.add(work);
+    /** Handles an event now or, after a pause, in order of arrival; passes the time of handling. */
+    void post(final Consumer<Instant> event) {
+        mInbox.add(event);
         drain();
     }
 
-    /** Handles an event again and again. */
-    void scheduleEvery(final long millis, final Consumer<Instant> work) {
-        post(work);
+    /** Handles an event at once and then periodically until a crash. */
+    void scheduleEvery(final long millis, final Consumer<Instant> event) {
+        post(event);
         if (mAlive) {
-            mClock.schedule(millis, () -> scheduleEvery(millis, work));
+            mClock.schedule(millis, () -> scheduleEvery(millis, event));
         }
     }
 
-    /** Sends something out after a delay; a pause holds back what has not left yet. */
-    void send(final long delayMillis, final Runnable work) {
-        mClock.schedule(delayMillis, () -> sendNow(work));
+    /** Sends after a delay; a send that falls into a pause waits for its end. */
+    void send(final long delayMillis, final Runnable event) {
+        mClock.schedule(delayMillis, () -> sendNow(event));
     }
 
-    private void sendNow(final Runnable work) {
+    private void sendNow(final Runnable event) {
         if (isPaused()) {
-            mInbox.add(now -> work.run());
+            mInbox.add(now -> event.run());
         } else if (mAlive) {
-            work.run();
+            event.run();
         }
     }
 
--- a/faults/src/main/java/org/whinhead/faults/world/FakeRouter.java
+++ b/faults/src/main/java/org/whinhead/faults/world/FakeRouter.java
@@ -15,7 +15,7 @@
 import org.whinhead.routing.Router;
 import org.whinhead.routing.RoutingSettings;
 
-/** A real router behind lagging lists and reports; insists that each send is ended once. */
+/** A real router with delayed VM lists and load reports; checks that each send ends once. */
 final class FakeRouter implements Router {
 
     private final FakeWorld mWorld;
@@ -30,7 +30,7 @@
         mRouter.endpointsChanged(world.fleet().vmList().endpoints());
     }
 
-    /** Takes in the list and the load as of now, both of which lag. */
+    /** Passes the delayed VM list and load reports to the router. */
     void refresh(final Instant now) {
         mRouter.endpointsChanged(mWorld.fleet().vmList().endpoints());
         for (final FakeBackend backend : mWorld.fleet().backends()) {
@@ -78,12 +78,13 @@
     @Override
     public void attemptEnded(final EndpointId endpoint, final RequestSpec spec, final Instant now) {
         if (!mSends.remove(new Send(spec.id(), endpoint))) {
-            throw new AssertionError("ended without a send: " + spec.id() + " at " + endpoint);
+            throw new AssertionError(
+                    "attempt ended without a send: " + spec.id() + " at " + endpoint);
         }
         mRouter.attemptEnded(endpoint, spec, now);
     }
 
-    /** Returns the sends that were never ended. */
+    /** Returns the sends that have not ended. */
     List<String> openSends() {
         return mSends.stream().map(Send::toString).toList();
     }
--- a/faults/src/main/java/org/whinhead/faults/world/FakeStream.java
+++ b/faults/src/main/java/org/whinhead/faults/world/FakeStream.java
@@ -3,7 +3,7 @@
 import org.whinhead.api.request.RequestId;
 import org.whinhead.requests.AttemptEvent;
 
-/** One answer that an engine generates; it keeps what it has made. */
+/** The stream of one answer at an engine, which can send its tokens again to a new reader. */
 final class FakeStream {
 
     private final String mId;
@@ -18,13 +18,13 @@
             final FakeWorld world,
             final String id,
             final RequestId request,
-            final long first,
-            final long made) {
+            final long firstIndex,
+            final long generated) {
         mWorld = world;
         mId = id;
         mRequest = request;
-        mFirstIndex = first;
-        mGenerated = made;
+        mFirstIndex = firstIndex;
+        mGenerated = generated;
         mLength = world.caller(request).length();
     }
 
@@ -44,7 +44,7 @@
         return mGenerated >= mLength;
     }
 
-    /** Copies the stream as an import of its KV cache does. */
+    /** Returns a copy with the same tokens, as an import of the KV cache makes it. */
     FakeStream copyWithId(final String id) {
         return new FakeStream(mWorld, id, mRequest, mFirstIndex, mGenerated);
     }
--- a/faults/src/main/java/org/whinhead/faults/world/FakeVmList.java
+++ b/faults/src/main/java/org/whinhead/faults/world/FakeVmList.java
@@ -3,7 +3,7 @@
 import java.util.List;
 import org.whinhead.api.model.Endpoint;
 
-/** The VM list: what it shows is old, and while it is frozen it gets older. */
+/** The cloud's VM list, which shows each change after a lag and can be frozen. */
 public final class FakeVmList {
 
     private static final int REFRESH_MILLIS = 250;
@@ -17,7 +17,7 @@
         mWorld = world;
     }
 
-    /** Stops or resumes the list's changes. */
+    /** Stops or resumes updates of the list. */
     public void setFrozen(final boolean frozen) {
         mFrozen = frozen;
     }
@@ -26,21 +26,21 @@
         return mEndpoints;
     }
 
-    /** Shows the present state at once, and from then on an old one. */
+    /** Shows the current state at once and every later state with a lag. */
     void start() {
         mEndpoints = currentEndpoints();
         refresh();
     }
 
     private void refresh() {
-        final List<Endpoint> present = currentEndpoints();
-        mWorld.clock().schedule(LAG_MILLIS, () -> show(present));
+        final List<Endpoint> current = currentEndpoints();
+        mWorld.clock().schedule(LAG_MILLIS, () -> show(current));
         mWorld.clock().schedule(REFRESH_MILLIS, this::refresh);
     }
 
-    private void show(final List<Endpoint> old) {
+    private void show(final List<Endpoint> endpoints) {
         if (!mFrozen) {
-            mEndpoints = old;
+            mEndpoints = endpoints;
         }
     }
 
--- a/faults/src/main/java/org/whinhead/faults/world/FakeWorld.java
+++ b/faults/src/main/java/org/whinhead/faults/world/FakeWorld.java
@@ -16,7 +16,7 @@
 import org.whinhead.requests.DecisionKind;
 import org.whinhead.requests.RequestSettings;
 
-/** Daemons, back ends and callers under one clock and one seed, with the oracle over all. */
+/** A simulation of daemons, back ends and callers with one clock, one seed and the oracles. */
 public final class FakeWorld {
 
     private static final int PERCENT = 100;
@@ -41,7 +41,14 @@
     private final FakeLog mLog = new FakeLog(this);
     private int mLossPercent;
 
-    /** Makes a world of so many of each. */
+    /**
+     * Creates a world.
+     *
+     * @param seed the seed of all random values
+     * @param daemons the number of daemons
+     * @param engines the number of engines
+     * @param services the number of plain services
+     */
     public FakeWorld(final long seed, final int daemons, final int engines, final int services) {
         mRandom = new SplittableRandom(seed);
         mFleet.start(engines, services);
@@ -50,7 +57,7 @@
         }
     }
 
-    /** Returns the one right token of a request's answer. */
+    /** Returns the only valid token at an index of a request's answer. */
     public static String expectedToken(final RequestId request, final long index) {
         return request + "/" + index + " ";
     }
@@ -79,23 +86,23 @@
         mClock.advance(Duration.ofMillis(millis));
     }
 
-    /** Makes this share of events get lost, and as many come twice. */
+    /** Sets the chance in percent that an event is lost, and equally that it is duplicated. */
     public void setLossPercent(final int percent) {
         mLossPercent = percent;
     }
 
-    /** Makes claims unavailable, or available again. */
+    /** Starts or ends an outage of the log, without which no claim can be made. */
     public void setLogOut(final boolean out) {
         mLog.setOut(out);
     }
 
-    /** Adds an engine, or else a plain service. */
+    /** Adds an engine if the argument is true, otherwise a plain service. */
     public FakeBackend addBackend(final boolean engine) {
         final int domain = mRandom.nextInt(FakeFleet.domains().size());
         return engine ? mFleet.addEngine(FakeFleet.domains().get(domain)) : mFleet.addService();
     }
 
-    /** Starts a daemon. */
+    /** Starts a daemon; during a log outage it copies the state of the first live peer. */
     public FakeDaemon addDaemon() {
         final FakeDaemon daemon =
                 new FakeDaemon(this, new DaemonId("daemon-" + mDaemons.size()), mRandom.nextLong());
@@ -110,13 +117,20 @@
         return daemon;
     }
 
-    /** Announces that a back end leaves; daemons hear of it one after the other. */
+    /** Reclaims a back end: announces its end to all daemons and kills it after the notice. */
     public void reclaim(final FakeBackend backend, final long noticeMillis) {
         mFleet.announceLeaving(backend, noticeMillis);
         mClock.schedule(noticeMillis, () -> backend.setMode(FakeBackend.Mode.DEAD));
     }
 
-    /** Submits a request to an engine. */
+    /**
+     * Submits a request for an engine.
+     *
+     * @param length the length of the answer in tokens
+     * @param streamed whether the caller wants each token at once
+     * @param idempotent whether the request may run more than once
+     * @return the caller
+     */
     public FakeCaller submitChat(
             final int length, final boolean streamed, final boolean idempotent) {
         final RequestSpec.Builder spec =
@@ -127,12 +141,12 @@
         return submit(spec.idempotent(idempotent).build(), length);
     }
 
-    /** Submits a call of a plain service. */
+    /** Submits a call of a plain service; only an idempotent call may run more than once. */
     public FakeCaller submitCall(final boolean idempotent) {
         return submit(spec().service(FakeFleet.SERVICE).idempotent(idempotent).build(), 0);
     }
 
-    /** Ends all faults, lets every request end, and checks the promises. */
+    /** Ends all faults, waits until every request has ended, and checks all invariants. */
     public void settleAndCheck() {
         mLossPercent = 0;
         mLog.heal();
@@ -150,7 +164,7 @@
         mFleet.checkSettled(mState.documentInForce(FakeFleet.POOL_PATH).orElse("1"));
         for (final FakeDaemon daemon : mDaemons) {
             if (daemon.isAlive() && !daemon.unfinishedWork().isEmpty()) {
-                throw new AssertionError("left over: " + daemon.unfinishedWork());
+                throw new AssertionError("unfinished work: " + daemon.unfinishedWork());
             }
         }
     }
@@ -166,12 +180,12 @@
                 && mFleet.isSettled(mState.documentInForce(FakeFleet.POOL_PATH).orElse("1"));
     }
 
-    /** Returns the operators of settings. */
+    /** Returns the operators that change settings. */
     public FakeOperator operator() {
         return mOperator;
     }
 
-    /** Returns the daemon that may act for the fleet. */
+    /** Returns the daemon that holds the fleet lease and may act on it. */
     public Optional<FakeDaemon> leaseHolder() {
         return mDaemons.stream()
                 .filter(FakeDaemon::isAlive)
@@ -179,12 +193,12 @@
                 .findFirst();
     }
 
-    /** Returns how many daemons have the settings of the newest record. */
+    /** Returns the number of live daemons whose settings match all records on the log. */
     public int daemonsWithNewestSettings() {
         return mState.daemonsWithNewestSettings();
     }
 
-    /** Tells whether a daemon decided something about a caller's request. */
+    /** Returns whether a daemon made a decision of this kind about a caller's request. */
     public boolean hasDecision(final FakeCaller caller, final DecisionKind kind) {
         return mDaemons.stream()
                 .flatMap(
@@ -201,7 +215,7 @@
         return mState;
     }
 
-    /** Tells all that the daemons decided about a request. */
+    /** Describes a request, its caller and all decisions of the daemons about it. */
     String describe(final RequestId request) {
         return mRequests.describe(request);
     }
@@ -233,7 +247,7 @@
         return mLog;
     }
 
-    /** Returns the VMs behind the daemons. */
+    /** Returns the VMs of the engines and services. */
     public FakeFleet fleet() {
         return mFleet;
     }
--- a/faults/src/main/java/org/whinhead/faults/world/FleetControlLoop.java
+++ b/faults/src/main/java/org/whinhead/faults/world/FleetControlLoop.java
@@ -18,14 +18,14 @@
 import org.whinhead.state.fold.FoldState;
 import org.whinhead.state.record.LogRecord;
 
-/** The fleet's duty on one daemon: real decisions, noted on the log before they are sent. */
+/** One daemon's control loop of the fleet; it notes each order on the log before it is sent. */
 final class FleetControlLoop {
 
     private static final FleetSettings SETTINGS =
             new FleetSettings(Duration.ofMillis(200), 1_000_000, 2, 4);
     private static final long MODEL_BYTES = 1_000;
     private static final Duration RESEND_INTERVAL = Duration.ofSeconds(2);
-    private static final Duration LIST_LAG = Duration.ofSeconds(5);
+    private static final Duration MAX_LIST_LAG = Duration.ofSeconds(5);
 
     private final FakeWorld mWorld;
     private final DaemonState mState;
@@ -68,11 +68,12 @@
         }
     }
 
-    /** A started VM counts as an open order until the lagging list shows it. */
+    /** Returns whether an order is complete; a start stays open until the VM list must show it. */
     private boolean isDone(final FleetOrder order, final Instant now) {
         final Instant answered = mAnsweredAt.get(order.id());
         return answered != null
-                && (!(order instanceof FleetOrder.StartVm) || now.isAfter(answered.plus(LIST_LAG)));
+                && (!(order instanceof FleetOrder.StartVm)
+                        || now.isAfter(answered.plus(MAX_LIST_LAG)));
     }
 
     private Pool pool(final FoldState state) {
--- a/faults/src/main/java/org/whinhead/faults/world/FleetOrderCodec.java
+++ b/faults/src/main/java/org/whinhead/faults/world/FleetOrderCodec.java
@@ -13,7 +13,7 @@
 import org.whinhead.fleet.PoolName;
 import org.whinhead.fleet.Supply;
 
-/** The text form of the fleet's orders in the notes of its duty. */
+/** Encodes fleet orders as text for the notes on the log, and decodes them. */
 final class FleetOrderCodec {
 
     static final PoolName POOL = new PoolName("main");
--- a/faults/src/main/java/org/whinhead/faults/world/LogClient.java
+++ b/faults/src/main/java/org/whinhead/faults/world/LogClient.java
@@ -13,7 +13,7 @@
 import org.whinhead.state.writer.ReadRequest;
 import org.whinhead.state.writer.WriterLimits;
 
-/** One daemon's writer and reader of one stream, with answers that wait while it is paused. */
+/** One daemon's writer and reader of one stream; answers wait while the daemon is paused. */
 final class LogClient {
 
     private static final int QUEUE_RECORDS = 256;
@@ -27,7 +27,7 @@
     private final FakeProcess mProcess;
     private final LogWriter mWriter;
     private final LogReader mReader;
-    private final BiConsumer<LogEntry, Instant> mConsumer;
+    private final BiConsumer<LogEntry, Instant> mEntryListener;
     private final LongConsumer mExpiryListener;
     private Runnable mHeadListener = () -> {};
 
@@ -36,13 +36,13 @@
             final String stream,
             final DaemonId self,
             final FakeProcess process,
-            final BiConsumer<LogEntry, Instant> consumer,
-            final LongConsumer expired) {
+            final BiConsumer<LogEntry, Instant> entryListener,
+            final LongConsumer expiryListener) {
         mLog = log;
         mStream = stream;
         mProcess = process;
-        mConsumer = consumer;
-        mExpiryListener = expired;
+        mEntryListener = entryListener;
+        mExpiryListener = expiryListener;
         final SplittableRandom random = new SplittableRandom(self.hashCode() + stream.hashCode());
         mWriter =
                 new LogWriter(
@@ -64,11 +64,11 @@
         return mReader;
     }
 
-    void setHeadListener(final Runnable atHead) {
-        mHeadListener = atHead;
+    void setHeadListener(final Runnable headListener) {
+        mHeadListener = headListener;
     }
 
-    /** Sends what is due. */
+    /** Sends the next batch and the next read if they are due. */
     void sendDue(final Instant now) {
         mWriter.nextBatch(now)
                 .ifPresent(
@@ -94,7 +94,7 @@
             case DONE -> mWriter.onAppended();
             case REFUSED -> mWriter.onRefused(Duration.ZERO, now);
             case UNKNOWN -> mWriter.onOutcomeUnknown(now);
-            default -> throw new IllegalArgumentException("unknown answer " + answer);
+            default -> throw new IllegalArgumentException("unknown append result " + answer);
         }
     }
 
@@ -111,7 +111,7 @@
         }
         for (final LogEntry entry : answer.entries()) {
             mWriter.onRecordRead(entry.record().id());
-            mConsumer.accept(entry, now);
+            mEntryListener.accept(entry, now);
         }
         if (mReader.onRecords(request, answer.entries().size())) {
             mWriter.onHeadReached(request.sentAt());
--- a/faults/src/main/java/org/whinhead/faults/world/NoteReplay.java
+++ b/faults/src/main/java/org/whinhead/faults/world/NoteReplay.java
@@ -7,7 +7,7 @@
 import org.whinhead.state.record.LogRecord;
 import org.whinhead.state.record.RecordId;
 
-/** Replays the leases of the fleet's duty and the notes that were made under them. */
+/** Replays the records of the fleet's lease and the notes made under it. */
 final class NoteReplay {
 
     private final Set<RecordId> mSeenRecords = new HashSet<>();
@@ -42,7 +42,7 @@
         }
     }
 
-    /** Returns the names of the notes that stand. */
+    /** Returns the names of the notes that were made and not removed. */
     Set<String> openNotes() {
         return mOpen;
     }
--- a/faults/src/main/java/org/whinhead/faults/world/RequestOracle.java
+++ b/faults/src/main/java/org/whinhead/faults/world/RequestOracle.java
@@ -5,7 +5,7 @@
 import org.whinhead.api.request.RequestId;
 import org.whinhead.api.verdict.Verdict;
 
-/** Counts the runs of each request and checks what its caller was given. */
+/** Counts the runs of each request and checks the answer or refusal that its caller received. */
 final class RequestOracle {
 
     private final FakeWorld mWorld;
@@ -27,29 +27,29 @@
         final RequestId id = caller.id();
         require(caller.outcome() != FakeCaller.Outcome.OPEN, "never ended", id);
         final boolean whole = caller.outcome() == FakeCaller.Outcome.WHOLE;
-        require(!whole || caller.tokens().size() == caller.length(), "not whole", id);
+        require(!whole || caller.tokens().size() == caller.length(), "incomplete answer", id);
         for (int index = 0; index < caller.tokens().size(); index++) {
             require(
                     caller.tokens().get(index).equals(FakeWorld.expectedToken(id, index)),
-                    "foreign token",
+                    "unexpected token",
                     id);
         }
         require(caller.spec().idempotent() || runCount(id) <= 1, "ran twice", id);
         require(!whole || runCount(id) > 0, "answered without a run", id);
-        final boolean saidNotRun =
+        final boolean refusedAsNotRun =
                 caller.outcome() == FakeCaller.Outcome.REFUSED
                         && caller.refusal().get().verdict() == Verdict.NOT_RUN
                         && !caller.hasLostConnection();
-        require(!saidNotRun || runCount(id) == 0, "ran after not-run", id);
+        require(!refusedAsNotRun || runCount(id) == 0, "ran, but was refused as not run", id);
     }
 
-    private void require(final boolean holds, final String what, final RequestId request) {
+    private void require(final boolean holds, final String message, final RequestId request) {
         if (!holds) {
-            throw new AssertionError(what + ": " + describe(request));
+            throw new AssertionError(message + ": " + describe(request));
         }
     }
 
-    /** Tells all that the daemons decided about a request. */
+    /** Describes a request, its caller and all decisions of the daemons about it. */
     String describe(final RequestId request) {
         final StringBuilder text = new StringBuilder();
         final FakeCaller caller = mWorld.caller(request);
--- a/faults/src/main/java/org/whinhead/faults/world/StateOracle.java
+++ b/faults/src/main/java/org/whinhead/faults/world/StateOracle.java
@@ -16,7 +16,7 @@
 import org.whinhead.state.settings.ChangeOutcome;
 import org.whinhead.state.settings.SettingsState;
 
-/** Checks settings and leases against all records that the log ever took. */
+/** Checks settings, notes and leases against all records that the log ever stored. */
 final class StateOracle {
 
     private final FakeWorld mWorld;
@@ -26,7 +26,7 @@
         mWorld = world;
     }
 
-    /** Checks one daemon: nothing is set back, and it alone may act. */
+    /** Checks that a daemon's revisions never decrease and that at most one daemon may act. */
     void check(final FakeDaemon daemon, final Instant now) {
         final FoldState state = daemon.state().view().state();
         final Map<String, Long> seen =
@@ -34,17 +34,17 @@
         for (final String path : state.settings().history().keySet()) {
             final long revision = state.settings().revisionNumber(path);
             final long last = seen.merge(path, revision, Math::max);
-            require(revision >= last, path + " set back on " + daemon.id());
+            require(revision >= last, path + " reverted to an older revision on " + daemon.id());
         }
         final long holders =
                 mWorld.daemons().stream()
                         .filter(FakeDaemon::isAlive)
                         .filter(each -> each.state().elector().canAct(now))
                         .count();
-        require(holders <= 1, "daemons that may act: " + holders);
+        require(holders <= 1, "number of daemons that may act on the lease: " + holders);
     }
 
-    /** Returns the document that stands in force after all records. */
+    /** Returns a path's document after a replay of all records. */
     Optional<String> documentInForce(final String path) {
         final Map<String, Long> inForce = new TreeMap<>();
         replay(inForce, new HashMap<>());
@@ -77,11 +77,11 @@
         final SettingsState settings = daemon.state().view().state().settings();
         final Map<String, Long> revisions = new TreeMap<>();
         settings.history()
-                .forEach((path, all) -> revisions.put(path, settings.revisionNumber(path)));
+                .forEach((path, entries) -> revisions.put(path, settings.revisionNumber(path)));
         return revisions;
     }
 
-    /** Checks after all faults: every change has its one outcome, in force on every daemon. */
+    /** Checks that all live daemons agree with the log and each operator got the right outcome. */
     void checkSettled() {
         final Map<String, Long> inForce = new TreeMap<>();
         final Map<String, Long> won = new HashMap<>();
@@ -89,41 +89,45 @@
         for (final FakeDaemon daemon : mWorld.daemons()) {
             if (daemon.isAlive()) {
                 final Map<String, Long> revisions = revisions(daemon);
-                require(revisions.equals(inForce), daemon.id() + " " + revisions + inForce);
+                require(
+                        revisions.equals(inForce),
+                        daemon.id() + " has revisions " + revisions + " instead of " + inForce);
             }
         }
         checkNotes();
         for (final FakeOperator.Change change : mWorld.operator().changes()) {
-            require(change.outcome().isPresent(), "no outcome of " + change.name());
+            require(change.outcome().isPresent(), "no outcome of change " + change.name());
             final ChangeOutcome outcome = change.outcome().get();
-            final boolean toldWon = outcome.result() == ChangeOutcome.Result.WON;
-            require(toldWon == won.containsKey(change.name()), "told " + outcome);
+            final boolean reportedWon = outcome.result() == ChangeOutcome.Result.WON;
+            require(
+                    reportedWon == won.containsKey(change.name()),
+                    "wrong outcome reported: " + outcome);
         }
     }
 
-    /** A note counts only under the lease in force where it stands in the log. */
+    /** Checks that a note counts only if it was made under the lease in force at its offset. */
     private void checkNotes() {
-        final List<LogEntry> all = mWorld.log().allEntries(FakeLog.FLEET);
+        final List<LogEntry> entries = mWorld.log().allEntries(FakeLog.FLEET);
         for (final FakeDaemon daemon : mWorld.daemons()) {
             if (daemon.isAlive()) {
                 final FoldState state = daemon.state().view().state();
                 final NoteReplay replay = new NoteReplay();
-                all.subList(0, (int) state.asOf()).forEach(replay::apply);
+                entries.subList(0, (int) state.asOf()).forEach(replay::apply);
                 final Set<String> notes =
                         state.notes().getOrDefault(DaemonState.DUTY, Map.of()).keySet();
                 require(
                         notes.equals(replay.openNotes()),
-                        "notes " + notes + " in place of " + replay.openNotes());
+                        "open notes " + notes + " instead of " + replay.openNotes());
             }
         }
     }
 
     private void replay(final Map<String, Long> inForce, final Map<String, Long> won) {
-        final List<LogEntry> all = mWorld.log().allEntries(FakeLog.FLEET);
-        final Set<RecordId> copies = new HashSet<>();
+        final List<LogEntry> entries = mWorld.log().allEntries(FakeLog.FLEET);
+        final Set<RecordId> seen = new HashSet<>();
         final Set<String> decided = new HashSet<>();
-        for (final LogEntry entry : all) {
-            if (copies.add(entry.record().id())
+        for (final LogEntry entry : entries) {
+            if (seen.add(entry.record().id())
                     && entry.record() instanceof LogRecord.SettingChanged change
                     && decided.add(change.changeId())
                     && change.path().startsWith("/" + change.author() + "/")
@@ -136,9 +140,9 @@
         }
     }
 
-    private static void require(final boolean holds, final String what) {
+    private static void require(final boolean holds, final String message) {
         if (!holds) {
-            throw new AssertionError(what);
+            throw new AssertionError(message);
         }
     }
 }
--- a/faults/src/main/java/org/whinhead/faults/world/package-info.java
+++ b/faults/src/main/java/org/whinhead/faults/world/package-info.java
@@ -1,2 +1,2 @@
-/** A small world in one thread: fake back ends, daemons and callers around real coordinators. */
+/** A single-threaded simulation: fake back ends, daemons and callers around real coordinators. */
 package org.whinhead.faults.world;
--- a/faults/src/test/java/org/whinhead/faults/CoordinatorFuzzTest.java
+++ b/faults/src/test/java/org/whinhead/faults/CoordinatorFuzzTest.java
@@ -13,29 +13,29 @@
 import org.whinhead.faults.world.FakeWorld;
 
 /**
- * Any faults in any order, against the oracle of {@link FakeWorld#settleAndCheck}: every caller
- * gets its whole answer once or a refusal whose verdict is right, a non-idempotent request runs at
- * most once, a planned stop cuts nothing, and nothing is left over.
+ * Runs random faults in random order and the checks of {@link FakeWorld#settleAndCheck}: every
+ * caller receives its whole answer once or a refusal with the right verdict, a non-idempotent
+ * request runs at most once, a planned stop interrupts no request, and no work is left unfinished.
  */
 class CoordinatorFuzzTest {
 
     private static final int MAX_ACTIONS = 60;
     private static final long SEED = 20261202;
 
-    /** Adds one step to the chain. */
+    /** Adds one action to the chain. */
     private static final class AnyAction implements Action.Independent<FakeWorld> {
         @Override
         public Arbitrary<Transformer<FakeWorld>> transformer() {
             final Arbitrary<FuzzAction> common =
                     Arbitraries.of(FuzzAction.CHAT, FuzzAction.CALL, FuzzAction.WAIT);
-            final Arbitrary<FuzzAction> moves =
+            final Arbitrary<FuzzAction> actions =
                     Arbitraries.oneOf(common, Arbitraries.of(FuzzAction.class));
-            return Combinators.combine(moves, Arbitraries.integers().between(0, 100))
+            return Combinators.combine(actions, Arbitraries.integers().between(0, 100))
                     .as(AnyAction::transform);
         }
 
-        private static Transformer<FakeWorld> transform(final FuzzAction move, final int n) {
-            return Transformer.mutate(move + " " + n, world -> move.apply(world, n));
+        private static Transformer<FakeWorld> transform(final FuzzAction action, final int n) {
+            return Transformer.mutate(action + " " + n, world -> action.apply(world, n));
         }
     }
 
--- a/faults/src/test/java/org/whinhead/faults/PlannedStopTest.java
+++ b/faults/src/test/java/org/whinhead/faults/PlannedStopTest.java
@@ -9,8 +9,8 @@
 class PlannedStopTest {
 
     /**
-     * A whole failure domain is reclaimed with notice while its engines generate. Every answer must
-     * come whole, also those that may not run twice, and no token is computed again.
+     * A failure domain is reclaimed with notice while its engines generate. Guards against lost
+     * answers, also of requests that must not run twice, and against tokens computed twice.
      */
     @Test
     void reclaimWithNoticeCompletesEveryAnswerInOneRun() {
@@ -26,7 +26,7 @@
         assertThat(world.callers()).allMatch(caller -> world.runCount(caller.id()) == 1);
     }
 
-    /** A daemon stops as planned; its callers go on elsewhere with what they have. */
+    /** Guards against lost or repeated work when callers move away from a stopping daemon. */
     @Test
     void plannedStopCompletesEveryAnswerInOneRun() {
         final FakeWorld world = new FakeWorld(2, 2, 3, 0);
--- a/faults/src/test/java/org/whinhead/faults/matrix/FaultMatrixTest.java
+++ b/faults/src/test/java/org/whinhead/faults/matrix/FaultMatrixTest.java
@@ -8,7 +8,7 @@
 
 class FaultMatrixTest {
 
-    /** Any fault at any step, once and twice: no invariant of the oracle may break. */
+    /** Guards against faults that break an invariant when injected at a step, once or twice. */
     @TestFactory
     Stream<DynamicTest> everyFaultAtEveryStepKeepsTheInvariants() {
         return Cell.all().stream()
