--- a/architecture/src/test/java/org/whinhead/architecture/PlatformBoundaryTest.java
+++ b/architecture/src/test/java/org/whinhead/architecture/PlatformBoundaryTest.java
@@ -12,7 +12,7 @@
 class PlatformBoundaryTest {
 
     @ArchTest
-    static final ArchRule NOTHING_DEPENDS_ON_THE_ADAPTER =
+    static final ArchRule NO_OTHER_PACKAGE_DEPENDS_ON_PLATFORM =
             noClasses()
                     .that()
                     .resideOutsideOfPackage("org.whinhead.platform..")
@@ -20,11 +20,10 @@
                     .dependOnClassesThat()
                     .resideInAPackage("org.whinhead.platform..");
 
-    // A rule of the product hides in the adapter and is missing on the next platform: it must not
-    // see
-    // the objects that decide, only what it translates into.
+    // A rule of the product inside the adapter would be missing on the next platform: the adapter
+    // must not depend on the classes that decide, only on those that it translates to.
     @ArchTest
-    static final ArchRule THE_ADAPTER_SEES_NO_DECISION =
+    static final ArchRule PLATFORM_DEPENDS_ON_NO_DECISION_PACKAGE =
             noClasses()
                     .that()
                     .resideInAPackage("org.whinhead.platform..")
@@ -38,7 +37,7 @@
                             "org.whinhead.requests..");
 
     @ArchTest
-    static final ArchRule DECISIONS_OF_SERVING_KNOW_NO_TRANSPORT =
+    static final ArchRule SERVING_DEPENDS_ON_NO_TRANSPORT =
             classes()
                     .that()
                     .resideInAPackage("org.whinhead.serving..")
--- a/faults/src/main/java/org/whinhead/faults/matrix/Cell.java
+++ b/faults/src/main/java/org/whinhead/faults/matrix/Cell.java
@@ -5,20 +5,20 @@
 import java.util.Optional;
 
 /**
- * One fault at one step, provoked once or twice.
+ * A cell of the fault matrix: one fault injected at one step, once or twice.
  *
  * @param step the step
  * @param fault the fault
- * @param times how often it is provoked
+ * @param times the number of injections, 1 or 2
  */
 public record Cell(Step step, Fault fault, int times) {
 
-    private static final int BETWEEN_MILLIS = 700;
-    private static final int AFTER_MILLIS = 2_200;
-    private static final int FRESH = 12;
-    private static final int FRESH_MILLIS = 200;
+    private static final int INTERVAL_MILLIS = 700;
+    private static final int AFTER_FAULT_MILLIS = 2_200;
+    private static final int LATER_REQUESTS = 12;
+    private static final int LATER_REQUESTS_MILLIS = 200;
 
-    /** Returns every cell, also those that can't occur. */
+    /** Returns every cell, including the impossible ones. */
     public static List<Cell> all() {
         final List<Cell> cells = new ArrayList<>();
         for (final Fault fault : Fault.values()) {
@@ -30,39 +30,39 @@
         return cells;
     }
 
-    /** Returns why the cell can't occur; empty if it can. */
-    public Optional<String> impossible() {
-        return fault.impossibleAt(step);
+    /** Returns the reason why the cell can't occur; empty if it can. */
+    public Optional<String> impossibleReason() {
+        return fault.impossibleReasonAt(step);
     }
 
     /**
-     * Plays the cell and checks every invariant.
+     * Runs the cell and checks every invariant.
      *
-     * @param seed the source of chance
-     * @return what was seen
-     * @throws AssertionError if an invariant is broken
+     * @param seed the seed of the world
+     * @return the outcome
+     * @throws AssertionError if an invariant is violated
      */
-    public Sight play(final long seed) {
-        final Scene scene = new Scene(seed);
-        step.reach(scene);
-        fault.strike(scene);
-        for (int time = 1; time < times; time++) {
-            scene.world().run(BETWEEN_MILLIS);
-            fault.strike(scene);
+    public CellOutcome run(final long seed) {
+        final FaultScenario scenario = new FaultScenario(seed);
+        step.reach(scenario);
+        fault.inject(scenario);
+        for (int injection = 1; injection < times; injection++) {
+            scenario.world().advance(INTERVAL_MILLIS);
+            fault.inject(scenario);
         }
-        scene.world().run(AFTER_MILLIS);
-        submitMore(scene);
-        scene.world().settleAndCheck();
-        return Sight.of(scene.world());
+        scenario.world().advance(AFTER_FAULT_MILLIS);
+        submitLaterRequests(scenario);
+        scenario.world().settleAndCheck();
+        return CellOutcome.of(scenario.world());
     }
 
-    /** New work, at a time when notices must be heeded and the list does not show them yet. */
-    private static void submitMore(final Scene scene) {
-        for (int number = 0; number < FRESH; number++) {
-            scene.world().chat(20, true, true);
-            scene.world().call(true);
+    /** Submits requests when daemons must respect a notice that the VM list does not show yet. */
+    private static void submitLaterRequests(final FaultScenario scenario) {
+        for (int number = 0; number < LATER_REQUESTS; number++) {
+            scenario.world().submitChat(20, true, true);
+            scenario.world().submitCall(true);
         }
-        scene.world().run(FRESH_MILLIS);
+        scenario.world().advance(LATER_REQUESTS_MILLIS);
     }
 
     @Override
--- a/faults/src/main/java/org/whinhead/faults/matrix/Scene.java
+++ b/faults/src/main/java/org/whinhead/faults/matrix/FaultScenario.java
@@ -8,28 +8,28 @@
 import org.whinhead.faults.world.FakeFleet;
 import org.whinhead.faults.world.FakeWorld;
 
-/** A world at work, with the one request, call or change that a cell is about. */
-public final class Scene {
+/** A running world for one cell of the matrix, with the request that the step drives, if any. */
+public final class FaultScenario {
 
     private static final int DAEMONS = 3;
     private static final int ENGINES = 6;
     private static final int SERVICES = 3;
     private static final int WARM_UP_MILLIS = 2_500;
-    private static final int OTHERS = 6;
-    private static final int LONGEST_MILLIS = 12_000;
+    private static final int OTHER_REQUESTS = 6;
+    private static final int MAX_WAIT_MILLIS = 12_000;
 
     private final FakeWorld mWorld;
     private Optional<FakeCaller> mCaller = Optional.empty();
     private int mVersion = 1;
 
-    /** Makes a world with a holder of the duty, settings in force and requests on their way. */
-    Scene(final long seed) {
+    /** Creates a world with a holder of the fleet lease, applied settings and open requests. */
+    FaultScenario(final long seed) {
         mWorld = new FakeWorld(seed, DAEMONS, ENGINES, SERVICES);
         mWorld.operator().change("team", "/team/budget", "100");
-        mWorld.run(WARM_UP_MILLIS);
-        for (int number = 0; number < OTHERS; number++) {
-            mWorld.chat(20 + 10 * number, number % 2 == 0, number % 3 != 0);
-            mWorld.call(number % 2 == 0);
+        mWorld.advance(WARM_UP_MILLIS);
+        for (int number = 0; number < OTHER_REQUESTS; number++) {
+            mWorld.submitChat(20 + 10 * number, number % 2 == 0, number % 3 != 0);
+            mWorld.submitCall(number % 2 == 0);
         }
     }
 
@@ -37,7 +37,7 @@
         return mWorld;
     }
 
-    void about(final FakeCaller caller) {
+    void setCaller(final FakeCaller caller) {
         mCaller = Optional.of(caller);
     }
 
@@ -45,40 +45,40 @@
         return mCaller.orElseThrow();
     }
 
-    /** Lets time pass until the step is reached. */
+    /** Advances time until the step is reached; fails after 12 s of simulated time. */
     void runUntil(final BooleanSupplier reached) {
-        for (int millis = 0; millis < LONGEST_MILLIS; millis++) {
+        for (int millis = 0; millis < MAX_WAIT_MILLIS; millis++) {
             if (reached.getAsBoolean()) {
                 return;
             }
-            mWorld.run(1);
+            mWorld.advance(1);
         }
         throw new IllegalStateException("the step was not reached");
     }
 
-    /** Asks for the next version of the model. */
+    /** Submits a settings change to the next version of the model. */
     void changeVersion() {
         mVersion++;
         mWorld.operator().change("ops", FakeFleet.POOL_PATH, Integer.toString(mVersion));
     }
 
-    /** Returns the VM that works for the request, or else any that is there. */
+    /** Returns the back end that processes the request, or else the first serving one. */
     FakeBackend backend() {
-        return mCaller.flatMap(caller -> mWorld.fleet().workerOf(caller.id()))
+        return mCaller.flatMap(caller -> mWorld.fleet().backendProcessing(caller.id()))
                 .or(() -> mWorld.backends().stream().filter(FakeBackend::isServing).findFirst())
                 .orElseThrow();
     }
 
-    /** Returns the daemon that serves the request, or else the holder, or else any. */
+    /** Returns the daemon that serves the request, or else {@link #leaseHolder}. */
     FakeDaemon daemon() {
         return mCaller.flatMap(FakeCaller::daemon)
                 .filter(FakeDaemon::isAlive)
-                .orElseGet(this::holder);
+                .orElseGet(this::leaseHolder);
     }
 
-    /** Returns the daemon that may act for the fleet, or else any. */
-    FakeDaemon holder() {
-        return mWorld.holder()
+    /** Returns the holder of the fleet lease, or else the first live daemon, or else a new one. */
+    FakeDaemon leaseHolder() {
+        return mWorld.leaseHolder()
                 .or(() -> mWorld.daemons().stream().filter(FakeDaemon::isAlive).findFirst())
                 .orElseGet(mWorld::addDaemon);
     }
--- a/faults/src/main/java/org/whinhead/faults/world/FakeBackend.java
+++ b/faults/src/main/java/org/whinhead/faults/world/FakeBackend.java
@@ -17,10 +17,10 @@
 import org.whinhead.requests.AttemptFailure;
 import org.whinhead.requests.PlainAnswer;
 
-/** A fake engine or plain service, and the witness of what ran there. */
+/** A fake engine or plain service that reports each run of a request to the world. */
 public final class FakeBackend {
 
-    /** How it behaves towards new connections. */
+    /** The state of the back end, which decides how it handles connections. */
     public enum Mode {
         UP,
         REFUSING,
@@ -32,21 +32,21 @@
     private static final int TOKEN_MILLIS = 20;
     private static final int MAX_WORK_MILLIS = 200;
     private static final int FAULT_PERCENT = 5;
-    private static final int OK = 200;
+    private static final int HTTP_OK = 200;
 
     private final FakeWorld mWorld;
     private Endpoint mEndpoint;
     private Instant mLeavingSince = Instant.MAX;
     private final Map<String, FakeStream> mStreams = new LinkedHashMap<>();
-    private final List<FakeLink> mCalls = new ArrayList<>();
-    private final List<Waiting> mWaiting = new ArrayList<>();
+    private final List<FakeAttemptConnection> mCalls = new ArrayList<>();
+    private final List<PendingWork> mPendingWork = new ArrayList<>();
     private Mode mMode = Mode.UP;
     private int mNextStream;
 
     FakeBackend(final FakeWorld world, final Endpoint endpoint) {
         mWorld = world;
         mEndpoint = endpoint;
-        world.time().after(TOKEN_MILLIS, this::step);
+        world.clock().schedule(TOKEN_MILLIS, this::generateTokens);
     }
 
     public Endpoint endpoint() {
@@ -57,7 +57,7 @@
         return mMode;
     }
 
-    /** Changes how it behaves; what is dead stays dead. */
+    /** Changes the mode; a dead back end stays dead. */
     public void setMode(final Mode mode) {
         if (mMode == Mode.DEAD) {
             return;
@@ -66,13 +66,13 @@
         if (mode == Mode.DEAD) {
             die();
         } else if (mode == Mode.UP) {
-            final List<Waiting> waiting = List.copyOf(mWaiting);
-            mWaiting.clear();
-            waiting.forEach(each -> each.work().run());
+            final List<PendingWork> waiting = List.copyOf(mPendingWork);
+            mPendingWork.clear();
+            waiting.forEach(pending -> pending.work().run());
         }
     }
 
-    /** Takes a model's weights in; false if it can't. */
+    /** Loads a model; returns false if the back end is dead. */
     boolean load(final ModelRef model) {
         if (mMode == Mode.DEAD) {
             return false;
@@ -83,18 +83,18 @@
         return true;
     }
 
-    /** Its VM was announced to leave. */
-    void leaving() {
+    /** Marks the VM as leaving, as of the first announcement. */
+    void announceLeaving() {
         if (mLeavingSince == Instant.MAX) {
-            mLeavingSince = mWorld.time().now();
+            mLeavingSince = mWorld.clock().now();
             mEndpoint = mEndpoint.toBuilder().vm(mEndpoint.vm().withState(VmState.LEAVING)).build();
         }
     }
 
-    /** The cloud stops the VM by order, which must not cut a request. */
-    void stopAsPlanned() {
-        if (mMode != Mode.DEAD && running() > 0) {
-            throw new AssertionError("a planned stop cut requests at " + mEndpoint.id());
+    /** Stops the VM by order; fails if that interrupts requests. */
+    void stopByOrder() {
+        if (mMode != Mode.DEAD && runningCount() > 0) {
+            throw new AssertionError("a planned stop interrupted requests at " + mEndpoint.id());
         }
         setMode(Mode.DEAD);
     }
@@ -103,57 +103,58 @@
         return isServing() && mEndpoint.kind().isStreaming();
     }
 
-    /** Tells whether it is up and was not announced to leave. */
+    /** Returns whether the back end is up and not announced to leave. */
     public boolean isServing() {
         return mMode == Mode.UP && mLeavingSince == Instant.MAX;
     }
 
-    boolean worksOn(final RequestId request) {
+    boolean isProcessing(final RequestId request) {
         return mStreams.values().stream().anyMatch(s -> s.isFor(request) && !s.isDone())
-                || mCalls.stream().anyMatch(link -> link.attempt().request().equals(request));
+                || mCalls.stream()
+                        .anyMatch(connection -> connection.attempt().request().equals(request));
     }
 
-    boolean hasMadeAll(final RequestId request) {
+    boolean hasGeneratedAll(final RequestId request) {
         return mStreams.values().stream().anyMatch(s -> s.isFor(request) && s.isDone());
     }
 
-    /** Returns how many requests it works on. */
-    int running() {
+    /** Returns the number of requests in progress. */
+    int runningCount() {
         return (int) mStreams.values().stream().filter(stream -> !stream.isDone()).count()
                 + mCalls.size();
     }
 
-    /** Breaks every connection; what runs goes on. */
+    /** Breaks every connection; streams continue to run, calls lose their answers. */
     public void cutConnections() {
         mStreams.values().stream()
                 .filter(stream -> stream.reader() != null)
-                .forEach(stream -> stream.reader().fail(AttemptFailure.CUT_DURING_ANSWER));
-        mCalls.forEach(link -> link.fail(AttemptFailure.CUT_BEFORE_ANSWER));
+                .forEach(stream -> stream.reader().sendFailure(AttemptFailure.CUT_DURING_ANSWER));
+        mCalls.forEach(connection -> connection.sendFailure(AttemptFailure.CUT_BEFORE_ANSWER));
         mCalls.clear();
     }
 
-    void generate(final FakeLink link, final long from) {
-        connect(link, false, () -> startStream(link, from));
+    void generate(final FakeAttemptConnection connection, final long from) {
+        connect(connection, false, () -> startStream(connection, from));
     }
 
-    void call(final FakeLink link) {
-        connect(link, false, () -> startCall(link));
+    void call(final FakeAttemptConnection connection) {
+        connect(connection, false, () -> startCall(connection));
     }
 
-    void resume(final FakeLink link, final String streamId, final long from) {
+    void resume(final FakeAttemptConnection connection, final String streamId, final long from) {
         connect(
-                link,
+                connection,
                 true,
                 () -> {
                     if (mStreams.containsKey(streamId)) {
-                        mStreams.get(streamId).read(link, from);
+                        mStreams.get(streamId).attach(connection, from);
                     } else {
-                        link.fail(AttemptFailure.STREAM_UNKNOWN);
+                        connection.sendFailure(AttemptFailure.STREAM_UNKNOWN);
                     }
                 });
     }
 
-    /** Gives a stream's KV cache away and stops the stream. */
+    /** Stops a stream and returns it for import elsewhere; empty if that is impossible. */
     Optional<FakeStream> export(final String streamId) {
         final Optional<FakeStream> stream =
                 mMode == Mode.DEAD || mMode == Mode.FROZEN
@@ -161,92 +162,97 @@
                         : Optional.ofNullable(mStreams.remove(streamId));
         stream.map(FakeStream::reader)
                 .filter(reader -> mWorld.random().nextBoolean())
-                .ifPresent(reader -> reader.fail(AttemptFailure.CUT_DURING_ANSWER));
+                .ifPresent(reader -> reader.sendFailure(AttemptFailure.CUT_DURING_ANSWER));
         return stream;
     }
 
-    void importStream(final FakeLink link, final FakeStream source) {
+    void importStream(final FakeAttemptConnection connection, final FakeStream source) {
         connect(
-                link,
+                connection,
                 false,
                 () -> {
-                    final FakeStream copy = source.movedTo(newStreamId());
+                    final FakeStream copy = source.copyWithId(newStreamId());
                     mStreams.put(copy.id(), copy);
-                    link.send(new AttemptEvent.Moved(link.attempt(), copy.id()), true);
+                    connection.send(new AttemptEvent.Moved(connection.attempt(), copy.id()), true);
                 });
     }
 
-    void cancel(final FakeLink link, final String streamId) {
+    void cancel(final FakeAttemptConnection connection, final String streamId) {
         if (streamId.isEmpty()) {
-            mStreams.values().removeIf(stream -> stream.reader() == link);
+            mStreams.values().removeIf(stream -> stream.reader() == connection);
         } else {
             mStreams.remove(streamId);
         }
     }
 
-    private void connect(final FakeLink link, final boolean always, final Runnable work) {
-        if (!always) {
-            checkNewWork(link);
+    private void connect(
+            final FakeAttemptConnection connection,
+            final boolean isResumption,
+            final Runnable work) {
+        if (!isResumption) {
+            checkNoWorkAfterNotice(connection);
         }
         if (mMode == Mode.DEAD) {
-            link.fail(AttemptFailure.CONNECT_FAILED);
+            connection.sendFailure(AttemptFailure.CONNECT_FAILED);
         } else if (mMode == Mode.FROZEN) {
-            mWaiting.add(new Waiting(link, work));
-        } else if (mMode == Mode.REFUSING && !always) {
-            link.fail(AttemptFailure.REFUSED_BY_ENDPOINT);
+            mPendingWork.add(new PendingWork(connection, work));
+        } else if (mMode == Mode.REFUSING && !isResumption) {
+            connection.sendFailure(AttemptFailure.REFUSED_BY_ENDPOINT);
         } else {
             work.run();
         }
     }
 
-    /** A daemon that was not paused must know of the notice by now. */
-    private void checkNewWork(final FakeLink link) {
+    /** Fails if a daemon sends work after the limit; daemons that were paused are exempt. */
+    private void checkNoWorkAfterNotice(final FakeAttemptConnection connection) {
         final Instant limit =
                 mLeavingSince == Instant.MAX ? Instant.MAX : mLeavingSince.plus(NEW_WORK_LIMIT);
-        if (mWorld.time().now().isAfter(limit) && !link.daemon().wasPausedSince(mLeavingSince)) {
-            throw new AssertionError("new work at leaving " + mEndpoint.id());
+        if (mWorld.clock().now().isAfter(limit)
+                && !connection.daemon().wasPausedSince(mLeavingSince)) {
+            throw new AssertionError("new work at leaving endpoint " + mEndpoint.id());
         }
     }
 
-    private void startStream(final FakeLink link, final long from) {
-        final RequestId request = link.attempt().request();
-        mWorld.ran(request);
+    private void startStream(final FakeAttemptConnection connection, final long from) {
+        final RequestId request = connection.attempt().request();
+        mWorld.recordRun(request);
         final FakeStream stream = new FakeStream(mWorld, newStreamId(), request, from, from);
         mStreams.put(stream.id(), stream);
-        stream.read(link, from);
+        stream.attach(connection, from);
     }
 
-    private void startCall(final FakeLink link) {
-        mWorld.ran(link.attempt().request());
-        mCalls.add(link);
-        final int work = 1 + mWorld.random().nextInt(MAX_WORK_MILLIS);
-        mWorld.time().after(work, () -> endCall(link));
+    private void startCall(final FakeAttemptConnection connection) {
+        mWorld.recordRun(connection.attempt().request());
+        mCalls.add(connection);
+        final int workMillis = 1 + mWorld.random().nextInt(MAX_WORK_MILLIS);
+        mWorld.clock().schedule(workMillis, () -> endCall(connection));
     }
 
-    private void endCall(final FakeLink link) {
-        if (mCalls.remove(link)) {
-            if (mWorld.lossPercent() > 0 && mWorld.chance(FAULT_PERCENT)) {
-                link.fail(AttemptFailure.FAULTED);
+    private void endCall(final FakeAttemptConnection connection) {
+        if (mCalls.remove(connection)) {
+            if (mWorld.lossPercent() > 0 && mWorld.isDrawn(FAULT_PERCENT)) {
+                connection.sendFailure(AttemptFailure.FAULTED);
                 return;
             }
-            final PlainAnswer answer = new PlainAnswer(OK, "text/plain", new byte[0]);
-            link.send(new AttemptEvent.Answered(link.attempt(), answer), true);
+            final PlainAnswer answer = new PlainAnswer(HTTP_OK, "text/plain", new byte[0]);
+            connection.send(new AttemptEvent.Answered(connection.attempt(), answer), true);
         }
     }
 
     private void die() {
         cutConnections();
         mStreams.clear();
-        mWaiting.forEach(each -> each.link().fail(AttemptFailure.CUT_BEFORE_ANSWER));
-        mWaiting.clear();
+        mPendingWork.forEach(
+                pending -> pending.connection().sendFailure(AttemptFailure.CUT_BEFORE_ANSWER));
+        mPendingWork.clear();
     }
 
-    private void step() {
+    private void generateTokens() {
         if (mMode != Mode.FROZEN) {
-            List.copyOf(mStreams.values()).forEach(FakeStream::step);
+            List.copyOf(mStreams.values()).forEach(FakeStream::generateToken);
         }
         if (mMode != Mode.DEAD) {
-            mWorld.time().after(TOKEN_MILLIS, this::step);
+            mWorld.clock().schedule(TOKEN_MILLIS, this::generateTokens);
         }
     }
 
@@ -255,5 +261,5 @@
         return mEndpoint.id() + "-s" + mNextStream;
     }
 
-    private record Waiting(FakeLink link, Runnable work) {}
+    private record PendingWork(FakeAttemptConnection connection, Runnable work) {}
 }
--- a/faults/src/main/java/org/whinhead/faults/world/FakeTime.java
+++ b/faults/src/main/java/org/whinhead/faults/world/FakeClock.java
@@ -5,8 +5,8 @@
 import java.util.Comparator;
 import java.util.PriorityQueue;
 
-/** The world's clock and what is going to happen, in order of time. */
-public final class FakeTime {
+/** The simulated clock with its queue of scheduled events. */
+public final class FakeClock {
 
     private final PriorityQueue<Event> mEvents =
             new PriorityQueue<>(Comparator.comparing(Event::at).thenComparing(Event::sequence));
@@ -17,13 +17,13 @@
         return mNow;
     }
 
-    /** Plans work for a time from now. */
-    public void after(final long millis, final Runnable work) {
+    /** Schedules an event after a delay in milliseconds. */
+    public void schedule(final long millis, final Runnable work) {
         mEvents.add(new Event(mNow.plusMillis(millis), mSequence++, work));
     }
 
-    /** Lets a time pass, with all that happens in it. */
-    public void run(final Duration time) {
+    /** Advances the clock and runs all events that fall due on the way. */
+    public void advance(final Duration time) {
         final Instant end = mNow.plus(time);
         while (!mEvents.isEmpty() && !mEvents.peek().at().isAfter(end)) {
             final Event event = mEvents.remove();
--- a/faults/src/main/java/org/whinhead/faults/world/FakeDaemon.java
+++ b/faults/src/main/java/org/whinhead/faults/world/FakeDaemon.java
@@ -21,34 +21,34 @@
 import org.whinhead.requests.RequestActions;
 import org.whinhead.requests.Ticket;
 
-/** A daemon around a real coordinator; it may pause, stop or die. */
+/** A simulated daemon around a real request coordinator; it can be paused, stopped or crashed. */
 public final class FakeDaemon implements RequestActions {
 
     private static final int TICK_MILLIS = 50;
-    private static final int CLAIM_MILLIS = 15;
-    private static final int STATE_MILLIS = 50;
-    private static final int ROUND_MILLIS = 250;
+    private static final int CLAIM_TICK_MILLIS = 15;
+    private static final int STATE_TICK_MILLIS = 50;
+    private static final int RECONCILE_MILLIS = 250;
     private static final int MAX_DELAY_MILLIS = 5;
 
     private final FakeWorld mWorld;
     private final FakeRouter mRouter;
     private final DefaultRequestCoordinator mCoordinator;
-    private final Map<AttemptId, FakeLink> mLinks = new HashMap<>();
-    private final Map<RequestId, FakeConnection> mConnections = new HashMap<>();
+    private final Map<AttemptId, FakeAttemptConnection> mAttempts = new HashMap<>();
+    private final Map<RequestId, FakeCallerConnection> mConnections = new HashMap<>();
     private final DaemonId mId;
     private final FakeProcess mProcess;
     private final DaemonClaims mClaims;
     private final DaemonState mState;
-    private final FleetDuty mDuty;
+    private final FleetControlLoop mFleetLoop;
     private boolean mStopping;
 
     FakeDaemon(final FakeWorld world, final DaemonId id, final long seed) {
         mWorld = world;
         mId = id;
-        mProcess = new FakeProcess(world.time());
+        mProcess = new FakeProcess(world.clock());
         mClaims = new DaemonClaims(world.log(), this, mProcess);
         mState = new DaemonState(world.log(), id, mProcess, seed);
-        mDuty = new FleetDuty(world, mState, mProcess);
+        mFleetLoop = new FleetControlLoop(world, mState, mProcess);
         mRouter = new FakeRouter(world, seed);
         mCoordinator =
                 DefaultRequestCoordinator.builder()
@@ -58,13 +58,13 @@
                         .settings(world.settings())
                         .random(new SplittableRandom(seed))
                         .build();
-        mProcess.every(TICK_MILLIS, mCoordinator::tick);
-        mProcess.every(ROUND_MILLIS, this::round);
-        mProcess.every(CLAIM_MILLIS, mClaims::tick);
-        mProcess.every(STATE_MILLIS, this::tickState);
+        mProcess.scheduleEvery(TICK_MILLIS, mCoordinator::tick);
+        mProcess.scheduleEvery(RECONCILE_MILLIS, this::refreshAndReconcile);
+        mProcess.scheduleEvery(CLAIM_TICK_MILLIS, mClaims::tick);
+        mProcess.scheduleEvery(STATE_TICK_MILLIS, this::tickState);
     }
 
-    /** Returns its identity, which no later daemon shares. */
+    /** Returns the daemon's identity, which no later daemon reuses. */
     public DaemonId id() {
         return mId;
     }
@@ -73,11 +73,11 @@
         return mCoordinator;
     }
 
-    int inProgressAt(final EndpointId endpoint) {
-        return mRouter.inProgressAt(endpoint);
+    int inFlightAt(final EndpointId endpoint) {
+        return mRouter.inFlightAt(endpoint);
     }
 
-    /** Tells whether it was paused at or after a time. */
+    /** Returns whether the daemon was paused at or after a time. */
     boolean wasPausedSince(final Instant time) {
         return !mProcess.pausedUntil().isBefore(time);
     }
@@ -87,51 +87,60 @@
     }
 
     void changeSetting(final FakeOperator.Change change) {
-        mProcess.post(now -> change.offer(mState.log(), now));
+        mProcess.post(now -> change.appendTo(mState.log(), now));
     }
 
     public boolean isAlive() {
         return mProcess.isAlive();
     }
 
-    boolean isOpen() {
+    boolean isAccepting() {
         return isAlive() && !mStopping;
     }
 
-    /** Returns what is left over once all requests have ended. */
-    String leftovers() {
-        return mCoordinator.requestCount() == 0 && mRouter.open().isEmpty() && mLinks.isEmpty()
+    /** Describes the open requests, sends and attempts; empty if there are none. */
+    String unfinishedWork() {
+        return mCoordinator.requestCount() == 0
+                        && mRouter.openSends().isEmpty()
+                        && mAttempts.isEmpty()
                 ? ""
-                : mCoordinator.requestCount() + " requests, " + mRouter.open() + mLinks.keySet();
+                : mCoordinator.requestCount()
+                        + " requests, "
+                        + mRouter.openSends()
+                        + mAttempts.keySet();
     }
 
-    void arrived(final FakeCaller caller) {
+    void onRequest(final FakeCaller caller) {
         mProcess.post(
                 now -> {
-                    if (!caller.wants(this)) {
+                    if (!caller.isAssignedTo(this)) {
                         return;
                     }
                     if (mConnections.containsKey(caller.id())) {
                         caller.connectLater();
                         return;
                     }
-                    mConnections.put(caller.id(), new FakeConnection(caller, 0));
+                    mConnections.put(caller.id(), new FakeCallerConnection(caller, 0));
                     mCoordinator.submit(caller.spec(), now);
                 });
     }
 
-    void returned(
-            final FakeCaller caller, final Ticket ticket, final long have, final String text) {
+    void onResume(
+            final FakeCaller caller,
+            final Ticket ticket,
+            final long receivedTokens,
+            final String text) {
         mProcess.post(
                 now -> {
-                    if (caller.wants(this)) {
-                        mConnections.put(caller.id(), new FakeConnection(caller, have));
-                        mCoordinator.resume(caller.spec(), ticket, have, text, now);
+                    if (caller.isAssignedTo(this)) {
+                        mConnections.put(
+                                caller.id(), new FakeCallerConnection(caller, receivedTokens));
+                        mCoordinator.resume(caller.spec(), ticket, receivedTokens, text, now);
                     }
                 });
     }
 
-    void callerLeft(final RequestId request) {
+    void onCallerDisconnected(final RequestId request) {
         mProcess.post(
                 now -> {
                     mConnections.remove(request);
@@ -139,47 +148,49 @@
                 });
     }
 
-    void endpointLeaving(final EndpointId endpoint, final Instant goneBy) {
+    void onEndpointLeaving(final EndpointId endpoint, final Instant goneBy) {
         mProcess.post(
                 now -> {
-                    mRouter.leaving(endpoint);
+                    mRouter.onEndpointLeaving(endpoint);
                     mCoordinator.onEndpointLeaving(endpoint, goneBy, now);
                 });
     }
 
-    void claimDecided(final RequestId request, final ClaimOutcome outcome) {
+    void onClaimDecided(final RequestId request, final ClaimOutcome outcome) {
         mProcess.post(now -> mCoordinator.onClaimDecided(request, outcome, now));
     }
 
-    void handle(final AttemptEvent event) {
+    void onAttemptEvent(final AttemptEvent event) {
         final boolean last =
                 event instanceof AttemptEvent.Failed
                         || event instanceof AttemptEvent.Finished
                         || event instanceof AttemptEvent.Answered;
         if (last) {
-            mLinks.remove(event.attempt());
+            mAttempts.remove(event.attempt());
         }
         mProcess.post(now -> mCoordinator.onAttemptEvent(event, now));
     }
 
-    /** Stops handling events for a while; what arrives waits. */
+    /** Pauses event handling for a time in ms; events that arrive meanwhile are queued. */
     public void pause(final long millis) {
         mProcess.pause(millis);
     }
 
-    /** Shuts down as planned; at the end nothing may be in progress. */
+    /** Shuts down as planned; fails if requests are still in progress when the notice ends. */
     public void stop(final long noticeMillis) {
         mStopping = true;
-        final Instant goneBy = mWorld.time().now().plusMillis(noticeMillis);
+        final Instant goneBy = mWorld.clock().now().plusMillis(noticeMillis);
         mProcess.post(now -> mCoordinator.beginShutdown(goneBy, now));
-        mWorld.time().after(noticeMillis, () -> endOfStop(goneBy));
+        mWorld.clock().schedule(noticeMillis, () -> finishStop(goneBy));
     }
 
-    /** Ends the process at once; its callers are cut off. */
-    public void die() {
-        mProcess.die();
-        mLinks.clear();
-        mWorld.callers().stream().filter(c -> c.wants(this)).forEach(FakeCaller::cutOff);
+    /** Ends the process at once; its callers lose their connections. */
+    public void crash() {
+        mProcess.crash();
+        mAttempts.clear();
+        mWorld.callers().stream()
+                .filter(c -> c.isAssignedTo(this))
+                .forEach(FakeCaller::loseConnection);
         mConnections.clear();
     }
 
@@ -189,7 +200,7 @@
             final Endpoint endpoint,
             final String deliveredText,
             final long deliveredTokens) {
-        connect(attempt, endpoint, (link, to) -> to.generate(link, deliveredTokens));
+        connect(attempt, endpoint, (connection, to) -> to.generate(connection, deliveredTokens));
     }
 
     @Override
@@ -198,7 +209,7 @@
             final Endpoint endpoint,
             final String streamId,
             final long fromIndex) {
-        connect(attempt, endpoint, (link, to) -> to.resume(link, streamId, fromIndex));
+        connect(attempt, endpoint, (connection, to) -> to.resume(connection, streamId, fromIndex));
     }
 
     @Override
@@ -207,40 +218,41 @@
             final Endpoint from,
             final String streamId,
             final Endpoint to) {
-        connect(attempt, from, (link, source) -> export(link, source, streamId, to));
+        connect(attempt, from, (connection, source) -> export(connection, source, streamId, to));
     }
 
     @Override
     public void call(final AttemptId attempt, final Endpoint endpoint) {
-        connect(attempt, endpoint, (link, to) -> to.call(link));
+        connect(attempt, endpoint, (connection, to) -> to.call(connection));
     }
 
     @Override
     public void cancel(final AttemptId attempt, final Endpoint endpoint, final String streamId) {
-        final Optional<FakeLink> link = Optional.ofNullable(mLinks.remove(attempt));
-        link.ifPresent(FakeLink::close);
+        final Optional<FakeAttemptConnection> connection =
+                Optional.ofNullable(mAttempts.remove(attempt));
+        connection.ifPresent(FakeAttemptConnection::close);
         final FakeBackend backend = mWorld.fleet().backend(endpoint.id());
-        mProcess.send(delay(), () -> backend.cancel(link.orElse(null), streamId));
+        mProcess.send(delay(), () -> backend.cancel(connection.orElse(null), streamId));
     }
 
     @Override
     public void release(final AttemptId attempt) {
-        Optional.ofNullable(mLinks.remove(attempt)).ifPresent(FakeLink::close);
+        Optional.ofNullable(mAttempts.remove(attempt)).ifPresent(FakeAttemptConnection::close);
     }
 
     @Override
     public void claim(final RequestId request) {
-        mClaims.claim(mWorld.caller(request).spec(), mWorld.time().now());
+        mClaims.claim(mWorld.caller(request).spec(), mWorld.clock().now());
     }
 
     @Override
     public void unclaim(final RequestId request) {
-        mClaims.unclaim(request, mWorld.time().now());
+        mClaims.unclaim(request, mWorld.clock().now());
     }
 
     @Override
     public void deliver(final RequestId request, final long index, final String text) {
-        mConnections.get(request).token(index, text);
+        mConnections.get(request).deliver(index, text);
     }
 
     @Override
@@ -255,57 +267,58 @@
 
     @Override
     public void refuse(final RequestId request, final Refusal refusal) {
-        final FakeConnection connection = mConnections.remove(request);
+        final FakeCallerConnection connection = mConnections.remove(request);
         if (connection.isCurrent()) {
-            connection.caller().refused(refusal);
+            connection.caller().onRefused(refusal);
         }
     }
 
     @Override
     public void ticket(final RequestId request, final Ticket ticket) {
-        final FakeConnection connection = mConnections.get(request);
+        final FakeCallerConnection connection = mConnections.get(request);
         if (connection.isCurrent()) {
-            connection.caller().takeTicket(ticket);
+            connection.caller().receiveTicket(ticket);
         }
     }
 
     @Override
     public void handBack(final RequestId request, final Ticket ticket, final Refusal refusal) {
-        final FakeConnection connection = mConnections.remove(request);
+        final FakeCallerConnection connection = mConnections.remove(request);
         if (connection.isCurrent()) {
-            connection.caller().sentAway(ticket, refusal.retryAfter().orElseThrow());
+            connection.caller().onHandedBack(ticket, refusal.retryAfter().orElseThrow());
         }
     }
 
     private void export(
-            final FakeLink link,
+            final FakeAttemptConnection connection,
             final FakeBackend source,
             final String streamId,
             final Endpoint to) {
-        final Optional<FakeStream> cache = source.export(streamId);
-        if (cache.isEmpty()) {
-            link.fail(AttemptFailure.STREAM_UNKNOWN);
+        final Optional<FakeStream> stream = source.export(streamId);
+        if (stream.isEmpty()) {
+            connection.sendFailure(AttemptFailure.STREAM_UNKNOWN);
             return;
         }
         final FakeBackend target = mWorld.fleet().backend(to.id());
-        mProcess.send(delay(), () -> target.importStream(link, cache.get()));
+        mProcess.send(delay(), () -> target.importStream(connection, stream.get()));
     }
 
-    private void connect(final AttemptId attempt, final Endpoint endpoint, final Work work) {
-        final FakeLink link = new FakeLink(mWorld, this, attempt);
-        mLinks.put(attempt, link);
+    private void connect(
+            final AttemptId attempt, final Endpoint endpoint, final Operation operation) {
+        final FakeAttemptConnection connection = new FakeAttemptConnection(mWorld, this, attempt);
+        mAttempts.put(attempt, connection);
         mProcess.send(
                 delay(),
                 () -> {
-                    if (link.isOpen()) {
-                        work.accept(link, mWorld.fleet().backend(endpoint.id()));
+                    if (connection.isOpen()) {
+                        operation.accept(connection, mWorld.fleet().backend(endpoint.id()));
                     }
                 });
     }
 
-    private void round(final Instant now) {
+    private void refreshAndReconcile(final Instant now) {
         mRouter.refresh(now);
-        mDuty.tick(now);
+        mFleetLoop.tick(now);
     }
 
     private void tickState(final Instant now) {
@@ -317,16 +330,16 @@
         return 1 + mWorld.random().nextInt(MAX_DELAY_MILLIS);
     }
 
-    private void endOfStop(final Instant goneBy) {
+    private void finishStop(final Instant goneBy) {
         final boolean wasPaused = goneBy.minusMillis(TICK_MILLIS).isBefore(mProcess.pausedUntil());
         if (isAlive() && !wasPaused && mCoordinator.requestCount() > 0) {
-            throw new AssertionError("a planned stop cut requests: " + leftovers());
+            throw new AssertionError("a planned stop cut requests: " + unfinishedWork());
         }
-        die();
+        crash();
     }
 
-    /** What a connection is made for. */
-    private interface Work {
-        void accept(FakeLink link, FakeBackend backend);
+    /** The operation that an attempt starts at its back end once it is connected. */
+    private interface Operation {
+        void accept(FakeAttemptConnection connection, FakeBackend backend);
     }
 }
--- a/faults/src/main/java/org/whinhead/faults/world/FakeFleet.java
+++ b/faults/src/main/java/org/whinhead/faults/world/FakeFleet.java
@@ -18,12 +18,10 @@
 import org.whinhead.api.model.VmState;
 import org.whinhead.api.request.RequestId;
 
-/**
- * The VMs of engines and services in three failure domains, with the cloud and its lagging list.
- */
+/** The VMs of engines and services in three failure domains, with a delayed VM list. */
 public final class FakeFleet {
 
-    /** The setting that names the model's version. */
+    /** The path of the setting that holds the model's version. */
     public static final String POOL_PATH = "/ops/pool";
 
     static final String SERVICE = "filing";
@@ -37,16 +35,16 @@
     private final Map<EndpointId, Instant> mNotices = new LinkedHashMap<>();
     private final FakeVmList mVmList;
     private final FakeCloud mCloud;
-    private final FakeOrders mOrders;
+    private final FakeOrderExecutor mOrders;
     private int mEnginesNeeded;
-    private int mOrderDelay = 3;
+    private int mOrderDelayMillis = 3;
     private boolean mReportsFrozen;
 
     FakeFleet(final FakeWorld world) {
         mWorld = world;
         mVmList = new FakeVmList(world);
         mCloud = new FakeCloud(world);
-        mOrders = new FakeOrders(world);
+        mOrders = new FakeOrderExecutor(world);
     }
 
     /** Returns the three failure domains. */
@@ -58,7 +56,7 @@
         return ModelRef.of("draft", version);
     }
 
-    /** Adds the first VMs; the plan is to hold as many engines as these. */
+    /** Adds the first VMs; the pool then needs these engines less those of the largest domain. */
     void start(final int engines, final int services) {
         for (int count = 0; count < engines; count++) {
             addEngine(DOMAINS.get(count % DOMAINS.size()));
@@ -79,7 +77,7 @@
         return mCloud;
     }
 
-    public FakeOrders orders() {
+    public FakeOrderExecutor orders() {
         return mOrders;
     }
 
@@ -87,12 +85,12 @@
         return List.copyOf(mBackends.values());
     }
 
-    /** Makes orders travel for so long. */
-    public void setOrderDelay(final int millis) {
-        mOrderDelay = millis;
+    /** Sets the time between the send of an order and its arrival. */
+    public void setOrderDelayMillis(final int millis) {
+        mOrderDelayMillis = millis;
     }
 
-    /** Makes load reports stay away, or come again. */
+    /** Stops or resumes load reports. */
     public void setReportsFrozen(final boolean frozen) {
         mReportsFrozen = frozen;
     }
@@ -101,8 +99,8 @@
         return mReportsFrozen;
     }
 
-    int orderDelay() {
-        return mOrderDelay;
+    int orderDelayMillis() {
+        return mOrderDelayMillis;
     }
 
     int enginesNeeded() {
@@ -127,48 +125,50 @@
         return add(Endpoint.plainService(id, SERVICE), id, domain);
     }
 
-    /** Announces that a VM leaves; daemons hear of it one after the other. */
-    void announce(final FakeBackend backend, final long noticeMillis) {
+    /** Announces that a VM leaves; each daemon receives the notice after its own delay. */
+    void announceLeaving(final FakeBackend backend, final long noticeMillis) {
         final EndpointId id = backend.endpoint().id();
-        final Instant goneBy = mWorld.time().now().plusMillis(noticeMillis);
+        final Instant goneBy = mWorld.clock().now().plusMillis(noticeMillis);
         mNotices.merge(id, goneBy, (one, other) -> one.isBefore(other) ? one : other);
-        backend.leaving();
+        backend.announceLeaving();
         for (final FakeDaemon daemon : mWorld.daemons()) {
-            final int heard = mWorld.random().nextInt(100);
-            mWorld.time().after(heard, () -> daemon.endpointLeaving(id, goneBy));
+            final int delay = mWorld.random().nextInt(100);
+            mWorld.clock().schedule(delay, () -> daemon.onEndpointLeaving(id, goneBy));
         }
     }
 
-    /** Tells a new daemon the notices so far. */
-    void tellNotices(final FakeDaemon daemon) {
-        mNotices.forEach(daemon::endpointLeaving);
+    /** Sends all notices so far to a new daemon. */
+    void sendNotices(final FakeDaemon daemon) {
+        mNotices.forEach(daemon::onEndpointLeaving);
     }
 
-    /** Returns the VM that works on a request. */
-    public Optional<FakeBackend> workerOf(final RequestId request) {
-        return mBackends.values().stream().filter(backend -> backend.worksOn(request)).findFirst();
+    /** Returns the back end that processes a request. */
+    public Optional<FakeBackend> backendProcessing(final RequestId request) {
+        return mBackends.values().stream()
+                .filter(backend -> backend.isProcessing(request))
+                .findFirst();
     }
 
-    /** Tells whether some engine has made a request's whole answer. */
-    public boolean hasMadeAll(final RequestId request) {
-        return mBackends.values().stream().anyMatch(backend -> backend.hasMadeAll(request));
+    /** Returns whether an engine has generated a request's whole answer. */
+    public boolean hasGeneratedAll(final RequestId request) {
+        return mBackends.values().stream().anyMatch(backend -> backend.hasGeneratedAll(request));
     }
 
-    int inProgressAt(final EndpointId endpoint) {
+    int inFlightAt(final EndpointId endpoint) {
         final int sends =
                 mWorld.daemons().stream()
                         .filter(FakeDaemon::isAlive)
-                        .mapToInt(daemon -> daemon.inProgressAt(endpoint))
+                        .mapToInt(daemon -> daemon.inFlightAt(endpoint))
                         .sum();
-        return Math.max(sends, backend(endpoint).running());
+        return Math.max(sends, backend(endpoint).runningCount());
     }
 
     /** Ends all faults. */
     void heal() {
         mVmList.setFrozen(false);
-        mCloud.setRefusing(false);
+        mCloud.setRefusingStarts(false);
         mReportsFrozen = false;
-        mOrderDelay = 3;
+        mOrderDelayMillis = 3;
         backends().forEach(backend -> backend.setMode(FakeBackend.Mode.UP));
     }
 
@@ -179,16 +179,18 @@
                 && serving.stream().allMatch(e -> e.endpoint().models().contains(model(version)));
     }
 
-    /** Checks after all faults that the plan is met and the wanted version is loaded. */
+    /** Checks that enough engines serve and that each has loaded the version. */
     void checkSettled(final String version) {
         final List<FakeBackend> serving =
                 backends().stream().filter(FakeBackend::isServingEngine).toList();
         if (serving.size() < mEnginesNeeded) {
-            throw new AssertionError("engines left: " + serving.size() + " of " + mEnginesNeeded);
+            throw new AssertionError(
+                    "serving engines: " + serving.size() + " of " + mEnginesNeeded);
         }
         for (final FakeBackend backend : serving) {
             if (!backend.endpoint().models().contains(model(version))) {
-                throw new AssertionError("not loaded at " + backend.endpoint() + ": " + version);
+                throw new AssertionError(
+                        "version not loaded at " + backend.endpoint() + ": " + version);
             }
         }
     }
--- a/faults/src/main/java/org/whinhead/faults/world/FakeOperator.java
+++ b/faults/src/main/java/org/whinhead/faults/world/FakeOperator.java
@@ -7,11 +7,11 @@
 import org.whinhead.state.record.LogRecord;
 import org.whinhead.state.settings.ChangeOutcome;
 
-/** Operators that change settings through any daemon and repeat a change that got no outcome. */
+/** Operators that change settings through any daemon and resubmit a change without an outcome. */
 public final class FakeOperator {
 
-    private static final int ASK_MILLIS = 100;
-    private static final int PATIENCE_MILLIS = 3_000;
+    private static final int POLL_MILLIS = 100;
+    private static final int MAX_WAIT_MILLIS = 3_000;
 
     private final FakeWorld mWorld;
     private final List<Change> mChanges = new ArrayList<>();
@@ -20,20 +20,20 @@
         mWorld = world;
     }
 
-    /** Asks for a change, on top of the revision that the asked daemon shows. */
+    /** Submits a change based on a random daemon's revision; does nothing without a daemon. */
     public void change(final String author, final String path, final String text) {
-        final Optional<FakeDaemon> daemon = mWorld.openDaemon();
+        final Optional<FakeDaemon> daemon = mWorld.randomAcceptingDaemon();
         if (daemon.isEmpty()) {
             return;
         }
         final long base = daemon.get().state().view().state().settings().revisionNumber(path);
         final String name = "change-" + mChanges.size();
-        final Change change = new Change(name, author, path, base, text, mWorld.time().now());
+        final Change change = new Change(name, author, path, base, text, mWorld.clock().now());
         mChanges.add(change);
         submit(change, daemon.get());
     }
 
-    /** Returns the changes that were asked for. */
+    /** Returns the submitted changes. */
     public List<Change> changes() {
         return List.copyOf(mChanges);
     }
@@ -44,38 +44,40 @@
 
     private void submit(final Change change, final FakeDaemon daemon) {
         daemon.changeSetting(change);
-        final Instant until = mWorld.time().now().plusMillis(PATIENCE_MILLIS);
-        mWorld.time().after(ASK_MILLIS, () -> ask(change, daemon, until));
+        final Instant until = mWorld.clock().now().plusMillis(MAX_WAIT_MILLIS);
+        mWorld.clock().schedule(POLL_MILLIS, () -> pollOutcome(change, daemon, until));
     }
 
-    private void ask(final Change change, final FakeDaemon daemon, final Instant until) {
+    private void pollOutcome(final Change change, final FakeDaemon daemon, final Instant until) {
         if (daemon.isAlive()) {
             final Optional<ChangeOutcome> outcome =
                     daemon.state().view().state().settings().outcome(change.name());
             if (outcome.isPresent()) {
-                change.tell(outcome.get());
+                change.setOutcome(outcome.get());
                 return;
             }
         }
-        if (daemon.isAlive() && mWorld.time().now().isBefore(until)) {
-            mWorld.time().after(ASK_MILLIS, () -> ask(change, daemon, until));
+        if (daemon.isAlive() && mWorld.clock().now().isBefore(until)) {
+            mWorld.clock().schedule(POLL_MILLIS, () -> pollOutcome(change, daemon, until));
         } else {
-            mWorld.openDaemon()
+            mWorld.randomAcceptingDaemon()
                     .ifPresentOrElse(
                             next -> submit(change, next),
                             () ->
-                                    mWorld.time()
-                                            .after(ASK_MILLIS, () -> ask(change, daemon, until)));
+                                    mWorld.clock()
+                                            .schedule(
+                                                    POLL_MILLIS,
+                                                    () -> pollOutcome(change, daemon, until)));
         }
     }
 
-    /** One change and what its operator was told. */
+    /** A settings change and the outcome reported to its operator. */
     public static final class Change {
 
         private final String mName;
         private final String mAuthor;
         private final String mPath;
-        private final long mBase;
+        private final long mBaseRevision;
         private final String mText;
         private final Instant mAt;
         private Optional<ChangeOutcome> mOutcome = Optional.empty();
@@ -90,7 +92,7 @@
             mName = name;
             mAuthor = author;
             mPath = path;
-            mBase = base;
+            mBaseRevision = base;
             mText = text;
             mAt = at;
         }
@@ -107,11 +109,11 @@
             return mOutcome;
         }
 
-        void tell(final ChangeOutcome outcome) {
+        void setOutcome(final ChangeOutcome outcome) {
             mOutcome = Optional.of(outcome);
         }
 
-        void offer(final LogClient log, final Instant now) {
+        void appendTo(final LogClient log, final Instant now) {
             log.writer()
                     .offer(
                             id ->
@@ -119,7 +121,7 @@
                                             id,
                                             mName,
                                             mPath,
-                                            mBase,
+                                            mBaseRevision,
                                             Optional.of(mText),
                                             mAuthor,
                                             "fake",
--- a/faults/src/main/java/org/whinhead/faults/world/FakeProcess.java
+++ b/faults/src/main/java/org/whinhead/faults/world/FakeProcess.java
@@ -5,17 +5,17 @@
 import java.util.Deque;
 import java.util.function.Consumer;
 
-/** A process that handles events one after the other and may pause or die. */
+/** A process that handles events one at a time and can be paused or crashed. */
 final class FakeProcess {
 
-    private final FakeTime mTime;
+    private final FakeClock mClock;
     private final Deque<Consumer<Instant>> mInbox = new ArrayDeque<>();
     private Instant mPausedUntil = Instant.MIN;
     private boolean mAlive = true;
     private boolean mDraining;
 
-    FakeProcess(final FakeTime time) {
-        mTime = time;
+    FakeProcess(final FakeClock clock) {
+        mClock = clock;
     }
 
     boolean isAlive() {
@@ -26,44 +26,44 @@
         return mPausedUntil;
     }
 
-    void die() {
+    void crash() {
         mAlive = false;
     }
 
     void pause(final long millis) {
-        mPausedUntil = mTime.now().plusMillis(millis);
-        mTime.after(millis, this::drain);
+        mPausedUntil = mClock.now().plusMillis(millis);
+        mClock.schedule(millis, this::drain);
     }
 
-    /** Handles an event now, or after a pause, in order and with the time of then. */
-    void post(final Consumer<Instant> work) {
-        mInbox.add(work);
+    /** Handles an event now or, after a pause, in order of arrival; passes the time of handling. */
+    void post(final Consumer<Instant> event) {
+        mInbox.add(event);
         drain();
     }
 
-    /** Handles an event again and again. */
-    void every(final long millis, final Consumer<Instant> work) {
-        post(work);
+    /** Handles an event at once and then periodically until a crash. */
+    void scheduleEvery(final long millis, final Consumer<Instant> event) {
+        post(event);
         if (mAlive) {
-            mTime.after(millis, () -> every(millis, work));
+            mClock.schedule(millis, () -> scheduleEvery(millis, event));
         }
     }
 
-    /** Sends something out after a delay; a pause holds back what has not left yet. */
-    void send(final long delayMillis, final Runnable work) {
-        mTime.after(delayMillis, () -> depart(work));
+    /** Sends after a delay; a send that falls into a pause waits for its end. */
+    void send(final long delayMillis, final Runnable event) {
+        mClock.schedule(delayMillis, () -> sendNow(event));
     }
 
-    private void depart(final Runnable work) {
+    private void sendNow(final Runnable event) {
         if (isPaused()) {
-            mInbox.add(now -> work.run());
+            mInbox.add(now -> event.run());
         } else if (mAlive) {
-            work.run();
+            event.run();
         }
     }
 
     private boolean isPaused() {
-        return mTime.now().isBefore(mPausedUntil);
+        return mClock.now().isBefore(mPausedUntil);
     }
 
     private void drain() {
@@ -72,7 +72,7 @@
         }
         mDraining = true;
         while (mAlive && !isPaused() && !mInbox.isEmpty()) {
-            mInbox.remove().accept(mTime.now());
+            mInbox.remove().accept(mClock.now());
         }
         mDraining = false;
     }
--- a/faults/src/main/java/org/whinhead/faults/world/FakeVmList.java
+++ b/faults/src/main/java/org/whinhead/faults/world/FakeVmList.java
@@ -3,48 +3,48 @@
 import java.util.List;
 import org.whinhead.api.model.Endpoint;
 
-/** The VM list: what it shows is old, and while it is frozen it gets older. */
+/** The cloud's VM list, which shows each change after a lag and can be frozen. */
 public final class FakeVmList {
 
-    private static final int EVERY_MILLIS = 250;
+    private static final int REFRESH_MILLIS = 250;
     private static final int LAG_MILLIS = 2_500;
 
     private final FakeWorld mWorld;
-    private List<Endpoint> mShown = List.of();
+    private List<Endpoint> mEndpoints = List.of();
     private boolean mFrozen;
 
     FakeVmList(final FakeWorld world) {
         mWorld = world;
     }
 
-    /** Stops or resumes the list's changes. */
+    /** Stops or resumes updates of the list. */
     public void setFrozen(final boolean frozen) {
         mFrozen = frozen;
     }
 
-    List<Endpoint> shown() {
-        return mShown;
+    List<Endpoint> endpoints() {
+        return mEndpoints;
     }
 
-    /** Shows the present state at once, and from then on an old one. */
+    /** Shows the current state at once and every later state with a lag. */
     void start() {
-        mShown = present();
+        mEndpoints = currentEndpoints();
         refresh();
     }
 
     private void refresh() {
-        final List<Endpoint> present = present();
-        mWorld.time().after(LAG_MILLIS, () -> show(present));
-        mWorld.time().after(EVERY_MILLIS, this::refresh);
+        final List<Endpoint> current = currentEndpoints();
+        mWorld.clock().schedule(LAG_MILLIS, () -> show(current));
+        mWorld.clock().schedule(REFRESH_MILLIS, this::refresh);
     }
 
-    private void show(final List<Endpoint> old) {
+    private void show(final List<Endpoint> endpoints) {
         if (!mFrozen) {
-            mShown = old;
+            mEndpoints = endpoints;
         }
     }
 
-    private List<Endpoint> present() {
+    private List<Endpoint> currentEndpoints() {
         return mWorld.backends().stream()
                 .filter(backend -> backend.mode() != FakeBackend.Mode.DEAD)
                 .map(FakeBackend::endpoint)
--- a/faults/src/main/java/org/whinhead/faults/world/FakeWorld.java
+++ b/faults/src/main/java/org/whinhead/faults/world/FakeWorld.java
@@ -16,12 +16,12 @@
 import org.whinhead.requests.DecisionKind;
 import org.whinhead.requests.RequestSettings;
 
-/** Daemons, back ends and callers under one clock and one seed, with the oracle over all. */
+/** A simulation of daemons, back ends and callers with one clock, one seed and the oracles. */
 public final class FakeWorld {
 
     private static final int PERCENT = 100;
-    private static final Duration SETTLE = Duration.ofSeconds(90);
-    private static final Duration SETTLE_AT_LEAST = Duration.ofSeconds(15);
+    private static final Duration MAX_SETTLE_TIME = Duration.ofSeconds(90);
+    private static final Duration MIN_SETTLE_TIME = Duration.ofSeconds(15);
     private static final Tier TIER =
             new Tier(
                     "clerk",
@@ -30,7 +30,7 @@
                     Duration.ofMillis(40),
                     Duration.ofSeconds(20));
 
-    private final FakeTime mTime = new FakeTime();
+    private final FakeClock mClock = new FakeClock();
     private final SplittableRandom mRandom;
     private final FakeFleet mFleet = new FakeFleet(this);
     private final List<FakeDaemon> mDaemons = new ArrayList<>();
@@ -41,7 +41,14 @@
     private final FakeLog mLog = new FakeLog(this);
     private int mLossPercent;
 
-    /** Makes a world of so many of each. */
+    /**
+     * Creates a world.
+     *
+     * @param seed the seed of all random values
+     * @param daemons the number of daemons
+     * @param engines the number of engines
+     * @param services the number of plain services
+     */
     public FakeWorld(final long seed, final int daemons, final int engines, final int services) {
         mRandom = new SplittableRandom(seed);
         mFleet.start(engines, services);
@@ -50,13 +57,13 @@
         }
     }
 
-    /** Returns the one right token of a request's answer. */
-    public static String token(final RequestId request, final long index) {
+    /** Returns the only valid token at an index of a request's answer. */
+    public static String expectedToken(final RequestId request, final long index) {
         return request + "/" + index + " ";
     }
 
-    public FakeTime time() {
-        return mTime;
+    public FakeClock clock() {
+        return mClock;
     }
 
     public List<FakeBackend> backends() {
@@ -71,31 +78,31 @@
         return List.copyOf(mCallers.values());
     }
 
-    public int runs(final RequestId request) {
-        return mRequests.runs(request);
+    public int runCount(final RequestId request) {
+        return mRequests.runCount(request);
     }
 
-    public void run(final long millis) {
-        mTime.run(Duration.ofMillis(millis));
+    public void advance(final long millis) {
+        mClock.advance(Duration.ofMillis(millis));
     }
 
-    /** Makes this share of events get lost, and as many come twice. */
+    /** Sets the chance in percent that an event is lost, and equally that it is duplicated. */
     public void setLossPercent(final int percent) {
         mLossPercent = percent;
     }
 
-    /** Makes claims unavailable, or available again. */
-    public void setClaimsOut(final boolean out) {
+    /** Starts or ends an outage of the log, without which no claim can be made. */
+    public void setLogOut(final boolean out) {
         mLog.setOut(out);
     }
 
-    /** Adds an engine, or else a plain service. */
+    /** Adds an engine if the argument is true, otherwise a plain service. */
     public FakeBackend addBackend(final boolean engine) {
         final int domain = mRandom.nextInt(FakeFleet.domains().size());
         return engine ? mFleet.addEngine(FakeFleet.domains().get(domain)) : mFleet.addService();
     }
 
-    /** Starts a daemon. */
+    /** Starts a daemon; during a log outage it copies the state of the first live peer. */
     public FakeDaemon addDaemon() {
         final FakeDaemon daemon =
                 new FakeDaemon(this, new DaemonId("daemon-" + mDaemons.size()), mRandom.nextLong());
@@ -103,20 +110,29 @@
                 .filter(FakeDaemon::isAlive)
                 .findFirst()
                 .filter(peer -> mLog.isOut())
-                .ifPresent(peer -> daemon.state().startFrom(peer.state().view(), mTime.now()));
+                .ifPresent(
+                        peer -> daemon.state().installFromPeer(peer.state().view(), mClock.now()));
         mDaemons.add(daemon);
-        mFleet.tellNotices(daemon);
+        mFleet.sendNotices(daemon);
         return daemon;
     }
 
-    /** Announces that a back end leaves; daemons hear of it one after the other. */
-    public void leave(final FakeBackend backend, final long noticeMillis) {
-        mFleet.announce(backend, noticeMillis);
-        mTime.after(noticeMillis, () -> backend.setMode(FakeBackend.Mode.DEAD));
+    /** Reclaims a back end: announces its end to all daemons and kills it after the notice. */
+    public void reclaim(final FakeBackend backend, final long noticeMillis) {
+        mFleet.announceLeaving(backend, noticeMillis);
+        mClock.schedule(noticeMillis, () -> backend.setMode(FakeBackend.Mode.DEAD));
     }
 
-    /** Submits a request to an engine. */
-    public FakeCaller chat(final int length, final boolean streamed, final boolean idempotent) {
+    /**
+     * Submits a request for an engine.
+     *
+     * @param length the length of the answer in tokens
+     * @param streamed whether the caller wants each token at once
+     * @param idempotent whether the request may run more than once
+     * @return the caller
+     */
+    public FakeCaller submitChat(
+            final int length, final boolean streamed, final boolean idempotent) {
         final RequestSpec.Builder spec =
                 spec().model(FakeFleet.model("1"))
                         .maxTokens(length)
@@ -125,12 +141,12 @@
         return submit(spec.idempotent(idempotent).build(), length);
     }
 
-    /** Submits a call of a plain service. */
-    public FakeCaller call(final boolean idempotent) {
+    /** Submits a call of a plain service; only an idempotent call may run more than once. */
+    public FakeCaller submitCall(final boolean idempotent) {
         return submit(spec().service(FakeFleet.SERVICE).idempotent(idempotent).build(), 0);
     }
 
-    /** Ends all faults, lets every request end, and checks the promises. */
+    /** Ends all faults, waits until every request has ended, and checks all invariants. */
     public void settleAndCheck() {
         mLossPercent = 0;
         mLog.heal();
@@ -138,52 +154,52 @@
         addBackend(true);
         addBackend(false);
         addDaemon();
-        final Instant latest = mTime.now().plus(SETTLE);
-        mTime.run(SETTLE_AT_LEAST);
-        while (mTime.now().isBefore(latest) && !isQuiet()) {
-            mTime.run(Duration.ofSeconds(1));
+        final Instant latest = mClock.now().plus(MAX_SETTLE_TIME);
+        mClock.advance(MIN_SETTLE_TIME);
+        while (mClock.now().isBefore(latest) && !isQuiet()) {
+            mClock.advance(Duration.ofSeconds(1));
         }
         mCallers.values().forEach(mRequests::check);
         mState.checkSettled();
-        mFleet.checkSettled(mState.inForce(FakeFleet.POOL_PATH).orElse("1"));
+        mFleet.checkSettled(mState.documentInForce(FakeFleet.POOL_PATH).orElse("1"));
         for (final FakeDaemon daemon : mDaemons) {
-            if (daemon.isAlive() && !daemon.leftovers().isEmpty()) {
-                throw new AssertionError("left over: " + daemon.leftovers());
+            if (daemon.isAlive() && !daemon.unfinishedWork().isEmpty()) {
+                throw new AssertionError("unfinished work: " + daemon.unfinishedWork());
             }
         }
     }
 
     private boolean isQuiet() {
-        final Instant now = mTime.now();
-        return mCallers.values().stream().noneMatch(c -> c.end() == FakeCaller.End.OPEN)
+        final Instant now = mClock.now();
+        return mCallers.values().stream().noneMatch(c -> c.outcome() == FakeCaller.Outcome.OPEN)
                 && mOperator.isIdle()
                 && mDaemons.stream()
                         .filter(FakeDaemon::isAlive)
-                        .allMatch(d -> !d.wasPausedSince(now) && d.leftovers().isEmpty())
+                        .allMatch(d -> !d.wasPausedSince(now) && d.unfinishedWork().isEmpty())
                 && mState.isSettled()
-                && mFleet.isSettled(mState.inForce(FakeFleet.POOL_PATH).orElse("1"));
+                && mFleet.isSettled(mState.documentInForce(FakeFleet.POOL_PATH).orElse("1"));
     }
 
-    /** Returns the operators of settings. */
+    /** Returns the operators that change settings. */
     public FakeOperator operator() {
         return mOperator;
     }
 
-    /** Returns the daemon that may act for the fleet. */
-    public Optional<FakeDaemon> holder() {
+    /** Returns the daemon that holds the fleet lease and may act on it. */
+    public Optional<FakeDaemon> leaseHolder() {
         return mDaemons.stream()
                 .filter(FakeDaemon::isAlive)
-                .filter(daemon -> daemon.state().keeper().canAct(mTime.now()))
+                .filter(daemon -> daemon.state().elector().canAct(mClock.now()))
                 .findFirst();
     }
 
-    /** Returns how many daemons have the settings of the newest record. */
+    /** Returns the number of live daemons whose settings match all records on the log. */
     public int daemonsWithNewestSettings() {
-        return mState.daemonsWithNewest();
+        return mState.daemonsWithNewestSettings();
     }
 
-    /** Tells whether a daemon decided something about a caller's request. */
-    public boolean wasDecided(final FakeCaller caller, final DecisionKind kind) {
+    /** Returns whether a daemon made a decision of this kind about a caller's request. */
+    public boolean hasDecision(final FakeCaller caller, final DecisionKind kind) {
         return mDaemons.stream()
                 .flatMap(
                         daemon ->
@@ -199,7 +215,7 @@
         return mState;
     }
 
-    /** Tells all that the daemons decided about a request. */
+    /** Describes a request, its caller and all decisions of the daemons about it. */
     String describe(final RequestId request) {
         return mRequests.describe(request);
     }
@@ -218,7 +234,7 @@
         return mRandom;
     }
 
-    boolean chance(final int percent) {
+    boolean isDrawn(final int percent) {
         return mRandom.nextInt(PERCENT) < percent;
     }
 
@@ -231,7 +247,7 @@
         return mLog;
     }
 
-    /** Returns the VMs behind the daemons. */
+    /** Returns the VMs of the engines and services. */
     public FakeFleet fleet() {
         return mFleet;
     }
@@ -240,23 +256,23 @@
         return mCallers.get(request);
     }
 
-    Optional<FakeDaemon> openDaemon() {
-        final List<FakeDaemon> open = mDaemons.stream().filter(FakeDaemon::isOpen).toList();
+    Optional<FakeDaemon> randomAcceptingDaemon() {
+        final List<FakeDaemon> open = mDaemons.stream().filter(FakeDaemon::isAccepting).toList();
         return open.isEmpty()
                 ? Optional.empty()
                 : Optional.of(open.get(mRandom.nextInt(open.size())));
     }
 
-    void ran(final RequestId request) {
-        mRequests.ran(request);
+    void recordRun(final RequestId request) {
+        mRequests.recordRun(request);
     }
 
     private RequestSpec.Builder spec() {
         return RequestSpec.builder(new RequestId("r" + mCallers.size()))
                 .customer(new CustomerId("clinic"))
                 .tier(TIER)
-                .arrived(mTime.now())
-                .deadline(mTime.now().plus(TIER.requestTimeout()));
+                .arrived(mClock.now())
+                .deadline(mClock.now().plus(TIER.requestTimeout()));
     }
 
     private FakeCaller submit(final RequestSpec spec, final int length) {
