--- a/bench/src/main/java/org/whinhead/bench/capacity/ReportCost.java
+++ b/bench/src/main/java/org/whinhead/bench/capacity/ReportCost.java
@@ -12,7 +12,7 @@
 import org.whinhead.report.BurnRecorder;
 import org.whinhead.report.DaemonReport;
 import org.whinhead.report.DaemonReportJson;
-import org.whinhead.report.FleetMerge;
+import org.whinhead.report.FleetReportMerger;
 import org.whinhead.report.Objective;
 import org.whinhead.report.Outcome;
 import org.whinhead.report.RequestSample;
@@ -64,15 +64,15 @@
     }
 
     private static Instant end() {
-        return Fixtures.START.plus(Duration.ofMinutes(BurnRecorder.MINUTES - 1));
+        return Fixtures.START.plus(Duration.ofMinutes(BurnRecorder.MAX_MINUTES_PER_SERIES - 1));
     }
 
     /** A recorder whose customers each had a request in every minute that it keeps. */
     private static BurnRecorder full(final int customers, final String daemon) {
         final BurnRecorder recorder =
                 new BurnRecorder(new DaemonId(daemon), ADDRESS, Fixtures.START);
-        recorder.objectives(List.of(OBJECTIVE));
-        for (int minute = 0; minute < BurnRecorder.MINUTES; minute++) {
+        recorder.setObjectives(List.of(OBJECTIVE));
+        for (int minute = 0; minute < BurnRecorder.MAX_MINUTES_PER_SERIES; minute++) {
             count(recorder, customers, Fixtures.START.plus(Duration.ofMinutes(minute)));
         }
         return recorder;
@@ -94,7 +94,7 @@
     }
 
     private static long merge(final List<DaemonReport> reports) {
-        final FleetMerge merge = new FleetMerge();
+        final FleetReportMerger merge = new FleetReportMerger();
         reports.forEach(merge::add);
         return merge.report().lines().isEmpty() ? 0 : 1;
     }
--- a/bench/src/main/java/org/whinhead/bench/days/CapacityDaysBenchmark.java
+++ b/bench/src/main/java/org/whinhead/bench/days/CapacityDaysBenchmark.java
@@ -79,18 +79,18 @@
             final FigureTable table, final CapacityDay day, final Policy policy, final long seed) {
         final List<CapacityOutcome> outcomes = new ArrayList<>();
         for (int index = 0; index < SEEDS; index++) {
-            outcomes.add(CapacitySimulation.play(day, policy.mSettings, seed + index));
+            outcomes.add(CapacitySimulation.run(day, policy.mSettings, seed + index));
         }
         final double most =
-                outcomes.stream().mapToDouble(CapacityOutcome::value).max().orElseThrow();
+                outcomes.stream().mapToDouble(CapacityOutcome::score).max().orElseThrow();
         final double least =
-                outcomes.stream().mapToDouble(CapacityOutcome::value).min().orElseThrow();
+                outcomes.stream().mapToDouble(CapacityOutcome::score).min().orElseThrow();
         table.add(
                 policy.mLabel,
                 mean(outcomes, CapacityOutcome::wholeDay),
                 mean(outcomes, CapacityOutcome::worstWindows),
                 mean(outcomes, CapacityOutcome::paidPerNeeded),
-                mean(outcomes, CapacityOutcome::value),
+                mean(outcomes, CapacityOutcome::score),
                 most - least);
     }
 
--- a/bench/src/main/java/org/whinhead/bench/days/RolloutDaysBenchmark.java
+++ b/bench/src/main/java/org/whinhead/bench/days/RolloutDaysBenchmark.java
@@ -10,10 +10,10 @@
 import org.whinhead.bench.FigureTable;
 import org.whinhead.serving.rollout.RolloutState;
 import org.whinhead.simulation.rollout.Disturbance;
-import org.whinhead.simulation.rollout.RolloutCase;
 import org.whinhead.simulation.rollout.RolloutOutcome;
+import org.whinhead.simulation.rollout.RolloutScenario;
 import org.whinhead.simulation.rollout.RolloutSimulation;
-import org.whinhead.simulation.rollout.VersionConduct;
+import org.whinhead.simulation.rollout.VersionBehavior;
 
 /**
  * How simulated roll-outs end, for good and bad versions, under disturbances and at several sizes;
@@ -47,9 +47,10 @@
                             "over exposed",
                             "exposed/allowed",
                             "ended after s");
-            for (final VersionConduct conduct : VersionConduct.values()) {
+            for (final VersionBehavior conduct : VersionBehavior.values()) {
                 for (final Disturbance disturbance : Disturbance.values()) {
-                    final RolloutCase played = RolloutCase.ofSize(daemons, conduct, disturbance);
+                    final RolloutScenario played =
+                            RolloutScenario.ofSize(daemons, conduct, disturbance);
                     addRow(table, conduct + ", " + disturbance, played, options.seed());
                 }
                 final Duration usual =
@@ -57,7 +58,7 @@
                 addRow(
                         table,
                         conduct + ", evidence in the usual reports",
-                        RolloutCase.ofSize(daemons, conduct, Disturbance.NONE)
+                        RolloutScenario.ofSize(daemons, conduct, Disturbance.NONE)
                                 .withEvidencePace(usual),
                         options.seed());
             }
@@ -68,11 +69,11 @@
     private static void addRow(
             final FigureTable table,
             final String label,
-            final RolloutCase played,
+            final RolloutScenario played,
             final long seed) {
         final List<RolloutOutcome> outcomes = new ArrayList<>();
         for (int index = 0; index < SEEDS; index++) {
-            outcomes.add(RolloutSimulation.play(played, seed + index));
+            outcomes.add(RolloutSimulation.run(played, seed + index));
         }
         table.add(
                 label,
@@ -80,7 +81,7 @@
                 part(outcomes, RolloutDaysBenchmark::isOverExposed),
                 outcomes.stream().mapToDouble(RolloutDaysBenchmark::exposure).max().orElseThrow(),
                 outcomes.stream()
-                        .mapToDouble(outcome -> outcome.endedAfter().toMillis() / 1e3)
+                        .mapToDouble(outcome -> outcome.decidedAfter().toMillis() / 1e3)
                         .average()
                         .orElseThrow());
     }
--- a/cli/src/main/java/org/whinhead/cli/command/ReportCommand.java
+++ b/cli/src/main/java/org/whinhead/cli/command/ReportCommand.java
@@ -22,8 +22,8 @@
 import org.whinhead.cli.http.FleetPlan;
 import org.whinhead.report.DaemonReport;
 import org.whinhead.report.DaemonReportJson;
-import org.whinhead.report.FleetMerge;
 import org.whinhead.report.FleetReport;
+import org.whinhead.report.FleetReportMerger;
 import org.whinhead.report.ReportFormatException;
 
 /** Collects the counts of all daemons and writes the report on service-level burn. */
@@ -100,7 +100,7 @@
 
     /** What came of asking each daemon. */
     private static final class Collection {
-        private final FleetMerge mMerge = new FleetMerge();
+        private final FleetReportMerger mMerge = new FleetReportMerger();
         private final Set<URI> mCollected = new HashSet<>();
         private final Map<URI, String> mFailures = new HashMap<>();
 
@@ -131,12 +131,12 @@
                     .forEach(
                             (caller, operator) -> {
                                 if (!mCollected.contains(caller)) {
-                                    mMerge.addMissing(missing(caller, operator));
+                                    mMerge.addMissingDaemon(missing(caller, operator));
                                 }
                             });
             plan.operatorByCaller().values().forEach(mFailures::remove);
-            mFailures.values().forEach(mMerge::addMissing);
-            mMerge.price(price);
+            mFailures.values().forEach(mMerge::addMissingDaemon);
+            mMerge.setPricePerHour(price);
             return mMerge.report();
         }
 
--- a/cli/src/test/java/org/whinhead/cli/FleetCommandsTest.java
+++ b/cli/src/test/java/org/whinhead/cli/FleetCommandsTest.java
@@ -141,7 +141,7 @@
                 new BurnRecorder(
                         new DaemonId(daemon), URI.create(address), NOW.minus(Duration.ofHours(7)));
         final Duration second = Duration.ofSeconds(1);
-        recorder.objectives(List.of(new Objective("court", 0.99, 0.95, second, second)));
+        recorder.setObjectives(List.of(new Objective("court", 0.99, 0.95, second, second)));
         recorder.record(
                 new RequestSample(
                         new SeriesKey(new CustomerId("clinic"), "court"),
--- a/daemon/src/main/java/org/whinhead/daemon/burn/BurnCollector.java
+++ b/daemon/src/main/java/org/whinhead/daemon/burn/BurnCollector.java
@@ -107,7 +107,7 @@
     /** Counts the samples that wait; on the decision thread. */
     public void count() {
         adoptObjectives();
-        mRecorder.leftOut(mDropped.sumThenReset());
+        mRecorder.addLeftOut(mDropped.sumThenReset());
         Supplier<RequestSample> next = mWaiting.poll();
         while (next != null) {
             mWaitingCount.decrementAndGet();
@@ -135,7 +135,8 @@
         final DeploymentSettings settings = mSettings.get();
         if (settings != mJudgedBy) {
             mJudgedBy = settings;
-            mRecorder.objectives(settings.tiers().stream().map(BurnCollector::objective).toList());
+            mRecorder.setObjectives(
+                    settings.tiers().stream().map(BurnCollector::objective).toList());
         }
     }
 
--- a/report/src/main/java/org/whinhead/report/Alert.java
+++ b/report/src/main/java/org/whinhead/report/Alert.java
@@ -12,15 +12,15 @@
     NONE("", 0, List.of());
 
     /** Fewer misses than this alert nobody: among few requests one miss is a high burn. */
-    private static final long FEWEST_MISSES = 3;
+    private static final long MIN_MISSES = 3;
 
     private final String mTitle;
-    private final double mBurn;
+    private final double mBurnRateThreshold;
     private final List<Window> mWindows;
 
     Alert(final String title, final double burn, final List<Window> windows) {
         mTitle = title;
-        mBurn = burn;
+        mBurnRateThreshold = burn;
         mWindows = windows;
     }
 
@@ -30,8 +30,8 @@
     }
 
     /** Returns the burn from which it is raised. */
-    public double burn() {
-        return mBurn;
+    public double burnRateThreshold() {
+        return mBurnRateThreshold;
     }
 
     /**
@@ -42,19 +42,19 @@
      * @param level which promise
      * @return the most urgent alert that holds
      */
-    public static Alert of(final FleetReport.Line line, final ServiceLevel level) {
+    public static Alert of(final FleetReport.Line line, final ServiceLevelIndicator level) {
         for (final Alert alert : values()) {
-            if (alert.mWindows.stream().allMatch(window -> alert.holds(line, level, window))) {
+            if (alert.mWindows.stream().allMatch(window -> alert.isRaisedIn(line, level, window))) {
                 return alert;
             }
         }
         return NONE;
     }
 
-    private boolean holds(
-            final FleetReport.Line line, final ServiceLevel level, final Window window) {
+    private boolean isRaisedIn(
+            final FleetReport.Line line, final ServiceLevelIndicator level, final Window window) {
         final Counts counts = line.counts(window);
-        final long misses = level.total(counts) - level.good(counts);
-        return misses >= FEWEST_MISSES && line.burn(level, window) >= mBurn;
+        final long misses = level.totalEvents(counts) - level.goodEvents(counts);
+        return misses >= MIN_MISSES && line.burnRate(level, window) >= mBurnRateThreshold;
     }
 }
--- a/report/src/main/java/org/whinhead/report/BurnPlot.java
+++ b/report/src/main/java/org/whinhead/report/BurnPlot.java
@@ -28,7 +28,7 @@
 final class BurnPlot {
 
     /** Colours that also the colour-blind can tell apart. */
-    private static final List<Color> COLOURS =
+    private static final List<Color> COLORS =
             List.of(
                     new Color(0x0072b2),
                     new Color(0xd55e00),
@@ -41,121 +41,123 @@
 
     private static final int WIDTH = 1040;
     private static final int HEIGHT = 340;
-    private static final long FEWEST_MINUTES = 30;
+    private static final long MIN_MINUTES = 30;
     private static final long MILLIS_PER_MINUTE = 60_000;
-    private static final String ALLOWANCE = "allowance";
-    private static final int HEX_DIGITS = 0xffffff;
+    private static final String ALLOWANCE_SERIES = "allowance";
+    private static final int RGB_MASK = 0xffffff;
     private static final float LINE_WIDTH = 1.6f;
 
-    private static final float DASH = 6f;
+    private static final float DASH_LENGTH = 6f;
 
     private final FleetReport mReport;
-    private final List<FleetReport.Line> mShown;
-    private final long mLast;
-    private final long mFirst;
+    private final List<FleetReport.Line> mPlottedLines;
+    private final long mLastMinute;
+    private final long mFirstMinute;
 
     BurnPlot(final FleetReport report) {
         mReport = report;
-        mLast = Math.floorDiv(report.asOf().toEpochMilli(), MILLIS_PER_MINUTE);
-        mFirst = firstMinute(report);
-        mShown =
+        mLastMinute = Math.floorDiv(report.asOf().toEpochMilli(), MILLIS_PER_MINUTE);
+        mFirstMinute = firstMinute(report);
+        mPlottedLines =
                 report.lines().stream()
-                        .sorted(Comparator.comparingDouble(BurnPlot::highestBurn).reversed())
-                        .limit(COLOURS.size())
+                        .sorted(Comparator.comparingDouble(BurnPlot::maxBurnRate).reversed())
+                        .limit(COLORS.size())
                         .toList();
     }
 
     /** Leaves out the time before any daemon counted, which would look like good service. */
     private long firstMinute(final FleetReport report) {
-        final long earliest = mLast - Window.LONG.length().toMinutes() + 1;
+        final long earliest = mLastMinute - Window.LONG.length().toMinutes() + 1;
         final long since = Math.floorDiv(report.since().toEpochMilli(), MILLIS_PER_MINUTE);
-        return Math.min(Math.max(earliest, since), mLast - FEWEST_MINUTES + 1);
+        return Math.min(Math.max(earliest, since), mLastMinute - MIN_MINUTES + 1);
     }
 
     /** Returns the lines that are drawn: those with the highest burn. */
-    List<FleetReport.Line> shown() {
-        return mShown;
+    List<FleetReport.Line> plottedLines() {
+        return mPlottedLines;
     }
 
     /** Returns the colour of a drawn line as CSS takes it. */
-    static String colour(final int line) {
-        return String.format(Locale.ROOT, "#%06x", COLOURS.get(line).getRGB() & HEX_DIGITS);
+    static String cssColor(final int line) {
+        return String.format(Locale.ROOT, "#%06x", COLORS.get(line).getRGB() & RGB_MASK);
     }
 
     /** Tells whether any drawn line missed a promise at all. */
-    boolean hasBurn(final ServiceLevel level) {
-        return mShown.stream().anyMatch(line -> line.burn(level, Window.LONG) > 0);
+    boolean hasMisses(final ServiceLevelIndicator level) {
+        return mPlottedLines.stream().anyMatch(line -> line.burnRate(level, Window.LONG) > 0);
     }
 
     /** Draws a promise's burn, at each minute over the short window that ends there. */
-    byte[] burn(final ServiceLevel level) throws IOException {
-        final XYChart chart = chart("burn over " + Window.SHORT.title());
-        for (int index = 0; index < mShown.size(); index++) {
-            final FleetReport.Line line = mShown.get(index);
-            final SortedMap<Long, Counts> minutes = minutes(line);
+    byte[] drawBurnRate(final ServiceLevelIndicator level) throws IOException {
+        final XYChart chart = createChart("burn over " + Window.SHORT.title());
+        for (int index = 0; index < mPlottedLines.size(); index++) {
+            final FleetReport.Line line = mPlottedLines.get(index);
+            final SortedMap<Long, Counts> minutes = countsByMinute(line);
             final List<Double> values = new ArrayList<>();
-            for (long number = mFirst; number <= mLast; number++) {
-                values.add(level.burn(recent(minutes, number), line.objective()));
+            for (long number = mFirstMinute; number <= mLastMinute; number++) {
+                values.add(level.burnRate(countsInShortWindow(minutes, number), line.objective()));
             }
-            add(chart, String.valueOf(index), values, COLOURS.get(index));
+            addSeries(chart, String.valueOf(index), values, COLORS.get(index));
         }
-        final List<Double> ones = Collections.nCopies((int) (mLast - mFirst + 1), 1.0);
-        add(chart, ALLOWANCE, ones, Color.GRAY)
+        final List<Double> ones = Collections.nCopies((int) (mLastMinute - mFirstMinute + 1), 1.0);
+        addSeries(chart, ALLOWANCE_SERIES, ones, Color.GRAY)
                 .setLineStyle(
                         new BasicStroke(
                                 1,
                                 BasicStroke.CAP_BUTT,
                                 BasicStroke.JOIN_ROUND,
                                 1,
-                                new float[] {DASH, DASH},
+                                new float[] {DASH_LENGTH, DASH_LENGTH},
                                 0));
-        return draw(chart);
+        return encodePng(chart);
     }
 
     /** Draws the tokens of all customers by minute. */
-    byte[] tokens() throws IOException {
+    byte[] drawTokens() throws IOException {
         final SortedMap<Long, Counts> sums = new TreeMap<>();
         for (final FleetReport.Line line : mReport.lines()) {
-            minutes(line).forEach((number, counts) -> sums.merge(number, counts, Counts::plus));
+            countsByMinute(line)
+                    .forEach((number, counts) -> sums.merge(number, counts, Counts::plus));
         }
         final List<Double> generated = new ArrayList<>();
         final List<Double> recomputed = new ArrayList<>();
-        for (long number = mFirst; number <= mLast; number++) {
+        for (long number = mFirstMinute; number <= mLastMinute; number++) {
             final Counts counts = sums.getOrDefault(number, Counts.NONE);
             generated.add((double) counts.generatedTokens());
             recomputed.add((double) counts.recomputedTokens());
         }
-        final XYChart chart = chart("tokens a minute");
-        add(chart, "generated", generated, COLOURS.get(0));
-        add(chart, "recomputed", recomputed, COLOURS.get(1));
-        return draw(chart);
+        final XYChart chart = createChart("tokens a minute");
+        addSeries(chart, "generated", generated, COLORS.get(0));
+        addSeries(chart, "recomputed", recomputed, COLORS.get(1));
+        return encodePng(chart);
     }
 
-    private static double highestBurn(final FleetReport.Line line) {
-        return Arrays.stream(ServiceLevel.values())
-                .mapToDouble(level -> line.burn(level, Window.LONG))
+    private static double maxBurnRate(final FleetReport.Line line) {
+        return Arrays.stream(ServiceLevelIndicator.values())
+                .mapToDouble(level -> line.burnRate(level, Window.LONG))
                 .max()
                 .orElse(0);
     }
 
-    private static SortedMap<Long, Counts> minutes(final FleetReport.Line line) {
+    private static SortedMap<Long, Counts> countsByMinute(final FleetReport.Line line) {
         final SortedMap<Long, Counts> minutes = new TreeMap<>();
-        line.minutes().forEach(minute -> minutes.put(minute.number(), minute.counts()));
+        line.minutes().forEach(minute -> minutes.put(minute.epochMinute(), minute.counts()));
         return minutes;
     }
 
-    private static Counts recent(final SortedMap<Long, Counts> minutes, final long number) {
+    private static Counts countsInShortWindow(
+            final SortedMap<Long, Counts> minutes, final long number) {
         final long first = number - Window.SHORT.length().toMinutes() + 1;
         return minutes.subMap(first, number + 1).values().stream()
                 .reduce(Counts.NONE, Counts::plus);
     }
 
-    private XYChart chart(final String yTitle) {
+    private XYChart createChart(final String yTitle) {
         final XYChart chart =
                 new XYChartBuilder().width(WIDTH).height(HEIGHT).yAxisTitle(yTitle).build();
         chart.getStyler().setLegendVisible(false);
-        chart.getStyler().setXAxisMin((double) mFirst * MILLIS_PER_MINUTE);
-        chart.getStyler().setXAxisMax((double) mLast * MILLIS_PER_MINUTE);
+        chart.getStyler().setXAxisMin((double) mFirstMinute * MILLIS_PER_MINUTE);
+        chart.getStyler().setXAxisMax((double) mLastMinute * MILLIS_PER_MINUTE);
         chart.getStyler().setChartBackgroundColor(Color.WHITE);
         chart.getStyler().setPlotBorderVisible(false);
         chart.getStyler().setDatePattern("HH:mm");
@@ -166,10 +168,10 @@
         return chart;
     }
 
-    private XYSeries add(
+    private XYSeries addSeries(
             final XYChart chart, final String name, final List<Double> values, final Color colour) {
         final List<Date> times =
-                LongStream.rangeClosed(mFirst, mLast)
+                LongStream.rangeClosed(mFirstMinute, mLastMinute)
                         .mapToObj(number -> new Date(number * MILLIS_PER_MINUTE))
                         .toList();
         final XYSeries series = chart.addSeries(name, times, values);
@@ -179,7 +181,7 @@
         return series;
     }
 
-    private static byte[] draw(final XYChart chart) throws IOException {
+    private static byte[] encodePng(final XYChart chart) throws IOException {
         return BitmapEncoder.getBitmapBytes(chart, BitmapFormat.PNG);
     }
 }
--- a/report/src/main/java/org/whinhead/report/BurnRecorder.java
+++ b/report/src/main/java/org/whinhead/report/BurnRecorder.java
@@ -24,20 +24,20 @@
 public final class BurnRecorder {
 
     /** The most series kept. */
-    public static final int MOST_SERIES = 500;
+    public static final int MAX_SERIES = 500;
 
     /** The most minutes kept for a series. */
-    public static final int MINUTES = (int) Window.LONG.length().toMinutes();
+    public static final int MAX_MINUTES_PER_SERIES = (int) Window.LONG.length().toMinutes();
 
     private static final long SECONDS_PER_MINUTE = Duration.ofMinutes(1).toSeconds();
 
     private final DaemonId mDaemon;
     private final URI mAddress;
     private final Instant mSince;
-    private final Map<SeriesKey, Deque<Minute>> mSeries = new TreeMap<>();
+    private final Map<SeriesKey, Deque<MinuteCounts>> mSeries = new TreeMap<>();
     private SortedMap<String, Objective> mObjectives = new TreeMap<>();
     private long mLeftOut;
-    private long mLastSweep;
+    private long mLastSweepMinute;
 
     /**
      * Makes an empty recorder.
@@ -57,7 +57,7 @@
      *
      * @param objectives the promises, one for each tier
      */
-    public void objectives(final Collection<Objective> objectives) {
+    public void setObjectives(final Collection<Objective> objectives) {
         final SortedMap<String, Objective> byTier = new TreeMap<>();
         objectives.forEach(objective -> byTier.put(objective.tier(), objective));
         mObjectives = byTier;
@@ -68,7 +68,7 @@
      *
      * @param requests how many
      */
-    public void leftOut(final long requests) {
+    public void addLeftOut(final long requests) {
         mLeftOut += requests;
     }
 
@@ -78,10 +78,10 @@
      * @param sample the request
      */
     public void record(final RequestSample sample) {
-        final long number = minuteOf(sample.at());
-        Deque<Minute> minutes = mSeries.get(sample.key());
+        final long number = epochMinute(sample.endedAt());
+        Deque<MinuteCounts> minutes = mSeries.get(sample.key());
         if (minutes == null) {
-            if (!hasRoom(number)) {
+            if (!ensureCapacity(number)) {
                 mLeftOut++;
                 return;
             }
@@ -89,14 +89,14 @@
             mSeries.put(sample.key(), minutes);
         }
         final Counts counts = countsOf(sample);
-        final Minute last = minutes.peekLast();
-        if (last != null && last.number() >= number) {
+        final MinuteCounts last = minutes.peekLast();
+        if (last != null && last.epochMinute() >= number) {
             minutes.removeLast();
-            minutes.addLast(new Minute(last.number(), last.counts().plus(counts)));
+            minutes.addLast(new MinuteCounts(last.epochMinute(), last.counts().plus(counts)));
         } else {
-            minutes.addLast(new Minute(number, counts));
+            minutes.addLast(new MinuteCounts(number, counts));
         }
-        dropOld(minutes, number);
+        dropExpired(minutes, number);
     }
 
     /**
@@ -106,11 +106,11 @@
      * @return the report
      */
     public DaemonReport report(final Instant now) {
-        final long number = minuteOf(now);
+        final long number = epochMinute(now);
         final List<DaemonReport.Series> series = new ArrayList<>();
         mSeries.forEach(
                 (key, minutes) -> {
-                    dropOld(minutes, number);
+                    dropExpired(minutes, number);
                     series.add(new DaemonReport.Series(key, List.copyOf(minutes)));
                 });
         return new DaemonReport(
@@ -124,13 +124,13 @@
     }
 
     /** Drops what is too old when the bound is reached, at most once a minute. */
-    private boolean hasRoom(final long number) {
-        if (mSeries.size() == MOST_SERIES && mLastSweep != number) {
-            mLastSweep = number;
-            mSeries.values().forEach(minutes -> dropOld(minutes, number));
+    private boolean ensureCapacity(final long number) {
+        if (mSeries.size() == MAX_SERIES && mLastSweepMinute != number) {
+            mLastSweepMinute = number;
+            mSeries.values().forEach(minutes -> dropExpired(minutes, number));
             mSeries.values().removeIf(Deque::isEmpty);
         }
-        return mSeries.size() < MOST_SERIES;
+        return mSeries.size() < MAX_SERIES;
     }
 
     private Counts countsOf(final RequestSample sample) {
@@ -147,14 +147,14 @@
                                 .filter(time -> !isLonger(time, objective.betweenTokensTarget()))
                                 .isPresent();
         return new Counts(
-                one(outcome.counts()),
-                one(outcome.isGood()),
-                one(outcome == Outcome.REFUSED_NOT_RUN),
-                one(outcome == Outcome.FAILED_MAY_HAVE_RUN),
-                one(sample.firstToken().isPresent()),
-                one(firstInTime),
-                one(sample.betweenTokens().isPresent()),
-                one(streamInTime),
+                toCount(outcome.countsTowardsAvailability()),
+                toCount(outcome.isGood()),
+                toCount(outcome == Outcome.REFUSED_NOT_RUN),
+                toCount(outcome == Outcome.FAILED_MAY_HAVE_RUN),
+                toCount(sample.firstToken().isPresent()),
+                toCount(firstInTime),
+                toCount(sample.betweenTokens().isPresent()),
+                toCount(streamInTime),
                 sample.generatedTokens(),
                 sample.recomputedTokens());
     }
@@ -163,17 +163,18 @@
         return time.compareTo(target) > 0;
     }
 
-    private static long one(final boolean condition) {
+    private static long toCount(final boolean condition) {
         return condition ? 1 : 0;
     }
 
-    private static void dropOld(final Deque<Minute> minutes, final long number) {
-        while (!minutes.isEmpty() && minutes.peekFirst().number() <= number - MINUTES) {
+    private static void dropExpired(final Deque<MinuteCounts> minutes, final long number) {
+        while (!minutes.isEmpty()
+                && minutes.peekFirst().epochMinute() <= number - MAX_MINUTES_PER_SERIES) {
             minutes.removeFirst();
         }
     }
 
-    private static long minuteOf(final Instant instant) {
+    private static long epochMinute(final Instant instant) {
         return Math.floorDiv(instant.getEpochSecond(), SECONDS_PER_MINUTE);
     }
 }
--- a/report/src/main/java/org/whinhead/report/DaemonReport.java
+++ b/report/src/main/java/org/whinhead/report/DaemonReport.java
@@ -42,7 +42,7 @@
      * @param key whose
      * @param minutes the minutes that had a request, oldest first
      */
-    public record Series(SeriesKey key, List<Minute> minutes) {
+    public record Series(SeriesKey key, List<MinuteCounts> minutes) {
 
         /** Copies the list. */
         public Series {
--- a/report/src/main/java/org/whinhead/report/DaemonReportJson.java
+++ b/report/src/main/java/org/whinhead/report/DaemonReportJson.java
@@ -49,7 +49,7 @@
         root.put("asOf", report.asOf().toString());
         root.put("leftOut", report.leftOut());
         final ArrayNode objectives = root.putArray("objectives");
-        report.objectives().forEach(objective -> objectives.add(objective(objective)));
+        report.objectives().forEach(objective -> objectives.add(writeObjective(objective)));
         COLUMNS.forEach(root.putArray("columns")::add);
         final ArrayNode series = root.putArray("series");
         for (final DaemonReport.Series one : report.series()) {
@@ -57,7 +57,7 @@
             node.put("customer", one.key().customer().value());
             node.put("tier", one.key().tier());
             final ArrayNode minutes = node.putArray("minutes");
-            one.minutes().forEach(minute -> addMinute(minutes.addArray(), minute));
+            one.minutes().forEach(minute -> writeMinute(minutes.addArray(), minute));
         }
         return root;
     }
@@ -77,15 +77,15 @@
                     URI.create(root.path("address").asText()),
                     Instant.parse(root.path("since").asText()),
                     Instant.parse(root.path("asOf").asText()),
-                    objectives(root.path("objectives")),
-                    series(root.path("series")),
+                    readObjectives(root.path("objectives")),
+                    readSeries(root.path("series")),
                     root.path("leftOut").asLong());
         } catch (DateTimeParseException | IllegalArgumentException e) {
             throw new ReportFormatException("not a burn report: " + e.getMessage(), e);
         }
     }
 
-    private static ObjectNode objective(final Objective objective) {
+    private static ObjectNode writeObjective(final Objective objective) {
         return JsonNodeFactory.instance
                 .objectNode()
                 .put("tier", objective.tier())
@@ -95,9 +95,9 @@
                 .put("betweenTokensMillis", objective.betweenTokensTarget().toMillis());
     }
 
-    private static void addMinute(final ArrayNode row, final Minute minute) {
+    private static void writeMinute(final ArrayNode row, final MinuteCounts minute) {
         final Counts counts = minute.counts();
-        row.add(minute.number())
+        row.add(minute.epochMinute())
                 .add(counts.counted())
                 .add(counts.good())
                 .add(counts.notRun())
@@ -118,7 +118,7 @@
         }
     }
 
-    private static List<Objective> objectives(final JsonNode list) {
+    private static List<Objective> readObjectives(final JsonNode list) {
         final List<Objective> objectives = new ArrayList<>();
         for (final JsonNode node : list) {
             objectives.add(
@@ -132,25 +132,25 @@
         return objectives;
     }
 
-    private static List<DaemonReport.Series> series(final JsonNode list) {
+    private static List<DaemonReport.Series> readSeries(final JsonNode list) {
         final List<DaemonReport.Series> series = new ArrayList<>();
         for (final JsonNode node : list) {
             final CustomerId customer = new CustomerId(node.path("customer").asText());
             final SeriesKey key = new SeriesKey(customer, node.path("tier").asText());
-            final List<Minute> minutes = new ArrayList<>();
-            node.path("minutes").forEach(row -> minutes.add(minute(row)));
+            final List<MinuteCounts> minutes = new ArrayList<>();
+            node.path("minutes").forEach(row -> minutes.add(readMinute(row)));
             series.add(new DaemonReport.Series(key, minutes));
         }
         return series;
     }
 
-    private static Minute minute(final JsonNode row) {
+    private static MinuteCounts readMinute(final JsonNode row) {
         if (row.size() != COLUMNS.size()) {
             throw new IllegalArgumentException("a minute of " + row.size() + " numbers");
         }
         int column = 0;
         final long number = row.get(column++).asLong();
-        return new Minute(
+        return new MinuteCounts(
                 number,
                 new Counts(
                         row.get(column++).asLong(),
--- a/report/src/main/java/org/whinhead/report/FleetReport.java
+++ b/report/src/main/java/org/whinhead/report/FleetReport.java
@@ -46,7 +46,10 @@
      * @param minutes the sums by minute, oldest first
      */
     public record Line(
-            SeriesKey key, Objective objective, Map<Window, Counts> windows, List<Minute> minutes) {
+            SeriesKey key,
+            Objective objective,
+            Map<Window, Counts> windows,
+            List<MinuteCounts> minutes) {
 
         /** Copies the collections. */
         public Line {
@@ -61,8 +64,8 @@
          * @param window over which span
          * @return the burn rate
          */
-        public double burn(final ServiceLevel level, final Window window) {
-            return level.burn(counts(window), objective);
+        public double burnRate(final ServiceLevelIndicator level, final Window window) {
+            return level.burnRate(counts(window), objective);
         }
 
         /**
@@ -117,7 +120,7 @@
      * @param window over which span
      * @return the price, or empty if it is not known or nothing was completed
      */
-    public OptionalDouble pricePerThousand(final Window window) {
+    public OptionalDouble costPerThousandCompleted(final Window window) {
         final long completed = total(window).good();
         if (pricePerHour.isEmpty() || completed == 0) {
             return OptionalDouble.empty();
--- a/report/src/main/java/org/whinhead/report/FleetMerge.java
+++ b/report/src/main/java/org/whinhead/report/FleetReportMerger.java
@@ -18,11 +18,11 @@
  * single-threaded. Its time is that of the newest report, so that the clock of the operator's
  * machine does not matter.
  */
-public final class FleetMerge {
+public final class FleetReportMerger {
 
     private static final long SECONDS_PER_MINUTE = Duration.ofMinutes(1).toSeconds();
 
-    private static final Duration MOST_LAG = Duration.ofMinutes(2);
+    private static final Duration MAX_CLOCK_LAG = Duration.ofMinutes(2);
 
     private final SortedMap<SeriesKey, SortedMap<Long, Counts>> mSums = new TreeMap<>();
     private final SortedMap<String, Objective> mObjectives = new TreeMap<>();
@@ -30,7 +30,7 @@
     private final List<String> mMissing = new ArrayList<>();
     private final SortedSet<String> mNotes = new TreeSet<>();
     private OptionalDouble mPricePerHour = OptionalDouble.empty();
-    private Instant mNewest = Instant.EPOCH;
+    private Instant mNewestReportAt = Instant.EPOCH;
     private Instant mSince = Instant.MAX;
 
     /**
@@ -38,7 +38,7 @@
      *
      * @param pricePerHour what all VMs cost an hour, if it is known
      */
-    public void price(final OptionalDouble pricePerHour) {
+    public void setPricePerHour(final OptionalDouble pricePerHour) {
         mPricePerHour = pricePerHour;
     }
 
@@ -53,13 +53,13 @@
             return;
         }
         mSince = report.since().isBefore(mSince) ? report.since() : mSince;
-        noteGaps(report);
+        noteIncompleteCounts(report);
         addObjectives(report);
         for (final DaemonReport.Series series : report.series()) {
             final SortedMap<Long, Counts> minutes =
                     mSums.computeIfAbsent(series.key(), key -> new TreeMap<>());
-            for (final Minute minute : series.minutes()) {
-                minutes.merge(minute.number(), minute.counts(), Counts::plus);
+            for (final MinuteCounts minute : series.minutes()) {
+                minutes.merge(minute.epochMinute(), minute.counts(), Counts::plus);
             }
         }
     }
@@ -69,7 +69,7 @@
      *
      * @param daemon its name or address, and the cause
      */
-    public void addMissing(final String daemon) {
+    public void addMissingDaemon(final String daemon) {
         mMissing.add(daemon);
     }
 
@@ -87,17 +87,17 @@
                     if (objective == null) {
                         mNotes.add("tier " + key.tier() + " has no objective in force");
                     } else {
-                        lines.add(line(key, objective, minutes));
+                        lines.add(mergeLine(key, objective, minutes));
                     }
                 });
         if (mPricePerHour.isPresent() && !mMissing.isEmpty()) {
             mNotes.add("the cost is too high: what missing daemons completed is not counted");
         }
-        mCollected.forEach(this::noteLag);
+        mCollected.forEach(this::noteClockLag);
         Collections.sort(mMissing);
         return new FleetReport(
-                mNewest,
-                mSince.isBefore(mNewest) ? mSince : mNewest,
+                mNewestReportAt,
+                mSince.isBefore(mNewestReportAt) ? mSince : mNewestReportAt,
                 mPricePerHour,
                 lines,
                 List.copyOf(mCollected.keySet()),
@@ -107,9 +107,9 @@
 
     /** The objectives of the newest report hold for all, so that each line is judged by one. */
     private void addObjectives(final DaemonReport report) {
-        final boolean newer = report.asOf().isAfter(mNewest);
+        final boolean newer = report.asOf().isAfter(mNewestReportAt);
         if (newer) {
-            mNewest = report.asOf();
+            mNewestReportAt = report.asOf();
         }
         for (final Objective objective : report.objectives()) {
             final Objective other = mObjectives.get(objective.tier());
@@ -123,13 +123,13 @@
     }
 
     /** A clock that lags moves a daemon's requests into the wrong minutes. */
-    private void noteLag(final String daemon, final Instant asOf) {
-        if (Duration.between(asOf, mNewest).compareTo(MOST_LAG) > 0) {
+    private void noteClockLag(final String daemon, final Instant asOf) {
+        if (Duration.between(asOf, mNewestReportAt).compareTo(MAX_CLOCK_LAG) > 0) {
             mNotes.add("the clock of " + daemon + " is behind: " + asOf);
         }
     }
 
-    private void noteGaps(final DaemonReport report) {
+    private void noteIncompleteCounts(final DaemonReport report) {
         final Duration age = Duration.between(report.since(), report.asOf());
         if (age.compareTo(Window.LONG.length()) < 0) {
             mNotes.add(report.daemon() + " counts only since " + report.since());
@@ -139,18 +139,18 @@
         }
     }
 
-    private FleetReport.Line line(
+    private FleetReport.Line mergeLine(
             final SeriesKey key, final Objective objective, final SortedMap<Long, Counts> minutes) {
         final Map<Window, Counts> windows = new EnumMap<>(Window.class);
-        final long thisMinute = Math.floorDiv(mNewest.getEpochSecond(), SECONDS_PER_MINUTE);
+        final long thisMinute = Math.floorDiv(mNewestReportAt.getEpochSecond(), SECONDS_PER_MINUTE);
         for (final Window window : Window.values()) {
             final long first = thisMinute - window.length().toMinutes() + 1;
             final Counts sum =
                     minutes.tailMap(first).values().stream().reduce(Counts.NONE, Counts::plus);
             windows.put(window, sum);
         }
-        final List<Minute> list = new ArrayList<>();
-        minutes.forEach((number, counts) -> list.add(new Minute(number, counts)));
+        final List<MinuteCounts> list = new ArrayList<>();
+        minutes.forEach((number, counts) -> list.add(new MinuteCounts(number, counts)));
         return new FleetReport.Line(key, objective, windows, list);
     }
 }
--- a/report/src/main/java/org/whinhead/report/HtmlReport.java
+++ b/report/src/main/java/org/whinhead/report/HtmlReport.java
@@ -8,9 +8,9 @@
 /** Writes a report as one HTML page that needs no other file. */
 public final class HtmlReport {
 
-    private static final double ALL_OF_IT = 1;
-    private static final int MOST_OPEN = 5;
-    private static final String COUNT_HEADS =
+    private static final double FULL_ALLOWANCE_BURN_RATE = 1;
+    private static final int MAX_ITEMS_OF_OPEN_LIST = 5;
+    private static final String COUNT_HEADERS =
             "<th class=\"n\">Completed requests</th><th class=\"n\">Generated tokens</th>"
                     + "<th class=\"n\">Recomputed</th><th class=\"n\">Recomputed share</th>";
     private static final String STYLE =
@@ -48,51 +48,51 @@
                 .append("</style></head><body><h1>Service-level burn</h1><p>")
                 .append(report.asOf())
                 .append(". A burn of 1.00 uses up exactly the allowance for misses.</p>");
-        gaps(report, page);
-        alerts(report, page);
+        appendSources(report, page);
+        appendAlerts(report, page);
         if (report.lines().isEmpty()) {
             page.append("<p>No request ended in the last ")
                     .append(Window.LONG.title())
                     .append(".</p>");
         } else {
-            burnTable(report, page);
-            plots(report, page);
+            appendBurnTable(report, page);
+            appendPlots(report, page);
         }
-        tokenTables(report, page);
+        appendTokenTables(report, page);
         return page.append("</body></html>\n").toString();
     }
 
-    private static void gaps(final FleetReport report, final StringBuilder page) {
+    private static void appendSources(final FleetReport report, final StringBuilder page) {
         page.append("<p>Collected from ").append(report.collected().size()).append(" daemons.</p>");
-        gapList(page, "Not collected", report.missing());
-        gapList(page, "Notes", report.notes());
+        appendCollapsibleList(page, "Not collected", report.missing());
+        appendCollapsibleList(page, "Notes", report.notes());
     }
 
     /** Folds long lists away, so that a fleet that has just started does not hide the tables. */
-    private static void gapList(
+    private static void appendCollapsibleList(
             final StringBuilder page, final String title, final List<String> texts) {
         if (texts.isEmpty()) {
             return;
         }
         page.append("<details class=\"gap\"")
-                .append(texts.size() <= MOST_OPEN ? " open" : "")
+                .append(texts.size() <= MAX_ITEMS_OF_OPEN_LIST ? " open" : "")
                 .append("><summary>")
                 .append(title)
                 .append(": ")
                 .append(texts.size())
                 .append("</summary><ul>");
-        texts.forEach(text -> page.append("<li>").append(escape(text)).append("</li>"));
+        texts.forEach(text -> page.append("<li>").append(escapeHtml(text)).append("</li>"));
         page.append("</ul></details>");
     }
 
-    private static void alerts(final FleetReport report, final StringBuilder page) {
+    private static void appendAlerts(final FleetReport report, final StringBuilder page) {
         page.append("<h2>Alerts</h2>");
         final StringBuilder items = new StringBuilder();
         for (final Alert alert : List.of(Alert.PAGE, Alert.TICKET)) {
             for (final FleetReport.Line line : report.lines()) {
-                for (final ServiceLevel level : ServiceLevel.values()) {
+                for (final ServiceLevelIndicator level : ServiceLevelIndicator.values()) {
                     if (Alert.of(line, level) == alert) {
-                        alert(items, alert, line, level);
+                        appendAlert(items, alert, line, level);
                     }
                 }
             }
@@ -100,163 +100,166 @@
         page.append(items.length() == 0 ? "<p>None.</p>" : "<ul>" + items + "</ul>");
     }
 
-    private static void alert(
+    private static void appendAlert(
             final StringBuilder items,
             final Alert alert,
             final FleetReport.Line line,
-            final ServiceLevel level) {
+            final ServiceLevelIndicator level) {
         items.append("<li><span class=\"")
-                .append(styleOf(alert.burn()))
+                .append(cssClassOf(alert.burnRateThreshold()))
                 .append("\">")
                 .append(alert.title())
                 .append("</span> ")
-                .append(escape(line.key().customer().value()))
+                .append(escapeHtml(line.key().customer().value()))
                 .append(", ")
-                .append(escape(line.key().tier()))
+                .append(escapeHtml(line.key().tier()))
                 .append(": ")
                 .append(level.title())
                 .append(
                         String.format(
                                 Locale.ROOT,
                                 ", burn %.1f over %s",
-                                line.burn(level, Window.MIDDLE),
+                                line.burnRate(level, Window.MIDDLE),
                                 Window.MIDDLE.title()))
                 .append("</li>");
     }
 
-    private static void burnTable(final FleetReport report, final StringBuilder page) {
+    private static void appendBurnTable(final FleetReport report, final StringBuilder page) {
         page.append("<h2>Burn</h2><table><tr><th>Customer</th><th>Tier</th><th>Promise</th>");
         for (final Window window : Window.values()) {
             page.append("<th class=\"n\">").append(window.title()).append("</th>");
         }
         page.append("<th class=\"n\">Counted in ").append(Window.LONG.title()).append("</th></tr>");
-        report.lines().forEach(line -> burnRows(line, page));
+        report.lines().forEach(line -> appendBurnRows(line, page));
         page.append("</table>");
     }
 
-    private static void burnRows(final FleetReport.Line line, final StringBuilder page) {
+    private static void appendBurnRows(final FleetReport.Line line, final StringBuilder page) {
         boolean first = true;
-        for (final ServiceLevel level : ServiceLevel.values()) {
+        for (final ServiceLevelIndicator level : ServiceLevelIndicator.values()) {
             page.append(first ? "<tr class=\"first\"><td>" : "<tr><td>")
-                    .append(first ? escape(line.key().customer().value()) : "")
+                    .append(first ? escapeHtml(line.key().customer().value()) : "")
                     .append("</td><td>")
-                    .append(first ? escape(line.key().tier()) : "")
+                    .append(first ? escapeHtml(line.key().tier()) : "")
                     .append("</td><td>")
                     .append(level.title())
                     .append("</td>");
             for (final Window window : Window.values()) {
-                burnCell(line, level, window, page);
+                appendBurnCell(line, level, window, page);
             }
             page.append("<td class=\"n\">")
                     .append(
                             String.format(
-                                    Locale.ROOT, "%,d", level.total(line.counts(Window.LONG))))
+                                    Locale.ROOT,
+                                    "%,d",
+                                    level.totalEvents(line.counts(Window.LONG))))
                     .append("</td></tr>");
             first = false;
         }
     }
 
-    private static void burnCell(
+    private static void appendBurnCell(
             final FleetReport.Line line,
-            final ServiceLevel level,
+            final ServiceLevelIndicator level,
             final Window window,
             final StringBuilder page) {
-        if (level.total(line.counts(window)) == 0) {
+        if (level.totalEvents(line.counts(window)) == 0) {
             page.append("<td class=\"n none\">–</td>");
             return;
         }
-        final double burn = line.burn(level, window);
+        final double burn = line.burnRate(level, window);
         page.append("<td class=\"n ")
-                .append(styleOf(burn))
+                .append(cssClassOf(burn))
                 .append("\">")
                 .append(String.format(Locale.ROOT, "%.2f", burn))
                 .append("</td>");
     }
 
-    private static String styleOf(final double burn) {
-        if (burn >= Alert.PAGE.burn()) {
+    private static String cssClassOf(final double burn) {
+        if (burn >= Alert.PAGE.burnRateThreshold()) {
             return "fire";
         }
-        if (burn >= Alert.TICKET.burn()) {
+        if (burn >= Alert.TICKET.burnRateThreshold()) {
             return "hot";
         }
-        return burn > ALL_OF_IT ? "warm" : "";
+        return burn > FULL_ALLOWANCE_BURN_RATE ? "warm" : "";
     }
 
-    private static void plots(final FleetReport report, final StringBuilder page)
+    private static void appendPlots(final FleetReport report, final StringBuilder page)
             throws IOException {
         final BurnPlot plot = new BurnPlot(report);
         page.append("<h2>Course over ").append(Window.LONG.title()).append(" (UTC)</h2>");
-        legend(report, plot, page);
-        for (final ServiceLevel level : ServiceLevel.values()) {
+        appendLegend(report, plot, page);
+        for (final ServiceLevelIndicator level : ServiceLevelIndicator.values()) {
             final String title = "Burn: " + level.title();
-            if (plot.hasBurn(level)) {
-                picture(page, title, plot.burn(level));
+            if (plot.hasMisses(level)) {
+                appendImage(page, title, plot.drawBurnRate(level));
             } else {
                 page.append("<h3>").append(title).append("</h3><p>No miss.</p>");
             }
         }
-        picture(page, "Tokens a minute", plot.tokens());
+        appendImage(page, "Tokens a minute", plot.drawTokens());
         page.append("<p class=\"legend\">");
-        swatch(page, BurnPlot.colour(0), "generated");
-        swatch(page, BurnPlot.colour(1), "recomputed");
+        appendLegendEntry(page, BurnPlot.cssColor(0), "generated");
+        appendLegendEntry(page, BurnPlot.cssColor(1), "recomputed");
         page.append("</p>");
     }
 
-    private static void legend(
+    private static void appendLegend(
             final FleetReport report, final BurnPlot plot, final StringBuilder page) {
         page.append("<p class=\"legend\">");
-        for (int index = 0; index < plot.shown().size(); index++) {
-            final SeriesKey key = plot.shown().get(index).key();
-            swatch(page, BurnPlot.colour(index), key.customer() + ", " + key.tier());
+        for (int index = 0; index < plot.plottedLines().size(); index++) {
+            final SeriesKey key = plot.plottedLines().get(index).key();
+            appendLegendEntry(page, BurnPlot.cssColor(index), key.customer() + ", " + key.tier());
         }
-        swatch(page, "#808080", "allowance");
+        appendLegendEntry(page, "#808080", "allowance");
         page.append("</p>");
-        if (plot.shown().size() < report.lines().size()) {
+        if (plot.plottedLines().size() < report.lines().size()) {
             page.append("<p>The ")
-                    .append(plot.shown().size())
+                    .append(plot.plottedLines().size())
                     .append(" lines with the highest burn, of ")
                     .append(report.lines().size())
                     .append(".</p>");
         }
     }
 
-    private static void swatch(final StringBuilder page, final String colour, final String name) {
+    private static void appendLegendEntry(
+            final StringBuilder page, final String colour, final String name) {
         page.append("<span><i style=\"background:")
                 .append(colour)
                 .append("\"></i>")
-                .append(escape(name))
+                .append(escapeHtml(name))
                 .append("</span>");
     }
 
-    private static void tokenTables(final FleetReport report, final StringBuilder page) {
-        tokenTable(report, page);
+    private static void appendTokenTables(final FleetReport report, final StringBuilder page) {
+        appendWindowTable(report, page);
         if (report.lines().isEmpty()) {
             return;
         }
         page.append("<h2>Tiers over ")
                 .append(Window.MIDDLE.title())
                 .append("</h2><table><tr><th>Tier</th>")
-                .append(COUNT_HEADS)
+                .append(COUNT_HEADERS)
                 .append("</tr>");
         for (final String tier : report.tiers()) {
-            page.append("<tr><td>").append(escape(tier)).append("</td>");
-            countCells(report.total(tier, Window.MIDDLE), page);
+            page.append("<tr><td>").append(escapeHtml(tier)).append("</td>");
+            appendCountCells(report.total(tier, Window.MIDDLE), page);
             page.append("</tr>");
         }
         page.append("</table>");
     }
 
-    private static void tokenTable(final FleetReport report, final StringBuilder page) {
+    private static void appendWindowTable(final FleetReport report, final StringBuilder page) {
         page.append("<h2>Tokens and cost</h2><table><tr><th>Window</th>")
-                .append(COUNT_HEADS)
+                .append(COUNT_HEADERS)
                 .append("<th class=\"n\">Cost of 1,000 completed</th></tr>");
         for (final Window window : Window.values()) {
             page.append("<tr><td>").append(window.title()).append("</td>");
-            countCells(report.total(window), page);
+            appendCountCells(report.total(window), page);
             page.append("<td class=\"n\">")
                     .append(
-                            report.pricePerThousand(window).stream()
+                            report.costPerThousandCompleted(window).stream()
                                     .mapToObj(value -> String.format(Locale.ROOT, "%.4f", value))
                                     .findFirst()
                                     .orElse("not known"))
@@ -265,7 +268,7 @@
         page.append("</table>");
     }
 
-    private static void countCells(final Counts sum, final StringBuilder page) {
+    private static void appendCountCells(final Counts sum, final StringBuilder page) {
         page.append(
                 String.format(
                         Locale.ROOT,
@@ -277,7 +280,8 @@
                         sum.recomputedPercent()));
     }
 
-    private static void picture(final StringBuilder page, final String title, final byte[] image) {
+    private static void appendImage(
+            final StringBuilder page, final String title, final byte[] image) {
         page.append("<h3>")
                 .append(title)
                 .append("</h3><img alt=\"")
@@ -287,7 +291,7 @@
                 .append("\">");
     }
 
-    private static String escape(final String text) {
+    private static String escapeHtml(final String text) {
         return text.replace("&", "&amp;")
                 .replace("<", "&lt;")
                 .replace(">", "&gt;")
--- a/report/src/main/java/org/whinhead/report/JsonReport.java
+++ b/report/src/main/java/org/whinhead/report/JsonReport.java
@@ -22,11 +22,11 @@
         final ObjectNode root = MAPPER.createObjectNode();
         root.put("asOf", report.asOf().toString());
         final ArrayNode lines = root.putArray("lines");
-        report.lines().forEach(line -> lines.add(line(line)));
+        report.lines().forEach(line -> lines.add(writeLine(line)));
         final ObjectNode tokens = root.putObject("tokens");
         for (final Window window : Window.values()) {
             final Counts sum = report.total(window);
-            final ObjectNode node = tokens.putObject(name(window));
+            final ObjectNode node = tokens.putObject(fieldName(window));
             node.put("completed", sum.good());
             node.put("generated", sum.generatedTokens());
             node.put("recomputed", sum.recomputedTokens());
@@ -39,7 +39,7 @@
             node.put("generated", sum.generatedTokens());
             node.put("recomputed", sum.recomputedTokens());
         }
-        report.pricePerThousand(Window.MIDDLE)
+        report.costPerThousandCompleted(Window.MIDDLE)
                 .ifPresent(price -> root.put("costPerThousandCompleted", price));
         root.put("complete", report.isComplete());
         report.collected().forEach(root.putArray("collected")::add);
@@ -48,30 +48,30 @@
         return root.toPrettyString();
     }
 
-    private static ObjectNode line(final FleetReport.Line line) {
+    private static ObjectNode writeLine(final FleetReport.Line line) {
         final ObjectNode node = MAPPER.createObjectNode();
         node.put("customer", line.key().customer().value());
         node.put("tier", line.key().tier());
         for (final Window window : Window.values()) {
             final Counts counts = line.counts(window);
-            final ObjectNode sums = node.putObject(name(window));
+            final ObjectNode sums = node.putObject(fieldName(window));
             sums.put("requests", counts.counted());
             sums.put("good", counts.good());
             sums.put("notRun", counts.notRun());
             sums.put("mayHaveRun", counts.mayHaveRun());
             final ObjectNode burn = sums.putObject("burn");
-            for (final ServiceLevel level : ServiceLevel.values()) {
-                burn.put(name(level), line.burn(level, window));
+            for (final ServiceLevelIndicator level : ServiceLevelIndicator.values()) {
+                burn.put(fieldName(level), line.burnRate(level, window));
             }
         }
         final ObjectNode alerts = node.putObject("alerts");
-        for (final ServiceLevel level : ServiceLevel.values()) {
-            alerts.put(name(level), name(Alert.of(line, level)));
+        for (final ServiceLevelIndicator level : ServiceLevelIndicator.values()) {
+            alerts.put(fieldName(level), fieldName(Alert.of(line, level)));
         }
         return node;
     }
 
-    private static String name(final Enum<?> constant) {
+    private static String fieldName(final Enum<?> constant) {
         return constant.name().toLowerCase(Locale.ROOT);
     }
 }
--- a/report/src/main/java/org/whinhead/report/Minute.java
+++ b/report/src/main/java/org/whinhead/report/MinuteCounts.java
@@ -5,13 +5,13 @@
 /**
  * The requests that ended in one minute.
  *
- * @param number minutes since 1970
+ * @param epochMinute minutes since 1970
  * @param counts the sums
  */
-public record Minute(long number, Counts counts) {
+public record MinuteCounts(long epochMinute, Counts counts) {
 
     /** Checks the sums. */
-    public Minute {
+    public MinuteCounts {
         Objects.requireNonNull(counts, "counts");
     }
 }
--- a/report/src/main/java/org/whinhead/report/Outcome.java
+++ b/report/src/main/java/org/whinhead/report/Outcome.java
@@ -15,17 +15,17 @@
     /** The caller went on with a ticket; whoever ends the request counts it. */
     HANDED_OVER(false, false);
 
-    private final boolean mCounts;
+    private final boolean mCountsTowardsAvailability;
     private final boolean mGood;
 
     Outcome(final boolean counts, final boolean good) {
-        mCounts = counts;
+        mCountsTowardsAvailability = counts;
         mGood = good;
     }
 
     /** Tells whether the outcome counts towards availability at all. */
-    public boolean counts() {
-        return mCounts;
+    public boolean countsTowardsAvailability() {
+        return mCountsTowardsAvailability;
     }
 
     /** Tells whether the outcome is what the caller asked for. */
--- a/report/src/main/java/org/whinhead/report/RequestSample.java
+++ b/report/src/main/java/org/whinhead/report/RequestSample.java
@@ -15,7 +15,7 @@
  * @param betweenTokens mean time between tokens, if there were two
  * @param generatedTokens tokens that reached the caller
  * @param recomputedTokens prompt and answer tokens computed again on its way
- * @param at when it ended
+ * @param endedAt when it ended
  */
 public record RequestSample(
         SeriesKey key,
@@ -24,7 +24,7 @@
         Optional<Duration> betweenTokens,
         long generatedTokens,
         long recomputedTokens,
-        Instant at) {
+        Instant endedAt) {
 
     /** Checks every part. */
     public RequestSample {
@@ -34,6 +34,6 @@
         Objects.requireNonNull(betweenTokens, "betweenTokens");
         Arguments.requireAtLeast(generatedTokens, 0, "generatedTokens");
         Arguments.requireAtLeast(recomputedTokens, 0, "recomputedTokens");
-        Objects.requireNonNull(at, "at");
+        Objects.requireNonNull(endedAt, "at");
     }
 }
--- a/report/src/main/java/org/whinhead/report/ServiceLevel.java
+++ b/report/src/main/java/org/whinhead/report/ServiceLevelIndicator.java
@@ -1,65 +1,65 @@
 package org.whinhead.report;
 
 /** The three promises whose burn is reported. */
-public enum ServiceLevel {
+public enum ServiceLevelIndicator {
     /** Requests get what they asked for. */
     AVAILABILITY("availability") {
         @Override
-        long total(final Counts counts) {
+        long totalEvents(final Counts counts) {
             return counts.counted();
         }
 
         @Override
-        long good(final Counts counts) {
+        long goodEvents(final Counts counts) {
             return counts.good();
         }
 
         @Override
-        double promised(final Objective objective) {
+        double targetShare(final Objective objective) {
             return objective.availability();
         }
     },
     /** First tokens come in time. */
     FIRST_TOKEN("first token") {
         @Override
-        long total(final Counts counts) {
+        long totalEvents(final Counts counts) {
             return counts.firstTokens();
         }
 
         @Override
-        long good(final Counts counts) {
+        long goodEvents(final Counts counts) {
             return counts.firstTokensInTime();
         }
 
         @Override
-        double promised(final Objective objective) {
+        double targetShare(final Objective objective) {
             return objective.latencyShare();
         }
     },
     /** Later tokens come in time. */
     BETWEEN_TOKENS("between tokens") {
         @Override
-        long total(final Counts counts) {
+        long totalEvents(final Counts counts) {
             return counts.streams();
         }
 
         @Override
-        long good(final Counts counts) {
+        long goodEvents(final Counts counts) {
             return counts.streamsInTime();
         }
 
         @Override
-        double promised(final Objective objective) {
+        double targetShare(final Objective objective) {
             return objective.latencyShare();
         }
     };
 
     /** The allowance of a promise without one, so that a single miss shows as a huge burn. */
-    private static final double SMALLEST_ALLOWANCE = 1e-6;
+    private static final double MIN_ALLOWANCE = 1e-6;
 
     private final String mTitle;
 
-    ServiceLevel(final String title) {
+    ServiceLevelIndicator(final String title) {
         mTitle = title;
     }
 
@@ -68,11 +68,11 @@
         return mTitle;
     }
 
-    abstract long total(Counts counts);
+    abstract long totalEvents(Counts counts);
 
-    abstract long good(Counts counts);
+    abstract long goodEvents(Counts counts);
 
-    abstract double promised(Objective objective);
+    abstract double targetShare(Objective objective);
 
     /**
      * Returns how fast the allowance for misses is used up: 1 uses exactly all of it.
@@ -81,12 +81,12 @@
      * @param objective what was promised
      * @return the burn rate; 0 when nothing was counted
      */
-    public double burn(final Counts counts, final Objective objective) {
-        final long total = total(counts);
+    public double burnRate(final Counts counts, final Objective objective) {
+        final long total = totalEvents(counts);
         if (total == 0) {
             return 0;
         }
-        final double missed = (double) (total - good(counts)) / total;
-        return missed / Math.max(1 - promised(objective), SMALLEST_ALLOWANCE);
+        final double missed = (double) (total - goodEvents(counts)) / total;
+        return missed / Math.max(1 - targetShare(objective), MIN_ALLOWANCE);
     }
 }
--- a/report/src/main/java/org/whinhead/report/TextReport.java
+++ b/report/src/main/java/org/whinhead/report/TextReport.java
@@ -8,9 +8,9 @@
 /** Writes a report as tables for a terminal. */
 public final class TextReport {
 
-    private static final String NUMBERS = "%-14s  %8s %8s %8s %9s  %s";
-    private static final String BURN = "%.2f";
-    private static final String NOTHING_COUNTED = "-";
+    private static final String NUMBER_COLUMNS = "%-14s  %8s %8s %8s %9s  %s";
+    private static final String BURN_RATE_FORMAT = "%.2f";
+    private static final String NO_REQUESTS = "-";
 
     private TextReport() {}
 
@@ -25,11 +25,11 @@
         out.append("Service-level burn at ")
                 .append(report.asOf())
                 .append(" (1.00 = allowance)\n\n");
-        burnTable(report, out);
+        appendBurnTable(report, out);
         out.append('\n');
-        tiers(report, out);
-        tokens(report, out);
-        price(report, out);
+        appendTiers(report, out);
+        appendTokens(report, out);
+        appendCost(report, out);
         out.append("collected from: ").append(String.join(", ", report.collected())).append('\n');
         report.missing().forEach(text -> out.append("NOT collected: ").append(text).append('\n'));
         report.notes().forEach(text -> out.append("note: ").append(text).append('\n'));
@@ -37,10 +37,11 @@
     }
 
     /** Lays the table out by its longest names, which operators choose. */
-    private static void burnTable(final FleetReport report, final StringBuilder out) {
-        final int customers = width(report, "customer", line -> line.key().customer().value());
-        final int tiers = width(report, "tier", line -> line.key().tier());
-        final String layout = "%-" + customers + "s  %-" + tiers + "s  " + NUMBERS;
+    private static void appendBurnTable(final FleetReport report, final StringBuilder out) {
+        final int customers =
+                columnWidth(report, "customer", line -> line.key().customer().value());
+        final int tiers = columnWidth(report, "tier", line -> line.key().tier());
+        final String layout = "%-" + customers + "s  %-" + tiers + "s  " + NUMBER_COLUMNS;
         final Object[] heads = {
             "customer",
             "tier",
@@ -51,15 +52,15 @@
             "requests",
             "alert"
         };
-        addRow(out, layout, heads);
+        appendRow(out, layout, heads);
         for (final FleetReport.Line line : report.lines()) {
-            for (final ServiceLevel level : ServiceLevel.values()) {
-                addRow(out, layout, cells(line, level));
+            for (final ServiceLevelIndicator level : ServiceLevelIndicator.values()) {
+                appendRow(out, layout, rowCells(line, level));
             }
         }
     }
 
-    private static int width(
+    private static int columnWidth(
             final FleetReport report,
             final String head,
             final Function<FleetReport.Line, String> name) {
@@ -69,33 +70,34 @@
                 .orElse(0);
     }
 
-    private static void addRow(
+    private static void appendRow(
             final StringBuilder out, final String layout, final Object... cells) {
         out.append(String.format(Locale.ROOT, layout, cells).stripTrailing()).append('\n');
     }
 
-    private static Object[] cells(final FleetReport.Line line, final ServiceLevel level) {
+    private static Object[] rowCells(
+            final FleetReport.Line line, final ServiceLevelIndicator level) {
         return new Object[] {
             line.key().customer(),
             line.key().tier(),
             level.title(),
-            burn(line, level, Window.SHORT),
-            burn(line, level, Window.MIDDLE),
-            burn(line, level, Window.LONG),
-            level.total(line.counts(Window.LONG)),
+            formatBurnRate(line, level, Window.SHORT),
+            formatBurnRate(line, level, Window.MIDDLE),
+            formatBurnRate(line, level, Window.LONG),
+            level.totalEvents(line.counts(Window.LONG)),
             Alert.of(line, level).title()
         };
     }
 
-    private static String burn(
-            final FleetReport.Line line, final ServiceLevel level, final Window window) {
-        if (level.total(line.counts(window)) == 0) {
-            return NOTHING_COUNTED;
+    private static String formatBurnRate(
+            final FleetReport.Line line, final ServiceLevelIndicator level, final Window window) {
+        if (level.totalEvents(line.counts(window)) == 0) {
+            return NO_REQUESTS;
         }
-        return String.format(Locale.ROOT, BURN, line.burn(level, window));
+        return String.format(Locale.ROOT, BURN_RATE_FORMAT, line.burnRate(level, window));
     }
 
-    private static void tiers(final FleetReport report, final StringBuilder out) {
+    private static void appendTiers(final FleetReport report, final StringBuilder out) {
         for (final String tier : report.tiers()) {
             final Counts sum = report.total(tier, Window.MIDDLE);
             out.append(
@@ -110,7 +112,7 @@
         }
     }
 
-    private static void tokens(final FleetReport report, final StringBuilder out) {
+    private static void appendTokens(final FleetReport report, final StringBuilder out) {
         for (final Window window : Window.values()) {
             final Counts sum = report.total(window);
             out.append(
@@ -124,8 +126,8 @@
         }
     }
 
-    private static void price(final FleetReport report, final StringBuilder out) {
-        final OptionalDouble price = report.pricePerThousand(Window.MIDDLE);
+    private static void appendCost(final FleetReport report, final StringBuilder out) {
+        final OptionalDouble price = report.costPerThousandCompleted(Window.MIDDLE);
         if (price.isPresent()) {
             out.append(
                     String.format(
--- a/report/src/test/java/org/whinhead/report/FleetReportTest.java
+++ b/report/src/test/java/org/whinhead/report/FleetReportTest.java
@@ -32,7 +32,7 @@
 
         final FleetReport.Line line = merge(recorder.report(NOW)).lines().get(0);
 
-        assertThat(line.burn(ServiceLevel.AVAILABILITY, Window.SHORT))
+        assertThat(line.burnRate(ServiceLevelIndicator.AVAILABILITY, Window.SHORT))
                 .isEqualTo(1, within(TOLERANCE));
     }
 
@@ -45,8 +45,8 @@
 
         final FleetReport.Line line = merge(recorder.report(NOW)).lines().get(0);
 
-        assertThat(line.burn(ServiceLevel.AVAILABILITY, Window.SHORT)).isZero();
-        assertThat(line.burn(ServiceLevel.AVAILABILITY, Window.MIDDLE))
+        assertThat(line.burnRate(ServiceLevelIndicator.AVAILABILITY, Window.SHORT)).isZero();
+        assertThat(line.burnRate(ServiceLevelIndicator.AVAILABILITY, Window.MIDDLE))
                 .isEqualTo(50, within(TOLERANCE));
     }
 
@@ -72,7 +72,7 @@
 
         final FleetReport.Line line = report.lines().get(0);
         assertThat(line.windows().get(Window.SHORT).counted()).isEqualTo(2);
-        assertThat(line.burn(ServiceLevel.FIRST_TOKEN, Window.SHORT))
+        assertThat(line.burnRate(ServiceLevelIndicator.FIRST_TOKEN, Window.SHORT))
                 .isEqualTo(10, within(TOLERANCE));
         assertThat(report.collected()).containsExactly("d1", "d2");
         assertThat(TextReport.write(report))
@@ -86,7 +86,7 @@
     @Test
     void seriesBeyondTheBoundAreLeftOutAndSaidSo() {
         final BurnRecorder recorder = recorder("d1");
-        for (int index = 0; index <= BurnRecorder.MOST_SERIES; index++) {
+        for (int index = 0; index <= BurnRecorder.MAX_SERIES; index++) {
             final SeriesKey key = new SeriesKey(new CustomerId("c" + index), "court");
             recorder.record(
                     new RequestSample(
@@ -119,7 +119,7 @@
                         new DaemonId(daemon),
                         URI.create("http://127.0.0.1:7001"),
                         NOW.minus(Duration.ofMinutes(30)));
-        recorder.objectives(List.of(COURT));
+        recorder.setObjectives(List.of(COURT));
         return recorder;
     }
 
@@ -136,10 +136,10 @@
     }
 
     private static FleetReport merge(final DaemonReport... reports) {
-        final FleetMerge merge = new FleetMerge();
+        final FleetReportMerger merge = new FleetReportMerger();
         List.of(reports).forEach(merge::add);
-        merge.addMissing("d3: timed out");
-        merge.price(OptionalDouble.of(12));
+        merge.addMissingDaemon("d3: timed out");
+        merge.setPricePerHour(OptionalDouble.of(12));
         return merge.report();
     }
 }
--- a/report/src/test/java/org/whinhead/report/SamplePageTest.java
+++ b/report/src/test/java/org/whinhead/report/SamplePageTest.java
@@ -41,12 +41,12 @@
      */
     @Test
     void pageOfReclaimedDomainRaisesAlerts() throws Exception {
-        final FleetMerge merge = new FleetMerge();
-        merge.price(OptionalDouble.of(14.2));
+        final FleetReportMerger merge = new FleetReportMerger();
+        merge.setPricePerHour(OptionalDouble.of(14.2));
         for (int daemon = 1; daemon <= 8; daemon++) {
             merge.add(DaemonReportJson.read(DaemonReportJson.write(reportOf(daemon))));
         }
-        merge.addMissing("http://10.20.1.19:7002: no answer within PT10S");
+        merge.addMissingDaemon("http://10.20.1.19:7002: no answer within PT10S");
 
         final String page = HtmlReport.write(merge.report());
 
@@ -65,7 +65,7 @@
                         new DaemonId("daemon-" + daemon),
                         URI.create("http://10.20.1." + daemon + ":7001"),
                         daemon == 4 ? Instant.parse("2026-12-02T15:00:00Z") : since);
-        recorder.objectives(TIERS);
+        recorder.setObjectives(TIERS);
         for (int minute = 359; minute >= 0; minute--) {
             final Instant at = NOW.minus(Duration.ofMinutes(minute));
             for (int index = 0; index < CUSTOMERS.size(); index++) {
--- a/simulation/src/main/java/org/whinhead/simulation/capacity/CapacityOutcome.java
+++ b/simulation/src/main/java/org/whinhead/simulation/capacity/CapacityOutcome.java
@@ -16,62 +16,69 @@
         double wholeDay, double worstWindows, double endpointSeconds, double paidPerNeeded) {
 
     /** What the users weigh the whole day and its worst seconds by. */
-    private static final double WHOLE_WEIGHT = 0.65;
+    private static final double WHOLE_DAY_WEIGHT = 0.65;
 
-    private static final double WORST_WEIGHT = 0.35;
+    private static final double WORST_WINDOWS_WEIGHT = 0.35;
 
     /**
      * What one needed endpoint costs for a whole day on demand, as a part of what the day is worth;
      * from the price lists of two customers (0.095 and 0.11).
      */
-    private static final double PRICE_WEIGHT = 0.1;
+    private static final double COST_WEIGHT = 0.1;
 
-    private static final double LATE_WORTH = 0.1;
-    private static final int WORST = 2;
+    private static final double LATE_ANSWER_VALUE = 0.1;
+    private static final int WORST_WINDOW_COUNT = 2;
 
     /**
      * Returns one figure to compare policies by.
      *
      * @return the weighed service less what was paid
      */
-    public double value() {
-        return WHOLE_WEIGHT * wholeDay + WORST_WEIGHT * worstWindows - PRICE_WEIGHT * paidPerNeeded;
+    public double score() {
+        return WHOLE_DAY_WEIGHT * wholeDay
+                + WORST_WINDOWS_WEIGHT * worstWindows
+                - COST_WEIGHT * paidPerNeeded;
     }
 
     /** Collects the seconds of a day. */
     static final class Collector {
-        private final double[] mEarned;
-        private final double[] mOwed;
-        private double mPaid;
+        private final double[] mEarnedTokens;
+        private final double[] mOfferedTokens;
+        private double mEndpointSeconds;
 
         Collector(final int windows) {
-            mEarned = new double[windows];
-            mOwed = new double[windows];
+            mEarnedTokens = new double[windows];
+            mOfferedTokens = new double[windows];
         }
 
-        void paid(final double endpointSeconds) {
-            mPaid += endpointSeconds;
+        void addCost(final double endpointSeconds) {
+            mEndpointSeconds += endpointSeconds;
         }
 
-        void served(final int window, final SimulatedQueue.Served served) {
-            final int index = Math.min(window, mOwed.length - 1);
-            mEarned[index] += served.inTime() + LATE_WORTH * served.late();
-            mOwed[index] += served.inTime() + served.late() + served.lost();
+        void addServed(final int window, final SimulatedQueue.ServedTokens served) {
+            final int index = Math.min(window, mOfferedTokens.length - 1);
+            mEarnedTokens[index] += served.inTime() + LATE_ANSWER_VALUE * served.late();
+            mOfferedTokens[index] += served.inTime() + served.late() + served.lost();
         }
 
         CapacityOutcome outcome(final double neededSeconds) {
             double earned = 0;
             double owed = 0;
             final List<Double> shares = new ArrayList<>();
-            for (int index = 0; index < mOwed.length; index++) {
-                earned += mEarned[index];
-                owed += mOwed[index];
-                shares.add(mOwed[index] == 0 ? 0 : mEarned[index] / mOwed[index]);
+            for (int index = 0; index < mOfferedTokens.length; index++) {
+                earned += mEarnedTokens[index];
+                owed += mOfferedTokens[index];
+                shares.add(
+                        mOfferedTokens[index] == 0
+                                ? 0
+                                : mEarnedTokens[index] / mOfferedTokens[index]);
             }
             Collections.sort(shares);
             final double worst =
-                    shares.stream().limit(WORST).mapToDouble(share -> share).sum() / WORST;
-            return new CapacityOutcome(earned / owed, worst, mPaid, mPaid / neededSeconds);
+                    shares.stream().limit(WORST_WINDOW_COUNT).mapToDouble(share -> share).sum()
+                            / WORST_WINDOW_COUNT;
+            return new CapacityOutcome(
+                    earned / owed, worst, mEndpointSeconds, mEndpointSeconds / neededSeconds);
         }
     }
 }
--- a/simulation/src/main/java/org/whinhead/simulation/capacity/CapacitySimulation.java
+++ b/simulation/src/main/java/org/whinhead/simulation/capacity/CapacitySimulation.java
@@ -30,7 +30,7 @@
     private static final int STEPS_PER_WINDOW = 20;
 
     /** From a kill of all daemons until one of them holds the lease. */
-    private static final double RESTART_SECONDS = 3;
+    private static final double LEASE_TAKEOVER_SECONDS = 3;
 
     private static final double MILLIS_PER_SECOND = 1_000;
     private static final Instant START = Instant.parse("2026-01-01T00:00:00Z");
@@ -40,12 +40,12 @@
     private final SimulatedCloud mCloud;
     private final SimulatedQueue mQueue;
     private final CapacitySettings mSettings;
-    private final Deque<Double> mReports = new ArrayDeque<>();
+    private final Deque<Double> mReportedTokens = new ArrayDeque<>();
     private CapacityPlanner mPlanner;
     private DemandMeter mMeter = new DemandMeter();
-    private double mOfferedBefore;
-    private double mHolderBackAt = Double.NEGATIVE_INFINITY;
-    private int mListedBefore;
+    private double mOfferedAtRestart;
+    private double mHolderReadyAt = Double.NEGATIVE_INFINITY;
+    private int mListedCount;
 
     private CapacitySimulation(
             final CapacityDay day, final CapacitySettings settings, final long seed) {
@@ -83,59 +83,60 @@
      * @param seed draws the requests
      * @return what it came to
      */
-    public static CapacityOutcome play(
+    public static CapacityOutcome run(
             final CapacityDay day, final CapacitySettings settings, final long seed) {
-        return new CapacitySimulation(day, settings, seed).play();
+        return new CapacitySimulation(day, settings, seed).run();
     }
 
-    private CapacityOutcome play() {
+    private CapacityOutcome run() {
         final int steps = (int) Math.round(mDay.lengthSeconds() / STEP_SECONDS);
         final CapacityOutcome.Collector collector =
                 new CapacityOutcome.Collector((steps + STEPS_PER_WINDOW - 1) / STEPS_PER_WINDOW);
         final int lead = (int) Math.round(mDay.leadSeconds() / STEP_SECONDS);
         for (int step = -lead; step < steps; step++) {
             final double now = step * STEP_SECONDS;
-            reclaim(now);
-            restart(now);
-            report(now);
+            applyReclaims(now);
+            applyRestarts(now);
+            recordDemand(now);
             plan(step, now);
-            collector.paid(mCloud.price(now) * STEP_SECONDS);
+            collector.addCost(mCloud.price(now) * STEP_SECONDS);
             if (step >= 0) {
-                final double tokens = mCloud.serving(now) * mDay.endpointTokens() * STEP_SECONDS;
-                collector.served(step / STEPS_PER_WINDOW, mQueue.serve(now, tokens));
+                final double tokens =
+                        mCloud.countServing(now) * mDay.endpointTokens() * STEP_SECONDS;
+                collector.addServed(step / STEPS_PER_WINDOW, mQueue.serve(now, tokens));
             }
         }
-        return collector.outcome(mQueue.offered() / mDay.endpointTokens());
+        return collector.outcome(mQueue.offeredTokens() / mDay.endpointTokens());
     }
 
-    private void reclaim(final double now) {
+    private void applyReclaims(final double now) {
         for (final CapacityDay.Reclaim reclaim : mDay.reclaims()) {
             if (Math.abs(reclaim.at() - now) < STEP_SECONDS / 2) {
                 mCloud.reclaim(reclaim);
-                mHolderBackAt = Math.max(mHolderBackAt, now + reclaim.holderMissingSeconds());
+                mHolderReadyAt = Math.max(mHolderReadyAt, now + reclaim.holderMissingSeconds());
             }
         }
     }
 
     /** What a holder has learned is gone with it, and the daemons count from 0 again. */
-    private void restart(final double now) {
+    private void applyRestarts(final double now) {
         for (final double at : mDay.restarts()) {
             if (Math.abs(at - now) < STEP_SECONDS / 2) {
                 mPlanner = new CapacityPlanner(mSettings);
                 mMeter = new DemandMeter();
-                mOfferedBefore = mQueue.offered();
-                mReports.clear();
-                mHolderBackAt = Math.max(mHolderBackAt, now + RESTART_SECONDS);
+                mOfferedAtRestart = mQueue.offeredTokens();
+                mReportedTokens.clear();
+                mHolderReadyAt = Math.max(mHolderReadyAt, now + LEASE_TAKEOVER_SECONDS);
             }
         }
     }
 
     /** Callers ask; the holder hears of it when the other daemons have reported. */
-    private void report(final double now) {
-        mQueue.arrive(now, STEP_SECONDS);
-        mReports.addLast(mQueue.offered() - mOfferedBefore);
-        while (mReports.size() > 1 + mDay.reportSeconds() / STEP_SECONDS) {
-            mReports.removeFirst();
+    private void recordDemand(final double now) {
+        mQueue.addArrivals(now, STEP_SECONDS);
+        mReportedTokens.addLast(mQueue.offeredTokens() - mOfferedAtRestart);
+        while (mReportedTokens.size() > 1 + mDay.reportSeconds() / STEP_SECONDS) {
+            mReportedTokens.removeFirst();
         }
     }
 
@@ -144,12 +145,12 @@
         final boolean round = Math.floorMod(step, STEPS_PER_ROUND) == 0;
         if (round) {
             mMeter.addTotal(
-                    Math.round(mReports.getFirst()), mDay.demand().requestTokens(), instant);
+                    Math.round(mReportedTokens.getFirst()), mDay.demand().requestTokens(), instant);
         }
-        final var listed = mCloud.listed(now);
-        final boolean changed = listed.size() != mListedBefore;
-        mListedBefore = listed.size();
-        if (now < mHolderBackAt || !(round || changed)) {
+        final var listed = mCloud.listedEndpoints(now);
+        final boolean changed = listed.size() != mListedCount;
+        mListedCount = listed.size();
+        if (now < mHolderReadyAt || !(round || changed)) {
             return;
         }
         final CapacityPlanner.Load load =
@@ -158,7 +159,7 @@
                         mMeter.minimumTokensPerSecond(),
                         mDay.learnedTokens());
         for (final CapacityOrder order : mPlanner.plan(mService, listed, load, instant)) {
-            mPlanner.recordAnswer(order, mCloud.take(order, now));
+            mPlanner.recordAnswer(order, mCloud.applyOrder(order, now));
         }
     }
 
--- a/simulation/src/main/java/org/whinhead/simulation/capacity/SimulatedCloud.java
+++ b/simulation/src/main/java/org/whinhead/simulation/capacity/SimulatedCloud.java
@@ -15,17 +15,17 @@
     static final String SERVICE = "pool";
 
     /** How late the store shows what has changed, and how far apart entries are written. */
-    private static final double LISTED_AFTER = 0.8;
+    private static final double LISTING_DELAY_SECONDS = 0.8;
 
     private static final double HEARTBEAT_SECONDS = 1.2;
-    private static final int SLOTS = 12;
+    private static final int ENDPOINT_SLOTS = 12;
     private static final InetSocketAddress ADDRESS =
             InetSocketAddress.createUnresolved("endpoint", 1);
 
     private final CapacityDay mDay;
     private final Map<String, Double> mPrices;
     private final List<Instance> mInstances = new ArrayList<>();
-    private double mDryUntil = Double.NEGATIVE_INFINITY;
+    private double mReclaimableUnavailableUntil = Double.NEGATIVE_INFINITY;
     private int mNextId;
 
     SimulatedCloud(final CapacityDay day) {
@@ -53,7 +53,7 @@
         mNextId++;
         final EndpointEntry entry =
                 EndpointEntry.builder("e" + mNextId, SERVICE, ADDRESS, domain)
-                        .slots(SLOTS)
+                        .slots(ENDPOINT_SLOTS)
                         .reclaimable(reclaimable)
                         .build();
         final Instance instance = new Instance(entry, readyAt);
@@ -62,27 +62,27 @@
     }
 
     /** Lists what the store shows as usable. */
-    List<EndpointEntry> listed(final double now) {
+    List<EndpointEntry> listedEndpoints(final double now) {
         return mInstances.stream()
                 .filter(instance -> instance.mListedAt <= now)
-                .filter(instance -> now < instance.mLeavingAt + LISTED_AFTER)
+                .filter(instance -> now < instance.mRemovalStartsAt + LISTING_DELAY_SECONDS)
                 .map(instance -> instance.mEntry)
                 .toList();
     }
 
     /** Counts the endpoints that get work: those that are listed, while they last. */
-    long serving(final double now) {
+    long countServing(final double now) {
         return mInstances.stream()
                 .filter(instance -> instance.mListedAt <= now)
-                .filter(instance -> now < instance.mLeavingAt + LISTED_AFTER)
-                .filter(instance -> now < instance.mGoneAt)
+                .filter(instance -> now < instance.mRemovalStartsAt + LISTING_DELAY_SECONDS)
+                .filter(instance -> now < instance.mRemovedAt)
                 .count();
     }
 
     /** Sums what the endpoints cost that are paid for now, in prices of one on demand. */
     double price(final double now) {
         return mInstances.stream()
-                .filter(instance -> now < instance.mGoneAt)
+                .filter(instance -> now < instance.mRemovedAt)
                 .mapToDouble(instance -> price(instance.mEntry))
                 .sum();
     }
@@ -92,15 +92,17 @@
         return kind * mPrices.get(entry.domain());
     }
 
-    boolean take(final CapacityOrder order, final double now) {
+    boolean applyOrder(final CapacityOrder order, final double now) {
         final List<Instance> there =
                 mInstances.stream()
                         .filter(instance -> instance.mEntry.domain().equals(order.domain()))
                         .filter(instance -> instance.mEntry.reclaimable() == order.reclaimable())
-                        .filter(instance -> now < instance.mLeavingAt)
+                        .filter(instance -> now < instance.mRemovalStartsAt)
                         .sorted(Comparator.comparingDouble(instance -> -instance.mReadyAt))
                         .toList();
-        if (order.count() > there.size() && order.reclaimable() && now < mDryUntil) {
+        if (order.count() > there.size()
+                && order.reclaimable()
+                && now < mReclaimableUnavailableUntil) {
             return false;
         }
         for (int index = there.size(); index < order.count(); index++) {
@@ -108,17 +110,20 @@
         }
         there.stream()
                 .limit(Math.max(there.size() - order.count(), 0))
-                .forEach(instance -> instance.leave(now, LISTED_AFTER));
+                .forEach(instance -> instance.scheduleRemoval(now, LISTING_DELAY_SECONDS));
         return true;
     }
 
     void reclaim(final CapacityDay.Reclaim reclaim) {
-        mDryUntil = Math.max(mDryUntil, reclaim.at() + reclaim.drySeconds());
+        mReclaimableUnavailableUntil =
+                Math.max(mReclaimableUnavailableUntil, reclaim.at() + reclaim.drySeconds());
         mInstances.stream()
                 .filter(instance -> instance.mEntry.domain().equals(reclaim.domain()))
                 .filter(instance -> instance.mEntry.reclaimable())
-                .filter(instance -> reclaim.at() < instance.mLeavingAt)
-                .forEach(instance -> instance.leave(reclaim.at(), reclaim.noticeSeconds()));
+                .filter(instance -> reclaim.at() < instance.mRemovalStartsAt)
+                .forEach(
+                        instance ->
+                                instance.scheduleRemoval(reclaim.at(), reclaim.noticeSeconds()));
     }
 
     /** One endpoint from its order to its end. */
@@ -126,18 +131,18 @@
         private final EndpointEntry mEntry;
         private final double mReadyAt;
         private double mListedAt;
-        private double mLeavingAt = Double.POSITIVE_INFINITY;
-        private double mGoneAt = Double.POSITIVE_INFINITY;
+        private double mRemovalStartsAt = Double.POSITIVE_INFINITY;
+        private double mRemovedAt = Double.POSITIVE_INFINITY;
 
         private Instance(final EndpointEntry entry, final double readyAt) {
             mEntry = entry;
             mReadyAt = readyAt;
-            mListedAt = readyAt + LISTED_AFTER;
+            mListedAt = readyAt + LISTING_DELAY_SECONDS;
         }
 
-        private void leave(final double at, final double notice) {
-            mLeavingAt = at;
-            mGoneAt = at + notice;
+        private void scheduleRemoval(final double at, final double notice) {
+            mRemovalStartsAt = at;
+            mRemovedAt = at + notice;
         }
     }
 }
--- a/simulation/src/main/java/org/whinhead/simulation/capacity/SimulatedQueue.java
+++ b/simulation/src/main/java/org/whinhead/simulation/capacity/SimulatedQueue.java
@@ -10,8 +10,8 @@
     private final CapacityDay.Demand mDemand;
     private final RandomGenerator mRandom;
     private final Deque<Request> mWaiting = new ArrayDeque<>();
-    private double mOffered;
-    private double mProgress;
+    private double mOfferedTokens;
+    private double mAvailableTokens;
 
     SimulatedQueue(final CapacityDay.Demand demand, final RandomGenerator random) {
         mDemand = demand;
@@ -19,8 +19,8 @@
     }
 
     /** Adds the requests of a step; they come at random, their sizes are drawn. */
-    double arrive(final double now, final double seconds) {
-        double left = rate(now) * seconds;
+    double addArrivals(final double now, final double seconds) {
+        double left = tokensPerSecond(now) * seconds;
         double arrived = 0;
         while (mRandom.nextDouble() < left / mDemand.requestTokens()) {
             final double tokens = mDemand.requestTokens() * (0.25 + 1.5 * mRandom.nextDouble());
@@ -28,11 +28,11 @@
             arrived += tokens;
             left -= mDemand.requestTokens();
         }
-        mOffered += arrived;
+        mOfferedTokens += arrived;
         return arrived;
     }
 
-    private double rate(final double now) {
+    private double tokensPerSecond(final double now) {
         if (now < 0) {
             return 0;
         }
@@ -48,8 +48,8 @@
     }
 
     /** Serves what the endpoints can read in a step, and drops what has waited too long. */
-    Served serve(final double now, final double tokens) {
-        mProgress += tokens;
+    ServedTokens serve(final double now, final double tokens) {
+        mAvailableTokens += tokens;
         double inTime = 0;
         double late = 0;
         double lost = 0;
@@ -58,10 +58,10 @@
             final double waited = now - next.arrivedAt();
             if (waited > mDemand.deadlineSeconds()) {
                 lost += next.tokens();
-            } else if (mProgress < next.tokens()) {
+            } else if (mAvailableTokens < next.tokens()) {
                 break;
             } else {
-                mProgress -= next.tokens();
+                mAvailableTokens -= next.tokens();
                 if (waited <= mDemand.targetSeconds()) {
                     inTime += next.tokens();
                 } else {
@@ -72,17 +72,17 @@
         }
         if (mWaiting.isEmpty()) {
             // What endpoints could have read while nobody waited is gone, not saved for later.
-            mProgress = 0;
+            mAvailableTokens = 0;
         }
-        return new Served(inTime, late, lost);
+        return new ServedTokens(inTime, late, lost);
     }
 
-    double offered() {
-        return mOffered;
+    double offeredTokens() {
+        return mOfferedTokens;
     }
 
     /** Tokens of requests that ended in a step. */
-    record Served(double inTime, double late, double lost) {}
+    record ServedTokens(double inTime, double late, double lost) {}
 
     private record Request(double arrivedAt, double tokens) {}
 }
--- a/simulation/src/main/java/org/whinhead/simulation/rollout/EventQueue.java
+++ b/simulation/src/main/java/org/whinhead/simulation/rollout/EventQueue.java
@@ -9,26 +9,26 @@
 final class EventQueue {
 
     private final PriorityQueue<Event> mEvents =
-            new PriorityQueue<>(Comparator.comparing(Event::at).thenComparing(Event::number));
+            new PriorityQueue<>(Comparator.comparing(Event::at).thenComparing(Event::sequence));
     private Instant mNow = Instant.EPOCH;
-    private long mNumber;
+    private long mLastSequence;
 
     Instant now() {
         return mNow;
     }
 
-    void after(final Duration delay, final Runnable action) {
-        mNumber++;
-        mEvents.add(new Event(mNow.plus(delay), mNumber, action));
+    void schedule(final Duration delay, final Runnable action) {
+        mLastSequence++;
+        mEvents.add(new Event(mNow.plus(delay), mLastSequence, action));
     }
 
     /** Repeats an action as long as the simulation runs. */
-    void each(final Duration pace, final Runnable action) {
-        after(
+    void scheduleRepeating(final Duration pace, final Runnable action) {
+        schedule(
                 pace,
                 () -> {
                     action.run();
-                    each(pace, action);
+                    scheduleRepeating(pace, action);
                 });
     }
 
@@ -40,5 +40,5 @@
         }
     }
 
-    private record Event(Instant at, long number, Runnable action) {}
+    private record Event(Instant at, long sequence, Runnable action) {}
 }
--- a/simulation/src/main/java/org/whinhead/simulation/rollout/RolloutDaemon.java
+++ b/simulation/src/main/java/org/whinhead/simulation/rollout/RolloutDaemon.java
@@ -17,18 +17,18 @@
     private final int mNumber;
     private Rollouts mRollouts = new Rollouts(true);
     private int mStarts;
-    private boolean mCut;
+    private boolean mPartitioned;
 
     RolloutDaemon(final int number) {
         mNumber = number;
     }
 
-    void cut(final boolean cut) {
-        mCut = cut;
+    void setPartitioned(final boolean cut) {
+        mPartitioned = cut;
     }
 
-    boolean isCut() {
-        return mCut;
+    boolean isPartitioned() {
+        return mPartitioned;
     }
 
     /** Starts anew: the order is read from the store, and what is recorded of it. */
@@ -39,11 +39,11 @@
         record.ifPresent(mRollouts::applyRecord);
     }
 
-    void ordered(final RolloutOrder order) {
+    void addOrder(final RolloutOrder order) {
         mRollouts.addOrder(order);
     }
 
-    void step(final RolloutStep step, final Instant now) {
+    void applyStep(final RolloutStep step, final Instant now) {
         mRollouts.applyStep(step, now);
     }
 
@@ -56,11 +56,11 @@
                 RolloutSimulation.SERVICE, usable, route, requestId, false, now);
     }
 
-    Optional<RolloutAttempt> sent(final String route, final EndpointEntry endpoint) {
+    Optional<RolloutAttempt> startAttempt(final String route, final EndpointEntry endpoint) {
         return mRollouts.startAttempt(route, endpoint);
     }
 
-    List<RolloutEvidence> evidence() {
+    List<RolloutEvidence> collectEvidence() {
         return mRollouts.collectEvidence(mNumber + "-" + mStarts);
     }
 }
--- a/simulation/src/main/java/org/whinhead/simulation/rollout/RolloutCase.java
+++ b/simulation/src/main/java/org/whinhead/simulation/rollout/RolloutScenario.java
@@ -12,27 +12,27 @@
  * @param endpoints endpoints of each of the two versions
  * @param timeBudget how long the order may take
  * @param evidencePace the pause between two reports of a daemon to the holder
- * @param reportsSooner whether daemons report at a faster pace while the new version takes over
- * @param conduct how the new version answers
+ * @param usesTakeoverPace whether daemons report at a faster pace while the new version takes over
+ * @param behavior how the new version answers
  * @param disturbance what goes wrong beside it
  */
-public record RolloutCase(
+public record RolloutScenario(
         int daemons,
         double requestsPerSecond,
         int endpoints,
         Duration timeBudget,
         Duration evidencePace,
-        boolean reportsSooner,
-        VersionConduct conduct,
+        boolean usesTakeoverPace,
+        VersionBehavior behavior,
         Disturbance disturbance) {
 
     /** Checks the parts. */
-    public RolloutCase {
+    public RolloutScenario {
         Arguments.requireAtLeast(daemons, 2, "daemons");
         Arguments.requireAtLeast(endpoints, 1, "endpoints");
         Arguments.requirePositive(timeBudget, "timeBudget");
         Arguments.requirePositive(evidencePace, "evidencePace");
-        Objects.requireNonNull(conduct, "conduct");
+        Objects.requireNonNull(behavior, "conduct");
         Objects.requireNonNull(disturbance, "disturbance");
     }
 
@@ -44,10 +44,10 @@
      * @param disturbance what goes wrong
      * @return a case of one request a second and daemon, and a budget of twelve seconds
      */
-    public static RolloutCase ofSize(
-            final int daemons, final VersionConduct conduct, final Disturbance disturbance) {
+    public static RolloutScenario ofSize(
+            final int daemons, final VersionBehavior conduct, final Disturbance disturbance) {
         final int pace = Math.max(300, 2 * daemons);
-        return new RolloutCase(
+        return new RolloutScenario(
                 daemons,
                 Math.max(daemons, 12),
                 Math.max(daemons / 10, 3),
@@ -64,15 +64,15 @@
      * @param pace the pause between two reports of a daemon
      * @return the case
      */
-    public RolloutCase withEvidencePace(final Duration pace) {
-        return new RolloutCase(
+    public RolloutScenario withEvidencePace(final Duration pace) {
+        return new RolloutScenario(
                 daemons,
                 requestsPerSecond,
                 endpoints,
                 timeBudget,
                 pace,
                 false,
-                conduct,
+                behavior,
                 disturbance);
     }
 }
--- a/simulation/src/main/java/org/whinhead/simulation/rollout/RolloutSimulation.java
+++ b/simulation/src/main/java/org/whinhead/simulation/rollout/RolloutSimulation.java
@@ -33,30 +33,30 @@
     /** The limits of the users' deployment. */
     public static final RolloutLimits LIMITS = new RolloutLimits(0.1, 50);
 
-    private static final String OLD = "v1";
-    private static final String NEW = "v2";
-    private static final int ROUTES = 3;
-    private static final double USUAL_MILLIS = 43;
-    private static final double SPREAD = 0.47;
-    private static final double TAIL_PART = 0.01;
+    private static final String OLD_VERSION = "v1";
+    private static final String NEW_VERSION = "v2";
+    private static final int ROUTE_COUNT = 3;
+    private static final double MEDIAN_ANSWER_MILLIS = 43;
+    private static final double ANSWER_TIME_SIGMA = 0.47;
+    private static final double TAIL_SHARE = 0.01;
     private static final double TAIL_FACTOR = 5;
     private static final double SLOW_FACTOR = 4;
-    private static final double[] FAILING_PARTS = {0.14, 0.02, 0.02};
-    private static final double OLD_FAILS_PART = 0.4;
-    private static final double LOST_PART = 0.02;
-    private static final double CUT_PART = 1.0 / 3;
-    private static final int BAD_ANSWERS = 50;
-    private static final Duration BAD_KNOWN_AFTER = Duration.ofSeconds(5);
-    private static final Duration BOOT = Duration.ofSeconds(3);
-    private static final Duration PACE = Duration.ofMillis(200);
-    private static final Duration TAKEOVER_PACE = Duration.ofMillis(150);
-    private static final Duration TAKEOVER = Duration.ofSeconds(4);
-    private static final Duration CUT_FOR = Duration.ofSeconds(6);
-    private static final Duration STORE_CALL = Duration.ofMillis(8);
+    private static final double[] FAILURE_SHARE_BY_ROUTE = {0.14, 0.02, 0.02};
+    private static final double OLD_VERSION_FAILURE_SHARE = 0.4;
+    private static final double MESSAGE_LOSS_SHARE = 0.02;
+    private static final double PARTITIONED_SHARE = 1.0 / 3;
+    private static final int BAD_ANSWERS_UNTIL_KNOWN = 50;
+    private static final Duration LATE_EXPOSURE_DELAY = Duration.ofSeconds(5);
+    private static final Duration BOOT_TIME = Duration.ofSeconds(3);
+    private static final Duration DECISION_INTERVAL = Duration.ofMillis(200);
+    private static final Duration TAKEOVER_REPORT_INTERVAL = Duration.ofMillis(150);
+    private static final Duration HOLDER_TAKEOVER_TIME = Duration.ofSeconds(4);
+    private static final Duration PARTITION_DURATION = Duration.ofSeconds(6);
+    private static final Duration STORE_CALL_TIME = Duration.ofMillis(8);
     private static final Instant NEVER = Instant.EPOCH.plus(Duration.ofDays(1));
-    private static final Duration DOWN_FOR = Duration.ofMillis(1_500);
+    private static final Duration RESTART_TIME = Duration.ofMillis(1_500);
 
-    private final RolloutCase mCase;
+    private final RolloutScenario mScenario;
     private final SplittableRandom mRandom;
     private final EventQueue mEvents = new EventQueue();
     private final List<RolloutDaemon> mDaemons = new ArrayList<>();
@@ -65,23 +65,23 @@
     private final Map<String, EndpointRate> mRates = new HashMap<>();
     private Optional<RolloutController> mHolder = Optional.empty();
     private Optional<RolloutRecord> mRecord = Optional.empty();
-    private Instant mEndedAt = Instant.EPOCH;
+    private Instant mDecidedAt = Instant.EPOCH;
     private Instant mBadKnownAt = NEVER;
-    private boolean mStoreAway;
-    private boolean mDown;
-    private boolean mWriting;
-    private boolean mTakesOver;
-    private long mToken = 1;
+    private boolean mStoreUnreachable;
+    private boolean mAllDown;
+    private boolean mWritePending;
+    private boolean mOldVersionStopping;
+    private long mFencingToken = 1;
     private long mSequence;
     private long mRequests;
     private long mExposed;
     private long mExposedLate;
-    private int mBad;
+    private int mBadAnswers;
 
-    private RolloutSimulation(final RolloutCase played, final long seed) {
-        mCase = played;
+    private RolloutSimulation(final RolloutScenario played, final long seed) {
+        mScenario = played;
         mRandom = new SplittableRandom(seed);
-        mOrder = new RolloutOrder(SERVICE, NEW, played.timeBudget(), 1);
+        mOrder = new RolloutOrder(SERVICE, NEW_VERSION, played.timeBudget(), 1);
     }
 
     /**
@@ -91,37 +91,37 @@
      * @param seed tells plays apart
      * @return how it went
      */
-    public static RolloutOutcome play(final RolloutCase played, final long seed) {
-        return new RolloutSimulation(played, seed).play();
+    public static RolloutOutcome run(final RolloutScenario played, final long seed) {
+        return new RolloutSimulation(played, seed).run();
     }
 
-    private RolloutOutcome play() {
-        for (int number = 0; number < mCase.daemons(); number++) {
+    private RolloutOutcome run() {
+        for (int number = 0; number < mScenario.daemons(); number++) {
             final RolloutDaemon daemon = new RolloutDaemon(number);
             mDaemons.add(daemon);
-            later(300, () -> daemon.ordered(mOrder));
-            mEvents.after(
-                    millis(mRandom.nextInt((int) mCase.evidencePace().toMillis())),
-                    () -> reportOn(daemon));
+            schedule(300, () -> daemon.addOrder(mOrder));
+            mEvents.schedule(
+                    millis(mRandom.nextInt((int) mScenario.evidencePace().toMillis())),
+                    () -> reportRepeatedly(daemon));
         }
-        add(OLD);
-        mEvents.after(BOOT, () -> add(NEW));
-        mHolder = Optional.of(controller());
-        mRecord = Optional.of(record(RolloutState.RUNNING));
-        mEvents.each(PACE, this::hold);
-        nextRequest();
-        disturb();
-        mEvents.runUntil(Instant.EPOCH.plus(mCase.timeBudget()));
+        addEndpoints(OLD_VERSION);
+        mEvents.schedule(BOOT_TIME, () -> addEndpoints(NEW_VERSION));
+        mHolder = Optional.of(createController());
+        mRecord = Optional.of(createRecord(RolloutState.RUNNING));
+        mEvents.scheduleRepeating(DECISION_INTERVAL, this::decide);
+        scheduleNextRequest();
+        scheduleDisturbance();
+        mEvents.runUntil(Instant.EPOCH.plus(mScenario.timeBudget()));
         return new RolloutOutcome(
                 mRecord.map(RolloutRecord::state).orElse(RolloutState.RUNNING),
-                Duration.between(Instant.EPOCH, mEndedAt),
+                Duration.between(Instant.EPOCH, mDecidedAt),
                 mRequests,
                 mExposed,
                 mExposedLate);
     }
 
-    private void add(final String version) {
-        for (int number = 0; number < mCase.endpoints(); number++) {
+    private void addEndpoints(final String version) {
+        for (int number = 0; number < mScenario.endpoints(); number++) {
             mEndpoints.add(
                     EndpointEntry.builder(
                                     version + "-" + number,
@@ -133,72 +133,73 @@
         }
     }
 
-    private RolloutController controller() {
+    private RolloutController createController() {
         return new RolloutController(mOrder, LIMITS, Instant.EPOCH, mEvents.now());
     }
 
-    private RolloutRecord record(final RolloutState state) {
-        return new RolloutRecord(SERVICE, NEW, mOrder.offset(), Instant.EPOCH, state);
+    private RolloutRecord createRecord(final RolloutState state) {
+        return new RolloutRecord(SERVICE, NEW_VERSION, mOrder.offset(), Instant.EPOCH, state);
     }
 
     // Callers and endpoints.
 
-    private void nextRequest() {
-        final double seconds = -Math.log(1 - mRandom.nextDouble()) / mCase.requestsPerSecond();
-        mEvents.after(
+    private void scheduleNextRequest() {
+        final double seconds = -Math.log(1 - mRandom.nextDouble()) / mScenario.requestsPerSecond();
+        mEvents.schedule(
                 Duration.ofNanos(Math.round(seconds * 1e9)),
                 () -> {
-                    request();
-                    nextRequest();
+                    sendRequest();
+                    scheduleNextRequest();
                 });
     }
 
-    private void request() {
-        if (mDown) {
+    private void sendRequest() {
+        if (mAllDown) {
             return;
         }
         final RolloutDaemon daemon = mDaemons.get(mRandom.nextInt(mDaemons.size()));
         final String id = Long.toHexString(mRandom.nextLong());
-        final int route = mRandom.nextInt(ROUTES);
+        final int route = mRandom.nextInt(ROUTE_COUNT);
         final List<EndpointEntry> candidates =
                 daemon.candidates(mEndpoints, "route-" + route, id, mEvents.now());
         if (candidates.isEmpty()) {
             return;
         }
         final EndpointEntry endpoint = candidates.get(mRandom.nextInt(candidates.size()));
-        final boolean onTrial = endpoint.version().equals(NEW);
+        final boolean onTrial = endpoint.version().equals(NEW_VERSION);
         mRequests++;
         final double load =
                 mRates.computeIfAbsent(endpoint.id(), key -> new EndpointRate())
-                                .arrived(mEvents.now())
-                        * mCase.endpoints()
-                        / mCase.requestsPerSecond();
+                                .recordArrival(mEvents.now())
+                        * mScenario.endpoints()
+                        / mScenario.requestsPerSecond();
         if (onTrial) {
             mExposed++;
-            mExposedLate += mEvents.now().isAfter(mBadKnownAt.plus(BAD_KNOWN_AFTER)) ? 1 : 0;
+            mExposedLate += mEvents.now().isAfter(mBadKnownAt.plus(LATE_EXPOSURE_DELAY)) ? 1 : 0;
         }
-        daemon.sent("route-" + route, endpoint)
-                .ifPresent(trial -> run(trial, route, onTrial, load));
+        daemon.startAttempt("route-" + route, endpoint)
+                .ifPresent(trial -> scheduleAnswer(trial, route, onTrial, load));
     }
 
-    private void run(
+    private void scheduleAnswer(
             final RolloutAttempt trial, final int route, final boolean onTrial, final double load) {
-        final double tail = mRandom.nextDouble() < TAIL_PART ? TAIL_FACTOR : 1;
-        final double usual = USUAL_MILLIS * tail * Math.exp(SPREAD * gaussian());
-        final VersionConduct.Fault fault = fault(route, onTrial, load);
+        final double tail = mRandom.nextDouble() < TAIL_SHARE ? TAIL_FACTOR : 1;
+        final double usual = MEDIAN_ANSWER_MILLIS * tail * Math.exp(ANSWER_TIME_SIGMA * gaussian());
+        final VersionBehavior.Fault fault = drawFault(route, onTrial, load);
         final Duration taken =
                 millis(
                         Math.round(
-                                fault == VersionConduct.Fault.SLOW ? usual * SLOW_FACTOR : usual));
-        if (onTrial && fault != VersionConduct.Fault.NONE) {
-            mBad++;
-            if (mBad == BAD_ANSWERS) {
+                                fault == VersionBehavior.Fault.SLOW ? usual * SLOW_FACTOR : usual));
+        if (onTrial && fault != VersionBehavior.Fault.NONE) {
+            mBadAnswers++;
+            if (mBadAnswers == BAD_ANSWERS_UNTIL_KNOWN) {
                 mBadKnownAt = mEvents.now().plus(taken);
             }
         }
         final boolean fails =
-                fault == VersionConduct.Fault.FAILS || mRandom.nextDouble() < FAILING_PARTS[route];
-        mEvents.after(
+                fault == VersionBehavior.Fault.FAILS
+                        || mRandom.nextDouble() < FAILURE_SHARE_BY_ROUTE[route];
+        mEvents.schedule(
                 taken,
                 () -> {
                     if (fails) {
@@ -209,17 +210,20 @@
                 });
     }
 
-    private VersionConduct.Fault fault(final int route, final boolean onTrial, final double load) {
+    private VersionBehavior.Fault drawFault(
+            final int route, final boolean onTrial, final double load) {
         if (!onTrial) {
             final boolean hit =
-                    mCase.disturbance() == Disturbance.OLD_FAILS
-                            && mRandom.nextDouble() < OLD_FAILS_PART;
-            return hit ? VersionConduct.Fault.FAILS : VersionConduct.Fault.NONE;
+                    mScenario.disturbance() == Disturbance.OLD_FAILS
+                            && mRandom.nextDouble() < OLD_VERSION_FAILURE_SHARE;
+            return hit ? VersionBehavior.Fault.FAILS : VersionBehavior.Fault.NONE;
         }
         final double over =
                 (double) Duration.between(Instant.EPOCH, mEvents.now()).toMillis()
-                        / mCase.timeBudget().toMillis();
-        return mCase.conduct().draw(new VersionConduct.Answer(route, over, load), mRandom);
+                        / mScenario.timeBudget().toMillis();
+        return mScenario
+                .behavior()
+                .drawFault(new VersionBehavior.RequestConditions(route, over, load), mRandom);
     }
 
     private double gaussian() {
@@ -232,47 +236,54 @@
 
     // Daemons and the holder.
 
-    private void reportOn(final RolloutDaemon daemon) {
-        report(daemon);
-        final boolean soon = mTakesOver && mCase.evidencePace().compareTo(TAKEOVER_PACE) > 0;
-        mEvents.after(
-                soon && mCase.reportsSooner() ? TAKEOVER_PACE : mCase.evidencePace(),
-                () -> reportOn(daemon));
+    private void reportRepeatedly(final RolloutDaemon daemon) {
+        sendEvidence(daemon);
+        final boolean soon =
+                mOldVersionStopping
+                        && mScenario.evidencePace().compareTo(TAKEOVER_REPORT_INTERVAL) > 0;
+        mEvents.schedule(
+                soon && mScenario.usesTakeoverPace()
+                        ? TAKEOVER_REPORT_INTERVAL
+                        : mScenario.evidencePace(),
+                () -> reportRepeatedly(daemon));
     }
 
-    private void report(final RolloutDaemon daemon) {
-        if (mDown || daemon.isCut()) {
+    private void sendEvidence(final RolloutDaemon daemon) {
+        if (mAllDown || daemon.isPartitioned()) {
             return;
         }
-        for (final RolloutEvidence evidence : daemon.evidence()) {
-            if (mRandom.nextDouble() >= LOST_PART) {
-                later(3, () -> mHolder.ifPresent(holder -> holder.addEvidence(evidence)));
+        for (final RolloutEvidence evidence : daemon.collectEvidence()) {
+            if (mRandom.nextDouble() >= MESSAGE_LOSS_SHARE) {
+                schedule(3, () -> mHolder.ifPresent(holder -> holder.addEvidence(evidence)));
             }
         }
     }
 
-    private void hold() {
-        if (mHolder.isEmpty() || mDown) {
+    private void decide() {
+        if (mHolder.isEmpty() || mAllDown) {
             return;
         }
         final RolloutController holder = mHolder.get();
         final int trial =
-                (int) mEndpoints.stream().filter(entry -> entry.version().equals(NEW)).count();
+                (int)
+                        mEndpoints.stream()
+                                .filter(entry -> entry.version().equals(NEW_VERSION))
+                                .count();
         final RolloutController.Decision decision =
                 holder.decide(
                         new RolloutController.Endpoints(mEndpoints.size() - trial, trial),
                         mEvents.now());
-        if (decision.state().isFinal() && !isEnded()) {
-            write(decision.state());
+        if (decision.state().isFinal() && !isDecided()) {
+            writeRecord(decision.state());
         }
-        final RolloutState told = isEnded() ? mRecord.get().state() : RolloutState.RUNNING;
-        mTakesOver = !decision.oldStopsIn().isZero();
+        final RolloutState told = isDecided() ? mRecord.get().state() : RolloutState.RUNNING;
+        mOldVersionStopping = !decision.oldStopsIn().isZero();
         mSequence++;
-        tell(
+        sendStep(
                 new RolloutStep(
                         SERVICE,
                         mOrder.offset(),
-                        mToken,
+                        mFencingToken,
                         mSequence,
                         told,
                         decision.share(),
@@ -280,96 +291,97 @@
                         decision.oldStopsIn()));
     }
 
-    private boolean isEnded() {
+    private boolean isDecided() {
         return mRecord.filter(record -> record.state().isFinal()).isPresent();
     }
 
-    private void write(final RolloutState state) {
-        if (mStoreAway || mWriting) {
+    private void writeRecord(final RolloutState state) {
+        if (mStoreUnreachable || mWritePending) {
             return;
         }
-        mWriting = true;
-        mEvents.after(
-                STORE_CALL,
+        mWritePending = true;
+        mEvents.schedule(
+                STORE_CALL_TIME,
                 () -> {
-                    mWriting = false;
-                    if (!isEnded()) {
-                        mRecord = Optional.of(record(state));
-                        mEndedAt = mEvents.now();
+                    mWritePending = false;
+                    if (!isDecided()) {
+                        mRecord = Optional.of(createRecord(state));
+                        mDecidedAt = mEvents.now();
                     }
                 });
     }
 
-    private void tell(final RolloutStep step) {
+    private void sendStep(final RolloutStep step) {
         for (final RolloutDaemon daemon : mDaemons) {
-            if (!daemon.isCut() && mRandom.nextDouble() >= LOST_PART) {
-                later(3 + mRandom.nextInt(10), () -> daemon.step(step, mEvents.now()));
+            if (!daemon.isPartitioned() && mRandom.nextDouble() >= MESSAGE_LOSS_SHARE) {
+                schedule(3 + mRandom.nextInt(10), () -> daemon.applyStep(step, mEvents.now()));
             }
         }
     }
 
     // What goes wrong.
 
-    private void disturb() {
-        final Duration half = mCase.timeBudget().dividedBy(2);
-        switch (mCase.disturbance()) {
-            case DAEMONS_CUT -> mEvents.after(half, this::cutDaemons);
-            case HOLDER_KILLED -> mEvents.after(half, this::killHolder);
-            case ALL_KILLED -> mEvents.after(half, this::killAll);
-            case STORE_AWAY -> mEvents.after(half, this::takeStoreAway);
-            case RECLAIM -> mEvents.after(half, this::reclaim);
+    private void scheduleDisturbance() {
+        final Duration half = mScenario.timeBudget().dividedBy(2);
+        switch (mScenario.disturbance()) {
+            case DAEMONS_CUT -> mEvents.schedule(half, this::partitionDaemons);
+            case HOLDER_KILLED -> mEvents.schedule(half, this::killHolder);
+            case ALL_KILLED -> mEvents.schedule(half, this::killAll);
+            case STORE_AWAY -> mEvents.schedule(half, this::makeStoreUnreachable);
+            case RECLAIM -> mEvents.schedule(half, this::reclaimEndpoints);
             case NONE, OLD_FAILS -> {
                 // Nothing happens at one moment.
             }
-            default -> throw new IllegalStateException("unknown " + mCase.disturbance());
+            default -> throw new IllegalStateException("unknown " + mScenario.disturbance());
         }
     }
 
-    private void cutDaemons() {
-        final int count = (int) Math.round(mDaemons.size() * CUT_PART);
+    private void partitionDaemons() {
+        final int count = (int) Math.round(mDaemons.size() * PARTITIONED_SHARE);
         final List<RolloutDaemon> cut = mDaemons.subList(mDaemons.size() - count, mDaemons.size());
-        cut.forEach(daemon -> daemon.cut(true));
-        mEvents.after(CUT_FOR, () -> cut.forEach(daemon -> daemon.cut(false)));
+        cut.forEach(daemon -> daemon.setPartitioned(true));
+        mEvents.schedule(
+                PARTITION_DURATION, () -> cut.forEach(daemon -> daemon.setPartitioned(false)));
     }
 
     private void killHolder() {
         mHolder = Optional.empty();
-        mEvents.after(TAKEOVER, this::takeOver);
+        mEvents.schedule(HOLDER_TAKEOVER_TIME, this::takeOver);
     }
 
     private void takeOver() {
-        mToken++;
+        mFencingToken++;
         mSequence = 0;
-        final RolloutController next = controller();
+        final RolloutController next = createController();
         mRecord.filter(record -> record.state().isFinal())
                 .ifPresent(record -> next.adoptFinalState(record.state()));
         mHolder = Optional.of(next);
     }
 
     private void killAll() {
-        mDown = true;
+        mAllDown = true;
         mHolder = Optional.empty();
-        mEvents.after(
-                DOWN_FOR,
+        mEvents.schedule(
+                RESTART_TIME,
                 () -> {
-                    mDown = false;
+                    mAllDown = false;
                     mDaemons.forEach(daemon -> daemon.restart(mOrder, mRecord));
                 });
-        mEvents.after(TAKEOVER, this::takeOver);
+        mEvents.schedule(HOLDER_TAKEOVER_TIME, this::takeOver);
     }
 
-    private void takeStoreAway() {
-        mStoreAway = true;
-        mEvents.after(mCase.timeBudget().dividedBy(3), () -> mStoreAway = false);
+    private void makeStoreUnreachable() {
+        mStoreUnreachable = true;
+        mEvents.schedule(mScenario.timeBudget().dividedBy(3), () -> mStoreUnreachable = false);
     }
 
-    private void reclaim() {
+    private void reclaimEndpoints() {
         mEndpoints.removeIf(
-                entry -> entry.version().equals(NEW) && entry.domain().equals("domain-0"));
+                entry -> entry.version().equals(NEW_VERSION) && entry.domain().equals("domain-0"));
     }
 
-    private void later(final int millis, final Runnable action) {
-        mEvents.after(millis(millis), action);
+    private void schedule(final int millis, final Runnable action) {
+        mEvents.schedule(millis(millis), action);
     }
 
     private static Duration millis(final long millis) {
--- a/simulation/src/main/java/org/whinhead/simulation/rollout/VersionConduct.java
+++ b/simulation/src/main/java/org/whinhead/simulation/rollout/VersionBehavior.java
@@ -5,56 +5,56 @@
 /**
  * How endpoints of a version answer; a bad one is bad in one of the ways that operators have met.
  */
-public enum VersionConduct {
+public enum VersionBehavior {
     /** Answers like the version before. */
     GOOD(false) {
         @Override
-        Fault fault(final Answer answer) {
+        Fault faultFor(final RequestConditions answer) {
             return Fault.NONE;
         }
     },
     /** Fails part of its answers from the start. */
     BAD_AT_ONCE(true) {
         @Override
-        Fault fault(final Answer answer) {
+        Fault faultFor(final RequestConditions answer) {
             return Fault.FAILS;
         }
     },
     /** Fails part of its answers from half of the time budget on. */
     BAD_LATER(true) {
         @Override
-        Fault fault(final Answer answer) {
-            return answer.timeBudgetPart() > 0.5 ? Fault.FAILS : Fault.NONE;
+        Fault faultFor(final RequestConditions answer) {
+            return answer.elapsedBudgetShare() > 0.5 ? Fault.FAILS : Fault.NONE;
         }
     },
     /** Fails part of its answers at endpoints that get most of what an endpoint usually gets. */
     BAD_UNDER_LOAD(true) {
         @Override
-        Fault fault(final Answer answer) {
-            return answer.endpointLoad() > 0.6 ? Fault.FAILS : Fault.NONE;
+        Fault faultFor(final RequestConditions answer) {
+            return answer.endpointLoadShare() > 0.6 ? Fault.FAILS : Fault.NONE;
         }
     },
     /** Fails part of its answers on one of its routes. */
     BAD_ON_ONE_ROUTE(true) {
         @Override
-        Fault fault(final Answer answer) {
+        Fault faultFor(final RequestConditions answer) {
             return answer.route() == 0 ? Fault.FAILS : Fault.NONE;
         }
     },
     /** Answers part of its requests four times as slowly. */
     SLOW(true) {
         @Override
-        Fault fault(final Answer answer) {
+        Fault faultFor(final RequestConditions answer) {
             return Fault.SLOW;
         }
     };
 
     /** Part of the answers that a fault hits. */
-    private static final double HIT_PART = 0.4;
+    private static final double FAULT_SHARE = 0.4;
 
     private final boolean mBad;
 
-    VersionConduct(final boolean bad) {
+    VersionBehavior(final boolean bad) {
         mBad = bad;
     }
 
@@ -78,15 +78,15 @@
      * Under which conditions a request is answered.
      *
      * @param route the number of its route
-     * @param timeBudgetPart the part of the time budget that is over
-     * @param endpointLoad the requests that its endpoint gets, as a part of what each of the old
-     *     ones got before the roll-out
+     * @param elapsedBudgetShare the part of the time budget that is over
+     * @param endpointLoadShare the requests that its endpoint gets, as a part of what each of the
+     *     old ones got before the roll-out
      */
-    record Answer(int route, double timeBudgetPart, double endpointLoad) {}
+    record RequestConditions(int route, double elapsedBudgetShare, double endpointLoadShare) {}
 
-    abstract Fault fault(Answer answer);
+    abstract Fault faultFor(RequestConditions answer);
 
-    Fault draw(final Answer answer, final RandomGenerator random) {
-        return random.nextDouble() < HIT_PART ? fault(answer) : Fault.NONE;
+    Fault drawFault(final RequestConditions answer, final RandomGenerator random) {
+        return random.nextDouble() < FAULT_SHARE ? faultFor(answer) : Fault.NONE;
     }
 }
--- a/simulation/src/test/java/org/whinhead/simulation/capacity/CapacitySimulationTest.java
+++ b/simulation/src/test/java/org/whinhead/simulation/capacity/CapacitySimulationTest.java
@@ -20,7 +20,7 @@
     @TempDir private Path mFolder;
 
     private static CapacityOutcome play(final String day) throws IOException {
-        return CapacitySimulation.play(
+        return CapacitySimulation.run(
                 CapacityDay.read(DAYS.resolve(day + ".json")), CapacitySettings.USUAL, SEED);
     }
 
@@ -64,7 +64,7 @@
     void threeReclaimsWithinOneStartLeaveEnough() throws IOException {
         final CapacityOutcome outcome = play("three-reclaims-in-six-seconds");
         final CapacityOutcome oneLoss =
-                CapacitySimulation.play(
+                CapacitySimulation.run(
                         CapacityDay.read(DAYS.resolve("three-reclaims-in-six-seconds.json")),
                         CapacitySettings.usual().lossesInWave(1).burstReserve(1).build(),
                         SEED);
@@ -77,7 +77,7 @@
     @Test
     void dayThatAsksMoreThanThereIsLosesRequests() throws IOException {
         final CapacityOutcome outcome =
-                CapacitySimulation.play(
+                CapacitySimulation.run(
                         CapacityDay.read(DAYS.resolve("three-reclaims-in-six-seconds.json")),
                         CapacitySettings.builder().build(),
                         SEED);
--- a/simulation/src/test/java/org/whinhead/simulation/rollout/RolloutSimulationTest.java
+++ b/simulation/src/test/java/org/whinhead/simulation/rollout/RolloutSimulationTest.java
@@ -25,7 +25,7 @@
     @EnumSource(Disturbance.class)
     void badVersionIsNotMetByTooMany(final Disturbance disturbance) {
         final List<String> wrong = new ArrayList<>();
-        for (final VersionConduct conduct : VersionConduct.values()) {
+        for (final VersionBehavior conduct : VersionBehavior.values()) {
             for (int seed = 0; conduct.isBad() && seed < SEEDS; seed++) {
                 final RolloutOutcome outcome = play(conduct, disturbance, seed);
                 if (isOverExposed(outcome)) {
@@ -38,9 +38,9 @@
 
     @ParameterizedTest
     @EnumSource(
-            value = VersionConduct.class,
+            value = VersionBehavior.class,
             names = {"BAD_AT_ONCE", "BAD_LATER", "SLOW"})
-    void versionThatFailsManyIsNeverCompleted(final VersionConduct conduct) {
+    void versionThatFailsManyIsNeverCompleted(final VersionBehavior conduct) {
         assertThat(completed(conduct)).isEmpty();
     }
 
@@ -49,13 +49,13 @@
      */
     @ParameterizedTest
     @EnumSource(
-            value = VersionConduct.class,
+            value = VersionBehavior.class,
             names = {"BAD_UNDER_LOAD", "BAD_ON_ONE_ROUTE"})
-    void versionThatFailsFewIsNeverCompleted(final VersionConduct conduct) {
+    void versionThatFailsFewIsNeverCompleted(final VersionBehavior conduct) {
         assertThat(completed(conduct)).isEmpty();
     }
 
-    private static List<String> completed(final VersionConduct conduct) {
+    private static List<String> completed(final VersionBehavior conduct) {
         final List<String> completed = new ArrayList<>();
         for (final Disturbance disturbance : Disturbance.values()) {
             for (int seed = 0; seed < SEEDS; seed++) {
@@ -82,17 +82,18 @@
     }
 
     private static void assertCompleted(final int daemons) {
-        final RolloutCase calm = RolloutCase.ofSize(daemons, VersionConduct.GOOD, Disturbance.NONE);
+        final RolloutScenario calm =
+                RolloutScenario.ofSize(daemons, VersionBehavior.GOOD, Disturbance.NONE);
         for (int seed = 0; seed < SEEDS; seed++) {
-            final RolloutOutcome outcome = RolloutSimulation.play(calm, seed);
+            final RolloutOutcome outcome = RolloutSimulation.run(calm, seed);
             assertThat(outcome.state()).as(outcome.toString()).isEqualTo(RolloutState.COMPLETED);
-            assertThat(outcome.endedAfter()).isLessThan(calm.timeBudget());
+            assertThat(outcome.decidedAfter()).isLessThan(calm.timeBudget());
         }
     }
 
     private static RolloutOutcome play(
-            final VersionConduct conduct, final Disturbance disturbance, final int seed) {
-        return RolloutSimulation.play(RolloutCase.ofSize(DAEMONS, conduct, disturbance), seed);
+            final VersionBehavior conduct, final Disturbance disturbance, final int seed) {
+        return RolloutSimulation.run(RolloutScenario.ofSize(DAEMONS, conduct, disturbance), seed);
     }
 
     private static boolean isOverExposed(final RolloutOutcome outcome) {
