--- a/report/src/main/java/org/whinhead/report/Alert.java
+++ b/report/src/main/java/org/whinhead/report/Alert.java
@@ -2,45 +2,45 @@
 
 import java.util.List;
 
-/** How urgently a promise's burn asks for a person, judged over two windows. */
+/** The urgency of a burn rate, evaluated over two windows. */
 public enum Alert {
-    /** Two percent of a 30-day allowance would go in an hour: someone must look now. */
+    /** Uses two percent of a 30-day allowance in an hour: needs immediate attention. */
     PAGE("PAGE", 14.4, List.of(Window.SHORT, Window.MIDDLE)),
-    /** Five percent of a 30-day allowance would go in six hours: someone must look today. */
+    /** Uses five percent of a 30-day allowance in six hours: needs attention the same day. */
     TICKET("ticket", 6, List.of(Window.MIDDLE, Window.LONG)),
-    /** Nothing to do. */
+    /** Needs no attention. */
     NONE("", 0, List.of());
 
-    /** Fewer misses than this alert nobody: among few requests one miss is a high burn. */
+    /** The fewest misses that raise an alert: one miss among few requests is a high burn rate. */
     private static final long MIN_MISSES = 3;
 
     private final String mTitle;
     private final double mBurnRateThreshold;
     private final List<Window> mWindows;
 
-    Alert(final String title, final double burn, final List<Window> windows) {
+    Alert(final String title, final double burnRateThreshold, final List<Window> windows) {
         mTitle = title;
-        mBurnRateThreshold = burn;
+        mBurnRateThreshold = burnRateThreshold;
         mWindows = windows;
     }
 
-    /** Returns the name for people; empty if there is nothing to do. */
+    /** Returns the display name; empty for {@link #NONE}. */
     public String title() {
         return mTitle;
     }
 
-    /** Returns the burn from which it is raised. */
+    /** Returns the burn rate at and above which the alert is raised. */
     public double burnRateThreshold() {
         return mBurnRateThreshold;
     }
 
     /**
-     * Judges a promise. The shorter window of each pair guards against an alert about a fault that
-     * is over; the longer one against an alert about a blip.
+     * Returns the alert of an indicator. The shorter window of each pair prevents an alert about a
+     * fault that is over; the longer one prevents an alert about a brief fault.
      *
-     * @param line the customer's counts
-     * @param level which promise
-     * @return the most urgent alert that holds
+     * @param line the counts of a customer in a tier
+     * @param level the service-level indicator
+     * @return the most urgent alert whose threshold is reached in both windows
      */
     public static Alert of(final FleetReport.Line line, final ServiceLevelIndicator level) {
         for (final Alert alert : values()) {
--- a/report/src/main/java/org/whinhead/report/BurnPlot.java
+++ b/report/src/main/java/org/whinhead/report/BurnPlot.java
@@ -22,12 +22,13 @@
 import org.knowm.xchart.style.markers.SeriesMarkers;
 
 /**
- * Draws a report's course over the longest window as PNG pictures. All pictures of burn show the
- * same lines in the same colours, and the page has the legend: a chart would cut off long names.
+ * Draws a report's history over the longest window as PNG charts. All burn rate charts show the
+ * same lines in the same colors; the legend is part of the page, because a chart cuts off long
+ * names.
  */
 final class BurnPlot {
 
-    /** Colours that also the colour-blind can tell apart. */
+    /** Colors that remain distinguishable with color blindness. */
     private static final List<Color> COLORS =
             List.of(
                     new Color(0x0072b2),
@@ -65,37 +66,40 @@
                         .toList();
     }
 
-    /** Leaves out the time before any daemon counted, which would look like good service. */
+    /**
+     * Returns the first minute of the charts. Time before any daemon began to count is left out,
+     * because it would look like good service.
+     */
     private long firstMinute(final FleetReport report) {
         final long earliest = mLastMinute - Window.LONG.length().toMinutes() + 1;
         final long since = Math.floorDiv(report.since().toEpochMilli(), MILLIS_PER_MINUTE);
         return Math.min(Math.max(earliest, since), mLastMinute - MIN_MINUTES + 1);
     }
 
-    /** Returns the lines that are drawn: those with the highest burn. */
+    /** Returns the lines with the highest burn rates, which the charts show. */
     List<FleetReport.Line> plottedLines() {
         return mPlottedLines;
     }
 
-    /** Returns the colour of a drawn line as CSS takes it. */
+    /** Returns the color of a plotted line in CSS notation. */
     static String cssColor(final int line) {
         return String.format(Locale.ROOT, "#%06x", COLORS.get(line).getRGB() & RGB_MASK);
     }
 
-    /** Tells whether any drawn line missed a promise at all. */
+    /** Returns whether any plotted line has a miss of the indicator in the longest window. */
     boolean hasMisses(final ServiceLevelIndicator level) {
         return mPlottedLines.stream().anyMatch(line -> line.burnRate(level, Window.LONG) > 0);
     }
 
-    /** Draws a promise's burn, at each minute over the short window that ends there. */
+    /** Draws an indicator's burn rate, at each minute over the short window that ends there. */
     byte[] drawBurnRate(final ServiceLevelIndicator level) throws IOException {
         final XYChart chart = createChart("burn over " + Window.SHORT.title());
         for (int index = 0; index < mPlottedLines.size(); index++) {
             final FleetReport.Line line = mPlottedLines.get(index);
             final SortedMap<Long, Counts> minutes = countsByMinute(line);
             final List<Double> values = new ArrayList<>();
-            for (long number = mFirstMinute; number <= mLastMinute; number++) {
-                values.add(level.burnRate(countsInShortWindow(minutes, number), line.objective()));
+            for (long minute = mFirstMinute; minute <= mLastMinute; minute++) {
+                values.add(level.burnRate(countsInShortWindow(minutes, minute), line.objective()));
             }
             addSeries(chart, String.valueOf(index), values, COLORS.get(index));
         }
@@ -112,21 +116,21 @@
         return encodePng(chart);
     }
 
-    /** Draws the tokens of all customers by minute. */
+    /** Draws the tokens of all customers per minute. */
     byte[] drawTokens() throws IOException {
         final SortedMap<Long, Counts> sums = new TreeMap<>();
         for (final FleetReport.Line line : mReport.lines()) {
             countsByMinute(line)
-                    .forEach((number, counts) -> sums.merge(number, counts, Counts::plus));
+                    .forEach((minute, counts) -> sums.merge(minute, counts, Counts::plus));
         }
         final List<Double> generated = new ArrayList<>();
         final List<Double> recomputed = new ArrayList<>();
-        for (long number = mFirstMinute; number <= mLastMinute; number++) {
-            final Counts counts = sums.getOrDefault(number, Counts.NONE);
+        for (long minute = mFirstMinute; minute <= mLastMinute; minute++) {
+            final Counts counts = sums.getOrDefault(minute, Counts.NONE);
             generated.add((double) counts.generatedTokens());
             recomputed.add((double) counts.recomputedTokens());
         }
-        final XYChart chart = createChart("tokens a minute");
+        final XYChart chart = createChart("tokens per minute");
         addSeries(chart, "generated", generated, COLORS.get(0));
         addSeries(chart, "recomputed", recomputed, COLORS.get(1));
         return encodePng(chart);
@@ -146,9 +150,9 @@
     }
 
     private static Counts countsInShortWindow(
-            final SortedMap<Long, Counts> minutes, final long number) {
-        final long first = number - Window.SHORT.length().toMinutes() + 1;
-        return minutes.subMap(first, number + 1).values().stream()
+            final SortedMap<Long, Counts> minutes, final long minute) {
+        final long first = minute - Window.SHORT.length().toMinutes() + 1;
+        return minutes.subMap(first, minute + 1).values().stream()
                 .reduce(Counts.NONE, Counts::plus);
     }
 
@@ -169,14 +173,14 @@
     }
 
     private XYSeries addSeries(
-            final XYChart chart, final String name, final List<Double> values, final Color colour) {
+            final XYChart chart, final String name, final List<Double> values, final Color color) {
         final List<Date> times =
                 LongStream.rangeClosed(mFirstMinute, mLastMinute)
-                        .mapToObj(number -> new Date(number * MILLIS_PER_MINUTE))
+                        .mapToObj(minute -> new Date(minute * MILLIS_PER_MINUTE))
                         .toList();
         final XYSeries series = chart.addSeries(name, times, values);
         series.setMarker(SeriesMarkers.NONE);
-        series.setLineColor(colour);
+        series.setLineColor(color);
         series.setLineStyle(new BasicStroke(LINE_WIDTH));
         return series;
     }
--- a/report/src/main/java/org/whinhead/report/BurnRecorder.java
+++ b/report/src/main/java/org/whinhead/report/BurnRecorder.java
@@ -15,18 +15,18 @@
 import org.whinhead.api.model.DaemonId;
 
 /**
- * Counts ended requests of one daemon by customer, tier and minute; single-threaded.
+ * Counts ended requests of one daemon by customer, tier and minute. Not thread-safe.
  *
- * <p>Memory is bounded: {@value #MOST_SERIES} series of at most {@link #MINUTES} minutes that had a
- * request. Requests of further series are counted as left out, and the report says so. A series
- * that had no request within the longest window makes room for another one.
+ * <p>Memory is bounded: {@value #MAX_SERIES} series of at most {@link #MAX_MINUTES_PER_SERIES}
+ * minutes with requests. Requests of further series are reported as left out. A series without
+ * requests in the longest window is dropped if a new one needs its place.
  */
 public final class BurnRecorder {
 
-    /** The most series kept. */
+    /** The largest number of series. */
     public static final int MAX_SERIES = 500;
 
-    /** The most minutes kept for a series. */
+    /** The largest number of minutes of a series. */
     public static final int MAX_MINUTES_PER_SERIES = (int) Window.LONG.length().toMinutes();
 
     private static final long SECONDS_PER_MINUTE = Duration.ofMinutes(1).toSeconds();
@@ -40,10 +40,10 @@
     private long mLastSweepMinute;
 
     /**
-     * Makes an empty recorder.
+     * Creates an empty recorder.
      *
-     * @param daemon whose requests are counted
-     * @param address the address that callers are told
+     * @param daemon the daemon whose requests are counted
+     * @param address the address that the daemon advertises to callers
      * @param since when counting began
      */
     public BurnRecorder(final DaemonId daemon, final URI address, final Instant since) {
@@ -53,9 +53,9 @@
     }
 
     /**
-     * Sets what the tiers promise; later requests are judged by it.
+     * Sets the objectives of the tiers, which apply to requests recorded from now on.
      *
-     * @param objectives the promises, one for each tier
+     * @param objectives one objective for each tier
      */
     public void setObjectives(final Collection<Objective> objectives) {
         final SortedMap<String, Objective> byTier = new TreeMap<>();
@@ -64,9 +64,9 @@
     }
 
     /**
-     * Counts requests that ended without a sample, for example for lack of room.
+     * Counts requests that ended without a sample, for example because a buffer was full.
      *
-     * @param requests how many
+     * @param requests the number of requests
      */
     public void addLeftOut(final long requests) {
         mLeftOut += requests;
@@ -78,10 +78,10 @@
      * @param sample the request
      */
     public void record(final RequestSample sample) {
-        final long number = epochMinute(sample.endedAt());
+        final long minute = epochMinute(sample.endedAt());
         Deque<MinuteCounts> minutes = mSeries.get(sample.key());
         if (minutes == null) {
-            if (!ensureCapacity(number)) {
+            if (!ensureCapacity(minute)) {
                 mLeftOut++;
                 return;
             }
@@ -90,27 +90,27 @@
         }
         final Counts counts = countsOf(sample);
         final MinuteCounts last = minutes.peekLast();
-        if (last != null && last.epochMinute() >= number) {
+        if (last != null && last.epochMinute() >= minute) {
             minutes.removeLast();
             minutes.addLast(new MinuteCounts(last.epochMinute(), last.counts().plus(counts)));
         } else {
-            minutes.addLast(new MinuteCounts(number, counts));
+            minutes.addLast(new MinuteCounts(minute, counts));
         }
-        dropExpired(minutes, number);
+        dropExpired(minutes, minute);
     }
 
     /**
-     * Returns what was counted.
+     * Returns the counts up to now.
      *
-     * @param now the time
+     * @param now the current time
      * @return the report
      */
     public DaemonReport report(final Instant now) {
-        final long number = epochMinute(now);
+        final long minute = epochMinute(now);
         final List<DaemonReport.Series> series = new ArrayList<>();
         mSeries.forEach(
                 (key, minutes) -> {
-                    dropExpired(minutes, number);
+                    dropExpired(minutes, minute);
                     series.add(new DaemonReport.Series(key, List.copyOf(minutes)));
                 });
         return new DaemonReport(
@@ -123,11 +123,14 @@
                 mLeftOut);
     }
 
-    /** Drops what is too old when the bound is reached, at most once a minute. */
-    private boolean ensureCapacity(final long number) {
-        if (mSeries.size() == MAX_SERIES && mLastSweepMinute != number) {
-            mLastSweepMinute = number;
-            mSeries.values().forEach(minutes -> dropExpired(minutes, number));
+    /**
+     * Returns whether another series fits. At the bound, drops expired series first, at most once a
+     * minute.
+     */
+    private boolean ensureCapacity(final long minute) {
+        if (mSeries.size() == MAX_SERIES && mLastSweepMinute != minute) {
+            mLastSweepMinute = minute;
+            mSeries.values().forEach(minutes -> dropExpired(minutes, minute));
             mSeries.values().removeIf(Deque::isEmpty);
         }
         return mSeries.size() < MAX_SERIES;
@@ -167,9 +170,9 @@
         return condition ? 1 : 0;
     }
 
-    private static void dropExpired(final Deque<MinuteCounts> minutes, final long number) {
+    private static void dropExpired(final Deque<MinuteCounts> minutes, final long minute) {
         while (!minutes.isEmpty()
-                && minutes.peekFirst().epochMinute() <= number - MAX_MINUTES_PER_SERIES) {
+                && minutes.peekFirst().epochMinute() <= minute - MAX_MINUTES_PER_SERIES) {
             minutes.removeFirst();
         }
     }
--- a/report/src/main/java/org/whinhead/report/Counts.java
+++ b/report/src/main/java/org/whinhead/report/Counts.java
@@ -1,18 +1,18 @@
 package org.whinhead.report;
 
 /**
- * Sums over one span of time; adding two gives the sums over both.
+ * Sums of requests and tokens over one span of time.
  *
- * @param counted requests that count towards availability
- * @param good those that got what they asked for
- * @param notRun those refused with "not run"
- * @param mayHaveRun those that failed with "may have run"
- * @param firstTokens requests with a first token
- * @param firstTokensInTime those within the tier's target
- * @param streams requests with at least two tokens
- * @param streamsInTime those within the tier's target between tokens
- * @param generatedTokens tokens that reached callers
- * @param recomputedTokens tokens computed again
+ * @param counted the number of requests that count towards availability
+ * @param good the number of counted requests that completed
+ * @param notRun the number of requests refused with "not run"
+ * @param mayHaveRun the number of requests that failed with "may have run"
+ * @param firstTokens the number of requests with a first token
+ * @param firstTokensInTime the number of first tokens within the tier's target
+ * @param streams the number of requests with at least two tokens
+ * @param streamsInTime the number of streams within the tier's target between tokens
+ * @param generatedTokens the number of tokens that reached callers
+ * @param recomputedTokens the number of tokens computed again
  */
 public record Counts(
         long counted,
@@ -26,18 +26,18 @@
         long generatedTokens,
         long recomputedTokens) {
 
-    /** No request at all. */
+    /** The sums of an empty span. */
     public static final Counts NONE = new Counts(0, 0, 0, 0, 0, 0, 0, 0, 0, 0);
 
     private static final double PERCENT = 100;
 
-    /** Returns recomputed tokens in percent of generated ones; 0 when none was generated. */
+    /** Returns recomputed tokens in percent of generated tokens; 0 if none were generated. */
     public double recomputedPercent() {
         return generatedTokens == 0 ? 0 : PERCENT * recomputedTokens / generatedTokens;
     }
 
     /**
-     * Adds two sums.
+     * Returns the sums of both spans.
      *
      * @param other the sums to add
      * @return the sums over both spans
--- a/report/src/main/java/org/whinhead/report/DaemonReport.java
+++ b/report/src/main/java/org/whinhead/report/DaemonReport.java
@@ -7,15 +7,15 @@
 import org.whinhead.api.model.DaemonId;
 
 /**
- * What one daemon counted.
+ * The request counts of one daemon.
  *
  * @param daemon the daemon
- * @param address the address that callers are told
- * @param since when it began to count
- * @param asOf when the report was made
- * @param objectives what its tiers promise, sorted by tier
+ * @param address the address that the daemon advertises to callers
+ * @param since when the daemon began to count
+ * @param asOf when the report was created
+ * @param objectives the objectives of the tiers, sorted by tier
  * @param series the counts by customer and tier
- * @param leftOut requests that were not counted for lack of room
+ * @param leftOut the number of requests that were not counted, because a bound was reached
  */
 public record DaemonReport(
         DaemonId daemon,
@@ -26,7 +26,7 @@
         List<Series> series,
         long leftOut) {
 
-    /** Checks every part and copies the lists. */
+    /** Checks the components and copies the lists. */
     public DaemonReport {
         Objects.requireNonNull(daemon, "daemon");
         Objects.requireNonNull(address, "address");
@@ -39,8 +39,8 @@
     /**
      * The counts of one customer in one tier.
      *
-     * @param key whose
-     * @param minutes the minutes that had a request, oldest first
+     * @param key the customer and tier
+     * @param minutes the counts of minutes with at least one request, oldest first
      */
     public record Series(SeriesKey key, List<MinuteCounts> minutes) {
 
--- a/report/src/main/java/org/whinhead/report/DaemonReportJson.java
+++ b/report/src/main/java/org/whinhead/report/DaemonReportJson.java
@@ -14,8 +14,8 @@
 import org.whinhead.api.model.DaemonId;
 
 /**
- * The JSON form of a daemon's report. A minute is a list of numbers in the order of {@code
- * columns}, because there are many of them.
+ * Converts a daemon's report to and from JSON. Each minute is an array of numbers in the order of
+ * {@code columns}, which keeps a report of many minutes small.
  */
 public final class DaemonReportJson {
 
@@ -36,7 +36,7 @@
     private DaemonReportJson() {}
 
     /**
-     * Writes a report.
+     * Converts a report to JSON.
      *
      * @param report the report
      * @return the JSON object
@@ -63,11 +63,11 @@
     }
 
     /**
-     * Reads a report.
+     * Converts JSON to a report.
      *
      * @param root the JSON object
      * @return the report
-     * @throws ReportFormatException if it is no report of this form
+     * @throws ReportFormatException if the object is not a report of this form
      */
     public static DaemonReport read(final JsonNode root) throws ReportFormatException {
         try {
@@ -114,7 +114,7 @@
         final List<String> names = new ArrayList<>();
         columns.forEach(column -> names.add(column.asText()));
         if (!names.equals(COLUMNS)) {
-            throw new IllegalArgumentException("columns " + names);
+            throw new IllegalArgumentException("unexpected columns " + names);
         }
     }
 
@@ -146,12 +146,12 @@
 
     private static MinuteCounts readMinute(final JsonNode row) {
         if (row.size() != COLUMNS.size()) {
-            throw new IllegalArgumentException("a minute of " + row.size() + " numbers");
+            throw new IllegalArgumentException("minute row has " + row.size() + " numbers");
         }
         int column = 0;
-        final long number = row.get(column++).asLong();
+        final long epochMinute = row.get(column++).asLong();
         return new MinuteCounts(
-                number,
+                epochMinute,
                 new Counts(
                         row.get(column++).asLong(),
                         row.get(column++).asLong(),
--- a/report/src/main/java/org/whinhead/report/FleetReport.java
+++ b/report/src/main/java/org/whinhead/report/FleetReport.java
@@ -7,15 +7,15 @@
 import java.util.OptionalDouble;
 
 /**
- * Service-level burn over all daemons that answered.
+ * The merged report of all daemons that answered.
  *
- * @param asOf when it was collected
- * @param since when the first of the daemons that answered began to count
- * @param pricePerHour what all VMs cost an hour, if the cloud told
+ * @param asOf the time of the newest daemon report
+ * @param since the earliest time at which one of the daemons that answered began to count
+ * @param pricePerHour the price of all VMs per hour, if known
  * @param lines one line for each customer and tier
- * @param collected daemons that answered
+ * @param collected the names of daemons that answered
  * @param missing daemons that did not answer, with the cause
- * @param notes what else the reader should know, for example daemons that began to count lately
+ * @param notes limits of the report, for example daemons that began to count recently
  */
 public record FleetReport(
         Instant asOf,
@@ -40,8 +40,8 @@
     /**
      * The counts of one customer in one tier over all daemons.
      *
-     * @param key whose
-     * @param objective what the tier promises
+     * @param key the customer and tier
+     * @param objective the tier's objective
      * @param windows the sums by window
      * @param minutes the sums by minute, oldest first
      */
@@ -58,11 +58,11 @@
         }
 
         /**
-         * Returns how fast an allowance is used up.
+         * Returns the speed at which an allowance for misses is used up.
          *
-         * @param level which promise
-         * @param window over which span
-         * @return the burn rate
+         * @param level the service-level indicator
+         * @param window the time window
+         * @return the burn rate; 1 uses up exactly the allowance
          */
         public double burnRate(final ServiceLevelIndicator level, final Window window) {
             return level.burnRate(counts(window), objective);
@@ -71,15 +71,15 @@
         /**
          * Returns the sums over a window.
          *
-         * @param window over which span
-         * @return the sums; zeros if nothing was counted
+         * @param window the time window
+         * @return the sums; zeros if the window has no requests
          */
         public Counts counts(final Window window) {
             return windows.getOrDefault(window, Counts.NONE);
         }
     }
 
-    /** Tells whether every daemon answered. */
+    /** Returns whether every daemon answered. */
     public boolean isComplete() {
         return missing.isEmpty();
     }
@@ -90,10 +90,10 @@
     }
 
     /**
-     * Adds up all customers of a tier.
+     * Returns the sums of all customers of a tier.
      *
      * @param tier the tier's name
-     * @param window over which span
+     * @param window the time window
      * @return the sums
      */
     public Counts total(final String tier, final Window window) {
@@ -104,9 +104,9 @@
     }
 
     /**
-     * Adds up all customers and tiers.
+     * Returns the sums of all customers and tiers.
      *
-     * @param window over which span
+     * @param window the time window
      * @return the sums
      */
     public Counts total(final Window window) {
@@ -114,11 +114,11 @@
     }
 
     /**
-     * Returns the price of a thousand completed requests over a window, or over the part of it in
-     * which any daemon counted, at the present price.
+     * Returns the cost of a thousand completed requests at the present price, over a window or over
+     * the part of it in which at least one daemon counted.
      *
-     * @param window over which span
-     * @return the price, or empty if it is not known or nothing was completed
+     * @param window the time window
+     * @return the cost; empty if the price is unknown or no request completed
      */
     public OptionalDouble costPerThousandCompleted(final Window window) {
         final long completed = total(window).good();
--- a/report/src/main/java/org/whinhead/report/FleetReportMerger.java
+++ b/report/src/main/java/org/whinhead/report/FleetReportMerger.java
@@ -14,9 +14,9 @@
 import java.util.TreeSet;
 
 /**
- * Adds up daemons' reports one at a time, so that not all of them need room at once;
- * single-threaded. Its time is that of the newest report, so that the clock of the operator's
- * machine does not matter.
+ * Merges daemons' reports one at a time, so that not all of them are in memory at once. The time of
+ * the merged report is that of the newest report, independent of the clock of the operator's
+ * machine. Not thread-safe.
  */
 public final class FleetReportMerger {
 
@@ -34,19 +34,19 @@
     private Instant mSince = Instant.MAX;
 
     /**
-     * Sets the price of the fleet.
+     * Sets the present price of the fleet.
      *
-     * @param pricePerHour what all VMs cost an hour, if it is known
+     * @param pricePerHour the price of all VMs per hour, if known
      */
     public void setPricePerHour(final OptionalDouble pricePerHour) {
         mPricePerHour = pricePerHour;
     }
 
     /**
-     * Adds what one daemon counted; a daemon that was added before is passed over, because it may
-     * be reached by two addresses.
+     * Adds the counts of one daemon. A second report of the same daemon is ignored, because a
+     * daemon may be reached by two addresses.
      *
-     * @param report its report
+     * @param report the daemon's report
      */
     public void add(final DaemonReport report) {
         if (mCollected.putIfAbsent(report.daemon().value(), report.asOf()) != null) {
@@ -65,20 +65,20 @@
     }
 
     /**
-     * Notes a daemon that could not be asked or did not answer.
+     * Adds a daemon that could not be reached or did not answer.
      *
-     * @param daemon its name or address, and the cause
+     * @param daemon the daemon's name or address, and the cause
      */
     public void addMissingDaemon(final String daemon) {
         mMissing.add(daemon);
     }
 
-    /** Tells whether no report was added yet. */
+    /** Returns whether no report has been added yet. */
     public boolean isEmpty() {
         return mCollected.isEmpty();
     }
 
-    /** Returns the sum of what was added. */
+    /** Returns the merged report. */
     public FleetReport report() {
         final List<FleetReport.Line> lines = new ArrayList<>();
         mSums.forEach(
@@ -91,7 +91,8 @@
                     }
                 });
         if (mPricePerHour.isPresent() && !mMissing.isEmpty()) {
-            mNotes.add("the cost is too high: what missing daemons completed is not counted");
+            mNotes.add(
+                    "the cost is too high: requests completed by missing daemons are not counted");
         }
         mCollected.forEach(this::noteClockLag);
         Collections.sort(mMissing);
@@ -105,7 +106,7 @@
                 List.copyOf(mNotes));
     }
 
-    /** The objectives of the newest report hold for all, so that each line is judged by one. */
+    /** Applies the objectives of the newest report to all, so that each line has a single one. */
     private void addObjectives(final DaemonReport report) {
         final boolean newer = report.asOf().isAfter(mNewestReportAt);
         if (newer) {
@@ -122,7 +123,7 @@
         }
     }
 
-    /** A clock that lags moves a daemon's requests into the wrong minutes. */
+    /** Adds a note about a lagging clock, which moves requests of its daemon into wrong minutes. */
     private void noteClockLag(final String daemon, final Instant asOf) {
         if (Duration.between(asOf, mNewestReportAt).compareTo(MAX_CLOCK_LAG) > 0) {
             mNotes.add("the clock of " + daemon + " is behind: " + asOf);
--- a/report/src/main/java/org/whinhead/report/HtmlReport.java
+++ b/report/src/main/java/org/whinhead/report/HtmlReport.java
@@ -5,7 +5,7 @@
 import java.util.List;
 import java.util.Locale;
 
-/** Writes a report as one HTML page that needs no other file. */
+/** Formats a report as one self-contained HTML page. */
 public final class HtmlReport {
 
     private static final double FULL_ALLOWANCE_BURN_RATE = 1;
@@ -34,10 +34,10 @@
     private HtmlReport() {}
 
     /**
-     * Writes the report.
+     * Formats the report.
      *
      * @param report the report
-     * @return the page
+     * @return the HTML text
      * @throws IOException if a plot cannot be drawn
      */
     public static String write(final FleetReport report) throws IOException {
@@ -68,7 +68,7 @@
         appendCollapsibleList(page, "Notes", report.notes());
     }
 
-    /** Folds long lists away, so that a fleet that has just started does not hide the tables. */
+    /** Collapses long lists, so that the notes of a newly started fleet do not hide the tables. */
     private static void appendCollapsibleList(
             final StringBuilder page, final String title, final List<String> texts) {
         if (texts.isEmpty()) {
@@ -188,17 +188,17 @@
     private static void appendPlots(final FleetReport report, final StringBuilder page)
             throws IOException {
         final BurnPlot plot = new BurnPlot(report);
-        page.append("<h2>Course over ").append(Window.LONG.title()).append(" (UTC)</h2>");
+        page.append("<h2>History over ").append(Window.LONG.title()).append(" (UTC)</h2>");
         appendLegend(report, plot, page);
         for (final ServiceLevelIndicator level : ServiceLevelIndicator.values()) {
             final String title = "Burn: " + level.title();
             if (plot.hasMisses(level)) {
                 appendImage(page, title, plot.drawBurnRate(level));
             } else {
-                page.append("<h3>").append(title).append("</h3><p>No miss.</p>");
+                page.append("<h3>").append(title).append("</h3><p>No misses.</p>");
             }
         }
-        appendImage(page, "Tokens a minute", plot.drawTokens());
+        appendImage(page, "Tokens per minute", plot.drawTokens());
         page.append("<p class=\"legend\">");
         appendLegendEntry(page, BurnPlot.cssColor(0), "generated");
         appendLegendEntry(page, BurnPlot.cssColor(1), "recomputed");
@@ -224,9 +224,9 @@
     }
 
     private static void appendLegendEntry(
-            final StringBuilder page, final String colour, final String name) {
+            final StringBuilder page, final String color, final String name) {
         page.append("<span><i style=\"background:")
-                .append(colour)
+                .append(color)
                 .append("\"></i>")
                 .append(escapeHtml(name))
                 .append("</span>");
--- a/report/src/main/java/org/whinhead/report/JsonReport.java
+++ b/report/src/main/java/org/whinhead/report/JsonReport.java
@@ -5,7 +5,7 @@
 import com.fasterxml.jackson.databind.node.ObjectNode;
 import java.util.Locale;
 
-/** Writes a report as one JSON object for scripts. */
+/** Formats a report as one JSON object for scripts. */
 public final class JsonReport {
 
     private static final ObjectMapper MAPPER = new ObjectMapper();
@@ -13,10 +13,10 @@
     private JsonReport() {}
 
     /**
-     * Writes the report.
+     * Formats the report.
      *
      * @param report the report
-     * @return the JSON text, on several lines
+     * @return the indented JSON text
      */
     public static String write(final FleetReport report) {
         final ObjectNode root = MAPPER.createObjectNode();
--- a/report/src/main/java/org/whinhead/report/Objective.java
+++ b/report/src/main/java/org/whinhead/report/Objective.java
@@ -4,13 +4,15 @@
 import org.whinhead.api.Arguments;
 
 /**
- * What a tier promises.
+ * The service-level objective of a tier.
  *
  * @param tier the tier's name
- * @param availability share of requests that get what they asked for, for example 0.999
- * @param latencyShare share of requests within the latency targets, for example 0.95
- * @param firstTokenTarget time to the first token
- * @param betweenTokensTarget time between tokens
+ * @param availability target share of requests that complete, above 0 and at most 1, for example
+ *     0.999
+ * @param latencyShare target share of requests within the latency targets, above 0 and at most 1,
+ *     for example 0.95
+ * @param firstTokenTarget the longest time to the first token that is in time
+ * @param betweenTokensTarget the longest mean time between tokens that is in time
  */
 public record Objective(
         String tier,
@@ -19,7 +21,7 @@
         Duration firstTokenTarget,
         Duration betweenTokensTarget) {
 
-    /** Checks every part. */
+    /** Checks the components. */
     public Objective {
         Arguments.requireText(tier, "tier");
         requireShare(availability, "availability");
@@ -30,7 +32,7 @@
 
     private static void requireShare(final double share, final String name) {
         if (!(share > 0 && share <= 1)) {
-            throw new IllegalArgumentException(name + " is not above 0 and at most 1: " + share);
+            throw new IllegalArgumentException(name + " must be above 0 and at most 1: " + share);
         }
     }
 }
--- a/report/src/main/java/org/whinhead/report/Outcome.java
+++ b/report/src/main/java/org/whinhead/report/Outcome.java
@@ -1,34 +1,34 @@
 package org.whinhead.report;
 
-/** How a request ended, as its caller saw it. */
+/** The outcome of a request from its caller's point of view. */
 public enum Outcome {
     /** The whole answer reached the caller. */
     COMPLETED(true, true),
-    /** Refused with the verdict "not run". */
+    /** The request was refused with the verdict "not run". */
     REFUSED_NOT_RUN(true, false),
-    /** Failed with the verdict "may have run". */
+    /** The request failed with the verdict "may have run". */
     FAILED_MAY_HAVE_RUN(true, false),
-    /** The request was at fault: malformed, unknown, not allowed or over its own budget. */
+    /** The request was invalid: malformed, unknown, not allowed or over its own budget. */
     CALLER_FAULT(false, false),
-    /** The caller hung up before the end. */
+    /** The caller disconnected before the end. */
     CALLER_LEFT(false, false),
-    /** The caller went on with a ticket; whoever ends the request counts it. */
+    /** The caller continues with a ticket; the daemon that ends the request counts it. */
     HANDED_OVER(false, false);
 
     private final boolean mCountsTowardsAvailability;
     private final boolean mGood;
 
-    Outcome(final boolean counts, final boolean good) {
-        mCountsTowardsAvailability = counts;
+    Outcome(final boolean countsTowardsAvailability, final boolean good) {
+        mCountsTowardsAvailability = countsTowardsAvailability;
         mGood = good;
     }
 
-    /** Tells whether the outcome counts towards availability at all. */
+    /** Returns whether the outcome counts towards availability. */
     public boolean countsTowardsAvailability() {
         return mCountsTowardsAvailability;
     }
 
-    /** Tells whether the outcome is what the caller asked for. */
+    /** Returns whether the request was answered as asked. */
     public boolean isGood() {
         return mGood;
     }
--- a/report/src/main/java/org/whinhead/report/ReportFormatException.java
+++ b/report/src/main/java/org/whinhead/report/ReportFormatException.java
@@ -2,7 +2,7 @@
 
 import java.io.Serial;
 
-/** What a daemon answered is not a report that this program reads. */
+/** Thrown if a daemon's answer is not a report in the supported form. */
 public final class ReportFormatException extends Exception {
 
     @Serial private static final long serialVersionUID = 1L;
--- a/report/src/main/java/org/whinhead/report/RequestSample.java
+++ b/report/src/main/java/org/whinhead/report/RequestSample.java
@@ -7,15 +7,15 @@
 import org.whinhead.api.Arguments;
 
 /**
- * One ended request.
+ * The measurements of one ended request.
  *
- * @param key whose it was
- * @param outcome how it ended
- * @param firstToken time from arrival to the first token at the caller, if one came
- * @param betweenTokens mean time between tokens, if there were two
- * @param generatedTokens tokens that reached the caller
- * @param recomputedTokens prompt and answer tokens computed again on its way
- * @param endedAt when it ended
+ * @param key the customer and tier
+ * @param outcome the outcome for the caller
+ * @param firstToken time from arrival to the first token at the caller, if there was one
+ * @param betweenTokens mean time between tokens, if there were at least two
+ * @param generatedTokens the number of tokens that reached the caller
+ * @param recomputedTokens the number of prompt and answer tokens computed again
+ * @param endedAt when the request ended
  */
 public record RequestSample(
         SeriesKey key,
@@ -26,7 +26,7 @@
         long recomputedTokens,
         Instant endedAt) {
 
-    /** Checks every part. */
+    /** Checks the components. */
     public RequestSample {
         Objects.requireNonNull(key, "key");
         Objects.requireNonNull(outcome, "outcome");
--- a/report/src/main/java/org/whinhead/report/SeriesKey.java
+++ b/report/src/main/java/org/whinhead/report/SeriesKey.java
@@ -5,14 +5,14 @@
 import org.whinhead.api.model.CustomerId;
 
 /**
- * Whose requests a series counts.
+ * The customer and tier whose requests a series counts.
  *
  * @param customer the customer
  * @param tier the tier's name
  */
 public record SeriesKey(CustomerId customer, String tier) implements Comparable<SeriesKey> {
 
-    /** Checks both parts. */
+    /** Checks the components. */
     public SeriesKey {
         Objects.requireNonNull(customer, "customer");
         Arguments.requireText(tier, "tier");
--- a/report/src/main/java/org/whinhead/report/ServiceLevelIndicator.java
+++ b/report/src/main/java/org/whinhead/report/ServiceLevelIndicator.java
@@ -1,8 +1,8 @@
 package org.whinhead.report;
 
-/** The three promises whose burn is reported. */
+/** The service-level indicators whose burn rates are reported. */
 public enum ServiceLevelIndicator {
-    /** Requests get what they asked for. */
+    /** The share of requests that complete. */
     AVAILABILITY("availability") {
         @Override
         long totalEvents(final Counts counts) {
@@ -19,7 +19,7 @@
             return objective.availability();
         }
     },
-    /** First tokens come in time. */
+    /** The share of first tokens within the target. */
     FIRST_TOKEN("first token") {
         @Override
         long totalEvents(final Counts counts) {
@@ -36,7 +36,7 @@
             return objective.latencyShare();
         }
     },
-    /** Later tokens come in time. */
+    /** The share of streams whose mean time between tokens is within the target. */
     BETWEEN_TOKENS("between tokens") {
         @Override
         long totalEvents(final Counts counts) {
@@ -54,7 +54,7 @@
         }
     };
 
-    /** The allowance of a promise without one, so that a single miss shows as a huge burn. */
+    /** The allowance of an objective of 1, so that a single miss shows as a very high burn rate. */
     private static final double MIN_ALLOWANCE = 1e-6;
 
     private final String mTitle;
@@ -63,7 +63,7 @@
         mTitle = title;
     }
 
-    /** Returns the name for people. */
+    /** Returns the display name. */
     public String title() {
         return mTitle;
     }
@@ -75,11 +75,11 @@
     abstract double targetShare(Objective objective);
 
     /**
-     * Returns how fast the allowance for misses is used up: 1 uses exactly all of it.
+     * Returns the speed at which the allowance for misses is used up: 1 uses exactly all of it.
      *
      * @param counts the requests of a window
-     * @param objective what was promised
-     * @return the burn rate; 0 when nothing was counted
+     * @param objective the objective of the tier
+     * @return the burn rate; 0 if the window has no requests
      */
     public double burnRate(final Counts counts, final Objective objective) {
         final long total = totalEvents(counts);
--- a/report/src/main/java/org/whinhead/report/TextReport.java
+++ b/report/src/main/java/org/whinhead/report/TextReport.java
@@ -5,7 +5,7 @@
 import java.util.function.Function;
 import java.util.stream.Stream;
 
-/** Writes a report as tables for a terminal. */
+/** Formats a report as tables for a terminal. */
 public final class TextReport {
 
     private static final String NUMBER_COLUMNS = "%-14s  %8s %8s %8s %9s  %s";
@@ -15,7 +15,7 @@
     private TextReport() {}
 
     /**
-     * Writes the report.
+     * Formats the report.
      *
      * @param report the report
      * @return the text
@@ -36,13 +36,13 @@
         return out.toString();
     }
 
-    /** Lays the table out by its longest names, which operators choose. */
+    /** Appends the burn rate table, with columns as wide as the longest customer and tier names. */
     private static void appendBurnTable(final FleetReport report, final StringBuilder out) {
         final int customers =
                 columnWidth(report, "customer", line -> line.key().customer().value());
         final int tiers = columnWidth(report, "tier", line -> line.key().tier());
         final String layout = "%-" + customers + "s  %-" + tiers + "s  " + NUMBER_COLUMNS;
-        final Object[] heads = {
+        final Object[] headers = {
             "customer",
             "tier",
             "promise",
@@ -52,7 +52,7 @@
             "requests",
             "alert"
         };
-        appendRow(out, layout, heads);
+        appendRow(out, layout, headers);
         for (final FleetReport.Line line : report.lines()) {
             for (final ServiceLevelIndicator level : ServiceLevelIndicator.values()) {
                 appendRow(out, layout, rowCells(line, level));
@@ -62,9 +62,9 @@
 
     private static int columnWidth(
             final FleetReport report,
-            final String head,
+            final String header,
             final Function<FleetReport.Line, String> name) {
-        return Stream.concat(Stream.of(head), report.lines().stream().map(name))
+        return Stream.concat(Stream.of(header), report.lines().stream().map(name))
                 .mapToInt(String::length)
                 .max()
                 .orElse(0);
--- a/report/src/main/java/org/whinhead/report/Window.java
+++ b/report/src/main/java/org/whinhead/report/Window.java
@@ -2,13 +2,13 @@
 
 import java.time.Duration;
 
-/** The spans of time over which burn is shown. */
+/** The time windows over which burn rates are computed. */
 public enum Window {
-    /** Short: an outage shows at once. */
+    /** Shows an outage at once. */
     SHORT("5 min", Duration.ofMinutes(5)),
-    /** Middle: a lasting fault shows, a blip does not. */
+    /** Shows a lasting fault, but not a brief one. */
     MIDDLE("1 h", Duration.ofHours(1)),
-    /** Long: slow burn shows. */
+    /** Shows a slow burn. */
     LONG("6 h", Duration.ofHours(6));
 
     private final String mTitle;
@@ -19,7 +19,7 @@
         mLength = length;
     }
 
-    /** Returns the name for people. */
+    /** Returns the display name. */
     public String title() {
         return mTitle;
     }
--- a/report/src/main/java/org/whinhead/report/package-info.java
+++ b/report/src/main/java/org/whinhead/report/package-info.java
@@ -1,2 +1,2 @@
-/** Service-level burn, cost and recomputed tokens for people. */
+/** Reports of burn rates, cost and recomputed tokens for operators. */
 package org.whinhead.report;
--- a/report/src/test/java/org/whinhead/report/FleetReportTest.java
+++ b/report/src/test/java/org/whinhead/report/FleetReportTest.java
@@ -14,6 +14,10 @@
 import org.whinhead.api.model.CustomerId;
 import org.whinhead.api.model.DaemonId;
 
+/**
+ * Guards against alerts on wrong burn rates, unreported gaps in the counts, and customer names that
+ * break the page.
+ */
 class FleetReportTest {
 
     private static final Instant NOW = Instant.parse("2026-12-02T16:30:00Z");
@@ -23,7 +27,7 @@
     private static final double TOLERANCE = 1e-9;
 
     @Test
-    void burnOfOneUsesUpTheAllowance() {
+    void missesEqualToAllowanceHaveBurnRateOfOne() {
         final BurnRecorder recorder = recorder("d1");
         for (int index = 0; index < 99; index++) {
             recorder.record(sample(Outcome.COMPLETED, 100, NOW));
@@ -36,9 +40,9 @@
                 .isEqualTo(1, within(TOLERANCE));
     }
 
-    // An outage of an hour ago still shows as the latest five minutes, and wakes the wrong people.
+    // Guards against an alert about an outage of an hour ago, counted into the last five minutes.
     @Test
-    void shortWindowForgetsWhatTheLongOneKeeps() {
+    void shortWindowExcludesOlderMisses() {
         final BurnRecorder recorder = recorder("d1");
         recorder.record(sample(Outcome.FAILED_MAY_HAVE_RUN, 100, NOW.minusSeconds(3_000)));
         recorder.record(sample(Outcome.COMPLETED, 100, NOW));
@@ -51,7 +55,7 @@
     }
 
     @Test
-    void callersOwnFaultsDoNotCountAgainstAvailability() {
+    void callerFaultsDoNotCountTowardsAvailability() {
         final BurnRecorder recorder = recorder("d1");
         recorder.record(sample(Outcome.CALLER_FAULT, 100, NOW));
         recorder.record(sample(Outcome.CALLER_LEFT, 100, NOW));
@@ -62,7 +66,7 @@
     }
 
     @Test
-    void addsUpDaemonsAndNamesThoseThatDidNotAnswer() {
+    void mergedReportSumsDaemonsAndListsMissingOnes() {
         final BurnRecorder first = recorder("d1");
         final BurnRecorder second = recorder("d2");
         first.record(sample(Outcome.COMPLETED, 100, NOW));
@@ -84,7 +88,7 @@
     }
 
     @Test
-    void seriesBeyondTheBoundAreLeftOutAndSaidSo() {
+    void seriesBeyondBoundAreReportedAsLeftOut() {
         final BurnRecorder recorder = recorder("d1");
         for (int index = 0; index <= BurnRecorder.MAX_SERIES; index++) {
             final SeriesKey key = new SeriesKey(new CustomerId("c" + index), "court");
@@ -97,7 +101,7 @@
     }
 
     @Test
-    void pageStandsAloneAndEscapesNames() throws IOException {
+    void pageIsSelfContainedAndEscapesNames() throws IOException {
         final BurnRecorder recorder = recorder("d1");
         final SeriesKey key = new SeriesKey(new CustomerId("<b>&co"), "court");
         recorder.record(
--- a/report/src/test/java/org/whinhead/report/SamplePageTest.java
+++ b/report/src/test/java/org/whinhead/report/HtmlReportTest.java
@@ -15,8 +15,8 @@
 import org.whinhead.api.model.CustomerId;
 import org.whinhead.api.model.DaemonId;
 
-/** Writes a page of a deployment like today's into {@code target}, to be looked at. */
-class SamplePageTest {
+/** Writes a sample page of a deployment into {@code target} for inspection. */
+class HtmlReportTest {
 
     private static final Instant NOW = Instant.parse("2026-12-02T16:30:20Z");
     private static final Path PAGE = Path.of("target/sample-report.html");
@@ -35,12 +35,11 @@
             List.of(objective("urgent", 0.999, 400), objective("batch", 0.99, 5000));
 
     /**
-     * A failure domain is taken back and the page of the hour after is what the person on call
-     * looks at: two hours of good service, ten minutes of refusals and recomputed prompts, then
-     * slow first tokens.
+     * Guards against a page without alerts after a failure domain was reclaimed: after hours of
+     * good service, the last minutes have refusals, recomputed prompts and slow first tokens.
      */
     @Test
-    void pageOfReclaimedDomainRaisesAlerts() throws Exception {
+    void pageAfterReclaimShowsAlerts() throws Exception {
         final FleetReportMerger merge = new FleetReportMerger();
         merge.setPricePerHour(OptionalDouble.of(14.2));
         for (int daemon = 1; daemon <= 8; daemon++) {
@@ -80,19 +79,24 @@
 
     private static RequestSample sample(
             final Random random, final int customer, final int minute, final Instant at) {
-        final boolean wave = minute <= 12;
-        final boolean lost = random.nextInt(1000) < (wave && customer < 5 ? 120 : 1);
-        final boolean urgent = customer < 5;
-        final long firstToken = (long) (180 + 90 * random.nextGaussian() + (wave ? 160 : 0));
+        final boolean isReclaim = minute <= 12;
+        final boolean isRefused = random.nextInt(1000) < (isReclaim && customer < 5 ? 120 : 1);
+        final boolean isUrgent = customer < 5;
+        final long firstToken = (long) (180 + 90 * random.nextGaussian() + (isReclaim ? 160 : 0));
         final int tokens = 40 + random.nextInt(300);
         return new RequestSample(
                 new SeriesKey(
-                        new CustomerId(CUSTOMERS.get(customer)), TIERS.get(urgent ? 0 : 1).tier()),
-                lost ? Outcome.REFUSED_NOT_RUN : Outcome.COMPLETED,
-                lost ? Optional.empty() : Optional.of(Duration.ofMillis(Math.max(20, firstToken))),
-                lost ? Optional.empty() : Optional.of(Duration.ofMillis(22 + random.nextInt(12))),
-                lost ? 0 : tokens,
-                wave && random.nextInt(4) == 0 ? 200 : 0,
+                        new CustomerId(CUSTOMERS.get(customer)),
+                        TIERS.get(isUrgent ? 0 : 1).tier()),
+                isRefused ? Outcome.REFUSED_NOT_RUN : Outcome.COMPLETED,
+                isRefused
+                        ? Optional.empty()
+                        : Optional.of(Duration.ofMillis(Math.max(20, firstToken))),
+                isRefused
+                        ? Optional.empty()
+                        : Optional.of(Duration.ofMillis(22 + random.nextInt(12))),
+                isRefused ? 0 : tokens,
+                isReclaim && random.nextInt(4) == 0 ? 200 : 0,
                 at);
     }
 
--- a/simulation/src/main/java/org/whinhead/simulation/capacity/CapacityDay.java
+++ b/simulation/src/main/java/org/whinhead/simulation/capacity/CapacityDay.java
@@ -8,21 +8,23 @@
 import org.whinhead.api.Arguments;
 
 /**
- * What happens on a simulated day; read from a JSON file, times in seconds from the first traffic.
+ * The events of a simulated day, read from a JSON file, with times in seconds from the first
+ * traffic.
  *
- * @param name names the day
- * @param leadSeconds how long the deployment is up before its first traffic
- * @param lengthSeconds how long traffic lasts
+ * @param name the name of the day
+ * @param leadSeconds the time that the deployment runs before its first traffic
+ * @param lengthSeconds the duration of the traffic
  * @param domains the failure domains
- * @param mostInDomain the most endpoints of a failure domain, of both kinds
- * @param bootSeconds how long an endpoint takes to start
- * @param reclaimablePrice the price of a reclaimable endpoint, as a part of the other kind's
- * @param endpointTokens what an endpoint can read of the demand, in tokens a second
- * @param learnedTokens what daemons learn that it reads, in tokens a second
- * @param reportSeconds how old the demand is that the planner sees
- * @param demand what callers ask
- * @param reclaims what the platform takes back
- * @param restarts when all daemons are killed at once; nobody orders for three seconds then
+ * @param mostInDomain the largest number of endpoints of a failure domain, of both kinds
+ * @param bootSeconds the start time of an endpoint
+ * @param reclaimablePrice the price of a reclaimable endpoint, relative to an on-demand one
+ * @param endpointTokens the throughput of an endpoint, in tokens per second
+ * @param learnedTokens the throughput that daemons estimate, in tokens per second
+ * @param reportSeconds the delay after which the planner sees the demand
+ * @param demand the demand of callers
+ * @param reclaims the reclaims by the platform
+ * @param restarts the times at which all daemons are killed at once; no capacity is ordered for the
+ *     three seconds after
  */
 public record CapacityDay(
         String name,
@@ -42,7 +44,7 @@
     private static final JsonMapper MAPPER =
             JsonMapper.builder().enable(DeserializationFeature.FAIL_ON_UNKNOWN_PROPERTIES).build();
 
-    /** Checks and copies the parts. */
+    /** Checks the components and copies the lists. */
     public CapacityDay {
         Arguments.requireText(name, "name");
         Arguments.requireAtLeast(leadSeconds, 0, "leadSeconds");
@@ -65,11 +67,11 @@
     }
 
     /**
-     * Reads a day.
+     * Reads a day from a file.
      *
      * @param file a JSON file
      * @return the day
-     * @throws IOException if it can't be read, or a field is unknown or out of range
+     * @throws IOException if the file cannot be read, or a field is unknown or out of range
      */
     public static CapacityDay read(final Path file) throws IOException {
         return MAPPER.readValue(file.toFile(), CapacityDay.class);
@@ -78,23 +80,23 @@
     /**
      * A failure domain.
      *
-     * @param name its name
-     * @param price the price of a second of an endpoint on demand
-     * @param onDemand endpoints on demand that are there at first
-     * @param reclaimable reclaimable ones that are there at first
+     * @param name the name of the domain
+     * @param price the price of an on-demand endpoint per second
+     * @param onDemand the initial number of on-demand endpoints
+     * @param reclaimable the initial number of reclaimable endpoints
      */
     public record Domain(String name, double price, int onDemand, int reclaimable) {}
 
     /**
-     * What callers ask.
+     * The demand of callers.
      *
-     * @param tokensPerSecond the mean
-     * @param requestTokens the size of a usual request
-     * @param swing how far the rate swings about the mean, as a part of it
-     * @param periodSeconds the length of a wave
-     * @param targetSeconds the wait after which an answer is late
-     * @param deadlineSeconds the wait after which it is lost
-     * @param bursts times of higher demand
+     * @param tokensPerSecond the mean rate
+     * @param requestTokens the mean size of a request, in tokens
+     * @param swing the amplitude of the rate around the mean, relative to the mean
+     * @param periodSeconds the period of the oscillation
+     * @param targetSeconds the waiting time after which an answer is late
+     * @param deadlineSeconds the waiting time after which a request is lost
+     * @param bursts the periods of higher demand
      */
     public record Demand(
             double tokensPerSecond,
@@ -106,22 +108,22 @@
             List<Burst> bursts) {}
 
     /**
-     * A time of higher demand.
+     * A period of higher demand.
      *
-     * @param at when it begins
-     * @param forSeconds how long it lasts
-     * @param factor how many times the usual is asked
+     * @param at the start time
+     * @param forSeconds the duration
+     * @param factor the factor by which the rate is multiplied
      */
     public record Burst(double at, double forSeconds, double factor) {}
 
     /**
-     * All reclaimable endpoints of a domain are taken back.
+     * A reclaim of all reclaimable endpoints of a domain.
      *
-     * @param at when it is announced
-     * @param domain the domain
-     * @param noticeSeconds how long they serve on
-     * @param drySeconds how long none are to be had in any domain
-     * @param holderMissingSeconds how long nobody orders, from the announcement on
+     * @param at the time of the notice
+     * @param domain the failure domain
+     * @param noticeSeconds the time from the notice to the removal of the endpoints
+     * @param drySeconds the time from the notice in which no domain offers reclaimable endpoints
+     * @param holderMissingSeconds the time from the notice in which no capacity is ordered
      */
     public record Reclaim(
             double at,
--- a/simulation/src/main/java/org/whinhead/simulation/capacity/CapacityOutcome.java
+++ b/simulation/src/main/java/org/whinhead/simulation/capacity/CapacityOutcome.java
@@ -5,23 +5,23 @@
 import java.util.List;
 
 /**
- * What a simulated day came to.
+ * The result of a simulated day.
  *
- * @param wholeDay the part of the demand's worth that was earned; late answers earn a tenth
- * @param worstWindows the same over the two worst spans of two seconds
- * @param endpointSeconds what was paid, in seconds of an endpoint on demand at the price of 1
- * @param paidPerNeeded the same for each endpoint second that the demand needs at the least
+ * @param wholeDay the share of the demanded tokens that was served; late answers count a tenth
+ * @param worstWindows the mean of the same share over the two worst windows of two seconds
+ * @param endpointSeconds the cost, in seconds of an on-demand endpoint of price 1
+ * @param paidPerNeeded the cost per endpoint second that the demand needs at least
  */
 public record CapacityOutcome(
         double wholeDay, double worstWindows, double endpointSeconds, double paidPerNeeded) {
 
-    /** What the users weigh the whole day and its worst seconds by. */
+    /** The users' weights of the whole day and of its worst windows. */
     private static final double WHOLE_DAY_WEIGHT = 0.65;
 
     private static final double WORST_WINDOWS_WEIGHT = 0.35;
 
     /**
-     * What one needed endpoint costs for a whole day on demand, as a part of what the day is worth;
+     * The cost of one needed on-demand endpoint for a whole day, as a share of the day's value;
      * from the price lists of two customers (0.095 and 0.11).
      */
     private static final double COST_WEIGHT = 0.1;
@@ -30,9 +30,9 @@
     private static final int WORST_WINDOW_COUNT = 2;
 
     /**
-     * Returns one figure to compare policies by.
+     * Returns the score by which policies are compared.
      *
-     * @return the weighed service less what was paid
+     * @return the weighted served shares minus the weighted cost
      */
     public double score() {
         return WHOLE_DAY_WEIGHT * wholeDay
@@ -40,7 +40,7 @@
                 - COST_WEIGHT * paidPerNeeded;
     }
 
-    /** Collects the seconds of a day. */
+    /** Accumulates the served tokens and the cost of a day. */
     static final class Collector {
         private final double[] mEarnedTokens;
         private final double[] mOfferedTokens;
@@ -63,11 +63,11 @@
 
         CapacityOutcome outcome(final double neededSeconds) {
             double earned = 0;
-            double owed = 0;
+            double offered = 0;
             final List<Double> shares = new ArrayList<>();
             for (int index = 0; index < mOfferedTokens.length; index++) {
                 earned += mEarnedTokens[index];
-                owed += mOfferedTokens[index];
+                offered += mOfferedTokens[index];
                 shares.add(
                         mOfferedTokens[index] == 0
                                 ? 0
@@ -78,7 +78,7 @@
                     shares.stream().limit(WORST_WINDOW_COUNT).mapToDouble(share -> share).sum()
                             / WORST_WINDOW_COUNT;
             return new CapacityOutcome(
-                    earned / owed, worst, mEndpointSeconds, mEndpointSeconds / neededSeconds);
+                    earned / offered, worst, mEndpointSeconds, mEndpointSeconds / neededSeconds);
         }
     }
 }
--- a/simulation/src/main/java/org/whinhead/simulation/capacity/CapacitySimulation.java
+++ b/simulation/src/main/java/org/whinhead/simulation/capacity/CapacitySimulation.java
@@ -15,21 +15,21 @@
 import org.whinhead.serving.configuration.ServiceSpec;
 
 /**
- * Plays a day in steps of a tenth of a second against the planner that daemons use.
+ * Simulates a day in steps of a tenth of a second with the daemons' capacity planner.
  *
- * <p>Endpoints are one queue, without prompt caches or batches: it shows when capacity is missing
- * and what it costs, not what single requests wait for.
+ * <p>All endpoints serve one queue, without prompt caches or batches. The model shows missing
+ * capacity and its cost, not the waiting time of single requests.
  */
 public final class CapacitySimulation {
 
     private static final double STEP_SECONDS = 0.1;
 
-    /** The pace of the lease holder's rounds; a change of the list brings one at once. */
+    /** Steps between two planning rounds; a change of the endpoint list starts one at once. */
     private static final int STEPS_PER_ROUND = 10;
 
     private static final int STEPS_PER_WINDOW = 20;
 
-    /** From a kill of all daemons until one of them holds the lease. */
+    /** The time from a kill of all daemons until one of them holds the lease. */
     private static final double LEASE_TAKEOVER_SECONDS = 3;
 
     private static final double MILLIS_PER_SECOND = 1_000;
@@ -76,12 +76,12 @@
     }
 
     /**
-     * Plays a day.
+     * Simulates a day.
      *
      * @param day the day
-     * @param settings how much capacity is kept
-     * @param seed draws the requests
-     * @return what it came to
+     * @param settings the settings of the planner
+     * @param seed the seed of the random requests
+     * @return the result
      */
     public static CapacityOutcome run(
             final CapacityDay day, final CapacitySettings settings, final long seed) {
@@ -118,7 +118,7 @@
         }
     }
 
-    /** What a holder has learned is gone with it, and the daemons count from 0 again. */
+    /** Kills all daemons: the planner loses its state, and demand is counted from 0 again. */
     private void applyRestarts(final double now) {
         for (final double at : mDay.restarts()) {
             if (Math.abs(at - now) < STEP_SECONDS / 2) {
@@ -131,7 +131,7 @@
         }
     }
 
-    /** Callers ask; the holder hears of it when the other daemons have reported. */
+    /** Adds requests, whose tokens reach the lease holder after the report delay. */
     private void recordDemand(final double now) {
         mQueue.addArrivals(now, STEP_SECONDS);
         mReportedTokens.addLast(mQueue.offeredTokens() - mOfferedAtRestart);
@@ -142,15 +142,15 @@
 
     private void plan(final int step, final double now) {
         final Instant instant = instant(now);
-        final boolean round = Math.floorMod(step, STEPS_PER_ROUND) == 0;
-        if (round) {
+        final boolean isRound = Math.floorMod(step, STEPS_PER_ROUND) == 0;
+        if (isRound) {
             mMeter.addTotal(
                     Math.round(mReportedTokens.getFirst()), mDay.demand().requestTokens(), instant);
         }
         final var listed = mCloud.listedEndpoints(now);
-        final boolean changed = listed.size() != mListedCount;
+        final boolean isListChanged = listed.size() != mListedCount;
         mListedCount = listed.size();
-        if (now < mHolderReadyAt || !(round || changed)) {
+        if (now < mHolderReadyAt || !(isRound || isListChanged)) {
             return;
         }
         final CapacityPlanner.Load load =
--- a/simulation/src/main/java/org/whinhead/simulation/capacity/SimulatedCloud.java
+++ b/simulation/src/main/java/org/whinhead/simulation/capacity/SimulatedCloud.java
@@ -9,15 +9,19 @@
 import org.whinhead.serving.capacity.CapacityOrder;
 import org.whinhead.serving.endpoint.EndpointEntry;
 
-/** Endpoints that start after a while, are listed late, and are taken back a domain at a time. */
+/** Endpoints with a boot time and a listing delay, which are reclaimed by failure domain. */
 final class SimulatedCloud {
 
     static final String SERVICE = "pool";
 
-    /** How late the store shows what has changed, and how far apart entries are written. */
+    /** The delay after which the store shows a changed entry. */
     private static final double LISTING_DELAY_SECONDS = 0.8;
 
+    /**
+     * The interval between writes of an entry; the listing of initial endpoints spreads over it.
+     */
     private static final double HEARTBEAT_SECONDS = 1.2;
+
     private static final int ENDPOINT_SLOTS = 12;
     private static final InetSocketAddress ADDRESS =
             InetSocketAddress.createUnresolved("endpoint", 1);
@@ -61,7 +65,7 @@
         return instance;
     }
 
-    /** Lists what the store shows as usable. */
+    /** Returns the endpoints that the store lists as usable. */
     List<EndpointEntry> listedEndpoints(final double now) {
         return mInstances.stream()
                 .filter(instance -> instance.mListedAt <= now)
@@ -70,7 +74,7 @@
                 .toList();
     }
 
-    /** Counts the endpoints that get work: those that are listed, while they last. */
+    /** Returns the number of endpoints that are both listed and running. */
     long countServing(final double now) {
         return mInstances.stream()
                 .filter(instance -> instance.mListedAt <= now)
@@ -79,7 +83,7 @@
                 .count();
     }
 
-    /** Sums what the endpoints cost that are paid for now, in prices of one on demand. */
+    /** Returns the price of all endpoints per second, relative to an on-demand one of price 1. */
     double price(final double now) {
         return mInstances.stream()
                 .filter(instance -> now < instance.mRemovedAt)
@@ -92,24 +96,25 @@
         return kind * mPrices.get(entry.domain());
     }
 
+    /** Adds or removes endpoints; returns false if reclaimable ones are unavailable. */
     boolean applyOrder(final CapacityOrder order, final double now) {
-        final List<Instance> there =
+        final List<Instance> existing =
                 mInstances.stream()
                         .filter(instance -> instance.mEntry.domain().equals(order.domain()))
                         .filter(instance -> instance.mEntry.reclaimable() == order.reclaimable())
                         .filter(instance -> now < instance.mRemovalStartsAt)
                         .sorted(Comparator.comparingDouble(instance -> -instance.mReadyAt))
                         .toList();
-        if (order.count() > there.size()
+        if (order.count() > existing.size()
                 && order.reclaimable()
                 && now < mReclaimableUnavailableUntil) {
             return false;
         }
-        for (int index = there.size(); index < order.count(); index++) {
+        for (int index = existing.size(); index < order.count(); index++) {
             add(order.domain(), order.reclaimable(), now + mDay.bootSeconds());
         }
-        there.stream()
-                .limit(Math.max(there.size() - order.count(), 0))
+        existing.stream()
+                .limit(Math.max(existing.size() - order.count(), 0))
                 .forEach(instance -> instance.scheduleRemoval(now, LISTING_DELAY_SECONDS));
         return true;
     }
@@ -126,7 +131,7 @@
                                 instance.scheduleRemoval(reclaim.at(), reclaim.noticeSeconds()));
     }
 
-    /** One endpoint from its order to its end. */
+    /** An endpoint from its order to its removal. */
     private static final class Instance {
         private final EndpointEntry mEntry;
         private final double mReadyAt;
--- a/simulation/src/main/java/org/whinhead/simulation/capacity/SimulatedQueue.java
+++ b/simulation/src/main/java/org/whinhead/simulation/capacity/SimulatedQueue.java
@@ -4,7 +4,7 @@
 import java.util.Deque;
 import java.util.random.RandomGenerator;
 
-/** Callers' requests that wait for the endpoints of one service, first come, first served. */
+/** The FIFO queue of callers' requests to one service. */
 final class SimulatedQueue {
 
     private final CapacityDay.Demand mDemand;
@@ -18,15 +18,15 @@
         mRandom = random;
     }
 
-    /** Adds the requests of a step; they come at random, their sizes are drawn. */
+    /** Adds random requests of random sizes for one step and returns their tokens. */
     double addArrivals(final double now, final double seconds) {
-        double left = tokensPerSecond(now) * seconds;
+        double remaining = tokensPerSecond(now) * seconds;
         double arrived = 0;
-        while (mRandom.nextDouble() < left / mDemand.requestTokens()) {
+        while (mRandom.nextDouble() < remaining / mDemand.requestTokens()) {
             final double tokens = mDemand.requestTokens() * (0.25 + 1.5 * mRandom.nextDouble());
             mWaiting.add(new Request(now, tokens));
             arrived += tokens;
-            left -= mDemand.requestTokens();
+            remaining -= mDemand.requestTokens();
         }
         mOfferedTokens += arrived;
         return arrived;
@@ -47,7 +47,7 @@
         return mDemand.tokensPerSecond() * wave * factor;
     }
 
-    /** Serves what the endpoints can read in a step, and drops what has waited too long. */
+    /** Serves requests with the tokens of one step and drops requests past their deadline. */
     ServedTokens serve(final double now, final double tokens) {
         mAvailableTokens += tokens;
         double inTime = 0;
@@ -71,7 +71,7 @@
             mWaiting.poll();
         }
         if (mWaiting.isEmpty()) {
-            // What endpoints could have read while nobody waited is gone, not saved for later.
+            // Capacity that was idle while no request waited is not saved for later.
             mAvailableTokens = 0;
         }
         return new ServedTokens(inTime, late, lost);
@@ -81,7 +81,7 @@
         return mOfferedTokens;
     }
 
-    /** Tokens of requests that ended in a step. */
+    /** The tokens of requests that ended in a step. */
     record ServedTokens(double inTime, double late, double lost) {}
 
     private record Request(double arrivedAt, double tokens) {}
--- a/simulation/src/main/java/org/whinhead/simulation/capacity/package-info.java
+++ b/simulation/src/main/java/org/whinhead/simulation/capacity/package-info.java
@@ -1,2 +1,2 @@
-/** Days of demand and reclaims in simulated time, planned for by the planner that daemons use. */
+/** Simulation of days of demand and reclaims with the daemons' capacity planner. */
 package org.whinhead.simulation.capacity;
--- a/simulation/src/main/java/org/whinhead/simulation/rollout/Disturbance.java
+++ b/simulation/src/main/java/org/whinhead/simulation/rollout/Disturbance.java
@@ -1,21 +1,19 @@
 package org.whinhead.simulation.rollout;
 
-/** What goes wrong beside a roll-out. */
+/** A fault that is injected during a simulated roll-out. */
 public enum Disturbance {
-    /** Nothing. */
+    /** No fault. */
     NONE,
-    /** A third of the daemons hear nothing from the holder, nor it from them, for six seconds. */
+    /** A third of the daemons are partitioned from the holder for six seconds. */
     DAEMONS_CUT,
-    /**
-     * The holder of the duties is killed in the middle; another one takes over after four seconds.
-     */
+    /** The lease holder is killed halfway; another daemon takes over after four seconds. */
     HOLDER_KILLED,
-    /** All daemons are killed in the middle, and forget everything. */
+    /** All daemons are killed halfway and lose their state. */
     ALL_KILLED,
-    /** The store is away for the middle third of the time budget. */
+    /** The store is unreachable from half of the time budget on, for a third of it. */
     STORE_AWAY,
-    /** A third of the new endpoints is taken back in the middle. */
+    /** A third of the new endpoints is reclaimed halfway. */
     RECLAIM,
-    /** The old endpoints fail part of their answers, too, as long as the roll-out lasts. */
+    /** The old endpoints also fail part of their answers, during the whole roll-out. */
     OLD_FAILS
 }
--- a/simulation/src/main/java/org/whinhead/simulation/rollout/EndpointRate.java
+++ b/simulation/src/main/java/org/whinhead/simulation/rollout/EndpointRate.java
@@ -3,7 +3,7 @@
 import java.time.Duration;
 import java.time.Instant;
 
-/** How many requests a second an endpoint gets, as a moving mean. */
+/** The request rate of an endpoint, as an exponentially weighted moving average. */
 final class EndpointRate {
 
     private static final double TIME_CONSTANT_SECONDS = 0.6;
@@ -11,7 +11,7 @@
     private double mPerSecond;
     private Instant mLastArrivalAt = Instant.EPOCH;
 
-    /** Counts a request, and returns the rate with it. */
+    /** Records a request and returns the updated rate, in requests per second. */
     double recordArrival(final Instant now) {
         final double seconds = Duration.between(mLastArrivalAt, now).toNanos() / 1e9;
         mPerSecond *= Math.exp(-seconds / TIME_CONSTANT_SECONDS);
--- a/simulation/src/main/java/org/whinhead/simulation/rollout/EventQueue.java
+++ b/simulation/src/main/java/org/whinhead/simulation/rollout/EventQueue.java
@@ -5,7 +5,7 @@
 import java.util.Comparator;
 import java.util.PriorityQueue;
 
-/** Things that happen at simulated times, in their order. */
+/** Runs scheduled actions in the order of their simulated times. */
 final class EventQueue {
 
     private final PriorityQueue<Event> mEvents =
@@ -22,13 +22,13 @@
         mEvents.add(new Event(mNow.plus(delay), mLastSequence, action));
     }
 
-    /** Repeats an action as long as the simulation runs. */
-    void scheduleRepeating(final Duration pace, final Runnable action) {
+    /** Repeats an action at a fixed interval as long as the simulation runs. */
+    void scheduleRepeating(final Duration interval, final Runnable action) {
         schedule(
-                pace,
+                interval,
                 () -> {
                     action.run();
-                    scheduleRepeating(pace, action);
+                    scheduleRepeating(interval, action);
                 });
     }
 
--- a/simulation/src/main/java/org/whinhead/simulation/rollout/RolloutDaemon.java
+++ b/simulation/src/main/java/org/whinhead/simulation/rollout/RolloutDaemon.java
@@ -11,7 +11,7 @@
 import org.whinhead.serving.rollout.RolloutStep;
 import org.whinhead.serving.rollout.Rollouts;
 
-/** One daemon, which forgets everything when it is killed. */
+/** A simulated daemon, which loses its state when it is killed. */
 final class RolloutDaemon {
 
     private final int mNumber;
@@ -23,15 +23,15 @@
         mNumber = number;
     }
 
-    void setPartitioned(final boolean cut) {
-        mPartitioned = cut;
+    void setPartitioned(final boolean partitioned) {
+        mPartitioned = partitioned;
     }
 
     boolean isPartitioned() {
         return mPartitioned;
     }
 
-    /** Starts anew: the order is read from the store, and what is recorded of it. */
+    /** Restarts the daemon, which reads the order and its record, if any, from the store. */
     void restart(final RolloutOrder order, final Optional<RolloutRecord> record) {
         mStarts++;
         mRollouts = new Rollouts(true);
--- a/simulation/src/main/java/org/whinhead/simulation/rollout/RolloutOutcome.java
+++ b/simulation/src/main/java/org/whinhead/simulation/rollout/RolloutOutcome.java
@@ -4,23 +4,25 @@
 import org.whinhead.serving.rollout.RolloutState;
 
 /**
- * How a simulated roll-out went.
+ * The result of a simulated roll-out.
  *
- * @param state how it was recorded at the end; running if it was never decided
- * @param decidedAfter the time from the order to the record
- * @param requests requests that reached the service within the time budget
- * @param exposed those that reached the new version
- * @param exposedLate requests that reached it more than five seconds after its 50th bad answer
+ * @param state the recorded final state; {@link RolloutState#RUNNING} if none was recorded
+ * @param decidedAfter the time from the order to the record of the final state; zero without a
+ *     record
+ * @param requests the number of requests that reached the service within the time budget
+ * @param exposed the number of requests that reached the new version
+ * @param exposedLate the number of requests that reached the new version more than five seconds
+ *     after its 50th bad answer
  */
 public record RolloutOutcome(
         RolloutState state, Duration decidedAfter, long requests, long exposed, long exposedLate) {
 
     /**
-     * Tells whether a bad version got more than it may.
+     * Returns whether a bad version received more requests than allowed.
      *
-     * @param share the part of the requests that it may get
-     * @param slack requests beyond that
-     * @return whether it got more, or got some long after it was known to be bad
+     * @param share the allowed share of the requests (0 to 1)
+     * @param slack the number of requests allowed beyond the share
+     * @return whether the bound is exceeded or any request was exposed late
      */
     public boolean isOverExposed(final double share, final int slack) {
         return exposed > share * requests + slack || exposedLate > 0;
--- a/simulation/src/main/java/org/whinhead/simulation/rollout/RolloutScenario.java
+++ b/simulation/src/main/java/org/whinhead/simulation/rollout/RolloutScenario.java
@@ -5,16 +5,16 @@
 import org.whinhead.api.Arguments;
 
 /**
- * What a simulated roll-out is played with.
+ * The parameters of a simulated roll-out.
  *
- * @param daemons how many daemons there are
- * @param requestsPerSecond requests to the service from all callers
- * @param endpoints endpoints of each of the two versions
- * @param timeBudget how long the order may take
- * @param evidencePace the pause between two reports of a daemon to the holder
- * @param usesTakeoverPace whether daemons report at a faster pace while the new version takes over
+ * @param daemons the number of daemons
+ * @param requestsPerSecond the rate of requests to the service from all callers
+ * @param endpoints the number of endpoints of each of the two versions
+ * @param timeBudget the time limit of the roll-out order
+ * @param evidencePace the interval between two reports of a daemon to the holder
+ * @param usesTakeoverPace whether daemons report more often while the new version takes over
  * @param behavior how the new version answers
- * @param disturbance what goes wrong beside it
+ * @param disturbance the injected fault
  */
 public record RolloutScenario(
         int daemons,
@@ -26,26 +26,27 @@
         VersionBehavior behavior,
         Disturbance disturbance) {
 
-    /** Checks the parts. */
+    /** Checks the components. */
     public RolloutScenario {
         Arguments.requireAtLeast(daemons, 2, "daemons");
         Arguments.requireAtLeast(endpoints, 1, "endpoints");
         Arguments.requirePositive(timeBudget, "timeBudget");
         Arguments.requirePositive(evidencePace, "evidencePace");
-        Objects.requireNonNull(behavior, "conduct");
+        Objects.requireNonNull(behavior, "behavior");
         Objects.requireNonNull(disturbance, "disturbance");
     }
 
     /**
-     * Makes a case of a size, as daemons serve and report today.
+     * Creates a scenario with the report interval that daemons use at a fleet size.
      *
-     * @param daemons how many daemons there are
-     * @param conduct how the new version answers
-     * @param disturbance what goes wrong
-     * @return a case of one request a second and daemon, and a budget of twelve seconds
+     * @param daemons the number of daemons
+     * @param behavior how the new version answers
+     * @param disturbance the injected fault
+     * @return a scenario with one request per second and daemon, at least 12 per second in all, and
+     *     a time budget of twelve seconds
      */
     public static RolloutScenario ofSize(
-            final int daemons, final VersionBehavior conduct, final Disturbance disturbance) {
+            final int daemons, final VersionBehavior behavior, final Disturbance disturbance) {
         final int pace = Math.max(300, 2 * daemons);
         return new RolloutScenario(
                 daemons,
@@ -54,15 +55,15 @@
                 Duration.ofSeconds(12),
                 Duration.ofMillis(pace),
                 true,
-                conduct,
+                behavior,
                 disturbance);
     }
 
     /**
-     * Makes the same case with another pace of reports, which never changes.
+     * Returns a copy with another report interval, which stays the same during the takeover.
      *
-     * @param pace the pause between two reports of a daemon
-     * @return the case
+     * @param pace the interval between two reports of a daemon
+     * @return the changed scenario
      */
     public RolloutScenario withEvidencePace(final Duration pace) {
         return new RolloutScenario(
--- a/simulation/src/main/java/org/whinhead/simulation/rollout/RolloutSimulation.java
+++ b/simulation/src/main/java/org/whinhead/simulation/rollout/RolloutSimulation.java
@@ -20,11 +20,11 @@
 import org.whinhead.serving.rollout.RolloutStep;
 
 /**
- * Plays one roll-out: callers, daemons, endpoints of two versions, and a holder that decides.
+ * Simulates one roll-out with callers, daemons, endpoints of two versions and a lease holder.
  *
- * <p>The daemons and the holder run the objects of the product. Answers take a time that varies by
- * half, one in a hundred five times as long; one in fifty fails at either version, and on the first
- * route one in seven, as a route of the users does.
+ * <p>The daemons and the holder run the production classes. Answer times vary by half, and one in a
+ * hundred is five times as long. At either version one answer in fifty fails, and one in seven on
+ * the first route, like on a route of the users.
  */
 public final class RolloutSimulation {
 
@@ -78,21 +78,21 @@
     private long mExposedLate;
     private int mBadAnswers;
 
-    private RolloutSimulation(final RolloutScenario played, final long seed) {
-        mScenario = played;
+    private RolloutSimulation(final RolloutScenario scenario, final long seed) {
+        mScenario = scenario;
         mRandom = new SplittableRandom(seed);
-        mOrder = new RolloutOrder(SERVICE, NEW_VERSION, played.timeBudget(), 1);
+        mOrder = new RolloutOrder(SERVICE, NEW_VERSION, scenario.timeBudget(), 1);
     }
 
     /**
-     * Plays a case.
+     * Runs a simulation.
      *
-     * @param played the case
-     * @param seed tells plays apart
-     * @return how it went
+     * @param scenario the parameters
+     * @param seed the seed of the random numbers
+     * @return the result
      */
-    public static RolloutOutcome run(final RolloutScenario played, final long seed) {
-        return new RolloutSimulation(played, seed).run();
+    public static RolloutOutcome run(final RolloutScenario scenario, final long seed) {
+        return new RolloutSimulation(scenario, seed).run();
     }
 
     private RolloutOutcome run() {
@@ -141,7 +141,7 @@
         return new RolloutRecord(SERVICE, NEW_VERSION, mOrder.offset(), Instant.EPOCH, state);
     }
 
-    // Callers and endpoints.
+    // Callers and endpoints
 
     private void scheduleNextRequest() {
         final double seconds = -Math.log(1 - mRandom.nextDouble()) / mScenario.requestsPerSecond();
@@ -166,64 +166,71 @@
             return;
         }
         final EndpointEntry endpoint = candidates.get(mRandom.nextInt(candidates.size()));
-        final boolean onTrial = endpoint.version().equals(NEW_VERSION);
+        final boolean isNewVersion = endpoint.version().equals(NEW_VERSION);
         mRequests++;
         final double load =
                 mRates.computeIfAbsent(endpoint.id(), key -> new EndpointRate())
                                 .recordArrival(mEvents.now())
                         * mScenario.endpoints()
                         / mScenario.requestsPerSecond();
-        if (onTrial) {
+        if (isNewVersion) {
             mExposed++;
             mExposedLate += mEvents.now().isAfter(mBadKnownAt.plus(LATE_EXPOSURE_DELAY)) ? 1 : 0;
         }
         daemon.startAttempt("route-" + route, endpoint)
-                .ifPresent(trial -> scheduleAnswer(trial, route, onTrial, load));
+                .ifPresent(attempt -> scheduleAnswer(attempt, route, isNewVersion, load));
     }
 
     private void scheduleAnswer(
-            final RolloutAttempt trial, final int route, final boolean onTrial, final double load) {
+            final RolloutAttempt attempt,
+            final int route,
+            final boolean isNewVersion,
+            final double load) {
         final double tail = mRandom.nextDouble() < TAIL_SHARE ? TAIL_FACTOR : 1;
-        final double usual = MEDIAN_ANSWER_MILLIS * tail * Math.exp(ANSWER_TIME_SIGMA * gaussian());
-        final VersionBehavior.Fault fault = drawFault(route, onTrial, load);
-        final Duration taken =
+        final double usualMillis =
+                MEDIAN_ANSWER_MILLIS * tail * Math.exp(ANSWER_TIME_SIGMA * gaussian());
+        final VersionBehavior.Fault fault = drawFault(route, isNewVersion, load);
+        final Duration answerTime =
                 millis(
                         Math.round(
-                                fault == VersionBehavior.Fault.SLOW ? usual * SLOW_FACTOR : usual));
-        if (onTrial && fault != VersionBehavior.Fault.NONE) {
+                                fault == VersionBehavior.Fault.SLOW
+                                        ? usualMillis * SLOW_FACTOR
+                                        : usualMillis));
+        if (isNewVersion && fault != VersionBehavior.Fault.NONE) {
             mBadAnswers++;
             if (mBadAnswers == BAD_ANSWERS_UNTIL_KNOWN) {
-                mBadKnownAt = mEvents.now().plus(taken);
+                mBadKnownAt = mEvents.now().plus(answerTime);
             }
         }
         final boolean fails =
                 fault == VersionBehavior.Fault.FAILS
                         || mRandom.nextDouble() < FAILURE_SHARE_BY_ROUTE[route];
         mEvents.schedule(
-                taken,
+                answerTime,
                 () -> {
                     if (fails) {
-                        trial.recordFailure();
+                        attempt.recordFailure();
                     } else {
-                        trial.recordAnswer(taken);
+                        attempt.recordAnswer(answerTime);
                     }
                 });
     }
 
     private VersionBehavior.Fault drawFault(
-            final int route, final boolean onTrial, final double load) {
-        if (!onTrial) {
-            final boolean hit =
+            final int route, final boolean isNewVersion, final double load) {
+        if (!isNewVersion) {
+            final boolean isFault =
                     mScenario.disturbance() == Disturbance.OLD_FAILS
                             && mRandom.nextDouble() < OLD_VERSION_FAILURE_SHARE;
-            return hit ? VersionBehavior.Fault.FAILS : VersionBehavior.Fault.NONE;
+            return isFault ? VersionBehavior.Fault.FAILS : VersionBehavior.Fault.NONE;
         }
-        final double over =
+        final double elapsedShare =
                 (double) Duration.between(Instant.EPOCH, mEvents.now()).toMillis()
                         / mScenario.timeBudget().toMillis();
         return mScenario
                 .behavior()
-                .drawFault(new VersionBehavior.RequestConditions(route, over, load), mRandom);
+                .drawFault(
+                        new VersionBehavior.RequestConditions(route, elapsedShare, load), mRandom);
     }
 
     private double gaussian() {
@@ -234,15 +241,15 @@
         return sum;
     }
 
-    // Daemons and the holder.
+    // Daemons and the lease holder
 
     private void reportRepeatedly(final RolloutDaemon daemon) {
         sendEvidence(daemon);
-        final boolean soon =
+        final boolean isTakeover =
                 mOldVersionStopping
                         && mScenario.evidencePace().compareTo(TAKEOVER_REPORT_INTERVAL) > 0;
         mEvents.schedule(
-                soon && mScenario.usesTakeoverPace()
+                isTakeover && mScenario.usesTakeoverPace()
                         ? TAKEOVER_REPORT_INTERVAL
                         : mScenario.evidencePace(),
                 () -> reportRepeatedly(daemon));
@@ -264,19 +271,19 @@
             return;
         }
         final RolloutController holder = mHolder.get();
-        final int trial =
+        final int newCount =
                 (int)
                         mEndpoints.stream()
                                 .filter(entry -> entry.version().equals(NEW_VERSION))
                                 .count();
         final RolloutController.Decision decision =
                 holder.decide(
-                        new RolloutController.Endpoints(mEndpoints.size() - trial, trial),
+                        new RolloutController.Endpoints(mEndpoints.size() - newCount, newCount),
                         mEvents.now());
         if (decision.state().isFinal() && !isDecided()) {
             writeRecord(decision.state());
         }
-        final RolloutState told = isDecided() ? mRecord.get().state() : RolloutState.RUNNING;
+        final RolloutState state = isDecided() ? mRecord.get().state() : RolloutState.RUNNING;
         mOldVersionStopping = !decision.oldStopsIn().isZero();
         mSequence++;
         sendStep(
@@ -285,7 +292,7 @@
                         mOrder.offset(),
                         mFencingToken,
                         mSequence,
-                        told,
+                        state,
                         decision.share(),
                         decision.routes(),
                         decision.oldStopsIn()));
@@ -319,7 +326,7 @@
         }
     }
 
-    // What goes wrong.
+    // Injected faults
 
     private void scheduleDisturbance() {
         final Duration half = mScenario.timeBudget().dividedBy(2);
@@ -330,18 +337,22 @@
             case STORE_AWAY -> mEvents.schedule(half, this::makeStoreUnreachable);
             case RECLAIM -> mEvents.schedule(half, this::reclaimEndpoints);
             case NONE, OLD_FAILS -> {
-                // Nothing happens at one moment.
+                // No event to schedule.
             }
-            default -> throw new IllegalStateException("unknown " + mScenario.disturbance());
+            default ->
+                    throw new IllegalStateException(
+                            "unknown disturbance " + mScenario.disturbance());
         }
     }
 
     private void partitionDaemons() {
         final int count = (int) Math.round(mDaemons.size() * PARTITIONED_SHARE);
-        final List<RolloutDaemon> cut = mDaemons.subList(mDaemons.size() - count, mDaemons.size());
-        cut.forEach(daemon -> daemon.setPartitioned(true));
+        final List<RolloutDaemon> partitioned =
+                mDaemons.subList(mDaemons.size() - count, mDaemons.size());
+        partitioned.forEach(daemon -> daemon.setPartitioned(true));
         mEvents.schedule(
-                PARTITION_DURATION, () -> cut.forEach(daemon -> daemon.setPartitioned(false)));
+                PARTITION_DURATION,
+                () -> partitioned.forEach(daemon -> daemon.setPartitioned(false)));
     }
 
     private void killHolder() {
--- a/simulation/src/main/java/org/whinhead/simulation/rollout/VersionBehavior.java
+++ b/simulation/src/main/java/org/whinhead/simulation/rollout/VersionBehavior.java
@@ -2,54 +2,52 @@
 
 import java.util.random.RandomGenerator;
 
-/**
- * How endpoints of a version answer; a bad one is bad in one of the ways that operators have met.
- */
+/** The behavior of a version's endpoints. The bad ones are failure modes seen by operators. */
 public enum VersionBehavior {
-    /** Answers like the version before. */
+    /** Answers like the old version. */
     GOOD(false) {
         @Override
-        Fault faultFor(final RequestConditions answer) {
+        Fault faultFor(final RequestConditions conditions) {
             return Fault.NONE;
         }
     },
     /** Fails part of its answers from the start. */
     BAD_AT_ONCE(true) {
         @Override
-        Fault faultFor(final RequestConditions answer) {
+        Fault faultFor(final RequestConditions conditions) {
             return Fault.FAILS;
         }
     },
-    /** Fails part of its answers from half of the time budget on. */
+    /** Fails part of its answers after half of the time budget. */
     BAD_LATER(true) {
         @Override
-        Fault faultFor(final RequestConditions answer) {
-            return answer.elapsedBudgetShare() > 0.5 ? Fault.FAILS : Fault.NONE;
+        Fault faultFor(final RequestConditions conditions) {
+            return conditions.elapsedBudgetShare() > 0.5 ? Fault.FAILS : Fault.NONE;
         }
     },
-    /** Fails part of its answers at endpoints that get most of what an endpoint usually gets. */
+    /** Fails part of its answers at endpoints with more than 0.6 of the usual load. */
     BAD_UNDER_LOAD(true) {
         @Override
-        Fault faultFor(final RequestConditions answer) {
-            return answer.endpointLoadShare() > 0.6 ? Fault.FAILS : Fault.NONE;
+        Fault faultFor(final RequestConditions conditions) {
+            return conditions.endpointLoadShare() > 0.6 ? Fault.FAILS : Fault.NONE;
         }
     },
     /** Fails part of its answers on one of its routes. */
     BAD_ON_ONE_ROUTE(true) {
         @Override
-        Fault faultFor(final RequestConditions answer) {
-            return answer.route() == 0 ? Fault.FAILS : Fault.NONE;
+        Fault faultFor(final RequestConditions conditions) {
+            return conditions.route() == 0 ? Fault.FAILS : Fault.NONE;
         }
     },
     /** Answers part of its requests four times as slowly. */
     SLOW(true) {
         @Override
-        Fault faultFor(final RequestConditions answer) {
+        Fault faultFor(final RequestConditions conditions) {
             return Fault.SLOW;
         }
     };
 
-    /** Part of the answers that a fault hits. */
+    /** The share of answers that a fault affects. */
     private static final double FAULT_SHARE = 0.4;
 
     private final boolean mBad;
@@ -59,15 +57,15 @@
     }
 
     /**
-     * Tells whether a roll-out of the version has to be rolled back.
+     * Returns whether the version has to be rolled back.
      *
-     * @return whether it is bad
+     * @return whether the version is bad
      */
     public boolean isBad() {
         return mBad;
     }
 
-    /** What an answer may be hit by. */
+    /** The fault of an answer. */
     enum Fault {
         NONE,
         FAILS,
@@ -75,18 +73,18 @@
     }
 
     /**
-     * Under which conditions a request is answered.
+     * The conditions under which a request is answered.
      *
-     * @param route the number of its route
-     * @param elapsedBudgetShare the part of the time budget that is over
-     * @param endpointLoadShare the requests that its endpoint gets, as a part of what each of the
-     *     old ones got before the roll-out
+     * @param route the index of the route
+     * @param elapsedBudgetShare the elapsed share of the time budget (0 to 1)
+     * @param endpointLoadShare the request rate of the endpoint, relative to the rate of each old
+     *     endpoint before the roll-out
      */
     record RequestConditions(int route, double elapsedBudgetShare, double endpointLoadShare) {}
 
-    abstract Fault faultFor(RequestConditions answer);
+    abstract Fault faultFor(RequestConditions conditions);
 
-    Fault drawFault(final RequestConditions answer, final RandomGenerator random) {
-        return random.nextDouble() < FAULT_SHARE ? faultFor(answer) : Fault.NONE;
+    Fault drawFault(final RequestConditions conditions, final RandomGenerator random) {
+        return random.nextDouble() < FAULT_SHARE ? faultFor(conditions) : Fault.NONE;
     }
 }
--- a/simulation/src/main/java/org/whinhead/simulation/rollout/package-info.java
+++ b/simulation/src/main/java/org/whinhead/simulation/rollout/package-info.java
@@ -1,2 +1,2 @@
-/** Roll-outs in simulated time: many daemons, one holder, versions that are good or bad. */
+/** Simulation of roll-outs with many daemons, one lease holder and good or bad versions. */
 package org.whinhead.simulation.rollout;
--- a/simulation/src/test/java/org/whinhead/simulation/capacity/CapacitySimulationTest.java
+++ b/simulation/src/test/java/org/whinhead/simulation/capacity/CapacitySimulationTest.java
@@ -19,19 +19,18 @@
 
     @TempDir private Path mFolder;
 
-    private static CapacityOutcome play(final String day) throws IOException {
+    private static CapacityOutcome simulate(final String day) throws IOException {
         return CapacitySimulation.run(
                 CapacityDay.read(DAYS.resolve(day + ".json")), CapacitySettings.USUAL, SEED);
     }
 
-    // Half of the callers of a large service fail in the first sixteen seconds, and reclaims of
-    // four
-    // domains come on top. Pattern: 75 endpoints whose entries come over two seconds, a demand that
-    // needs 50, reports two seconds old, notices of 2 s, starts of 4 s. Grounds: the figures of a
-    // deployment of 95 daemons; a service that orders in time loses next to nothing.
+    // Guards against half of the callers failing in the first sixteen seconds of a large service
+    // with four reclaimed domains. Figures of a deployment of 95 daemons: 75 endpoints listed over
+    // two seconds, demand for 50, reports two seconds old, notices of 2 s, starts of 4 s. Orders in
+    // time lose almost no requests.
     @Test
-    void largeServiceKeepsItsCallersThroughItsFirstSecondsAndFourReclaims() throws IOException {
-        final CapacityOutcome outcome = play("large-first-seconds");
+    void largeServiceLosesFewRequestsAtStartAndInFourReclaims() throws IOException {
+        final CapacityOutcome outcome = simulate("large-first-seconds");
         assertThat(outcome.wholeDay()).isGreaterThan(0.97);
         assertThat(outcome.worstWindows()).isGreaterThan(0.9);
         assertThat(outcome.paidPerNeeded()).isLessThan(2.7);
@@ -46,23 +45,20 @@
                 "three-reclaims-store-away",
                 "two-reclaims-six-daemons",
             })
-    void reclaimsCostNoService(final String day) throws IOException {
-        final CapacityOutcome outcome = play(day);
+    void reclaimsLoseFewRequests(final String day) throws IOException {
+        final CapacityOutcome outcome = simulate(day);
         assertThat(outcome.wholeDay()).isGreaterThan(0.97);
         assertThat(outcome.worstWindows()).isGreaterThan(0.9);
     }
 
-    // For two seconds of a day nobody is served. Pattern: all three domains are reclaimed within
-    // six
-    // seconds, the last two 2.3 s apart, endpoints take 4.2 s to start, nothing reclaimable is to
-    // be
-    // had for fifteen seconds, and a burst of 1.4 times the usual comes meanwhile. Grounds: the
-    // trouble of a deployment of 66 daemons and 42 engines. Endpoints on demand that were ordered
-    // at
-    // the first notice are there before the last domain has gone.
+    // Guards against two seconds without service, as in a deployment of 66 daemons and 42 engines:
+    // all three domains are reclaimed within six seconds, the last two 2.3 s apart, endpoints start
+    // in 4.2 s, no reclaimable ones are available for fifteen seconds, and demand rises to 1.4
+    // times
+    // the usual. On-demand endpoints ordered at the first notice start before the last domain ends.
     @Test
-    void threeReclaimsWithinOneStartLeaveEnough() throws IOException {
-        final CapacityOutcome outcome = play("three-reclaims-in-six-seconds");
+    void threeReclaimsWithinSixSecondsLeaveCapacity() throws IOException {
+        final CapacityOutcome outcome = simulate("three-reclaims-in-six-seconds");
         final CapacityOutcome oneLoss =
                 CapacitySimulation.run(
                         CapacityDay.read(DAYS.resolve("three-reclaims-in-six-seconds.json")),
@@ -72,10 +68,10 @@
         assertThat(outcome.worstWindows()).isGreaterThan(2 * oneLoss.worstWindows());
     }
 
-    // What is learnt from the model is wrong if it serves more than its endpoints can: a queue that
-    // kept the time in which nobody waited served every request of every policy.
+    // Guards against a model that serves more than its endpoints can: a queue that saved idle
+    // capacity for later served every request under every policy.
     @Test
-    void dayThatAsksMoreThanThereIsLosesRequests() throws IOException {
+    void demandAboveCapacityLosesRequests() throws IOException {
         final CapacityOutcome outcome =
                 CapacitySimulation.run(
                         CapacityDay.read(DAYS.resolve("three-reclaims-in-six-seconds.json")),
@@ -85,12 +81,12 @@
     }
 
     @Test
-    void sameSeedIsTheSameDay() throws IOException {
-        assertThat(play("slow-starts")).isEqualTo(play("slow-starts"));
+    void sameSeedGivesSameOutcome() throws IOException {
+        assertThat(simulate("slow-starts")).isEqualTo(simulate("slow-starts"));
     }
 
     @Test
-    void fileWithUnknownFieldIsRefused() throws IOException {
+    void unknownFieldIsRejected() throws IOException {
         final String text = Files.readString(DAYS.resolve("slow-starts.json"));
         final Path file = mFolder.resolve("day.json");
         Files.writeString(file, text.replaceFirst("\"swing\"", "\"swings\""));
@@ -98,7 +94,7 @@
     }
 
     @Test
-    void partOutOfRangeIsRefused() throws IOException {
+    void valueOutOfRangeIsRejected() throws IOException {
         final String text = Files.readString(DAYS.resolve("slow-starts.json"));
         final Path file = mFolder.resolve("day.json");
         Files.writeString(file, text.replaceFirst("\"bootSeconds\": 12", "\"bootSeconds\": 0"));
--- a/simulation/src/test/java/org/whinhead/simulation/rollout/RolloutSimulationTest.java
+++ b/simulation/src/test/java/org/whinhead/simulation/rollout/RolloutSimulationTest.java
@@ -10,56 +10,55 @@
 import org.whinhead.serving.rollout.RolloutState;
 
 /**
- * Callers of a service whose new version is bad. The operator orders it, some of them get failures,
- * and it must be taken back before more than a tenth of all requests and fifty have met it,
- * whatever happens to the daemons meanwhile. The limits are the users'; twelve seconds are the
- * order of the platform's example.
+ * Guards against a bad new version that fails too many requests: it must be rolled back before it
+ * received more than a tenth of all requests plus fifty, whatever happens to the daemons. The
+ * limits are the users'; the time budget of twelve seconds is that of the platform's example.
  */
 class RolloutSimulationTest {
 
     private static final int SEEDS = 6;
     private static final int DAEMONS = 66;
-    private static final int LARGEST = 330;
+    private static final int MOST_DAEMONS = 330;
 
     @ParameterizedTest
     @EnumSource(Disturbance.class)
-    void badVersionIsNotMetByTooMany(final Disturbance disturbance) {
-        final List<String> wrong = new ArrayList<>();
-        for (final VersionBehavior conduct : VersionBehavior.values()) {
-            for (int seed = 0; conduct.isBad() && seed < SEEDS; seed++) {
-                final RolloutOutcome outcome = play(conduct, disturbance, seed);
+    void badVersionStaysWithinExposureLimit(final Disturbance disturbance) {
+        final List<String> overExposed = new ArrayList<>();
+        for (final VersionBehavior behavior : VersionBehavior.values()) {
+            for (int seed = 0; behavior.isBad() && seed < SEEDS; seed++) {
+                final RolloutOutcome outcome = simulate(behavior, disturbance, seed);
                 if (isOverExposed(outcome)) {
-                    wrong.add(conduct + " " + seed + " " + outcome);
+                    overExposed.add(behavior + " " + seed + " " + outcome);
                 }
             }
         }
-        assertThat(wrong).isEmpty();
+        assertThat(overExposed).isEmpty();
     }
 
     @ParameterizedTest
     @EnumSource(
             value = VersionBehavior.class,
             names = {"BAD_AT_ONCE", "BAD_LATER", "SLOW"})
-    void versionThatFailsManyIsNeverCompleted(final VersionBehavior conduct) {
-        assertThat(completed(conduct)).isEmpty();
+    void versionWithFrequentFaultsIsNeverCompleted(final VersionBehavior behavior) {
+        assertThat(completed(behavior)).isEmpty();
     }
 
     /**
-     * A fault on one of three routes, or only under load, shows in a third of the answers or less.
+     * A fault on one of three routes, or only under load, affects at most a third of the answers.
      */
     @ParameterizedTest
     @EnumSource(
             value = VersionBehavior.class,
             names = {"BAD_UNDER_LOAD", "BAD_ON_ONE_ROUTE"})
-    void versionThatFailsFewIsNeverCompleted(final VersionBehavior conduct) {
-        assertThat(completed(conduct)).isEmpty();
+    void versionWithRareFaultsIsNeverCompleted(final VersionBehavior behavior) {
+        assertThat(completed(behavior)).isEmpty();
     }
 
-    private static List<String> completed(final VersionBehavior conduct) {
+    private static List<String> completed(final VersionBehavior behavior) {
         final List<String> completed = new ArrayList<>();
         for (final Disturbance disturbance : Disturbance.values()) {
             for (int seed = 0; seed < SEEDS; seed++) {
-                final RolloutOutcome outcome = play(conduct, disturbance, seed);
+                final RolloutOutcome outcome = simulate(behavior, disturbance, seed);
                 if (outcome.state() == RolloutState.COMPLETED) {
                     completed.add(disturbance + " " + seed + " " + outcome);
                 }
@@ -69,7 +68,7 @@
     }
 
     /**
-     * At 66 daemons a tenth of twelve seconds' requests is some hundred answers on three routes.
+     * At 66 daemons, a tenth of the requests of twelve seconds is about a hundred on three routes.
      */
     @Test
     void goodVersionIsCompletedInTime() {
@@ -78,22 +77,22 @@
 
     @Test
     void goodVersionIsCompletedInTimeAtLargestSize() {
-        assertCompleted(LARGEST);
+        assertCompleted(MOST_DAEMONS);
     }
 
     private static void assertCompleted(final int daemons) {
-        final RolloutScenario calm =
+        final RolloutScenario scenario =
                 RolloutScenario.ofSize(daemons, VersionBehavior.GOOD, Disturbance.NONE);
         for (int seed = 0; seed < SEEDS; seed++) {
-            final RolloutOutcome outcome = RolloutSimulation.run(calm, seed);
+            final RolloutOutcome outcome = RolloutSimulation.run(scenario, seed);
             assertThat(outcome.state()).as(outcome.toString()).isEqualTo(RolloutState.COMPLETED);
-            assertThat(outcome.decidedAfter()).isLessThan(calm.timeBudget());
+            assertThat(outcome.decidedAfter()).isLessThan(scenario.timeBudget());
         }
     }
 
-    private static RolloutOutcome play(
-            final VersionBehavior conduct, final Disturbance disturbance, final int seed) {
-        return RolloutSimulation.run(RolloutScenario.ofSize(DAEMONS, conduct, disturbance), seed);
+    private static RolloutOutcome simulate(
+            final VersionBehavior behavior, final Disturbance disturbance, final int seed) {
+        return RolloutSimulation.run(RolloutScenario.ofSize(DAEMONS, behavior, disturbance), seed);
     }
 
     private static boolean isOverExposed(final RolloutOutcome outcome) {
