--- a/report/src/main/java/org/whinhead/report/BurnPlot.java
+++ b/report/src/main/java/org/whinhead/report/BurnPlot.java
@@ -23,8 +23,7 @@
 
 /**
  * Draws a report's history over the longest window as PNG charts. All burn rate charts show the
- * same lines in the same colors; the legend is part of the page, because a chart cuts off long
- * names.
+ * same lines in the same colors. The page has the legend, because a chart cuts off long names.
  */
 final class BurnPlot {
 
@@ -66,10 +65,7 @@
                         .toList();
     }
 
-    /**
-     * Returns the first minute of the charts. Time before any daemon began to count is left out,
-     * because it would look like good service.
-     */
+    /** Returns the first minute with counts; earlier ones would look like good service. */
     private long firstMinute(final FleetReport report) {
         final long earliest = mLastMinute - Window.LONG.length().toMinutes() + 1;
         final long since = Math.floorDiv(report.since().toEpochMilli(), MILLIS_PER_MINUTE);
--- a/report/src/main/java/org/whinhead/report/BurnRecorder.java
+++ b/report/src/main/java/org/whinhead/report/BurnRecorder.java
@@ -123,10 +123,7 @@
                 mLeftOut);
     }
 
-    /**
-     * Returns whether another series fits. At the bound, drops expired series first, at most once a
-     * minute.
-     */
+    /** Drops expired series at the bound, once a minute; returns whether another series fits. */
     private boolean ensureCapacity(final long minute) {
         if (mSeries.size() == MAX_SERIES && mLastSweepMinute != minute) {
             mLastSweepMinute = minute;
--- a/report/src/main/java/org/whinhead/report/Objective.java
+++ b/report/src/main/java/org/whinhead/report/Objective.java
@@ -7,10 +7,8 @@
  * The service-level objective of a tier.
  *
  * @param tier the tier's name
- * @param availability target share of requests that complete, above 0 and at most 1, for example
- *     0.999
- * @param latencyShare target share of requests within the latency targets, above 0 and at most 1,
- *     for example 0.95
+ * @param availability target share (0 to 1) of requests that complete, for example 0.999
+ * @param latencyShare target share (0 to 1) of requests in time, for example 0.95
  * @param firstTokenTarget the longest time to the first token that is in time
  * @param betweenTokensTarget the longest mean time between tokens that is in time
  */
--- a/report/src/test/java/org/whinhead/report/FleetReportTest.java
+++ b/report/src/test/java/org/whinhead/report/FleetReportTest.java
@@ -14,10 +14,7 @@
 import org.whinhead.api.model.CustomerId;
 import org.whinhead.api.model.DaemonId;
 
-/**
- * Guards against alerts on wrong burn rates, unreported gaps in the counts, and customer names that
- * break the page.
- */
+/** Guards against wrong burn rates, unreported gaps in the counts and unescaped names. */
 class FleetReportTest {
 
     private static final Instant NOW = Instant.parse("2026-12-02T16:30:00Z");
--- a/simulation/src/main/java/org/whinhead/simulation/capacity/CapacityDay.java
+++ b/simulation/src/main/java/org/whinhead/simulation/capacity/CapacityDay.java
@@ -16,7 +16,7 @@
  * @param lengthSeconds the duration of the traffic
  * @param domains the failure domains
  * @param mostInDomain the largest number of endpoints of a failure domain, of both kinds
- * @param bootSeconds the start time of an endpoint
+ * @param bootSeconds the time that an endpoint takes to start
  * @param reclaimablePrice the price of a reclaimable endpoint, relative to an on-demand one
  * @param endpointTokens the throughput of an endpoint, in tokens per second
  * @param learnedTokens the throughput that daemons estimate, in tokens per second
--- a/simulation/src/main/java/org/whinhead/simulation/capacity/SimulatedCloud.java
+++ b/simulation/src/main/java/org/whinhead/simulation/capacity/SimulatedCloud.java
@@ -17,9 +17,7 @@
     /** The delay after which the store shows a changed entry. */
     private static final double LISTING_DELAY_SECONDS = 0.8;
 
-    /**
-     * The interval between writes of an entry; the listing of initial endpoints spreads over it.
-     */
+    /** The interval between writes of an entry, which spreads the listing of initial endpoints. */
     private static final double HEARTBEAT_SECONDS = 1.2;
 
     private static final int ENDPOINT_SLOTS = 12;
--- a/simulation/src/main/java/org/whinhead/simulation/rollout/RolloutOutcome.java
+++ b/simulation/src/main/java/org/whinhead/simulation/rollout/RolloutOutcome.java
@@ -7,8 +7,7 @@
  * The result of a simulated roll-out.
  *
  * @param state the recorded final state; {@link RolloutState#RUNNING} if none was recorded
- * @param decidedAfter the time from the order to the record of the final state; zero without a
- *     record
+ * @param decidedAfter the time from the order to the final record; zero if there is none
  * @param requests the number of requests that reached the service within the time budget
  * @param exposed the number of requests that reached the new version
  * @param exposedLate the number of requests that reached the new version more than five seconds
--- a/simulation/src/main/java/org/whinhead/simulation/rollout/RolloutScenario.java
+++ b/simulation/src/main/java/org/whinhead/simulation/rollout/RolloutScenario.java
@@ -42,18 +42,17 @@
      * @param daemons the number of daemons
      * @param behavior how the new version answers
      * @param disturbance the injected fault
-     * @return a scenario with one request per second and daemon, at least 12 per second in all, and
-     *     a time budget of twelve seconds
+     * @return a scenario with one request per second and daemon and a time budget of twelve seconds
      */
     public static RolloutScenario ofSize(
             final int daemons, final VersionBehavior behavior, final Disturbance disturbance) {
-        final int pace = Math.max(300, 2 * daemons);
+        final int intervalMillis = Math.max(300, 2 * daemons);
         return new RolloutScenario(
                 daemons,
                 Math.max(daemons, 12),
                 Math.max(daemons / 10, 3),
                 Duration.ofSeconds(12),
-                Duration.ofMillis(pace),
+                Duration.ofMillis(intervalMillis),
                 true,
                 behavior,
                 disturbance);
--- a/simulation/src/main/java/org/whinhead/simulation/rollout/RolloutSimulation.java
+++ b/simulation/src/main/java/org/whinhead/simulation/rollout/RolloutSimulation.java
@@ -233,6 +233,7 @@
                         new VersionBehavior.RequestConditions(route, elapsedShare, load), mRandom);
     }
 
+    /** Returns an approximately standard normal number: the sum of 12 uniform ones, minus 6. */
     private double gaussian() {
         double sum = -6;
         for (int draw = 0; draw < 12; draw++) {
