--- a/report/src/main/java/org/whinhead/report/BurnRecorder.java
+++ b/report/src/main/java/org/whinhead/report/BurnRecorder.java
@@ -15,35 +15,35 @@
 import org.whinhead.api.model.DaemonId;
 
 /**
- * Counts ended requests of one daemon by customer, tier and minute; single-threaded.
+ * Counts ended requests of one daemon by customer, tier and minute. Not thread-safe.
  *
- * <p>Memory is bounded: {@value #MOST_SERIES} series of at most {@link #MINUTES} minutes that had a
- * request. Requests of further series are counted as left out, and the report says so. A series
- * that had no request within the longest window makes room for another one.
+ * <p>Memory is bounded: {@value #MAX_SERIES} series of at most {@link #MAX_MINUTES_PER_SERIES}
+ * minutes with requests. Requests of further series are reported as left out. A series without
+ * requests in the longest window is dropped if a new one needs its place.
  */
 public final class BurnRecorder {
 
-    /** The most series kept. */
-    public static final int MOST_SERIES = 500;
+    /** The largest number of series. */
+    public static final int MAX_SERIES = 500;
 
-    /** The most minutes kept for a series. */
-    public static final int MINUTES = (int) Window.LONG.length().toMinutes();
+    /** The largest number of minutes of a series. */
+    public static final int MAX_MINUTES_PER_SERIES = (int) Window.LONG.length().toMinutes();
 
     private static final long SECONDS_PER_MINUTE = Duration.ofMinutes(1).toSeconds();
 
     private final DaemonId mDaemon;
     private final URI mAddress;
     private final Instant mSince;
-    private final Map<SeriesKey, Deque<Minute>> mSeries = new TreeMap<>();
+    private final Map<SeriesKey, Deque<MinuteCounts>> mSeries = new TreeMap<>();
     private SortedMap<String, Objective> mObjectives = new TreeMap<>();
     private long mLeftOut;
-    private long mLastSweep;
+    private long mLastSweepMinute;
 
     /**
-     * Makes an empty recorder.
+     * Creates an empty recorder.
      *
-     * @param daemon whose requests are counted
-     * @param address the address that callers are told
+     * @param daemon the daemon whose requests are counted
+     * @param address the address that the daemon advertises to callers
      * @param since when counting began
      */
     public BurnRecorder(final DaemonId daemon, final URI address, final Instant since) {
@@ -53,22 +53,22 @@
     }
 
     /**
-     * Sets what the tiers promise; later requests are judged by it.
+     * Sets the objectives of the tiers, which apply to requests recorded from now on.
      *
-     * @param objectives the promises, one for each tier
+     * @param objectives one objective for each tier
      */
-    public void objectives(final Collection<Objective> objectives) {
+    public void setObjectives(final Collection<Objective> objectives) {
         final SortedMap<String, Objective> byTier = new TreeMap<>();
         objectives.forEach(objective -> byTier.put(objective.tier(), objective));
         mObjectives = byTier;
     }
 
     /**
-     * Counts requests that ended without a sample, for example for lack of room.
+     * Counts requests that ended without a sample, for example because a buffer was full.
      *
-     * @param requests how many
+     * @param requests the number of requests
      */
-    public void leftOut(final long requests) {
+    public void addLeftOut(final long requests) {
         mLeftOut += requests;
     }
 
@@ -78,10 +78,10 @@
      * @param sample the request
      */
     public void record(final RequestSample sample) {
-        final long number = minuteOf(sample.at());
-        Deque<Minute> minutes = mSeries.get(sample.key());
+        final long minute = epochMinute(sample.endedAt());
+        Deque<MinuteCounts> minutes = mSeries.get(sample.key());
         if (minutes == null) {
-            if (!hasRoom(number)) {
+            if (!ensureCapacity(minute)) {
                 mLeftOut++;
                 return;
             }
@@ -89,28 +89,28 @@
             mSeries.put(sample.key(), minutes);
         }
         final Counts counts = countsOf(sample);
-        final Minute last = minutes.peekLast();
-        if (last != null && last.number() >= number) {
+        final MinuteCounts last = minutes.peekLast();
+        if (last != null && last.epochMinute() >= minute) {
             minutes.removeLast();
-            minutes.addLast(new Minute(last.number(), last.counts().plus(counts)));
+            minutes.addLast(new MinuteCounts(last.epochMinute(), last.counts().plus(counts)));
         } else {
-            minutes.addLast(new Minute(number, counts));
+            minutes.addLast(new MinuteCounts(minute, counts));
         }
-        dropOld(minutes, number);
+        dropExpired(minutes, minute);
     }
 
     /**
-     * Returns what was counted.
+     * Returns the counts up to now.
      *
-     * @param now the time
+     * @param now the current time
      * @return the report
      */
     public DaemonReport report(final Instant now) {
-        final long number = minuteOf(now);
+        final long minute = epochMinute(now);
         final List<DaemonReport.Series> series = new ArrayList<>();
         mSeries.forEach(
                 (key, minutes) -> {
-                    dropOld(minutes, number);
+                    dropExpired(minutes, minute);
                     series.add(new DaemonReport.Series(key, List.copyOf(minutes)));
                 });
         return new DaemonReport(
@@ -123,14 +123,14 @@
                 mLeftOut);
     }
 
-    /** Drops what is too old when the bound is reached, at most once a minute. */
-    private boolean hasRoom(final long number) {
-        if (mSeries.size() == MOST_SERIES && mLastSweep != number) {
-            mLastSweep = number;
-            mSeries.values().forEach(minutes -> dropOld(minutes, number));
+    /** Drops expired series at the bound, once a minute; returns whether another series fits. */
+    private boolean ensureCapacity(final long minute) {
+        if (mSeries.size() == MAX_SERIES && mLastSweepMinute != minute) {
+            mLastSweepMinute = minute;
+            mSeries.values().forEach(minutes -> dropExpired(minutes, minute));
             mSeries.values().removeIf(Deque::isEmpty);
         }
-        return mSeries.size() < MOST_SERIES;
+        return mSeries.size() < MAX_SERIES;
     }
 
     private Counts countsOf(final RequestSample sample) {
@@ -147,14 +147,14 @@
                                 .filter(time -> !isLonger(time, objective.betweenTokensTarget()))
                                 .isPresent();
         return new Counts(
-                one(outcome.counts()),
-                one(outcome.isGood()),
-                one(outcome == Outcome.REFUSED_NOT_RUN),
-                one(outcome == Outcome.FAILED_MAY_HAVE_RUN),
-                one(sample.firstToken().isPresent()),
-                one(firstInTime),
-                one(sample.betweenTokens().isPresent()),
-                one(streamInTime),
+                toCount(outcome.countsTowardsAvailability()),
+                toCount(outcome.isGood()),
+                toCount(outcome == Outcome.REFUSED_NOT_RUN),
+                toCount(outcome == Outcome.FAILED_MAY_HAVE_RUN),
+                toCount(sample.firstToken().isPresent()),
+                toCount(firstInTime),
+                toCount(sample.betweenTokens().isPresent()),
+                toCount(streamInTime),
                 sample.generatedTokens(),
                 sample.recomputedTokens());
     }
@@ -163,17 +163,18 @@
         return time.compareTo(target) > 0;
     }
 
-    private static long one(final boolean condition) {
+    private static long toCount(final boolean condition) {
         return condition ? 1 : 0;
     }
 
-    private static void dropOld(final Deque<Minute> minutes, final long number) {
-        while (!minutes.isEmpty() && minutes.peekFirst().number() <= number - MINUTES) {
+    private static void dropExpired(final Deque<MinuteCounts> minutes, final long minute) {
+        while (!minutes.isEmpty()
+                && minutes.peekFirst().epochMinute() <= minute - MAX_MINUTES_PER_SERIES) {
             minutes.removeFirst();
         }
     }
 
-    private static long minuteOf(final Instant instant) {
+    private static long epochMinute(final Instant instant) {
         return Math.floorDiv(instant.getEpochSecond(), SECONDS_PER_MINUTE);
     }
 }
--- a/report/src/main/java/org/whinhead/report/FleetMerge.java
+++ b/report/src/main/java/org/whinhead/report/FleetReportMerger.java
@@ -14,15 +14,15 @@
 import java.util.TreeSet;
 
 /**
- * Adds up daemons' reports one at a time, so that not all of them need room at once;
- * single-threaded. Its time is that of the newest report, so that the clock of the operator's
- * machine does not matter.
+ * Merges daemons' reports one at a time, so that not all of them are in memory at once. The time of
+ * the merged report is that of the newest report, independent of the clock of the operator's
+ * machine. Not thread-safe.
  */
-public final class FleetMerge {
+public final class FleetReportMerger {
 
     private static final long SECONDS_PER_MINUTE = Duration.ofMinutes(1).toSeconds();
 
-    private static final Duration MOST_LAG = Duration.ofMinutes(2);
+    private static final Duration MAX_CLOCK_LAG = Duration.ofMinutes(2);
 
     private final SortedMap<SeriesKey, SortedMap<Long, Counts>> mSums = new TreeMap<>();
     private final SortedMap<String, Objective> mObjectives = new TreeMap<>();
@@ -30,55 +30,55 @@
     private final List<String> mMissing = new ArrayList<>();
     private final SortedSet<String> mNotes = new TreeSet<>();
     private OptionalDouble mPricePerHour = OptionalDouble.empty();
-    private Instant mNewest = Instant.EPOCH;
+    private Instant mNewestReportAt = Instant.EPOCH;
     private Instant mSince = Instant.MAX;
 
     /**
-     * Sets the price of the fleet.
+     * Sets the present price of the fleet.
      *
-     * @param pricePerHour what all VMs cost an hour, if it is known
+     * @param pricePerHour the price of all VMs per hour, if known
      */
-    public void price(final OptionalDouble pricePerHour) {
+    public void setPricePerHour(final OptionalDouble pricePerHour) {
         mPricePerHour = pricePerHour;
     }
 
     /**
-     * Adds what one daemon counted; a daemon that was added before is passed over, because it may
-     * be reached by two addresses.
+     * Adds the counts of one daemon. A second report of the same daemon is ignored, because a
+     * daemon may be reached by two addresses.
      *
-     * @param report its report
+     * @param report the daemon's report
      */
     public void add(final DaemonReport report) {
         if (mCollected.putIfAbsent(report.daemon().value(), report.asOf()) != null) {
             return;
         }
         mSince = report.since().isBefore(mSince) ? report.since() : mSince;
-        noteGaps(report);
+        noteIncompleteCounts(report);
         addObjectives(report);
         for (final DaemonReport.Series series : report.series()) {
             final SortedMap<Long, Counts> minutes =
                     mSums.computeIfAbsent(series.key(), key -> new TreeMap<>());
-            for (final Minute minute : series.minutes()) {
-                minutes.merge(minute.number(), minute.counts(), Counts::plus);
+            for (final MinuteCounts minute : series.minutes()) {
+                minutes.merge(minute.epochMinute(), minute.counts(), Counts::plus);
             }
         }
     }
 
     /**
-     * Notes a daemon that could not be asked or did not answer.
+     * Adds a daemon that could not be reached or did not answer.
      *
-     * @param daemon its name or address, and the cause
+     * @param daemon the daemon's name or address, and the cause
      */
-    public void addMissing(final String daemon) {
+    public void addMissingDaemon(final String daemon) {
         mMissing.add(daemon);
     }
 
-    /** Tells whether no report was added yet. */
+    /** Returns whether no report has been added yet. */
     public boolean isEmpty() {
         return mCollected.isEmpty();
     }
 
-    /** Returns the sum of what was added. */
+    /** Returns the merged report. */
     public FleetReport report() {
         final List<FleetReport.Line> lines = new ArrayList<>();
         mSums.forEach(
@@ -87,17 +87,18 @@
                     if (objective == null) {
                         mNotes.add("tier " + key.tier() + " has no objective in force");
                     } else {
-                        lines.add(line(key, objective, minutes));
+                        lines.add(mergeLine(key, objective, minutes));
                     }
                 });
         if (mPricePerHour.isPresent() && !mMissing.isEmpty()) {
-            mNotes.add("the cost is too high: what missing daemons completed is not counted");
+            mNotes.add(
+                    "the cost is too high: requests completed by missing daemons are not counted");
         }
-        mCollected.forEach(this::noteLag);
+        mCollected.forEach(this::noteClockLag);
         Collections.sort(mMissing);
         return new FleetReport(
-                mNewest,
-                mSince.isBefore(mNewest) ? mSince : mNewest,
+                mNewestReportAt,
+                mSince.isBefore(mNewestReportAt) ? mSince : mNewestReportAt,
                 mPricePerHour,
                 lines,
                 List.copyOf(mCollected.keySet()),
@@ -105,11 +106,11 @@
                 List.copyOf(mNotes));
     }
 
-    /** The objectives of the newest report hold for all, so that each line is judged by one. */
+    /** Applies the objectives of the newest report to all, so that each line has a single one. */
     private void addObjectives(final DaemonReport report) {
-        final boolean newer = report.asOf().isAfter(mNewest);
+        final boolean newer = report.asOf().isAfter(mNewestReportAt);
         if (newer) {
-            mNewest = report.asOf();
+            mNewestReportAt = report.asOf();
         }
         for (final Objective objective : report.objectives()) {
             final Objective other = mObjectives.get(objective.tier());
@@ -122,14 +123,14 @@
         }
     }
 
-    /** A clock that lags moves a daemon's requests into the wrong minutes. */
-    private void noteLag(final String daemon, final Instant asOf) {
-        if (Duration.between(asOf, mNewest).compareTo(MOST_LAG) > 0) {
+    /** Adds a note about a lagging clock, which moves requests of its daemon into wrong minutes. */
+    private void noteClockLag(final String daemon, final Instant asOf) {
+        if (Duration.between(asOf, mNewestReportAt).compareTo(MAX_CLOCK_LAG) > 0) {
             mNotes.add("the clock of " + daemon + " is behind: " + asOf);
         }
     }
 
-    private void noteGaps(final DaemonReport report) {
+    private void noteIncompleteCounts(final DaemonReport report) {
         final Duration age = Duration.between(report.since(), report.asOf());
         if (age.compareTo(Window.LONG.length()) < 0) {
             mNotes.add(report.daemon() + " counts only since " + report.since());
@@ -139,18 +140,18 @@
         }
     }
 
-    private FleetReport.Line line(
+    private FleetReport.Line mergeLine(
             final SeriesKey key, final Objective objective, final SortedMap<Long, Counts> minutes) {
         final Map<Window, Counts> windows = new EnumMap<>(Window.class);
-        final long thisMinute = Math.floorDiv(mNewest.getEpochSecond(), SECONDS_PER_MINUTE);
+        final long thisMinute = Math.floorDiv(mNewestReportAt.getEpochSecond(), SECONDS_PER_MINUTE);
         for (final Window window : Window.values()) {
             final long first = thisMinute - window.length().toMinutes() + 1;
             final Counts sum =
                     minutes.tailMap(first).values().stream().reduce(Counts.NONE, Counts::plus);
             windows.put(window, sum);
         }
-        final List<Minute> list = new ArrayList<>();
-        minutes.forEach((number, counts) -> list.add(new Minute(number, counts)));
+        final List<MinuteCounts> list = new ArrayList<>();
+        minutes.forEach((number, counts) -> list.add(new MinuteCounts(number, counts)));
         return new FleetReport.Line(key, objective, windows, list);
     }
 }
--- a/report/src/main/java/org/whinhead/report/RequestSample.java
+++ b/report/src/main/java/org/whinhead/report/RequestSample.java
@@ -7,15 +7,15 @@
 import org.whinhead.api.Arguments;
 
 /**
- * One ended request.
+ * The measurements of one ended request.
  *
- * @param key whose it was
- * @param outcome how it ended
- * @param firstToken time from arrival to the first token at the caller, if one came
- * @param betweenTokens mean time between tokens, if there were two
- * @param generatedTokens tokens that reached the caller
- * @param recomputedTokens prompt and answer tokens computed again on its way
- * @param at when it ended
+ * @param key the customer and tier
+ * @param outcome the outcome for the caller
+ * @param firstToken time from arrival to the first token at the caller, if there was one
+ * @param betweenTokens mean time between tokens, if there were at least two
+ * @param generatedTokens the number of tokens that reached the caller
+ * @param recomputedTokens the number of prompt and answer tokens computed again
+ * @param endedAt when the request ended
  */
 public record RequestSample(
         SeriesKey key,
@@ -24,9 +24,9 @@
         Optional<Duration> betweenTokens,
         long generatedTokens,
         long recomputedTokens,
-        Instant at) {
+        Instant endedAt) {
 
-    /** Checks every part. */
+    /** Checks the components. */
     public RequestSample {
         Objects.requireNonNull(key, "key");
         Objects.requireNonNull(outcome, "outcome");
@@ -34,6 +34,6 @@
         Objects.requireNonNull(betweenTokens, "betweenTokens");
         Arguments.requireAtLeast(generatedTokens, 0, "generatedTokens");
         Arguments.requireAtLeast(recomputedTokens, 0, "recomputedTokens");
-        Objects.requireNonNull(at, "at");
+        Objects.requireNonNull(endedAt, "at");
     }
 }
--- a/report/src/test/java/org/whinhead/report/FleetReportTest.java
+++ b/report/src/test/java/org/whinhead/report/FleetReportTest.java
@@ -14,6 +14,7 @@
 import org.whinhead.api.model.CustomerId;
 import org.whinhead.api.model.DaemonId;
 
+/** Guards against wrong burn rates, unreported gaps in the counts and unescaped names. */
 class FleetReportTest {
 
     private static final Instant NOW = Instant.parse("2026-12-02T16:30:00Z");
@@ -23,7 +24,7 @@
     private static final double TOLERANCE = 1e-9;
 
     @Test
-    void burnOfOneUsesUpTheAllowance() {
+    void missesEqualToAllowanceHaveBurnRateOfOne() {
         final BurnRecorder recorder = recorder("d1");
         for (int index = 0; index < 99; index++) {
             recorder.record(sample(Outcome.COMPLETED, 100, NOW));
@@ -32,26 +33,26 @@
 
         final FleetReport.Line line = merge(recorder.report(NOW)).lines().get(0);
 
-        assertThat(line.burn(ServiceLevel.AVAILABILITY, Window.SHORT))
+        assertThat(line.burnRate(ServiceLevelIndicator.AVAILABILITY, Window.SHORT))
                 .isEqualTo(1, within(TOLERANCE));
     }
 
-    // An outage of an hour ago still shows as the latest five minutes, and wakes the wrong people.
+    // Guards against an alert about an outage of an hour ago, counted into the last five minutes.
     @Test
-    void shortWindowForgetsWhatTheLongOneKeeps() {
+    void shortWindowExcludesOlderMisses() {
         final BurnRecorder recorder = recorder("d1");
         recorder.record(sample(Outcome.FAILED_MAY_HAVE_RUN, 100, NOW.minusSeconds(3_000)));
         recorder.record(sample(Outcome.COMPLETED, 100, NOW));
 
         final FleetReport.Line line = merge(recorder.report(NOW)).lines().get(0);
 
-        assertThat(line.burn(ServiceLevel.AVAILABILITY, Window.SHORT)).isZero();
-        assertThat(line.burn(ServiceLevel.AVAILABILITY, Window.MIDDLE))
+        assertThat(line.burnRate(ServiceLevelIndicator.AVAILABILITY, Window.SHORT)).isZero();
+        assertThat(line.burnRate(ServiceLevelIndicator.AVAILABILITY, Window.MIDDLE))
                 .isEqualTo(50, within(TOLERANCE));
     }
 
     @Test
-    void callersOwnFaultsDoNotCountAgainstAvailability() {
+    void callerFaultsDoNotCountTowardsAvailability() {
         final BurnRecorder recorder = recorder("d1");
         recorder.record(sample(Outcome.CALLER_FAULT, 100, NOW));
         recorder.record(sample(Outcome.CALLER_LEFT, 100, NOW));
@@ -62,7 +63,7 @@
     }
 
     @Test
-    void addsUpDaemonsAndNamesThoseThatDidNotAnswer() {
+    void mergedReportSumsDaemonsAndListsMissingOnes() {
         final BurnRecorder first = recorder("d1");
         final BurnRecorder second = recorder("d2");
         first.record(sample(Outcome.COMPLETED, 100, NOW));
@@ -72,7 +73,7 @@
 
         final FleetReport.Line line = report.lines().get(0);
         assertThat(line.windows().get(Window.SHORT).counted()).isEqualTo(2);
-        assertThat(line.burn(ServiceLevel.FIRST_TOKEN, Window.SHORT))
+        assertThat(line.burnRate(ServiceLevelIndicator.FIRST_TOKEN, Window.SHORT))
                 .isEqualTo(10, within(TOLERANCE));
         assertThat(report.collected()).containsExactly("d1", "d2");
         assertThat(TextReport.write(report))
@@ -84,9 +85,9 @@
     }
 
     @Test
-    void seriesBeyondTheBoundAreLeftOutAndSaidSo() {
+    void seriesBeyondBoundAreReportedAsLeftOut() {
         final BurnRecorder recorder = recorder("d1");
-        for (int index = 0; index <= BurnRecorder.MOST_SERIES; index++) {
+        for (int index = 0; index <= BurnRecorder.MAX_SERIES; index++) {
             final SeriesKey key = new SeriesKey(new CustomerId("c" + index), "court");
             recorder.record(
                     new RequestSample(
@@ -97,7 +98,7 @@
     }
 
     @Test
-    void pageStandsAloneAndEscapesNames() throws IOException {
+    void pageIsSelfContainedAndEscapesNames() throws IOException {
         final BurnRecorder recorder = recorder("d1");
         final SeriesKey key = new SeriesKey(new CustomerId("<b>&co"), "court");
         recorder.record(
@@ -119,7 +120,7 @@
                         new DaemonId(daemon),
                         URI.create("http://127.0.0.1:7001"),
                         NOW.minus(Duration.ofMinutes(30)));
-        recorder.objectives(List.of(COURT));
+        recorder.setObjectives(List.of(COURT));
         return recorder;
     }
 
@@ -136,10 +137,10 @@
     }
 
     private static FleetReport merge(final DaemonReport... reports) {
-        final FleetMerge merge = new FleetMerge();
+        final FleetReportMerger merge = new FleetReportMerger();
         List.of(reports).forEach(merge::add);
-        merge.addMissing("d3: timed out");
-        merge.price(OptionalDouble.of(12));
+        merge.addMissingDaemon("d3: timed out");
+        merge.setPricePerHour(OptionalDouble.of(12));
         return merge.report();
     }
 }
--- a/simulation/src/main/java/org/whinhead/simulation/capacity/SimulatedCloud.java
+++ b/simulation/src/main/java/org/whinhead/simulation/capacity/SimulatedCloud.java
@@ -9,23 +9,25 @@
 import org.whinhead.serving.capacity.CapacityOrder;
 import org.whinhead.serving.endpoint.EndpointEntry;
 
-/** Endpoints that start after a while, are listed late, and are taken back a domain at a time. */
+/** Endpoints with a boot time and a listing delay, which are reclaimed by failure domain. */
 final class SimulatedCloud {
 
     static final String SERVICE = "pool";
 
-    /** How late the store shows what has changed, and how far apart entries are written. */
-    private static final double LISTED_AFTER = 0.8;
+    /** The delay after which the store shows a changed entry. */
+    private static final double LISTING_DELAY_SECONDS = 0.8;
 
+    /** The interval between writes of an entry, which spreads the listing of initial endpoints. */
     private static final double HEARTBEAT_SECONDS = 1.2;
-    private static final int SLOTS = 12;
+
+    private static final int ENDPOINT_SLOTS = 12;
     private static final InetSocketAddress ADDRESS =
             InetSocketAddress.createUnresolved("endpoint", 1);
 
     private final CapacityDay mDay;
     private final Map<String, Double> mPrices;
     private final List<Instance> mInstances = new ArrayList<>();
-    private double mDryUntil = Double.NEGATIVE_INFINITY;
+    private double mReclaimableUnavailableUntil = Double.NEGATIVE_INFINITY;
     private int mNextId;
 
     SimulatedCloud(final CapacityDay day) {
@@ -53,7 +55,7 @@
         mNextId++;
         final EndpointEntry entry =
                 EndpointEntry.builder("e" + mNextId, SERVICE, ADDRESS, domain)
-                        .slots(SLOTS)
+                        .slots(ENDPOINT_SLOTS)
                         .reclaimable(reclaimable)
                         .build();
         final Instance instance = new Instance(entry, readyAt);
@@ -61,28 +63,28 @@
         return instance;
     }
 
-    /** Lists what the store shows as usable. */
-    List<EndpointEntry> listed(final double now) {
+    /** Returns the endpoints that the store lists as usable. */
+    List<EndpointEntry> listedEndpoints(final double now) {
         return mInstances.stream()
                 .filter(instance -> instance.mListedAt <= now)
-                .filter(instance -> now < instance.mLeavingAt + LISTED_AFTER)
+                .filter(instance -> now < instance.mRemovalStartsAt + LISTING_DELAY_SECONDS)
                 .map(instance -> instance.mEntry)
                 .toList();
     }
 
-    /** Counts the endpoints that get work: those that are listed, while they last. */
-    long serving(final double now) {
+    /** Returns the number of endpoints that are both listed and running. */
+    long countServing(final double now) {
         return mInstances.stream()
                 .filter(instance -> instance.mListedAt <= now)
-                .filter(instance -> now < instance.mLeavingAt + LISTED_AFTER)
-                .filter(instance -> now < instance.mGoneAt)
+                .filter(instance -> now < instance.mRemovalStartsAt + LISTING_DELAY_SECONDS)
+                .filter(instance -> now < instance.mRemovedAt)
                 .count();
     }
 
-    /** Sums what the endpoints cost that are paid for now, in prices of one on demand. */
+    /** Returns the price of all endpoints per second, relative to an on-demand one of price 1. */
     double price(final double now) {
         return mInstances.stream()
-                .filter(instance -> now < instance.mGoneAt)
+                .filter(instance -> now < instance.mRemovedAt)
                 .mapToDouble(instance -> price(instance.mEntry))
                 .sum();
     }
@@ -92,52 +94,58 @@
         return kind * mPrices.get(entry.domain());
     }
 
-    boolean take(final CapacityOrder order, final double now) {
-        final List<Instance> there =
+    /** Adds or removes endpoints; returns false if reclaimable ones are unavailable. */
+    boolean applyOrder(final CapacityOrder order, final double now) {
+        final List<Instance> existing =
                 mInstances.stream()
                         .filter(instance -> instance.mEntry.domain().equals(order.domain()))
                         .filter(instance -> instance.mEntry.reclaimable() == order.reclaimable())
-                        .filter(instance -> now < instance.mLeavingAt)
+                        .filter(instance -> now < instance.mRemovalStartsAt)
                         .sorted(Comparator.comparingDouble(instance -> -instance.mReadyAt))
                         .toList();
-        if (order.count() > there.size() && order.reclaimable() && now < mDryUntil) {
+        if (order.count() > existing.size()
+                && order.reclaimable()
+                && now < mReclaimableUnavailableUntil) {
             return false;
         }
-        for (int index = there.size(); index < order.count(); index++) {
+        for (int index = existing.size(); index < order.count(); index++) {
             add(order.domain(), order.reclaimable(), now + mDay.bootSeconds());
         }
-        there.stream()
-                .limit(Math.max(there.size() - order.count(), 0))
-                .forEach(instance -> instance.leave(now, LISTED_AFTER));
+        existing.stream()
+                .limit(Math.max(existing.size() - order.count(), 0))
+                .forEach(instance -> instance.scheduleRemoval(now, LISTING_DELAY_SECONDS));
         return true;
     }
 
     void reclaim(final CapacityDay.Reclaim reclaim) {
-        mDryUntil = Math.max(mDryUntil, reclaim.at() + reclaim.drySeconds());
+        mReclaimableUnavailableUntil =
+                Math.max(mReclaimableUnavailableUntil, reclaim.at() + reclaim.drySeconds());
         mInstances.stream()
                 .filter(instance -> instance.mEntry.domain().equals(reclaim.domain()))
                 .filter(instance -> instance.mEntry.reclaimable())
-                .filter(instance -> reclaim.at() < instance.mLeavingAt)
-                .forEach(instance -> instance.leave(reclaim.at(), reclaim.noticeSeconds()));
+                .filter(instance -> reclaim.at() < instance.mRemovalStartsAt)
+                .forEach(
+                        instance ->
+                                instance.scheduleRemoval(reclaim.at(), reclaim.noticeSeconds()));
     }
 
-    /** One endpoint from its order to its end. */
+    /** An endpoint from its order to its removal. */
     private static final class Instance {
         private final EndpointEntry mEntry;
         private final double mReadyAt;
         private double mListedAt;
-        private double mLeavingAt = Double.POSITIVE_INFINITY;
-        private double mGoneAt = Double.POSITIVE_INFINITY;
+        private double mRemovalStartsAt = Double.POSITIVE_INFINITY;
+        private double mRemovedAt = Double.POSITIVE_INFINITY;
 
         private Instance(final EndpointEntry entry, final double readyAt) {
             mEntry = entry;
             mReadyAt = readyAt;
-            mListedAt = readyAt + LISTED_AFTER;
+            mListedAt = readyAt + LISTING_DELAY_SECONDS;
         }
 
-        private void leave(final double at, final double notice) {
-            mLeavingAt = at;
-            mGoneAt = at + notice;
+        private void scheduleRemoval(final double at, final double notice) {
+            mRemovalStartsAt = at;
+            mRemovedAt = at + notice;
         }
     }
 }
--- a/simulation/src/main/java/org/whinhead/simulation/capacity/SimulatedQueue.java
+++ b/simulation/src/main/java/org/whinhead/simulation/capacity/SimulatedQueue.java
@@ -4,35 +4,35 @@
 import java.util.Deque;
 import java.util.random.RandomGenerator;
 
-/** Callers' requests that wait for the endpoints of one service, first come, first served. */
+/** The FIFO queue of callers' requests to one service. */
 final class SimulatedQueue {
 
     private final CapacityDay.Demand mDemand;
     private final RandomGenerator mRandom;
     private final Deque<Request> mWaiting = new ArrayDeque<>();
-    private double mOffered;
-    private double mProgress;
+    private double mOfferedTokens;
+    private double mAvailableTokens;
 
     SimulatedQueue(final CapacityDay.Demand demand, final RandomGenerator random) {
         mDemand = demand;
         mRandom = random;
     }
 
-    /** Adds the requests of a step; they come at random, their sizes are drawn. */
-    double arrive(final double now, final double seconds) {
-        double left = rate(now) * seconds;
+    /** Adds random requests of random sizes for one step and returns their tokens. */
+    double addArrivals(final double now, final double seconds) {
+        double remaining = tokensPerSecond(now) * seconds;
         double arrived = 0;
-        while (mRandom.nextDouble() < left / mDemand.requestTokens()) {
+        while (mRandom.nextDouble() < remaining / mDemand.requestTokens()) {
             final double tokens = mDemand.requestTokens() * (0.25 + 1.5 * mRandom.nextDouble());
             mWaiting.add(new Request(now, tokens));
             arrived += tokens;
-            left -= mDemand.requestTokens();
+            remaining -= mDemand.requestTokens();
         }
-        mOffered += arrived;
+        mOfferedTokens += arrived;
         return arrived;
     }
 
-    private double rate(final double now) {
+    private double tokensPerSecond(final double now) {
         if (now < 0) {
             return 0;
         }
@@ -47,9 +47,9 @@
         return mDemand.tokensPerSecond() * wave * factor;
     }
 
-    /** Serves what the endpoints can read in a step, and drops what has waited too long. */
-    Served serve(final double now, final double tokens) {
-        mProgress += tokens;
+    /** Serves requests with the tokens of one step and drops requests past their deadline. */
+    ServedTokens serve(final double now, final double tokens) {
+        mAvailableTokens += tokens;
         double inTime = 0;
         double late = 0;
         double lost = 0;
@@ -58,10 +58,10 @@
             final double waited = now - next.arrivedAt();
             if (waited > mDemand.deadlineSeconds()) {
                 lost += next.tokens();
-            } else if (mProgress < next.tokens()) {
+            } else if (mAvailableTokens < next.tokens()) {
                 break;
             } else {
-                mProgress -= next.tokens();
+                mAvailableTokens -= next.tokens();
                 if (waited <= mDemand.targetSeconds()) {
                     inTime += next.tokens();
                 } else {
@@ -71,18 +71,18 @@
             mWaiting.poll();
         }
         if (mWaiting.isEmpty()) {
-            // What endpoints could have read while nobody waited is gone, not saved for later.
-            mProgress = 0;
+            // Capacity that was idle while no request waited is not saved for later.
+            mAvailableTokens = 0;
         }
-        return new Served(inTime, late, lost);
+        return new ServedTokens(inTime, late, lost);
     }
 
-    double offered() {
-        return mOffered;
+    double offeredTokens() {
+        return mOfferedTokens;
     }
 
-    /** Tokens of requests that ended in a step. */
-    record Served(double inTime, double late, double lost) {}
+    /** The tokens of requests that ended in a step. */
+    record ServedTokens(double inTime, double late, double lost) {}
 
     private record Request(double arrivedAt, double tokens) {}
 }
--- a/simulation/src/main/java/org/whinhead/simulation/rollout/EventQueue.java
+++ b/simulation/src/main/java/org/whinhead/simulation/rollout/EventQueue.java
@@ -5,30 +5,30 @@
 import java.util.Comparator;
 import java.util.PriorityQueue;
 
-/** Things that happen at simulated times, in their order. */
+/** Runs scheduled actions in the order of their simulated times. */
 final class EventQueue {
 
     private final PriorityQueue<Event> mEvents =
-            new PriorityQueue<>(Comparator.comparing(Event::at).thenComparing(Event::number));
+            new PriorityQueue<>(Comparator.comparing(Event::at).thenComparing(Event::sequence));
     private Instant mNow = Instant.EPOCH;
-    private long mNumber;
+    private long mLastSequence;
 
     Instant now() {
         return mNow;
     }
 
-    void after(final Duration delay, final Runnable action) {
-        mNumber++;
-        mEvents.add(new Event(mNow.plus(delay), mNumber, action));
+    void schedule(final Duration delay, final Runnable action) {
+        mLastSequence++;
+        mEvents.add(new Event(mNow.plus(delay), mLastSequence, action));
     }
 
-    /** Repeats an action as long as the simulation runs. */
-    void each(final Duration pace, final Runnable action) {
-        after(
-                pace,
+    /** Repeats an action at a fixed interval as long as the simulation runs. */
+    void scheduleRepeating(final Duration interval, final Runnable action) {
+        schedule(
+                interval,
                 () -> {
                     action.run();
-                    each(pace, action);
+                    scheduleRepeating(interval, action);
                 });
     }
 
@@ -40,5 +40,5 @@
         }
     }
 
-    private record Event(Instant at, long number, Runnable action) {}
+    private record Event(Instant at, long sequence, Runnable action) {}
 }
