--- a/bench/src/main/java/org/whinhead/bench/waves/WaveTotals.java
+++ b/bench/src/main/java/org/whinhead/bench/waves/WaveTotals.java
@@ -27,8 +27,8 @@
 
     void add(final DemoResult wave) {
         final LoadPhases.Times during = wave.phases().during();
-        mFirstToken.add(during.firstToken().micros());
-        mBetweenTokens.add(during.betweenTokens().micros());
+        mFirstToken.add(during.firstToken().histogram());
+        mBetweenTokens.add(during.betweenTokens().histogram());
         mRecomputed += wave.recomputedTokens();
         mGenerated += wave.generatedTokens();
         mRequests += wave.load().requests().size();
--- a/bench/src/main/java/org/whinhead/bench/waves/WavesBenchmark.java
+++ b/bench/src/main/java/org/whinhead/bench/waves/WavesBenchmark.java
@@ -56,7 +56,8 @@
                 final DemoConfig config = config(deployment, notice);
                 final WaveTotals baseline = total(config, RecoveryMode.START_OVER, options.seed());
                 final WaveTotals kept = total(config, RecoveryMode.KEEP_WORK, options.seed());
-                final String label = deployment.mix().name() + ' ' + notice.toSeconds() + " s ";
+                final String label =
+                        deployment.workload().name() + ' ' + notice.toSeconds() + " s ";
                 table.add(label + "start over", baseline.figures(baseline));
                 table.add(label + "keep work", kept.figures(baseline));
             }
--- a/demo/src/main/java/org/whinhead/demo/DemoOptions.java
+++ b/demo/src/main/java/org/whinhead/demo/DemoOptions.java
@@ -100,9 +100,9 @@
     }
 
     private static Deployment deployment(final CommandLine line) throws ParseException {
-        final String name = line.getOptionValue(DEPLOYMENT, Deployment.INKIKO.mix().name());
+        final String name = line.getOptionValue(DEPLOYMENT, Deployment.INKIKO.workload().name());
         try {
-            return Deployment.named(name);
+            return Deployment.fromName(name);
         } catch (final IllegalArgumentException e) {
             throw new ParseException(DemoMessages.text("error.deployment", name));
         }
--- a/demo/src/main/java/org/whinhead/demo/DemoReport.java
+++ b/demo/src/main/java/org/whinhead/demo/DemoReport.java
@@ -48,7 +48,7 @@
     String json() {
         final ObjectNode root = MAPPER.createObjectNode();
         final DemoConfig config = mResult.config();
-        root.put("deployment", config.deployment().mix().name());
+        root.put("deployment", config.deployment().workload().name());
         root.put("seed", config.seed());
         root.put("reclaimed", config.reclaimed().name());
         root.put("noticeMillis", config.notice().toMillis());
@@ -92,7 +92,7 @@
         final DemoConfig config = mResult.config();
         return DemoMessages.text(
                 "report.title",
-                config.deployment().mix().name(),
+                config.deployment().workload().name(),
                 config.reclaimed().name(),
                 seconds(config.reclaimAfter()),
                 seconds(config.notice()),
--- a/demo/src/main/java/org/whinhead/demo/DemoResult.java
+++ b/demo/src/main/java/org/whinhead/demo/DemoResult.java
@@ -98,7 +98,7 @@
 
     /** Tells whether nothing was lost, doubled or wrong, and some request was completed. */
     public boolean promiseKept() {
-        return load().promiseKept() && doubled == 0 && notRunButRan == 0 && unwitnessed == 0;
+        return load().isGuaranteeKept() && doubled == 0 && notRunButRan == 0 && unwitnessed == 0;
     }
 
     private double work(final String tier) {
@@ -115,7 +115,7 @@
     }
 
     private static long doubled(final LoadResult load, final Witness witness) {
-        return load.nonIdempotent().stream()
+        return load.nonIdempotentResults().stream()
                 .filter(result -> witness.executions(result.request().id().value()) > 1)
                 .count();
     }
@@ -145,7 +145,7 @@
 
     /** Services see the caller's own name as the idempotency key. */
     private static boolean ran(final PlannedRequest request, final Witness witness) {
-        return request.kind().style().plain()
+        return request.kind().style().isPlainService()
                 ? witness.executions(request.id().value()) > 0
                 : witness.ran(nameAtEngines(request));
     }
--- a/demo/src/main/java/org/whinhead/demo/DemoRun.java
+++ b/demo/src/main/java/org/whinhead/demo/DemoRun.java
@@ -86,10 +86,10 @@
     private DemoResult load() throws InterruptedException, ExecutionException {
         final LoadRun load =
                 LoadRun.builder(
-                                mConfig.deployment().mix(),
+                                mConfig.deployment().workload(),
                                 CallerConfig.of(mTargets).withDeadline(mConfig.callerDeadline()))
                         .duration(mConfig.duration())
-                        .perSecond(mConfig.perSecond())
+                        .requestsPerSecond(mConfig.perSecond())
                         .seed(mConfig.seed())
                         .build();
         final CompletableFuture<LoadResult> whole = load.start();
@@ -98,14 +98,14 @@
         final Duration reclaim = mConfig.reclaimAfter();
         final Duration gone = reclaim.plus(mConfig.notice());
         after(reclaim, () -> reclaim(before, load));
-        after(gone.plus(WAVE_SETTLES), () -> settled.complete(load.soFar()));
+        after(gone.plus(WAVE_SETTLES), () -> settled.complete(load.currentResult()));
         final LoadResult end = whole.get();
         final LoadPhases phases = new LoadPhases(before.get(), settled.get(), end);
         return DemoResult.of(mConfig, phases, mStandIns);
     }
 
     private void reclaim(final CompletableFuture<LoadResult> before, final LoadRun load) {
-        before.complete(load.soFar());
+        before.complete(load.currentResult());
         mStandIns.cloud().reclaim(mConfig.reclaimed(), mConfig.notice());
     }
 
--- a/demo/src/main/java/org/whinhead/demo/ExampleSettings.java
+++ b/demo/src/main/java/org/whinhead/demo/ExampleSettings.java
@@ -25,7 +25,7 @@
      * @param deployment whose settings are read
      */
     ExampleSettings(final Deployment deployment) {
-        mRoot = "/examples/" + deployment.mix().name() + '/';
+        mRoot = "/examples/" + deployment.workload().name() + '/';
     }
 
     /** Returns the settings of each daemon, with the addresses of the example. */
--- a/demo/src/main/java/org/whinhead/demo/LoadPhases.java
+++ b/demo/src/main/java/org/whinhead/demo/LoadPhases.java
@@ -22,7 +22,7 @@
     public record Times(LatencyDistribution firstToken, LatencyDistribution betweenTokens) {
 
         private static Times of(final LoadResult result) {
-            return new Times(result.firstToken(), result.betweenTokens());
+            return new Times(result.timeToFirstToken(), result.timeBetweenTokens());
         }
 
         private Times since(final Times earlier) {
--- a/demo/src/test/java/org/whinhead/demo/LostDaemonsTest.java
+++ b/demo/src/test/java/org/whinhead/demo/LostDaemonsTest.java
@@ -40,17 +40,17 @@
             }
             entries.putSettings(examples.documents());
             final LoadRun load =
-                    LoadRun.builder(Deployment.MEZANI.mix(), CallerConfig.of(targets))
-                            .closedCallers(20)
+                    LoadRun.builder(Deployment.MEZANI.workload(), CallerConfig.of(targets))
+                            .closedLoopCallers(20)
                             .build();
             final CompletableFuture<LoadResult> end = load.start();
-            while (load.soFar().requests().size() < 20) {
+            while (load.currentResult().requests().size() < 20) {
                 Thread.onSpinWait();
             }
             daemons.subList(0, 4).forEach(daemon -> entries.onGone(daemon.vm().value()));
             load.stop();
             final LoadResult result = end.get();
-            assertThat(result.promiseKept()).isTrue();
+            assertThat(result.isGuaranteeKept()).isTrue();
             assertThat(result.requests())
                     .filteredOn(request -> request.resumes() > 0)
                     .isNotEmpty()
--- a/standins/src/main/java/org/whinhead/standins/load/ArrivalTimes.java
+++ b/standins/src/main/java/org/whinhead/standins/load/ArrivalTimes.java
@@ -9,7 +9,7 @@
 
     private final double mMeanNanos;
     private final SplittableRandom mRandom;
-    private double mLast;
+    private double mLastNanos;
 
     /**
      * Begins at zero.
@@ -25,7 +25,7 @@
 
     /** Returns the next arrival, in nanoseconds after the start. */
     long next() {
-        mLast += -Math.log(1 - mRandom.nextDouble()) * mMeanNanos;
-        return (long) mLast;
+        mLastNanos += -Math.log(1 - mRandom.nextDouble()) * mMeanNanos;
+        return (long) mLastNanos;
     }
 }
--- a/standins/src/main/java/org/whinhead/standins/load/LoadMain.java
+++ b/standins/src/main/java/org/whinhead/standins/load/LoadMain.java
@@ -9,10 +9,10 @@
 public final class LoadMain {
 
     /** Every answer was right. */
-    static final int EXIT_KEPT = 0;
+    static final int EXIT_SUCCESS = 0;
 
     /** A request was lost or wrong, or none was completed. */
-    static final int EXIT_BROKEN = 1;
+    static final int EXIT_FAILURE = 1;
 
     /** The options are wrong. */
     static final int EXIT_USAGE = 2;
@@ -41,9 +41,9 @@
      */
     static int run(final PrintStream out, final PrintStream errors, final String... arguments)
             throws InterruptedException, ExecutionException {
-        if (LoadOptions.wantsHelp(arguments)) {
+        if (LoadOptions.isHelpRequested(arguments)) {
             out.print(LoadOptions.help());
-            return EXIT_KEPT;
+            return EXIT_SUCCESS;
         }
         final LoadOptions options;
         try {
@@ -52,14 +52,14 @@
             errors.println(e.getMessage());
             return EXIT_USAGE;
         }
-        final LoadRun load = runOf(options);
+        final LoadRun load = newRun(options);
         final Thread partial =
-                new Thread(() -> print(new LoadReport(load.soFar(), true), options, out));
+                new Thread(() -> print(new LoadReport(load.currentResult(), true), options, out));
         Runtime.getRuntime().addShutdownHook(partial);
         final LoadResult result = load.start().get();
         Runtime.getRuntime().removeShutdownHook(partial);
         print(new LoadReport(result), options, out);
-        return result.promiseKept() ? EXIT_KEPT : EXIT_BROKEN;
+        return result.isGuaranteeKept() ? EXIT_SUCCESS : EXIT_FAILURE;
     }
 
     private static void print(
@@ -70,11 +70,11 @@
         }
     }
 
-    private static LoadRun runOf(final LoadOptions options) {
-        return LoadRun.builder(options.deployment().mix(), options.config())
+    private static LoadRun newRun(final LoadOptions options) {
+        return LoadRun.builder(options.deployment().workload(), options.config())
                 .duration(options.duration())
-                .perSecond(options.perSecond())
-                .closedCallers(options.closedCallers())
+                .requestsPerSecond(options.requestsPerSecond())
+                .closedLoopCallers(options.closedLoopCallers())
                 .seed(options.seed())
                 .build();
     }
--- a/standins/src/main/java/org/whinhead/standins/load/LoadOptions.java
+++ b/standins/src/main/java/org/whinhead/standins/load/LoadOptions.java
@@ -30,8 +30,8 @@
 record LoadOptions(
         Deployment deployment,
         CallerConfig config,
-        int perSecond,
-        int closedCallers,
+        int requestsPerSecond,
+        int closedLoopCallers,
         Duration duration,
         long seed,
         boolean json) {
@@ -55,7 +55,7 @@
      *
      * @param arguments the command line
      */
-    static boolean wantsHelp(final String... arguments) {
+    static boolean isHelpRequested(final String... arguments) {
         return List.of(arguments).contains("--" + HELP);
     }
 
@@ -72,14 +72,14 @@
             throw new ParseException(LoadMessages.text("error.stray", line.getArgList().get(0)));
         }
         final Duration deadline =
-                Duration.ofMillis(number(line, DEADLINE, 1, DEFAULT_DEADLINE_MILLIS));
+                Duration.ofMillis(parseNumber(line, DEADLINE, 1, DEFAULT_DEADLINE_MILLIS));
         return new LoadOptions(
                 deployment(line),
-                CallerConfig.of(targets(line)).withDeadline(deadline),
-                number(line, RATE, 1, DEFAULT_RATE),
-                number(line, CLOSED, 0, 0),
-                Duration.ofSeconds(number(line, SECONDS, 1, DEFAULT_SECONDS)),
-                number(line, SEED, Integer.MIN_VALUE, 1),
+                CallerConfig.of(parseTargets(line)).withDeadline(deadline),
+                parseNumber(line, RATE, 1, DEFAULT_RATE),
+                parseNumber(line, CLOSED, 0, 0),
+                Duration.ofSeconds(parseNumber(line, SECONDS, 1, DEFAULT_SECONDS)),
+                parseNumber(line, SEED, Integer.MIN_VALUE, 1),
                 line.hasOption(JSON));
     }
 
@@ -107,33 +107,33 @@
 
     private static Options options() {
         final Options options = new Options();
-        options.addOption(withValue(TARGET).required().get());
+        options.addOption(valueOption(TARGET).required().get());
         for (final String name : List.of(DEPLOYMENT, RATE, CLOSED, SECONDS, DEADLINE, SEED)) {
-            options.addOption(withValue(name).get());
+            options.addOption(valueOption(name).get());
         }
         for (final String name : List.of(JSON, HELP)) {
-            options.addOption(option(name).get());
+            options.addOption(flagOption(name).get());
         }
         return options;
     }
 
-    private static Option.Builder withValue(final String name) {
-        return option(name).hasArg();
+    private static Option.Builder valueOption(final String name) {
+        return flagOption(name).hasArg();
     }
 
-    private static Option.Builder option(final String name) {
+    private static Option.Builder flagOption(final String name) {
         return Option.builder().longOpt(name).desc(LoadMessages.text("option." + name));
     }
 
-    private static List<URI> targets(final CommandLine line) throws ParseException {
+    private static List<URI> parseTargets(final CommandLine line) throws ParseException {
         final List<URI> targets = new ArrayList<>();
         for (final String text : line.getOptionValues(TARGET)) {
-            targets.add(target(text));
+            targets.add(parseTarget(text));
         }
         return targets;
     }
 
-    private static URI target(final String text) throws ParseException {
+    private static URI parseTarget(final String text) throws ParseException {
         try {
             final URI uri = URI.create(text);
             if (uri.getHost() != null && uri.getScheme().startsWith("http")) {
@@ -146,15 +146,15 @@
     }
 
     private static Deployment deployment(final CommandLine line) throws ParseException {
-        final String name = line.getOptionValue(DEPLOYMENT, Deployment.INKIKO.mix().name());
+        final String name = line.getOptionValue(DEPLOYMENT, Deployment.INKIKO.workload().name());
         try {
-            return Deployment.named(name);
+            return Deployment.fromName(name);
         } catch (final IllegalArgumentException e) {
             throw new ParseException(LoadMessages.text("error.deployment", name));
         }
     }
 
-    private static int number(
+    private static int parseNumber(
             final CommandLine line, final String name, final int least, final int otherwise)
             throws ParseException {
         final String text = line.getOptionValue(name, Integer.toString(otherwise));
--- a/standins/src/main/java/org/whinhead/standins/load/LoadRecorder.java
+++ b/standins/src/main/java/org/whinhead/standins/load/LoadRecorder.java
@@ -18,33 +18,36 @@
 /** Gathers what callers see, from any thread. */
 final class LoadRecorder implements CallObserver {
 
-    private static final long LONGEST_MICROS = TimeUnit.HOURS.toMicros(1);
-    private static final int DIGITS = 3;
+    private static final long MAX_RECORDED_MICROS = TimeUnit.HOURS.toMicros(1);
+    private static final int SIGNIFICANT_DIGITS = 3;
 
     private final Queue<RequestResult> mResults = new ConcurrentLinkedQueue<>();
-    private final ConcurrentHistogram mFirstToken = newHistogram();
-    private final ConcurrentHistogram mBetweenTokens = newHistogram();
-    private final Map<String, ConcurrentHistogram> mFirstTokenByTier = new ConcurrentHashMap<>();
+    private final ConcurrentHistogram mTimeToFirstToken = newHistogram();
+    private final ConcurrentHistogram mTimeBetweenTokens = newHistogram();
+    private final Map<String, ConcurrentHistogram> mTimeToFirstTokenByTier =
+            new ConcurrentHashMap<>();
     private final Map<String, ConcurrentHistogram> mLatencyByKind = new ConcurrentHashMap<>();
 
     @Override
-    public void betweenTokens(final Duration gap) {
-        record(mBetweenTokens, gap);
+    public void onTokenInterval(final Duration gap) {
+        record(mTimeBetweenTokens, gap);
     }
 
     @Override
-    public void ended(final RequestResult result) {
+    public void onRequestEnded(final RequestResult result) {
         mResults.add(result);
-        result.firstToken().ifPresent(time -> firstToken(result.request().customer().tier(), time));
+        result.timeToFirstToken()
+                .ifPresent(
+                        time -> recordTimeToFirstToken(result.request().customer().tier(), time));
         if (result.outcome() == Outcome.COMPLETED) {
             final String kind = result.request().kind().name();
-            record(named(mLatencyByKind, kind), result.latency());
+            record(histogramOf(mLatencyByKind, kind), result.latency());
         }
     }
 
-    private void firstToken(final String tier, final Duration time) {
-        record(mFirstToken, time);
-        record(named(mFirstTokenByTier, tier), time);
+    private void recordTimeToFirstToken(final String tier, final Duration time) {
+        record(mTimeToFirstToken, time);
+        record(histogramOf(mTimeToFirstTokenByTier, tier), time);
     }
 
     /**
@@ -54,18 +57,18 @@
      * @param elapsed how long the run has taken
      * @return the copy
      */
-    LoadResult result(final String deployment, final Duration elapsed) {
+    LoadResult snapshot(final String deployment, final Duration elapsed) {
         return new LoadResult(
                 deployment,
                 elapsed,
                 List.copyOf(mResults),
-                new LatencyDistribution(mFirstToken),
-                new LatencyDistribution(mBetweenTokens),
-                copy(mFirstTokenByTier),
+                new LatencyDistribution(mTimeToFirstToken),
+                new LatencyDistribution(mTimeBetweenTokens),
+                copy(mTimeToFirstTokenByTier),
                 copy(mLatencyByKind));
     }
 
-    private static ConcurrentHistogram named(
+    private static ConcurrentHistogram histogramOf(
             final Map<String, ConcurrentHistogram> histograms, final String name) {
         return histograms.computeIfAbsent(name, missing -> newHistogram());
     }
@@ -80,11 +83,11 @@
     }
 
     private static ConcurrentHistogram newHistogram() {
-        return new ConcurrentHistogram(LONGEST_MICROS, DIGITS);
+        return new ConcurrentHistogram(MAX_RECORDED_MICROS, SIGNIFICANT_DIGITS);
     }
 
     private static void record(final ConcurrentHistogram histogram, final Duration time) {
         final long micros = TimeUnit.NANOSECONDS.toMicros(Math.max(0, time.toNanos()));
-        histogram.recordValue(Math.min(micros, LONGEST_MICROS));
+        histogram.recordValue(Math.min(micros, MAX_RECORDED_MICROS));
     }
 }
--- a/standins/src/main/java/org/whinhead/standins/load/LoadReport.java
+++ b/standins/src/main/java/org/whinhead/standins/load/LoadReport.java
@@ -18,11 +18,11 @@
 /** Writes a run's result as a table for people or as JSON for scripts. */
 final class LoadReport {
 
-    private static final double NANOS_IN_MILLI = 1_000_000.0;
-    private static final double MILLIS_IN_SECOND = 1000.0;
-    private static final double HALF = 50;
-    private static final double MOST = 95;
-    private static final double NEARLY_ALL = 99;
+    private static final double NANOS_PER_MILLI = 1_000_000.0;
+    private static final double MILLIS_PER_SECOND = 1000.0;
+    private static final double P50_PERCENT = 50;
+    private static final double P95_PERCENT = 95;
+    private static final double P99_PERCENT = 99;
 
     private static final String NOT_MEASURED = "-";
 
@@ -81,18 +81,19 @@
         }
         root.put("resumes", mResult.resumes());
         root.put("tokens", mResult.tokens());
-        root.put("promiseKept", mResult.promiseKept());
+        root.put("promiseKept", mResult.isGuaranteeKept());
         root.set("completedByTier", mapper.valueToTree(mResult.completedByTier()));
         root.set("faults", mapper.valueToTree(mResult.faults()));
         root.set("errorCodes", mapper.valueToTree(mResult.errorCodes()));
-        put(root.putObject("firstToken"), mResult.firstToken());
-        put(root.putObject("betweenTokens"), mResult.betweenTokens());
+        putDistribution(root.putObject("firstToken"), mResult.timeToFirstToken());
+        putDistribution(root.putObject("betweenTokens"), mResult.timeBetweenTokens());
         final ObjectNode tiers = root.putObject("firstTokenByTier");
-        firstTokenByTier().forEach((tier, times) -> put(tiers.putObject(tier), times));
+        timeToFirstTokenByTier()
+                .forEach((tier, times) -> putDistribution(tiers.putObject(tier), times));
         final ObjectNode kinds = root.putObject("latencyByKind");
-        latencyByKind().forEach((kind, latency) -> put(kinds.putObject(kind), latency));
+        latencyByKind().forEach((kind, latency) -> putDistribution(kinds.putObject(kind), latency));
         final ObjectNode keys = root.putObject("outcomeByIdempotencyKey");
-        mResult.nonIdempotent().forEach(result -> putKey(keys, result));
+        mResult.nonIdempotentResults().forEach(result -> putOutcome(keys, result));
         try {
             return mapper.writeValueAsString(root);
         } catch (final JsonProcessingException e) {
@@ -100,7 +101,7 @@
         }
     }
 
-    private static void putKey(final ObjectNode keys, final RequestResult result) {
+    private static void putOutcome(final ObjectNode keys, final RequestResult result) {
         result.idempotencyKey().ifPresent(key -> keys.put(key, result.outcome().jsonName()));
     }
 
@@ -109,7 +110,7 @@
                 "report.title",
                 mResult.deployment(),
                 mResult.requests().size(),
-                oneDecimal(mResult.elapsed().toMillis() / MILLIS_IN_SECOND),
+                formatOneDecimal(mResult.elapsed().toMillis() / MILLIS_PER_SECOND),
                 mResult.accepted(),
                 mResult.resumes(),
                 mResult.tokens());
@@ -157,8 +158,8 @@
                         LoadMessages.text("report.p95"),
                         LoadMessages.text("report.p99"),
                         LoadMessages.text("report.max")));
-        rows.add(latencyRow(LoadMessages.text("report.first-token"), mResult.firstToken()));
-        firstTokenByTier()
+        rows.add(latencyRow(LoadMessages.text("report.first-token"), mResult.timeToFirstToken()));
+        timeToFirstTokenByTier()
                 .forEach(
                         (tier, times) ->
                                 rows.add(
@@ -166,7 +167,9 @@
                                                 LoadMessages.text(
                                                         "report.first-token-of-tier", tier),
                                                 times)));
-        rows.add(latencyRow(LoadMessages.text("report.between-tokens"), mResult.betweenTokens()));
+        rows.add(
+                latencyRow(
+                        LoadMessages.text("report.between-tokens"), mResult.timeBetweenTokens()));
         latencyByKind()
                 .forEach(
                         (kind, latency) ->
@@ -177,8 +180,8 @@
         return rows;
     }
 
-    private Map<String, LatencyDistribution> firstTokenByTier() {
-        return new TreeMap<>(mResult.firstTokenByTier());
+    private Map<String, LatencyDistribution> timeToFirstTokenByTier() {
+        return new TreeMap<>(mResult.timeToFirstTokenByTier());
     }
 
     private Map<String, LatencyDistribution> latencyByKind() {
@@ -188,14 +191,14 @@
     private static List<String> latencyRow(final String name, final LatencyDistribution times) {
         return List.of(
                 name,
-                cell(times, times.percentile(HALF)),
-                cell(times, times.percentile(MOST)),
-                cell(times, times.percentile(NEARLY_ALL)),
-                cell(times, times.max()));
+                formatCell(times, times.percentile(P50_PERCENT)),
+                formatCell(times, times.percentile(P95_PERCENT)),
+                formatCell(times, times.percentile(P99_PERCENT)),
+                formatCell(times, times.max()));
     }
 
-    private static String cell(final LatencyDistribution times, final Duration time) {
-        return times.count() == 0 ? NOT_MEASURED : oneDecimal(millis(time));
+    private static String formatCell(final LatencyDistribution times, final Duration time) {
+        return times.count() == 0 ? NOT_MEASURED : formatOneDecimal(millis(time));
     }
 
     private static void addCounts(
@@ -205,22 +208,22 @@
         }
     }
 
-    private static void put(final ObjectNode node, final LatencyDistribution times) {
+    private static void putDistribution(final ObjectNode node, final LatencyDistribution times) {
         node.put("count", times.count());
         if (times.count() == 0) {
             return;
         }
-        node.put("p50Millis", millis(times.percentile(HALF)));
-        node.put("p95Millis", millis(times.percentile(MOST)));
-        node.put("p99Millis", millis(times.percentile(NEARLY_ALL)));
+        node.put("p50Millis", millis(times.percentile(P50_PERCENT)));
+        node.put("p95Millis", millis(times.percentile(P95_PERCENT)));
+        node.put("p99Millis", millis(times.percentile(P99_PERCENT)));
         node.put("maxMillis", millis(times.max()));
     }
 
     private static double millis(final Duration time) {
-        return time.toNanos() / NANOS_IN_MILLI;
+        return time.toNanos() / NANOS_PER_MILLI;
     }
 
-    private static String oneDecimal(final double value) {
+    private static String formatOneDecimal(final double value) {
         return String.format(Locale.ROOT, "%.1f", value);
     }
 }
--- a/standins/src/main/java/org/whinhead/standins/load/LoadRun.java
+++ b/standins/src/main/java/org/whinhead/standins/load/LoadRun.java
@@ -10,10 +10,10 @@
 import java.util.function.LongSupplier;
 import org.whinhead.api.Arguments;
 import org.whinhead.standins.load.caller.CallerConfig;
-import org.whinhead.standins.load.caller.Callers;
-import org.whinhead.standins.load.mix.Mix;
+import org.whinhead.standins.load.caller.LoadClient;
 import org.whinhead.standins.load.mix.PlannedRequest;
 import org.whinhead.standins.load.mix.RequestPlanner;
+import org.whinhead.standins.load.mix.Workload;
 import org.whinhead.standins.load.result.LoadResult;
 import org.whinhead.standins.load.result.Outcome;
 import org.whinhead.standins.load.result.RequestResult;
@@ -26,28 +26,29 @@
 
     private static final Duration PAUSE_AFTER_FAILURE = Duration.ofMillis(100);
 
-    private final Mix mMix;
+    private final Workload mWorkload;
     private final Duration mDuration;
-    private final int mClosedCallers;
-    private final LongSupplier mNanos;
+    private final int mClosedLoopCallers;
+    private final LongSupplier mNanoClock;
     private final RequestPlanner mPlanner;
     private final ArrivalTimes mArrivals;
     private final LoadRecorder mRecorder = new LoadRecorder();
-    private final Callers mCallers;
-    private final ScheduledExecutorService mStarts = Executors.newSingleThreadScheduledExecutor();
+    private final LoadClient mClient;
+    private final ScheduledExecutorService mScheduler =
+            Executors.newSingleThreadScheduledExecutor();
     private final AtomicInteger mInProgress = new AtomicInteger(1); // the run itself, until stopped
     private final CompletableFuture<LoadResult> mResult = new CompletableFuture<>();
     private volatile boolean mStopped;
     private volatile long mStartedAt;
 
     private LoadRun(final Builder builder) {
-        mMix = builder.mMix;
+        mWorkload = builder.mWorkload;
         mDuration = builder.mDuration;
-        mClosedCallers = builder.mClosedCallers;
-        mNanos = builder.mNanos;
-        mPlanner = new RequestPlanner(mMix, builder.mSeed);
-        mArrivals = new ArrivalTimes(builder.mPerSecond, builder.mSeed);
-        mCallers = new Callers(builder.mConfig, mRecorder, mNanos, builder.mSeed);
+        mClosedLoopCallers = builder.mClosedLoopCallers;
+        mNanoClock = builder.mNanoClock;
+        mPlanner = new RequestPlanner(mWorkload, builder.mSeed);
+        mArrivals = new ArrivalTimes(builder.mRequestsPerSecond, builder.mSeed);
+        mClient = new LoadClient(builder.mConfig, mRecorder, mNanoClock, builder.mSeed);
     }
 
     /**
@@ -57,7 +58,7 @@
      * @param config how callers behave
      * @return the builder
      */
-    public static Builder builder(final Mix mix, final CallerConfig config) {
+    public static Builder builder(final Workload mix, final CallerConfig config) {
         return new Builder(mix, config);
     }
 
@@ -67,11 +68,11 @@
      * @return completes when the time is over and every request has ended
      */
     public CompletableFuture<LoadResult> start() {
-        mStartedAt = mNanos.getAsLong();
-        mStarts.schedule(this::stop, mDuration.toNanos(), TimeUnit.NANOSECONDS);
-        if (mClosedCallers > 0) {
-            for (int caller = 0; caller < mClosedCallers; caller++) {
-                mStarts.execute(this::startClosed);
+        mStartedAt = mNanoClock.getAsLong();
+        mScheduler.schedule(this::stop, mDuration.toNanos(), TimeUnit.NANOSECONDS);
+        if (mClosedLoopCallers > 0) {
+            for (int caller = 0; caller < mClosedLoopCallers; caller++) {
+                mScheduler.execute(this::startClosedLoopRequest);
             }
         } else {
             scheduleArrival();
@@ -83,71 +84,73 @@
     public synchronized void stop() {
         if (!mStopped) {
             mStopped = true;
-            ended();
+            releaseInProgress();
         }
     }
 
     /** Returns what the callers saw so far. */
-    public LoadResult soFar() {
-        return mRecorder.result(mMix.name(), Duration.ofNanos(mNanos.getAsLong() - mStartedAt));
+    public LoadResult currentResult() {
+        return mRecorder.snapshot(
+                mWorkload.name(), Duration.ofNanos(mNanoClock.getAsLong() - mStartedAt));
     }
 
     private void scheduleArrival() {
         final long due = mStartedAt + mArrivals.next();
-        mStarts.schedule(() -> arrive(due), due - mNanos.getAsLong(), TimeUnit.NANOSECONDS);
+        mScheduler.schedule(
+                () -> startArrival(due), due - mNanoClock.getAsLong(), TimeUnit.NANOSECONDS);
     }
 
-    private synchronized void arrive(final long due) {
+    private synchronized void startArrival(final long due) {
         if (!mStopped) {
-            startOne(due);
+            startRequest(due);
             scheduleArrival();
         }
     }
 
-    private synchronized void startClosed() {
+    private synchronized void startClosedLoopRequest() {
         if (!mStopped) {
-            startOne(mNanos.getAsLong()).thenAccept(this::continueClosed);
+            startRequest(mNanoClock.getAsLong()).thenAccept(this::scheduleClosedLoopRequest);
         }
     }
 
-    private void continueClosed(final RequestResult result) {
+    private void scheduleClosedLoopRequest(final RequestResult result) {
         final boolean failed = result.outcome() != Outcome.COMPLETED;
         // A refusal comes back at once; without a pause its caller would ask in a tight loop.
         final Duration pause = failed ? PAUSE_AFTER_FAILURE : Duration.ZERO;
-        mStarts.schedule(this::startClosed, pause.toNanos(), TimeUnit.NANOSECONDS);
+        mScheduler.schedule(this::startClosedLoopRequest, pause.toNanos(), TimeUnit.NANOSECONDS);
     }
 
-    private CompletableFuture<RequestResult> startOne(final long startedAt) {
+    private CompletableFuture<RequestResult> startRequest(final long startedAt) {
         mInProgress.incrementAndGet();
         final PlannedRequest request = mPlanner.next();
-        final CompletableFuture<RequestResult> result = mCallers.call(request, startedAt);
-        result.thenRun(this::ended);
+        final CompletableFuture<RequestResult> result = mClient.call(request, startedAt);
+        result.thenRun(this::releaseInProgress);
         return result;
     }
 
-    private void ended() {
+    private void releaseInProgress() {
         if (mInProgress.decrementAndGet() == 0) {
-            mResult.complete(soFar());
-            mStarts.shutdownNow();
-            mCallers.close();
+            mResult.complete(currentResult());
+            mScheduler.shutdownNow();
+            mClient.close();
         }
     }
 
     /** Builds a {@link LoadRun}. */
     public static final class Builder {
-        private static final int DEFAULT_PER_SECOND = 50;
+        private static final int DEFAULT_REQUESTS_PER_SECOND = 50;
         private static final Duration DEFAULT_DURATION = Duration.ofSeconds(30);
 
-        private final Mix mMix;
+        private final Workload mWorkload;
         private final CallerConfig mConfig;
         private Duration mDuration = DEFAULT_DURATION;
-        private int mPerSecond = DEFAULT_PER_SECOND;
-        private int mClosedCallers;
+        private int mRequestsPerSecond = DEFAULT_REQUESTS_PER_SECOND;
+        private int mClosedLoopCallers;
         private long mSeed = 1;
-        private LongSupplier mNanos = System::nanoTime;
+        private LongSupplier mNanoClock = System::nanoTime;
 
-        private Builder(final Mix mix, final CallerConfig config) {
-            mMix = Objects.requireNonNull(mix, "mix");
+        private Builder(final Workload mix, final CallerConfig config) {
+            mWorkload = Objects.requireNonNull(mix, "mix");
             mConfig = Objects.requireNonNull(config, "config");
         }
 
@@ -158,16 +161,16 @@
         }
 
         /** Runs an open loop at a mean rate; 50 a second by default. */
-        public Builder perSecond(final int perSecond) {
+        public Builder requestsPerSecond(final int perSecond) {
             Arguments.requireAtLeast(perSecond, 1, "perSecond");
-            mPerSecond = perSecond;
+            mRequestsPerSecond = perSecond;
             return this;
         }
 
         /** Runs a closed loop with so many callers; 0, the default, runs the open loop. */
-        public Builder closedCallers(final int callers) {
+        public Builder closedLoopCallers(final int callers) {
             Arguments.requireAtLeast(callers, 0, "callers");
-            mClosedCallers = callers;
+            mClosedLoopCallers = callers;
             return this;
         }
 
@@ -178,8 +181,8 @@
         }
 
         /** Sets the clock, in nanoseconds from any origin; the JVM's by default. */
-        public Builder nanos(final LongSupplier nanos) {
-            mNanos = Objects.requireNonNull(nanos, "nanos");
+        public Builder nanoClock(final LongSupplier nanos) {
+            mNanoClock = Objects.requireNonNull(nanos, "nanos");
             return this;
         }
 
--- a/standins/src/main/java/org/whinhead/standins/load/caller/AddressBook.java
+++ b/standins/src/main/java/org/whinhead/standins/load/caller/AddressCache.java
@@ -21,23 +21,23 @@
 /**
  * The addresses that one customer's callers may connect to, kept for as long as the answer says.
  */
-final class AddressBook {
+final class AddressCache {
 
     private static final String ADDRESSES_PATH = "/v1/addresses";
-    private static final Duration LEAST_TIME_BETWEEN_QUESTIONS = Duration.ofMillis(200);
+    private static final Duration MIN_QUERY_INTERVAL = Duration.ofMillis(200);
     private static final int OK = 200;
 
     private final HttpClient mClient;
     private final ObjectMapper mMapper;
     private final CallerConfig mConfig;
-    private final String mKey;
-    private final LongSupplier mNanos;
+    private final String mCustomerKey;
+    private final LongSupplier mNanoClock;
     private final Random mRandom;
 
     private List<URI> mAddresses = List.of();
-    private long mKeepUntil;
-    private long mAskedAt;
-    private CompletableFuture<List<URI>> mQuestion;
+    private long mExpiresAt;
+    private long mLastQueryAt;
+    private CompletableFuture<List<URI>> mPendingQuery;
 
     /**
      * Makes an empty book.
@@ -49,7 +49,7 @@
      * @param nanos the time in nanoseconds, from any origin
      * @param seed the seed of the order in which daemons are asked
      */
-    AddressBook(
+    AddressCache(
             final HttpClient client,
             final ObjectMapper mapper,
             final CallerConfig config,
@@ -59,34 +59,34 @@
         mClient = client;
         mMapper = mapper;
         mConfig = config;
-        mKey = key;
-        mNanos = nanos;
+        mCustomerKey = key;
+        mNanoClock = nanos;
         mRandom = new Random(seed);
     }
 
     /** Returns the addresses, asked for anew if the last answer is too old. */
     synchronized CompletableFuture<List<URI>> addresses() {
-        final boolean kept = !mAddresses.isEmpty() && mNanos.getAsLong() < mKeepUntil;
-        return kept ? CompletableFuture.completedFuture(mAddresses) : ask();
+        final boolean kept = !mAddresses.isEmpty() && mNanoClock.getAsLong() < mExpiresAt;
+        return kept ? CompletableFuture.completedFuture(mAddresses) : query();
     }
 
     /** Asks for the addresses anew, because none of those known could be used. */
-    synchronized CompletableFuture<List<URI>> askAgain() {
+    synchronized CompletableFuture<List<URI>> refresh() {
         final boolean justAsked =
-                mNanos.getAsLong() - mAskedAt < LEAST_TIME_BETWEEN_QUESTIONS.toNanos();
+                mNanoClock.getAsLong() - mLastQueryAt < MIN_QUERY_INTERVAL.toNanos();
         return justAsked && !mAddresses.isEmpty()
                 ? CompletableFuture.completedFuture(mAddresses)
-                : ask();
+                : query();
     }
 
-    private CompletableFuture<List<URI>> ask() {
-        if (mQuestion != null) {
-            return mQuestion;
+    private CompletableFuture<List<URI>> query() {
+        if (mPendingQuery != null) {
+            return mPendingQuery;
         }
-        mAskedAt = mNanos.getAsLong();
+        mLastQueryAt = mNanoClock.getAsLong();
         final CompletableFuture<List<URI>> question = new CompletableFuture<>();
-        mQuestion = question;
-        askNext(candidates(), 0, question);
+        mPendingQuery = question;
+        queryCandidate(candidates(), 0, question);
         return question;
     }
 
@@ -98,29 +98,29 @@
         return List.copyOf(candidates);
     }
 
-    private void askNext(
+    private void queryCandidate(
             final List<URI> candidates,
             final int number,
             final CompletableFuture<List<URI>> question) {
         if (number == candidates.size()) {
-            settle(question, List.of(), Duration.ZERO);
+            completeQuery(question, List.of(), Duration.ZERO);
             return;
         }
         final HttpRequest request =
                 HttpRequest.newBuilder(candidates.get(number).resolve(ADDRESSES_PATH))
-                        .header("Authorization", "Bearer " + mKey)
-                        .timeout(mConfig.streamSilence())
+                        .header("Authorization", "Bearer " + mCustomerKey)
+                        .timeout(mConfig.streamIdleTimeout())
                         .build();
         mClient.sendAsync(request, BodyHandlers.ofString())
                 .whenComplete(
                         (response, error) -> {
-                            if (error != null || !taken(response, question)) {
-                                askNext(candidates, number + 1, question);
+                            if (error != null || !acceptResponse(response, question)) {
+                                queryCandidate(candidates, number + 1, question);
                             }
                         });
     }
 
-    private boolean taken(
+    private boolean acceptResponse(
             final HttpResponse<String> response, final CompletableFuture<List<URI>> question) {
         if (response.statusCode() != OK) {
             return false;
@@ -128,23 +128,23 @@
         try {
             final JsonNode body = mMapper.readTree(response.body());
             final List<URI> addresses = new ArrayList<>();
-            body.path("addresses").forEach(one -> addresses.add(uri(one)));
+            body.path("addresses").forEach(one -> addresses.add(parseUri(one)));
             if (addresses.isEmpty()) {
                 return false;
             }
             final Duration keep = Duration.ofMillis(body.path("keepMillis").asLong());
-            settle(question, List.copyOf(addresses), keep);
+            completeQuery(question, List.copyOf(addresses), keep);
             return true;
         } catch (final JsonProcessingException | IllegalArgumentException e) {
             return false;
         }
     }
 
-    private static URI uri(final JsonNode address) {
+    private static URI parseUri(final JsonNode address) {
         return URI.create(address.path("uri").asText());
     }
 
-    private void settle(
+    private void completeQuery(
             final CompletableFuture<List<URI>> question,
             final List<URI> addresses,
             final Duration keep) {
@@ -152,9 +152,9 @@
         synchronized (this) {
             if (!addresses.isEmpty()) {
                 mAddresses = addresses;
-                mKeepUntil = mNanos.getAsLong() + keep.toNanos();
+                mExpiresAt = mNanoClock.getAsLong() + keep.toNanos();
             }
-            mQuestion = null;
+            mPendingQuery = null;
             known = mAddresses;
         }
         question.complete(known);
--- a/standins/src/main/java/org/whinhead/standins/load/caller/TokenEvent.java
+++ b/standins/src/main/java/org/whinhead/standins/load/caller/AnswerJson.java
@@ -3,12 +3,12 @@
 import com.fasterxml.jackson.databind.JsonNode;
 
 /** Reads the JSON of a model's answer. */
-final class TokenEvent {
+final class AnswerJson {
 
     /** The data of the event that ends a stream. */
-    static final String DONE = "[DONE]";
+    static final String END_OF_STREAM = "[DONE]";
 
-    private TokenEvent() {}
+    private AnswerJson() {}
 
     /** Returns the token in a stream's event; empty if the event carries none. */
     static String token(final JsonNode data) {
--- a/standins/src/main/java/org/whinhead/standins/load/caller/AnswerCheck.java
+++ b/standins/src/main/java/org/whinhead/standins/load/caller/AnswerVerifier.java
@@ -7,20 +7,20 @@
 import org.whinhead.standins.load.result.AnswerFault;
 
 /** Compares one answer with the expected one, token by token, over all of its connections. */
-final class AnswerCheck {
+final class AnswerVerifier {
 
     private final String mPrompt;
-    private final int mExpected;
-    private int mReceived;
+    private final int mExpectedCount;
+    private int mReceivedCount;
 
     /**
      * Begins an answer.
      *
      * @param request the request that it answers
      */
-    AnswerCheck(final PlannedRequest request) {
+    AnswerVerifier(final PlannedRequest request) {
         mPrompt = request.prompt();
-        mExpected = request.tokens();
+        mExpectedCount = request.tokens();
     }
 
     /**
@@ -30,20 +30,20 @@
      * @param text the token's text
      * @return what is wrong with it, if anything
      */
-    Optional<AnswerFault> token(final long index, final String text) {
-        if (index < mReceived) {
+    Optional<AnswerFault> verifyToken(final long index, final String text) {
+        if (index < mReceivedCount) {
             return Optional.of(AnswerFault.DOUBLED);
         }
-        if (index > mReceived) {
+        if (index > mReceivedCount) {
             return Optional.of(AnswerFault.MISSING);
         }
-        if (index >= mExpected) {
+        if (index >= mExpectedCount) {
             return Optional.of(AnswerFault.FOREIGN);
         }
         if (!ExpectedAnswer.token(mPrompt, index).equals(text)) {
             return Optional.of(faultOf(text));
         }
-        mReceived++;
+        mReceivedCount++;
         return Optional.empty();
     }
 
@@ -53,40 +53,42 @@
      * @param content its text
      * @return what is wrong with it, if anything
      */
-    Optional<AnswerFault> whole(final String content) {
+    Optional<AnswerFault> verifyWhole(final String content) {
         if (content.isEmpty()) {
-            return end();
+            return verifyEnd();
         }
         for (final String word : content.split("(?<= )")) {
-            final Optional<AnswerFault> fault = token(mReceived, word);
+            final Optional<AnswerFault> fault = verifyToken(mReceivedCount, word);
             if (fault.isPresent()) {
                 return fault;
             }
         }
-        return end();
+        return verifyEnd();
     }
 
     /** Takes in the end of the answer and returns what is wrong with it, if anything. */
-    Optional<AnswerFault> end() {
-        return mReceived < mExpected ? Optional.of(AnswerFault.MISSING) : Optional.empty();
+    Optional<AnswerFault> verifyEnd() {
+        return mReceivedCount < mExpectedCount
+                ? Optional.of(AnswerFault.MISSING)
+                : Optional.empty();
     }
 
     /** Returns how many right tokens came so far. */
-    int received() {
-        return mReceived;
+    int receivedCount() {
+        return mReceivedCount;
     }
 
     /** Returns the right tokens that came so far. */
     List<String> receivedTokens() {
-        return ExpectedAnswer.tokens(mPrompt, mReceived);
+        return ExpectedAnswer.tokens(mPrompt, mReceivedCount);
     }
 
     private AnswerFault faultOf(final String text) {
-        if (mReceived > 0 && ExpectedAnswer.token(mPrompt, mReceived - 1).equals(text)) {
+        if (mReceivedCount > 0 && ExpectedAnswer.token(mPrompt, mReceivedCount - 1).equals(text)) {
             return AnswerFault.DOUBLED;
         }
-        if (mReceived + 1 < mExpected
-                && ExpectedAnswer.token(mPrompt, mReceived + 1).equals(text)) {
+        if (mReceivedCount + 1 < mExpectedCount
+                && ExpectedAnswer.token(mPrompt, mReceivedCount + 1).equals(text)) {
             return AnswerFault.MISSING;
         }
         return AnswerFault.FOREIGN;
--- a/standins/src/main/java/org/whinhead/standins/load/caller/Attempt.java
+++ b/standins/src/main/java/org/whinhead/standins/load/caller/Attempt.java
@@ -23,27 +23,27 @@
     /** What comes back; called from the client's threads, one call at a time. */
     interface Listener {
         /** A daemon began an answer. */
-        void began(Attempt attempt);
+        void onAnswerStarted(Attempt attempt);
 
         /** A ticket came. */
-        void ticket(Attempt attempt, String ticket);
+        void onTicket(Attempt attempt, String ticket);
 
         /** An event of a stream came. */
-        void event(Attempt attempt, SseEvent event);
+        void onEvent(Attempt attempt, SseEvent event);
 
         /** Any line of a stream came. */
-        void alive(Attempt attempt);
+        void onLine(Attempt attempt);
 
         /** The response is over; its body is empty if it was a stream. */
-        void over(Attempt attempt, HttpResponse<String> response);
+        void onResponse(Attempt attempt, HttpResponse<String> response);
 
         /** No response, or only a part of it, came. */
-        void broken(Attempt attempt, Throwable cause);
+        void onFailure(Attempt attempt, Throwable cause);
     }
 
     private final Listener mListener;
     private volatile CompletableFuture<HttpResponse<String>> mResponse;
-    private volatile Flow.Subscription mLines;
+    private volatile Flow.Subscription mLineSubscription;
     private volatile boolean mClosed;
 
     /**
@@ -63,13 +63,13 @@
      */
     void send(final HttpClient client, final HttpRequest request) {
         mResponse = client.sendAsync(request, bodyHandler());
-        mResponse.whenComplete(this::ended);
+        mResponse.whenComplete(this::notifyEnd);
     }
 
     /** Ends the try; nothing more is told, and a response in progress is dropped. */
     void close() {
         mClosed = true;
-        final Flow.Subscription lines = mLines;
+        final Flow.Subscription lines = mLineSubscription;
         if (lines != null) {
             lines.cancel();
         }
@@ -79,26 +79,26 @@
         }
     }
 
-    private void ended(final HttpResponse<String> response, final Throwable error) {
+    private void notifyEnd(final HttpResponse<String> response, final Throwable error) {
         if (mClosed) {
             return;
         }
         if (error != null) {
-            mListener.broken(this, error);
+            mListener.onFailure(this, error);
         } else {
-            mListener.over(this, response);
+            mListener.onResponse(this, response);
         }
     }
 
     private BodyHandler<String> bodyHandler() {
         return info -> {
             if (info.statusCode() == OK) {
-                mListener.began(this);
+                mListener.onAnswerStarted(this);
             }
             final Optional<String> ticket = info.headers().firstValue(TICKET_HEADER);
-            ticket.ifPresent(value -> mListener.ticket(this, value)); // a refusal may carry one
+            ticket.ifPresent(value -> mListener.onTicket(this, value)); // a refusal may carry one
             return isStream(info)
-                    ? streamSubscriber()
+                    ? lineSubscriber()
                     : BodySubscribers.ofString(StandardCharsets.UTF_8);
         };
     }
@@ -110,27 +110,28 @@
                 .orElse(false);
     }
 
-    private BodySubscriber<String> streamSubscriber() {
+    private BodySubscriber<String> lineSubscriber() {
         return BodySubscribers.fromLineSubscriber(
-                new Lines(), lines -> "", StandardCharsets.UTF_8, null);
+                new LineSubscriber(), lines -> "", StandardCharsets.UTF_8, null);
     }
 
     /** Receives the lines of a stream. */
-    private final class Lines implements Flow.Subscriber<String> {
+    private final class LineSubscriber implements Flow.Subscriber<String> {
 
-        private final SseLines mSseLines = new SseLines(this::event, this::comment);
+        private final SseEventParser mParser =
+                new SseEventParser(this::forwardEvent, this::forwardTicket);
 
         @Override
         public void onSubscribe(final Flow.Subscription subscription) {
-            mLines = subscription;
+            mLineSubscription = subscription;
             subscription.request(Long.MAX_VALUE);
         }
 
         @Override
         public void onNext(final String line) {
             if (!mClosed) {
-                mListener.alive(Attempt.this);
-                mSseLines.line(line);
+                mListener.onLine(Attempt.this);
+                mParser.parseLine(line);
             }
         }
 
@@ -144,15 +145,15 @@
             // The response's future tells of it.
         }
 
-        private void event(final SseEvent event) {
+        private void forwardEvent(final SseEvent event) {
             if (!mClosed) {
-                mListener.event(Attempt.this, event);
+                mListener.onEvent(Attempt.this, event);
             }
         }
 
-        private void comment(final String text) {
+        private void forwardTicket(final String text) {
             if (!mClosed && text.startsWith(TICKET_COMMENT)) {
-                mListener.ticket(Attempt.this, text.substring(TICKET_COMMENT.length()));
+                mListener.onTicket(Attempt.this, text.substring(TICKET_COMMENT.length()));
             }
         }
     }
--- a/standins/src/main/java/org/whinhead/standins/load/caller/Call.java
+++ b/standins/src/main/java/org/whinhead/standins/load/caller/Call.java
@@ -27,19 +27,19 @@
     private static final Duration VERDICT_GRACE = Duration.ofSeconds(1);
     private static final int FIRST_ERROR_STATUS = 300;
 
-    private final CallTools mTools;
+    private final CallContext mContext;
     private final PlannedRequest mRequest;
     private final RequestWriter mWriter;
-    private final DaemonChoice mChoice;
+    private final DaemonSelector mDaemonSelector;
     private final CallProgress mProgress;
     private final long mDeadline;
-    private final SilenceWatch mSilence;
+    private final IdleTimeout mIdleTimeout;
     private final CompletableFuture<RequestResult> mResult = new CompletableFuture<>();
 
     private Attempt mAttempt;
     private boolean mEnded;
-    private boolean mLate;
-    private boolean mTokensInAttempt;
+    private boolean mDeadlinePassed;
+    private boolean mAttemptHasTokens;
     private ScheduledFuture<?> mDeadlineTimer;
 
     /**
@@ -51,66 +51,66 @@
      * @param startedAt when it was meant to start, in nanoseconds
      */
     Call(
-            final CallTools tools,
-            final AddressBook book,
+            final CallContext tools,
+            final AddressCache book,
             final PlannedRequest request,
             final long startedAt) {
-        mTools = tools;
+        mContext = tools;
         mRequest = request;
         mWriter = new RequestWriter(tools.mapper(), request);
-        mChoice = new DaemonChoice(book, request.id().value().hashCode());
+        mDaemonSelector = new DaemonSelector(book, request.id().value().hashCode());
         mProgress = new CallProgress(request, startedAt);
-        mSilence = new SilenceWatch(tools.timers(), tools.nanos());
+        mIdleTimeout = new IdleTimeout(tools.timers(), tools.nanoClock());
         mDeadline = startedAt + tools.config().deadline().toNanos();
     }
 
     /** Begins; the future completes with what became of the request, never with an error. */
-    synchronized CompletableFuture<RequestResult> begin() {
-        mDeadlineTimer = schedule(this::deadlinePassed, mDeadline - now());
-        tryNext();
+    synchronized CompletableFuture<RequestResult> start() {
+        mDeadlineTimer = schedule(this::onDeadline, mDeadline - now());
+        startAttempt();
         return mResult;
     }
 
     @Override
-    public synchronized void began(final Attempt attempt) {
+    public synchronized void onAnswerStarted(final Attempt attempt) {
         if (!isCurrent(attempt)) {
             return;
         }
-        mProgress.accepted();
-        if (mLate) {
+        mProgress.recordAccepted();
+        if (mDeadlinePassed) {
             end(Outcome.LOST);
-        } else if (mRequest.kind().style().streamed()) {
-            mSilence.begin(mTools.config().streamSilence(), () -> silent(attempt));
+        } else if (mRequest.kind().style().isStreamed()) {
+            mIdleTimeout.start(mContext.config().streamIdleTimeout(), () -> onIdleTimeout(attempt));
         }
     }
 
     @Override
-    public synchronized void ticket(final Attempt attempt, final String ticket) {
+    public synchronized void onTicket(final Attempt attempt, final String ticket) {
         if (isCurrent(attempt)) {
-            mProgress.ticket(ticket);
+            mProgress.recordTicket(ticket);
         }
     }
 
     @Override
-    public void alive(final Attempt attempt) {
-        mSilence.alive();
+    public void onLine(final Attempt attempt) {
+        mIdleTimeout.recordActivity();
     }
 
     @Override
-    public synchronized void event(final Attempt attempt, final SseEvent event) {
+    public synchronized void onEvent(final Attempt attempt, final SseEvent event) {
         if (!isCurrent(attempt)) {
             return;
         }
-        if (event.data().equals(TokenEvent.DONE)) {
-            endAnswer(mProgress.check().end());
+        if (event.data().equals(AnswerJson.END_OF_STREAM)) {
+            endAnswer(mProgress.answerVerifier().verifyEnd());
             return;
         }
         try {
-            final JsonNode data = mTools.mapper().readTree(event.data());
+            final JsonNode data = mContext.mapper().readTree(event.data());
             if (event.name().equals(ERROR_EVENT)) {
-                streamFailed(DaemonError.of(data));
+                handleStreamError(DaemonError.of(data));
             } else {
-                token(event, TokenEvent.token(data));
+                handleToken(event, AnswerJson.token(data));
             }
         } catch (final JsonProcessingException e) {
             endAnswer(Optional.of(AnswerFault.FOREIGN));
@@ -118,39 +118,41 @@
     }
 
     @Override
-    public synchronized void over(final Attempt attempt, final HttpResponse<String> response) {
+    public synchronized void onResponse(
+            final Attempt attempt, final HttpResponse<String> response) {
         if (!isCurrent(attempt)) {
             return;
         }
         if (response.statusCode() >= FIRST_ERROR_STATUS) {
-            refused(DaemonError.of(response, mTools.mapper()));
-        } else if (mRequest.kind().style().streamed()) {
-            daemonLost(); // the stream ended cleanly, but before its last event
+            handleRefusal(DaemonError.of(response, mContext.mapper()));
+        } else if (mRequest.kind().style().isStreamed()) {
+            retryOnOtherDaemon(); // the stream ended cleanly, but before its last event
         } else {
-            answered(response.body());
+            handleWholeAnswer(response.body());
         }
     }
 
     @Override
-    public synchronized void broken(final Attempt attempt, final Throwable cause) {
+    public synchronized void onFailure(final Attempt attempt, final Throwable cause) {
         if (!isCurrent(attempt)) {
             return;
         }
-        if (neverConnected(cause)) {
-            mChoice.lost();
-            tryLater(mChoice.pause());
+        if (isConnectFailure(cause)) {
+            mDaemonSelector.markLost();
+            scheduleAttempt(mDaemonSelector.nextBackoff());
         } else {
-            daemonLost();
+            retryOnOtherDaemon();
         }
     }
 
-    private void tryNext() {
+    private void startAttempt() {
         mAttempt = null;
-        mChoice.next()
+        mDaemonSelector
+                .select()
                 .whenComplete(
                         (daemon, error) -> {
                             if (error != null) {
-                                tryLater(mTools.config().connectTimeout());
+                                scheduleAttempt(mContext.config().connectTimeout());
                             } else {
                                 send(daemon);
                             }
@@ -162,101 +164,102 @@
             return;
         }
         if (daemon.isEmpty()) {
-            tryLater(mTools.config().connectTimeout());
+            scheduleAttempt(mContext.config().connectTimeout());
             return;
         }
-        mProgress.sent();
-        mTokensInAttempt = false;
+        mProgress.recordAttempt();
+        mAttemptHasTokens = false;
         final Attempt attempt = new Attempt(this);
         mAttempt = attempt;
-        mSilence.begin(mTools.config().answerSilence(), () -> silent(attempt));
+        mIdleTimeout.start(mContext.config().responseTimeout(), () -> onIdleTimeout(attempt));
         attempt.send(
-                mTools.client(),
-                mWriter.to(
+                mContext.client(),
+                mWriter.requestTo(
                         daemon.get(),
                         mProgress.ticket(),
-                        mProgress.check().receivedTokens(),
+                        mProgress.answerVerifier().receivedTokens(),
                         mProgress.mayHaveRun()));
     }
 
-    private synchronized void tryLater(final Duration pause) {
+    private synchronized void scheduleAttempt(final Duration pause) {
         mAttempt = null;
-        if (mLate) {
+        if (mDeadlinePassed) {
             end(mProgress.outcomeAtDeadline(false));
         } else if (!mEnded) {
-            schedule(this::tryNextUnlessEnded, pause.toNanos());
+            schedule(this::startAttemptUnlessEnded, pause.toNanos());
         }
     }
 
-    private synchronized void tryNextUnlessEnded() {
+    private synchronized void startAttemptUnlessEnded() {
         if (!mEnded) {
-            tryNext();
+            startAttempt();
         }
     }
 
-    private void token(final SseEvent event, final String text) {
+    private void handleToken(final SseEvent event, final String text) {
         if (text.isEmpty()) {
             return; // the last event may carry only the reason and the usage
         }
-        final AnswerCheck check = mProgress.check();
-        final Optional<AnswerFault> fault = check.token(event.id().orElse(check.received()), text);
+        final AnswerVerifier check = mProgress.answerVerifier();
+        final Optional<AnswerFault> fault =
+                check.verifyToken(event.id().orElse(check.receivedCount()), text);
         if (fault.isPresent()) {
             endAnswer(fault);
             return;
         }
-        mTokensInAttempt = true;
-        mProgress.token(now()).ifPresent(mTools.observer()::betweenTokens);
+        mAttemptHasTokens = true;
+        mProgress.recordToken(now()).ifPresent(mContext.observer()::onTokenInterval);
     }
 
-    private void answered(final String body) {
-        mProgress.accepted();
+    private void handleWholeAnswer(final String body) {
+        mProgress.recordAccepted();
         try {
-            final JsonNode answer = mTools.mapper().readTree(body);
+            final JsonNode answer = mContext.mapper().readTree(body);
             endAnswer(
-                    mRequest.kind().style().plain()
+                    mRequest.kind().style().isPlainService()
                             ? mWriter.faultOf(answer)
-                            : mProgress.check().whole(TokenEvent.content(answer)));
+                            : mProgress.answerVerifier().verifyWhole(AnswerJson.content(answer)));
         } catch (final JsonProcessingException e) {
             endAnswer(Optional.of(AnswerFault.FOREIGN));
         }
     }
 
     private void endAnswer(final Optional<AnswerFault> fault) {
-        fault.ifPresent(mProgress::wrong);
+        fault.ifPresent(mProgress::recordFault);
         end(fault.isPresent() ? Outcome.WRONG : Outcome.COMPLETED);
     }
 
     /** A failure after the answer began; "not run" is false once a token came. */
-    private void streamFailed(final DaemonError error) {
-        if (mTokensInAttempt && error.verdict() == Verdict.NOT_RUN) {
+    private void handleStreamError(final DaemonError error) {
+        if (mAttemptHasTokens && error.verdict() == Verdict.NOT_RUN) {
             endAnswer(Optional.of(AnswerFault.FALSE_VERDICT));
         } else {
-            refused(error);
+            handleRefusal(error);
         }
     }
 
-    private void refused(final DaemonError error) {
-        mProgress.refused(error);
-        if (error.stopping()) {
-            mChoice.lost();
-            tryLater(mChoice.pause());
+    private void handleRefusal(final DaemonError error) {
+        mProgress.recordRefusal(error);
+        if (error.isDaemonStopping()) {
+            mDaemonSelector.markLost();
+            scheduleAttempt(mDaemonSelector.nextBackoff());
             return;
         }
         switch (error.verdict()) {
-            case NOT_RUN -> comeBack(error);
+            case NOT_RUN -> retryOrEndRefused(error);
             case MAY_HAVE_RUN -> end(mProgress.outcomeIfRefused());
             case RAN -> {
-                mProgress.accepted();
+                mProgress.recordAccepted();
                 end(Outcome.FAILED_RAN);
             }
             default -> throw new IllegalStateException("unknown verdict " + error.verdict());
         }
     }
 
-    private void comeBack(final DaemonError error) {
+    private void retryOrEndRefused(final DaemonError error) {
         final Optional<Duration> pause = error.retryAfter();
         if (pause.isPresent() && now() + pause.get().toNanos() < mDeadline) {
-            tryLater(pause.get());
+            scheduleAttempt(pause.get());
         } else {
             end(mProgress.outcomeIfRefused());
         }
@@ -267,16 +270,16 @@
      * goes to another daemon: the ticket, the identity or the idempotency key tells that daemon
      * that it is not a new request, so nothing runs twice.
      */
-    private void daemonLost() {
-        mProgress.cut();
-        mChoice.lost();
-        tryLater(mChoice.pause());
+    private void retryOnOtherDaemon() {
+        mProgress.recordInconclusiveAttempt();
+        mDaemonSelector.markLost();
+        scheduleAttempt(mDaemonSelector.nextBackoff());
     }
 
-    private synchronized void silent(final Attempt attempt) {
+    private synchronized void onIdleTimeout(final Attempt attempt) {
         if (isCurrent(attempt)) {
             attempt.close();
-            daemonLost();
+            retryOnOtherDaemon();
         }
     }
 
@@ -284,7 +287,7 @@
      * Nothing is sent any more. A try that no daemon has taken yet gets a short while to hear its
      * verdict: without that, a refusal on its way would make the request look lost.
      */
-    private synchronized void deadlinePassed() {
+    private synchronized void onDeadline() {
         if (mEnded) {
             return;
         }
@@ -292,11 +295,11 @@
             end(mProgress.outcomeAtDeadline(mAttempt != null));
             return;
         }
-        mLate = true;
-        mDeadlineTimer = schedule(this::verdictMissing, VERDICT_GRACE.toNanos());
+        mDeadlinePassed = true;
+        mDeadlineTimer = schedule(this::onVerdictTimeout, VERDICT_GRACE.toNanos());
     }
 
-    private synchronized void verdictMissing() {
+    private synchronized void onVerdictTimeout() {
         if (!mEnded) {
             end(mProgress.outcomeAtDeadline(true));
         }
@@ -305,12 +308,12 @@
     private void end(final Outcome outcome) {
         mEnded = true;
         mDeadlineTimer.cancel(false);
-        mSilence.end();
+        mIdleTimeout.cancel();
         if (mAttempt != null && outcome != Outcome.COMPLETED) {
             mAttempt.close();
         }
         final RequestResult result = mProgress.result(outcome, now());
-        mTools.observer().ended(result);
+        mContext.observer().onRequestEnded(result);
         mResult.complete(result);
     }
 
@@ -318,7 +321,7 @@
         return !mEnded && attempt == mAttempt;
     }
 
-    private static boolean neverConnected(final Throwable cause) {
+    private static boolean isConnectFailure(final Throwable cause) {
         for (Throwable one = cause; one != null; one = one.getCause()) {
             if (one instanceof ConnectException || one instanceof HttpConnectTimeoutException) {
                 return true;
@@ -328,10 +331,10 @@
     }
 
     private ScheduledFuture<?> schedule(final Runnable task, final long nanos) {
-        return mTools.timers().schedule(task, Math.max(0, nanos), TimeUnit.NANOSECONDS);
+        return mContext.timers().schedule(task, Math.max(0, nanos), TimeUnit.NANOSECONDS);
     }
 
     private long now() {
-        return mTools.nanos().getAsLong();
+        return mContext.nanoClock().getAsLong();
     }
 }
--- a/standins/src/main/java/org/whinhead/standins/load/caller/CallTools.java
+++ b/standins/src/main/java/org/whinhead/standins/load/caller/CallContext.java
@@ -16,20 +16,20 @@
  * @param config how callers behave
  * @param observer is told what callers see
  */
-record CallTools(
+record CallContext(
         HttpClient client,
         ObjectMapper mapper,
         ScheduledExecutorService timers,
-        LongSupplier nanos,
+        LongSupplier nanoClock,
         CallerConfig config,
         CallObserver observer) {
 
     /** Checks every part. */
-    CallTools {
+    CallContext {
         Objects.requireNonNull(client, "client");
         Objects.requireNonNull(mapper, "mapper");
         Objects.requireNonNull(timers, "timers");
-        Objects.requireNonNull(nanos, "nanos");
+        Objects.requireNonNull(nanoClock, "nanos");
         Objects.requireNonNull(config, "config");
         Objects.requireNonNull(observer, "observer");
     }
--- a/standins/src/main/java/org/whinhead/standins/load/caller/CallObserver.java
+++ b/standins/src/main/java/org/whinhead/standins/load/caller/CallObserver.java
@@ -11,12 +11,12 @@
      *
      * @param gap the time, reconnects included
      */
-    void betweenTokens(Duration gap);
+    void onTokenInterval(Duration gap);
 
     /**
      * A request ended.
      *
      * @param result what became of it
      */
-    void ended(RequestResult result);
+    void onRequestEnded(RequestResult result);
 }
--- a/standins/src/main/java/org/whinhead/standins/load/caller/CallProgress.java
+++ b/standins/src/main/java/org/whinhead/standins/load/caller/CallProgress.java
@@ -13,10 +13,10 @@
 
     private final PlannedRequest mRequest;
     private final long mStartedAt;
-    private final AnswerCheck mCheck;
+    private final AnswerVerifier mAnswerVerifier;
     private boolean mAccepted;
     private boolean mMayHaveRun;
-    private boolean mRefused; // the last word of the daemons was a refusal
+    private boolean mLastAttemptRefused; // the last word of the daemons was a refusal
     private int mAttempts;
     private int mResumes;
     private String mErrorCode = "";
@@ -34,12 +34,12 @@
     CallProgress(final PlannedRequest request, final long startedAt) {
         mRequest = request;
         mStartedAt = startedAt;
-        mCheck = new AnswerCheck(request);
+        mAnswerVerifier = new AnswerVerifier(request);
     }
 
     /** Returns the comparison with the expected answer. */
-    AnswerCheck check() {
-        return mCheck;
+    AnswerVerifier answerVerifier() {
+        return mAnswerVerifier;
     }
 
     /** Returns the newest ticket, if there is one. */
@@ -53,7 +53,7 @@
     }
 
     /** Notes that the request is sent once more. */
-    void sent() {
+    void recordAttempt() {
         mAttempts++;
         if (mTicket.isPresent()) {
             mResumes++;
@@ -61,7 +61,7 @@
     }
 
     /** Notes that a daemon took the request. */
-    void accepted() {
+    void recordAccepted() {
         mAccepted = true;
     }
 
@@ -71,14 +71,14 @@
     }
 
     /** Notes a ticket. */
-    void ticket(final String ticket) {
+    void recordTicket(final String ticket) {
         mTicket = Optional.of(ticket);
     }
 
     /** Notes that the request may have run, because a try ended without a verdict. */
-    void cut() {
+    void recordInconclusiveAttempt() {
         mMayHaveRun = true;
-        mRefused = false;
+        mLastAttemptRefused = false;
     }
 
     /** Tells whether a try may have run. */
@@ -87,14 +87,14 @@
     }
 
     /** Notes a refusal. */
-    void refused(final DaemonError error) {
+    void recordRefusal(final DaemonError error) {
         mErrorCode = error.code();
-        mRefused = true;
+        mLastAttemptRefused = true;
         mMayHaveRun |= error.verdict() != Verdict.NOT_RUN;
     }
 
     /** Notes what is wrong with the answer. */
-    void wrong(final AnswerFault fault) {
+    void recordFault(final AnswerFault fault) {
         mFault = Optional.of(fault);
     }
 
@@ -104,7 +104,7 @@
      * @param now the time in nanoseconds
      * @return the time since the one before, if there was one
      */
-    Optional<Duration> token(final long now) {
+    Optional<Duration> recordToken(final long now) {
         final Optional<Duration> gap =
                 mFirstTokenAt.map(first -> Duration.ofNanos(now - mLastTokenAt));
         if (mFirstTokenAt.isEmpty()) {
@@ -122,7 +122,7 @@
         if (!mMayHaveRun) {
             return Outcome.REFUSED_NOT_RUN;
         }
-        return mAccepted && mRequest.kind().style().idempotent()
+        return mAccepted && mRequest.kind().style().isIdempotent()
                 ? Outcome.LOST
                 : Outcome.FAILED_MAY_HAVE_RUN;
     }
@@ -133,10 +133,10 @@
      * @param pending whether a try was sent and is not answered
      */
     Outcome outcomeAtDeadline(final boolean pending) {
-        if (pending || (mMayHaveRun && !mRefused)) {
+        if (pending || (mMayHaveRun && !mLastAttemptRefused)) {
             return Outcome.LOST;
         }
-        return mRefused ? outcomeIfRefused() : Outcome.UNREACHED;
+        return mLastAttemptRefused ? outcomeIfRefused() : Outcome.UNREACHED;
     }
 
     /**
@@ -150,11 +150,11 @@
         return RequestResult.builder(mRequest, outcome)
                 .accepted(mAccepted)
                 .attempts(mAttempts, mResumes)
-                .tokens(mCheck.received())
+                .tokens(mAnswerVerifier.receivedCount())
                 .fault(mFault)
                 .errorCode(mErrorCode)
                 .latency(Duration.ofNanos(now - mStartedAt))
-                .firstToken(mFirstTokenAt.map(first -> Duration.ofNanos(first - mStartedAt)))
+                .timeToFirstToken(mFirstTokenAt.map(first -> Duration.ofNanos(first - mStartedAt)))
                 .build();
     }
 }
--- a/standins/src/main/java/org/whinhead/standins/load/caller/CallerConfig.java
+++ b/standins/src/main/java/org/whinhead/standins/load/caller/CallerConfig.java
@@ -17,13 +17,13 @@
 public record CallerConfig(
         List<URI> targets,
         Duration deadline,
-        Duration answerSilence,
-        Duration streamSilence,
+        Duration responseTimeout,
+        Duration streamIdleTimeout,
         Duration connectTimeout) {
 
     private static final Duration DEFAULT_DEADLINE = Duration.ofSeconds(30);
-    private static final Duration DEFAULT_ANSWER_SILENCE = Duration.ofSeconds(10);
-    private static final Duration DEFAULT_STREAM_SILENCE = Duration.ofSeconds(5);
+    private static final Duration DEFAULT_RESPONSE_TIMEOUT = Duration.ofSeconds(10);
+    private static final Duration DEFAULT_STREAM_IDLE_TIMEOUT = Duration.ofSeconds(5);
     private static final Duration DEFAULT_CONNECT_TIMEOUT = Duration.ofSeconds(1);
 
     /** Checks every part and copies the list. */
@@ -31,8 +31,8 @@
         targets = List.copyOf(targets);
         Arguments.requireAtLeast(targets.size(), 1, "targets");
         Arguments.requirePositive(deadline, "deadline");
-        Arguments.requirePositive(answerSilence, "answerSilence");
-        Arguments.requirePositive(streamSilence, "streamSilence");
+        Arguments.requirePositive(responseTimeout, "answerSilence");
+        Arguments.requirePositive(streamIdleTimeout, "streamSilence");
         Arguments.requirePositive(connectTimeout, "connectTimeout");
     }
 
@@ -46,8 +46,8 @@
         return new CallerConfig(
                 targets,
                 DEFAULT_DEADLINE,
-                DEFAULT_ANSWER_SILENCE,
-                DEFAULT_STREAM_SILENCE,
+                DEFAULT_RESPONSE_TIMEOUT,
+                DEFAULT_STREAM_IDLE_TIMEOUT,
                 DEFAULT_CONNECT_TIMEOUT);
     }
 
@@ -58,7 +58,7 @@
      * @return the copy
      */
     public CallerConfig withDeadline(final Duration next) {
-        return new CallerConfig(targets, next, answerSilence, streamSilence, connectTimeout);
+        return new CallerConfig(targets, next, responseTimeout, streamIdleTimeout, connectTimeout);
     }
 
     /**
@@ -68,7 +68,7 @@
      * @param inStream how long a stream may be silent
      * @return the copy
      */
-    public CallerConfig withSilence(final Duration toBegin, final Duration inStream) {
+    public CallerConfig withTimeouts(final Duration toBegin, final Duration inStream) {
         return new CallerConfig(targets, deadline, toBegin, inStream, connectTimeout);
     }
 }
--- a/standins/src/main/java/org/whinhead/standins/load/caller/DaemonError.java
+++ b/standins/src/main/java/org/whinhead/standins/load/caller/DaemonError.java
@@ -54,7 +54,7 @@
      * @return the error
      */
     static DaemonError of(final HttpResponse<String> response, final ObjectMapper mapper) {
-        final DaemonError body = ofText(response.body(), mapper);
+        final DaemonError body = parse(response.body(), mapper);
         final Verdict verdict =
                 response.headers()
                         .firstValue(VERDICT_HEADER)
@@ -68,7 +68,7 @@
         return new DaemonError(body.code(), verdict, body.retryAfter().or(() -> retryAfter));
     }
 
-    private static DaemonError ofText(final String body, final ObjectMapper mapper) {
+    private static DaemonError parse(final String body, final ObjectMapper mapper) {
         try {
             return of(mapper.readTree(body));
         } catch (final JsonProcessingException e) {
@@ -77,7 +77,7 @@
     }
 
     /** Tells whether the daemon is stopping, so that another one has to be asked. */
-    boolean stopping() {
+    boolean isDaemonStopping() {
         return code.equals(ErrorCode.STOPPING.wireName());
     }
 
--- a/standins/src/main/java/org/whinhead/standins/load/caller/SilenceWatch.java
+++ b/standins/src/main/java/org/whinhead/standins/load/caller/IdleTimeout.java
@@ -12,14 +12,14 @@
  * the connection stays open and silent, and without this the caller would wait until its deadline.
  * With it the silence ends the try, and another daemon is asked as after a broken connection.
  */
-final class SilenceWatch {
+final class IdleTimeout {
 
     private final ScheduledExecutorService mTimers;
-    private final LongSupplier mNanos;
+    private final LongSupplier mNanoClock;
     private Future<?> mTimer = CompletableFuture.completedFuture(null);
-    private long mLastLineAt;
-    private long mBound;
-    private Runnable mOnSilence;
+    private long mLastActivityAt;
+    private long mTimeoutNanos;
+    private Runnable mOnTimeout;
 
     /**
      * Makes a watch that watches nothing yet.
@@ -27,9 +27,9 @@
      * @param timers runs the checks
      * @param nanos the time in nanoseconds
      */
-    SilenceWatch(final ScheduledExecutorService timers, final LongSupplier nanos) {
+    IdleTimeout(final ScheduledExecutorService timers, final LongSupplier nanos) {
         mTimers = timers;
-        mNanos = nanos;
+        mNanoClock = nanos;
     }
 
     /**
@@ -38,22 +38,22 @@
      * @param bound the longest silence
      * @param onSilence runs on the timers' thread when it is exceeded
      */
-    synchronized void begin(final Duration bound, final Runnable onSilence) {
-        mLastLineAt = mNanos.getAsLong();
-        mBound = bound.toNanos();
-        mOnSilence = onSilence;
-        schedule(mBound);
+    synchronized void start(final Duration bound, final Runnable onSilence) {
+        mLastActivityAt = mNanoClock.getAsLong();
+        mTimeoutNanos = bound.toNanos();
+        mOnTimeout = onSilence;
+        schedule(mTimeoutNanos);
     }
 
     /** Notes that something came. */
-    synchronized void alive() {
-        mLastLineAt = mNanos.getAsLong();
+    synchronized void recordActivity() {
+        mLastActivityAt = mNanoClock.getAsLong();
     }
 
     /** Watches no more. */
-    synchronized void end() {
+    synchronized void cancel() {
         mTimer.cancel(false);
-        mOnSilence = null;
+        mOnTimeout = null;
     }
 
     private void schedule(final long nanos) {
@@ -62,18 +62,18 @@
     }
 
     private void check() {
-        final Runnable onSilence = silence();
+        final Runnable onSilence = expiredAction();
         if (onSilence != null) {
             onSilence.run(); // outside the lock, because it takes the call's
         }
     }
 
-    private synchronized Runnable silence() {
-        final long rest = mLastLineAt + mBound - mNanos.getAsLong();
-        if (mOnSilence != null && rest > 0) {
+    private synchronized Runnable expiredAction() {
+        final long rest = mLastActivityAt + mTimeoutNanos - mNanoClock.getAsLong();
+        if (mOnTimeout != null && rest > 0) {
             schedule(rest);
             return null;
         }
-        return mOnSilence;
+        return mOnTimeout;
     }
 }
--- a/standins/src/main/java/org/whinhead/standins/load/caller/Callers.java
+++ b/standins/src/main/java/org/whinhead/standins/load/caller/LoadClient.java
@@ -16,15 +16,15 @@
 import org.whinhead.standins.load.result.RequestResult;
 
 /** Sends requests as the callers of each customer would; any number may be in progress. */
-public final class Callers implements AutoCloseable {
+public final class LoadClient implements AutoCloseable {
 
     private static final int CLIENT_THREADS = 4;
 
     private final ExecutorService mClientThreads;
     private final ScheduledExecutorService mTimers;
-    private final CallTools mTools;
+    private final CallContext mContext;
     private final long mSeed;
-    private final Map<LoadCustomer, AddressBook> mBooks = new ConcurrentHashMap<>();
+    private final Map<LoadCustomer, AddressCache> mAddressCaches = new ConcurrentHashMap<>();
 
     /**
      * Starts the threads.
@@ -34,7 +34,7 @@
      * @param nanos the time in nanoseconds, from any origin
      * @param seed the seed of choices among daemons
      */
-    public Callers(
+    public LoadClient(
             final CallerConfig config,
             final CallObserver observer,
             final LongSupplier nanos,
@@ -44,18 +44,18 @@
                 observer,
                 nanos,
                 seed,
-                Executors.newSingleThreadScheduledExecutor(named("load-timers")));
+                Executors.newSingleThreadScheduledExecutor(daemonThreads("load-timers")));
     }
 
     /** Takes the timers too, so that a test can move the time. */
-    Callers(
+    LoadClient(
             final CallerConfig config,
             final CallObserver observer,
             final LongSupplier nanos,
             final long seed,
             final ScheduledExecutorService timers) {
         Objects.requireNonNull(config, "config");
-        mClientThreads = Executors.newFixedThreadPool(CLIENT_THREADS, named("load-client"));
+        mClientThreads = Executors.newFixedThreadPool(CLIENT_THREADS, daemonThreads("load-client"));
         mTimers = timers;
         final HttpClient client =
                 HttpClient.newBuilder()
@@ -63,7 +63,7 @@
                         .connectTimeout(config.connectTimeout())
                         .executor(mClientThreads)
                         .build();
-        mTools = new CallTools(client, new ObjectMapper(), mTimers, nanos, config, observer);
+        mContext = new CallContext(client, new ObjectMapper(), mTimers, nanos, config, observer);
         mSeed = seed;
     }
 
@@ -76,8 +76,9 @@
      */
     public CompletableFuture<RequestResult> call(
             final PlannedRequest request, final long startedAt) {
-        final AddressBook book = mBooks.computeIfAbsent(request.customer(), this::newBook);
-        return new Call(mTools, book, request, startedAt).begin();
+        final AddressCache book =
+                mAddressCaches.computeIfAbsent(request.customer(), this::newAddressCache);
+        return new Call(mContext, book, request, startedAt).start();
     }
 
     @Override
@@ -86,18 +87,18 @@
         mClientThreads.shutdownNow();
     }
 
-    private AddressBook newBook(final LoadCustomer customer) {
+    private AddressCache newAddressCache(final LoadCustomer customer) {
         final long seed = mSeed + customer.name().hashCode();
-        return new AddressBook(
-                mTools.client(),
-                mTools.mapper(),
-                mTools.config(),
+        return new AddressCache(
+                mContext.client(),
+                mContext.mapper(),
+                mContext.config(),
                 customer.key(),
-                mTools.nanos(),
+                mContext.nanoClock(),
                 seed);
     }
 
-    private static ThreadFactory named(final String name) {
+    private static ThreadFactory daemonThreads(final String name) {
         return task -> {
             final Thread thread = new Thread(task, name);
             thread.setDaemon(true);
--- a/standins/src/main/java/org/whinhead/standins/load/caller/RequestWriter.java
+++ b/standins/src/main/java/org/whinhead/standins/load/caller/RequestWriter.java
@@ -32,7 +32,7 @@
     RequestWriter(final ObjectMapper mapper, final PlannedRequest request) {
         mMapper = mapper;
         mRequest = request;
-        mBody = request.kind().style().plain() ? plainBody() : chatBody();
+        mBody = request.kind().style().isPlainService() ? plainBody() : chatBody();
     }
 
     /**
@@ -44,7 +44,7 @@
      * @param repeat whether an earlier try may have run
      * @return the request to send
      */
-    HttpRequest to(
+    HttpRequest requestTo(
             final URI daemon,
             final Optional<String> ticket,
             final List<String> received,
@@ -54,8 +54,8 @@
                         .header("Authorization", "Bearer " + mRequest.customer().key())
                         .header("Content-Type", "application/json")
                         .header("X-Request-Id", mRequest.id().value())
-                        .POST(BodyPublishers.ofString(body(received)));
-        if (!mRequest.kind().style().idempotent()) {
+                        .POST(BodyPublishers.ofString(bodyWithDelivered(received)));
+        if (!mRequest.kind().style().isIdempotent()) {
             builder.header("Idempotency-Key", mRequest.id().value());
             builder.header("X-Idempotent", "false");
         }
@@ -77,26 +77,26 @@
      */
     Optional<AnswerFault> faultOf(final JsonNode answer) {
         final String key = answer.path("idempotencyKey").asText(mRequest.id().value());
-        final String received = answer.path("received").asText(text(mBody));
-        if (!key.equals(mRequest.id().value()) || !received.equals(text(mBody))) {
+        final String received = answer.path("received").asText(toJson(mBody));
+        if (!key.equals(mRequest.id().value()) || !received.equals(toJson(mBody))) {
             return Optional.of(AnswerFault.FOREIGN);
         }
         final boolean again = answer.path("execution").asInt(1) > 1;
-        return again && !mRequest.kind().style().idempotent()
+        return again && !mRequest.kind().style().isIdempotent()
                 ? Optional.of(AnswerFault.DOUBLED)
                 : Optional.empty();
     }
 
     /** The daemon needs the text that came so far, to go on from it if the engine is lost. */
-    private String body(final List<String> received) {
+    private String bodyWithDelivered(final List<String> received) {
         if (received.isEmpty()) {
-            return text(mBody);
+            return toJson(mBody);
         }
-        return text(mBody.deepCopy().put("delivered_text", String.join("", received)));
+        return toJson(mBody.deepCopy().put("delivered_text", String.join("", received)));
     }
 
     private String path() {
-        return mRequest.kind().style().plain()
+        return mRequest.kind().style().isPlainService()
                 ? SERVICE_PATH + mRequest.kind().target()
                 : CHAT_PATH;
     }
@@ -115,11 +115,11 @@
             messages.addObject().put("role", last == 0 ? "user" : "system").put("content", content);
         }
         body.put("max_tokens", mRequest.tokens());
-        body.put("stream", mRequest.kind().style().streamed());
+        body.put("stream", mRequest.kind().style().isStreamed());
         return body;
     }
 
-    private String text(final ObjectNode body) {
+    private String toJson(final ObjectNode body) {
         try {
             return mMapper.writeValueAsString(body);
         } catch (final JsonProcessingException e) {
--- a/standins/src/main/java/org/whinhead/standins/load/caller/SseLines.java
+++ b/standins/src/main/java/org/whinhead/standins/load/caller/SseEventParser.java
@@ -6,12 +6,12 @@
 import java.util.function.Consumer;
 
 /** Joins the lines of a stream into events; comments go to a receiver of their own. */
-final class SseLines {
+final class SseEventParser {
 
     private static final String LINE_SEPARATOR = "\n";
 
-    private final Consumer<SseEvent> mEvents;
-    private final Consumer<String> mComments;
+    private final Consumer<SseEvent> mEventReceiver;
+    private final Consumer<String> mCommentReceiver;
     private String mName = "";
     private OptionalLong mId = OptionalLong.empty();
     private StringJoiner mData;
@@ -22,9 +22,9 @@
      * @param events receives each event
      * @param comments receives the text of each comment line
      */
-    SseLines(final Consumer<SseEvent> events, final Consumer<String> comments) {
-        mEvents = Objects.requireNonNull(events, "events");
-        mComments = Objects.requireNonNull(comments, "comments");
+    SseEventParser(final Consumer<SseEvent> events, final Consumer<String> comments) {
+        mEventReceiver = Objects.requireNonNull(events, "events");
+        mCommentReceiver = Objects.requireNonNull(comments, "comments");
     }
 
     /**
@@ -32,33 +32,33 @@
      *
      * @param line the line, without its end
      */
-    void line(final String line) {
+    void parseLine(final String line) {
         if (line.isEmpty()) {
             dispatch();
             return;
         }
         final int colon = line.indexOf(':');
         if (colon == 0) {
-            mComments.accept(line.substring(1).trim());
+            mCommentReceiver.accept(line.substring(1).trim());
             return;
         }
         final String field = colon < 0 ? line : line.substring(0, colon);
-        final String value = colon < 0 ? "" : withoutBlank(line.substring(colon + 1));
-        field(field, value);
+        final String value = colon < 0 ? "" : withoutLeadingSpace(line.substring(colon + 1));
+        parseField(field, value);
     }
 
-    private void field(final String field, final String value) {
+    private void parseField(final String field, final String value) {
         switch (field) {
             case "event" -> mName = value;
-            case "id" -> mId = number(value);
-            case "data" -> data(value);
+            case "id" -> mId = parseId(value);
+            case "data" -> appendData(value);
             default -> {
                 // The standard has unknown fields ignored.
             }
         }
     }
 
-    private void data(final String value) {
+    private void appendData(final String value) {
         if (mData == null) {
             mData = new StringJoiner(LINE_SEPARATOR);
         }
@@ -72,15 +72,15 @@
         mId = OptionalLong.empty();
         mData = null;
         if (!empty) {
-            mEvents.accept(event);
+            mEventReceiver.accept(event);
         }
     }
 
-    private static String withoutBlank(final String value) {
+    private static String withoutLeadingSpace(final String value) {
         return value.startsWith(" ") ? value.substring(1) : value;
     }
 
-    private static OptionalLong number(final String value) {
+    private static OptionalLong parseId(final String value) {
         try {
             return OptionalLong.of(Long.parseLong(value));
         } catch (final NumberFormatException e) {
--- a/standins/src/main/java/org/whinhead/standins/load/mix/CallStyle.java
+++ b/standins/src/main/java/org/whinhead/standins/load/mix/CallStyle.java
@@ -12,27 +12,27 @@
     PLAIN_ONCE(false, true, false);
 
     private final boolean mIdempotent;
-    private final boolean mPlain;
+    private final boolean mPlainService;
     private final boolean mStreamed;
 
     CallStyle(final boolean idempotent, final boolean plain, final boolean streamed) {
         mIdempotent = idempotent;
-        mPlain = plain;
+        mPlainService = plain;
         mStreamed = streamed;
     }
 
     /** Tells whether the request may run more than once. */
-    public boolean idempotent() {
+    public boolean isIdempotent() {
         return mIdempotent;
     }
 
     /** Tells whether a plain service answers, not a model. */
-    public boolean plain() {
-        return mPlain;
+    public boolean isPlainService() {
+        return mPlainService;
     }
 
     /** Tells whether tokens arrive as they are generated. */
-    public boolean streamed() {
+    public boolean isStreamed() {
         return mStreamed;
     }
 }
--- a/standins/src/main/java/org/whinhead/standins/load/mix/Deployment.java
+++ b/standins/src/main/java/org/whinhead/standins/load/mix/Deployment.java
@@ -70,10 +70,10 @@
                             .promptWords(25)
                             .build()));
 
-    private final Mix mMix;
+    private final Workload mWorkload;
 
     Deployment(final List<LoadCustomer> customers, final List<RequestKind> kinds) {
-        mMix = new Mix(name().toLowerCase(Locale.ROOT), customers, kinds);
+        mWorkload = new Workload(name().toLowerCase(Locale.ROOT), customers, kinds);
     }
 
     private static LoadCustomer customer(final String name, final String tier, final int weight) {
@@ -81,8 +81,8 @@
     }
 
     /** Returns who calls and what they ask for. */
-    public Mix mix() {
-        return mMix;
+    public Workload workload() {
+        return mWorkload;
     }
 
     /**
@@ -92,7 +92,7 @@
      * @return the deployment
      * @throws IllegalArgumentException if there is none of that name
      */
-    public static Deployment named(final String name) {
+    public static Deployment fromName(final String name) {
         return valueOf(name.toUpperCase(Locale.ROOT));
     }
 }
--- a/standins/src/main/java/org/whinhead/standins/load/mix/RequestKind.java
+++ b/standins/src/main/java/org/whinhead/standins/load/mix/RequestKind.java
@@ -36,7 +36,7 @@
         Arguments.requireAtLeast(sharedPrefixes, 0, "sharedPrefixes");
         Arguments.requireAtLeast(prefixWords, 0, "prefixWords");
         Arguments.requireAtLeast(promptWords, 1, "promptWords");
-        Arguments.requireAtLeast(minTokens, style.plain() ? 0 : 1, "minTokens");
+        Arguments.requireAtLeast(minTokens, style.isPlainService() ? 0 : 1, "minTokens");
         Arguments.requireAtLeast(maxTokens, minTokens, "maxTokens");
     }
 
--- a/standins/src/main/java/org/whinhead/standins/load/mix/RequestPlanner.java
+++ b/standins/src/main/java/org/whinhead/standins/load/mix/RequestPlanner.java
@@ -11,11 +11,11 @@
 /** Draws requests from a mix; the same seed gives the same requests. Single-threaded. */
 public final class RequestPlanner {
 
-    private static final int WORD_SPACE = 1 << 18;
+    private static final int VOCABULARY_SIZE = 1 << 18;
     private static final int RADIX = 36;
     private static final long PREFIX_SEED_STEP = 7919;
 
-    private final Mix mMix;
+    private final Workload mWorkload;
     private final SplittableRandom mRandom;
 
     /**
@@ -24,15 +24,15 @@
      * @param mix who calls and what they ask for
      * @param seed the seed of every choice
      */
-    public RequestPlanner(final Mix mix, final long seed) {
-        mMix = Objects.requireNonNull(mix, "mix");
+    public RequestPlanner(final Workload mix, final long seed) {
+        mWorkload = Objects.requireNonNull(mix, "mix");
         mRandom = new SplittableRandom(seed);
     }
 
     /** Draws the next request. */
     public PlannedRequest next() {
-        final LoadCustomer customer = draw(mMix.customers(), LoadCustomer::weight);
-        final RequestKind kind = draw(mMix.kinds(), RequestKind::weight);
+        final LoadCustomer customer = drawWeighted(mWorkload.customers(), LoadCustomer::weight);
+        final RequestKind kind = drawWeighted(mWorkload.kinds(), RequestKind::weight);
         final RequestId id =
                 new RequestId(new UUID(mRandom.nextLong(), mRandom.nextLong()).toString());
         final List<String> messages = messages(customer, kind);
@@ -58,12 +58,12 @@
     private static String words(final SplittableRandom random, final int count) {
         final StringBuilder text = new StringBuilder();
         for (int word = 0; word < count; word++) {
-            text.append(Integer.toString(random.nextInt(WORD_SPACE), RADIX)).append(' ');
+            text.append(Integer.toString(random.nextInt(VOCABULARY_SIZE), RADIX)).append(' ');
         }
         return text.toString().trim();
     }
 
-    private <T> T draw(final List<T> choices, final ToIntFunction<T> weight) {
+    private <T> T drawWeighted(final List<T> choices, final ToIntFunction<T> weight) {
         int rest = mRandom.nextInt(choices.stream().mapToInt(weight).sum());
         for (final T choice : choices) {
             rest -= weight.applyAsInt(choice);
--- a/standins/src/main/java/org/whinhead/standins/load/mix/Mix.java
+++ b/standins/src/main/java/org/whinhead/standins/load/mix/Workload.java
@@ -12,10 +12,10 @@
  * @param customers the customers, with their shares
  * @param kinds the kinds of request, with their shares
  */
-public record Mix(String name, List<LoadCustomer> customers, List<RequestKind> kinds) {
+public record Workload(String name, List<LoadCustomer> customers, List<RequestKind> kinds) {
 
     /** Checks every part and copies the lists. */
-    public Mix {
+    public Workload {
         Arguments.requireText(name, "name");
         customers = List.copyOf(customers);
         kinds = List.copyOf(kinds);
@@ -26,7 +26,7 @@
     /** Returns the model references that the mix asks for. */
     public Set<String> models() {
         return kinds.stream()
-                .filter(kind -> !kind.style().plain())
+                .filter(kind -> !kind.style().isPlainService())
                 .map(RequestKind::target)
                 .collect(Collectors.toUnmodifiableSet());
     }
@@ -34,7 +34,7 @@
     /** Returns the plain services that the mix calls. */
     public Set<String> services() {
         return kinds.stream()
-                .filter(kind -> kind.style().plain())
+                .filter(kind -> kind.style().isPlainService())
                 .map(kind -> kind.target().substring(0, kind.target().indexOf('/')))
                 .collect(Collectors.toUnmodifiableSet());
     }
--- a/standins/src/main/java/org/whinhead/standins/load/result/LatencyDistribution.java
+++ b/standins/src/main/java/org/whinhead/standins/load/result/LatencyDistribution.java
@@ -68,7 +68,7 @@
     }
 
     /** Returns a copy of the histogram, in microseconds, to be merged with others. */
-    public Histogram micros() {
+    public Histogram histogram() {
         return mMicros.copy();
     }
 }
--- a/standins/src/main/java/org/whinhead/standins/load/result/LoadResult.java
+++ b/standins/src/main/java/org/whinhead/standins/load/result/LoadResult.java
@@ -24,9 +24,9 @@
         String deployment,
         Duration elapsed,
         List<RequestResult> requests,
-        LatencyDistribution firstToken,
-        LatencyDistribution betweenTokens,
-        Map<String, LatencyDistribution> firstTokenByTier,
+        LatencyDistribution timeToFirstToken,
+        LatencyDistribution timeBetweenTokens,
+        Map<String, LatencyDistribution> timeToFirstTokenByTier,
         Map<String, LatencyDistribution> latencyByKind) {
 
     /** Checks every part and copies the collections. */
@@ -34,9 +34,9 @@
         Objects.requireNonNull(deployment, "deployment");
         Objects.requireNonNull(elapsed, "elapsed");
         requests = List.copyOf(requests);
-        Objects.requireNonNull(firstToken, "firstToken");
-        Objects.requireNonNull(betweenTokens, "betweenTokens");
-        firstTokenByTier = Map.copyOf(firstTokenByTier);
+        Objects.requireNonNull(timeToFirstToken, "firstToken");
+        Objects.requireNonNull(timeBetweenTokens, "betweenTokens");
+        timeToFirstTokenByTier = Map.copyOf(timeToFirstTokenByTier);
         latencyByKind = Map.copyOf(latencyByKind);
     }
 
@@ -69,14 +69,14 @@
     public Map<String, Long> completedByTier() {
         return requests.stream()
                 .filter(result -> result.outcome() == Outcome.COMPLETED)
-                .collect(counting(result -> result.request().customer().tier()));
+                .collect(groupAndCount(result -> result.request().customer().tier()));
     }
 
     /** Returns how many answers have each fault. */
     public Map<String, Long> faults() {
         return requests.stream()
                 .filter(result -> result.fault().isPresent())
-                .collect(counting(result -> result.fault().get().name()));
+                .collect(groupAndCount(result -> result.fault().get().name()));
     }
 
     /** Returns how many requests that were not completed ended with each error code. */
@@ -84,21 +84,21 @@
         return requests.stream()
                 .filter(result -> result.outcome() != Outcome.COMPLETED)
                 .filter(result -> !result.errorCode().isEmpty())
-                .collect(counting(RequestResult::errorCode));
+                .collect(groupAndCount(RequestResult::errorCode));
     }
 
     /** Returns the requests that must not run twice, with their idempotency keys. */
-    public List<RequestResult> nonIdempotent() {
+    public List<RequestResult> nonIdempotentResults() {
         return requests.stream().filter(result -> result.idempotencyKey().isPresent()).toList();
     }
 
     /** Tells whether no request was lost or answered wrongly, and some request was completed. */
-    public boolean promiseKept() {
+    public boolean isGuaranteeKept() {
         return count(Outcome.COMPLETED) > 0
-                && requests.stream().noneMatch(result -> result.outcome().breaksPromise());
+                && requests.stream().noneMatch(result -> result.outcome().violatesGuarantee());
     }
 
-    private static Collector<RequestResult, ?, TreeMap<String, Long>> counting(
+    private static Collector<RequestResult, ?, TreeMap<String, Long>> groupAndCount(
             final Function<RequestResult, String> key) {
         return Collectors.groupingBy(key, TreeMap::new, Collectors.counting());
     }
--- a/standins/src/main/java/org/whinhead/standins/load/result/Outcome.java
+++ b/standins/src/main/java/org/whinhead/standins/load/result/Outcome.java
@@ -19,15 +19,15 @@
     /** A token was missing, doubled or foreign, or a verdict was false. */
     WRONG(true);
 
-    private final boolean mBreaksPromise;
+    private final boolean mViolatesGuarantee;
 
     Outcome(final boolean breaksPromise) {
-        mBreaksPromise = breaksPromise;
+        mViolatesGuarantee = breaksPromise;
     }
 
     /** Tells whether the system broke its promise to the caller. */
-    public boolean breaksPromise() {
-        return mBreaksPromise;
+    public boolean violatesGuarantee() {
+        return mViolatesGuarantee;
     }
 
     /** Returns the name used in JSON, for example {@code refusedNotRun}. */
--- a/standins/src/main/java/org/whinhead/standins/load/result/RequestResult.java
+++ b/standins/src/main/java/org/whinhead/standins/load/result/RequestResult.java
@@ -29,7 +29,7 @@
         Optional<AnswerFault> fault,
         String errorCode,
         Duration latency,
-        Optional<Duration> firstToken) {
+        Optional<Duration> timeToFirstToken) {
 
     /** Checks every part. */
     public RequestResult {
@@ -38,7 +38,7 @@
         Objects.requireNonNull(fault, "fault");
         Objects.requireNonNull(errorCode, "errorCode");
         Objects.requireNonNull(latency, "latency");
-        Objects.requireNonNull(firstToken, "firstToken");
+        Objects.requireNonNull(timeToFirstToken, "firstToken");
     }
 
     /**
@@ -46,7 +46,7 @@
      * request's identity.
      */
     public Optional<String> idempotencyKey() {
-        return request.kind().style().idempotent()
+        return request.kind().style().isIdempotent()
                 ? Optional.empty()
                 : Optional.of(request.id().value());
     }
@@ -73,7 +73,7 @@
         private Optional<AnswerFault> mFault = Optional.empty();
         private String mErrorCode = "";
         private Duration mLatency;
-        private Optional<Duration> mFirstToken = Optional.empty();
+        private Optional<Duration> mTimeToFirstToken = Optional.empty();
 
         private Builder(final PlannedRequest request, final Outcome outcome) {
             mRequest = request;
@@ -118,8 +118,8 @@
         }
 
         /** Sets the time from the intended start to the first token; none by default. */
-        public Builder firstToken(final Optional<Duration> firstToken) {
-            mFirstToken = firstToken;
+        public Builder timeToFirstToken(final Optional<Duration> firstToken) {
+            mTimeToFirstToken = firstToken;
             return this;
         }
 
@@ -135,7 +135,7 @@
                     mFault,
                     mErrorCode,
                     mLatency,
-                    mFirstToken);
+                    mTimeToFirstToken);
         }
     }
 }
--- a/standins/src/test/java/org/whinhead/standins/load/ArrivalTimesTest.java
+++ b/standins/src/test/java/org/whinhead/standins/load/ArrivalTimesTest.java
@@ -13,7 +13,7 @@
     private static final int SECONDS = 100;
 
     @Test
-    void arrivalsKeepTheirMeanRateAndTheirOrder() {
+    void arrivalsAreOrderedAndMatchMeanRate() {
         final ArrivalTimes times = new ArrivalTimes(PER_SECOND, 1);
         long last = 0;
         for (int arrival = 0; arrival < PER_SECOND * SECONDS; arrival++) {
--- a/standins/src/test/java/org/whinhead/standins/load/LoadRunTest.java
+++ b/standins/src/test/java/org/whinhead/standins/load/LoadRunTest.java
@@ -22,46 +22,48 @@
 /** Whole runs, in the process and by the command line. */
 final class LoadRunTest {
 
-    private static final int STARTED = 40;
+    private static final int MIN_STARTED_REQUESTS = 40;
 
     /** The demo stops a run early, and needs every request and key accounted for. */
     @Test
-    void aStoppedRunAccountsForEachRequest() throws Exception {
-        final CountDownLatch started = new CountDownLatch(STARTED);
-        final FakeDaemon.Script counted =
+    void stoppedRunReportsEveryRequest() throws Exception {
+        final CountDownLatch started = new CountDownLatch(MIN_STARTED_REQUESTS);
+        final ScriptedDaemon.Script counted =
                 call -> {
                     started.countDown();
                     answer(call);
                 };
-        try (FakeDaemon daemon = new FakeDaemon(counted)) {
+        try (ScriptedDaemon daemon = new ScriptedDaemon(counted)) {
             final LoadRun run =
-                    LoadRun.builder(Deployment.MEZANI.mix(), CallerConfig.of(List.of(daemon.uri())))
+                    LoadRun.builder(
+                                    Deployment.MEZANI.workload(),
+                                    CallerConfig.of(List.of(daemon.uri())))
                             .duration(Duration.ofHours(1))
-                            .closedCallers(4)
+                            .closedLoopCallers(4)
                             .build();
             final CompletableFuture<LoadResult> future = run.start();
             started.await(1, TimeUnit.MINUTES);
             final JsonNode soFar =
-                    new ObjectMapper().readTree(new LoadReport(run.soFar(), true).json());
+                    new ObjectMapper().readTree(new LoadReport(run.currentResult(), true).json());
             assertThat(soFar.path("partial").asBoolean()).isTrue();
             assertThat(soFar.path("completed").asInt()).isPositive();
             run.stop();
             final LoadResult result = future.get(1, TimeUnit.MINUTES);
             assertThat(result.requests()).hasSameSizeAs(daemon.calls());
             assertThat(result.count(Outcome.COMPLETED)).isEqualTo(result.requests().size());
-            assertThat(result.nonIdempotent())
+            assertThat(result.nonIdempotentResults())
                     .isNotEmpty()
                     .extracting(RequestResult::idempotencyKey)
                     .doesNotHaveDuplicates();
-            assertThat(result.promiseKept()).isTrue();
+            assertThat(result.isGuaranteeKept()).isTrue();
         }
     }
 
     @Test
-    void theCommandEndsWithAnObjectForScripts() throws Exception {
-        try (FakeDaemon daemon = new FakeDaemon(LoadRunTest::answer)) {
+    void commandPrintsJsonAsLastLine() throws Exception {
+        try (ScriptedDaemon daemon = new ScriptedDaemon(LoadRunTest::answer)) {
             final Command command = new Command("--target", daemon.uri().toString(), "--json");
-            assertThat(command.status()).isEqualTo(LoadMain.EXIT_KEPT);
+            assertThat(command.status()).isEqualTo(LoadMain.EXIT_SUCCESS);
             final JsonNode json = command.json();
             assertThat(json.path("requests").asInt()).isEqualTo(daemon.calls().size());
             assertThat(json.path("completed").asInt()).isEqualTo(json.path("requests").asInt());
@@ -84,18 +86,18 @@
      * An operator's script relies on the exit status: a wrong answer must not look like success.
      */
     @Test
-    void theCommandFailsIfAnAnswerIsWrong() throws Exception {
-        final FakeDaemon.Script endsEarly =
+    void commandFailsIfAnAnswerIsWrong() throws Exception {
+        final ScriptedDaemon.Script endsEarly =
                 call -> {
                     if (call.body().path("stream").asBoolean()) {
-                        call.tokens(0, call.maxTokens() - 1).done();
+                        call.sendTokens(0, call.maxTokens() - 1).endStream();
                     } else {
                         answer(call);
                     }
                 };
-        try (FakeDaemon daemon = new FakeDaemon(endsEarly)) {
+        try (ScriptedDaemon daemon = new ScriptedDaemon(endsEarly)) {
             final Command command = new Command("--target", daemon.uri().toString(), "--json");
-            assertThat(command.status()).isEqualTo(LoadMain.EXIT_BROKEN);
+            assertThat(command.status()).isEqualTo(LoadMain.EXIT_FAILURE);
             assertThat(command.json().path("faults").path("MISSING").asInt())
                     .isPositive()
                     .isEqualTo(command.json().path("wrong").asInt());
@@ -103,7 +105,7 @@
     }
 
     @Test
-    void wrongOptionsAreNamed() throws Exception {
+    void commandReportsInvalidOptions() throws Exception {
         final String target = "http://127.0.0.1:1";
         assertThat(new Command("--target", target, "--rate", "0").errors())
                 .isEqualTo("--rate needs an integer of at least 1, but is \"0\"");
@@ -111,20 +113,20 @@
                 .isEqualTo("--target must be an http address, but is \"ftp\"");
         assertThat(new Command("--target", target, "--deployment", "x").errors())
                 .isEqualTo("--deployment must be inkiko or mezani, but is \"x\"");
-        assertThat(new Command("--help").status()).isEqualTo(LoadMain.EXIT_KEPT);
+        assertThat(new Command("--help").status()).isEqualTo(LoadMain.EXIT_SUCCESS);
     }
 
     private static String outcome(final JsonNode json, final String key) {
         return json.path("outcomeByIdempotencyKey").path(key).asText();
     }
 
-    private static void answer(final FakeDaemon.Call call) throws IOException {
+    private static void answer(final ScriptedDaemon.ReceivedRequest call) throws IOException {
         if (call.path().startsWith("/v1/services/")) {
             call.write("{}");
         } else if (call.body().path("stream").asBoolean()) {
-            call.tokens(0, call.maxTokens()).done();
+            call.sendTokens(0, call.maxTokens()).endStream();
         } else {
-            call.whole();
+            call.answerWhole();
         }
     }
 
--- a/standins/src/test/java/org/whinhead/standins/load/FakeDaemon.java
+++ b/standins/src/test/java/org/whinhead/standins/load/ScriptedDaemon.java
@@ -20,30 +20,30 @@
 import org.whinhead.standins.answer.ExpectedAnswer;
 
 /** A daemon whose answers a test writes; each call takes the next script, the last one stays. */
-public final class FakeDaemon implements AutoCloseable {
+public final class ScriptedDaemon implements AutoCloseable {
 
     /** What the daemon does with one call. */
     public interface Script {
-        void answer(Call call) throws IOException;
+        void answer(ReceivedRequest call) throws IOException;
     }
 
     private static final ObjectMapper MAPPER = new ObjectMapper();
 
     private final Undertow mServer;
     private final ConcurrentLinkedQueue<Script> mScripts;
-    private final List<Call> mCalls;
+    private final List<ReceivedRequest> mCalls;
     private final List<URI> mAddresses;
 
-    public FakeDaemon(final Script... scripts) {
+    public ScriptedDaemon(final Script... scripts) {
         this(
                 new ConcurrentLinkedQueue<>(List.of(scripts)),
                 new CopyOnWriteArrayList<>(),
                 new CopyOnWriteArrayList<>());
     }
 
-    private FakeDaemon(
+    private ScriptedDaemon(
             final ConcurrentLinkedQueue<Script> scripts,
-            final List<Call> calls,
+            final List<ReceivedRequest> calls,
             final List<URI> addresses) {
         mScripts = scripts;
         mCalls = calls;
@@ -60,15 +60,15 @@
     }
 
     /** Starts a daemon that only names another address. */
-    public static FakeDaemon pointingTo(final URI address) {
-        final FakeDaemon daemon = new FakeDaemon();
+    public static ScriptedDaemon withAddress(final URI address) {
+        final ScriptedDaemon daemon = new ScriptedDaemon();
         daemon.mAddresses.set(0, address);
         return daemon;
     }
 
     /** Starts another daemon with the same scripts, calls and addresses. */
-    public FakeDaemon another() {
-        return new FakeDaemon(mScripts, mCalls, mAddresses);
+    public ScriptedDaemon startPeer() {
+        return new ScriptedDaemon(mScripts, mCalls, mAddresses);
     }
 
     public URI uri() {
@@ -77,7 +77,7 @@
         return URI.create("http://127.0.0.1:" + address.getPort());
     }
 
-    public List<Call> calls() {
+    public List<ReceivedRequest> calls() {
         return mCalls;
     }
 
@@ -91,7 +91,8 @@
             exchange.getResponseSender().send(addresses());
             return;
         }
-        final Call call = new Call(uri(), exchange, exchange.getInputStream().readAllBytes());
+        final ReceivedRequest call =
+                new ReceivedRequest(uri(), exchange, exchange.getInputStream().readAllBytes());
         mCalls.add(call);
         final Script script = mScripts.size() > 1 ? mScripts.poll() : mScripts.peek();
         script.answer(call);
@@ -104,12 +105,13 @@
     }
 
     /** One call that arrived. */
-    public static final class Call {
+    public static final class ReceivedRequest {
         private final URI mDaemon;
         private final HttpServerExchange mExchange;
         private final JsonNode mBody;
 
-        private Call(final URI daemon, final HttpServerExchange exchange, final byte[] body)
+        private ReceivedRequest(
+                final URI daemon, final HttpServerExchange exchange, final byte[] body)
                 throws IOException {
             mDaemon = daemon;
             mExchange = exchange;
@@ -142,7 +144,7 @@
             return String.join("\n", contents);
         }
 
-        public Call respond(final String header, final String value) {
+        public ReceivedRequest setHeader(final String header, final String value) {
             mExchange.getResponseHeaders().put(new HttpString(header), value);
             return this;
         }
@@ -150,47 +152,48 @@
         public void refuse(final int status, final String verdict, final String code)
                 throws IOException {
             mExchange.setStatusCode(status);
-            respond("X-Whinhead-Verdict", verdict);
+            setHeader("X-Whinhead-Verdict", verdict);
             write(errorJson(code, verdict, ",\"retryAfterMillis\":20"));
         }
 
         /** Refuses without a time to come back. */
-        public void refuseForGood(final int status, final String verdict, final String code)
+        public void refuseWithoutRetry(final int status, final String verdict, final String code)
                 throws IOException {
             mExchange.setStatusCode(status);
-            respond("X-Whinhead-Verdict", verdict);
+            setHeader("X-Whinhead-Verdict", verdict);
             write(errorJson(code, verdict, ""));
         }
 
         /** Sends the right tokens from one index to before another. */
-        public Call tokens(final int from, final int end) throws IOException {
-            respond("Content-Type", "text/event-stream");
+        public ReceivedRequest sendTokens(final int from, final int end) throws IOException {
+            setHeader("Content-Type", "text/event-stream");
             for (int index = from; index < end; index++) {
-                token(index, ExpectedAnswer.token(prompt(), index));
+                sendToken(index, ExpectedAnswer.token(prompt(), index));
             }
             return this;
         }
 
-        public Call token(final int index, final String text) throws IOException {
+        public ReceivedRequest sendToken(final int index, final String text) throws IOException {
             final String data = "{\"choices\":[{\"delta\":{\"content\":\"" + text + "\"}}]}";
             return write("id: " + index + "\ndata: " + data + "\n\n");
         }
 
-        public Call error(final String code, final String verdict) throws IOException {
+        public ReceivedRequest sendError(final String code, final String verdict)
+                throws IOException {
             return write("event: error\ndata: " + errorJson(code, verdict, "") + "\n\n");
         }
 
-        public Call done() throws IOException {
+        public ReceivedRequest endStream() throws IOException {
             write("data: {\"choices\":[{\"delta\":{},\"finish_reason\":\"stop\"}]}\n\n");
             return write("data: [DONE]\n\n");
         }
 
-        public void whole() throws IOException {
+        public void answerWhole() throws IOException {
             final String content = String.join("", ExpectedAnswer.tokens(prompt(), maxTokens()));
             write("{\"choices\":[{\"message\":{\"content\":\"" + content + "\"}}]}");
         }
 
-        public Call write(final String text) throws IOException {
+        public ReceivedRequest write(final String text) throws IOException {
             final OutputStream out = mExchange.getOutputStream();
             out.write(text.getBytes(StandardCharsets.UTF_8));
             out.flush();
@@ -198,7 +201,7 @@
         }
 
         /** Breaks the connection, as the death of the daemon does. */
-        public void cut() throws IOException {
+        public void breakConnection() throws IOException {
             mExchange.getConnection().close();
         }
 
--- a/standins/src/test/java/org/whinhead/standins/load/caller/LostDaemonTest.java
+++ b/standins/src/test/java/org/whinhead/standins/load/caller/LoadClientFailoverTest.java
@@ -1,12 +1,12 @@
 package org.whinhead.standins.load.caller;
 
 import static org.assertj.core.api.Assertions.assertThat;
-import static org.whinhead.standins.load.caller.OneCall.HALF;
-import static org.whinhead.standins.load.caller.OneCall.OVERLOADED;
-import static org.whinhead.standins.load.caller.OneCall.REFUSED_FOR_GOOD;
-import static org.whinhead.standins.load.caller.OneCall.REST;
-import static org.whinhead.standins.load.caller.OneCall.call;
-import static org.whinhead.standins.load.caller.OneCall.request;
+import static org.whinhead.standins.load.caller.LoadClientFixture.HALF_TOKEN_COUNT;
+import static org.whinhead.standins.load.caller.LoadClientFixture.OVERLOADED;
+import static org.whinhead.standins.load.caller.LoadClientFixture.OVERLOADED_WITHOUT_RETRY;
+import static org.whinhead.standins.load.caller.LoadClientFixture.REMAINING_TOKENS;
+import static org.whinhead.standins.load.caller.LoadClientFixture.call;
+import static org.whinhead.standins.load.caller.LoadClientFixture.request;
 
 import com.fasterxml.jackson.databind.JsonNode;
 import com.fasterxml.jackson.databind.node.ObjectNode;
@@ -17,35 +17,40 @@
 import java.util.concurrent.TimeUnit;
 import org.junit.jupiter.api.Test;
 import org.whinhead.standins.answer.ExpectedAnswer;
-import org.whinhead.standins.load.FakeDaemon;
+import org.whinhead.standins.load.ScriptedDaemon;
 import org.whinhead.standins.load.mix.CallStyle;
 import org.whinhead.standins.load.result.Outcome;
 import org.whinhead.standins.load.result.RequestResult;
 
 /** What callers do when a daemon is lost, and what they make of it in the end. */
-final class LostDaemonTest {
+final class LoadClientFailoverTest {
 
-    private static final FakeDaemon.Script CUT_HALFWAY =
-            call -> call.respond("X-Whinhead-Ticket", "first").tokens(0, HALF).cut();
+    private static final ScriptedDaemon.Script BROKEN_HALFWAY =
+            call ->
+                    call.setHeader("X-Whinhead-Ticket", "first")
+                            .sendTokens(0, HALF_TOKEN_COUNT)
+                            .breakConnection();
 
     /**
      * A clerk reads a summary as it is written; its daemon dies after half of it. The caller takes
      * another address and shows the ticket; it must get the other half, and no token twice.
      */
     @Test
-    void aCutStreamGoesOnAtAnotherAddress() throws Exception {
-        try (FakeDaemon first = new FakeDaemon(CUT_HALFWAY, REST);
-                FakeDaemon second = first.another()) {
+    void resumesBrokenStreamAtAnotherAddress() throws Exception {
+        try (ScriptedDaemon first = new ScriptedDaemon(BROKEN_HALFWAY, REMAINING_TOKENS);
+                ScriptedDaemon second = first.startPeer()) {
             final RequestResult result = call(first, CallStyle.STREAMED);
             assertThat(result.outcome()).isEqualTo(Outcome.COMPLETED);
             assertThat(result.resumes()).isEqualTo(1);
-            final FakeDaemon.Call before = first.calls().get(0);
-            final FakeDaemon.Call after = first.calls().get(1);
+            final ScriptedDaemon.ReceivedRequest before = first.calls().get(0);
+            final ScriptedDaemon.ReceivedRequest after = first.calls().get(1);
             assertThat(List.of(before.daemon(), after.daemon()))
                     .containsExactlyInAnyOrder(first.uri(), second.uri());
             assertThat(after.body().path("delivered_text").asText())
-                    .isEqualTo(String.join("", ExpectedAnswer.tokens(before.prompt(), HALF)));
-            assertThat(withoutDelivered(after.body())).isEqualTo(before.body());
+                    .isEqualTo(
+                            String.join(
+                                    "", ExpectedAnswer.tokens(before.prompt(), HALF_TOKEN_COUNT)));
+            assertThat(withoutDeliveredText(after.body())).isEqualTo(before.body());
             assertThat(after.header("X-Request-Id")).isEqualTo("request-1");
             assertThat(after.header("X-Whinhead-Ticket")).isEqualTo("first");
             assertThat(after.header("Last-Event-ID")).isEqualTo("3");
@@ -57,14 +62,14 @@
      * that it stops. The caller must come back with the newer ticket.
      */
     @Test
-    void theNewestTicketIsShownAfterDaemonStops() throws Exception {
-        final FakeDaemon.Script moved =
+    void sendsNewestTicketAfterDaemonStops() throws Exception {
+        final ScriptedDaemon.Script moved =
                 call ->
-                        call.respond("X-Whinhead-Ticket", "first")
-                                .tokens(0, HALF)
+                        call.setHeader("X-Whinhead-Ticket", "first")
+                                .sendTokens(0, HALF_TOKEN_COUNT)
                                 .write(": ticket second\n\n")
-                                .error("stopping", "may-have-run");
-        try (FakeDaemon daemon = new FakeDaemon(moved, REST)) {
+                                .sendError("stopping", "may-have-run");
+        try (ScriptedDaemon daemon = new ScriptedDaemon(moved, REMAINING_TOKENS)) {
             assertThat(call(daemon, CallStyle.STREAMED).outcome()).isEqualTo(Outcome.COMPLETED);
             assertThat(daemon.calls().get(1).header("X-Whinhead-Ticket")).isEqualTo("second");
         }
@@ -75,10 +80,11 @@
      * hears that it was claimed: it may have been filed, so nothing new is sent.
      */
     @Test
-    void aCutFilingIsAskedForWithTheSameKeyAndNeverSentAnew() throws Exception {
-        final FakeDaemon.Script claimed =
+    void retriesNonIdempotentRequestWithSameKey() throws Exception {
+        final ScriptedDaemon.Script claimed =
                 call -> call.refuse(409, "may-have-run", "already-claimed");
-        try (FakeDaemon daemon = new FakeDaemon(FakeDaemon.Call::cut, claimed)) {
+        try (ScriptedDaemon daemon =
+                new ScriptedDaemon(ScriptedDaemon.ReceivedRequest::breakConnection, claimed)) {
             final RequestResult result = call(daemon, CallStyle.PLAIN_ONCE);
             assertThat(result.outcome()).isEqualTo(Outcome.FAILED_MAY_HAVE_RUN);
             assertThat(result.idempotencyKey()).contains("request-1");
@@ -98,8 +104,11 @@
      * tries only. The caller must not believe that it was never filed.
      */
     @Test
-    void notRunAfterCutStaysUncertain() throws Exception {
-        try (FakeDaemon daemon = new FakeDaemon(FakeDaemon.Call::cut, REFUSED_FOR_GOOD)) {
+    void reportsMayHaveRunIfRefusedAfterBrokenConnection() throws Exception {
+        try (ScriptedDaemon daemon =
+                new ScriptedDaemon(
+                        ScriptedDaemon.ReceivedRequest::breakConnection,
+                        OVERLOADED_WITHOUT_RETRY)) {
             assertThat(call(daemon, CallStyle.PLAIN_ONCE).outcome())
                     .isEqualTo(Outcome.FAILED_MAY_HAVE_RUN);
         }
@@ -110,13 +119,15 @@
      * cut-off, or never ends: it was accepted, so it is lost.
      */
     @Test
-    void anAcceptedAnswerThatNeverEndsIsLost() throws Exception {
-        final FakeDaemon.Script failed =
-                call -> call.tokens(0, HALF).error("endpoint-lost", "may-have-run");
-        try (FakeDaemon daemon = new FakeDaemon(failed)) {
+    void reportsAcceptedAnswerWithoutEndAsLost() throws Exception {
+        final ScriptedDaemon.Script failed =
+                call ->
+                        call.sendTokens(0, HALF_TOKEN_COUNT)
+                                .sendError("endpoint-lost", "may-have-run");
+        try (ScriptedDaemon daemon = new ScriptedDaemon(failed)) {
             assertThat(call(daemon, CallStyle.STREAMED).outcome()).isEqualTo(Outcome.LOST);
         }
-        try (FakeDaemon daemon = new FakeDaemon(CUT_HALFWAY, REFUSED_FOR_GOOD)) {
+        try (ScriptedDaemon daemon = new ScriptedDaemon(BROKEN_HALFWAY, OVERLOADED_WITHOUT_RETRY)) {
             assertThat(call(daemon, CallStyle.STREAMED).outcome()).isEqualTo(Outcome.LOST);
         }
     }
@@ -126,33 +137,37 @@
      * request counts as refused; if nothing but broken connections come, it is lost.
      */
     @Test
-    void theDeadlineDecidesByTheLastWord() throws Exception {
+    void usesLastVerdictAtDeadline() throws Exception {
         final CountDownLatch late = new CountDownLatch(1);
-        final FakeDaemon.Script refusedLate =
+        final ScriptedDaemon.Script refusedLate =
                 call -> {
                     awaitQuietly(late);
                     OVERLOADED.answer(call);
                 };
         assertThat(callPastDeadline(refusedLate, late).outcome())
                 .isEqualTo(Outcome.REFUSED_NOT_RUN);
-        assertThat(callPastDeadline(FakeDaemon.Call::cut, late).outcome()).isEqualTo(Outcome.LOST);
+        assertThat(
+                        callPastDeadline(ScriptedDaemon.ReceivedRequest::breakConnection, late)
+                                .outcome())
+                .isEqualTo(Outcome.LOST);
     }
 
     private static RequestResult callPastDeadline(
-            final FakeDaemon.Script script, final CountDownLatch late) throws Exception {
+            final ScriptedDaemon.Script script, final CountDownLatch late) throws Exception {
         final CountDownLatch arrived = new CountDownLatch(1);
-        final FakeDaemon.Script watched =
+        final ScriptedDaemon.Script watched =
                 call -> {
                     arrived.countDown();
                     script.answer(call);
                 };
-        final ManualTimers timers = new ManualTimers();
-        try (FakeDaemon daemon = new FakeDaemon(watched)) {
+        final ManualScheduler timers = new ManualScheduler();
+        try (ScriptedDaemon daemon = new ScriptedDaemon(watched)) {
             final Duration patience = Duration.ofHours(1);
             final CallerConfig config =
-                    CallerConfig.of(List.of(daemon.uri())).withSilence(patience, patience);
-            try (Callers callers =
-                    new Callers(config, new OneCall.LoadNothing(), timers, 1, timers)) {
+                    CallerConfig.of(List.of(daemon.uri())).withTimeouts(patience, patience);
+            try (LoadClient callers =
+                    new LoadClient(
+                            config, new LoadClientFixture.NoOpCallObserver(), timers, 1, timers)) {
                 final CompletableFuture<RequestResult> result =
                         callers.call(request(CallStyle.PLAIN), timers.getAsLong());
                 arrived.await(1, TimeUnit.MINUTES);
@@ -168,38 +183,38 @@
      * comes. The caller must go to another daemon before its deadline.
      */
     @Test
-    void aSilentStreamGoesOnElsewhere() throws Exception {
+    void resumesIdleStreamAtAnotherAddress() throws Exception {
         final CountDownLatch paused = new CountDownLatch(1);
-        final FakeDaemon.Script silent =
+        final ScriptedDaemon.Script silent =
                 call -> {
-                    call.respond("X-Whinhead-Ticket", "first").tokens(0, HALF);
+                    call.setHeader("X-Whinhead-Ticket", "first").sendTokens(0, HALF_TOKEN_COUNT);
                     awaitQuietly(paused);
                 };
-        try (FakeDaemon first = new FakeDaemon(silent, REST);
-                FakeDaemon second = first.another()) {
+        try (ScriptedDaemon first = new ScriptedDaemon(silent, REMAINING_TOKENS);
+                ScriptedDaemon second = first.startPeer()) {
             final CallerConfig config =
                     CallerConfig.of(List.of(first.uri()))
-                            .withSilence(Duration.ofSeconds(20), Duration.ofMillis(200));
+                            .withTimeouts(Duration.ofSeconds(20), Duration.ofMillis(200));
             final RequestResult result = call(config, CallStyle.STREAMED);
             paused.countDown();
             assertThat(result.outcome()).isEqualTo(Outcome.COMPLETED);
             assertThat(first.calls())
-                    .extracting(FakeDaemon.Call::daemon)
+                    .extracting(ScriptedDaemon.ReceivedRequest::daemon)
                     .containsExactlyInAnyOrder(first.uri(), second.uri());
         }
     }
 
     /** Nobody listens at the only address: nothing was sent, so nothing can have run. */
     @Test
-    void anAddressWithoutDaemonIsUnreached() throws Exception {
-        final FakeDaemon gone = new FakeDaemon(REST);
+    void reportsUnreachableAddress() throws Exception {
+        final ScriptedDaemon gone = new ScriptedDaemon(REMAINING_TOKENS);
         final CallerConfig config =
                 CallerConfig.of(List.of(gone.uri())).withDeadline(Duration.ofMillis(100));
         gone.close();
         assertThat(call(config, CallStyle.PLAIN_ONCE).outcome()).isEqualTo(Outcome.UNREACHED);
     }
 
-    private static JsonNode withoutDelivered(final JsonNode body) {
+    private static JsonNode withoutDeliveredText(final JsonNode body) {
         return body.<ObjectNode>deepCopy().without("delivered_text");
     }
 
--- a/standins/src/test/java/org/whinhead/standins/load/caller/OneCall.java
+++ b/standins/src/test/java/org/whinhead/standins/load/caller/LoadClientFixture.java
@@ -4,7 +4,7 @@
 import java.util.List;
 import java.util.concurrent.TimeUnit;
 import org.whinhead.api.request.RequestId;
-import org.whinhead.standins.load.FakeDaemon;
+import org.whinhead.standins.load.ScriptedDaemon;
 import org.whinhead.standins.load.mix.CallStyle;
 import org.whinhead.standins.load.mix.LoadCustomer;
 import org.whinhead.standins.load.mix.PlannedRequest;
@@ -12,26 +12,28 @@
 import org.whinhead.standins.load.result.RequestResult;
 
 /** Sends one request to daemons of a test. */
-final class OneCall {
+final class LoadClientFixture {
 
-    static final int TOKENS = 8;
-    static final int HALF = TOKENS / 2;
+    static final int TOKEN_COUNT = 8;
+    static final int HALF_TOKEN_COUNT = TOKEN_COUNT / 2;
 
-    static final FakeDaemon.Script REST = call -> call.tokens(from(call), TOKENS).done();
+    static final ScriptedDaemon.Script REMAINING_TOKENS =
+            call -> call.sendTokens(firstMissingToken(call), TOKEN_COUNT).endStream();
 
-    static final FakeDaemon.Script OVERLOADED = call -> call.refuse(503, "not-run", "overloaded");
+    static final ScriptedDaemon.Script OVERLOADED =
+            call -> call.refuse(503, "not-run", "overloaded");
 
-    static final FakeDaemon.Script REFUSED_FOR_GOOD =
-            call -> call.refuseForGood(503, "not-run", "overloaded");
+    static final ScriptedDaemon.Script OVERLOADED_WITHOUT_RETRY =
+            call -> call.refuseWithoutRetry(503, "not-run", "overloaded");
 
-    private OneCall() {}
+    private LoadClientFixture() {}
 
-    private static int from(final FakeDaemon.Call call) {
+    private static int firstMissingToken(final ScriptedDaemon.ReceivedRequest call) {
         final String last = call.header("Last-Event-ID");
         return last.isEmpty() ? 0 : Integer.parseInt(last) + 1;
     }
 
-    static RequestResult call(final FakeDaemon target, final CallStyle style) throws Exception {
+    static RequestResult call(final ScriptedDaemon target, final CallStyle style) throws Exception {
         return call(CallerConfig.of(List.of(target.uri())), style);
     }
 
@@ -42,7 +44,8 @@
     static RequestResult call(
             final CallerConfig config, final CallStyle style, final long startedAt)
             throws Exception {
-        try (Callers callers = new Callers(config, new LoadNothing(), System::nanoTime, 1)) {
+        try (LoadClient callers =
+                new LoadClient(config, new NoOpCallObserver(), System::nanoTime, 1)) {
             return callers.call(request(style), startedAt).get(1, TimeUnit.MINUTES);
         }
     }
@@ -55,18 +58,18 @@
                 new LoadCustomer("customer", "key", "tier", 1),
                 kind,
                 List.of("a shared prefix", "a question"),
-                style.plain() ? 0 : TOKENS);
+                style.isPlainService() ? 0 : TOKEN_COUNT);
     }
 
     /** Ignores what callers see. */
-    static final class LoadNothing implements CallObserver {
+    static final class NoOpCallObserver implements CallObserver {
         @Override
-        public void betweenTokens(final Duration gap) {
+        public void onTokenInterval(final Duration gap) {
             // Not looked at here.
         }
 
         @Override
-        public void ended(final RequestResult result) {
+        public void onRequestEnded(final RequestResult result) {
             // The future tells the same.
         }
     }
--- a/standins/src/test/java/org/whinhead/standins/load/caller/CallersTest.java
+++ b/standins/src/test/java/org/whinhead/standins/load/caller/LoadClientTest.java
@@ -1,12 +1,12 @@
 package org.whinhead.standins.load.caller;
 
 import static org.assertj.core.api.Assertions.assertThat;
-import static org.whinhead.standins.load.caller.OneCall.HALF;
-import static org.whinhead.standins.load.caller.OneCall.OVERLOADED;
-import static org.whinhead.standins.load.caller.OneCall.REFUSED_FOR_GOOD;
-import static org.whinhead.standins.load.caller.OneCall.REST;
-import static org.whinhead.standins.load.caller.OneCall.TOKENS;
-import static org.whinhead.standins.load.caller.OneCall.call;
+import static org.whinhead.standins.load.caller.LoadClientFixture.HALF_TOKEN_COUNT;
+import static org.whinhead.standins.load.caller.LoadClientFixture.OVERLOADED;
+import static org.whinhead.standins.load.caller.LoadClientFixture.OVERLOADED_WITHOUT_RETRY;
+import static org.whinhead.standins.load.caller.LoadClientFixture.REMAINING_TOKENS;
+import static org.whinhead.standins.load.caller.LoadClientFixture.TOKEN_COUNT;
+import static org.whinhead.standins.load.caller.LoadClientFixture.call;
 
 import java.time.Duration;
 import java.util.List;
@@ -16,7 +16,7 @@
 import org.whinhead.standins.StandInContext;
 import org.whinhead.standins.engine.EngineConfig;
 import org.whinhead.standins.engine.EngineStandIn;
-import org.whinhead.standins.load.FakeDaemon;
+import org.whinhead.standins.load.ScriptedDaemon;
 import org.whinhead.standins.load.mix.CallStyle;
 import org.whinhead.standins.load.result.AnswerFault;
 import org.whinhead.standins.load.result.Outcome;
@@ -25,19 +25,20 @@
 import org.whinhead.standins.service.ServiceStandIn;
 
 /** What callers make of answers and refusals. */
-final class CallersTest {
+final class LoadClientTest {
 
     private static final EngineConfig ENGINE =
             EngineConfig.builder("engine").models(Set.of("service/path")).speedUp(20).build();
 
     @Test
-    void streamedAndWholeAnswersAreCompared() throws Exception {
-        try (FakeDaemon daemon = new FakeDaemon(REST, FakeDaemon.Call::whole)) {
+    void verifiesStreamedAndWholeAnswers() throws Exception {
+        try (ScriptedDaemon daemon =
+                new ScriptedDaemon(REMAINING_TOKENS, ScriptedDaemon.ReceivedRequest::answerWhole)) {
             final RequestResult streamed = call(daemon, CallStyle.STREAMED);
             final RequestResult whole = call(daemon, CallStyle.WHOLE);
             assertThat(streamed.outcome()).isEqualTo(Outcome.COMPLETED);
-            assertThat(streamed.tokens()).isEqualTo(TOKENS);
-            assertThat(streamed.firstToken()).isPresent();
+            assertThat(streamed.tokens()).isEqualTo(TOKEN_COUNT);
+            assertThat(streamed.timeToFirstToken()).isPresent();
             assertThat(whole.outcome()).isEqualTo(Outcome.COMPLETED);
             assertThat(daemon.calls().get(0).header("Authorization")).isEqualTo("Bearer key");
         }
@@ -48,29 +49,56 @@
      * early, or says "not run" after tokens came: the caller holds a wrong answer each time.
      */
     @Test
-    void eachWrongAnswerIsNamed() throws Exception {
-        assertThat(faultOf(call -> call.tokens(0, HALF).tokens(HALF - 1, TOKENS).done()))
+    void reportsTheFaultOfEachWrongAnswer() throws Exception {
+        assertThat(
+                        faultOf(
+                                call ->
+                                        call.sendTokens(0, HALF_TOKEN_COUNT)
+                                                .sendTokens(HALF_TOKEN_COUNT - 1, TOKEN_COUNT)
+                                                .endStream()))
                 .contains(AnswerFault.DOUBLED);
-        assertThat(faultOf(call -> call.tokens(0, HALF).tokens(HALF + 1, TOKENS).done()))
+        assertThat(
+                        faultOf(
+                                call ->
+                                        call.sendTokens(0, HALF_TOKEN_COUNT)
+                                                .sendTokens(HALF_TOKEN_COUNT + 1, TOKEN_COUNT)
+                                                .endStream()))
                 .contains(AnswerFault.MISSING);
-        assertThat(faultOf(call -> call.tokens(0, HALF).token(HALF, "other ").done()))
+        assertThat(
+                        faultOf(
+                                call ->
+                                        call.sendTokens(0, HALF_TOKEN_COUNT)
+                                                .sendToken(HALF_TOKEN_COUNT, "other ")
+                                                .endStream()))
                 .contains(AnswerFault.FOREIGN);
-        assertThat(faultOf(call -> call.tokens(0, HALF).done())).contains(AnswerFault.MISSING);
-        assertThat(faultOf(call -> call.tokens(0, TOKENS).token(TOKENS, "more ").done()))
+        assertThat(faultOf(call -> call.sendTokens(0, HALF_TOKEN_COUNT).endStream()))
+                .contains(AnswerFault.MISSING);
+        assertThat(
+                        faultOf(
+                                call ->
+                                        call.sendTokens(0, TOKEN_COUNT)
+                                                .sendToken(TOKEN_COUNT, "more ")
+                                                .endStream()))
                 .contains(AnswerFault.FOREIGN);
-        assertThat(faultOf(call -> call.tokens(0, HALF).error("overloaded", "not-run")))
+        assertThat(
+                        faultOf(
+                                call ->
+                                        call.sendTokens(0, HALF_TOKEN_COUNT)
+                                                .sendError("overloaded", "not-run")))
                 .contains(AnswerFault.FALSE_VERDICT);
     }
 
     /** A daemon under load refuses with "not run" and a time; the caller comes back then. */
     @Test
-    void aRefusedRequestComesBackWhenTold() throws Exception {
-        try (FakeDaemon daemon = new FakeDaemon(OVERLOADED, OVERLOADED, FakeDaemon.Call::whole)) {
+    void retriesRefusedRequestAfterRequestedPause() throws Exception {
+        try (ScriptedDaemon daemon =
+                new ScriptedDaemon(
+                        OVERLOADED, OVERLOADED, ScriptedDaemon.ReceivedRequest::answerWhole)) {
             final RequestResult result = call(daemon, CallStyle.WHOLE);
             assertThat(result.outcome()).isEqualTo(Outcome.COMPLETED);
             assertThat(result.attempts()).isEqualTo(3);
         }
-        try (FakeDaemon daemon = new FakeDaemon(OVERLOADED, REFUSED_FOR_GOOD)) {
+        try (ScriptedDaemon daemon = new ScriptedDaemon(OVERLOADED, OVERLOADED_WITHOUT_RETRY)) {
             final RequestResult result = call(daemon, CallStyle.WHOLE);
             assertThat(result.outcome()).isEqualTo(Outcome.REFUSED_NOT_RUN);
             assertThat(result.attempts()).isEqualTo(2);
@@ -84,14 +112,14 @@
      * would have waited all that time; leaving it out would hide it.
      */
     @Test
-    void latencyCountsFromTheIntendedStart() throws Exception {
+    void measuresLatencyFromIntendedStart() throws Exception {
         final Duration heldUp = Duration.ofSeconds(5);
-        try (FakeDaemon daemon = new FakeDaemon(REST)) {
+        try (ScriptedDaemon daemon = new ScriptedDaemon(REMAINING_TOKENS)) {
             final CallerConfig config = CallerConfig.of(List.of(daemon.uri()));
             final long due = System.nanoTime() - heldUp.toNanos();
             final RequestResult result = call(config, CallStyle.STREAMED, due);
             assertThat(result.latency()).isGreaterThanOrEqualTo(heldUp);
-            assertThat(result.firstToken().orElseThrow()).isGreaterThanOrEqualTo(heldUp);
+            assertThat(result.timeToFirstToken().orElseThrow()).isGreaterThanOrEqualTo(heldUp);
         }
     }
 
@@ -100,18 +128,19 @@
      * answer tells that it ran twice, or that it is another caller's.
      */
     @Test
-    void refusalsCarryTicketsAndPlainAnswersAreCompared() throws Exception {
-        final FakeDaemon.Script handedBack =
+    void sendsTicketOfRefusalAndVerifiesPlainAnswers() throws Exception {
+        final ScriptedDaemon.Script handedBack =
                 call ->
-                        call.respond("X-Whinhead-Ticket", "back")
+                        call.setHeader("X-Whinhead-Ticket", "back")
                                 .refuse(503, "may-have-run", "stopping");
-        try (FakeDaemon daemon = new FakeDaemon(handedBack, FakeDaemon.Call::whole)) {
+        try (ScriptedDaemon daemon =
+                new ScriptedDaemon(handedBack, ScriptedDaemon.ReceivedRequest::answerWhole)) {
             assertThat(call(daemon, CallStyle.WHOLE).outcome()).isEqualTo(Outcome.COMPLETED);
             assertThat(daemon.calls().get(1).header("X-Whinhead-Ticket")).isEqualTo("back");
         }
-        final FakeDaemon.Script twice = call -> call.write("{\"execution\":2}");
-        final FakeDaemon.Script foreign = call -> call.write("{\"idempotencyKey\":\"other\"}");
-        try (FakeDaemon daemon = new FakeDaemon(twice, foreign)) {
+        final ScriptedDaemon.Script twice = call -> call.write("{\"execution\":2}");
+        final ScriptedDaemon.Script foreign = call -> call.write("{\"idempotencyKey\":\"other\"}");
+        try (ScriptedDaemon daemon = new ScriptedDaemon(twice, foreign)) {
             assertThat(call(daemon, CallStyle.PLAIN_ONCE).fault()).contains(AnswerFault.DOUBLED);
             assertThat(call(daemon, CallStyle.PLAIN_ONCE).fault()).contains(AnswerFault.FOREIGN);
         }
@@ -119,13 +148,13 @@
 
     /** The stand-ins' own answers, as a daemon passes them on, are what callers take for right. */
     @Test
-    void standInsAnswersAreTakenForRight() throws Exception {
+    void acceptsAnswersOfStandIns() throws Exception {
         try (StandInContext context = StandInContext.start();
                 EngineStandIn engine = EngineStandIn.start(ENGINE, context);
                 ServiceStandIn service =
                         ServiceStandIn.start(ServiceConfig.of("s", Duration.ofMillis(1)), context);
-                FakeDaemon toEngine = FakeDaemon.pointingTo(engine.uri());
-                FakeDaemon toService = FakeDaemon.pointingTo(service.uri())) {
+                ScriptedDaemon toEngine = ScriptedDaemon.withAddress(engine.uri());
+                ScriptedDaemon toService = ScriptedDaemon.withAddress(service.uri())) {
             for (final CallStyle style : List.of(CallStyle.STREAMED, CallStyle.WHOLE)) {
                 assertThat(call(toEngine, style).outcome()).isEqualTo(Outcome.COMPLETED);
             }
@@ -136,8 +165,9 @@
         }
     }
 
-    private static Optional<AnswerFault> faultOf(final FakeDaemon.Script script) throws Exception {
-        try (FakeDaemon daemon = new FakeDaemon(script)) {
+    private static Optional<AnswerFault> faultOf(final ScriptedDaemon.Script script)
+            throws Exception {
+        try (ScriptedDaemon daemon = new ScriptedDaemon(script)) {
             final RequestResult result = call(daemon, CallStyle.STREAMED);
             assertThat(result.outcome()).isEqualTo(Outcome.WRONG);
             return result.fault();
--- a/standins/src/test/java/org/whinhead/standins/load/caller/ManualTimers.java
+++ b/standins/src/test/java/org/whinhead/standins/load/caller/ManualScheduler.java
@@ -10,14 +10,14 @@
 import java.util.function.LongSupplier;
 
 /** Timers and a clock that move only when the test says so; what is due at once runs at once. */
-final class ManualTimers extends ScheduledThreadPoolExecutor implements LongSupplier {
+final class ManualScheduler extends ScheduledThreadPoolExecutor implements LongSupplier {
 
-    private static final long NEVER_DAYS = 1000;
+    private static final long NEVER_DUE_DAYS = 1000;
 
     private final AtomicLong mNow = new AtomicLong();
-    private final List<Due> mDue = new CopyOnWriteArrayList<>();
+    private final List<ScheduledTask> mScheduled = new CopyOnWriteArrayList<>();
 
-    ManualTimers() {
+    ManualScheduler() {
         super(1);
     }
 
@@ -26,8 +26,8 @@
         if (delay <= 0) {
             return super.schedule(task, 0, unit);
         }
-        final ScheduledFuture<?> future = super.schedule(task, NEVER_DAYS, TimeUnit.DAYS);
-        mDue.add(new Due(mNow.get() + unit.toNanos(delay), task, future));
+        final ScheduledFuture<?> future = super.schedule(task, NEVER_DUE_DAYS, TimeUnit.DAYS);
+        mScheduled.add(new ScheduledTask(mNow.get() + unit.toNanos(delay), task, future));
         return future;
     }
 
@@ -39,12 +39,12 @@
     /** Moves the time and runs what is due by then. */
     void advance(final Duration time) {
         final long now = mNow.addAndGet(time.toNanos());
-        for (final Due due : mDue) {
-            if (due.at() <= now && mDue.remove(due) && !due.future().isCancelled()) {
+        for (final ScheduledTask due : mScheduled) {
+            if (due.at() <= now && mScheduled.remove(due) && !due.future().isCancelled()) {
                 due.task().run();
             }
         }
     }
 
-    private record Due(long at, Runnable task, ScheduledFuture<?> future) {}
+    private record ScheduledTask(long at, Runnable task, ScheduledFuture<?> future) {}
 }
--- a/standins/src/test/java/org/whinhead/standins/load/mix/RequestPlannerTest.java
+++ b/standins/src/test/java/org/whinhead/standins/load/mix/RequestPlannerTest.java
@@ -24,15 +24,15 @@
     private static final int REQUESTS = 5000;
 
     @Test
-    void theSameSeedGivesTheSameRequests() {
-        final Mix mix = Deployment.INKIKO.mix();
+    void sameSeedGivesSameRequests() {
+        final Workload mix = Deployment.INKIKO.workload();
         assertThat(plan(mix, 7)).isEqualTo(plan(mix, 7)).isNotEqualTo(plan(mix, 8));
     }
 
     @ParameterizedTest
     @EnumSource
-    void sharesAndPrefixesAreThoseOfTheMix(final Deployment deployment) {
-        final Mix mix = deployment.mix();
+    void requestsMatchWeightsAndPrefixesOfWorkload(final Deployment deployment) {
+        final Workload mix = deployment.workload();
         final List<PlannedRequest> plan = plan(mix, 1);
         assertThat(plan).extracting(PlannedRequest::id).doesNotHaveDuplicates();
         final int weights = mix.customers().stream().mapToInt(LoadCustomer::weight).sum();
@@ -59,8 +59,8 @@
      */
     @ParameterizedTest
     @EnumSource
-    void namesAndKeysAreThoseOfTheExamples(final Deployment deployment) throws Exception {
-        final Mix mix = deployment.mix();
+    void namesAndKeysMatchExampleSettings(final Deployment deployment) throws Exception {
+        final Workload mix = deployment.workload();
         final Path file = Path.of("..", "examples", mix.name(), "documents.json");
         final JsonNode documents = new ObjectMapper().readTree(file.toFile());
         final Map<String, JsonNode> byPath = new HashMap<>();
@@ -88,7 +88,7 @@
         return HexFormat.of().formatHex(hash);
     }
 
-    private static List<PlannedRequest> plan(final Mix mix, final long seed) {
+    private static List<PlannedRequest> plan(final Workload mix, final long seed) {
         final RequestPlanner planner = new RequestPlanner(mix, seed);
         return Stream.generate(planner::next).limit(REQUESTS).collect(Collectors.toList());
     }
