--- a/standins/src/main/java/org/whinhead/standins/load/caller/AddressCache.java
+++ b/standins/src/main/java/org/whinhead/standins/load/caller/AddressCache.java
@@ -18,9 +18,7 @@
 import java.util.concurrent.CompletableFuture;
 import java.util.function.LongSupplier;
 
-/**
- * The addresses that one customer's callers may connect to, kept for as long as the answer says.
- */
+/** Caches the daemon addresses of one customer for as long as the daemon's answer allows. */
 final class AddressCache {
 
     private static final String ADDRESSES_PATH = "/v1/addresses";
@@ -40,41 +38,44 @@
     private CompletableFuture<List<URI>> mPendingQuery;
 
     /**
-     * Makes an empty book.
+     * Creates an empty cache.
      *
-     * @param client sends the questions
-     * @param mapper the JSON library
-     * @param config how callers behave
-     * @param key the customer's key
-     * @param nanos the time in nanoseconds, from any origin
-     * @param seed the seed of the order in which daemons are asked
+     * @param client sends the queries
+     * @param mapper parses the answers
+     * @param config the first targets and the time limits
+     * @param customerKey the customer's API key
+     * @param nanoClock the clock, in nanoseconds from any origin
+     * @param seed the seed of the order in which daemons are queried
      */
     AddressCache(
             final HttpClient client,
             final ObjectMapper mapper,
             final CallerConfig config,
-            final String key,
-            final LongSupplier nanos,
+            final String customerKey,
+            final LongSupplier nanoClock,
             final long seed) {
         mClient = client;
         mMapper = mapper;
         mConfig = config;
-        mCustomerKey = key;
-        mNanoClock = nanos;
+        mCustomerKey = customerKey;
+        mNanoClock = nanoClock;
         mRandom = new Random(seed);
     }
 
-    /** Returns the addresses, asked for anew if the last answer is too old. */
+    /** Returns the cached addresses, or queries them if there are none or they expired. */
     synchronized CompletableFuture<List<URI>> addresses() {
-        final boolean kept = !mAddresses.isEmpty() && mNanoClock.getAsLong() < mExpiresAt;
-        return kept ? CompletableFuture.completedFuture(mAddresses) : query();
+        final boolean isCached = !mAddresses.isEmpty() && mNanoClock.getAsLong() < mExpiresAt;
+        return isCached ? CompletableFuture.completedFuture(mAddresses) : query();
     }
 
-    /** Asks for the addresses anew, because none of those known could be used. */
+    /**
+     * Queries the addresses again after no cached address was usable, unless the last query is
+     * recent.
+     */
     synchronized CompletableFuture<List<URI>> refresh() {
-        final boolean justAsked =
+        final boolean isRecent =
                 mNanoClock.getAsLong() - mLastQueryAt < MIN_QUERY_INTERVAL.toNanos();
-        return justAsked && !mAddresses.isEmpty()
+        return isRecent && !mAddresses.isEmpty()
                 ? CompletableFuture.completedFuture(mAddresses)
                 : query();
     }
@@ -84,56 +85,56 @@
             return mPendingQuery;
         }
         mLastQueryAt = mNanoClock.getAsLong();
-        final CompletableFuture<List<URI>> question = new CompletableFuture<>();
-        mPendingQuery = question;
-        queryCandidate(candidates(), 0, question);
-        return question;
+        final CompletableFuture<List<URI>> pending = new CompletableFuture<>();
+        mPendingQuery = pending;
+        queryCandidate(candidates(), 0, pending);
+        return pending;
     }
 
     private List<URI> candidates() {
-        final List<URI> known = new ArrayList<>(mAddresses);
-        Collections.shuffle(known, mRandom);
-        final Set<URI> candidates = new LinkedHashSet<>(known);
+        final List<URI> current = new ArrayList<>(mAddresses);
+        Collections.shuffle(current, mRandom);
+        final Set<URI> candidates = new LinkedHashSet<>(current);
         candidates.addAll(mConfig.targets());
         return List.copyOf(candidates);
     }
 
     private void queryCandidate(
             final List<URI> candidates,
-            final int number,
-            final CompletableFuture<List<URI>> question) {
-        if (number == candidates.size()) {
-            completeQuery(question, List.of(), Duration.ZERO);
+            final int index,
+            final CompletableFuture<List<URI>> pending) {
+        if (index == candidates.size()) {
+            completeQuery(pending, List.of(), Duration.ZERO);
             return;
         }
         final HttpRequest request =
-                HttpRequest.newBuilder(candidates.get(number).resolve(ADDRESSES_PATH))
+                HttpRequest.newBuilder(candidates.get(index).resolve(ADDRESSES_PATH))
                         .header("Authorization", "Bearer " + mCustomerKey)
-                        .timeout(mConfig.streamIdleTimeout())
+                        .timeout(mConfig.streamSilence())
                         .build();
         mClient.sendAsync(request, BodyHandlers.ofString())
                 .whenComplete(
                         (response, error) -> {
-                            if (error != null || !acceptResponse(response, question)) {
-                                queryCandidate(candidates, number + 1, question);
+                            if (error != null || !acceptResponse(response, pending)) {
+                                queryCandidate(candidates, index + 1, pending);
                             }
                         });
     }
 
     private boolean acceptResponse(
-            final HttpResponse<String> response, final CompletableFuture<List<URI>> question) {
+            final HttpResponse<String> response, final CompletableFuture<List<URI>> pending) {
         if (response.statusCode() != OK) {
             return false;
         }
         try {
             final JsonNode body = mMapper.readTree(response.body());
             final List<URI> addresses = new ArrayList<>();
-            body.path("addresses").forEach(one -> addresses.add(parseUri(one)));
+            body.path("addresses").forEach(address -> addresses.add(parseUri(address)));
             if (addresses.isEmpty()) {
                 return false;
             }
-            final Duration keep = Duration.ofMillis(body.path("keepMillis").asLong());
-            completeQuery(question, List.copyOf(addresses), keep);
+            final Duration timeToLive = Duration.ofMillis(body.path("keepMillis").asLong());
+            completeQuery(pending, List.copyOf(addresses), timeToLive);
             return true;
         } catch (final JsonProcessingException | IllegalArgumentException e) {
             return false;
@@ -145,18 +146,18 @@
     }
 
     private void completeQuery(
-            final CompletableFuture<List<URI>> question,
+            final CompletableFuture<List<URI>> pending,
             final List<URI> addresses,
-            final Duration keep) {
-        final List<URI> known;
+            final Duration timeToLive) {
+        final List<URI> current;
         synchronized (this) {
             if (!addresses.isEmpty()) {
                 mAddresses = addresses;
-                mExpiresAt = mNanoClock.getAsLong() + keep.toNanos();
+                mExpiresAt = mNanoClock.getAsLong() + timeToLive.toNanos();
             }
             mPendingQuery = null;
-            known = mAddresses;
+            current = mAddresses;
         }
-        question.complete(known);
+        pending.complete(current);
     }
 }
--- a/standins/src/main/java/org/whinhead/standins/load/caller/AnswerVerifier.java
+++ b/standins/src/main/java/org/whinhead/standins/load/caller/AnswerVerifier.java
@@ -6,7 +6,7 @@
 import org.whinhead.standins.load.mix.PlannedRequest;
 import org.whinhead.standins.load.result.AnswerFault;
 
-/** Compares one answer with the expected one, token by token, over all of its connections. */
+/** Compares an answer with the expected one, token by token, across all of its connections. */
 final class AnswerVerifier {
 
     private final String mPrompt;
@@ -14,9 +14,9 @@
     private int mReceivedCount;
 
     /**
-     * Begins an answer.
+     * Creates a verifier that received no token yet.
      *
-     * @param request the request that it answers
+     * @param request the request whose answer is verified
      */
     AnswerVerifier(final PlannedRequest request) {
         mPrompt = request.prompt();
@@ -24,11 +24,11 @@
     }
 
     /**
-     * Takes in the next token of a stream.
+     * Verifies the next token of a stream.
      *
-     * @param index the token's index as the daemon says it
+     * @param index the token's index in the answer, from 0, as sent by the daemon
      * @param text the token's text
-     * @return what is wrong with it, if anything
+     * @return the fault of the token, if any
      */
     Optional<AnswerFault> verifyToken(final long index, final String text) {
         if (index < mReceivedCount) {
@@ -48,10 +48,10 @@
     }
 
     /**
-     * Takes in an answer that came in one piece.
+     * Verifies an answer that is not streamed.
      *
-     * @param content its text
-     * @return what is wrong with it, if anything
+     * @param content the text of the answer
+     * @return the fault of the answer, if any
      */
     Optional<AnswerFault> verifyWhole(final String content) {
         if (content.isEmpty()) {
@@ -66,19 +66,19 @@
         return verifyEnd();
     }
 
-    /** Takes in the end of the answer and returns what is wrong with it, if anything. */
+    /** Verifies that no token is missing at the end and returns the fault, if any. */
     Optional<AnswerFault> verifyEnd() {
         return mReceivedCount < mExpectedCount
                 ? Optional.of(AnswerFault.MISSING)
                 : Optional.empty();
     }
 
-    /** Returns how many right tokens came so far. */
+    /** Returns the number of correct tokens received so far. */
     int receivedCount() {
         return mReceivedCount;
     }
 
-    /** Returns the right tokens that came so far. */
+    /** Returns the correct tokens received so far. */
     List<String> receivedTokens() {
         return ExpectedAnswer.tokens(mPrompt, mReceivedCount);
     }
--- a/standins/src/main/java/org/whinhead/standins/load/caller/Attempt.java
+++ b/standins/src/main/java/org/whinhead/standins/load/caller/Attempt.java
@@ -12,7 +12,7 @@
 import java.util.concurrent.CompletableFuture;
 import java.util.concurrent.Flow;
 
-/** One try of a request at one daemon; what comes back goes to a listener until it is closed. */
+/** One attempt of a request at one daemon; notifies a listener of the response until closed. */
 final class Attempt {
 
     private static final String EVENT_STREAM = "text/event-stream";
@@ -20,24 +20,24 @@
     private static final String TICKET_COMMENT = "ticket ";
     private static final int OK = 200;
 
-    /** What comes back; called from the client's threads, one call at a time. */
+    /** Receives the response; called from the client's threads, one call at a time. */
     interface Listener {
-        /** A daemon began an answer. */
+        /** The daemon started a successful response. */
         void onAnswerStarted(Attempt attempt);
 
-        /** A ticket came. */
+        /** The daemon sent a ticket. */
         void onTicket(Attempt attempt, String ticket);
 
-        /** An event of a stream came. */
+        /** An event of a stream arrived. */
         void onEvent(Attempt attempt, SseEvent event);
 
-        /** Any line of a stream came. */
+        /** A line of a stream arrived, possibly a comment. */
         void onLine(Attempt attempt);
 
-        /** The response is over; its body is empty if it was a stream. */
+        /** The response is complete; the body is empty if it was a stream. */
         void onResponse(Attempt attempt, HttpResponse<String> response);
 
-        /** No response, or only a part of it, came. */
+        /** The connection failed before the response was complete. */
         void onFailure(Attempt attempt, Throwable cause);
     }
 
@@ -47,9 +47,9 @@
     private volatile boolean mClosed;
 
     /**
-     * Makes a try that is not sent yet.
+     * Creates an attempt that is not sent.
      *
-     * @param listener receives what comes back
+     * @param listener receives the response
      */
     Attempt(final Listener listener) {
         mListener = listener;
@@ -58,7 +58,7 @@
     /**
      * Sends the request.
      *
-     * @param client the client
+     * @param client the HTTP client
      * @param request the request
      */
     void send(final HttpClient client, final HttpRequest request) {
@@ -66,7 +66,7 @@
         mResponse.whenComplete(this::notifyEnd);
     }
 
-    /** Ends the try; nothing more is told, and a response in progress is dropped. */
+    /** Cancels a response in progress and stops the notifications. */
     void close() {
         mClosed = true;
         final Flow.Subscription lines = mLineSubscription;
@@ -96,7 +96,7 @@
                 mListener.onAnswerStarted(this);
             }
             final Optional<String> ticket = info.headers().firstValue(TICKET_HEADER);
-            ticket.ifPresent(value -> mListener.onTicket(this, value)); // a refusal may carry one
+            ticket.ifPresent(value -> mListener.onTicket(this, value)); // also in error responses
             return isStream(info)
                     ? lineSubscriber()
                     : BodySubscribers.ofString(StandardCharsets.UTF_8);
@@ -115,7 +115,7 @@
                 new LineSubscriber(), lines -> "", StandardCharsets.UTF_8, null);
     }
 
-    /** Receives the lines of a stream. */
+    /** Parses the lines of a stream and notifies the listener. */
     private final class LineSubscriber implements Flow.Subscriber<String> {
 
         private final SseEventParser mParser =
@@ -137,12 +137,12 @@
 
         @Override
         public void onError(final Throwable cause) {
-            // The response's future tells of it.
+            // The future of the response reports the failure.
         }
 
         @Override
         public void onComplete() {
-            // The response's future tells of it.
+            // The future of the response reports the end.
         }
 
         private void forwardEvent(final SseEvent event) {
--- a/standins/src/main/java/org/whinhead/standins/load/caller/Call.java
+++ b/standins/src/main/java/org/whinhead/standins/load/caller/Call.java
@@ -18,8 +18,8 @@
 import org.whinhead.standins.load.result.RequestResult;
 
 /**
- * One request from its first try to its end. A lost daemon is replaced by another one, which gets
- * the same body and identity; a refused request comes back when it was told to.
+ * Runs one request with all of its attempts. After the loss of a daemon, the same body and identity
+ * are sent to another one; a refused request is retried after the pause that the daemon requested.
  */
 final class Call implements Attempt.Listener {
 
@@ -43,28 +43,28 @@
     private ScheduledFuture<?> mDeadlineTimer;
 
     /**
-     * Makes a call that has not begun.
+     * Creates a call that is not started.
      *
-     * @param tools what all calls share
-     * @param book the customer's addresses
+     * @param context the dependencies that all calls share
+     * @param addresses the address cache of the customer
      * @param request the request
-     * @param startedAt when it was meant to start, in nanoseconds
+     * @param startedAt the intended start, in nanoseconds
      */
     Call(
-            final CallContext tools,
-            final AddressCache book,
+            final CallContext context,
+            final AddressCache addresses,
             final PlannedRequest request,
             final long startedAt) {
-        mContext = tools;
+        mContext = context;
         mRequest = request;
-        mWriter = new RequestWriter(tools.mapper(), request);
-        mDaemonSelector = new DaemonSelector(book, request.id().value().hashCode());
+        mWriter = new RequestWriter(context.mapper(), request);
+        mDaemonSelector = new DaemonSelector(addresses, request.id().value().hashCode());
         mProgress = new CallProgress(request, startedAt);
-        mIdleTimeout = new IdleTimeout(tools.timers(), tools.nanoClock());
-        mDeadline = startedAt + tools.config().deadline().toNanos();
+        mIdleTimeout = new IdleTimeout(context.timers(), context.nanoClock());
+        mDeadline = startedAt + context.config().deadline().toNanos();
     }
 
-    /** Begins; the future completes with what became of the request, never with an error. */
+    /** Starts the first attempt; the future completes with the result, never with an exception. */
     synchronized CompletableFuture<RequestResult> start() {
         mDeadlineTimer = schedule(this::onDeadline, mDeadline - now());
         startAttempt();
@@ -80,7 +80,7 @@
         if (mDeadlinePassed) {
             end(Outcome.LOST);
         } else if (mRequest.kind().style().isStreamed()) {
-            mIdleTimeout.start(mContext.config().streamIdleTimeout(), () -> onIdleTimeout(attempt));
+            mIdleTimeout.start(mContext.config().streamSilence(), () -> onIdleTimeout(attempt));
         }
     }
 
@@ -126,7 +126,7 @@
         if (response.statusCode() >= FIRST_ERROR_STATUS) {
             handleRefusal(DaemonError.of(response, mContext.mapper()));
         } else if (mRequest.kind().style().isStreamed()) {
-            retryOnOtherDaemon(); // the stream ended cleanly, but before its last event
+            retryOnOtherDaemon(); // the stream ended without its last event
         } else {
             handleWholeAnswer(response.body());
         }
@@ -171,7 +171,7 @@
         mAttemptHasTokens = false;
         final Attempt attempt = new Attempt(this);
         mAttempt = attempt;
-        mIdleTimeout.start(mContext.config().responseTimeout(), () -> onIdleTimeout(attempt));
+        mIdleTimeout.start(mContext.config().answerSilence(), () -> onIdleTimeout(attempt));
         attempt.send(
                 mContext.client(),
                 mWriter.requestTo(
@@ -198,11 +198,11 @@
 
     private void handleToken(final SseEvent event, final String text) {
         if (text.isEmpty()) {
-            return; // the last event may carry only the reason and the usage
+            return; // the last event may carry only the finish reason and the usage
         }
-        final AnswerVerifier check = mProgress.answerVerifier();
+        final AnswerVerifier verifier = mProgress.answerVerifier();
         final Optional<AnswerFault> fault =
-                check.verifyToken(event.id().orElse(check.receivedCount()), text);
+                verifier.verifyToken(event.id().orElse(verifier.receivedCount()), text);
         if (fault.isPresent()) {
             endAnswer(fault);
             return;
@@ -229,7 +229,7 @@
         end(fault.isPresent() ? Outcome.WRONG : Outcome.COMPLETED);
     }
 
-    /** A failure after the answer began; "not run" is false once a token came. */
+    /** Handles an error event; the verdict "not run" is false if the attempt delivered tokens. */
     private void handleStreamError(final DaemonError error) {
         if (mAttemptHasTokens && error.verdict() == Verdict.NOT_RUN) {
             endAnswer(Optional.of(AnswerFault.FALSE_VERDICT));
@@ -266,9 +266,9 @@
     }
 
     /**
-     * The connection broke after the request may have left. The same body with the same identity
-     * goes to another daemon: the ticket, the identity or the idempotency key tells that daemon
-     * that it is not a new request, so nothing runs twice.
+     * Retries at another daemon after a connection broke when the request may have been sent. The
+     * ticket, request id or idempotency key identifies the retry, so the request does not run
+     * twice.
      */
     private void retryOnOtherDaemon() {
         mProgress.recordInconclusiveAttempt();
@@ -284,8 +284,8 @@
     }
 
     /**
-     * Nothing is sent any more. A try that no daemon has taken yet gets a short while to hear its
-     * verdict: without that, a refusal on its way would make the request look lost.
+     * Stops sending at the deadline. An attempt that is not accepted yet gets a grace period to
+     * receive its verdict; without it, a request whose refusal is in transit would count as lost.
      */
     private synchronized void onDeadline() {
         if (mEnded) {
@@ -322,8 +322,9 @@
     }
 
     private static boolean isConnectFailure(final Throwable cause) {
-        for (Throwable one = cause; one != null; one = one.getCause()) {
-            if (one instanceof ConnectException || one instanceof HttpConnectTimeoutException) {
+        for (Throwable current = cause; current != null; current = current.getCause()) {
+            if (current instanceof ConnectException
+                    || current instanceof HttpConnectTimeoutException) {
                 return true;
             }
         }
--- a/standins/src/main/java/org/whinhead/standins/load/caller/CallContext.java
+++ b/standins/src/main/java/org/whinhead/standins/load/caller/CallContext.java
@@ -7,14 +7,14 @@
 import java.util.function.LongSupplier;
 
 /**
- * What all calls of a run share.
+ * The dependencies that all calls of a run share.
  *
- * @param client the client
- * @param mapper the JSON library
- * @param timers runs what is due later
- * @param nanos the time in nanoseconds, from any origin
- * @param config how callers behave
- * @param observer is told what callers see
+ * @param client the HTTP client
+ * @param mapper parses and writes JSON
+ * @param timers runs delayed tasks
+ * @param nanoClock the clock, in nanoseconds from any origin
+ * @param config addresses and time limits
+ * @param observer receives measurements and results
  */
 record CallContext(
         HttpClient client,
@@ -24,7 +24,7 @@
         CallerConfig config,
         CallObserver observer) {
 
-    /** Checks every part. */
+    /** Checks that no component is null. */
     CallContext {
         Objects.requireNonNull(client, "client");
         Objects.requireNonNull(mapper, "mapper");
--- a/standins/src/main/java/org/whinhead/standins/load/caller/CallObserver.java
+++ b/standins/src/main/java/org/whinhead/standins/load/caller/CallObserver.java
@@ -3,20 +3,20 @@
 import java.time.Duration;
 import org.whinhead.standins.load.result.RequestResult;
 
-/** Is told what callers see; called from several threads. */
+/** Receives measurements and results of requests; called from several threads. */
 public interface CallObserver {
 
     /**
-     * The time between two tokens of one answer, as its caller saw it.
+     * Receives the time between two consecutive tokens of one answer.
      *
-     * @param gap the time, reconnects included
+     * @param interval the time at the caller, including reconnects
      */
-    void onTokenInterval(Duration gap);
+    void onTokenInterval(Duration interval);
 
     /**
-     * A request ended.
+     * Receives the result of a request that ended.
      *
-     * @param result what became of it
+     * @param result the outcome, latency and verification of the request
      */
     void onRequestEnded(RequestResult result);
 }
--- a/standins/src/main/java/org/whinhead/standins/load/caller/CallProgress.java
+++ b/standins/src/main/java/org/whinhead/standins/load/caller/CallProgress.java
@@ -8,7 +8,7 @@
 import org.whinhead.standins.load.result.Outcome;
 import org.whinhead.standins.load.result.RequestResult;
 
-/** What a caller knows of its request so far, over all tries, and what that means at its end. */
+/** The state of a request over all of its attempts; derives the outcome at its end. */
 final class CallProgress {
 
     private final PlannedRequest mRequest;
@@ -16,7 +16,7 @@
     private final AnswerVerifier mAnswerVerifier;
     private boolean mAccepted;
     private boolean mMayHaveRun;
-    private boolean mLastAttemptRefused; // the last word of the daemons was a refusal
+    private boolean mLastAttemptRefused; // of those that reached a daemon
     private int mAttempts;
     private int mResumes;
     private String mErrorCode = "";
@@ -26,10 +26,10 @@
     private long mLastTokenAt;
 
     /**
-     * Begins with nothing known.
+     * Creates the state of a request that was not sent yet.
      *
      * @param request the request
-     * @param startedAt when it was meant to start, in nanoseconds
+     * @param startedAt the intended start, in nanoseconds
      */
     CallProgress(final PlannedRequest request, final long startedAt) {
         mRequest = request;
@@ -37,22 +37,22 @@
         mAnswerVerifier = new AnswerVerifier(request);
     }
 
-    /** Returns the comparison with the expected answer. */
+    /** Returns the verifier of the answer, shared by all attempts. */
     AnswerVerifier answerVerifier() {
         return mAnswerVerifier;
     }
 
-    /** Returns the newest ticket, if there is one. */
+    /** Returns the newest ticket, if a daemon sent one. */
     Optional<String> ticket() {
         return mTicket;
     }
 
-    /** Returns how many tries were made. */
+    /** Returns the number of attempts so far. */
     int attempts() {
         return mAttempts;
     }
 
-    /** Notes that the request is sent once more. */
+    /** Counts an attempt, and a resume if the attempt carries a ticket. */
     void recordAttempt() {
         mAttempts++;
         if (mTicket.isPresent()) {
@@ -60,63 +60,63 @@
         }
     }
 
-    /** Notes that a daemon took the request. */
+    /** Records that a daemon accepted the request. */
     void recordAccepted() {
         mAccepted = true;
     }
 
-    /** Tells whether a daemon took the request. */
+    /** Returns whether a daemon accepted the request. */
     boolean isAccepted() {
         return mAccepted;
     }
 
-    /** Notes a ticket. */
+    /** Replaces the ticket by a newer one. */
     void recordTicket(final String ticket) {
         mTicket = Optional.of(ticket);
     }
 
-    /** Notes that the request may have run, because a try ended without a verdict. */
+    /** Records an attempt that ended without a verdict, so the request may have run. */
     void recordInconclusiveAttempt() {
         mMayHaveRun = true;
         mLastAttemptRefused = false;
     }
 
-    /** Tells whether a try may have run. */
+    /** Returns whether the request may have run in some attempt. */
     boolean mayHaveRun() {
         return mMayHaveRun;
     }
 
-    /** Notes a refusal. */
+    /** Records a refusal and its verdict. */
     void recordRefusal(final DaemonError error) {
         mErrorCode = error.code();
         mLastAttemptRefused = true;
         mMayHaveRun |= error.verdict() != Verdict.NOT_RUN;
     }
 
-    /** Notes what is wrong with the answer. */
+    /** Records the fault of the answer. */
     void recordFault(final AnswerFault fault) {
         mFault = Optional.of(fault);
     }
 
     /**
-     * Notes a right token.
+     * Records the arrival of a correct token.
      *
-     * @param now the time in nanoseconds
-     * @return the time since the one before, if there was one
+     * @param now the current time in nanoseconds
+     * @return the time since the previous token, if there was one
      */
     Optional<Duration> recordToken(final long now) {
-        final Optional<Duration> gap =
+        final Optional<Duration> interval =
                 mFirstTokenAt.map(first -> Duration.ofNanos(now - mLastTokenAt));
         if (mFirstTokenAt.isEmpty()) {
             mFirstTokenAt = Optional.of(now);
         }
         mLastTokenAt = now;
-        return gap;
+        return interval;
     }
 
     /**
-     * Returns the outcome if a daemon refuses the request for good. An answer that had begun was
-     * owed whole if the request could be made again; "not run" counts only if no try contradicts.
+     * Returns the outcome after a final refusal. "Not run" is reported only if no attempt may have
+     * run. An accepted idempotent request counts as lost, because it could have been run again.
      */
     Outcome outcomeIfRefused() {
         if (!mMayHaveRun) {
@@ -130,7 +130,7 @@
     /**
      * Returns the outcome at the deadline.
      *
-     * @param pending whether a try was sent and is not answered
+     * @param pending whether an attempt was sent and has no verdict yet
      */
     Outcome outcomeAtDeadline(final boolean pending) {
         if (pending || (mMayHaveRun && !mLastAttemptRefused)) {
@@ -140,10 +140,10 @@
     }
 
     /**
-     * Makes the result.
+     * Creates the result.
      *
      * @param outcome how the request ended
-     * @param now the time in nanoseconds
+     * @param now the current time in nanoseconds
      * @return the result
      */
     RequestResult result(final Outcome outcome, final long now) {
--- a/standins/src/main/java/org/whinhead/standins/load/caller/CallerConfig.java
+++ b/standins/src/main/java/org/whinhead/standins/load/caller/CallerConfig.java
@@ -6,69 +6,72 @@
 import org.whinhead.api.Arguments;
 
 /**
- * How callers behave.
+ * Addresses and time limits of the load client.
  *
- * @param targets daemons to ask for addresses at first
- * @param deadline how long a caller waits for its whole answer, retries included
- * @param answerSilence how long a daemon may take to begin an answer before it counts as lost
- * @param streamSilence how long a stream may be silent before its daemon counts as lost
- * @param connectTimeout how long a connection may take
+ * @param targets daemons that receive the first address queries; at least one
+ * @param deadline the time limit of a request, including retries
+ * @param answerSilence the time limit for the start of an answer; after that the daemon is treated
+ *     as lost
+ * @param streamSilence the longest time without a line of a stream; after that the daemon is
+ *     treated as lost
+ * @param connectTimeout the time limit for opening a connection
  */
 public record CallerConfig(
         List<URI> targets,
         Duration deadline,
-        Duration responseTimeout,
-        Duration streamIdleTimeout,
+        Duration answerSilence,
+        Duration streamSilence,
         Duration connectTimeout) {
 
     private static final Duration DEFAULT_DEADLINE = Duration.ofSeconds(30);
-    private static final Duration DEFAULT_RESPONSE_TIMEOUT = Duration.ofSeconds(10);
-    private static final Duration DEFAULT_STREAM_IDLE_TIMEOUT = Duration.ofSeconds(5);
+    private static final Duration DEFAULT_ANSWER_SILENCE = Duration.ofSeconds(10);
+    private static final Duration DEFAULT_STREAM_SILENCE = Duration.ofSeconds(5);
     private static final Duration DEFAULT_CONNECT_TIMEOUT = Duration.ofSeconds(1);
 
-    /** Checks every part and copies the list. */
+    /** Checks the values and copies the list. */
     public CallerConfig {
         targets = List.copyOf(targets);
         Arguments.requireAtLeast(targets.size(), 1, "targets");
         Arguments.requirePositive(deadline, "deadline");
-        Arguments.requirePositive(responseTimeout, "answerSilence");
-        Arguments.requirePositive(streamIdleTimeout, "streamSilence");
+        Arguments.requirePositive(answerSilence, "answerSilence");
+        Arguments.requirePositive(streamSilence, "streamSilence");
         Arguments.requirePositive(connectTimeout, "connectTimeout");
     }
 
     /**
-     * Makes the usual behaviour: 30 s in all, 10 s to begin, 5 s of silence, 1 s to connect.
+     * Creates the default configuration: a deadline of 30 s, a response timeout of 10 s, a stream
+     * idle timeout of 5 s and a connect timeout of 1 s.
      *
-     * @param targets daemons to ask for addresses at first
+     * @param targets daemons that receive the first address queries; at least one
      * @return the configuration
      */
     public static CallerConfig of(final List<URI> targets) {
         return new CallerConfig(
                 targets,
                 DEFAULT_DEADLINE,
-                DEFAULT_RESPONSE_TIMEOUT,
-                DEFAULT_STREAM_IDLE_TIMEOUT,
+                DEFAULT_ANSWER_SILENCE,
+                DEFAULT_STREAM_SILENCE,
                 DEFAULT_CONNECT_TIMEOUT);
     }
 
     /**
-     * Returns this configuration with another deadline.
+     * Returns a copy of this configuration with another deadline.
      *
-     * @param next the deadline
+     * @param newDeadline the time limit of a request, including retries
      * @return the copy
      */
-    public CallerConfig withDeadline(final Duration next) {
-        return new CallerConfig(targets, next, responseTimeout, streamIdleTimeout, connectTimeout);
+    public CallerConfig withDeadline(final Duration newDeadline) {
+        return new CallerConfig(targets, newDeadline, answerSilence, streamSilence, connectTimeout);
     }
 
     /**
-     * Returns this configuration with other bounds on silence.
+     * Returns a copy of this configuration with other timeouts.
      *
-     * @param toBegin how long a daemon may take to begin an answer
-     * @param inStream how long a stream may be silent
+     * @param response the time limit for the start of an answer
+     * @param streamIdle the longest time without a line of a stream
      * @return the copy
      */
-    public CallerConfig withTimeouts(final Duration toBegin, final Duration inStream) {
-        return new CallerConfig(targets, deadline, toBegin, inStream, connectTimeout);
+    public CallerConfig withTimeouts(final Duration response, final Duration streamIdle) {
+        return new CallerConfig(targets, deadline, response, streamIdle, connectTimeout);
     }
 }
--- a/standins/src/main/java/org/whinhead/standins/load/caller/DaemonError.java
+++ b/standins/src/main/java/org/whinhead/standins/load/caller/DaemonError.java
@@ -11,18 +11,18 @@
 import org.whinhead.api.verdict.Verdict;
 
 /**
- * A refusal or failure as a daemon tells it.
+ * An error response or error event of a daemon.
  *
- * @param code the code's name; empty if the daemon gave none
+ * @param code the error code; empty if the daemon sent none
  * @param verdict whether the request may have run
- * @param retryAfter when to come back, if the daemon said so
+ * @param retryAfter the pause before a retry, if the daemon sent one
  */
 record DaemonError(String code, Verdict verdict, Optional<Duration> retryAfter) {
 
     private static final String VERDICT_HEADER = "X-Whinhead-Verdict";
     private static final String RETRY_AFTER_HEADER = "Retry-After";
 
-    /** Checks every part. */
+    /** Checks that no component is null. */
     DaemonError {
         Objects.requireNonNull(code, "code");
         Objects.requireNonNull(verdict, "verdict");
@@ -30,10 +30,10 @@
     }
 
     /**
-     * Reads the body of a refusal or of an error event.
+     * Reads the body of an error response or of an error event.
      *
      * @param body the parsed body
-     * @return the error; one without a known verdict may have run
+     * @return the error; the verdict is "may have run" if it is missing or unknown
      */
     static DaemonError of(final JsonNode body) {
         final JsonNode error = body.path("error");
@@ -47,10 +47,11 @@
     }
 
     /**
-     * Reads a refusal; its headers go before its body.
+     * Reads an error response. The verdict of the header has precedence over that of the body; the
+     * retry pause of the body has precedence over that of the header.
      *
      * @param response the response
-     * @param mapper the JSON library
+     * @param mapper parses the body
      * @return the error
      */
     static DaemonError of(final HttpResponse<String> response, final ObjectMapper mapper) {
@@ -76,14 +77,14 @@
         }
     }
 
-    /** Tells whether the daemon is stopping, so that another one has to be asked. */
+    /** Returns whether the daemon is stopping, so that the request must go to another one. */
     boolean isDaemonStopping() {
         return code.equals(ErrorCode.STOPPING.wireName());
     }
 
     /**
-     * Returns the verdict of a name; a missing or unknown one counts as the least certain, because
-     * a request is never repeated on a guess.
+     * Returns the verdict of a wire name. A missing or unknown name gives the least certain
+     * verdict, because a request must not be repeated on a guess.
      */
     static Verdict verdict(final String wireName) {
         for (final Verdict verdict : Verdict.values()) {
--- a/standins/src/main/java/org/whinhead/standins/load/caller/DaemonSelector.java
+++ b/standins/src/main/java/org/whinhead/standins/load/caller/DaemonSelector.java
@@ -9,7 +9,7 @@
 import java.util.SplittableRandom;
 import java.util.concurrent.CompletableFuture;
 
-/** Which daemon one call tries next, and how long it waits before that. */
+/** Selects the daemon and the backoff of the next attempt of one call. */
 final class DaemonSelector {
 
     private static final long INITIAL_BACKOFF_MILLIS = 20;
@@ -23,61 +23,65 @@
     private int mLostCount;
 
     /**
-     * Makes the choice of one call.
+     * Creates the selector of one call.
      *
-     * @param book the customer's addresses
-     * @param seed the seed of each choice
+     * @param addressCache the address cache of the customer
+     * @param seed the seed of the selection and of the backoff
      */
-    DaemonSelector(final AddressCache book, final long seed) {
-        mAddressCache = book;
+    DaemonSelector(final AddressCache addressCache, final long seed) {
+        mAddressCache = addressCache;
         mRandom = new SplittableRandom(seed);
     }
 
-    /** Chooses a daemon; empty if no address is known. */
+    /** Selects a random daemon; empty if no address is known. */
     CompletableFuture<Optional<URI>> select() {
         return mAddressCache.addresses().thenCompose(this::selectOrRefresh);
     }
 
-    /** Notes that the daemon chosen last was lost, so that another one is taken. */
+    /** Excludes the daemon selected last from further selections. */
     synchronized void markLost() {
         mExcluded.add(mLastSelected);
         mLostCount++;
     }
 
-    /** Returns the pause before the next try: none after the first loss, then longer and longer. */
+    /**
+     * Returns the backoff before the next attempt: zero after the first loss, then exponential with
+     * jitter.
+     */
     synchronized Duration nextBackoff() {
         if (mLostCount <= 1) {
             return Duration.ZERO;
         }
         final int doublings = Math.min(mLostCount - 2, MAX_BACKOFF_DOUBLINGS);
-        final long most = Math.min(INITIAL_BACKOFF_MILLIS << doublings, MAX_BACKOFF_MILLIS);
-        return Duration.ofMillis(mRandom.nextLong(most / 2, most + 1));
+        final long maxMillis = Math.min(INITIAL_BACKOFF_MILLIS << doublings, MAX_BACKOFF_MILLIS);
+        return Duration.ofMillis(mRandom.nextLong(maxMillis / 2, maxMillis + 1));
     }
 
-    private CompletableFuture<Optional<URI>> selectOrRefresh(final List<URI> known) {
-        final Optional<URI> choice = selectFrom(known);
-        if (choice.isPresent()) {
-            return CompletableFuture.completedFuture(choice);
+    private CompletableFuture<Optional<URI>> selectOrRefresh(final List<URI> addresses) {
+        final Optional<URI> selected = selectFrom(addresses);
+        if (selected.isPresent()) {
+            return CompletableFuture.completedFuture(selected);
         }
         return mAddressCache.refresh().thenApply(this::selectFromAll);
     }
 
-    private synchronized Optional<URI> selectFrom(final List<URI> known) {
-        final List<URI> open = known.stream().filter(uri -> !mExcluded.contains(uri)).toList();
-        if (open.isEmpty()) {
+    private synchronized Optional<URI> selectFrom(final List<URI> addresses) {
+        final List<URI> candidates =
+                addresses.stream().filter(uri -> !mExcluded.contains(uri)).toList();
+        if (candidates.isEmpty()) {
             return Optional.empty();
         }
-        mLastSelected = open.get(mRandom.nextInt(open.size()));
+        mLastSelected = candidates.get(mRandom.nextInt(candidates.size()));
         return Optional.of(mLastSelected);
     }
 
-    /** Forgets what was avoided if nothing else is left: a daemon may be back by then. */
-    private synchronized Optional<URI> selectFromAll(final List<URI> known) {
-        final Optional<URI> choice = selectFrom(known);
-        if (choice.isPresent()) {
-            return choice;
+    /** Clears the exclusions if no other daemon is left, because a lost one may have recovered. */
+    private synchronized Optional<URI> selectFromAll(final List<URI> addresses) {
+        final Optional<URI> selected = selectFrom(addresses);
+        if (selected.isPresent()) {
+            return selected;
         }
         mExcluded.clear();
-        return selectFrom(known);
+        return selectFrom(addresses);
     }
 }
--- a/standins/src/main/java/org/whinhead/standins/load/caller/IdleTimeout.java
+++ b/standins/src/main/java/org/whinhead/standins/load/caller/IdleTimeout.java
@@ -8,9 +8,9 @@
 import java.util.function.LongSupplier;
 
 /**
- * Guards against a daemon that stops without closing its connections, for example on a paused VM:
- * the connection stays open and silent, and without this the caller would wait until its deadline.
- * With it the silence ends the try, and another daemon is asked as after a broken connection.
+ * Runs an action when a connection was idle for too long. A daemon may stop without closing its
+ * connections, for example on a paused VM; without this timeout the caller would wait until its
+ * deadline instead of retrying at another daemon.
  */
 final class IdleTimeout {
 
@@ -22,56 +22,56 @@
     private Runnable mOnTimeout;
 
     /**
-     * Makes a watch that watches nothing yet.
+     * Creates a timeout that is not started.
      *
      * @param timers runs the checks
-     * @param nanos the time in nanoseconds
+     * @param nanoClock the clock, in nanoseconds from any origin
      */
-    IdleTimeout(final ScheduledExecutorService timers, final LongSupplier nanos) {
+    IdleTimeout(final ScheduledExecutorService timers, final LongSupplier nanoClock) {
         mTimers = timers;
-        mNanoClock = nanos;
+        mNanoClock = nanoClock;
     }
 
     /**
-     * Watches from now on, in place of what was watched before.
+     * Starts the timeout and replaces a previous one.
      *
-     * @param bound the longest silence
-     * @param onSilence runs on the timers' thread when it is exceeded
+     * @param timeout the longest idle time
+     * @param onTimeout runs on the timers' thread when the idle time exceeds the timeout
      */
-    synchronized void start(final Duration bound, final Runnable onSilence) {
+    synchronized void start(final Duration timeout, final Runnable onTimeout) {
         mLastActivityAt = mNanoClock.getAsLong();
-        mTimeoutNanos = bound.toNanos();
-        mOnTimeout = onSilence;
+        mTimeoutNanos = timeout.toNanos();
+        mOnTimeout = onTimeout;
         schedule(mTimeoutNanos);
     }
 
-    /** Notes that something came. */
+    /** Restarts the idle time, because data arrived. */
     synchronized void recordActivity() {
         mLastActivityAt = mNanoClock.getAsLong();
     }
 
-    /** Watches no more. */
+    /** Cancels the timeout. */
     synchronized void cancel() {
         mTimer.cancel(false);
         mOnTimeout = null;
     }
 
-    private void schedule(final long nanos) {
+    private void schedule(final long delayNanos) {
         mTimer.cancel(false);
-        mTimer = mTimers.schedule(this::check, nanos, TimeUnit.NANOSECONDS);
+        mTimer = mTimers.schedule(this::check, delayNanos, TimeUnit.NANOSECONDS);
     }
 
     private void check() {
-        final Runnable onSilence = expiredAction();
-        if (onSilence != null) {
-            onSilence.run(); // outside the lock, because it takes the call's
+        final Runnable action = expiredAction();
+        if (action != null) {
+            action.run(); // outside the lock, because the action locks the call
         }
     }
 
     private synchronized Runnable expiredAction() {
-        final long rest = mLastActivityAt + mTimeoutNanos - mNanoClock.getAsLong();
-        if (mOnTimeout != null && rest > 0) {
-            schedule(rest);
+        final long remainingNanos = mLastActivityAt + mTimeoutNanos - mNanoClock.getAsLong();
+        if (mOnTimeout != null && remainingNanos > 0) {
+            schedule(remainingNanos);
             return null;
         }
         return mOnTimeout;
--- a/standins/src/main/java/org/whinhead/standins/load/caller/LoadClient.java
+++ b/standins/src/main/java/org/whinhead/standins/load/caller/LoadClient.java
@@ -15,7 +15,7 @@
 import org.whinhead.standins.load.mix.PlannedRequest;
 import org.whinhead.standins.load.result.RequestResult;
 
-/** Sends requests as the callers of each customer would; any number may be in progress. */
+/** Sends planned requests to the daemons; requests run concurrently without a limit. */
 public final class LoadClient implements AutoCloseable {
 
     private static final int CLIENT_THREADS = 4;
@@ -27,31 +27,31 @@
     private final Map<LoadCustomer, AddressCache> mAddressCaches = new ConcurrentHashMap<>();
 
     /**
-     * Starts the threads.
+     * Creates a client and its threads.
      *
-     * @param config how callers behave
-     * @param observer is told what callers see
-     * @param nanos the time in nanoseconds, from any origin
-     * @param seed the seed of choices among daemons
+     * @param config addresses and time limits
+     * @param observer receives measurements and results
+     * @param nanoClock the clock, in nanoseconds from any origin
+     * @param seed the seed of the selection of daemons
      */
     public LoadClient(
             final CallerConfig config,
             final CallObserver observer,
-            final LongSupplier nanos,
+            final LongSupplier nanoClock,
             final long seed) {
         this(
                 config,
                 observer,
-                nanos,
+                nanoClock,
                 seed,
                 Executors.newSingleThreadScheduledExecutor(daemonThreads("load-timers")));
     }
 
-    /** Takes the timers too, so that a test can move the time. */
+    /** Creates a client with the given timers, so that a test can control the time. */
     LoadClient(
             final CallerConfig config,
             final CallObserver observer,
-            final LongSupplier nanos,
+            final LongSupplier nanoClock,
             final long seed,
             final ScheduledExecutorService timers) {
         Objects.requireNonNull(config, "config");
@@ -63,22 +63,23 @@
                         .connectTimeout(config.connectTimeout())
                         .executor(mClientThreads)
                         .build();
-        mContext = new CallContext(client, new ObjectMapper(), mTimers, nanos, config, observer);
+        mContext =
+                new CallContext(client, new ObjectMapper(), mTimers, nanoClock, config, observer);
         mSeed = seed;
     }
 
     /**
-     * Sends a request and follows it to its end.
+     * Sends a request and retries it until it ends.
      *
      * @param request the request
-     * @param startedAt when it was meant to start, in nanoseconds of the same clock
-     * @return completes with what became of it, at its deadline at the latest
+     * @param startedAt the intended start, in nanoseconds of the same clock
+     * @return completes with the result, shortly after the deadline at the latest
      */
     public CompletableFuture<RequestResult> call(
             final PlannedRequest request, final long startedAt) {
-        final AddressCache book =
+        final AddressCache addresses =
                 mAddressCaches.computeIfAbsent(request.customer(), this::newAddressCache);
-        return new Call(mContext, book, request, startedAt).start();
+        return new Call(mContext, addresses, request, startedAt).start();
     }
 
     @Override
--- a/standins/src/main/java/org/whinhead/standins/load/caller/RequestWriter.java
+++ b/standins/src/main/java/org/whinhead/standins/load/caller/RequestWriter.java
@@ -13,7 +13,7 @@
 import org.whinhead.standins.load.mix.PlannedRequest;
 import org.whinhead.standins.load.result.AnswerFault;
 
-/** Writes a planned request as HTTP; its parts are the same on every try. */
+/** Creates the HTTP requests of a planned request; the identity is the same in every attempt. */
 final class RequestWriter {
 
     private static final String CHAT_PATH = "/v1/chat/completions";
@@ -24,10 +24,10 @@
     private final ObjectNode mBody;
 
     /**
-     * Writes the body.
+     * Creates a writer and the JSON body of the request.
      *
-     * @param mapper the JSON library
-     * @param request the request
+     * @param mapper writes JSON
+     * @param request the planned request
      */
     RequestWriter(final ObjectMapper mapper, final PlannedRequest request) {
         mMapper = mapper;
@@ -36,12 +36,12 @@
     }
 
     /**
-     * Addresses the request to a daemon.
+     * Creates the HTTP request of one attempt.
      *
      * @param daemon the daemon's address
-     * @param ticket where the answer is being made, if a daemon said so
-     * @param received the tokens that the caller has
-     * @param repeat whether an earlier try may have run
+     * @param ticket the ticket of the answer in progress, if a daemon sent one
+     * @param received the tokens that the caller received so far
+     * @param repeat whether an earlier attempt may have run
      * @return the request to send
      */
     HttpRequest requestTo(
@@ -70,10 +70,11 @@
     }
 
     /**
-     * Compares a plain service's answer with the request, as far as it tells what it answers.
+     * Verifies that a plain service answered this request and ran a non-idempotent request once.
+     * Fields that are missing from the answer are not compared.
      *
-     * @param answer the answer
-     * @return what is wrong with it, if anything
+     * @param answer the parsed answer
+     * @return the fault of the answer, if any
      */
     Optional<AnswerFault> faultOf(final JsonNode answer) {
         final String key = answer.path("idempotencyKey").asText(mRequest.id().value());
@@ -81,13 +82,13 @@
         if (!key.equals(mRequest.id().value()) || !received.equals(toJson(mBody))) {
             return Optional.of(AnswerFault.FOREIGN);
         }
-        final boolean again = answer.path("execution").asInt(1) > 1;
-        return again && !mRequest.kind().style().isIdempotent()
+        final boolean repeated = answer.path("execution").asInt(1) > 1;
+        return repeated && !mRequest.kind().style().isIdempotent()
                 ? Optional.of(AnswerFault.DOUBLED)
                 : Optional.empty();
     }
 
-    /** The daemon needs the text that came so far, to go on from it if the engine is lost. */
+    /** Adds the text received so far, from which the daemon resumes if the engine is lost. */
     private String bodyWithDelivered(final List<String> received) {
         if (received.isEmpty()) {
             return toJson(mBody);
@@ -109,10 +110,12 @@
         final ObjectNode body = mMapper.createObjectNode();
         body.put("model", mRequest.kind().target());
         final ArrayNode messages = body.putArray("messages");
-        int last = mRequest.messages().size();
+        int remaining = mRequest.messages().size();
         for (final String content : mRequest.messages()) {
-            last--;
-            messages.addObject().put("role", last == 0 ? "user" : "system").put("content", content);
+            remaining--;
+            messages.addObject()
+                    .put("role", remaining == 0 ? "user" : "system")
+                    .put("content", content);
         }
         body.put("max_tokens", mRequest.tokens());
         body.put("stream", mRequest.kind().style().isStreamed());
@@ -123,7 +126,7 @@
         try {
             return mMapper.writeValueAsString(body);
         } catch (final JsonProcessingException e) {
-            throw new IllegalStateException("a tree of texts and numbers has no JSON", e);
+            throw new IllegalStateException("request body cannot be written as JSON", e);
         }
     }
 }
--- a/standins/src/main/java/org/whinhead/standins/load/caller/SseEvent.java
+++ b/standins/src/main/java/org/whinhead/standins/load/caller/SseEvent.java
@@ -7,12 +7,12 @@
  * One server-sent event.
  *
  * @param name the event's name; empty for the default
- * @param id the event's id, if it has a numeric one
- * @param data the data lines, joined
+ * @param id the event's id, if it is numeric
+ * @param data the data lines, joined by line feeds
  */
 record SseEvent(String name, OptionalLong id, String data) {
 
-    /** Checks every part. */
+    /** Checks that no component is null. */
     SseEvent {
         Objects.requireNonNull(name, "name");
         Objects.requireNonNull(id, "id");
--- a/standins/src/main/java/org/whinhead/standins/load/caller/SseEventParser.java
+++ b/standins/src/main/java/org/whinhead/standins/load/caller/SseEventParser.java
@@ -5,7 +5,7 @@
 import java.util.StringJoiner;
 import java.util.function.Consumer;
 
-/** Joins the lines of a stream into events; comments go to a receiver of their own. */
+/** Parses the lines of a server-sent event stream into events and comments. */
 final class SseEventParser {
 
     private static final String LINE_SEPARATOR = "\n";
@@ -17,7 +17,7 @@
     private StringJoiner mData;
 
     /**
-     * Begins a stream.
+     * Creates a parser at the start of a stream.
      *
      * @param events receives each event
      * @param comments receives the text of each comment line
@@ -28,9 +28,9 @@
     }
 
     /**
-     * Takes in a line.
+     * Parses the next line; an empty line ends an event.
      *
-     * @param line the line, without its end
+     * @param line the line, without its line terminator
      */
     void parseLine(final String line) {
         if (line.isEmpty()) {
@@ -53,7 +53,7 @@
             case "id" -> mId = parseId(value);
             case "data" -> appendData(value);
             default -> {
-                // The standard has unknown fields ignored.
+                // The standard requires unknown fields to be ignored.
             }
         }
     }
@@ -67,11 +67,11 @@
 
     private void dispatch() {
         final SseEvent event = new SseEvent(mName, mId, mData == null ? "" : mData.toString());
-        final boolean empty = mData == null;
+        final boolean isEmpty = mData == null;
         mName = "";
         mId = OptionalLong.empty();
         mData = null;
-        if (!empty) {
+        if (!isEmpty) {
             mEventReceiver.accept(event);
         }
     }
--- a/standins/src/main/java/org/whinhead/standins/load/caller/package-info.java
+++ b/standins/src/main/java/org/whinhead/standins/load/caller/package-info.java
@@ -1,2 +1,2 @@
-/** The caller's side of the protocol: addresses, streams, retries and the comparison of answers. */
+/** The client side of the protocol: address queries, streams, retries and answer verification. */
 package org.whinhead.standins.load.caller;
