--- a/standins/src/main/java/org/whinhead/standins/load/ArrivalTimes.java
+++ b/standins/src/main/java/org/whinhead/standins/load/ArrivalTimes.java
@@ -4,7 +4,7 @@
 import java.util.concurrent.TimeUnit;
 import org.whinhead.api.Arguments;
 
-/** The arrival times of an open loop: independent callers, so exponential times between them. */
+/** Generates the arrival times of an open loop: a Poisson process, as of independent callers. */
 final class ArrivalTimes {
 
     private final double mMeanNanos;
@@ -12,10 +12,10 @@
     private double mLastNanos;
 
     /**
-     * Begins at zero.
+     * Creates arrival times that start at zero.
      *
-     * @param perSecond the mean rate
-     * @param seed the seed of every time
+     * @param perSecond the mean number of arrivals per second; at least 1
+     * @param seed the seed of the random intervals
      */
     ArrivalTimes(final int perSecond, final long seed) {
         Arguments.requireAtLeast(perSecond, 1, "perSecond");
@@ -23,7 +23,7 @@
         mRandom = new SplittableRandom(seed);
     }
 
-    /** Returns the next arrival, in nanoseconds after the start. */
+    /** Returns the time of the next arrival, in nanoseconds after the start. */
     long next() {
         mLastNanos += -Math.log(1 - mRandom.nextDouble()) * mMeanNanos;
         return (long) mLastNanos;
--- a/standins/src/main/java/org/whinhead/standins/load/LoadMain.java
+++ b/standins/src/main/java/org/whinhead/standins/load/LoadMain.java
@@ -5,16 +5,16 @@
 import org.apache.commons.cli.ParseException;
 import org.whinhead.standins.load.result.LoadResult;
 
-/** The command {@code bin/load}. */
+/** The command line program {@code bin/load}. */
 public final class LoadMain {
 
-    /** Every answer was right. */
+    /** The exit status if some request was completed and none was lost or wrong. */
     static final int EXIT_SUCCESS = 0;
 
-    /** A request was lost or wrong, or none was completed. */
+    /** The exit status if a request was lost or wrong, or none was completed. */
     static final int EXIT_FAILURE = 1;
 
-    /** The options are wrong. */
+    /** The exit status for invalid options. */
     static final int EXIT_USAGE = 2;
 
     private LoadMain() {}
@@ -24,7 +24,7 @@
      *
      * @param arguments the command line
      * @throws InterruptedException if the run is interrupted
-     * @throws ExecutionException if the run fails by a fault of this program
+     * @throws ExecutionException if the run fails because of a bug in this program
      */
     public static void main(final String[] arguments)
             throws InterruptedException, ExecutionException {
@@ -34,8 +34,8 @@
     /**
      * Runs the command.
      *
-     * @param out where results go
-     * @param errors where complaints go
+     * @param out receives the results
+     * @param errors receives error messages
      * @param arguments the command line
      * @return the exit status
      */
--- a/standins/src/main/java/org/whinhead/standins/load/LoadMessages.java
+++ b/standins/src/main/java/org/whinhead/standins/load/LoadMessages.java
@@ -4,7 +4,7 @@
 import java.util.Locale;
 import java.util.ResourceBundle;
 
-/** Looks up the load program's texts by named key. */
+/** Looks up and formats the texts of the load program. */
 final class LoadMessages {
 
     private static final ResourceBundle BUNDLE =
@@ -13,11 +13,11 @@
     private LoadMessages() {}
 
     /**
-     * Formats one text.
+     * Returns the text of a key.
      *
-     * @param key the text's key
-     * @param arguments the values for its places
-     * @return the text
+     * @param key the key in the resource bundle
+     * @param arguments the values of the placeholders
+     * @return the formatted text
      */
     static String text(final String key, final Object... arguments) {
         final String text = BUNDLE.getString(key);
--- a/standins/src/main/java/org/whinhead/standins/load/LoadOptions.java
+++ b/standins/src/main/java/org/whinhead/standins/load/LoadOptions.java
@@ -17,15 +17,15 @@
 import org.whinhead.standins.load.mix.Deployment;
 
 /**
- * The command line of the load program.
+ * The command line options of the load program.
  *
- * @param deployment whose callers are played
- * @param config how callers behave
- * @param perSecond the rate of the open loop
- * @param closedCallers the callers of the closed loop; 0 for the open loop
- * @param duration how long requests are started
- * @param seed the seed of every choice
- * @param json whether a JSON object is wanted
+ * @param deployment the deployment whose workload is run
+ * @param config addresses and time limits
+ * @param requestsPerSecond the mean rate of the open loop
+ * @param closedLoopCallers the number of callers of the closed loop; 0 for the open loop
+ * @param duration the time during which requests are started
+ * @param seed the seed of all random choices
+ * @param json whether to print a JSON object
  */
 record LoadOptions(
         Deployment deployment,
@@ -51,7 +51,7 @@
     private static final int DEFAULT_DEADLINE_MILLIS = 30_000;
 
     /**
-     * Tells whether the help text is asked for, whatever else is given.
+     * Returns whether the help text is requested, regardless of the other arguments.
      *
      * @param arguments the command line
      */
@@ -64,7 +64,7 @@
      *
      * @param arguments the command line
      * @return the options
-     * @throws ParseException if it is wrong; the message tells where
+     * @throws ParseException if an option is missing or invalid; the message names it
      */
     static LoadOptions parse(final String... arguments) throws ParseException {
         final CommandLine line = new DefaultParser().parse(options(), arguments);
@@ -100,7 +100,7 @@
                             LoadMessages.text("footer"),
                             false);
         } catch (final IOException e) {
-            throw new UncheckedIOException("a text in memory cannot fail", e);
+            throw new UncheckedIOException("help text cannot be written to memory", e);
         }
         return text.toString();
     }
@@ -140,7 +140,7 @@
                 return uri;
             }
         } catch (final IllegalArgumentException e) {
-            // Not an address at all; said below, as for an address of another kind.
+            // Reported below, like an address with another scheme.
         }
         throw new ParseException(LoadMessages.text("error.target", text));
     }
@@ -155,17 +155,17 @@
     }
 
     private static int parseNumber(
-            final CommandLine line, final String name, final int least, final int otherwise)
+            final CommandLine line, final String name, final int min, final int defaultValue)
             throws ParseException {
-        final String text = line.getOptionValue(name, Integer.toString(otherwise));
+        final String text = line.getOptionValue(name, Integer.toString(defaultValue));
         try {
             final int number = Integer.parseInt(text);
-            if (number >= least) {
+            if (number >= min) {
                 return number;
             }
         } catch (final NumberFormatException e) {
-            // Not a number at all; said below, as for a number that is too small.
+            // Reported below, like a number that is too small.
         }
-        throw new ParseException(LoadMessages.text("error.number", name, least, text));
+        throw new ParseException(LoadMessages.text("error.number", name, min, text));
     }
 }
--- a/standins/src/main/java/org/whinhead/standins/load/LoadRecorder.java
+++ b/standins/src/main/java/org/whinhead/standins/load/LoadRecorder.java
@@ -15,7 +15,7 @@
 import org.whinhead.standins.load.result.Outcome;
 import org.whinhead.standins.load.result.RequestResult;
 
-/** Gathers what callers see, from any thread. */
+/** Records the results and latencies of a run. Thread-safe. */
 final class LoadRecorder implements CallObserver {
 
     private static final long MAX_RECORDED_MICROS = TimeUnit.HOURS.toMicros(1);
@@ -29,8 +29,8 @@
     private final Map<String, ConcurrentHistogram> mLatencyByKind = new ConcurrentHashMap<>();
 
     @Override
-    public void onTokenInterval(final Duration gap) {
-        record(mTimeBetweenTokens, gap);
+    public void onTokenInterval(final Duration interval) {
+        record(mTimeBetweenTokens, interval);
     }
 
     @Override
@@ -51,11 +51,11 @@
     }
 
     /**
-     * Copies what was seen so far.
+     * Returns a snapshot of the results recorded so far.
      *
-     * @param deployment the name of the mix
-     * @param elapsed how long the run has taken
-     * @return the copy
+     * @param deployment the name of the workload
+     * @param elapsed the time since the start of the run
+     * @return the snapshot
      */
     LoadResult snapshot(final String deployment, final Duration elapsed) {
         return new LoadResult(
--- a/standins/src/main/java/org/whinhead/standins/load/LoadReport.java
+++ b/standins/src/main/java/org/whinhead/standins/load/LoadReport.java
@@ -15,7 +15,7 @@
 import org.whinhead.standins.load.result.Outcome;
 import org.whinhead.standins.load.result.RequestResult;
 
-/** Writes a run's result as a table for people or as JSON for scripts. */
+/** Formats the result of a run as a text table or as JSON. */
 final class LoadReport {
 
     private static final double NANOS_PER_MILLI = 1_000_000.0;
@@ -30,7 +30,7 @@
     private final boolean mPartial;
 
     /**
-     * Takes the result of a whole run.
+     * Creates a report of a complete run.
      *
      * @param result the result
      */
@@ -39,17 +39,17 @@
     }
 
     /**
-     * Takes a result.
+     * Creates a report.
      *
      * @param result the result
-     * @param partial whether requests were still in progress
+     * @param partial whether requests are still in progress
      */
     LoadReport(final LoadResult result, final boolean partial) {
         mResult = result;
         mPartial = partial;
     }
 
-    /** Returns the table. */
+    /** Returns the report as a text table. */
     String table() {
         final List<String> lines = new ArrayList<>();
         lines.add(title());
@@ -67,7 +67,7 @@
         return String.join(System.lineSeparator(), lines);
     }
 
-    /** Returns the JSON object on one line. */
+    /** Returns the report as a JSON object on one line. */
     String json() {
         final ObjectMapper mapper = new ObjectMapper();
         final ObjectNode root = mapper.createObjectNode();
@@ -97,7 +97,7 @@
         try {
             return mapper.writeValueAsString(root);
         } catch (final JsonProcessingException e) {
-            throw new IllegalStateException("a tree of texts and numbers has no JSON", e);
+            throw new IllegalStateException("report cannot be written as JSON", e);
         }
     }
 
--- a/standins/src/main/java/org/whinhead/standins/load/LoadRun.java
+++ b/standins/src/main/java/org/whinhead/standins/load/LoadRun.java
@@ -19,8 +19,8 @@
 import org.whinhead.standins.load.result.RequestResult;
 
 /**
- * One run of callers against daemons, in an open loop (a rate, whatever the answers take) or in a
- * closed one (a number of callers, each with one request at a time).
+ * One run of a workload against daemons, in an open loop (a rate that does not depend on the
+ * answers) or in a closed loop (a number of callers, each with one request at a time).
  */
 public final class LoadRun {
 
@@ -36,7 +36,8 @@
     private final LoadClient mClient;
     private final ScheduledExecutorService mScheduler =
             Executors.newSingleThreadScheduledExecutor();
-    private final AtomicInteger mInProgress = new AtomicInteger(1); // the run itself, until stopped
+    private final AtomicInteger mInProgress =
+            new AtomicInteger(1); // counts the run itself until it is stopped
     private final CompletableFuture<LoadResult> mResult = new CompletableFuture<>();
     private volatile boolean mStopped;
     private volatile long mStartedAt;
@@ -52,20 +53,20 @@
     }
 
     /**
-     * Starts a builder.
+     * Creates a builder.
      *
-     * @param mix who calls and what they ask for
-     * @param config how callers behave
+     * @param workload the customers and kinds of request
+     * @param config addresses and time limits
      * @return the builder
      */
-    public static Builder builder(final Workload mix, final CallerConfig config) {
-        return new Builder(mix, config);
+    public static Builder builder(final Workload workload, final CallerConfig config) {
+        return new Builder(workload, config);
     }
 
     /**
      * Starts the run; it may be started once.
      *
-     * @return completes when the time is over and every request has ended
+     * @return completes with the result after the duration, when every request has ended
      */
     public CompletableFuture<LoadResult> start() {
         mStartedAt = mNanoClock.getAsLong();
@@ -80,7 +81,7 @@
         return mResult;
     }
 
-    /** Starts no further request; those in progress go on to their end. */
+    /** Stops starting requests; requests in progress continue to their end. */
     public synchronized void stop() {
         if (!mStopped) {
             mStopped = true;
@@ -88,7 +89,7 @@
         }
     }
 
-    /** Returns what the callers saw so far. */
+    /** Returns the results of the requests that have ended so far. */
     public LoadResult currentResult() {
         return mRecorder.snapshot(
                 mWorkload.name(), Duration.ofNanos(mNanoClock.getAsLong() - mStartedAt));
@@ -115,7 +116,7 @@
 
     private void scheduleClosedLoopRequest(final RequestResult result) {
         final boolean failed = result.outcome() != Outcome.COMPLETED;
-        // A refusal comes back at once; without a pause its caller would ask in a tight loop.
+        // Refusals arrive at once; without a pause the caller would send in a tight loop.
         final Duration pause = failed ? PAUSE_AFTER_FAILURE : Duration.ZERO;
         mScheduler.schedule(this::startClosedLoopRequest, pause.toNanos(), TimeUnit.NANOSECONDS);
     }
@@ -149,44 +150,44 @@
         private long mSeed = 1;
         private LongSupplier mNanoClock = System::nanoTime;
 
-        private Builder(final Workload mix, final CallerConfig config) {
-            mWorkload = Objects.requireNonNull(mix, "mix");
+        private Builder(final Workload workload, final CallerConfig config) {
+            mWorkload = Objects.requireNonNull(workload, "mix");
             mConfig = Objects.requireNonNull(config, "config");
         }
 
-        /** Sets how long requests are started; 30 s by default. */
+        /** Sets the time during which requests are started; 30 s by default. */
         public Builder duration(final Duration duration) {
             mDuration = Arguments.requirePositive(duration, "duration");
             return this;
         }
 
-        /** Runs an open loop at a mean rate; 50 a second by default. */
+        /** Sets the mean rate of the open loop; 50 requests per second by default. */
         public Builder requestsPerSecond(final int perSecond) {
             Arguments.requireAtLeast(perSecond, 1, "perSecond");
             mRequestsPerSecond = perSecond;
             return this;
         }
 
-        /** Runs a closed loop with so many callers; 0, the default, runs the open loop. */
+        /** Sets the number of callers of a closed loop; 0, the default, selects the open loop. */
         public Builder closedLoopCallers(final int callers) {
             Arguments.requireAtLeast(callers, 0, "callers");
             mClosedLoopCallers = callers;
             return this;
         }
 
-        /** Sets the seed of requests, arrivals and choices among daemons; 1 by default. */
+        /** Sets the seed of requests, arrivals and the selection of daemons; 1 by default. */
         public Builder seed(final long seed) {
             mSeed = seed;
             return this;
         }
 
-        /** Sets the clock, in nanoseconds from any origin; the JVM's by default. */
-        public Builder nanoClock(final LongSupplier nanos) {
-            mNanoClock = Objects.requireNonNull(nanos, "nanos");
+        /** Sets the clock, in nanoseconds from any origin; {@link System#nanoTime} by default. */
+        public Builder nanoClock(final LongSupplier nanoClock) {
+            mNanoClock = Objects.requireNonNull(nanoClock, "nanos");
             return this;
         }
 
-        /** Builds the run and starts its threads; {@link LoadRun#start} must follow. */
+        /** Creates the run and its threads; {@link LoadRun#start} must be called to end them. */
         public LoadRun build() {
             return new LoadRun(this);
         }
--- a/standins/src/main/java/org/whinhead/standins/load/TextTable.java
+++ b/standins/src/main/java/org/whinhead/standins/load/TextTable.java
@@ -3,20 +3,20 @@
 import java.util.List;
 
 /**
- * Rows of cells in aligned columns: the first column to the left, the others to the right.
+ * A text table with aligned columns: the first column to the left, the others to the right.
  *
  * @param rows the rows, each with the same number of cells
  */
 public record TextTable(List<List<String>> rows) {
 
-    private static final String GAP = "  ";
+    private static final String COLUMN_SEPARATOR = "  ";
 
     /** Copies the rows. */
     public TextTable {
         rows = rows.stream().map(List::copyOf).toList();
     }
 
-    /** Returns the lines. */
+    /** Returns one line of text for each row. */
     public List<String> lines() {
         return rows.stream().map(this::line).toList();
     }
@@ -28,7 +28,7 @@
             if (column == 0) {
                 line.append(cells.get(column)).append(blanks);
             } else {
-                line.append(GAP).append(blanks).append(cells.get(column));
+                line.append(COLUMN_SEPARATOR).append(blanks).append(cells.get(column));
             }
         }
         return line.toString();
--- a/standins/src/main/java/org/whinhead/standins/load/mix/CallStyle.java
+++ b/standins/src/main/java/org/whinhead/standins/load/mix/CallStyle.java
@@ -1,37 +1,37 @@
 package org.whinhead.standins.load.mix;
 
-/** How a request is sent and how its answer comes back. */
+/** The type of target and answer of a request, and whether it is idempotent. */
 public enum CallStyle {
-    /** A model's answer, token by token. */
+    /** A request to a model, answered by a stream of tokens. */
     STREAMED(true, false, true),
-    /** A model's answer in one piece. */
+    /** A request to a model, answered by one JSON body. */
     WHOLE(true, false, false),
-    /** A plain service's call that may be repeated. */
+    /** An idempotent request to a plain service. */
     PLAIN(true, true, false),
-    /** A plain service's call that must not be repeated. */
+    /** A request to a plain service that must not run more than once. */
     PLAIN_ONCE(false, true, false);
 
     private final boolean mIdempotent;
     private final boolean mPlainService;
     private final boolean mStreamed;
 
-    CallStyle(final boolean idempotent, final boolean plain, final boolean streamed) {
+    CallStyle(final boolean idempotent, final boolean plainService, final boolean streamed) {
         mIdempotent = idempotent;
-        mPlainService = plain;
+        mPlainService = plainService;
         mStreamed = streamed;
     }
 
-    /** Tells whether the request may run more than once. */
+    /** Returns whether the request may run more than once. */
     public boolean isIdempotent() {
         return mIdempotent;
     }
 
-    /** Tells whether a plain service answers, not a model. */
+    /** Returns whether the target is a plain service instead of a model. */
     public boolean isPlainService() {
         return mPlainService;
     }
 
-    /** Tells whether tokens arrive as they are generated. */
+    /** Returns whether the answer is streamed token by token. */
     public boolean isStreamed() {
         return mStreamed;
     }
--- a/standins/src/main/java/org/whinhead/standins/load/mix/Deployment.java
+++ b/standins/src/main/java/org/whinhead/standins/load/mix/Deployment.java
@@ -3,7 +3,7 @@
 import java.util.List;
 import java.util.Locale;
 
-/** The deployments whose callers can be played, with the names of the example settings. */
+/** The example deployments with their workloads; the names match the example settings. */
 public enum Deployment {
     /** Small-claims filing: summaries of evidence bundles, questions, status and filings. */
     INKIKO(
@@ -80,17 +80,17 @@
         return new LoadCustomer(name, "example-key-" + name, tier, weight);
     }
 
-    /** Returns who calls and what they ask for. */
+    /** Returns the workload of the deployment. */
     public Workload workload() {
         return mWorkload;
     }
 
     /**
-     * Finds a deployment by its name in lower case.
+     * Returns the deployment with the given name.
      *
-     * @param name the name
+     * @param name the name in lower case
      * @return the deployment
-     * @throws IllegalArgumentException if there is none of that name
+     * @throws IllegalArgumentException if no deployment has that name
      */
     public static Deployment fromName(final String name) {
         return valueOf(name.toUpperCase(Locale.ROOT));
--- a/standins/src/main/java/org/whinhead/standins/load/mix/LoadCustomer.java
+++ b/standins/src/main/java/org/whinhead/standins/load/mix/LoadCustomer.java
@@ -3,16 +3,17 @@
 import org.whinhead.api.Arguments;
 
 /**
- * A customer as its callers know it.
+ * A customer whose requests the load program sends.
  *
  * @param name the customer's name
- * @param key the key that its callers send
+ * @param key the API key of its requests
  * @param tier the name of the tier that its requests run in
- * @param weight its share of the requests against the other customers
+ * @param weight its weight among the customers; its share of the requests is the weight divided by
+ *     the sum of all weights
  */
 public record LoadCustomer(String name, String key, String tier, int weight) {
 
-    /** Checks every part. */
+    /** Checks the values. */
     public LoadCustomer {
         Arguments.requireText(name, "name");
         Arguments.requireText(key, "key");
--- a/standins/src/main/java/org/whinhead/standins/load/mix/PlannedRequest.java
+++ b/standins/src/main/java/org/whinhead/standins/load/mix/PlannedRequest.java
@@ -6,20 +6,20 @@
 import org.whinhead.api.request.RequestId;
 
 /**
- * One request as its caller will send it, the same on every try.
+ * A generated request; the same in every attempt.
  *
- * @param id the identity that the caller chose
- * @param customer who asks
+ * @param id the request id, chosen by the caller
+ * @param customer the customer that sends the request
  * @param kind the kind of request
  * @param messages the contents of its messages, in order
- * @param tokens the length of the answer asked for; 0 for a plain service
+ * @param tokens the requested length of the answer in tokens; 0 for a plain service
  */
 public record PlannedRequest(
         RequestId id, LoadCustomer customer, RequestKind kind, List<String> messages, int tokens) {
 
     private static final String MESSAGE_SEPARATOR = "\n";
 
-    /** Checks every part and copies the list. */
+    /** Checks the values and copies the list. */
     public PlannedRequest {
         Objects.requireNonNull(id, "id");
         Objects.requireNonNull(customer, "customer");
@@ -28,7 +28,7 @@
         Arguments.requireAtLeast(tokens, 0, "tokens");
     }
 
-    /** Returns the prompt that the expected answer depends on. */
+    /** Returns the prompt from which the expected answer is derived. */
     public String prompt() {
         return String.join(MESSAGE_SEPARATOR, messages);
     }
--- a/standins/src/main/java/org/whinhead/standins/load/mix/RequestKind.java
+++ b/standins/src/main/java/org/whinhead/standins/load/mix/RequestKind.java
@@ -4,17 +4,18 @@
 import org.whinhead.api.Arguments;
 
 /**
- * One kind of request of a deployment.
+ * A kind of request of a workload, with its weight and the sizes of its prompts and answers.
  *
  * @param name the kind's name in results
- * @param style how it is sent and answered
+ * @param style the type of target and answer
  * @param target the model reference, or the plain service and path as {@code service/path}
- * @param weight its share of the requests against the other kinds
- * @param sharedPrefixes how many different prefixes its prompts begin with; 0 for none
- * @param prefixWords words in each shared prefix
- * @param promptWords words after the prefix
- * @param minTokens the shortest answer asked for
- * @param maxTokens the longest answer asked for
+ * @param weight its weight among the kinds; its share of the requests is the weight divided by the
+ *     sum of all weights
+ * @param sharedPrefixes the number of distinct prompt prefixes of each customer; 0 for none
+ * @param prefixWords the number of words of each shared prefix
+ * @param promptWords the number of words after the prefix
+ * @param minTokens the shortest requested answer, in tokens
+ * @param maxTokens the longest requested answer, in tokens
  */
 public record RequestKind(
         String name,
@@ -27,7 +28,7 @@
         int minTokens,
         int maxTokens) {
 
-    /** Checks every part. */
+    /** Checks the values. */
     public RequestKind {
         Arguments.requireText(name, "name");
         Objects.requireNonNull(style, "style");
@@ -41,10 +42,10 @@
     }
 
     /**
-     * Starts a builder.
+     * Creates a builder.
      *
      * @param name the kind's name in results
-     * @param style how it is sent and answered
+     * @param style the type of target and answer
      * @return the builder
      */
     public static Builder builder(final String name, final CallStyle style) {
@@ -70,35 +71,38 @@
             mStyle = style;
         }
 
-        /** Sets the model reference or the service and path; required. */
+        /** Sets the model reference or {@code service/path}; required. */
         public Builder target(final String target) {
             mTarget = target;
             return this;
         }
 
-        /** Sets the share of the requests; 1 by default. */
+        /** Sets the weight among the kinds; 1 by default. */
         public Builder weight(final int weight) {
             mWeight = weight;
             return this;
         }
 
-        /** Sets how many prefixes are shared and how many words each has; none by default. */
+        /** Sets the number of shared prefixes and the words of each; none by default. */
         public Builder prefixes(final int count, final int words) {
             mSharedPrefixes = count;
             mPrefixWords = words;
             return this;
         }
 
-        /** Sets the words after the prefix; 12 by default. */
+        /** Sets the number of words after the prefix; 12 by default. */
         public Builder promptWords(final int promptWords) {
             mPromptWords = promptWords;
             return this;
         }
 
-        /** Sets the shortest and the longest answer; none for a plain service. */
-        public Builder tokens(final int least, final int most) {
-            mMinTokens = least;
-            mMaxTokens = most;
+        /**
+         * Sets the shortest and longest requested answer in tokens; 0 by default, for plain
+         * services.
+         */
+        public Builder tokens(final int min, final int max) {
+            mMinTokens = min;
+            mMaxTokens = max;
             return this;
         }
 
--- a/standins/src/main/java/org/whinhead/standins/load/mix/RequestPlanner.java
+++ b/standins/src/main/java/org/whinhead/standins/load/mix/RequestPlanner.java
@@ -8,7 +8,9 @@
 import java.util.function.ToIntFunction;
 import org.whinhead.api.request.RequestId;
 
-/** Draws requests from a mix; the same seed gives the same requests. Single-threaded. */
+/**
+ * Generates random requests of a workload; the same seed gives the same requests. Not thread-safe.
+ */
 public final class RequestPlanner {
 
     private static final int VOCABULARY_SIZE = 1 << 18;
@@ -19,17 +21,17 @@
     private final SplittableRandom mRandom;
 
     /**
-     * Makes a planner.
+     * Creates a planner.
      *
-     * @param mix who calls and what they ask for
-     * @param seed the seed of every choice
+     * @param workload the customers and kinds of request
+     * @param seed the seed of all random choices
      */
-    public RequestPlanner(final Workload mix, final long seed) {
-        mWorkload = Objects.requireNonNull(mix, "mix");
+    public RequestPlanner(final Workload workload, final long seed) {
+        mWorkload = Objects.requireNonNull(workload, "mix");
         mRandom = new SplittableRandom(seed);
     }
 
-    /** Draws the next request. */
+    /** Returns the next request. */
     public PlannedRequest next() {
         final LoadCustomer customer = drawWeighted(mWorkload.customers(), LoadCustomer::weight);
         final RequestKind kind = drawWeighted(mWorkload.kinds(), RequestKind::weight);
@@ -57,20 +59,20 @@
 
     private static String words(final SplittableRandom random, final int count) {
         final StringBuilder text = new StringBuilder();
-        for (int word = 0; word < count; word++) {
+        for (int index = 0; index < count; index++) {
             text.append(Integer.toString(random.nextInt(VOCABULARY_SIZE), RADIX)).append(' ');
         }
         return text.toString().trim();
     }
 
     private <T> T drawWeighted(final List<T> choices, final ToIntFunction<T> weight) {
-        int rest = mRandom.nextInt(choices.stream().mapToInt(weight).sum());
+        int remainingWeight = mRandom.nextInt(choices.stream().mapToInt(weight).sum());
         for (final T choice : choices) {
-            rest -= weight.applyAsInt(choice);
-            if (rest < 0) {
+            remainingWeight -= weight.applyAsInt(choice);
+            if (remainingWeight < 0) {
                 return choice;
             }
         }
-        throw new IllegalStateException("the weights do not add up");
+        throw new IllegalStateException("no choice for the drawn weight");
     }
 }
--- a/standins/src/main/java/org/whinhead/standins/load/mix/Workload.java
+++ b/standins/src/main/java/org/whinhead/standins/load/mix/Workload.java
@@ -6,15 +6,15 @@
 import org.whinhead.api.Arguments;
 
 /**
- * Who calls and what they ask for.
+ * The customers and the kinds of request of a load run.
  *
- * @param name the mix's name
- * @param customers the customers, with their shares
- * @param kinds the kinds of request, with their shares
+ * @param name the name of the workload
+ * @param customers the customers with their weights; at least one
+ * @param kinds the kinds of request with their weights; at least one
  */
 public record Workload(String name, List<LoadCustomer> customers, List<RequestKind> kinds) {
 
-    /** Checks every part and copies the lists. */
+    /** Checks the values and copies the lists. */
     public Workload {
         Arguments.requireText(name, "name");
         customers = List.copyOf(customers);
@@ -23,7 +23,7 @@
         Arguments.requireAtLeast(kinds.size(), 1, "kinds");
     }
 
-    /** Returns the model references that the mix asks for. */
+    /** Returns the references of the models that receive requests. */
     public Set<String> models() {
         return kinds.stream()
                 .filter(kind -> !kind.style().isPlainService())
@@ -31,7 +31,7 @@
                 .collect(Collectors.toUnmodifiableSet());
     }
 
-    /** Returns the plain services that the mix calls. */
+    /** Returns the names of the plain services that receive requests. */
     public Set<String> services() {
         return kinds.stream()
                 .filter(kind -> kind.style().isPlainService())
--- a/standins/src/main/java/org/whinhead/standins/load/mix/package-info.java
+++ b/standins/src/main/java/org/whinhead/standins/load/mix/package-info.java
@@ -1,2 +1,2 @@
-/** What the callers of each deployment ask for, as data, and the seeded plan of their requests. */
+/** The workload of each deployment, as data, and the seeded generation of its requests. */
 package org.whinhead.standins.load.mix;
--- a/standins/src/main/java/org/whinhead/standins/load/package-info.java
+++ b/standins/src/main/java/org/whinhead/standins/load/package-info.java
@@ -1,2 +1,2 @@
-/** The load program: plays a deployment's callers against daemons and accounts for each request. */
+/** The load generator: sends the requests of a workload to daemons and verifies each answer. */
 package org.whinhead.standins.load;
--- a/standins/src/main/java/org/whinhead/standins/load/result/AnswerFault.java
+++ b/standins/src/main/java/org/whinhead/standins/load/result/AnswerFault.java
@@ -1,13 +1,13 @@
 package org.whinhead.standins.load.result;
 
-/** What is wrong with an answer. */
+/** The reason why an answer is wrong. */
 public enum AnswerFault {
-    /** A token never came. */
+    /** A token is missing. */
     MISSING,
-    /** A token came twice, or a call that must not be repeated ran twice. */
+    /** A token was received twice, or a non-idempotent request ran twice. */
     DOUBLED,
-    /** A token or an answer belongs to another request, or to no place of this answer. */
+    /** A token or an answer is not part of the expected answer, or cannot be parsed. */
     FOREIGN,
-    /** Tokens came, and then the daemon said that the request did not run. */
+    /** The daemon reported "not run" after it delivered tokens. */
     FALSE_VERDICT
 }
--- a/standins/src/main/java/org/whinhead/standins/load/result/LatencyDistribution.java
+++ b/standins/src/main/java/org/whinhead/standins/load/result/LatencyDistribution.java
@@ -5,13 +5,13 @@
 import org.HdrHistogram.AbstractHistogram;
 import org.HdrHistogram.Histogram;
 
-/** An unchanging histogram of times, in microseconds. */
+/** An immutable histogram of latencies, in microseconds. */
 public final class LatencyDistribution {
 
     private final Histogram mMicros;
 
     /**
-     * Copies a histogram.
+     * Creates a distribution from a copy of a histogram.
      *
      * @param micros times in microseconds
      */
@@ -21,7 +21,7 @@
     }
 
     /**
-     * Returns what was recorded after an earlier copy of the same histogram was made.
+     * Returns the times recorded after an earlier copy of the same histogram.
      *
      * @param earlier the earlier copy
      * @return the difference
@@ -32,29 +32,29 @@
         return new LatencyDistribution(difference);
     }
 
-    /** Returns how many times were recorded. */
+    /** Returns the number of recorded times. */
     public long count() {
         return mMicros.getTotalCount();
     }
 
     /**
-     * Returns the time that a share of all times does not exceed.
+     * Returns a percentile of the recorded times.
      *
-     * @param percent the share, for example 95
-     * @return the time; zero if none was recorded
+     * @param percent the percentile from 0 to 100, for example 95
+     * @return the time; zero if no time was recorded
      */
     public Duration percentile(final double percent) {
         return Duration.of(
                 mMicros.getValueAtPercentile(percent), TimeUnit.MICROSECONDS.toChronoUnit());
     }
 
-    /** Returns the longest time; zero if none was recorded. */
+    /** Returns the longest time; zero if no time was recorded. */
     public Duration max() {
         return Duration.of(mMicros.getMaxValue(), TimeUnit.MICROSECONDS.toChronoUnit());
     }
 
     /**
-     * Returns the share of times that are within a bound.
+     * Returns the share of times that do not exceed a bound.
      *
      * @param bound the bound
      * @return the share from 0 to 1; 1 if no time was recorded
@@ -67,7 +67,7 @@
         return (double) mMicros.getCountBetweenValues(0, micros) / count();
     }
 
-    /** Returns a copy of the histogram, in microseconds, to be merged with others. */
+    /** Returns a copy of the histogram, in microseconds, for merging with others. */
     public Histogram histogram() {
         return mMicros.copy();
     }
--- a/standins/src/main/java/org/whinhead/standins/load/result/LoadResult.java
+++ b/standins/src/main/java/org/whinhead/standins/load/result/LoadResult.java
@@ -10,15 +10,15 @@
 import java.util.stream.Collectors;
 
 /**
- * What the callers of a run saw.
+ * The results and latencies of a load run.
  *
- * @param deployment the name of the mix
- * @param elapsed from the first intended start to the last end
+ * @param deployment the name of the workload
+ * @param elapsed the time from the start of the run to this result
  * @param requests one result for each request, in the order in which they ended
- * @param firstToken times from the intended start to the first token
- * @param betweenTokens times between two tokens of one answer
- * @param firstTokenByTier times from the intended start to the first token, for each tier
- * @param latencyByKind times from the intended start to a whole answer, for each kind of request
+ * @param timeToFirstToken times from the intended start to the first token
+ * @param timeBetweenTokens times between two consecutive tokens of one answer
+ * @param timeToFirstTokenByTier times from the intended start to the first token, by tier
+ * @param latencyByKind times from the intended start to the complete answer, by kind of request
  */
 public record LoadResult(
         String deployment,
@@ -29,7 +29,7 @@
         Map<String, LatencyDistribution> timeToFirstTokenByTier,
         Map<String, LatencyDistribution> latencyByKind) {
 
-    /** Checks every part and copies the collections. */
+    /** Checks that no component is null and copies the collections. */
     public LoadResult {
         Objects.requireNonNull(deployment, "deployment");
         Objects.requireNonNull(elapsed, "elapsed");
@@ -41,45 +41,45 @@
     }
 
     /**
-     * Counts the requests that ended in one way.
+     * Returns the number of requests with an outcome.
      *
-     * @param outcome the way
-     * @return how many
+     * @param outcome the outcome
+     * @return the number of requests
      */
     public long count(final Outcome outcome) {
         return requests.stream().filter(result -> result.outcome() == outcome).count();
     }
 
-    /** Returns how many requests a daemon took. */
+    /** Returns the number of requests that a daemon accepted. */
     public long accepted() {
         return requests.stream().filter(RequestResult::accepted).count();
     }
 
-    /** Returns how many times requests were sent with a ticket. */
+    /** Returns the number of attempts that carried a ticket. */
     public long resumes() {
         return requests.stream().mapToLong(RequestResult::resumes).sum();
     }
 
-    /** Returns how many right tokens reached the callers. */
+    /** Returns the number of correct tokens received. */
     public long tokens() {
         return requests.stream().mapToLong(RequestResult::tokens).sum();
     }
 
-    /** Returns how many requests of each tier were completed. */
+    /** Returns the number of completed requests of each tier. */
     public Map<String, Long> completedByTier() {
         return requests.stream()
                 .filter(result -> result.outcome() == Outcome.COMPLETED)
                 .collect(groupAndCount(result -> result.request().customer().tier()));
     }
 
-    /** Returns how many answers have each fault. */
+    /** Returns the number of wrong answers by the name of the fault. */
     public Map<String, Long> faults() {
         return requests.stream()
                 .filter(result -> result.fault().isPresent())
                 .collect(groupAndCount(result -> result.fault().get().name()));
     }
 
-    /** Returns how many requests that were not completed ended with each error code. */
+    /** Returns the number of requests that were not completed, by error code. */
     public Map<String, Long> errorCodes() {
         return requests.stream()
                 .filter(result -> result.outcome() != Outcome.COMPLETED)
@@ -87,12 +87,12 @@
                 .collect(groupAndCount(RequestResult::errorCode));
     }
 
-    /** Returns the requests that must not run twice, with their idempotency keys. */
+    /** Returns the results of the non-idempotent requests, which have an idempotency key. */
     public List<RequestResult> nonIdempotentResults() {
         return requests.stream().filter(result -> result.idempotencyKey().isPresent()).toList();
     }
 
-    /** Tells whether no request was lost or answered wrongly, and some request was completed. */
+    /** Returns whether no request was lost or answered wrongly and at least one was completed. */
     public boolean isGuaranteeKept() {
         return count(Outcome.COMPLETED) > 0
                 && requests.stream().noneMatch(result -> result.outcome().violatesGuarantee());
--- a/standins/src/main/java/org/whinhead/standins/load/result/Outcome.java
+++ b/standins/src/main/java/org/whinhead/standins/load/result/Outcome.java
@@ -2,30 +2,30 @@
 
 import java.util.Locale;
 
-/** How a request ended for its caller. */
+/** The way in which a request ended for its caller. */
 public enum Outcome {
-    /** The whole answer came, and it is the right one. */
+    /** The answer is complete and correct. */
     COMPLETED(false),
-    /** A daemon said that the request did not run, and no try contradicts it. */
+    /** A daemon reported that the request did not run, and it ran in no other attempt. */
     REFUSED_NOT_RUN(false),
-    /** It failed, and it may have run. */
+    /** The request failed and may have run. */
     FAILED_MAY_HAVE_RUN(false),
-    /** It ran, and its final answer was an error. */
+    /** The request ran, and its final answer is an error. */
     FAILED_RAN(false),
-    /** No daemon could be connected to before the deadline, so nothing was sent. */
+    /** No daemon was reachable before the deadline, so nothing was sent. */
     UNREACHED(false),
-    /** A daemon took it, and no whole answer came though one was owed. */
+    /** No complete answer arrived although a daemon accepted the request or may have. */
     LOST(true),
-    /** A token was missing, doubled or foreign, or a verdict was false. */
+    /** A token is missing, doubled or foreign, or a verdict is false. */
     WRONG(true);
 
     private final boolean mViolatesGuarantee;
 
-    Outcome(final boolean breaksPromise) {
-        mViolatesGuarantee = breaksPromise;
+    Outcome(final boolean violatesGuarantee) {
+        mViolatesGuarantee = violatesGuarantee;
     }
 
-    /** Tells whether the system broke its promise to the caller. */
+    /** Returns whether the outcome violates the delivery guarantee: the answer is lost or wrong. */
     public boolean violatesGuarantee() {
         return mViolatesGuarantee;
     }
--- a/standins/src/main/java/org/whinhead/standins/load/result/RequestResult.java
+++ b/standins/src/main/java/org/whinhead/standins/load/result/RequestResult.java
@@ -6,18 +6,18 @@
 import org.whinhead.standins.load.mix.PlannedRequest;
 
 /**
- * What became of one request, as its caller saw it.
+ * The result of one request at its caller.
  *
  * @param request the request
- * @param outcome how it ended
- * @param accepted whether a daemon took it: an answer began, or a final answer came
- * @param attempts how many times it was sent
- * @param resumes how many of those carried a ticket
- * @param tokens how many right tokens came
- * @param fault what is wrong with the answer, if anything
- * @param errorCode the last refusal's code; empty if there was none
- * @param latency from the intended start to the end
- * @param firstToken from the intended start to the first token, if one came
+ * @param outcome the way in which the request ended
+ * @param accepted whether a daemon accepted the request: an answer started or the request ran
+ * @param attempts the number of times the request was sent
+ * @param resumes the number of attempts that carried a ticket
+ * @param tokens the number of correct tokens received
+ * @param fault the fault of the answer, if it is wrong
+ * @param errorCode the code of the last refusal; empty if there was none
+ * @param latency the time from the intended start to the end
+ * @param firstToken the time from the intended start to the first token, if any
  */
 public record RequestResult(
         PlannedRequest request,
@@ -31,7 +31,7 @@
         Duration latency,
         Optional<Duration> timeToFirstToken) {
 
-    /** Checks every part. */
+    /** Checks that no component is null. */
     public RequestResult {
         Objects.requireNonNull(request, "request");
         Objects.requireNonNull(outcome, "outcome");
@@ -42,8 +42,8 @@
     }
 
     /**
-     * Returns the idempotency key that was sent, if the request must not be repeated; it equals the
-     * request's identity.
+     * Returns the idempotency key of a non-idempotent request; it equals the request id. Empty for
+     * an idempotent request.
      */
     public Optional<String> idempotencyKey() {
         return request.kind().style().isIdempotent()
@@ -52,10 +52,10 @@
     }
 
     /**
-     * Starts a builder.
+     * Creates a builder.
      *
      * @param request the request
-     * @param outcome how it ended
+     * @param outcome the way in which the request ended
      * @return the builder
      */
     public static Builder builder(final PlannedRequest request, final Outcome outcome) {
@@ -80,32 +80,32 @@
             mOutcome = outcome;
         }
 
-        /** Sets whether a daemon took it; false by default. */
+        /** Sets whether a daemon accepted the request; false by default. */
         public Builder accepted(final boolean accepted) {
             mAccepted = accepted;
             return this;
         }
 
-        /** Sets how many times it was sent, and how many of those with a ticket. */
+        /** Sets the number of attempts and how many of them carried a ticket; 0 by default. */
         public Builder attempts(final int attempts, final int resumes) {
             mAttempts = attempts;
             mResumes = resumes;
             return this;
         }
 
-        /** Sets how many right tokens came; 0 by default. */
+        /** Sets the number of correct tokens received; 0 by default. */
         public Builder tokens(final int tokens) {
             mTokens = tokens;
             return this;
         }
 
-        /** Sets what is wrong with the answer; nothing by default. */
+        /** Sets the fault of the answer; none by default. */
         public Builder fault(final Optional<AnswerFault> fault) {
             mFault = fault;
             return this;
         }
 
-        /** Sets the last refusal's code; empty by default. */
+        /** Sets the code of the last refusal; empty by default. */
         public Builder errorCode(final String errorCode) {
             mErrorCode = errorCode;
             return this;
--- a/standins/src/main/java/org/whinhead/standins/load/result/package-info.java
+++ b/standins/src/main/java/org/whinhead/standins/load/result/package-info.java
@@ -1,2 +1,2 @@
-/** What the callers saw: one result for each request, and the totals of a run. */
+/** The results of a load run: one for each request, and the totals. */
 package org.whinhead.standins.load.result;
