--- a/standins/src/test/java/org/whinhead/standins/load/ArrivalTimesTest.java
+++ b/standins/src/test/java/org/whinhead/standins/load/ArrivalTimesTest.java
@@ -6,7 +6,7 @@
 import java.util.concurrent.TimeUnit;
 import org.junit.jupiter.api.Test;
 
-/** Arrivals of the open loop. */
+/** Order and mean rate of the arrivals of the open loop. */
 final class ArrivalTimesTest {
 
     private static final int PER_SECOND = 100;
--- a/standins/src/test/java/org/whinhead/standins/load/LoadRunTest.java
+++ b/standins/src/test/java/org/whinhead/standins/load/LoadRunTest.java
@@ -19,12 +19,12 @@
 import org.whinhead.standins.load.result.Outcome;
 import org.whinhead.standins.load.result.RequestResult;
 
-/** Whole runs, in the process and by the command line. */
+/** Complete load runs, through the API and through the command line. */
 final class LoadRunTest {
 
     private static final int MIN_STARTED_REQUESTS = 40;
 
-    /** The demo stops a run early, and needs every request and key accounted for. */
+    /** A run that is stopped early, as by the demo, must report every request and key. */
     @Test
     void stoppedRunReportsEveryRequest() throws Exception {
         final CountDownLatch started = new CountDownLatch(MIN_STARTED_REQUESTS);
@@ -43,10 +43,10 @@
                             .build();
             final CompletableFuture<LoadResult> future = run.start();
             started.await(1, TimeUnit.MINUTES);
-            final JsonNode soFar =
+            final JsonNode partial =
                     new ObjectMapper().readTree(new LoadReport(run.currentResult(), true).json());
-            assertThat(soFar.path("partial").asBoolean()).isTrue();
-            assertThat(soFar.path("completed").asInt()).isPositive();
+            assertThat(partial.path("partial").asBoolean()).isTrue();
+            assertThat(partial.path("completed").asInt()).isPositive();
             run.stop();
             final LoadResult result = future.get(1, TimeUnit.MINUTES);
             assertThat(result.requests()).hasSameSizeAs(daemon.calls());
@@ -82,12 +82,10 @@
         }
     }
 
-    /**
-     * An operator's script relies on the exit status: a wrong answer must not look like success.
-     */
+    /** Scripts rely on the exit status, so a wrong answer must not give the status of success. */
     @Test
     void commandFailsIfAnAnswerIsWrong() throws Exception {
-        final ScriptedDaemon.Script endsEarly =
+        final ScriptedDaemon.Script omitsLastToken =
                 call -> {
                     if (call.body().path("stream").asBoolean()) {
                         call.sendTokens(0, call.maxTokens() - 1).endStream();
@@ -95,7 +93,7 @@
                         answer(call);
                     }
                 };
-        try (ScriptedDaemon daemon = new ScriptedDaemon(endsEarly)) {
+        try (ScriptedDaemon daemon = new ScriptedDaemon(omitsLastToken)) {
             final Command command = new Command("--target", daemon.uri().toString(), "--json");
             assertThat(command.status()).isEqualTo(LoadMain.EXIT_FAILURE);
             assertThat(command.json().path("faults").path("MISSING").asInt())
@@ -130,7 +128,7 @@
         }
     }
 
-    /** One call of the command, of one second. */
+    /** One execution of the command, with a duration of one second. */
     private static final class Command {
         private final ByteArrayOutputStream mOut = new ByteArrayOutputStream();
         private final ByteArrayOutputStream mErrors = new ByteArrayOutputStream();
--- a/standins/src/test/java/org/whinhead/standins/load/ScriptedDaemon.java
+++ b/standins/src/test/java/org/whinhead/standins/load/ScriptedDaemon.java
@@ -19,10 +19,10 @@
 import java.util.stream.Collectors;
 import org.whinhead.standins.answer.ExpectedAnswer;
 
-/** A daemon whose answers a test writes; each call takes the next script, the last one stays. */
+/** A daemon with scripted answers; each request runs the next script, and the last one repeats. */
 public final class ScriptedDaemon implements AutoCloseable {
 
-    /** What the daemon does with one call. */
+    /** Answers one request. */
     public interface Script {
         void answer(ReceivedRequest call) throws IOException;
     }
@@ -59,14 +59,14 @@
         mAddresses.add(uri());
     }
 
-    /** Starts a daemon that only names another address. */
+    /** Starts a daemon whose address query returns only the given address. */
     public static ScriptedDaemon withAddress(final URI address) {
         final ScriptedDaemon daemon = new ScriptedDaemon();
         daemon.mAddresses.set(0, address);
         return daemon;
     }
 
-    /** Starts another daemon with the same scripts, calls and addresses. */
+    /** Starts another daemon that shares the scripts, recorded requests and addresses. */
     public ScriptedDaemon startPeer() {
         return new ScriptedDaemon(mScripts, mCalls, mAddresses);
     }
@@ -100,11 +100,11 @@
 
     private String addresses() {
         return mAddresses.stream()
-                .map(one -> "{\"uri\":\"" + one + "\",\"domain\":\"d\"}")
+                .map(address -> "{\"uri\":\"" + address + "\",\"domain\":\"d\"}")
                 .collect(Collectors.joining(",", "{\"keepMillis\":60000,\"addresses\":[", "]}"));
     }
 
-    /** One call that arrived. */
+    /** A request that the daemon received. */
     public static final class ReceivedRequest {
         private final URI mDaemon;
         private final HttpServerExchange mExchange;
@@ -140,7 +140,8 @@
 
         public String prompt() {
             final List<String> contents = new ArrayList<>();
-            mBody.path("messages").forEach(one -> contents.add(one.path("content").asText()));
+            mBody.path("messages")
+                    .forEach(message -> contents.add(message.path("content").asText()));
             return String.join("\n", contents);
         }
 
@@ -156,7 +157,7 @@
             write(errorJson(code, verdict, ",\"retryAfterMillis\":20"));
         }
 
-        /** Refuses without a time to come back. */
+        /** Refuses without a retry pause. */
         public void refuseWithoutRetry(final int status, final String verdict, final String code)
                 throws IOException {
             mExchange.setStatusCode(status);
@@ -164,10 +165,10 @@
             write(errorJson(code, verdict, ""));
         }
 
-        /** Sends the right tokens from one index to before another. */
-        public ReceivedRequest sendTokens(final int from, final int end) throws IOException {
+        /** Streams the correct tokens from one index (inclusive) to another (exclusive). */
+        public ReceivedRequest sendTokens(final int from, final int to) throws IOException {
             setHeader("Content-Type", "text/event-stream");
-            for (int index = from; index < end; index++) {
+            for (int index = from; index < to; index++) {
                 sendToken(index, ExpectedAnswer.token(prompt(), index));
             }
             return this;
@@ -200,19 +201,19 @@
             return this;
         }
 
-        /** Breaks the connection, as the death of the daemon does. */
+        /** Closes the connection at once, as when the daemon dies. */
         public void breakConnection() throws IOException {
             mExchange.getConnection().close();
         }
 
         private static String errorJson(
-                final String code, final String verdict, final String more) {
+                final String code, final String verdict, final String extraFields) {
             return "{\"error\":{\"code\":\""
                     + code
                     + "\",\"verdict\":\""
                     + verdict
                     + "\",\"message\":\"\""
-                    + more
+                    + extraFields
                     + "}}";
         }
     }
--- a/standins/src/test/java/org/whinhead/standins/load/caller/LoadClientFailoverTest.java
+++ b/standins/src/test/java/org/whinhead/standins/load/caller/LoadClientFailoverTest.java
@@ -22,7 +22,7 @@
 import org.whinhead.standins.load.result.Outcome;
 import org.whinhead.standins.load.result.RequestResult;
 
-/** What callers do when a daemon is lost, and what they make of it in the end. */
+/** Failover of {@link LoadClient} after the loss of a daemon, and the resulting outcomes. */
 final class LoadClientFailoverTest {
 
     private static final ScriptedDaemon.Script BROKEN_HALFWAY =
@@ -32,8 +32,8 @@
                             .breakConnection();
 
     /**
-     * A clerk reads a summary as it is written; its daemon dies after half of it. The caller takes
-     * another address and shows the ticket; it must get the other half, and no token twice.
+     * A daemon dies after half of a streamed answer. The caller must resume at another address with
+     * the ticket and receive the other half without repeated tokens.
      */
     @Test
     void resumesBrokenStreamAtAnotherAddress() throws Exception {
@@ -58,8 +58,8 @@
     }
 
     /**
-     * The stream moves to another engine, so a new ticket comes in a comment; then the daemon says
-     * that it stops. The caller must come back with the newer ticket.
+     * The stream moves to another engine, so a comment carries a new ticket; then the daemon
+     * reports that it is stopping. The retry must carry the newer ticket.
      */
     @Test
     void sendsNewestTicketAfterDaemonStops() throws Exception {
@@ -76,8 +76,8 @@
     }
 
     /**
-     * A filing's connection breaks before the answer. The caller asks again with the same key and
-     * hears that it was claimed: it may have been filed, so nothing new is sent.
+     * The connection of a non-idempotent request breaks before the answer. The retry with the same
+     * key is refused as already claimed: the request may have run, so it must not run again.
      */
     @Test
     void retriesNonIdempotentRequestWithSameKey() throws Exception {
@@ -100,8 +100,8 @@
     }
 
     /**
-     * A filing is cut, and the next daemons refuse it with "not run", which is true of their own
-     * tries only. The caller must not believe that it was never filed.
+     * The connection of a non-idempotent request breaks, and the retry is refused with "not run",
+     * which applies to that attempt only. The request must not be reported as not run.
      */
     @Test
     void reportsMayHaveRunIfRefusedAfterBrokenConnection() throws Exception {
@@ -115,8 +115,8 @@
     }
 
     /**
-     * A summary that could be made again fails half way, is cut and refused until the clerk's
-     * cut-off, or never ends: it was accepted, so it is lost.
+     * An accepted idempotent request fails halfway, or breaks halfway and is then refused. It must
+     * count as lost.
      */
     @Test
     void reportsAcceptedAnswerWithoutEndAsLost() throws Exception {
@@ -133,54 +133,61 @@
     }
 
     /**
-     * The clerk's cut-off passes while a daemon has the request. If its refusal is on its way, the
-     * request counts as refused; if nothing but broken connections come, it is lost.
+     * The deadline passes while a daemon has the request. If a refusal arrives within the grace
+     * period, the request counts as refused; if the connection breaks, it is lost.
      */
     @Test
     void usesLastVerdictAtDeadline() throws Exception {
-        final CountDownLatch late = new CountDownLatch(1);
+        final CountDownLatch deadlinePassed = new CountDownLatch(1);
         final ScriptedDaemon.Script refusedLate =
                 call -> {
-                    awaitQuietly(late);
+                    awaitQuietly(deadlinePassed);
                     OVERLOADED.answer(call);
                 };
-        assertThat(callPastDeadline(refusedLate, late).outcome())
+        assertThat(callPastDeadline(refusedLate, deadlinePassed).outcome())
                 .isEqualTo(Outcome.REFUSED_NOT_RUN);
         assertThat(
-                        callPastDeadline(ScriptedDaemon.ReceivedRequest::breakConnection, late)
+                        callPastDeadline(
+                                        ScriptedDaemon.ReceivedRequest::breakConnection,
+                                        deadlinePassed)
                                 .outcome())
                 .isEqualTo(Outcome.LOST);
     }
 
     private static RequestResult callPastDeadline(
-            final ScriptedDaemon.Script script, final CountDownLatch late) throws Exception {
+            final ScriptedDaemon.Script script, final CountDownLatch deadlinePassed)
+            throws Exception {
         final CountDownLatch arrived = new CountDownLatch(1);
-        final ScriptedDaemon.Script watched =
+        final ScriptedDaemon.Script signaled =
                 call -> {
                     arrived.countDown();
                     script.answer(call);
                 };
-        final ManualScheduler timers = new ManualScheduler();
-        try (ScriptedDaemon daemon = new ScriptedDaemon(watched)) {
-            final Duration patience = Duration.ofHours(1);
+        final ManualScheduler scheduler = new ManualScheduler();
+        try (ScriptedDaemon daemon = new ScriptedDaemon(signaled)) {
+            final Duration idleLimit = Duration.ofHours(1);
             final CallerConfig config =
-                    CallerConfig.of(List.of(daemon.uri())).withTimeouts(patience, patience);
-            try (LoadClient callers =
+                    CallerConfig.of(List.of(daemon.uri())).withTimeouts(idleLimit, idleLimit);
+            try (LoadClient client =
                     new LoadClient(
-                            config, new LoadClientFixture.NoOpCallObserver(), timers, 1, timers)) {
+                            config,
+                            new LoadClientFixture.NoOpCallObserver(),
+                            scheduler,
+                            1,
+                            scheduler)) {
                 final CompletableFuture<RequestResult> result =
-                        callers.call(request(CallStyle.PLAIN), timers.getAsLong());
+                        client.call(request(CallStyle.PLAIN), scheduler.getAsLong());
                 arrived.await(1, TimeUnit.MINUTES);
-                timers.advance(config.deadline());
-                late.countDown();
+                scheduler.advance(config.deadline());
+                deadlinePassed.countDown();
                 return result.get(1, TimeUnit.MINUTES);
             }
         }
     }
 
     /**
-     * A daemon's VM is paused in the middle of a stream: the connection stays open and nothing
-     * comes. The caller must go to another daemon before its deadline.
+     * The VM of a daemon is paused during a stream, so the connection stays open without data. The
+     * caller must resume at another daemon before its deadline.
      */
     @Test
     void resumesIdleStreamAtAnotherAddress() throws Exception {
@@ -204,13 +211,13 @@
         }
     }
 
-    /** Nobody listens at the only address: nothing was sent, so nothing can have run. */
+    /** No daemon listens at the only address, so nothing was sent and nothing can have run. */
     @Test
     void reportsUnreachableAddress() throws Exception {
-        final ScriptedDaemon gone = new ScriptedDaemon(REMAINING_TOKENS);
+        final ScriptedDaemon closed = new ScriptedDaemon(REMAINING_TOKENS);
         final CallerConfig config =
-                CallerConfig.of(List.of(gone.uri())).withDeadline(Duration.ofMillis(100));
-        gone.close();
+                CallerConfig.of(List.of(closed.uri())).withDeadline(Duration.ofMillis(100));
+        closed.close();
         assertThat(call(config, CallStyle.PLAIN_ONCE).outcome()).isEqualTo(Outcome.UNREACHED);
     }
 
--- a/standins/src/test/java/org/whinhead/standins/load/caller/LoadClientFixture.java
+++ b/standins/src/test/java/org/whinhead/standins/load/caller/LoadClientFixture.java
@@ -11,7 +11,7 @@
 import org.whinhead.standins.load.mix.RequestKind;
 import org.whinhead.standins.load.result.RequestResult;
 
-/** Sends one request to daemons of a test. */
+/** Sends single requests to scripted daemons and defines common scripts. */
 final class LoadClientFixture {
 
     static final int TOKEN_COUNT = 8;
@@ -44,9 +44,9 @@
     static RequestResult call(
             final CallerConfig config, final CallStyle style, final long startedAt)
             throws Exception {
-        try (LoadClient callers =
+        try (LoadClient client =
                 new LoadClient(config, new NoOpCallObserver(), System::nanoTime, 1)) {
-            return callers.call(request(style), startedAt).get(1, TimeUnit.MINUTES);
+            return client.call(request(style), startedAt).get(1, TimeUnit.MINUTES);
         }
     }
 
@@ -61,16 +61,16 @@
                 style.isPlainService() ? 0 : TOKEN_COUNT);
     }
 
-    /** Ignores what callers see. */
+    /** Ignores all measurements. */
     static final class NoOpCallObserver implements CallObserver {
         @Override
-        public void onTokenInterval(final Duration gap) {
-            // Not looked at here.
+        public void onTokenInterval(final Duration interval) {
+            // Not verified.
         }
 
         @Override
         public void onRequestEnded(final RequestResult result) {
-            // The future tells the same.
+            // The future has the same result.
         }
     }
 }
--- a/standins/src/test/java/org/whinhead/standins/load/caller/LoadClientTest.java
+++ b/standins/src/test/java/org/whinhead/standins/load/caller/LoadClientTest.java
@@ -24,7 +24,7 @@
 import org.whinhead.standins.service.ServiceConfig;
 import org.whinhead.standins.service.ServiceStandIn;
 
-/** What callers make of answers and refusals. */
+/** Verification of answers and retries of refused requests by {@link LoadClient}. */
 final class LoadClientTest {
 
     private static final EngineConfig ENGINE =
@@ -45,8 +45,8 @@
     }
 
     /**
-     * A resumed stream repeats the last token, leaves one out, brings one of another answer, ends
-     * early, or says "not run" after tokens came: the caller holds a wrong answer each time.
+     * A stream repeats a token, omits one, contains one of another answer, ends early or is too
+     * long, or reports "not run" after tokens. Each must be reported as its own fault.
      */
     @Test
     void reportsTheFaultOfEachWrongAnswer() throws Exception {
@@ -88,7 +88,10 @@
                 .contains(AnswerFault.FALSE_VERDICT);
     }
 
-    /** A daemon under load refuses with "not run" and a time; the caller comes back then. */
+    /**
+     * An overloaded daemon refuses with "not run" and a retry pause; the caller must retry after
+     * it.
+     */
     @Test
     void retriesRefusedRequestAfterRequestedPause() throws Exception {
         try (ScriptedDaemon daemon =
@@ -108,45 +111,46 @@
     }
 
     /**
-     * The load program itself was held up, so a request left after the time it was due. A caller
-     * would have waited all that time; leaving it out would hide it.
+     * The load program was delayed and sent a request late. Latency from the time of sending would
+     * hide the delay (coordinated omission).
      */
     @Test
     void measuresLatencyFromIntendedStart() throws Exception {
-        final Duration heldUp = Duration.ofSeconds(5);
+        final Duration delay = Duration.ofSeconds(5);
         try (ScriptedDaemon daemon = new ScriptedDaemon(REMAINING_TOKENS)) {
             final CallerConfig config = CallerConfig.of(List.of(daemon.uri()));
-            final long due = System.nanoTime() - heldUp.toNanos();
+            final long due = System.nanoTime() - delay.toNanos();
             final RequestResult result = call(config, CallStyle.STREAMED, due);
-            assertThat(result.latency()).isGreaterThanOrEqualTo(heldUp);
-            assertThat(result.timeToFirstToken().orElseThrow()).isGreaterThanOrEqualTo(heldUp);
+            assertThat(result.latency()).isGreaterThanOrEqualTo(delay);
+            assertThat(result.timeToFirstToken().orElseThrow()).isGreaterThanOrEqualTo(delay);
         }
     }
 
     /**
-     * A daemon that stops hands a whole answer's ticket back with its refusal; and a filing's
-     * answer tells that it ran twice, or that it is another caller's.
+     * A stopping daemon returns a ticket with its refusal, which the retry must carry. The answer
+     * of a plain service shows that the request ran twice or that it belongs to another caller.
      */
     @Test
     void sendsTicketOfRefusalAndVerifiesPlainAnswers() throws Exception {
-        final ScriptedDaemon.Script handedBack =
+        final ScriptedDaemon.Script refusedWithTicket =
                 call ->
                         call.setHeader("X-Whinhead-Ticket", "back")
                                 .refuse(503, "may-have-run", "stopping");
         try (ScriptedDaemon daemon =
-                new ScriptedDaemon(handedBack, ScriptedDaemon.ReceivedRequest::answerWhole)) {
+                new ScriptedDaemon(
+                        refusedWithTicket, ScriptedDaemon.ReceivedRequest::answerWhole)) {
             assertThat(call(daemon, CallStyle.WHOLE).outcome()).isEqualTo(Outcome.COMPLETED);
             assertThat(daemon.calls().get(1).header("X-Whinhead-Ticket")).isEqualTo("back");
         }
-        final ScriptedDaemon.Script twice = call -> call.write("{\"execution\":2}");
+        final ScriptedDaemon.Script executedTwice = call -> call.write("{\"execution\":2}");
         final ScriptedDaemon.Script foreign = call -> call.write("{\"idempotencyKey\":\"other\"}");
-        try (ScriptedDaemon daemon = new ScriptedDaemon(twice, foreign)) {
+        try (ScriptedDaemon daemon = new ScriptedDaemon(executedTwice, foreign)) {
             assertThat(call(daemon, CallStyle.PLAIN_ONCE).fault()).contains(AnswerFault.DOUBLED);
             assertThat(call(daemon, CallStyle.PLAIN_ONCE).fault()).contains(AnswerFault.FOREIGN);
         }
     }
 
-    /** The stand-ins' own answers, as a daemon passes them on, are what callers take for right. */
+    /** The answers of the stand-ins, if passed on unchanged, must be verified as correct. */
     @Test
     void acceptsAnswersOfStandIns() throws Exception {
         try (StandInContext context = StandInContext.start();
--- a/standins/src/test/java/org/whinhead/standins/load/caller/ManualScheduler.java
+++ b/standins/src/test/java/org/whinhead/standins/load/caller/ManualScheduler.java
@@ -9,7 +9,7 @@
 import java.util.concurrent.atomic.AtomicLong;
 import java.util.function.LongSupplier;
 
-/** Timers and a clock that move only when the test says so; what is due at once runs at once. */
+/** A scheduler and clock that a test advances; tasks without a delay run at once. */
 final class ManualScheduler extends ScheduledThreadPoolExecutor implements LongSupplier {
 
     private static final long NEVER_DUE_DAYS = 1000;
@@ -36,12 +36,14 @@
         return mNow.get();
     }
 
-    /** Moves the time and runs what is due by then. */
+    /** Advances the clock and runs the tasks that are due. */
     void advance(final Duration time) {
         final long now = mNow.addAndGet(time.toNanos());
-        for (final ScheduledTask due : mScheduled) {
-            if (due.at() <= now && mScheduled.remove(due) && !due.future().isCancelled()) {
-                due.task().run();
+        for (final ScheduledTask scheduled : mScheduled) {
+            if (scheduled.at() <= now
+                    && mScheduled.remove(scheduled)
+                    && !scheduled.future().isCancelled()) {
+                scheduled.task().run();
             }
         }
     }
--- a/standins/src/test/java/org/whinhead/standins/load/mix/RequestPlannerTest.java
+++ b/standins/src/test/java/org/whinhead/standins/load/mix/RequestPlannerTest.java
@@ -18,57 +18,60 @@
 import org.junit.jupiter.params.ParameterizedTest;
 import org.junit.jupiter.params.provider.EnumSource;
 
-/** The plan of requests is a function of its seed and keeps to the shares of its mix. */
+/** Generated requests depend only on the seed and match the weights of the workload. */
 final class RequestPlannerTest {
 
     private static final int REQUESTS = 5000;
 
     @Test
     void sameSeedGivesSameRequests() {
-        final Workload mix = Deployment.INKIKO.workload();
-        assertThat(plan(mix, 7)).isEqualTo(plan(mix, 7)).isNotEqualTo(plan(mix, 8));
+        final Workload workload = Deployment.INKIKO.workload();
+        assertThat(plan(workload, 7)).isEqualTo(plan(workload, 7)).isNotEqualTo(plan(workload, 8));
     }
 
     @ParameterizedTest
     @EnumSource
     void requestsMatchWeightsAndPrefixesOfWorkload(final Deployment deployment) {
-        final Workload mix = deployment.workload();
-        final List<PlannedRequest> plan = plan(mix, 1);
+        final Workload workload = deployment.workload();
+        final List<PlannedRequest> plan = plan(workload, 1);
         assertThat(plan).extracting(PlannedRequest::id).doesNotHaveDuplicates();
-        final int weights = mix.customers().stream().mapToInt(LoadCustomer::weight).sum();
-        for (final LoadCustomer customer : mix.customers()) {
+        final int weights = workload.customers().stream().mapToInt(LoadCustomer::weight).sum();
+        for (final LoadCustomer customer : workload.customers()) {
             final long count = plan.stream().filter(r -> r.customer().equals(customer)).count();
             final double share = (double) customer.weight() / weights;
             assertThat((double) count).isCloseTo(REQUESTS * share, withinPercentage(20));
         }
-        for (final RequestKind kind : mix.kinds()) {
-            final long first =
+        for (final RequestKind kind : workload.kinds()) {
+            final long prefixes =
                     plan.stream()
                             .filter(r -> r.kind().equals(kind) && r.messages().size() > 1)
                             .map(r -> r.messages().get(0))
                             .distinct()
                             .count();
-            final int most = kind.sharedPrefixes() * mix.customers().size();
-            assertThat(first).isEqualTo(most);
+            final int expectedPrefixes = kind.sharedPrefixes() * workload.customers().size();
+            assertThat(prefixes).isEqualTo(expectedPrefixes);
         }
     }
 
     /**
-     * Whoever starts the examples and plays callers against them gets "unknown key" or "unknown
-     * target" if a name differs.
+     * If a name differs from the example settings, load runs against the examples fail with
+     * "unknown key" or "unknown target".
      */
     @ParameterizedTest
     @EnumSource
     void namesAndKeysMatchExampleSettings(final Deployment deployment) throws Exception {
-        final Workload mix = deployment.workload();
-        final Path file = Path.of("..", "examples", mix.name(), "documents.json");
+        final Workload workload = deployment.workload();
+        final Path file = Path.of("..", "examples", workload.name(), "documents.json");
         final JsonNode documents = new ObjectMapper().readTree(file.toFile());
         final Map<String, JsonNode> byPath = new HashMap<>();
-        documents.forEach(one -> byPath.put(one.path("path").asText(), one.path("document")));
-        for (final LoadCustomer customer : mix.customers()) {
+        documents.forEach(entry -> byPath.put(entry.path("path").asText(), entry.path("document")));
+        for (final LoadCustomer customer : workload.customers()) {
             final JsonNode document =
                     byPath.entrySet().stream()
-                            .filter(one -> one.getKey().endsWith("/customers/" + customer.name()))
+                            .filter(
+                                    entry ->
+                                            entry.getKey()
+                                                    .endsWith("/customers/" + customer.name()))
                             .findAny()
                             .orElseThrow()
                             .getValue();
@@ -78,8 +81,10 @@
         }
         assertThat(byPath.keySet())
                 .containsAll(
-                        mix.models().stream().map(m -> "/models/" + m.replace('@', '/')).toList())
-                .containsAll(mix.services().stream().map(s -> "/services/" + s).toList());
+                        workload.models().stream()
+                                .map(m -> "/models/" + m.replace('@', '/'))
+                                .toList())
+                .containsAll(workload.services().stream().map(s -> "/services/" + s).toList());
     }
 
     private static String sha256(final String text) throws Exception {
@@ -88,8 +93,8 @@
         return HexFormat.of().formatHex(hash);
     }
 
-    private static List<PlannedRequest> plan(final Workload mix, final long seed) {
-        final RequestPlanner planner = new RequestPlanner(mix, seed);
+    private static List<PlannedRequest> plan(final Workload workload, final long seed) {
+        final RequestPlanner planner = new RequestPlanner(workload, seed);
         return Stream.generate(planner::next).limit(REQUESTS).collect(Collectors.toList());
     }
 }
