--- a/standins/src/main/java/org/whinhead/standins/load/result/Outcome.java
+++ b/standins/src/main/java/org/whinhead/standins/load/result/Outcome.java
@@ -6,7 +6,7 @@
 public enum Outcome {
     /** The answer is complete and correct. */
     COMPLETED(false),
-    /** A daemon reported that the request did not run, and it ran in no other attempt. */
+    /** A daemon reported that the request did not run, and no other attempt may have run. */
     REFUSED_NOT_RUN(false),
     /** The request failed and may have run. */
     FAILED_MAY_HAVE_RUN(false),
