--- a/standins/src/main/java/org/whinhead/standins/load/LoadMain.java
+++ b/standins/src/main/java/org/whinhead/standins/load/LoadMain.java
@@ -5,16 +5,16 @@
 import org.apache.commons.cli.ParseException;
 import org.whinhead.standins.load.result.LoadResult;
 
-/** The command {@code bin/load}. */
+/** The command line program {@code bin/load}. */
 public final class LoadMain {
 
-    /** Every answer was right. */
-    static final int EXIT_KEPT = 0;
+    /** The exit status if some request was completed and none was lost or wrong. */
+    static final int EXIT_SUCCESS = 0;
 
-    /** A request was lost or wrong, or none was completed. */
-    static final int EXIT_BROKEN = 1;
+    /** The exit status if a request was lost or wrong, or none was completed. */
+    static final int EXIT_FAILURE = 1;
 
-    /** The options are wrong. */
+    /** The exit status for invalid options. */
     static final int EXIT_USAGE = 2;
 
     private LoadMain() {}
@@ -24,7 +24,7 @@
      *
      * @param arguments the command line
      * @throws InterruptedException if the run is interrupted
-     * @throws ExecutionException if the run fails by a fault of this program
+     * @throws ExecutionException if the run fails because of a bug in this program
      */
     public static void main(final String[] arguments)
             throws InterruptedException, ExecutionException {
@@ -34,16 +34,16 @@
     /**
      * Runs the command.
      *
-     * @param out where results go
-     * @param errors where complaints go
+     * @param out receives the results
+     * @param errors receives error messages
      * @param arguments the command line
      * @return the exit status
      */
     static int run(final PrintStream out, final PrintStream errors, final String... arguments)
             throws InterruptedException, ExecutionException {
-        if (LoadOptions.wantsHelp(arguments)) {
+        if (LoadOptions.isHelpRequested(arguments)) {
             out.print(LoadOptions.help());
-            return EXIT_KEPT;
+            return EXIT_SUCCESS;
         }
         final LoadOptions options;
         try {
@@ -52,14 +52,14 @@
             errors.println(e.getMessage());
             return EXIT_USAGE;
         }
-        final LoadRun load = runOf(options);
+        final LoadRun load = newRun(options);
         final Thread partial =
-                new Thread(() -> print(new LoadReport(load.soFar(), true), options, out));
+                new Thread(() -> print(new LoadReport(load.currentResult(), true), options, out));
         Runtime.getRuntime().addShutdownHook(partial);
         final LoadResult result = load.start().get();
         Runtime.getRuntime().removeShutdownHook(partial);
         print(new LoadReport(result), options, out);
-        return result.promiseKept() ? EXIT_KEPT : EXIT_BROKEN;
+        return result.isGuaranteeKept() ? EXIT_SUCCESS : EXIT_FAILURE;
     }
 
     private static void print(
@@ -70,11 +70,11 @@
         }
     }
 
-    private static LoadRun runOf(final LoadOptions options) {
-        return LoadRun.builder(options.deployment().mix(), options.config())
+    private static LoadRun newRun(final LoadOptions options) {
+        return LoadRun.builder(options.deployment().workload(), options.config())
                 .duration(options.duration())
-                .perSecond(options.perSecond())
-                .closedCallers(options.closedCallers())
+                .requestsPerSecond(options.requestsPerSecond())
+                .closedLoopCallers(options.closedLoopCallers())
                 .seed(options.seed())
                 .build();
     }
--- a/standins/src/main/java/org/whinhead/standins/load/LoadOptions.java
+++ b/standins/src/main/java/org/whinhead/standins/load/LoadOptions.java
@@ -17,21 +17,21 @@
 import org.whinhead.standins.load.mix.Deployment;
 
 /**
- * The command line of the load program.
+ * The command line options of the load program.
  *
- * @param deployment whose callers are played
- * @param config how callers behave
- * @param perSecond the rate of the open loop
- * @param closedCallers the callers of the closed loop; 0 for the open loop
- * @param duration how long requests are started
- * @param seed the seed of every choice
- * @param json whether a JSON object is wanted
+ * @param deployment the deployment whose workload is run
+ * @param config addresses and time limits
+ * @param requestsPerSecond the mean rate of the open loop
+ * @param closedLoopCallers the number of callers of the closed loop; 0 for the open loop
+ * @param duration the time during which requests are started
+ * @param seed the seed of all random choices
+ * @param json whether to print a JSON object
  */
 record LoadOptions(
         Deployment deployment,
         CallerConfig config,
-        int perSecond,
-        int closedCallers,
+        int requestsPerSecond,
+        int closedLoopCallers,
         Duration duration,
         long seed,
         boolean json) {
@@ -51,11 +51,11 @@
     private static final int DEFAULT_DEADLINE_MILLIS = 30_000;
 
     /**
-     * Tells whether the help text is asked for, whatever else is given.
+     * Returns whether the help text is requested, regardless of the other arguments.
      *
      * @param arguments the command line
      */
-    static boolean wantsHelp(final String... arguments) {
+    static boolean isHelpRequested(final String... arguments) {
         return List.of(arguments).contains("--" + HELP);
     }
 
@@ -64,7 +64,7 @@
      *
      * @param arguments the command line
      * @return the options
-     * @throws ParseException if it is wrong; the message tells where
+     * @throws ParseException if an option is missing or invalid; the message names it
      */
     static LoadOptions parse(final String... arguments) throws ParseException {
         final CommandLine line = new DefaultParser().parse(options(), arguments);
@@ -72,14 +72,14 @@
             throw new ParseException(LoadMessages.text("error.stray", line.getArgList().get(0)));
         }
         final Duration deadline =
-                Duration.ofMillis(number(line, DEADLINE, 1, DEFAULT_DEADLINE_MILLIS));
+                Duration.ofMillis(parseNumber(line, DEADLINE, 1, DEFAULT_DEADLINE_MILLIS));
         return new LoadOptions(
                 deployment(line),
-                CallerConfig.of(targets(line)).withDeadline(deadline),
-                number(line, RATE, 1, DEFAULT_RATE),
-                number(line, CLOSED, 0, 0),
-                Duration.ofSeconds(number(line, SECONDS, 1, DEFAULT_SECONDS)),
-                number(line, SEED, Integer.MIN_VALUE, 1),
+                CallerConfig.of(parseTargets(line)).withDeadline(deadline),
+                parseNumber(line, RATE, 1, DEFAULT_RATE),
+                parseNumber(line, CLOSED, 0, 0),
+                Duration.ofSeconds(parseNumber(line, SECONDS, 1, DEFAULT_SECONDS)),
+                parseNumber(line, SEED, Integer.MIN_VALUE, 1),
                 line.hasOption(JSON));
     }
 
@@ -100,72 +100,72 @@
                             LoadMessages.text("footer"),
                             false);
         } catch (final IOException e) {
-            throw new UncheckedIOException("a text in memory cannot fail", e);
+            throw new UncheckedIOException("help text cannot be written to memory", e);
         }
         return text.toString();
     }
 
     private static Options options() {
         final Options options = new Options();
-        options.addOption(withValue(TARGET).required().get());
+        options.addOption(valueOption(TARGET).required().get());
         for (final String name : List.of(DEPLOYMENT, RATE, CLOSED, SECONDS, DEADLINE, SEED)) {
-            options.addOption(withValue(name).get());
+            options.addOption(valueOption(name).get());
         }
         for (final String name : List.of(JSON, HELP)) {
-            options.addOption(option(name).get());
+            options.addOption(flagOption(name).get());
         }
         return options;
     }
 
-    private static Option.Builder withValue(final String name) {
-        return option(name).hasArg();
+    private static Option.Builder valueOption(final String name) {
+        return flagOption(name).hasArg();
     }
 
-    private static Option.Builder option(final String name) {
+    private static Option.Builder flagOption(final String name) {
         return Option.builder().longOpt(name).desc(LoadMessages.text("option." + name));
     }
 
-    private static List<URI> targets(final CommandLine line) throws ParseException {
+    private static List<URI> parseTargets(final CommandLine line) throws ParseException {
         final List<URI> targets = new ArrayList<>();
         for (final String text : line.getOptionValues(TARGET)) {
-            targets.add(target(text));
+            targets.add(parseTarget(text));
         }
         return targets;
     }
 
-    private static URI target(final String text) throws ParseException {
+    private static URI parseTarget(final String text) throws ParseException {
         try {
             final URI uri = URI.create(text);
             if (uri.getHost() != null && uri.getScheme().startsWith("http")) {
                 return uri;
             }
         } catch (final IllegalArgumentException e) {
-            // Not an address at all; said below, as for an address of another kind.
+            // Reported below, like an address with another scheme.
         }
         throw new ParseException(LoadMessages.text("error.target", text));
     }
 
     private static Deployment deployment(final CommandLine line) throws ParseException {
-        final String name = line.getOptionValue(DEPLOYMENT, Deployment.INKIKO.mix().name());
+        final String name = line.getOptionValue(DEPLOYMENT, Deployment.INKIKO.workload().name());
         try {
-            return Deployment.named(name);
+            return Deployment.fromName(name);
         } catch (final IllegalArgumentException e) {
             throw new ParseException(LoadMessages.text("error.deployment", name));
         }
     }
 
-    private static int number(
-            final CommandLine line, final String name, final int least, final int otherwise)
+    private static int parseNumber(
+            final CommandLine line, final String name, final int min, final int defaultValue)
             throws ParseException {
-        final String text = line.getOptionValue(name, Integer.toString(otherwise));
+        final String text = line.getOptionValue(name, Integer.toString(defaultValue));
         try {
             final int number = Integer.parseInt(text);
-            if (number >= least) {
+            if (number >= min) {
                 return number;
             }
         } catch (final NumberFormatException e) {
-            // Not a number at all; said below, as for a number that is too small.
+            // Reported below, like a number that is too small.
         }
-        throw new ParseException(LoadMessages.text("error.number", name, least, text));
+        throw new ParseException(LoadMessages.text("error.number", name, min, text));
     }
 }
--- a/standins/src/main/java/org/whinhead/standins/load/caller/Callers.java
+++ b/standins/src/main/java/org/whinhead/standins/load/caller/LoadClient.java
@@ -15,47 +15,47 @@
 import org.whinhead.standins.load.mix.PlannedRequest;
 import org.whinhead.standins.load.result.RequestResult;
 
-/** Sends requests as the callers of each customer would; any number may be in progress. */
-public final class Callers implements AutoCloseable {
+/** Sends planned requests to the daemons; requests run concurrently without a limit. */
+public final class LoadClient implements AutoCloseable {
 
     private static final int CLIENT_THREADS = 4;
 
     private final ExecutorService mClientThreads;
     private final ScheduledExecutorService mTimers;
-    private final CallTools mTools;
+    private final CallContext mContext;
     private final long mSeed;
-    private final Map<LoadCustomer, AddressBook> mBooks = new ConcurrentHashMap<>();
+    private final Map<LoadCustomer, AddressCache> mAddressCaches = new ConcurrentHashMap<>();
 
     /**
-     * Starts the threads.
+     * Creates a client and its threads.
      *
-     * @param config how callers behave
-     * @param observer is told what callers see
-     * @param nanos the time in nanoseconds, from any origin
-     * @param seed the seed of choices among daemons
+     * @param config addresses and time limits
+     * @param observer receives measurements and results
+     * @param nanoClock the clock, in nanoseconds from any origin
+     * @param seed the seed of the selection of daemons
      */
-    public Callers(
+    public LoadClient(
             final CallerConfig config,
             final CallObserver observer,
-            final LongSupplier nanos,
+            final LongSupplier nanoClock,
             final long seed) {
         this(
                 config,
                 observer,
-                nanos,
+                nanoClock,
                 seed,
-                Executors.newSingleThreadScheduledExecutor(named("load-timers")));
+                Executors.newSingleThreadScheduledExecutor(daemonThreads("load-timers")));
     }
 
-    /** Takes the timers too, so that a test can move the time. */
-    Callers(
+    /** Creates a client with the given timers, so that a test can control the time. */
+    LoadClient(
             final CallerConfig config,
             final CallObserver observer,
-            final LongSupplier nanos,
+            final LongSupplier nanoClock,
             final long seed,
             final ScheduledExecutorService timers) {
         Objects.requireNonNull(config, "config");
-        mClientThreads = Executors.newFixedThreadPool(CLIENT_THREADS, named("load-client"));
+        mClientThreads = Executors.newFixedThreadPool(CLIENT_THREADS, daemonThreads("load-client"));
         mTimers = timers;
         final HttpClient client =
                 HttpClient.newBuilder()
@@ -63,21 +63,23 @@
                         .connectTimeout(config.connectTimeout())
                         .executor(mClientThreads)
                         .build();
-        mTools = new CallTools(client, new ObjectMapper(), mTimers, nanos, config, observer);
+        mContext =
+                new CallContext(client, new ObjectMapper(), mTimers, nanoClock, config, observer);
         mSeed = seed;
     }
 
     /**
-     * Sends a request and follows it to its end.
+     * Sends a request and retries it until it ends.
      *
      * @param request the request
-     * @param startedAt when it was meant to start, in nanoseconds of the same clock
-     * @return completes with what became of it, at its deadline at the latest
+     * @param startedAt the intended start, in nanoseconds of the same clock
+     * @return completes with the result, shortly after the deadline at the latest
      */
     public CompletableFuture<RequestResult> call(
             final PlannedRequest request, final long startedAt) {
-        final AddressBook book = mBooks.computeIfAbsent(request.customer(), this::newBook);
-        return new Call(mTools, book, request, startedAt).begin();
+        final AddressCache addresses =
+                mAddressCaches.computeIfAbsent(request.customer(), this::newAddressCache);
+        return new Call(mContext, addresses, request, startedAt).start();
     }
 
     @Override
@@ -86,18 +88,18 @@
         mClientThreads.shutdownNow();
     }
 
-    private AddressBook newBook(final LoadCustomer customer) {
+    private AddressCache newAddressCache(final LoadCustomer customer) {
         final long seed = mSeed + customer.name().hashCode();
-        return new AddressBook(
-                mTools.client(),
-                mTools.mapper(),
-                mTools.config(),
+        return new AddressCache(
+                mContext.client(),
+                mContext.mapper(),
+                mContext.config(),
                 customer.key(),
-                mTools.nanos(),
+                mContext.nanoClock(),
                 seed);
     }
 
-    private static ThreadFactory named(final String name) {
+    private static ThreadFactory daemonThreads(final String name) {
         return task -> {
             final Thread thread = new Thread(task, name);
             thread.setDaemon(true);
--- a/standins/src/main/java/org/whinhead/standins/load/mix/Mix.java
+++ b/standins/src/main/java/org/whinhead/standins/load/mix/Workload.java
@@ -6,16 +6,16 @@
 import org.whinhead.api.Arguments;
 
 /**
- * Who calls and what they ask for.
+ * The customers and the kinds of request of a load run.
  *
- * @param name the mix's name
- * @param customers the customers, with their shares
- * @param kinds the kinds of request, with their shares
+ * @param name the name of the workload
+ * @param customers the customers with their weights; at least one
+ * @param kinds the kinds of request with their weights; at least one
  */
-public record Mix(String name, List<LoadCustomer> customers, List<RequestKind> kinds) {
+public record Workload(String name, List<LoadCustomer> customers, List<RequestKind> kinds) {
 
-    /** Checks every part and copies the lists. */
-    public Mix {
+    /** Checks the values and copies the lists. */
+    public Workload {
         Arguments.requireText(name, "name");
         customers = List.copyOf(customers);
         kinds = List.copyOf(kinds);
@@ -23,18 +23,18 @@
         Arguments.requireAtLeast(kinds.size(), 1, "kinds");
     }
 
-    /** Returns the model references that the mix asks for. */
+    /** Returns the references of the models that receive requests. */
     public Set<String> models() {
         return kinds.stream()
-                .filter(kind -> !kind.style().plain())
+                .filter(kind -> !kind.style().isPlainService())
                 .map(RequestKind::target)
                 .collect(Collectors.toUnmodifiableSet());
     }
 
-    /** Returns the plain services that the mix calls. */
+    /** Returns the names of the plain services that receive requests. */
     public Set<String> services() {
         return kinds.stream()
-                .filter(kind -> kind.style().plain())
+                .filter(kind -> kind.style().isPlainService())
                 .map(kind -> kind.target().substring(0, kind.target().indexOf('/')))
                 .collect(Collectors.toUnmodifiableSet());
     }
