--- a/cli/src/main/java/org/whinhead/cli/CliOption.java
+++ b/cli/src/main/java/org/whinhead/cli/CliOption.java
@@ -44,14 +44,14 @@
 
     private final String mName;
     private final String mType;
-    private final String mDefault;
+    private final String mDefaultText;
     private final String mExample;
 
     CliOption(
             final String name, final String type, final String defaultText, final String example) {
         mName = name;
         mType = type;
-        mDefault = defaultText;
+        mDefaultText = defaultText;
         mExample = example;
     }
 
@@ -62,7 +62,7 @@
 
     /** Returns the default as text; empty if there is none. */
     public String defaultText() {
-        return mDefault;
+        return mDefaultText;
     }
 
     /** Returns the option as the parser takes it. */
@@ -78,7 +78,7 @@
                 head,
                 CliMessages.text("option." + name().toLowerCase(Locale.ROOT)),
                 mType.isEmpty() ? CliMessages.text("help.switch") : mType,
-                mDefault.isEmpty() ? CliMessages.text("help.none") : mDefault,
+                mDefaultText.isEmpty() ? CliMessages.text("help.none") : mDefaultText,
                 mExample);
     }
 }
--- a/cli/src/main/java/org/whinhead/cli/CommandName.java
+++ b/cli/src/main/java/org/whinhead/cli/CommandName.java
@@ -82,8 +82,8 @@
 
     private final List<String> mWords;
     private final String mArguments;
-    private final int mFewest;
-    private final int mMost;
+    private final int mMinArguments;
+    private final int mMaxArguments;
     private final boolean mCallsDaemon;
     private final Supplier<Command> mFactory;
     private final List<CliOption> mOptions;
@@ -98,8 +98,8 @@
             final CliOption... options) {
         mWords = List.of(words.split(" "));
         mArguments = arguments;
-        mFewest = fewest;
-        mMost = most;
+        mMinArguments = fewest;
+        mMaxArguments = most;
         mCallsDaemon = callsDaemon;
         mFactory = factory;
         mOptions = List.of(options);
@@ -124,8 +124,8 @@
     }
 
     /** Tells whether the command takes a number of positional arguments. */
-    boolean takes(final int arguments) {
-        return arguments >= mFewest && arguments <= mMost;
+    boolean acceptsArgumentCount(final int arguments) {
+        return arguments >= mMinArguments && arguments <= mMaxArguments;
     }
 
     /** Returns the options in the form that the parser takes. */
--- a/cli/src/main/java/org/whinhead/cli/Invocation.java
+++ b/cli/src/main/java/org/whinhead/cli/Invocation.java
@@ -12,7 +12,7 @@
 import org.apache.commons.cli.CommandLine;
 import org.whinhead.cli.http.DaemonClient;
 import org.whinhead.cli.http.FleetClient;
-import org.whinhead.cli.http.HttpExchange;
+import org.whinhead.cli.http.OperatorHttpClient;
 
 /** One parsed command line with the environment around it. */
 public final class Invocation {
@@ -93,9 +93,9 @@
      * @return the client, to be closed
      * @throws CliException if no daemon is named or the key cannot be read
      */
-    public DaemonClient client() throws CliException {
+    public DaemonClient daemonClient() throws CliException {
         final Duration timeout = Duration.ofSeconds(numberOrDefault(CliOption.TIMEOUT));
-        return new DaemonClient(daemons(), key(), new HttpExchange(timeout));
+        return new DaemonClient(daemons(), key(), new OperatorHttpClient(timeout));
     }
 
     /**
@@ -104,10 +104,10 @@
      * @return the client, to be closed
      * @throws CliException if no daemon is named or the key cannot be read
      */
-    public FleetClient fleet() throws CliException {
+    public FleetClient fleetClient() throws CliException {
         final Duration timeout = Duration.ofSeconds(numberOrDefault(CliOption.TIMEOUT));
         final Duration bound = Duration.ofSeconds(numberOrDefault(CliOption.TOTAL));
-        return new FleetClient(daemons(), key(), new HttpExchange(timeout), bound);
+        return new FleetClient(daemons(), key(), new OperatorHttpClient(timeout), bound);
     }
 
     private List<URI> daemons() throws CliException {
@@ -123,12 +123,12 @@
         }
         final List<URI> daemons = new ArrayList<>();
         for (final String text : texts) {
-            daemons.add(daemon(text));
+            daemons.add(parseDaemon(text));
         }
         return daemons;
     }
 
-    private static URI daemon(final String text) throws CliException {
+    private static URI parseDaemon(final String text) throws CliException {
         try {
             final URI uri = URI.create(text);
             if (SCHEME.equals(uri.getScheme()) && uri.getHost() != null && uri.getPort() > 0) {
--- a/cli/src/main/java/org/whinhead/cli/Main.java
+++ b/cli/src/main/java/org/whinhead/cli/Main.java
@@ -75,7 +75,7 @@
             out.println(name.help());
             return ExitCode.OK;
         }
-        if (!name.takes(invocation.arguments().size())) {
+        if (!name.acceptsArgumentCount(invocation.arguments().size())) {
             throw new CliException(ExitCode.USAGE, "usage.arguments", name.usage());
         }
         final Console console = new Console(out, err, invocation.has(CliOption.JSON));
--- a/cli/src/main/java/org/whinhead/cli/command/AddressesCommand.java
+++ b/cli/src/main/java/org/whinhead/cli/command/AddressesCommand.java
@@ -16,12 +16,12 @@
 
     @Override
     public ExitCode run(final Invocation invocation, final Console console) throws CliException {
-        try (DaemonClient client = invocation.client()) {
-            final JsonNode body = Answers.body(client.get("/operator/addresses"));
+        try (DaemonClient client = invocation.daemonClient()) {
+            final JsonNode body = OperatorResponses.requireBody(client.get("/operator/addresses"));
             if (console.isJson()) {
                 console.json(body);
             } else {
-                console.table(JsonRows.columns(body.path("addresses"), COLUMNS));
+                console.table(JsonTable.columns(body.path("addresses"), COLUMNS));
             }
             return ExitCode.OK;
         }
--- a/cli/src/main/java/org/whinhead/cli/command/ExplainCommand.java
+++ b/cli/src/main/java/org/whinhead/cli/command/ExplainCommand.java
@@ -17,9 +17,9 @@
 import org.whinhead.cli.Console;
 import org.whinhead.cli.ExitCode;
 import org.whinhead.cli.Invocation;
-import org.whinhead.cli.http.FleetAnswer;
+import org.whinhead.cli.http.DaemonResult;
+import org.whinhead.cli.http.FleetAddresses;
 import org.whinhead.cli.http.FleetClient;
-import org.whinhead.cli.http.FleetPlan;
 
 /**
  * Shows the decisions about a request or an order of all daemons that took part, in order of time;
@@ -40,10 +40,15 @@
         if (invocation.has(CliOption.LOGS)) {
             return explainLogs(id, invocation.text(CliOption.LOGS).orElseThrow(), console);
         }
-        try (FleetClient client = invocation.fleet()) {
-            final FleetPlan plan = new FleetPlan(client.named(), Answers.body(client.addresses()));
-            client.get(plan.toAsk(), "/operator/explain?id=" + Answers.query(id), this::take);
-            plan.hostsNotWhole()
+        try (FleetClient client = invocation.fleetClient()) {
+            final FleetAddresses plan =
+                    new FleetAddresses(
+                            client.named(), OperatorResponses.requireBody(client.addresses()));
+            client.get(
+                    plan.targets(),
+                    "/operator/explain?id=" + OperatorResponses.encodeQuery(id),
+                    this::add);
+            plan.hostsWithUnknownDaemons()
                     .forEach(host -> mMissing.add(CliMessages.text("explain.not-known", host)));
         }
         mDecisions.sort(Comparator.comparing(decision -> decision.path("at").asText()));
@@ -58,7 +63,7 @@
 
     private static ExitCode explainLogs(final String id, final String files, final Console console)
             throws CliException {
-        final LogStory story = new LogStory();
+        final RequestTimeline story = new RequestTimeline();
         for (final String file : files.split(",")) {
             try {
                 story.read(Path.of(file));
@@ -66,25 +71,25 @@
                 throw new CliException(ExitCode.USAGE, "usage.unreadable", file);
             }
         }
-        final ArrayNode lines = story.of(id);
+        final ArrayNode lines = story.linesFor(id);
         if (lines.isEmpty()) {
             throw new CliException(ExitCode.REFUSED, "explain.not-logged", id);
         }
         if (console.isJson()) {
             console.json(JsonNodeFactory.instance.objectNode().put("id", id).set("lines", lines));
         } else {
-            console.table(JsonRows.columns(lines, LogStory.COLUMNS));
+            console.table(JsonTable.columns(lines, RequestTimeline.COLUMNS));
         }
         return ExitCode.OK;
     }
 
-    private void take(final FleetAnswer answer) {
-        if (answer.answer().isPresent() && answer.answer().get().isOk()) {
-            for (final JsonNode decision : answer.answer().get().body().path("decisions")) {
+    private void add(final DaemonResult answer) {
+        if (answer.response().isPresent() && answer.response().get().isOk()) {
+            for (final JsonNode decision : answer.response().get().body().path("decisions")) {
                 final ObjectNode copy = decision.deepCopy();
                 mDecisions.add(copy.put("daemon", answer.daemon().toString()));
             }
-        } else if (answer.answer().isEmpty() || answer.answer().get().status() != NOT_FOUND) {
+        } else if (answer.response().isEmpty() || answer.response().get().status() != NOT_FOUND) {
             mMissing.add(answer.problem());
         }
     }
@@ -96,7 +101,7 @@
             mMissing.forEach(root.putArray("missing")::add);
             console.json(root);
         } else {
-            console.table(JsonRows.columns(decisions, COLUMNS));
+            console.table(JsonTable.columns(decisions, COLUMNS));
         }
     }
 }
--- a/cli/src/main/java/org/whinhead/cli/command/InForceWait.java
+++ b/cli/src/main/java/org/whinhead/cli/command/InForcePoller.java
@@ -11,24 +11,24 @@
 import org.whinhead.cli.http.DaemonClient;
 
 /** Asks at a fixed pace, and a limited number of times, whether all daemons hold a revision. */
-final class InForceWait implements AutoCloseable {
+final class InForcePoller implements AutoCloseable {
 
-    private static final Duration PACE = Duration.ofMillis(250);
+    private static final Duration POLL_INTERVAL = Duration.ofMillis(250);
 
     private final ScheduledExecutorService mScheduler =
             Executors.newSingleThreadScheduledExecutor();
     private final DaemonClient mClient;
 
-    InForceWait(final DaemonClient client) {
+    InForcePoller(final DaemonClient client) {
         mClient = client;
     }
 
     /** Asks until no daemon is missing or the time is up; returns the last answer. */
     JsonNode await(final long revision, final Duration bound) throws CliException {
-        final long asks = bound.dividedBy(PACE) + 1;
-        JsonNode answer = ask(revision);
+        final long asks = bound.dividedBy(POLL_INTERVAL) + 1;
+        JsonNode answer = poll(revision);
         for (long asked = 1; asked < asks && !isComplete(answer); asked++) {
-            answer = askLater(revision);
+            answer = pollAfterInterval(revision);
         }
         return answer;
     }
@@ -38,10 +38,10 @@
         return answer.path("missing").isEmpty();
     }
 
-    private JsonNode askLater(final long revision) throws CliException {
+    private JsonNode pollAfterInterval(final long revision) throws CliException {
         try {
             return mScheduler
-                    .schedule(() -> ask(revision), PACE.toMillis(), TimeUnit.MILLISECONDS)
+                    .schedule(() -> poll(revision), POLL_INTERVAL.toMillis(), TimeUnit.MILLISECONDS)
                     .get();
         } catch (ExecutionException e) {
             if (e.getCause() instanceof CliException cause) {
@@ -54,8 +54,9 @@
         }
     }
 
-    private JsonNode ask(final long revision) throws CliException {
-        return Answers.body(mClient.get("/operator/settings/inforce?revision=" + revision));
+    private JsonNode poll(final long revision) throws CliException {
+        return OperatorResponses.requireBody(
+                mClient.get("/operator/settings/inforce?revision=" + revision));
     }
 
     @Override
--- a/cli/src/main/java/org/whinhead/cli/command/JsonRows.java
+++ b/cli/src/main/java/org/whinhead/cli/command/JsonTable.java
@@ -7,9 +7,9 @@
 import java.util.Map;
 
 /** Lays out JSON as rows for tables. */
-final class JsonRows {
+final class JsonTable {
 
-    private JsonRows() {}
+    private JsonTable() {}
 
     /** Lays out a list of objects, one row each, with the wanted fields as columns. */
     static List<List<String>> columns(final JsonNode list, final List<String> fields) {
--- a/cli/src/main/java/org/whinhead/cli/command/Answers.java
+++ b/cli/src/main/java/org/whinhead/cli/command/OperatorResponses.java
@@ -8,22 +8,22 @@
 import org.whinhead.cli.CliException;
 import org.whinhead.cli.CliMessages;
 import org.whinhead.cli.ExitCode;
-import org.whinhead.cli.http.HttpAnswer;
+import org.whinhead.cli.http.OperatorResponse;
 
 /** Turns daemons' answers into bodies or into exits of the command. */
-final class Answers {
+final class OperatorResponses {
 
     private static final int CONFLICT = 409;
     private static final int UNPROCESSABLE = 422;
 
-    private Answers() {}
+    private OperatorResponses() {}
 
     /**
      * Returns the body of a good answer.
      *
      * @throws CliException with the exit code that fits the status, if the answer is not good
      */
-    static JsonNode body(final HttpAnswer answer) throws CliException {
+    static JsonNode requireBody(final OperatorResponse answer) throws CliException {
         if (answer.isOk()) {
             return answer.body();
         }
@@ -67,7 +67,7 @@
     }
 
     /** Encodes a value for a query. */
-    static String query(final String value) {
+    static String encodeQuery(final String value) {
         return URLEncoder.encode(value, StandardCharsets.UTF_8);
     }
 }
--- a/cli/src/main/java/org/whinhead/cli/command/ReportCommand.java
+++ b/cli/src/main/java/org/whinhead/cli/command/ReportCommand.java
@@ -17,9 +17,9 @@
 import org.whinhead.cli.Console;
 import org.whinhead.cli.ExitCode;
 import org.whinhead.cli.Invocation;
-import org.whinhead.cli.http.FleetAnswer;
+import org.whinhead.cli.http.DaemonResult;
+import org.whinhead.cli.http.FleetAddresses;
 import org.whinhead.cli.http.FleetClient;
-import org.whinhead.cli.http.FleetPlan;
 import org.whinhead.report.DaemonReport;
 import org.whinhead.report.DaemonReportJson;
 import org.whinhead.report.FleetMerge;
@@ -42,11 +42,13 @@
 
     private static FleetReport collect(final Invocation invocation, final OptionalDouble price)
             throws CliException {
-        try (FleetClient client = invocation.fleet()) {
-            final FleetPlan plan = new FleetPlan(client.named(), Answers.body(client.addresses()));
-            final Collection collection = new Collection();
-            client.get(plan.toAsk(), TARGET, collection::take);
-            return collection.report(plan, price);
+        try (FleetClient client = invocation.fleetClient()) {
+            final FleetAddresses plan =
+                    new FleetAddresses(
+                            client.named(), OperatorResponses.requireBody(client.addresses()));
+            final ReportCollector collection = new ReportCollector();
+            client.get(plan.targets(), TARGET, collection::add);
+            return collection.merge(plan, price);
         }
     }
 
@@ -99,18 +101,18 @@
     }
 
     /** What came of asking each daemon. */
-    private static final class Collection {
+    private static final class ReportCollector {
         private final FleetMerge mMerge = new FleetMerge();
         private final Set<URI> mCollected = new HashSet<>();
         private final Map<URI, String> mFailures = new HashMap<>();
 
-        private void take(final FleetAnswer answer) {
-            if (answer.answer().isEmpty() || !answer.answer().get().isOk()) {
+        private void add(final DaemonResult answer) {
+            if (answer.response().isEmpty() || !answer.response().get().isOk()) {
                 mFailures.put(answer.daemon(), answer.problem());
                 return;
             }
             try {
-                final DaemonReport report = DaemonReportJson.read(answer.answer().get().body());
+                final DaemonReport report = DaemonReportJson.read(answer.response().get().body());
                 mMerge.add(report);
                 mCollected.add(report.address());
             } catch (ReportFormatException e) {
@@ -119,7 +121,7 @@
         }
 
         /** Each daemon misses once: by the address that callers are told, if it is listed. */
-        private FleetReport report(final FleetPlan plan, final OptionalDouble price)
+        private FleetReport merge(final FleetAddresses plan, final OptionalDouble price)
                 throws CliException {
             if (mMerge.isEmpty()) {
                 throw new CliException(
@@ -127,14 +129,14 @@
                         "daemon.unreachable",
                         String.join("; ", mFailures.values()));
             }
-            plan.operatorByCaller()
+            plan.operatorByPublicAddress()
                     .forEach(
                             (caller, operator) -> {
                                 if (!mCollected.contains(caller)) {
                                     mMerge.addMissing(missing(caller, operator));
                                 }
                             });
-            plan.operatorByCaller().values().forEach(mFailures::remove);
+            plan.operatorByPublicAddress().values().forEach(mFailures::remove);
             mFailures.values().forEach(mMerge::addMissing);
             mMerge.price(price);
             return mMerge.report();
--- a/cli/src/main/java/org/whinhead/cli/command/LogStory.java
+++ b/cli/src/main/java/org/whinhead/cli/command/RequestTimeline.java
@@ -24,7 +24,7 @@
  * Tells what became of a request from the lines that daemons have logged: its own, and for each of
  * them what the daemon believed then of the endpoint and the configuration, with its age.
  */
-final class LogStory {
+final class RequestTimeline {
 
     /** What is shown of a line. */
     static final List<String> COLUMNS = List.of("at", "daemon", "age", "message", "fields");
@@ -36,15 +36,15 @@
             Set.of("endpoint changed", "endpoint entry removed", "endpoint lapsed");
 
     /** Fields that every line has; all others are inputs of its decision. */
-    private static final Set<String> FRAME_FIELDS =
+    private static final Set<String> STANDARD_FIELDS =
             Set.of("timestamp", "level", "logger", "message");
 
     /** Where the daemon of the chat interface lists its inputs; the gateway's lines are flat. */
-    private static final String PAIRS = "kvpList";
+    private static final String KEY_VALUE_LIST = "kvpList";
 
     private static final String CONFIGURATION_MESSAGE = "configuration in force";
 
-    private final List<Line> mLines = new ArrayList<>();
+    private final List<LogLine> mLines = new ArrayList<>();
 
     /**
      * Reads a log. What stands before a line's JSON names the daemon, by its last word; without it
@@ -65,7 +65,7 @@
         }
     }
 
-    private static Optional<Line> parse(final String text, final String daemon) {
+    private static Optional<LogLine> parse(final String text, final String daemon) {
         final JsonNode json;
         try {
             json = MAPPER.readTree(text);
@@ -76,13 +76,13 @@
             return Optional.empty();
         }
         final Map<String, String> fields = new LinkedHashMap<>();
-        if (json.has(PAIRS)) {
-            json.path(PAIRS).forEach(pair -> putFields(pair, fields));
+        if (json.has(KEY_VALUE_LIST)) {
+            json.path(KEY_VALUE_LIST).forEach(pair -> putFields(pair, fields));
         } else {
             putFields(json, fields);
         }
         return Optional.of(
-                new Line(
+                new LogLine(
                         json.path("timestamp").asLong(),
                         daemon,
                         json.path("message").asText(),
@@ -91,46 +91,46 @@
 
     private static void putFields(final JsonNode json, final Map<String, String> fields) {
         json.properties().stream()
-                .filter(field -> !FRAME_FIELDS.contains(field.getKey()))
+                .filter(field -> !STANDARD_FIELDS.contains(field.getKey()))
                 .forEach(field -> fields.put(field.getKey(), field.getValue().asText()));
     }
 
     /** Lists the lines about a request in order of time, each preceded by what it went by. */
-    ArrayNode of(final String request) {
+    ArrayNode linesFor(final String request) {
         final ArrayNode story = JsonNodeFactory.instance.arrayNode();
-        final Set<Line> told = new HashSet<>();
+        final Set<LogLine> told = new HashSet<>();
         mLines.stream()
                 .filter(line -> request.equals(line.fields().get("request")))
-                .sorted(Comparator.comparingLong(Line::at))
-                .forEach(line -> tell(line, told, story));
+                .sorted(Comparator.comparingLong(LogLine::at))
+                .forEach(line -> addWithState(line, told, story));
         return story;
     }
 
-    private void tell(final Line line, final Set<Line> told, final ArrayNode story) {
-        final Predicate<Line> configuration =
+    private void addWithState(final LogLine line, final Set<LogLine> told, final ArrayNode story) {
+        final Predicate<LogLine> configuration =
                 other -> other.message().equals(CONFIGURATION_MESSAGE);
-        believed(line, configuration).filter(told::add).ifPresent(b -> add(b, line, story));
+        lastBefore(line, configuration).filter(told::add).ifPresent(b -> add(b, line, story));
         final String endpoint = line.fields().get("endpoint");
-        final Predicate<Line> ofEndpoint =
+        final Predicate<LogLine> ofEndpoint =
                 other ->
                         ENDPOINT_MESSAGES.contains(other.message())
                                 && other.fields().get("endpoint").equals(endpoint);
         if (endpoint != null) {
-            believed(line, ofEndpoint).filter(told::add).ifPresent(b -> add(b, line, story));
+            lastBefore(line, ofEndpoint).filter(told::add).ifPresent(b -> add(b, line, story));
         }
         add(line, line, story);
     }
 
     /** Finds the last line before another one of the same daemon. */
-    private Optional<Line> believed(final Line line, final Predicate<Line> kind) {
+    private Optional<LogLine> lastBefore(final LogLine line, final Predicate<LogLine> kind) {
         return mLines.stream()
                 .filter(other -> other.daemon().equals(line.daemon()))
                 .filter(other -> other.at() <= line.at())
                 .filter(kind)
-                .max(Comparator.comparingLong(Line::at));
+                .max(Comparator.comparingLong(LogLine::at));
     }
 
-    private static void add(final Line shown, final Line seenAt, final ArrayNode story) {
+    private static void add(final LogLine shown, final LogLine seenAt, final ArrayNode story) {
         final String fields =
                 shown.fields().entrySet().stream()
                         .filter(field -> !field.getKey().equals("request"))
@@ -144,5 +144,5 @@
                 .put("fields", fields);
     }
 
-    private record Line(long at, String daemon, String message, Map<String, String> fields) {}
+    private record LogLine(long at, String daemon, String message, Map<String, String> fields) {}
 }
--- a/cli/src/main/java/org/whinhead/cli/command/SettingsChange.java
+++ b/cli/src/main/java/org/whinhead/cli/command/SettingsChange.java
@@ -10,7 +10,7 @@
 import org.whinhead.cli.ExitCode;
 import org.whinhead.cli.Invocation;
 import org.whinhead.cli.http.DaemonClient;
-import org.whinhead.cli.http.HttpAnswer;
+import org.whinhead.cli.http.OperatorResponse;
 
 /**
  * One change as it is sent to daemons.
@@ -28,7 +28,7 @@
     private static final ObjectMapper MAPPER = new ObjectMapper();
 
     /** Names a change: by the option, so that a lost one can be repeated, or anew. */
-    static String nameOf(final Invocation invocation) {
+    static String newChangeId(final Invocation invocation) {
         return invocation.text(CliOption.CHANGE_ID).orElseGet(() -> UUID.randomUUID().toString());
     }
 
@@ -44,12 +44,17 @@
      * Asks what stands at a path. A path whose document was deleted has a revision too, the
      * deletion's, and a change that makes the document anew replaces that one.
      */
-    static Standing standing(final DaemonClient client, final String path) throws CliException {
-        final HttpAnswer answer = client.get("/operator/settings?path=" + Answers.query(path));
-        final JsonNode body = answer.status() == NOT_FOUND ? answer.body() : Answers.body(answer);
+    static CurrentDocument current(final DaemonClient client, final String path)
+            throws CliException {
+        final OperatorResponse answer =
+                client.get("/operator/settings?path=" + OperatorResponses.encodeQuery(path));
+        final JsonNode body =
+                answer.status() == NOT_FOUND
+                        ? answer.body()
+                        : OperatorResponses.requireBody(answer);
         final Optional<JsonNode> document =
                 Optional.of(body.path("document")).filter(JsonNode::isObject);
-        return new Standing(body.path("revision").asLong(NO_REVISION), document);
+        return new CurrentDocument(body.path("revision").asLong(NO_REVISION), document);
     }
 
     /**
@@ -58,7 +63,7 @@
      * @param revision the number that a change must name as its base
      * @param document the document in force
      */
-    record Standing(long revision, Optional<JsonNode> document) {}
+    record CurrentDocument(long revision, Optional<JsonNode> document) {}
 
     /** Sends the change and returns the daemon's answer. */
     JsonNode send(final DaemonClient client, final Invocation invocation) throws CliException {
@@ -70,7 +75,7 @@
         body.put("author", invocation.text(CliOption.AUTHOR).orElse(systemUser()));
         body.put("reason", requireReason(invocation));
         body.put("dryRun", invocation.has(CliOption.DRY_RUN));
-        return Answers.body(client.post("/operator/settings", body));
+        return OperatorResponses.requireBody(client.post("/operator/settings", body));
     }
 
     private static String systemUser() {
--- a/cli/src/main/java/org/whinhead/cli/command/SettingsGetCommand.java
+++ b/cli/src/main/java/org/whinhead/cli/command/SettingsGetCommand.java
@@ -18,13 +18,13 @@
     @Override
     public ExitCode run(final Invocation invocation, final Console console) throws CliException {
         final String path = invocation.arguments().get(0);
-        try (DaemonClient client = invocation.client()) {
-            final String target = "/operator/settings?path=" + Answers.query(path);
-            final JsonNode body = Answers.body(client.get(target));
+        try (DaemonClient client = invocation.daemonClient()) {
+            final String target = "/operator/settings?path=" + OperatorResponses.encodeQuery(path);
+            final JsonNode body = OperatorResponses.requireBody(client.get(target));
             if (console.isJson()) {
                 console.json(body);
             } else if (body.isArray()) {
-                console.table(JsonRows.columns(body, COLUMNS));
+                console.table(JsonTable.columns(body, COLUMNS));
             } else {
                 console.line(
                         "get.head",
--- a/cli/src/main/java/org/whinhead/cli/command/SettingsHistoryCommand.java
+++ b/cli/src/main/java/org/whinhead/cli/command/SettingsHistoryCommand.java
@@ -20,14 +20,17 @@
     public ExitCode run(final Invocation invocation, final Console console) throws CliException {
         final String path = invocation.arguments().get(0);
         final long max = invocation.numberOrDefault(CliOption.MAX);
-        try (DaemonClient client = invocation.client()) {
+        try (DaemonClient client = invocation.daemonClient()) {
             final String target =
-                    "/operator/settings/history?path=" + Answers.query(path) + "&max=" + max;
-            final JsonNode body = Answers.body(client.get(target));
+                    "/operator/settings/history?path="
+                            + OperatorResponses.encodeQuery(path)
+                            + "&max="
+                            + max;
+            final JsonNode body = OperatorResponses.requireBody(client.get(target));
             if (console.isJson()) {
                 console.json(body);
             } else {
-                console.table(JsonRows.columns(body.path("revisions"), COLUMNS));
+                console.table(JsonTable.columns(body.path("revisions"), COLUMNS));
             }
             return ExitCode.OK;
         }
--- a/cli/src/main/java/org/whinhead/cli/command/SettingsLoadCommand.java
+++ b/cli/src/main/java/org/whinhead/cli/command/SettingsLoadCommand.java
@@ -27,10 +27,10 @@
         final String file = invocation.arguments().get(0);
         final List<DocumentList.Entry> entries = entries(file);
         SettingsChange.requireReason(invocation);
-        final String changeId = SettingsChange.nameOf(invocation);
+        final String changeId = SettingsChange.newChangeId(invocation);
         console.note("put.change", changeId);
         int put = 0;
-        try (DaemonClient client = invocation.client()) {
+        try (DaemonClient client = invocation.daemonClient()) {
             for (final DocumentList.Entry entry : entries) {
                 put += load(client, invocation, console, changeId, entry) ? 1 : 0;
             }
@@ -47,7 +47,7 @@
             final DocumentList.Entry entry)
             throws CliException {
         final String path = entry.path().text();
-        final SettingsChange.Standing standing = SettingsChange.standing(client, path);
+        final SettingsChange.CurrentDocument standing = SettingsChange.current(client, path);
         final JsonNode document = document(path, entry.text());
         if (standing.document().isPresent()
                 && document(path, standing.document().get().toString()).equals(document)) {
--- a/cli/src/main/java/org/whinhead/cli/command/SettingsPutCommand.java
+++ b/cli/src/main/java/org/whinhead/cli/command/SettingsPutCommand.java
@@ -26,8 +26,8 @@
         final Optional<JsonNode> document = document(invocation);
         final long wait = invocation.numberOrDefault(CliOption.WAIT);
         SettingsChange.requireReason(invocation);
-        final String changeId = SettingsChange.nameOf(invocation);
-        try (DaemonClient client = invocation.client()) {
+        final String changeId = SettingsChange.newChangeId(invocation);
+        try (DaemonClient client = invocation.daemonClient()) {
             final SettingsChange change =
                     new SettingsChange(changeId, path, base(client, invocation, path), document);
             console.note("put.change", changeId);
@@ -70,18 +70,18 @@
         if (given.isPresent()) {
             return given.get();
         }
-        return SettingsChange.standing(client, path).revision();
+        return SettingsChange.current(client, path).revision();
     }
 
     private static ExitCode await(
             final DaemonClient client, final long revision, final long wait, final Console console)
             throws CliException {
-        try (InForceWait inForce = new InForceWait(client)) {
+        try (InForcePoller inForce = new InForcePoller(client)) {
             final JsonNode answer = inForce.await(revision, Duration.ofSeconds(wait));
             if (console.isJson()) {
                 console.json(answer);
             }
-            final boolean complete = InForceWait.isComplete(answer);
+            final boolean complete = InForcePoller.isComplete(answer);
             console.line(
                     complete ? "put.everywhere" : "put.missing",
                     answer.path("inForce").size(),
--- a/cli/src/main/java/org/whinhead/cli/command/StatusCommand.java
+++ b/cli/src/main/java/org/whinhead/cli/command/StatusCommand.java
@@ -13,12 +13,12 @@
 
     @Override
     public ExitCode run(final Invocation invocation, final Console console) throws CliException {
-        try (DaemonClient client = invocation.client()) {
-            final JsonNode status = Answers.body(client.get("/operator/status"));
+        try (DaemonClient client = invocation.daemonClient()) {
+            final JsonNode status = OperatorResponses.requireBody(client.get("/operator/status"));
             if (console.isJson()) {
                 console.json(status);
             } else {
-                console.table(JsonRows.pairs(status));
+                console.table(JsonTable.pairs(status));
             }
             return status.path("able").asBoolean(true) ? ExitCode.OK : ExitCode.REFUSED;
         }
--- a/cli/src/main/java/org/whinhead/cli/http/DaemonClient.java
+++ b/cli/src/main/java/org/whinhead/cli/http/DaemonClient.java
@@ -17,7 +17,7 @@
 
     private final List<URI> mDaemons;
     private final Optional<String> mKey;
-    private final HttpExchange mExchange;
+    private final OperatorHttpClient mExchange;
 
     /**
      * Makes a client.
@@ -27,7 +27,9 @@
      * @param exchange makes the calls; closed with the client
      */
     public DaemonClient(
-            final List<URI> daemons, final Optional<String> key, final HttpExchange exchange) {
+            final List<URI> daemons,
+            final Optional<String> key,
+            final OperatorHttpClient exchange) {
         mDaemons = List.copyOf(daemons);
         mKey = key;
         mExchange = exchange;
@@ -40,7 +42,7 @@
      * @return the answer of the first daemon that gives one
      * @throws CliException if none does
      */
-    public HttpAnswer get(final String target) throws CliException {
+    public OperatorResponse get(final String target) throws CliException {
         return call(Methods.GET, target, "");
     }
 
@@ -53,18 +55,18 @@
      * @return the answer of the first daemon that gives one
      * @throws CliException if none does
      */
-    public HttpAnswer post(final String target, final JsonNode body) throws CliException {
+    public OperatorResponse post(final String target, final JsonNode body) throws CliException {
         return call(Methods.POST, target, body.toString());
     }
 
-    private HttpAnswer call(final HttpString method, final String target, final String body)
+    private OperatorResponse call(final HttpString method, final String target, final String body)
             throws CliException {
         final List<String> failures = new ArrayList<>();
-        Optional<HttpAnswer> unavailable = Optional.empty();
+        Optional<OperatorResponse> unavailable = Optional.empty();
         boolean mayHaveArrived = false;
         for (final URI daemon : mDaemons) {
             try {
-                final HttpAnswer answer = mExchange.call(daemon, method, target, mKey, body);
+                final OperatorResponse answer = mExchange.call(daemon, method, target, mKey, body);
                 if (answer.status() != UNAVAILABLE) {
                     return answer;
                 }
--- a/cli/src/main/java/org/whinhead/cli/http/FleetAnswer.java
+++ b/cli/src/main/java/org/whinhead/cli/http/DaemonResult.java
@@ -11,21 +11,21 @@
  * @param answer its answer, or empty if none came
  * @param failure why no answer came; empty if one did
  */
-public record FleetAnswer(URI daemon, Optional<HttpAnswer> answer, String failure) {
+public record DaemonResult(URI daemon, Optional<OperatorResponse> response, String failure) {
 
     /** Checks every part. */
-    public FleetAnswer {
+    public DaemonResult {
         Objects.requireNonNull(daemon, "daemon");
-        Objects.requireNonNull(answer, "answer");
+        Objects.requireNonNull(response, "answer");
         Objects.requireNonNull(failure, "failure");
     }
 
     /** Returns the daemon with the cause why its answer is of no use. */
     public String problem() {
-        return daemon + ": " + answer.map(FleetAnswer::refusal).orElse(failure);
+        return daemon + ": " + response.map(DaemonResult::refusal).orElse(failure);
     }
 
-    private static String refusal(final HttpAnswer answer) {
+    private static String refusal(final OperatorResponse answer) {
         return ("status " + answer.status() + " " + answer.body().path("message").asText()).strip();
     }
 }
--- a/cli/src/main/java/org/whinhead/cli/http/FleetPlan.java
+++ b/cli/src/main/java/org/whinhead/cli/http/FleetAddresses.java
@@ -14,10 +14,10 @@
  * each address that callers are told. Where the list does not name it, it is taken to have the
  * address's host and the named daemon's port, which holds where each Vm runs one daemon.
  */
-public final class FleetPlan {
+public final class FleetAddresses {
 
-    private final Set<URI> mToAsk = new LinkedHashSet<>();
-    private final Map<URI, URI> mOperatorByCaller = new LinkedHashMap<>();
+    private final Set<URI> mTargets = new LinkedHashSet<>();
+    private final Map<URI, URI> mOperatorByPublicAddress = new LinkedHashMap<>();
 
     /**
      * Makes a plan.
@@ -25,8 +25,8 @@
      * @param named the operator addresses that were named, at least one
      * @param addresses the answer to {@code GET /operator/addresses}
      */
-    public FleetPlan(final List<URI> named, final JsonNode addresses) {
-        mToAsk.addAll(named);
+    public FleetAddresses(final List<URI> named, final JsonNode addresses) {
+        mTargets.addAll(named);
         final int port = named.get(0).getPort();
         for (final JsonNode entry : addresses.path("addresses")) {
             final URI caller = URI.create(entry.path("uri").asText());
@@ -35,33 +35,36 @@
                     given.isEmpty()
                             ? URI.create(caller.getScheme() + "://" + caller.getHost() + ":" + port)
                             : URI.create(given);
-            mOperatorByCaller.put(caller, operator);
+            mOperatorByPublicAddress.put(caller, operator);
         }
-        mToAsk.addAll(mOperatorByCaller.values());
+        mTargets.addAll(mOperatorByPublicAddress.values());
     }
 
     /** Returns the operator addresses to ask, each once. */
-    public Set<URI> toAsk() {
-        return Set.copyOf(mToAsk);
+    public Set<URI> targets() {
+        return Set.copyOf(mTargets);
     }
 
     /**
      * Returns the addresses that callers are told, each with the operator address it stands for.
      */
-    public Map<URI, URI> operatorByCaller() {
-        return Map.copyOf(mOperatorByCaller);
+    public Map<URI, URI> operatorByPublicAddress() {
+        return Map.copyOf(mOperatorByPublicAddress);
     }
 
     /**
      * Returns the hosts that run more daemons than there are operator addresses known on them, so
      * that some daemons cannot be asked.
      */
-    public List<String> hostsNotWhole() {
-        return mOperatorByCaller.keySet().stream()
+    public List<String> hostsWithUnknownDaemons() {
+        return mOperatorByPublicAddress.keySet().stream()
                 .map(URI::getHost)
                 .filter(Objects::nonNull)
                 .distinct()
-                .filter(host -> count(mOperatorByCaller.keySet(), host) > count(mToAsk, host))
+                .filter(
+                        host ->
+                                count(mOperatorByPublicAddress.keySet(), host)
+                                        > count(mTargets, host))
                 .toList();
     }
 
--- a/cli/src/main/java/org/whinhead/cli/http/FleetClient.java
+++ b/cli/src/main/java/org/whinhead/cli/http/FleetClient.java
@@ -25,13 +25,13 @@
  */
 public final class FleetClient implements AutoCloseable {
 
-    private static final int CALLS_AT_ONCE = 16;
+    private static final int MAX_CONCURRENT_CALLS = 16;
 
     private final List<URI> mNamed;
     private final Optional<String> mKey;
-    private final HttpExchange mExchange;
-    private final Duration mBound;
-    private final ExecutorService mCalls = Executors.newFixedThreadPool(CALLS_AT_ONCE);
+    private final OperatorHttpClient mExchange;
+    private final Duration mTotalTimeout;
+    private final ExecutorService mExecutor = Executors.newFixedThreadPool(MAX_CONCURRENT_CALLS);
 
     /**
      * Makes a client.
@@ -44,12 +44,12 @@
     public FleetClient(
             final List<URI> named,
             final Optional<String> key,
-            final HttpExchange exchange,
+            final OperatorHttpClient exchange,
             final Duration bound) {
         mNamed = List.copyOf(named);
         mKey = key;
         mExchange = exchange;
-        mBound = bound;
+        mTotalTimeout = bound;
     }
 
     /**
@@ -58,7 +58,7 @@
      * @return its answer
      * @throws CliException if none answers
      */
-    public HttpAnswer addresses() throws CliException {
+    public OperatorResponse addresses() throws CliException {
         return new DaemonClient(mNamed, mKey, mExchange).get("/operator/addresses");
     }
 
@@ -75,19 +75,19 @@
      * @param taker takes what came of each, one at a time, on the calling thread
      */
     public void get(
-            final Set<URI> daemons, final String target, final Consumer<FleetAnswer> taker) {
-        final CompletionService<FleetAnswer> calls = new ExecutorCompletionService<>(mCalls);
+            final Set<URI> daemons, final String target, final Consumer<DaemonResult> taker) {
+        final CompletionService<DaemonResult> calls = new ExecutorCompletionService<>(mExecutor);
         daemons.forEach(daemon -> calls.submit(() -> call(daemon, target)));
         final Set<URI> waiting = new HashSet<>(daemons);
-        final long end = System.nanoTime() + mBound.toNanos();
+        final long end = System.nanoTime() + mTotalTimeout.toNanos();
         try {
             while (!waiting.isEmpty()) {
-                final Future<FleetAnswer> done =
+                final Future<DaemonResult> done =
                         calls.poll(end - System.nanoTime(), TimeUnit.NANOSECONDS);
                 if (done == null) {
                     break;
                 }
-                final FleetAnswer answer = done.get();
+                final DaemonResult answer = done.get();
                 waiting.remove(answer.daemon());
                 taker.accept(answer);
             }
@@ -96,25 +96,26 @@
         } catch (ExecutionException e) {
             throw new IllegalStateException("a call failed", e.getCause());
         }
-        waiting.forEach(daemon -> taker.accept(failed(daemon, "not asked within " + mBound)));
+        waiting.forEach(
+                daemon -> taker.accept(failed(daemon, "not asked within " + mTotalTimeout)));
     }
 
-    private FleetAnswer call(final URI daemon, final String target) {
+    private DaemonResult call(final URI daemon, final String target) {
         try {
-            final HttpAnswer answer = mExchange.call(daemon, Methods.GET, target, mKey, "");
-            return new FleetAnswer(daemon, Optional.of(answer), "");
+            final OperatorResponse answer = mExchange.call(daemon, Methods.GET, target, mKey, "");
+            return new DaemonResult(daemon, Optional.of(answer), "");
         } catch (HttpCallException e) {
             return failed(daemon, e.getMessage());
         }
     }
 
-    private static FleetAnswer failed(final URI daemon, final String cause) {
-        return new FleetAnswer(daemon, Optional.empty(), cause);
+    private static DaemonResult failed(final URI daemon, final String cause) {
+        return new DaemonResult(daemon, Optional.empty(), cause);
     }
 
     @Override
     public void close() {
-        mCalls.shutdownNow();
+        mExecutor.shutdownNow();
         mExchange.close();
     }
 }
--- a/cli/src/main/java/org/whinhead/cli/http/HttpExchange.java
+++ b/cli/src/main/java/org/whinhead/cli/http/OperatorHttpClient.java
@@ -31,7 +31,7 @@
 import org.xnio.XnioWorker;
 
 /** Makes one HTTP call at a time, each on a connection of its own, and waits for the answer. */
-public final class HttpExchange implements AutoCloseable {
+public final class OperatorHttpClient implements AutoCloseable {
 
     private static final int BUFFER_BYTES = 16 * 1024;
     private static final ObjectMapper MAPPER = new ObjectMapper();
@@ -45,7 +45,7 @@
      *
      * @param timeout how long a connection and an answer may each take
      */
-    public HttpExchange(final Duration timeout) {
+    public OperatorHttpClient(final Duration timeout) {
         mTimeout = timeout;
         try {
             mWorker =
@@ -71,7 +71,7 @@
      * @return the answer, whatever its status
      * @throws HttpCallException if no whole answer came
      */
-    public HttpAnswer call(
+    public OperatorResponse call(
             final URI base,
             final HttpString method,
             final String target,
@@ -89,8 +89,10 @@
                     text ->
                             request.getRequestHeaders()
                                     .put(Headers.AUTHORIZATION, "Bearer " + text));
-            final CompletableFuture<HttpAnswer> answer = new CompletableFuture<>();
-            onIoThread(connection, () -> connection.sendRequest(request, new Sent(body, answer)));
+            final CompletableFuture<OperatorResponse> answer = new CompletableFuture<>();
+            onIoThread(
+                    connection,
+                    () -> connection.sendRequest(request, new RequestCallback(body, answer)));
             return await(answer, true);
         } finally {
             onIoThread(connection, () -> IoUtils.safeClose(connection));
@@ -108,7 +110,8 @@
     private ClientConnection connect(final URI base) throws HttpCallException {
         final CompletableFuture<ClientConnection> connection = new CompletableFuture<>();
         UndertowClient.getInstance()
-                .connect(new Completing<>(connection), base, mWorker, mBuffers, OptionMap.EMPTY);
+                .connect(
+                        new FutureCallback<>(connection), base, mWorker, mBuffers, OptionMap.EMPTY);
         return await(connection, false);
     }
 
@@ -131,18 +134,18 @@
         mWorker.shutdownNow();
     }
 
-    private static HttpAnswer answer(final int status, final String text) throws IOException {
+    private static OperatorResponse parse(final int status, final String text) throws IOException {
         try {
             final JsonNode body =
                     text.isEmpty() ? MissingNode.getInstance() : MAPPER.readTree(text);
-            return new HttpAnswer(status, body);
+            return new OperatorResponse(status, body);
         } catch (JsonProcessingException e) {
             throw new IOException("the answer is not JSON (status " + status + ")", e);
         }
     }
 
     /** Completes a future with what a callback gets. */
-    private record Completing<T>(CompletableFuture<T> future) implements ClientCallback<T> {
+    private record FutureCallback<T>(CompletableFuture<T> future) implements ClientCallback<T> {
         @Override
         public void completed(final T result) {
             future.complete(result);
@@ -155,18 +158,19 @@
     }
 
     /** Writes the body and awaits the head of the answer. */
-    private final class Sent implements ClientCallback<ClientExchange> {
+    private final class RequestCallback implements ClientCallback<ClientExchange> {
         private final String mBody;
-        private final CompletableFuture<HttpAnswer> mAnswer;
+        private final CompletableFuture<OperatorResponse> mAnswer;
 
-        private Sent(final String body, final CompletableFuture<HttpAnswer> answer) {
+        private RequestCallback(
+                final String body, final CompletableFuture<OperatorResponse> answer) {
             mBody = body;
             mAnswer = answer;
         }
 
         @Override
         public void completed(final ClientExchange exchange) {
-            exchange.setResponseListener(new Responded(mAnswer));
+            exchange.setResponseListener(new ResponseCallback(mAnswer));
             if (!mBody.isEmpty()) {
                 new StringWriteChannelListener(mBody).setup(exchange.getRequestChannel());
             }
@@ -179,10 +183,10 @@
     }
 
     /** Reads the answer's body. */
-    private final class Responded implements ClientCallback<ClientExchange> {
-        private final CompletableFuture<HttpAnswer> mAnswer;
+    private final class ResponseCallback implements ClientCallback<ClientExchange> {
+        private final CompletableFuture<OperatorResponse> mAnswer;
 
-        private Responded(final CompletableFuture<HttpAnswer> answer) {
+        private ResponseCallback(final CompletableFuture<OperatorResponse> answer) {
             mAnswer = answer;
         }
 
@@ -193,7 +197,7 @@
                 @Override
                 protected void stringDone(final String text) {
                     try {
-                        mAnswer.complete(answer(status, text));
+                        mAnswer.complete(parse(status, text));
                     } catch (IOException e) {
                         error(e);
                     }
--- a/cli/src/main/java/org/whinhead/cli/http/HttpAnswer.java
+++ b/cli/src/main/java/org/whinhead/cli/http/OperatorResponse.java
@@ -9,10 +9,10 @@
  * @param status the HTTP status
  * @param body the body; a missing node if there is none
  */
-public record HttpAnswer(int status, JsonNode body) {
+public record OperatorResponse(int status, JsonNode body) {
 
     /** Checks both parts. */
-    public HttpAnswer {
+    public OperatorResponse {
         Objects.requireNonNull(body, "body");
     }
 
--- a/cli/src/test/java/org/whinhead/cli/FakeDaemon.java
+++ b/cli/src/test/java/org/whinhead/cli/FakeDaemon.java
@@ -17,13 +17,13 @@
 /** Answers operator calls with prepared answers, in order, and remembers what it was asked. */
 final class FakeDaemon implements AutoCloseable {
 
-    private record Answer(int status, String body) {}
+    private record Response(int status, String body) {}
 
-    private static final int CUT = 0;
+    private static final int CLOSE_CONNECTION = 0;
 
     private final Undertow mServer;
-    private final Queue<Answer> mAnswers = new ArrayDeque<>();
-    private final List<String> mAsked = Collections.synchronizedList(new ArrayList<>());
+    private final Queue<Response> mResponses = new ArrayDeque<>();
+    private final List<String> mRequests = Collections.synchronizedList(new ArrayList<>());
 
     FakeDaemon() {
         mServer =
@@ -36,13 +36,13 @@
         mServer.start();
     }
 
-    FakeDaemon answers(final int status, final String body) {
-        mAnswers.add(new Answer(status, body));
+    FakeDaemon respondWith(final int status, final String body) {
+        mResponses.add(new Response(status, body));
         return this;
     }
 
-    FakeDaemon cuts() {
-        return answers(CUT, "");
+    FakeDaemon closeConnection() {
+        return respondWith(CLOSE_CONNECTION, "");
     }
 
     String uri() {
@@ -52,15 +52,15 @@
     }
 
     /** Returns each call as method, target, key and body. */
-    List<String> asked() {
-        return mAsked;
+    List<String> requests() {
+        return mRequests;
     }
 
     private void handle(final HttpServerExchange exchange) throws IOException {
         final String body =
                 new String(exchange.getInputStream().readAllBytes(), StandardCharsets.UTF_8);
         final String query = exchange.getQueryString();
-        mAsked.add(
+        mRequests.add(
                 exchange.getRequestMethod()
                         + " "
                         + exchange.getRequestPath()
@@ -68,8 +68,8 @@
                         + " "
                         + exchange.getRequestHeaders().getFirst(Headers.AUTHORIZATION)
                         + (body.isEmpty() ? "" : " " + body));
-        final Answer answer = mAnswers.remove();
-        if (answer.status() == CUT) {
+        final Response answer = mResponses.remove();
+        if (answer.status() == CLOSE_CONNECTION) {
             IoUtils.safeClose(exchange.getConnection());
             return;
         }
--- a/cli/src/test/java/org/whinhead/cli/FleetCommandsTest.java
+++ b/cli/src/test/java/org/whinhead/cli/FleetCommandsTest.java
@@ -49,29 +49,29 @@
 
     // Both daemons answer, and the report is whole; the list names where the second one is asked.
     @Test
-    void wholeReportAddsUpAllDaemons() {
-        mFirst.answers(200, addresses(entry(FIRST, ""), entry(SECOND, mSecond.uri())))
-                .answers(200, counts("d1", FIRST));
-        mSecond.answers(200, counts("d2", SECOND));
+    void completeReportSumsAllDaemons() {
+        mFirst.respondWith(200, addresses(entry(FIRST, ""), entry(SECOND, mSecond.uri())))
+                .respondWith(200, counts("d1", FIRST));
+        mSecond.respondWith(200, counts("d2", SECOND));
         assertThat(run("report", "--price-per-hour", "12")).isEqualTo(0);
         assertThat(out())
                 .contains("1 h    tier court: completed 2, generated 20 tokens, recomputed 4\n")
                 .contains("cost of 1,000 completed requests over 1 h: 6000.0000\n")
                 .contains("collected from: d1, d2\n")
                 .doesNotContain("NOT collected");
-        assertThat(mSecond.asked()).containsExactly("GET /operator/burn null");
+        assertThat(mSecond.requests()).containsExactly("GET /operator/burn null");
     }
 
     // On the night of an outage the person on call takes half of the fleet for all of it: one
     // daemon refuses the key, one is cut off, and the report looks as good as ever. So it names
     // both and why, and ends with another exit code.
     @Test
-    void partialReportNamesWhoDidNotAnswer() throws IOException {
-        mFirst.answers(
+    void partialReportNamesMissingDaemons() throws IOException {
+        mFirst.respondWith(
                         200,
                         addresses(entry(FIRST, ""), entry(SECOND, mSecond.uri()), entry(THIRD, "")))
-                .answers(200, counts("d1", FIRST));
-        mSecond.answers(401, "{\"message\": \"the key is not known\"}");
+                .respondWith(200, counts("d1", FIRST));
+        mSecond.respondWith(401, "{\"message\": \"the key is not known\"}");
         final Path page = mFolder.resolve("burn.html");
         assertThat(run("report", "--format", "html", "--out", page.toString())).isEqualTo(1);
         final String refused =
@@ -87,7 +87,7 @@
 
     @Test
     void reportWithoutAnyCountsFails() {
-        mFirst.answers(200, addresses(entry(FIRST, ""))).answers(200, "{\"columns\": []}");
+        mFirst.respondWith(200, addresses(entry(FIRST, ""))).respondWith(200, "{\"columns\": []}");
         assertThat(run("report")).isEqualTo(3);
         assertThat(err()).contains("not a burn report: columns []");
         assertThat(run("report", "--format", "pdf")).isEqualTo(2);
@@ -97,23 +97,23 @@
     // A request was handed over when its daemon stopped; each daemon knows one half of why.
     @Test
     void explainShowsTheDecisionsOfAllDaemonsInOrder() {
-        mFirst.answers(200, addresses(entry(FIRST, ""), entry(SECOND, mSecond.uri())))
-                .answers(200, decision("2026-12-02T16:30:02Z", "resumed"));
-        mSecond.answers(200, decision("2026-12-02T16:30:01Z", "handed-back"));
+        mFirst.respondWith(200, addresses(entry(FIRST, ""), entry(SECOND, mSecond.uri())))
+                .respondWith(200, decision("2026-12-02T16:30:02Z", "resumed"));
+        mSecond.respondWith(200, decision("2026-12-02T16:30:01Z", "handed-back"));
         assertThat(run("explain", "case 12")).isEqualTo(0);
         assertThat(out().lines().map(line -> line.replaceAll(" +", " ")).toList())
                 .containsExactly(
                         "AT DAEMON ATTEMPT KIND ENDPOINT CAUSE",
                         "2026-12-02T16:30:01Z " + mSecond.uri() + " 1 handed-back engine-1 -",
                         "2026-12-02T16:30:02Z " + mFirst.uri() + " 1 resumed engine-1 -");
-        assertThat(mSecond.asked()).containsExactly("GET /operator/explain?id=case+12 null");
+        assertThat(mSecond.requests()).containsExactly("GET /operator/explain?id=case+12 null");
     }
 
     @Test
-    void explainSaysWhichDaemonsAreMissing() {
-        mFirst.answers(200, addresses(entry(FIRST, ""), entry(SECOND, mSecond.uri())))
-                .answers(404, "{\"message\": \"none\"}");
-        mSecond.cuts();
+    void explainNamesMissingDaemons() {
+        mFirst.respondWith(200, addresses(entry(FIRST, ""), entry(SECOND, mSecond.uri())))
+                .respondWith(404, "{\"message\": \"none\"}");
+        mSecond.closeConnection();
         assertThat(run("explain", "r")).isEqualTo(1);
         assertThat(err())
                 .startsWith("Not collected: " + mSecond.uri() + ": ")
--- a/cli/src/test/java/org/whinhead/cli/MainTest.java
+++ b/cli/src/test/java/org/whinhead/cli/MainTest.java
@@ -41,13 +41,13 @@
     // An operator's change is in force twice, or reported as lost although it is in force: the
     // first daemon appends it and dies before it answers, and the second try is a new change.
     @Test
-    void lostAnswerIsAskedForAgainUnderTheSameName() throws IOException {
-        mFirst.answers(404, "{}").cuts();
-        mSecond.answers(200, "{\"revision\": 42}");
+    void lostResponseIsRetriedWithTheSameChangeId() throws IOException {
+        mFirst.respondWith(404, "{}").closeConnection();
+        mSecond.respondWith(200, "{\"revision\": 42}");
         assertThat(run("settings", "put", "/tiers/clerk", TIER, "--reason", "court week"))
                 .isEqualTo(0);
-        final String sent = mFirst.asked().get(1);
-        assertThat(mSecond.asked()).containsExactly(sent);
+        final String sent = mFirst.requests().get(1);
+        assertThat(mSecond.requests()).containsExactly(sent);
         assertThat(sent)
                 .startsWith("POST /operator/settings Bearer secret {\"changeId\":\"")
                 .contains(
@@ -59,23 +59,23 @@
     // A script takes exit code 1 for "not changed" and puts another document, although the first
     // change is in force: the second daemon's refusal spoke only of its own try.
     @Test
-    void lostAnswerIsNotTakenForRefusal() throws IOException {
-        mFirst.cuts();
-        mSecond.answers(503, "{\"message\": \"the log is out\", \"verdict\": \"not-run\"}");
+    void lostResponseIsNotReportedAsRefusal() throws IOException {
+        mFirst.closeConnection();
+        mSecond.respondWith(503, "{\"message\": \"the log is out\", \"verdict\": \"not-run\"}");
         assertThat(run(delete("--base", "7", "--change-id", "a"))).isEqualTo(3);
-        assertThat(mSecond.asked().get(0))
+        assertThat(mSecond.requests().get(0))
                 .contains("{\"changeId\":\"a\"")
                 .contains("\"baseRevision\":7,\"document\":null");
         assertThat(err()).startsWith("Change a\nThe answer was lost; the change may be in force.");
     }
 
     @Test
-    void deadDaemonIsPassedOver() throws IOException {
+    void unreachableDaemonIsSkipped() throws IOException {
         final String dead;
         try (ServerSocket socket = new ServerSocket(0, 1, InetAddress.getLoopbackAddress())) {
             dead = "http://127.0.0.1:" + socket.getLocalPort();
         }
-        mFirst.answers(200, "{\"able\": false, \"log\": {\"offset\": 7}, \"notUsable\": []}");
+        mFirst.respondWith(200, "{\"able\": false, \"log\": {\"offset\": 7}, \"notUsable\": []}");
         assertThat(runWith(dead + "," + mFirst.uri(), "status")).isEqualTo(1);
         assertThat(out()).isEqualTo("able        false\nlog.offset  7\nnotUsable   -\n");
         assertThat(runWith(dead, "status")).isEqualTo(3);
@@ -95,11 +95,11 @@
                 "422 | {'problems': [{'path': '$.weight', 'message': 'wrong'}, 'other']} | 5"
                         + " | The settings are invalid:~$.weight: wrong~other",
             })
-    void answersBecomeExitCodes(
+    void responseStatusSetsExitCode(
             final int status, final String body, final int exit, final String message)
             throws IOException {
-        mFirst.answers(status, body.replace('\'', '"'));
-        mSecond.answers(status, body.replace('\'', '"'));
+        mFirst.respondWith(status, body.replace('\'', '"'));
+        mSecond.respondWith(status, body.replace('\'', '"'));
         assertThat(run(delete("--base", "7", "--json", "--change-id", "a"))).isEqualTo(exit);
         assertThat(out()).isEmpty();
         assertThat(err()).isEqualTo("Change a\n" + message.replace('~', '\n') + "\n");
@@ -107,31 +107,31 @@
 
     @Test
     void waitsUntilNoDaemonIsMissing() throws IOException {
-        mFirst.answers(200, "{\"revision\": 42}")
-                .answers(200, "{\"inForce\": [\"a\"], \"missing\": [\"b\"]}")
-                .answers(200, "{\"inForce\": [\"a\", \"b\"], \"missing\": []}");
+        mFirst.respondWith(200, "{\"revision\": 42}")
+                .respondWith(200, "{\"inForce\": [\"a\"], \"missing\": [\"b\"]}")
+                .respondWith(200, "{\"inForce\": [\"a\", \"b\"], \"missing\": []}");
         assertThat(run(delete("--base", "7", "--wait-seconds", "60"))).isEqualTo(0);
         assertThat(out()).endsWith("In force on all 2 daemons\n");
-        assertThat(mFirst.asked().get(2))
+        assertThat(mFirst.requests().get(2))
                 .isEqualTo("GET /operator/settings/inforce?revision=42 Bearer secret");
     }
 
     @Test
-    void loadPassesOverWhatIsInForce() throws IOException {
-        mFirst.answers(200, "{\"revision\": 3, \"document\": {\"schema\": 1, \"priority\": 2}}")
-                .answers(404, "{\"message\": \"deleted\", \"revision\": 4}")
-                .answers(200, "{\"revision\": 5}");
+    void loadSkipsUnchangedDocuments() throws IOException {
+        mFirst.respondWith(200, "{\"revision\": 3, \"document\": {\"schema\": 1, \"priority\": 2}}")
+                .respondWith(404, "{\"message\": \"deleted\", \"revision\": 4}")
+                .respondWith(200, "{\"revision\": 5}");
         final String list = FOLDER.resolve("two-tiers.json").toString();
         assertThat(run("settings", "load", list, "--reason", "first")).isEqualTo(0);
         assertThat(out())
                 .endsWith(
                         "/tiers/urgent is in force at revision 5\n1 documents put, 1 unchanged\n");
-        assertThat(mFirst.asked().get(2)).contains("\"baseRevision\":4");
+        assertThat(mFirst.requests().get(2)).contains("\"baseRevision\":4");
     }
 
     @Test
     void showsListsAsTables() throws IOException {
-        mFirst.answers(
+        mFirst.respondWith(
                 200,
                 "{\"revisions\": [{\"revision\": 9, \"author\": \"aline\", \"reason\": \"closed\","
                         + " \"at\": \"2026-12-02T10:00:00Z\", \"document\": null}]}");
@@ -140,12 +140,12 @@
                 .isEqualTo(
                         "REVISION  AT                    AUTHOR  REASON  DOCUMENT\n"
                                 + "9         2026-12-02T10:00:00Z  aline   closed  -\n");
-        assertThat(mFirst.asked().get(0))
+        assertThat(mFirst.requests().get(0))
                 .startsWith("GET /operator/settings/history?path=%2Ftiers%2Fx+y&max=5 ");
     }
 
     @Test
-    void checksExamplesAndListsFaults() throws IOException {
+    void checkAcceptsExamplesAndListsProblems() throws IOException {
         assertThat(run("settings", "check", "../examples/inkiko", "../examples/mezani"))
                 .isEqualTo(0);
         assertThat(out()).isEqualTo("18 files checked, no problem\n");
@@ -168,7 +168,7 @@
                         + " | Not an address of the form http://host:port: localhost",
                 "status --loud | Unrecognized option: --loud. Usage: whinhead status",
             })
-    void wrongCommandLinesAreNamed(final String line, final String message) throws IOException {
+    void invalidCommandLineIsReported(final String line, final String message) throws IOException {
         assertThat(run(line.split(" "))).isEqualTo(2);
         assertThat(err()).isEqualTo(message + "\n");
     }
--- a/cli/src/test/java/org/whinhead/cli/command/LogStoryTest.java
+++ b/cli/src/test/java/org/whinhead/cli/command/RequestTimelineTest.java
@@ -12,14 +12,14 @@
 import org.junit.jupiter.api.BeforeEach;
 import org.junit.jupiter.api.Test;
 
-class LogStoryTest {
+class RequestTimelineTest {
 
-    private final LogStory mStory = new LogStory();
+    private final RequestTimeline mTimeline = new RequestTimeline();
 
     @BeforeEach
     void read() throws IOException, URISyntaxException {
         for (final String file : List.of("edge-1.log", "fleet.log")) {
-            mStory.read(Path.of(LogStoryTest.class.getResource(file).toURI()));
+            mTimeline.read(Path.of(RequestTimelineTest.class.getResource(file).toURI()));
         }
     }
 
@@ -32,8 +32,8 @@
     }
 
     @Test
-    void linesOfAllDaemonsComeInOrderWithWhatTheyWentBy() {
-        final ArrayNode lines = mStory.of("r-1");
+    void linesOfAllDaemonsAreOrderedAndPrecededByKnownState() {
+        final ArrayNode lines = mTimeline.linesFor("r-1");
         assertThat(texts(lines, "message"))
                 .containsExactly(
                         "request refused",
@@ -49,7 +49,7 @@
     }
 
     @Test
-    void unknownRequestHasNoStory() {
-        assertThat(mStory.of("r-9")).isEmpty();
+    void unknownRequestHasNoLines() {
+        assertThat(mTimeline.linesFor("r-9")).isEmpty();
     }
 }
--- a/cli/src/test/java/org/whinhead/cli/http/HttpExchangeTest.java
+++ b/cli/src/test/java/org/whinhead/cli/http/OperatorHttpClientTest.java
@@ -12,7 +12,7 @@
 import java.util.Optional;
 import org.junit.jupiter.api.Test;
 
-class HttpExchangeTest {
+class OperatorHttpClientTest {
 
     private static final int CALLS = 400;
 
@@ -23,7 +23,7 @@
     @Test
     void connectionThatClosesDuringTheRequestFailsTheCall() throws Exception {
         try (ServerSocket server = new ServerSocket(0, 50, InetAddress.getLoopbackAddress());
-                HttpExchange exchange = new HttpExchange(Duration.ofSeconds(10))) {
+                OperatorHttpClient exchange = new OperatorHttpClient(Duration.ofSeconds(10))) {
             final Thread closing = new Thread(() -> closeEach(server));
             closing.setDaemon(true);
             closing.start();
--- a/clients/src/main/java/org/whinhead/clients/cloud/NoticeClient.java
+++ b/clients/src/main/java/org/whinhead/clients/cloud/NoticeClient.java
@@ -13,10 +13,10 @@
 import java.util.List;
 import java.util.concurrent.CompletionStage;
 import org.whinhead.api.model.VmId;
+import org.whinhead.clients.http.BufferedHttpClient;
+import org.whinhead.clients.http.BufferedHttpResponse;
 import org.whinhead.clients.http.HttpCaller;
 import org.whinhead.clients.http.OutgoingRequest;
-import org.whinhead.clients.http.WholeCall;
-import org.whinhead.clients.http.WholeHttpResponse;
 
 /** Reads the cloud's reclaim notices, waiting for new ones. */
 public final class NoticeClient {
@@ -24,9 +24,9 @@
     private static final ObjectMapper MAPPER = new ObjectMapper();
     private static final Duration WAIT = Duration.ofSeconds(5);
     private static final Duration TIMEOUT = WAIT.plusSeconds(3);
-    private static final int MAX_BYTES = 1024 * 1024;
+    private static final int MAX_RESPONSE_BYTES = 1024 * 1024;
 
-    private final WholeCall mCalls;
+    private final BufferedHttpClient mCalls;
     private final URI mBase;
 
     /**
@@ -36,7 +36,7 @@
      * @param base where the cloud API is
      */
     public NoticeClient(final HttpCaller caller, final URI base) {
-        mCalls = new WholeCall(caller, TIMEOUT, MAX_BYTES);
+        mCalls = new BufferedHttpClient(caller, TIMEOUT, MAX_RESPONSE_BYTES);
         mBase = base;
     }
 
@@ -51,7 +51,7 @@
         return mCalls.send(OutgoingRequest.to(mBase, path).build()).thenApply(NoticeClient::parse);
     }
 
-    private static NoticePage parse(final WholeHttpResponse response) {
+    private static NoticePage parse(final BufferedHttpResponse response) {
         try {
             if (response.status() != StatusCodes.OK) {
                 throw new IOException("the cloud answered with status " + response.status());
--- a/clients/src/main/java/org/whinhead/clients/engine/EngineClient.java
+++ b/clients/src/main/java/org/whinhead/clients/engine/EngineClient.java
@@ -13,19 +13,19 @@
 import java.util.Set;
 import java.util.concurrent.CompletionStage;
 import org.whinhead.api.model.ModelRef;
+import org.whinhead.clients.http.BufferedHttpClient;
+import org.whinhead.clients.http.BufferedHttpResponse;
 import org.whinhead.clients.http.HttpCaller;
 import org.whinhead.clients.http.OutgoingRequest;
-import org.whinhead.clients.http.WholeCall;
-import org.whinhead.clients.http.WholeHttpResponse;
 
 /** Asks engines which models they have loaded and how busy they are. */
 public final class EngineClient {
 
     private static final ObjectMapper MAPPER = new ObjectMapper();
     private static final Duration TIMEOUT = Duration.ofSeconds(2);
-    private static final int MAX_BYTES = 256 * 1024;
+    private static final int MAX_RESPONSE_BYTES = 256 * 1024;
 
-    private final WholeCall mCalls;
+    private final BufferedHttpClient mCalls;
 
     /**
      * Makes a client.
@@ -33,7 +33,7 @@
      * @param caller makes the calls
      */
     public EngineClient(final HttpCaller caller) {
-        mCalls = new WholeCall(caller, TIMEOUT, MAX_BYTES);
+        mCalls = new BufferedHttpClient(caller, TIMEOUT, MAX_RESPONSE_BYTES);
     }
 
     /**
@@ -58,10 +58,10 @@
                 .thenApply(EngineClient::load);
     }
 
-    private static Set<ModelRef> models(final WholeHttpResponse response) {
+    private static Set<ModelRef> models(final BufferedHttpResponse response) {
         final Set<ModelRef> models = new HashSet<>();
         try {
-            for (final JsonNode model : tree(response).path("data")) {
+            for (final JsonNode model : parseJson(response).path("data")) {
                 models.add(ModelRef.parse(model.path("id").asText()));
             }
         } catch (final IllegalArgumentException e) {
@@ -70,8 +70,8 @@
         return models;
     }
 
-    private static EngineLoad load(final WholeHttpResponse response) {
-        final JsonNode root = tree(response);
+    private static EngineLoad load(final BufferedHttpResponse response) {
+        final JsonNode root = parseJson(response);
         try {
             return new EngineLoad(
                     Instant.parse(root.path("asOf").asText()),
@@ -83,7 +83,7 @@
         }
     }
 
-    private static JsonNode tree(final WholeHttpResponse response) {
+    private static JsonNode parseJson(final BufferedHttpResponse response) {
         try {
             if (response.status() != StatusCodes.OK) {
                 throw new IOException("the engine answered with status " + response.status());
--- a/clients/src/main/java/org/whinhead/clients/http/BodyWriter.java
+++ b/clients/src/main/java/org/whinhead/clients/http/BodyWriter.java
@@ -10,9 +10,9 @@
 
     private final StreamSinkChannel mChannel;
     private final ByteBuffer mBody;
-    private final Consumer<IOException> mFailed;
-    private boolean mShutDown;
-    private boolean mDone;
+    private final Consumer<IOException> mFailureHandler;
+    private boolean mIsShutDown;
+    private boolean mIsDone;
 
     BodyWriter(
             final StreamSinkChannel channel,
@@ -20,12 +20,12 @@
             final Consumer<IOException> failed) {
         mChannel = channel;
         mBody = ByteBuffer.wrap(body);
-        mFailed = failed;
+        mFailureHandler = failed;
     }
 
     /** Tells whether the whole body has been sent. */
     boolean isDone() {
-        return mDone;
+        return mIsDone;
     }
 
     void write() {
@@ -35,11 +35,11 @@
                 mChannel.resumeWrites();
                 return;
             }
-            mDone = true;
+            mIsDone = true;
             mChannel.getWriteSetter().set(null);
             mChannel.suspendWrites();
         } catch (final IOException e) {
-            mFailed.accept(e);
+            mFailureHandler.accept(e);
         }
     }
 
@@ -50,9 +50,9 @@
                 return false;
             }
         }
-        if (!mShutDown) {
+        if (!mIsShutDown) {
             mChannel.shutdownWrites();
-            mShutDown = true;
+            mIsShutDown = true;
         }
         return mChannel.flush();
     }
--- a/clients/src/main/java/org/whinhead/clients/http/WholeCall.java
+++ b/clients/src/main/java/org/whinhead/clients/http/BufferedHttpClient.java
@@ -12,7 +12,7 @@
 import org.xnio.XnioExecutor;
 
 /** Makes calls whose response is read whole, within bounds of time and size. */
-public final class WholeCall {
+public final class BufferedHttpClient {
 
     private final HttpCaller mCaller;
     private final Duration mTimeout;
@@ -25,7 +25,7 @@
      * @param timeout how long a call may take in all
      * @param maxBytes the largest response
      */
-    public WholeCall(final HttpCaller caller, final Duration timeout, final int maxBytes) {
+    public BufferedHttpClient(final HttpCaller caller, final Duration timeout, final int maxBytes) {
         mCaller = caller;
         mTimeout = Arguments.requirePositive(timeout, "timeout");
         mMaxBytes = maxBytes;
@@ -37,44 +37,44 @@
      * @param request what to send
      * @return the response, or a {@link CallFailedException}; completed on an IO thread
      */
-    public CompletionStage<WholeHttpResponse> send(final OutgoingRequest request) {
-        final Reading reading = new Reading();
+    public CompletionStage<BufferedHttpResponse> send(final OutgoingRequest request) {
+        final BufferingListener reading = new BufferingListener();
         mCaller.start(request, reading);
         return reading.mResult;
     }
 
     /** One response on its way in; on one IO thread. */
-    private final class Reading implements ResponseListener {
-        private final CompletableFuture<WholeHttpResponse> mResult = new CompletableFuture<>();
+    private final class BufferingListener implements ResponseListener {
+        private final CompletableFuture<BufferedHttpResponse> mResult = new CompletableFuture<>();
         private final ByteArrayOutputStream mBody = new ByteArrayOutputStream();
         private HttpCall mCall;
         private XnioExecutor.Key mTimer;
-        private boolean mBegun;
+        private boolean mHasStatus;
         private int mStatus;
         private long mRetryAfter;
 
         @Override
-        public void starting(final HttpCall call) {
+        public void onStart(final HttpCall call) {
             mCall = call;
             mTimer =
                     call.thread()
                             .executeAfter(
-                                    () -> giveUp(HttpFailure.SILENT, "no response in " + mTimeout),
+                                    () -> abort(HttpFailure.SILENT, "no response in " + mTimeout),
                                     mTimeout.toMillis(),
                                     TimeUnit.MILLISECONDS);
         }
 
         @Override
-        public void began(final int status, final HeaderMap headers) {
-            mBegun = true;
+        public void onHeaders(final int status, final HeaderMap headers) {
+            mHasStatus = true;
             mStatus = status;
-            mRetryAfter = seconds(headers.getFirst(Headers.RETRY_AFTER));
+            mRetryAfter = parseSeconds(headers.getFirst(Headers.RETRY_AFTER));
         }
 
         @Override
-        public void arrived(final ByteBuffer bytes) {
+        public void onBodyBytes(final ByteBuffer bytes) {
             if (mBody.size() + bytes.remaining() > mMaxBytes) {
-                giveUp(HttpFailure.RESPONSE_TOO_LARGE, "more than " + mMaxBytes + " bytes");
+                abort(HttpFailure.RESPONSE_TOO_LARGE, "more than " + mMaxBytes + " bytes");
                 return;
             }
             final byte[] some = new byte[bytes.remaining()];
@@ -83,23 +83,23 @@
         }
 
         @Override
-        public void ended() {
+        public void onEnd() {
             mTimer.remove();
-            mResult.complete(new WholeHttpResponse(mStatus, mRetryAfter, mBody.toByteArray()));
+            mResult.complete(new BufferedHttpResponse(mStatus, mRetryAfter, mBody.toByteArray()));
         }
 
         @Override
-        public void failed(final HttpFailure failure, final String detail) {
+        public void onFailure(final HttpFailure failure, final String detail) {
             mTimer.remove();
             mResult.completeExceptionally(new CallFailedException(failure, detail));
         }
 
-        private void giveUp(final HttpFailure failure, final String detail) {
+        private void abort(final HttpFailure failure, final String detail) {
             mCall.cancel();
-            failed(mBegun ? failure : HttpFailure.SILENT, detail);
+            onFailure(mHasStatus ? failure : HttpFailure.SILENT, detail);
         }
 
-        private long seconds(final String text) {
+        private long parseSeconds(final String text) {
             try {
                 return text == null ? 0 : Math.max(0, Long.parseLong(text));
             } catch (final NumberFormatException e) {
--- a/clients/src/main/java/org/whinhead/clients/http/WholeHttpResponse.java
+++ b/clients/src/main/java/org/whinhead/clients/http/BufferedHttpResponse.java
@@ -9,10 +9,10 @@
  * @param retryAfterSeconds what the peer says of coming back; 0 if nothing
  * @param body the body
  */
-public record WholeHttpResponse(int status, long retryAfterSeconds, byte[] body) {
+public record BufferedHttpResponse(int status, long retryAfterSeconds, byte[] body) {
 
     /** Checks the body. */
-    public WholeHttpResponse {
+    public BufferedHttpResponse {
         Objects.requireNonNull(body, "body");
     }
 }
--- a/clients/src/main/java/org/whinhead/clients/http/ConnectionPool.java
+++ b/clients/src/main/java/org/whinhead/clients/http/ConnectionPool.java
@@ -16,7 +16,7 @@
     private boolean mClosed;
 
     /** Takes the connection used last, so that surplus ones stay idle and can be dropped. */
-    ClientConnection take(final String authority) {
+    ClientConnection acquire(final String authority) {
         final Deque<ClientConnection> idle = mIdle.get(authority);
         if (idle == null) {
             return null;
@@ -31,7 +31,7 @@
         return connection;
     }
 
-    void give(final String authority, final ClientConnection connection) {
+    void release(final String authority, final ClientConnection connection) {
         final Deque<ClientConnection> idle =
                 mIdle.computeIfAbsent(authority, ignored -> new ArrayDeque<>());
         if (mClosed || !connection.isOpen() || idle.size() >= MAX_IDLE_PER_AUTHORITY) {
--- a/clients/src/main/java/org/whinhead/clients/http/HttpCall.java
+++ b/clients/src/main/java/org/whinhead/clients/http/HttpCall.java
@@ -36,7 +36,7 @@
     private BodyWriter mWriter;
     private ResponseReader mReader;
     private XnioExecutor.Key mTimer;
-    private long mLastHeardNanos;
+    private long mLastActivityNanos;
     private boolean mPaused;
 
     HttpCall(
@@ -59,7 +59,7 @@
 
     /** Ends the call without a word to the listener; from any thread. */
     public void cancel() {
-        mThread.execute(this::drop);
+        mThread.execute(this::abort);
     }
 
     /** Stops reading the response until {@link #resume}; on the IO thread only. */
@@ -73,7 +73,7 @@
     /** Reads on after {@link #pause}; on the IO thread only. */
     public void resume() {
         mPaused = false;
-        heard();
+        recordActivity();
         if (mReader != null && mStep == Step.RESPONDING) {
             mReader.read();
         }
@@ -88,63 +88,64 @@
         if (mStep == Step.DONE) {
             return;
         }
-        mListener.starting(this);
-        final ClientConnection pooled = mPool.take(mRequest.base().getAuthority());
+        mListener.onStart(this);
+        final ClientConnection pooled = mPool.acquire(mRequest.base().getAuthority());
         if (pooled != null) {
             send(pooled);
             return;
         }
         mTimer =
-                after(
+                schedule(
                         mRequest.connectTimeout(),
                         () -> fail(HttpFailure.CONNECT_FAILED, "no connection in time"));
         UndertowClient.getInstance()
-                .connect(new Connected(), mRequest.base(), mThread, mBuffers, OptionMap.EMPTY);
+                .connect(
+                        new ConnectCallback(), mRequest.base(), mThread, mBuffers, OptionMap.EMPTY);
     }
 
     private void send(final ClientConnection connection) {
         mConnection = connection;
         mStep = Step.SENT;
-        heard();
-        watchSilence(mRequest.silenceTimeout());
+        recordActivity();
+        scheduleIdleCheck(mRequest.silenceTimeout());
         final ClientRequest request =
                 new ClientRequest().setMethod(mRequest.method()).setPath(mRequest.path());
         mRequest.headers().forEach(h -> request.getRequestHeaders().addAll(h.getHeaderName(), h));
-        connection.sendRequest(request, new Sent());
+        connection.sendRequest(request, new RequestCallback());
     }
 
-    private void watchSilence(final Duration wait) {
+    private void scheduleIdleCheck(final Duration wait) {
         cancelTimer();
-        mTimer = after(wait, this::checkSilence);
+        mTimer = schedule(wait, this::checkIdle);
     }
 
-    private void checkSilence() {
-        final long quiet = System.nanoTime() - mLastHeardNanos;
+    private void checkIdle() {
+        final long quiet = System.nanoTime() - mLastActivityNanos;
         final long left = mRequest.silenceTimeout().toNanos() - quiet;
         if (left <= 0 && !mPaused) {
             fail(HttpFailure.SILENT, "nothing arrived for " + mRequest.silenceTimeout());
             return;
         }
-        watchSilence(left <= 0 ? mRequest.silenceTimeout() : Duration.ofNanos(left));
+        scheduleIdleCheck(left <= 0 ? mRequest.silenceTimeout() : Duration.ofNanos(left));
     }
 
-    private void heard() {
-        mLastHeardNanos = System.nanoTime();
+    private void recordActivity() {
+        mLastActivityNanos = System.nanoTime();
     }
 
-    private void respond(final ClientExchange exchange) {
+    private void handleHeaders(final ClientExchange exchange) {
         if (mStep != Step.SENT) {
             return;
         }
         mStep = Step.RESPONDING;
-        heard();
-        mListener.began(
+        recordActivity();
+        mListener.onHeaders(
                 exchange.getResponse().getResponseCode(),
                 exchange.getResponse().getResponseHeaders());
         if (mStep != Step.RESPONDING) {
             return;
         }
-        mReader = new ResponseReader(exchange.getResponseChannel(), mBuffers, new Reading());
+        mReader = new ResponseReader(exchange.getResponseChannel(), mBuffers, new BodySink());
         if (!mPaused) {
             mReader.read();
         }
@@ -155,24 +156,24 @@
         cancelTimer();
         if (mWriter.isDone()) {
             // One turn of the loop later the client has taken note of the response's end.
-            mThread.execute(() -> mPool.give(mRequest.base().getAuthority(), mConnection));
+            mThread.execute(() -> mPool.release(mRequest.base().getAuthority(), mConnection));
         } else {
             // A peer that answers before it read the whole request would take the rest of the
             // body for the next request.
             IoUtils.safeClose(mConnection);
         }
-        mListener.ended();
+        mListener.onEnd();
     }
 
     private void fail(final HttpFailure failure, final String detail) {
         if (mStep == Step.DONE) {
             return;
         }
-        drop();
-        mListener.failed(failure, detail);
+        abort();
+        mListener.onFailure(failure, detail);
     }
 
-    private void failCut(final IOException cause) {
+    private void failDisconnected(final IOException cause) {
         final HttpFailure failure =
                 mStep == Step.RESPONDING
                         ? HttpFailure.CUT_DURING_RESPONSE
@@ -180,7 +181,7 @@
         fail(failure, String.valueOf(cause.getMessage()));
     }
 
-    private void drop() {
+    private void abort() {
         if (mStep == Step.DONE) {
             return;
         }
@@ -189,7 +190,7 @@
         IoUtils.safeClose(mConnection);
     }
 
-    private XnioExecutor.Key after(final Duration delay, final Runnable task) {
+    private XnioExecutor.Key schedule(final Duration delay, final Runnable task) {
         return mThread.executeAfter(task, Math.max(1, delay.toMillis()), TimeUnit.MILLISECONDS);
     }
 
@@ -201,11 +202,11 @@
     }
 
     /** Takes the new connection, or gives it to the pool if the call has ended meanwhile. */
-    private final class Connected implements ClientCallback<ClientConnection> {
+    private final class ConnectCallback implements ClientCallback<ClientConnection> {
         @Override
         public void completed(final ClientConnection connection) {
             if (mStep == Step.DONE) {
-                mPool.give(mRequest.base().getAuthority(), connection);
+                mPool.release(mRequest.base().getAuthority(), connection);
                 return;
             }
             send(connection);
@@ -218,54 +219,56 @@
     }
 
     /** Writes the body once the request is under way. */
-    private final class Sent implements ClientCallback<ClientExchange> {
+    private final class RequestCallback implements ClientCallback<ClientExchange> {
         @Override
         public void completed(final ClientExchange exchange) {
-            exchange.setResponseListener(new Responded());
+            exchange.setResponseListener(new ResponseCallback());
             mWriter =
                     new BodyWriter(
-                            exchange.getRequestChannel(), mRequest.body(), HttpCall.this::failCut);
+                            exchange.getRequestChannel(),
+                            mRequest.body(),
+                            HttpCall.this::failDisconnected);
             mWriter.write();
         }
 
         @Override
         public void failed(final IOException cause) {
-            failCut(cause);
+            failDisconnected(cause);
         }
     }
 
     /** Takes the head of the response. */
-    private final class Responded implements ClientCallback<ClientExchange> {
+    private final class ResponseCallback implements ClientCallback<ClientExchange> {
         @Override
         public void completed(final ClientExchange exchange) {
-            respond(exchange);
+            handleHeaders(exchange);
         }
 
         @Override
         public void failed(final IOException cause) {
-            failCut(cause);
+            failDisconnected(cause);
         }
     }
 
     /** Passes the body on. */
-    private final class Reading implements ResponseReader.Sink {
+    private final class BodySink implements ResponseReader.Sink {
         @Override
-        public boolean bytes(final ByteBuffer bytes) {
-            heard();
-            mListener.arrived(bytes);
+        public boolean onBytes(final ByteBuffer bytes) {
+            recordActivity();
+            mListener.onBodyBytes(bytes);
             return mStep == Step.RESPONDING && !mPaused;
         }
 
         @Override
-        public void end() {
+        public void onEnd() {
             if (mStep == Step.RESPONDING) {
                 finish();
             }
         }
 
         @Override
-        public void cut(final IOException cause) {
-            failCut(cause);
+        public void onDisconnect(final IOException cause) {
+            failDisconnected(cause);
         }
     }
 }
--- a/clients/src/main/java/org/whinhead/clients/http/ResponseListener.java
+++ b/clients/src/main/java/org/whinhead/clients/http/ResponseListener.java
@@ -11,7 +11,7 @@
      *
      * @param call the call, by which the listener may pause or cancel it
      */
-    default void starting(final HttpCall call) {}
+    default void onStart(final HttpCall call) {}
 
     /**
      * The response began.
@@ -19,17 +19,17 @@
      * @param status the HTTP status
      * @param headers its headers
      */
-    void began(int status, HeaderMap headers);
+    void onHeaders(int status, HeaderMap headers);
 
     /**
      * Some of the body arrived.
      *
      * @param bytes the bytes; valid only during the call
      */
-    void arrived(ByteBuffer bytes);
+    void onBodyBytes(ByteBuffer bytes);
 
     /** The response ended as it should; no further call follows. */
-    void ended();
+    void onEnd();
 
     /**
      * The call ended without a whole response; no further call follows.
@@ -37,5 +37,5 @@
      * @param failure how it ended
      * @param detail the cause, for people
      */
-    void failed(HttpFailure failure, String detail);
+    void onFailure(HttpFailure failure, String detail);
 }
--- a/clients/src/main/java/org/whinhead/clients/http/ResponseReader.java
+++ b/clients/src/main/java/org/whinhead/clients/http/ResponseReader.java
@@ -12,19 +12,19 @@
     /** Takes what was read. */
     interface Sink {
         /** Takes bytes; returns whether reading goes on. */
-        boolean bytes(ByteBuffer bytes);
+        boolean onBytes(ByteBuffer bytes);
 
         /** Takes the end of the body. */
-        void end();
+        void onEnd();
 
         /** Takes a broken connection. */
-        void cut(IOException cause);
+        void onDisconnect(IOException cause);
     }
 
     private final StreamSourceChannel mChannel;
     private final ByteBufferPool mBuffers;
     private final Sink mSink;
-    private boolean mListening;
+    private boolean mHasReadListener;
 
     ResponseReader(
             final StreamSourceChannel channel, final ByteBufferPool buffers, final Sink sink) {
@@ -45,27 +45,27 @@
                 buffer.clear();
                 final int count = mChannel.read(buffer);
                 if (count < 0) {
-                    mSink.end();
+                    mSink.onEnd();
                     return;
                 }
                 if (count == 0) {
-                    listen();
+                    awaitBytes();
                     return;
                 }
                 buffer.flip();
-                if (!mSink.bytes(buffer)) {
+                if (!mSink.onBytes(buffer)) {
                     mChannel.suspendReads();
                     return;
                 }
             }
         } catch (final IOException e) {
-            mSink.cut(e);
+            mSink.onDisconnect(e);
         }
     }
 
-    private void listen() {
-        if (!mListening) {
-            mListening = true;
+    private void awaitBytes() {
+        if (!mHasReadListener) {
+            mHasReadListener = true;
             mChannel.getReadSetter().set(ignored -> read());
         }
         mChannel.resumeReads();
--- a/clients/src/main/java/org/whinhead/clients/log/LogClient.java
+++ b/clients/src/main/java/org/whinhead/clients/log/LogClient.java
@@ -18,25 +18,25 @@
 import java.util.Objects;
 import java.util.concurrent.CompletionException;
 import java.util.concurrent.CompletionStage;
+import org.whinhead.clients.http.BufferedHttpClient;
+import org.whinhead.clients.http.BufferedHttpResponse;
 import org.whinhead.clients.http.CallFailedException;
 import org.whinhead.clients.http.HttpCaller;
 import org.whinhead.clients.http.HttpFailure;
 import org.whinhead.clients.http.OutgoingRequest;
-import org.whinhead.clients.http.WholeCall;
-import org.whinhead.clients.http.WholeHttpResponse;
 
 /** Appends to and reads from the streams of the log service, within bounds of time and size. */
 public final class LogClient {
 
     private static final ObjectMapper MAPPER = new ObjectMapper();
     private static final String JSON = "application/json";
-    private static final int MAX_APPEND_ANSWER = 64 * 1024;
-    private static final int MAX_READ_ANSWER = 16 * 1024 * 1024;
+    private static final int MAX_APPEND_RESPONSE_BYTES = 64 * 1024;
+    private static final int MAX_READ_RESPONSE_BYTES = 16 * 1024 * 1024;
 
     private final HttpCaller mCaller;
     private final URI mBase;
     private final Duration mTimeout;
-    private final WholeCall mAppends;
+    private final BufferedHttpClient mAppends;
 
     /**
      * Makes a client.
@@ -49,7 +49,7 @@
         mCaller = Objects.requireNonNull(caller, "caller");
         mBase = Objects.requireNonNull(base, "base");
         mTimeout = Objects.requireNonNull(timeout, "timeout");
-        mAppends = new WholeCall(caller, timeout, MAX_APPEND_ANSWER);
+        mAppends = new BufferedHttpClient(caller, timeout, MAX_APPEND_RESPONSE_BYTES);
     }
 
     /**
@@ -69,14 +69,14 @@
                         .body(body.toString().getBytes(StandardCharsets.UTF_8), JSON)
                         .build();
         return mAppends.send(request)
-                .thenApply(LogClient::appended)
-                .exceptionally(LogClient::appendFailed);
+                .thenApply(LogClient::parseAppend)
+                .exceptionally(LogClient::toAppendResult);
     }
 
-    private static AppendResult appended(final WholeHttpResponse response) {
+    private static AppendResult parseAppend(final BufferedHttpResponse response) {
         final int status = response.status();
         if (status == StatusCodes.OK) {
-            return firstOffset(response.body());
+            return parseFirstOffset(response.body());
         }
         final String reason = "the log answered with status " + status;
         // A 5xx other than 503 says nothing of the effect, for example from a gateway on the way.
@@ -88,7 +88,7 @@
                 reason, Duration.ofSeconds(response.retryAfterSeconds()));
     }
 
-    private static AppendResult firstOffset(final byte[] body) {
+    private static AppendResult parseFirstOffset(final byte[] body) {
         try {
             final JsonNode offset = MAPPER.readTree(body).path("firstOffset");
             return offset.isIntegralNumber()
@@ -99,7 +99,7 @@
         }
     }
 
-    private static AppendResult appendFailed(final Throwable thrown) {
+    private static AppendResult toAppendResult(final Throwable thrown) {
         final boolean arrived = failure(thrown) == null || failure(thrown).mayHaveArrived();
         final String reason = String.valueOf(thrown.getMessage());
         return arrived
@@ -128,13 +128,13 @@
                 OutgoingRequest.to(mBase, "/log/" + stream + "/records" + query)
                         .silenceTimeout(wait.plus(mTimeout))
                         .build();
-        return new WholeCall(mCaller, wait.plus(mTimeout), MAX_READ_ANSWER)
+        return new BufferedHttpClient(mCaller, wait.plus(mTimeout), MAX_READ_RESPONSE_BYTES)
                 .send(request)
-                .thenApply(LogClient::records)
-                .exceptionally(LogClient::readFailed);
+                .thenApply(LogClient::parseRead)
+                .exceptionally(LogClient::toReadResult);
     }
 
-    private static ReadResult records(final WholeHttpResponse response) {
+    private static ReadResult parseRead(final BufferedHttpResponse response) {
         final int status = response.status();
         if (status != StatusCodes.OK && status != StatusCodes.GONE) {
             return new ReadResult.Unavailable(
@@ -144,29 +144,30 @@
         }
         try {
             final JsonNode root = MAPPER.readTree(response.body());
-            final long oldest = number(root, "oldest");
+            final long oldest = requireNumber(root, "oldest");
             return status == StatusCodes.GONE
                     ? new ReadResult.Expired(oldest)
-                    : new ReadResult.Records(oldest, number(root, "next"), entries(root));
+                    : new ReadResult.Records(
+                            oldest, requireNumber(root, "next"), parseRecords(root));
         } catch (final IOException | IllegalArgumentException | DateTimeException e) {
             return new ReadResult.Unavailable(
                     "the log's answer is not understood: " + e.getMessage(), Duration.ZERO, false);
         }
     }
 
-    private static List<StoredRecord> entries(final JsonNode root) throws IOException {
+    private static List<StoredRecord> parseRecords(final JsonNode root) throws IOException {
         final List<StoredRecord> entries = new ArrayList<>();
         for (final JsonNode record : root.path("records")) {
             entries.add(
                     new StoredRecord(
-                            number(record, "offset"),
+                            requireNumber(record, "offset"),
                             Instant.parse(record.path("at").asText()),
                             Base64.getDecoder().decode(record.path("data").asText())));
         }
         return entries;
     }
 
-    private static long number(final JsonNode node, final String field) throws IOException {
+    private static long requireNumber(final JsonNode node, final String field) throws IOException {
         final JsonNode number = node.path(field);
         if (!number.isIntegralNumber()) {
             throw new IOException("no number in " + field);
@@ -174,7 +175,7 @@
         return number.longValue();
     }
 
-    private static ReadResult readFailed(final Throwable thrown) {
+    private static ReadResult toReadResult(final Throwable thrown) {
         return new ReadResult.Unavailable(
                 String.valueOf(thrown.getMessage()),
                 Duration.ZERO,
--- a/clients/src/main/java/org/whinhead/clients/sse/SseParser.java
+++ b/clients/src/main/java/org/whinhead/clients/sse/SseParser.java
@@ -41,7 +41,7 @@
         while (bytes.hasRemaining()) {
             final int next = bytes.get();
             if (next == LINE_FEED) {
-                line(mLine.toString(StandardCharsets.UTF_8));
+                parseLine(mLine.toString(StandardCharsets.UTF_8));
                 mLine.reset();
             } else if (next != CARRIAGE_RETURN) {
                 mLine.write(next);
@@ -53,7 +53,7 @@
         return true;
     }
 
-    private void line(final String line) {
+    private void parseLine(final String line) {
         if (line.isEmpty()) {
             endEvent();
             return;
@@ -63,7 +63,7 @@
             return;
         }
         final String field = colon < 0 ? line : line.substring(0, colon);
-        field(field, colon < 0 ? "" : valueAfter(line, colon));
+        applyField(field, colon < 0 ? "" : valueAfter(line, colon));
     }
 
     private static String valueAfter(final String line, final int colon) {
@@ -71,18 +71,18 @@
         return line.substring(start);
     }
 
-    private void field(final String field, final String value) {
+    private void applyField(final String field, final String value) {
         switch (field) {
             case "id" -> mId = value;
             case "event" -> mName = value;
-            case "data" -> data(value);
+            case "data" -> appendData(value);
             default -> {
                 // Unknown fields are to be ignored, as the format demands.
             }
         }
     }
 
-    private void data(final String value) {
+    private void appendData(final String value) {
         if (mHasData) {
             mData.append('\n');
         }
--- a/clients/src/main/java/org/whinhead/clients/vms/VmListClient.java
+++ b/clients/src/main/java/org/whinhead/clients/vms/VmListClient.java
@@ -18,20 +18,20 @@
 import org.whinhead.api.model.Vm;
 import org.whinhead.api.model.VmId;
 import org.whinhead.api.model.VmState;
+import org.whinhead.clients.http.BufferedHttpClient;
+import org.whinhead.clients.http.BufferedHttpResponse;
 import org.whinhead.clients.http.HttpCaller;
 import org.whinhead.clients.http.OutgoingRequest;
-import org.whinhead.clients.http.WholeCall;
-import org.whinhead.clients.http.WholeHttpResponse;
 
 /** Reads the VM list. */
 public final class VmListClient {
 
     private static final ObjectMapper MAPPER = new ObjectMapper();
     private static final Duration TIMEOUT = Duration.ofSeconds(3);
-    private static final int MAX_BYTES = 4 * 1024 * 1024;
+    private static final int MAX_RESPONSE_BYTES = 4 * 1024 * 1024;
     private static final String LEAVING = "leaving";
 
-    private final WholeCall mCalls;
+    private final BufferedHttpClient mCalls;
     private final URI mBase;
 
     /**
@@ -41,7 +41,7 @@
      * @param base where the list is
      */
     public VmListClient(final HttpCaller caller, final URI base) {
-        mCalls = new WholeCall(caller, TIMEOUT, MAX_BYTES);
+        mCalls = new BufferedHttpClient(caller, TIMEOUT, MAX_RESPONSE_BYTES);
         mBase = base;
     }
 
@@ -51,7 +51,7 @@
                 .thenApply(VmListClient::parse);
     }
 
-    private static VmListing parse(final WholeHttpResponse response) {
+    private static VmListing parse(final BufferedHttpResponse response) {
         try {
             if (response.status() != StatusCodes.OK) {
                 throw new IOException("the VM list answered with status " + response.status());
@@ -79,18 +79,18 @@
                         new FailureDomain(
                                 node.path("region").asText(), node.path("domain").asText()),
                         node.path("machineClass").asText(),
-                        Billing.valueOf(constant(node.path("billing").asText())),
+                        Billing.valueOf(enumName(node.path("billing").asText())),
                         state);
         return new ListedVm(
                 vm,
-                VmRole.valueOf(constant(node.path("role").asText())),
+                VmRole.valueOf(enumName(node.path("role").asText())),
                 URI.create(node.path("uri").asText()),
                 node.path("service").asText(""),
                 node.path("checksFencing").asBoolean(),
                 Math.max(1, node.path("slots").asInt(1)));
     }
 
-    private static String constant(final String wireName) {
+    private static String enumName(final String wireName) {
         return wireName.toUpperCase(Locale.ROOT).replace('-', '_');
     }
 }
--- a/daemon/src/main/java/org/whinhead/daemon/engine/EngineStream.java
+++ b/daemon/src/main/java/org/whinhead/daemon/engine/EngineStream.java
@@ -50,13 +50,13 @@
     }
 
     @Override
-    public void starting(final HttpCall call) {
+    public void onStart(final HttpCall call) {
         mCall = call;
         mEvents.starting(call);
     }
 
     @Override
-    public void began(final int status, final HeaderMap headers) {
+    public void onHeaders(final int status, final HeaderMap headers) {
         mStatus = status;
         if (status == StatusCodes.OK) {
             final String named = headers.getFirst(STREAM_HEADER);
@@ -65,7 +65,7 @@
     }
 
     @Override
-    public void arrived(final ByteBuffer bytes) {
+    public void onBodyBytes(final ByteBuffer bytes) {
         if (mStatus != StatusCodes.OK) {
             bytes.position(bytes.limit());
             return;
@@ -76,7 +76,7 @@
     }
 
     @Override
-    public void ended() {
+    public void onEnd() {
         if (mOver) {
             return;
         }
@@ -93,7 +93,7 @@
     }
 
     @Override
-    public void failed(final HttpFailure failure, final String detail) {
+    public void onFailure(final HttpFailure failure, final String detail) {
         if (!mOver) {
             mOver = true;
             mEvents.failed(Failures.of(failure), detail);
--- a/daemon/src/main/java/org/whinhead/daemon/engine/IgnoredResponse.java
+++ b/daemon/src/main/java/org/whinhead/daemon/engine/IgnoredResponse.java
@@ -9,22 +9,22 @@
 final class IgnoredResponse implements ResponseListener {
 
     @Override
-    public void began(final int status, final HeaderMap headers) {
+    public void onHeaders(final int status, final HeaderMap headers) {
         // The outcome changes nothing.
     }
 
     @Override
-    public void arrived(final ByteBuffer bytes) {
+    public void onBodyBytes(final ByteBuffer bytes) {
         bytes.position(bytes.limit());
     }
 
     @Override
-    public void ended() {
+    public void onEnd() {
         // The outcome changes nothing.
     }
 
     @Override
-    public void failed(final HttpFailure failure, final String detail) {
+    public void onFailure(final HttpFailure failure, final String detail) {
         // An endpoint that can not be reached stops the stream by itself.
     }
 }
--- a/daemon/src/main/java/org/whinhead/daemon/engine/WholeResponse.java
+++ b/daemon/src/main/java/org/whinhead/daemon/engine/WholeResponse.java
@@ -33,20 +33,20 @@
     }
 
     @Override
-    public final void starting(final HttpCall call) {
+    public final void onStart(final HttpCall call) {
         mCall = call;
         mEvents.starting(call);
     }
 
     @Override
-    public final void began(final int status, final HeaderMap headers) {
+    public final void onHeaders(final int status, final HeaderMap headers) {
         mStatus = status;
         final String contentType = headers.getFirst(Headers.CONTENT_TYPE);
         mContentType = contentType == null ? "" : contentType;
     }
 
     @Override
-    public final void arrived(final ByteBuffer bytes) {
+    public final void onBodyBytes(final ByteBuffer bytes) {
         if (mBody.size() + bytes.remaining() > mMaxBytes) {
             mOver = true;
             mCall.cancel();
@@ -60,7 +60,7 @@
     }
 
     @Override
-    public final void ended() {
+    public final void onEnd() {
         if (!mOver) {
             mOver = true;
             whole(mStatus, mContentType, mBody.toByteArray());
@@ -68,7 +68,7 @@
     }
 
     @Override
-    public final void failed(final HttpFailure failure, final String detail) {
+    public final void onFailure(final HttpFailure failure, final String detail) {
         if (!mOver) {
             mOver = true;
             mEvents.failed(Failures.of(failure), detail);
