--- a/clients/src/main/java/org/whinhead/clients/cloud/NoticeClient.java
+++ b/clients/src/main/java/org/whinhead/clients/cloud/NoticeClient.java
@@ -18,7 +18,7 @@
 import org.whinhead.clients.http.HttpCaller;
 import org.whinhead.clients.http.OutgoingRequest;
 
-/** Reads the cloud's reclaim notices, waiting for new ones. */
+/** Reads reclaim notices from the cloud API by long polling. */
 public final class NoticeClient {
 
     private static final ObjectMapper MAPPER = new ObjectMapper();
@@ -26,35 +26,37 @@
     private static final Duration TIMEOUT = WAIT.plusSeconds(3);
     private static final int MAX_RESPONSE_BYTES = 1024 * 1024;
 
-    private final BufferedHttpClient mCalls;
+    private final BufferedHttpClient mClient;
     private final URI mBase;
 
     /**
-     * Makes a client.
+     * Creates a client.
      *
-     * @param caller makes the calls
-     * @param base where the cloud API is
+     * @param caller the HTTP caller
+     * @param base the base address of the cloud API
      */
     public NoticeClient(final HttpCaller caller, final URI base) {
-        mCalls = new BufferedHttpClient(caller, TIMEOUT, MAX_RESPONSE_BYTES);
+        mClient = new BufferedHttpClient(caller, TIMEOUT, MAX_RESPONSE_BYTES);
         mBase = base;
     }
 
     /**
-     * Reads notices; waits some seconds for one.
+     * Reads notices. If there is none, the cloud waits up to 5 seconds for one.
      *
-     * @param after the place to read from, as the last page told; 0 at first
-     * @return the notices; fails with an {@link IOException} if they can not be had
+     * @param after the position to read from: {@link NoticePage#next} of the last page, or 0 at
+     *     first
+     * @return the notices; fails with an {@link IOException} if the call fails or the body is
+     *     invalid
      */
     public CompletionStage<NoticePage> read(final long after) {
         final String path = "/cloud/notices?after=" + after + "&waitMillis=" + WAIT.toMillis();
-        return mCalls.send(OutgoingRequest.to(mBase, path).build()).thenApply(NoticeClient::parse);
+        return mClient.send(OutgoingRequest.to(mBase, path).build()).thenApply(NoticeClient::parse);
     }
 
     private static NoticePage parse(final BufferedHttpResponse response) {
         try {
             if (response.status() != StatusCodes.OK) {
-                throw new IOException("the cloud answered with status " + response.status());
+                throw new IOException("cloud API returned status " + response.status());
             }
             final JsonNode root = MAPPER.readTree(response.body());
             final List<ReclaimNotice> notices = new ArrayList<>();
@@ -69,7 +71,7 @@
         } catch (final IOException e) {
             throw new UncheckedIOException(e);
         } catch (final IllegalArgumentException | DateTimeException e) {
-            throw new UncheckedIOException(new IOException("the notices are not understood", e));
+            throw new UncheckedIOException(new IOException("invalid reclaim notices", e));
         }
     }
 }
--- a/clients/src/main/java/org/whinhead/clients/cloud/NoticePage.java
+++ b/clients/src/main/java/org/whinhead/clients/cloud/NoticePage.java
@@ -3,9 +3,9 @@
 import java.util.List;
 
 /**
- * Some notices in order.
+ * A page of reclaim notices, in the order of their sequence.
  *
- * @param next where to read on
+ * @param next the position of the next page
  * @param notices the notices
  */
 public record NoticePage(long next, List<ReclaimNotice> notices) {
--- a/clients/src/main/java/org/whinhead/clients/cloud/ReclaimNotice.java
+++ b/clients/src/main/java/org/whinhead/clients/cloud/ReclaimNotice.java
@@ -5,15 +5,15 @@
 import org.whinhead.api.model.VmId;
 
 /**
- * The cloud's notice that it takes a VM back.
+ * A notice that the cloud reclaims a VM.
  *
- * @param sequence its place in the order of notices
- * @param vm the VM
- * @param goneBy when the VM is gone
+ * @param sequence the sequence number of the notice
+ * @param vm the VM to be reclaimed
+ * @param goneBy the time by which the VM is gone
  */
 public record ReclaimNotice(long sequence, VmId vm, Instant goneBy) {
 
-    /** Checks every part. */
+    /** Validates that no component is null. */
     public ReclaimNotice {
         Objects.requireNonNull(vm, "vm");
         Objects.requireNonNull(goneBy, "goneBy");
--- a/clients/src/main/java/org/whinhead/clients/cloud/package-info.java
+++ b/clients/src/main/java/org/whinhead/clients/cloud/package-info.java
@@ -1,2 +1,2 @@
-/** The client of the cloud API. */
+/** Client of the cloud API. */
 package org.whinhead.clients.cloud;
--- a/clients/src/main/java/org/whinhead/clients/engine/EngineClient.java
+++ b/clients/src/main/java/org/whinhead/clients/engine/EngineClient.java
@@ -18,43 +18,44 @@
 import org.whinhead.clients.http.HttpCaller;
 import org.whinhead.clients.http.OutgoingRequest;
 
-/** Asks engines which models they have loaded and how busy they are. */
+/** Reads the loaded models and the load of engines over HTTP. */
 public final class EngineClient {
 
     private static final ObjectMapper MAPPER = new ObjectMapper();
     private static final Duration TIMEOUT = Duration.ofSeconds(2);
     private static final int MAX_RESPONSE_BYTES = 256 * 1024;
 
-    private final BufferedHttpClient mCalls;
+    private final BufferedHttpClient mClient;
 
     /**
-     * Makes a client.
+     * Creates a client.
      *
-     * @param caller makes the calls
+     * @param caller the HTTP caller
      */
     public EngineClient(final HttpCaller caller) {
-        mCalls = new BufferedHttpClient(caller, TIMEOUT, MAX_RESPONSE_BYTES);
+        mClient = new BufferedHttpClient(caller, TIMEOUT, MAX_RESPONSE_BYTES);
     }
 
     /**
-     * Asks which models are loaded.
+     * Reads the models that an engine has loaded.
      *
      * @param engine the engine's base address
-     * @return the models; fails with an {@link IOException} if they can not be had
+     * @return the models; fails with an {@link IOException} if the call fails or the body is
+     *     invalid
      */
     public CompletionStage<Set<ModelRef>> models(final URI engine) {
-        return mCalls.send(OutgoingRequest.to(engine, "/v1/models").build())
+        return mClient.send(OutgoingRequest.to(engine, "/v1/models").build())
                 .thenApply(EngineClient::models);
     }
 
     /**
-     * Asks how busy an engine is.
+     * Reads the load of an engine.
      *
      * @param engine the engine's base address
-     * @return its load; fails with an {@link IOException} if it can not be had
+     * @return the load; fails with an {@link IOException} if the call fails or the body is invalid
      */
     public CompletionStage<EngineLoad> load(final URI engine) {
-        return mCalls.send(OutgoingRequest.to(engine, "/v1/load").build())
+        return mClient.send(OutgoingRequest.to(engine, "/v1/load").build())
                 .thenApply(EngineClient::load);
     }
 
@@ -65,7 +66,7 @@
                 models.add(ModelRef.parse(model.path("id").asText()));
             }
         } catch (final IllegalArgumentException e) {
-            throw new UncheckedIOException(new IOException("the models are not understood", e));
+            throw new UncheckedIOException(new IOException("invalid model list", e));
         }
         return models;
     }
@@ -79,14 +80,14 @@
                     root.path("waiting").asInt(),
                     root.path("tokensPerSecond").asDouble());
         } catch (final DateTimeException e) {
-            throw new UncheckedIOException(new IOException("the load is not understood", e));
+            throw new UncheckedIOException(new IOException("invalid engine load", e));
         }
     }
 
     private static JsonNode parseJson(final BufferedHttpResponse response) {
         try {
             if (response.status() != StatusCodes.OK) {
-                throw new IOException("the engine answered with status " + response.status());
+                throw new IOException("engine returned status " + response.status());
             }
             return MAPPER.readTree(response.body());
         } catch (final IOException e) {
--- a/clients/src/main/java/org/whinhead/clients/engine/EngineLoad.java
+++ b/clients/src/main/java/org/whinhead/clients/engine/EngineLoad.java
@@ -4,16 +4,16 @@
 import java.util.Objects;
 
 /**
- * What an engine says of its load; old by the time it arrives.
+ * The load reported by an engine. The values are out of date when they arrive.
  *
- * @param asOf when the engine measured it
- * @param running requests it works on
- * @param waiting requests that wait there
- * @param tokensPerSecond tokens it generates a second in all
+ * @param asOf the time of the measurement
+ * @param running the number of requests in progress
+ * @param waiting the number of queued requests
+ * @param tokensPerSecond the generation rate over all requests, in tokens per second
  */
 public record EngineLoad(Instant asOf, int running, int waiting, double tokensPerSecond) {
 
-    /** Checks the time. */
+    /** Validates the time. */
     public EngineLoad {
         Objects.requireNonNull(asOf, "asOf");
     }
--- a/clients/src/main/java/org/whinhead/clients/engine/package-info.java
+++ b/clients/src/main/java/org/whinhead/clients/engine/package-info.java
@@ -1,2 +1,2 @@
-/** The client of what a model engine tells about itself. */
+/** Client for the models and the load that a model engine reports. */
 package org.whinhead.clients.engine;
--- a/clients/src/main/java/org/whinhead/clients/http/BodyWriter.java
+++ b/clients/src/main/java/org/whinhead/clients/http/BodyWriter.java
@@ -5,7 +5,7 @@
 import java.util.function.Consumer;
 import org.xnio.channels.StreamSinkChannel;
 
-/** Writes one request body as the channel takes it. */
+/** Writes one request body to a non-blocking channel. */
 final class BodyWriter {
 
     private final StreamSinkChannel mChannel;
@@ -17,13 +17,13 @@
     BodyWriter(
             final StreamSinkChannel channel,
             final byte[] body,
-            final Consumer<IOException> failed) {
+            final Consumer<IOException> failureHandler) {
         mChannel = channel;
         mBody = ByteBuffer.wrap(body);
-        mFailureHandler = failed;
+        mFailureHandler = failureHandler;
     }
 
-    /** Tells whether the whole body has been sent. */
+    /** Returns whether the whole body has been written and flushed. */
     boolean isDone() {
         return mIsDone;
     }
@@ -43,7 +43,7 @@
         }
     }
 
-    /** Returns whether all was written and flushed. */
+    /** Writes as much as possible; returns whether the whole body was written and flushed. */
     private boolean writeSome() throws IOException {
         while (mBody.hasRemaining()) {
             if (mChannel.write(mBody) == 0) {
--- a/clients/src/main/java/org/whinhead/clients/http/BufferedHttpClient.java
+++ b/clients/src/main/java/org/whinhead/clients/http/BufferedHttpClient.java
@@ -11,7 +11,7 @@
 import org.whinhead.api.Arguments;
 import org.xnio.XnioExecutor;
 
-/** Makes calls whose response is read whole, within bounds of time and size. */
+/** Makes HTTP calls and buffers the whole response, with a timeout and a size limit. */
 public final class BufferedHttpClient {
 
     private final HttpCaller mCaller;
@@ -19,11 +19,11 @@
     private final int mMaxBytes;
 
     /**
-     * Makes a way to call.
+     * Creates a client.
      *
-     * @param caller makes the calls
-     * @param timeout how long a call may take in all
-     * @param maxBytes the largest response
+     * @param caller the HTTP caller
+     * @param timeout the timeout of a call from its start to the end of the response
+     * @param maxBytes the maximum size of a response body
      */
     public BufferedHttpClient(final HttpCaller caller, final Duration timeout, final int maxBytes) {
         mCaller = caller;
@@ -32,18 +32,18 @@
     }
 
     /**
-     * Makes a call.
+     * Sends a request.
      *
-     * @param request what to send
+     * @param request the request
      * @return the response, or a {@link CallFailedException}; completed on an IO thread
      */
     public CompletionStage<BufferedHttpResponse> send(final OutgoingRequest request) {
-        final BufferingListener reading = new BufferingListener();
-        mCaller.start(request, reading);
-        return reading.mResult;
+        final BufferingListener listener = new BufferingListener();
+        mCaller.start(request, listener);
+        return listener.mResult;
     }
 
-    /** One response on its way in; on one IO thread. */
+    /** Buffers one response; used on one IO thread only. */
     private final class BufferingListener implements ResponseListener {
         private final CompletableFuture<BufferedHttpResponse> mResult = new CompletableFuture<>();
         private final ByteArrayOutputStream mBody = new ByteArrayOutputStream();
@@ -59,7 +59,10 @@
             mTimer =
                     call.thread()
                             .executeAfter(
-                                    () -> abort(HttpFailure.SILENT, "no response in " + mTimeout),
+                                    () ->
+                                            abort(
+                                                    HttpFailure.SILENT,
+                                                    "response not complete within " + mTimeout),
                                     mTimeout.toMillis(),
                                     TimeUnit.MILLISECONDS);
         }
@@ -74,12 +77,14 @@
         @Override
         public void onBodyBytes(final ByteBuffer bytes) {
             if (mBody.size() + bytes.remaining() > mMaxBytes) {
-                abort(HttpFailure.RESPONSE_TOO_LARGE, "more than " + mMaxBytes + " bytes");
+                abort(
+                        HttpFailure.RESPONSE_TOO_LARGE,
+                        "response body larger than " + mMaxBytes + " bytes");
                 return;
             }
-            final byte[] some = new byte[bytes.remaining()];
-            bytes.get(some);
-            mBody.write(some, 0, some.length);
+            final byte[] chunk = new byte[bytes.remaining()];
+            bytes.get(chunk);
+            mBody.write(chunk, 0, chunk.length);
         }
 
         @Override
--- a/clients/src/main/java/org/whinhead/clients/http/BufferedHttpResponse.java
+++ b/clients/src/main/java/org/whinhead/clients/http/BufferedHttpResponse.java
@@ -3,15 +3,15 @@
 import java.util.Objects;
 
 /**
- * A response that was read whole; its bytes are not copied, so they must not be changed.
+ * A complete response. The body array is not copied and must not be modified.
  *
- * @param status the HTTP status
- * @param retryAfterSeconds what the peer says of coming back; 0 if nothing
- * @param body the body
+ * @param status the HTTP status code
+ * @param retryAfterSeconds the value of the {@code Retry-After} header in seconds; 0 if none
+ * @param body the bytes of the body
  */
 public record BufferedHttpResponse(int status, long retryAfterSeconds, byte[] body) {
 
-    /** Checks the body. */
+    /** Validates the body. */
     public BufferedHttpResponse {
         Objects.requireNonNull(body, "body");
     }
--- a/clients/src/main/java/org/whinhead/clients/http/CallFailedException.java
+++ b/clients/src/main/java/org/whinhead/clients/http/CallFailedException.java
@@ -3,7 +3,7 @@
 import java.io.IOException;
 import java.io.Serial;
 
-/** A call that got no whole response. */
+/** Signals that an HTTP call ended without a complete response. */
 public final class CallFailedException extends IOException {
 
     @Serial private static final long serialVersionUID = 1L;
@@ -11,17 +11,17 @@
     private final HttpFailure mFailure;
 
     /**
-     * Wraps a failure.
+     * Creates an exception for a failed call.
      *
-     * @param failure how the call ended
-     * @param detail the cause, for people
+     * @param failure the kind of failure
+     * @param detail the cause, as text for a person
      */
     public CallFailedException(final HttpFailure failure, final String detail) {
         super(failure + ": " + detail);
         mFailure = failure;
     }
 
-    /** Returns how the call ended. */
+    /** Returns the kind of failure. */
     public HttpFailure failure() {
         return mFailure;
     }
--- a/clients/src/main/java/org/whinhead/clients/http/ConnectionPool.java
+++ b/clients/src/main/java/org/whinhead/clients/http/ConnectionPool.java
@@ -7,7 +7,7 @@
 import java.util.Map;
 import org.xnio.IoUtils;
 
-/** Idle connections of one IO thread, by authority; used on that thread only. */
+/** Pools the idle connections of one IO thread by authority; used on that thread only. */
 final class ConnectionPool {
 
     private static final int MAX_IDLE_PER_AUTHORITY = 64;
@@ -15,7 +15,7 @@
     private final Map<String, Deque<ClientConnection>> mIdle = new HashMap<>();
     private boolean mClosed;
 
-    /** Takes the connection used last, so that surplus ones stay idle and can be dropped. */
+    /** Returns the last used connection, so that surplus ones stay idle and can be dropped. */
     ClientConnection acquire(final String authority) {
         final Deque<ClientConnection> idle = mIdle.get(authority);
         if (idle == null) {
--- a/clients/src/main/java/org/whinhead/clients/http/HttpCall.java
+++ b/clients/src/main/java/org/whinhead/clients/http/HttpCall.java
@@ -16,7 +16,7 @@
 import org.xnio.XnioExecutor;
 import org.xnio.XnioIoThread;
 
-/** One HTTP call; its state is touched on its IO thread only. */
+/** An HTTP call. Its state is accessed on its IO thread only. */
 public final class HttpCall {
 
     private enum Step {
@@ -52,17 +52,17 @@
         mListener = Objects.requireNonNull(listener, "listener");
     }
 
-    /** Starts the call; from any thread, once. */
+    /** Starts the call. May be called from any thread, once. */
     public void begin() {
         mThread.execute(this::start);
     }
 
-    /** Ends the call without a word to the listener; from any thread. */
+    /** Aborts the call without notifying the listener. May be called from any thread. */
     public void cancel() {
         mThread.execute(this::abort);
     }
 
-    /** Stops reading the response until {@link #resume}; on the IO thread only. */
+    /** Suspends reading the response until {@link #resume}. Call it on the IO thread only. */
     public void pause() {
         mPaused = true;
         if (mReader != null) {
@@ -70,7 +70,7 @@
         }
     }
 
-    /** Reads on after {@link #pause}; on the IO thread only. */
+    /** Continues reading after {@link #pause}. Call it on the IO thread only. */
     public void resume() {
         mPaused = false;
         recordActivity();
@@ -79,7 +79,7 @@
         }
     }
 
-    /** Returns the IO thread that the listener is called on. */
+    /** Returns the IO thread on which the listener is called. */
     public XnioIoThread thread() {
         return mThread;
     }
@@ -97,7 +97,7 @@
         mTimer =
                 schedule(
                         mRequest.connectTimeout(),
-                        () -> fail(HttpFailure.CONNECT_FAILED, "no connection in time"));
+                        () -> fail(HttpFailure.CONNECT_FAILED, "connect timeout expired"));
         UndertowClient.getInstance()
                 .connect(
                         new ConnectCallback(), mRequest.base(), mThread, mBuffers, OptionMap.EMPTY);
@@ -120,10 +120,10 @@
     }
 
     private void checkIdle() {
-        final long quiet = System.nanoTime() - mLastActivityNanos;
-        final long left = mRequest.silenceTimeout().toNanos() - quiet;
+        final long idle = System.nanoTime() - mLastActivityNanos;
+        final long left = mRequest.silenceTimeout().toNanos() - idle;
         if (left <= 0 && !mPaused) {
-            fail(HttpFailure.SILENT, "nothing arrived for " + mRequest.silenceTimeout());
+            fail(HttpFailure.SILENT, "no data received for " + mRequest.silenceTimeout());
             return;
         }
         scheduleIdleCheck(left <= 0 ? mRequest.silenceTimeout() : Duration.ofNanos(left));
@@ -155,11 +155,11 @@
         mStep = Step.DONE;
         cancelTimer();
         if (mWriter.isDone()) {
-            // One turn of the loop later the client has taken note of the response's end.
+            // The client registers the end of the response only in the next turn of the event loop.
             mThread.execute(() -> mPool.release(mRequest.base().getAuthority(), mConnection));
         } else {
-            // A peer that answers before it read the whole request would take the rest of the
-            // body for the next request.
+            // A peer that responds before it has read the whole request would parse the rest of
+            // the body as the next request.
             IoUtils.safeClose(mConnection);
         }
         mListener.onEnd();
@@ -201,7 +201,7 @@
         }
     }
 
-    /** Takes the new connection, or gives it to the pool if the call has ended meanwhile. */
+    /** Uses the new connection, or releases it to the pool if the call has already ended. */
     private final class ConnectCallback implements ClientCallback<ClientConnection> {
         @Override
         public void completed(final ClientConnection connection) {
@@ -218,7 +218,7 @@
         }
     }
 
-    /** Writes the body once the request is under way. */
+    /** Writes the request body once the headers are being sent. */
     private final class RequestCallback implements ClientCallback<ClientExchange> {
         @Override
         public void completed(final ClientExchange exchange) {
@@ -237,7 +237,7 @@
         }
     }
 
-    /** Takes the head of the response. */
+    /** Receives the status and the headers of the response. */
     private final class ResponseCallback implements ClientCallback<ClientExchange> {
         @Override
         public void completed(final ClientExchange exchange) {
@@ -250,7 +250,7 @@
         }
     }
 
-    /** Passes the body on. */
+    /** Passes the response body to the listener. */
     private final class BodySink implements ResponseReader.Sink {
         @Override
         public boolean onBytes(final ByteBuffer bytes) {
--- a/clients/src/main/java/org/whinhead/clients/http/HttpCaller.java
+++ b/clients/src/main/java/org/whinhead/clients/http/HttpCaller.java
@@ -8,8 +8,8 @@
 import org.xnio.XnioWorker;
 
 /**
- * Makes HTTP calls without blocking; each IO thread keeps its own idle connections, so that a call
- * never crosses threads.
+ * Makes non-blocking HTTP calls. Each IO thread has its own pool of idle connections, so that a
+ * call stays on one thread.
  */
 public final class HttpCaller implements AutoCloseable {
 
@@ -20,9 +20,9 @@
     private final Map<XnioIoThread, ConnectionPool> mPools = new ConcurrentHashMap<>();
 
     /**
-     * Makes a caller on a worker's IO threads.
+     * Creates a caller that uses a worker's IO threads.
      *
-     * @param worker the worker; it is not closed with the caller
+     * @param worker the worker; {@link #close} does not close it
      */
     public HttpCaller(final XnioWorker worker) {
         mWorker = worker;
@@ -31,8 +31,8 @@
     /**
      * Starts a call on any IO thread.
      *
-     * @param request what to send
-     * @param listener told of the response
+     * @param request the request
+     * @param listener receives the events of the response
      * @return the call
      */
     public HttpCall start(final OutgoingRequest request, final ResponseListener listener) {
@@ -42,11 +42,11 @@
     }
 
     /**
-     * Prepares a call on one IO thread, to be started by {@link HttpCall#begin}.
+     * Creates a call on one IO thread without starting it; see {@link HttpCall#begin}.
      *
-     * @param request what to send
-     * @param thread where the listener is called
-     * @param listener told of the response
+     * @param request the request
+     * @param thread the IO thread of the call, on which the listener is called
+     * @param listener receives the events of the response
      * @return the call
      */
     public HttpCall prepare(
@@ -57,7 +57,7 @@
         return new HttpCall(request, thread, pool, mBuffers, listener);
     }
 
-    /** Returns an IO thread, for work that belongs to no connection yet. */
+    /** Returns an IO thread for work that has no connection yet. */
     public XnioIoThread anyThread() {
         return mWorker.getIoThread();
     }
--- a/clients/src/main/java/org/whinhead/clients/http/HttpFailure.java
+++ b/clients/src/main/java/org/whinhead/clients/http/HttpFailure.java
@@ -1,16 +1,16 @@
 package org.whinhead.clients.http;
 
-/** How an HTTP call ended without a whole response. */
+/** The reason why an HTTP call ended without a complete response. */
 public enum HttpFailure {
-    /** No connection was made, so no byte of the request was sent. */
+    /** No connection was established, so no byte of the request was sent. */
     CONNECT_FAILED(false),
     /** The connection broke before the response began. */
     CUT_BEFORE_RESPONSE(true),
-    /** The connection broke within the response. */
+    /** The connection broke during the response. */
     CUT_DURING_RESPONSE(true),
-    /** Nothing arrived for too long. */
+    /** No data arrived within the timeout. */
     SILENT(true),
-    /** The response is larger than the call allows. */
+    /** The response exceeds the size limit of the call. */
     RESPONSE_TOO_LARGE(true);
 
     private final boolean mMayHaveArrived;
@@ -19,7 +19,7 @@
         mMayHaveArrived = mayHaveArrived;
     }
 
-    /** Tells whether the peer may have received the request. */
+    /** Returns whether the peer may have received the request. */
     public boolean mayHaveArrived() {
         return mMayHaveArrived;
     }
--- a/clients/src/main/java/org/whinhead/clients/http/OutgoingRequest.java
+++ b/clients/src/main/java/org/whinhead/clients/http/OutgoingRequest.java
@@ -9,7 +9,7 @@
 import java.util.Objects;
 import org.whinhead.api.Arguments;
 
-/** One request to be sent; made by its builder. */
+/** An HTTP request to be sent. */
 public final class OutgoingRequest {
 
     private static final Duration DEFAULT_CONNECT_TIMEOUT = Duration.ofSeconds(1);
@@ -34,7 +34,7 @@
     }
 
     /**
-     * Starts a builder.
+     * Creates a builder.
      *
      * @param base the peer's base address
      * @param path the path and query, beginning with a slash
@@ -89,13 +89,13 @@
             mHeaders.put(Headers.HOST, base.getAuthority());
         }
 
-        /** Sets the method; GET by default. */
+        /** Sets the HTTP method; GET by default. */
         public Builder method(final HttpString method) {
             mMethod = method;
             return this;
         }
 
-        /** Adds a header. */
+        /** Sets a header. */
         public Builder header(final String name, final String value) {
             mHeaders.put(new HttpString(name), value);
             return this;
@@ -108,13 +108,13 @@
             return this;
         }
 
-        /** Sets how long connecting may take; one second by default. */
+        /** Sets the connect timeout; one second by default. */
         public Builder connectTimeout(final Duration timeout) {
             mConnectTimeout = Arguments.requirePositive(timeout, "connectTimeout");
             return this;
         }
 
-        /** Sets how long the peer may send nothing; ten seconds by default. */
+        /** Sets the maximum time without data from the peer; ten seconds by default. */
         public Builder silenceTimeout(final Duration timeout) {
             mSilenceTimeout = Arguments.requirePositive(timeout, "silenceTimeout");
             return this;
--- a/clients/src/main/java/org/whinhead/clients/http/ResponseListener.java
+++ b/clients/src/main/java/org/whinhead/clients/http/ResponseListener.java
@@ -3,39 +3,40 @@
 import io.undertow.util.HeaderMap;
 import java.nio.ByteBuffer;
 
-/** Told of one call's response, always on the connection's IO thread, so it must not block. */
+/** Receives the events of one call on the connection's IO thread, so it must not block. */
 public interface ResponseListener {
 
     /**
-     * The call starts; comes before every other call.
+     * Called once, before every other method, when the call starts.
      *
-     * @param call the call, by which the listener may pause or cancel it
+     * @param call the call, which the listener may pause or cancel
      */
     default void onStart(final HttpCall call) {}
 
     /**
-     * The response began.
+     * Called when the status and the headers have arrived.
      *
-     * @param status the HTTP status
-     * @param headers its headers
+     * @param status the HTTP status code
+     * @param headers the response headers
      */
     void onHeaders(int status, HeaderMap headers);
 
     /**
-     * Some of the body arrived.
+     * Called for each part of the body.
      *
-     * @param bytes the bytes; valid only during the call
+     * @param bytes the bytes; valid only until this method returns
      */
     void onBodyBytes(ByteBuffer bytes);
 
-    /** The response ended as it should; no further call follows. */
+    /** Called when the response is complete; no other method is called afterwards. */
     void onEnd();
 
     /**
-     * The call ended without a whole response; no further call follows.
+     * Called when the call fails before the response is complete; no other method is called
+     * afterwards.
      *
-     * @param failure how it ended
-     * @param detail the cause, for people
+     * @param failure the kind of failure
+     * @param detail the cause, as text for a person
      */
     void onFailure(HttpFailure failure, String detail);
 }
--- a/clients/src/main/java/org/whinhead/clients/http/ResponseReader.java
+++ b/clients/src/main/java/org/whinhead/clients/http/ResponseReader.java
@@ -6,18 +6,18 @@
 import java.nio.ByteBuffer;
 import org.xnio.channels.StreamSourceChannel;
 
-/** Reads one response body as it arrives. */
+/** Reads one response body from a non-blocking channel. */
 final class ResponseReader {
 
-    /** Takes what was read. */
+    /** Receives the bytes and the end of a response body. */
     interface Sink {
-        /** Takes bytes; returns whether reading goes on. */
+        /** Receives bytes; returns whether to continue reading. */
         boolean onBytes(ByteBuffer bytes);
 
-        /** Takes the end of the body. */
+        /** Called at the end of the body. */
         void onEnd();
 
-        /** Takes a broken connection. */
+        /** Called when the connection breaks. */
         void onDisconnect(IOException cause);
     }
 
@@ -37,7 +37,7 @@
         mChannel.suspendReads();
     }
 
-    /** Reads until nothing more is there, then waits for the channel. */
+    /** Reads until the channel has no more bytes, then resumes when it is readable again. */
     void read() {
         try (PooledByteBuffer pooled = mBuffers.allocate()) {
             final ByteBuffer buffer = pooled.getBuffer();
--- a/clients/src/main/java/org/whinhead/clients/http/package-info.java
+++ b/clients/src/main/java/org/whinhead/clients/http/package-info.java
@@ -1,4 +1,5 @@
 /**
- * Non-blocking HTTP calls over Undertow's client: pooled connections, timeouts and cancellation.
+ * Non-blocking HTTP calls over Undertow's client, with pooled connections, timeouts and
+ * cancellation.
  */
 package org.whinhead.clients.http;
--- a/clients/src/main/java/org/whinhead/clients/log/AppendResult.java
+++ b/clients/src/main/java/org/whinhead/clients/log/AppendResult.java
@@ -3,24 +3,24 @@
 import java.time.Duration;
 import java.util.Objects;
 
-/** How an append to the log ended. */
+/** The result of an append to a log stream. */
 public sealed interface AppendResult {
 
     /**
-     * The records stand in the stream.
+     * The records were appended.
      *
-     * @param firstOffset the first record's offset
+     * @param firstOffset the offset of the first record
      */
     record Appended(long firstOffset) implements AppendResult {}
 
     /**
-     * Nothing was appended, and this call never will be.
+     * Nothing was appended, and no record of this call will be appended later.
      *
-     * @param reason why, for people
-     * @param retryAfter how long the log asked to wait; zero if it did not say
+     * @param reason the cause, as text for a person
+     * @param retryAfter the wait before a retry that the log service asked for; zero if none
      */
     record NotAppended(String reason, Duration retryAfter) implements AppendResult {
-        /** Checks both parts. */
+        /** Validates that no component is null. */
         public NotAppended {
             Objects.requireNonNull(reason, "reason");
             Objects.requireNonNull(retryAfter, "retryAfter");
@@ -28,12 +28,12 @@
     }
 
     /**
-     * The answer was lost: the records may stand in the stream, or may yet come to.
+     * The response was lost: the records may be in the stream already or may be appended later.
      *
-     * @param reason what happened, for people
+     * @param reason the cause, as text for a person
      */
     record Unknown(String reason) implements AppendResult {
-        /** Checks the reason. */
+        /** Validates the reason. */
         public Unknown {
             Objects.requireNonNull(reason, "reason");
         }
--- a/clients/src/main/java/org/whinhead/clients/log/LogClient.java
+++ b/clients/src/main/java/org/whinhead/clients/log/LogClient.java
@@ -25,7 +25,7 @@
 import org.whinhead.clients.http.HttpFailure;
 import org.whinhead.clients.http.OutgoingRequest;
 
-/** Appends to and reads from the streams of the log service, within bounds of time and size. */
+/** Appends to and reads from the streams of the log service, with timeouts and size limits. */
 public final class LogClient {
 
     private static final ObjectMapper MAPPER = new ObjectMapper();
@@ -36,28 +36,28 @@
     private final HttpCaller mCaller;
     private final URI mBase;
     private final Duration mTimeout;
-    private final BufferedHttpClient mAppends;
+    private final BufferedHttpClient mAppendClient;
 
     /**
-     * Makes a client.
+     * Creates a client.
      *
-     * @param caller makes the calls
-     * @param base where the log service is
-     * @param timeout how long the log may take to answer, beside the wait that a read asks for
+     * @param caller the HTTP caller
+     * @param base the base address of the log service
+     * @param timeout the timeout of a call, in addition to the wait that a read requests
      */
     public LogClient(final HttpCaller caller, final URI base, final Duration timeout) {
         mCaller = Objects.requireNonNull(caller, "caller");
         mBase = Objects.requireNonNull(base, "base");
         mTimeout = Objects.requireNonNull(timeout, "timeout");
-        mAppends = new BufferedHttpClient(caller, timeout, MAX_APPEND_RESPONSE_BYTES);
+        mAppendClient = new BufferedHttpClient(caller, timeout, MAX_APPEND_RESPONSE_BYTES);
     }
 
     /**
-     * Appends records with one call, so that they get consecutive offsets.
+     * Appends records in one call; their offsets are consecutive.
      *
      * @param stream the stream
-     * @param records the records' bytes
-     * @return how it ended, on an IO thread; it never fails
+     * @param records the bytes of each record
+     * @return the result, completed on an IO thread; never completed exceptionally
      */
     public CompletionStage<AppendResult> append(final String stream, final List<byte[]> records) {
         final ObjectNode body = MAPPER.createObjectNode();
@@ -68,7 +68,8 @@
                         .method(Methods.POST)
                         .body(body.toString().getBytes(StandardCharsets.UTF_8), JSON)
                         .build();
-        return mAppends.send(request)
+        return mAppendClient
+                .send(request)
                 .thenApply(LogClient::parseAppend)
                 .exceptionally(LogClient::toAppendResult);
     }
@@ -78,8 +79,8 @@
         if (status == StatusCodes.OK) {
             return parseFirstOffset(response.body());
         }
-        final String reason = "the log answered with status " + status;
-        // A 5xx other than 503 says nothing of the effect, for example from a gateway on the way.
+        final String reason = "log service returned status " + status;
+        // The effect of a 5xx other than 503 is unknown; a gateway on the path may have sent it.
         if (status >= StatusCodes.INTERNAL_SERVER_ERROR
                 && status != StatusCodes.SERVICE_UNAVAILABLE) {
             return new AppendResult.Unknown(reason);
@@ -93,16 +94,16 @@
             final JsonNode offset = MAPPER.readTree(body).path("firstOffset");
             return offset.isIntegralNumber()
                     ? new AppendResult.Appended(offset.longValue())
-                    : new AppendResult.Unknown("the log's answer has no offset");
+                    : new AppendResult.Unknown("append response has no firstOffset");
         } catch (final IOException e) {
-            return new AppendResult.Unknown("the log's answer is not JSON");
+            return new AppendResult.Unknown("append response is not JSON");
         }
     }
 
     private static AppendResult toAppendResult(final Throwable thrown) {
-        final boolean arrived = failure(thrown) == null || failure(thrown).mayHaveArrived();
+        final boolean mayHaveArrived = failure(thrown) == null || failure(thrown).mayHaveArrived();
         final String reason = String.valueOf(thrown.getMessage());
-        return arrived
+        return mayHaveArrived
                 ? new AppendResult.Unknown(reason)
                 : new AppendResult.NotAppended(reason, Duration.ZERO);
     }
@@ -113,13 +114,13 @@
     }
 
     /**
-     * Reads records.
+     * Reads records from a stream.
      *
      * @param stream the stream
-     * @param from the first offset wanted
-     * @param max the most records wanted
-     * @param wait how long the log may wait for a record
-     * @return how it ended, on an IO thread; it never fails
+     * @param from the first offset to read
+     * @param max the maximum number of records
+     * @param wait the time that the log service waits for a record if there is none
+     * @return the result, completed on an IO thread; never completed exceptionally
      */
     public CompletionStage<ReadResult> read(
             final String stream, final long from, final int max, final Duration wait) {
@@ -138,7 +139,7 @@
         final int status = response.status();
         if (status != StatusCodes.OK && status != StatusCodes.GONE) {
             return new ReadResult.Unavailable(
-                    "the log answered with status " + status,
+                    "log service returned status " + status,
                     Duration.ofSeconds(response.retryAfterSeconds()),
                     false);
         }
@@ -151,26 +152,26 @@
                             oldest, requireNumber(root, "next"), parseRecords(root));
         } catch (final IOException | IllegalArgumentException | DateTimeException e) {
             return new ReadResult.Unavailable(
-                    "the log's answer is not understood: " + e.getMessage(), Duration.ZERO, false);
+                    "invalid read response: " + e.getMessage(), Duration.ZERO, false);
         }
     }
 
     private static List<StoredRecord> parseRecords(final JsonNode root) throws IOException {
-        final List<StoredRecord> entries = new ArrayList<>();
+        final List<StoredRecord> records = new ArrayList<>();
         for (final JsonNode record : root.path("records")) {
-            entries.add(
+            records.add(
                     new StoredRecord(
                             requireNumber(record, "offset"),
                             Instant.parse(record.path("at").asText()),
                             Base64.getDecoder().decode(record.path("data").asText())));
         }
-        return entries;
+        return records;
     }
 
     private static long requireNumber(final JsonNode node, final String field) throws IOException {
         final JsonNode number = node.path(field);
         if (!number.isIntegralNumber()) {
-            throw new IOException("no number in " + field);
+            throw new IOException("no integer in field " + field);
         }
         return number.longValue();
     }
--- a/clients/src/main/java/org/whinhead/clients/log/ReadResult.java
+++ b/clients/src/main/java/org/whinhead/clients/log/ReadResult.java
@@ -4,15 +4,15 @@
 import java.util.List;
 import java.util.Objects;
 
-/** How a read of the log ended. */
+/** The result of a read from a log stream. */
 public sealed interface ReadResult {
 
     /**
-     * The records from the offset on; none if none came in time.
+     * The records from the requested offset; empty if none were appended within the wait.
      *
-     * @param oldest the oldest offset that the stream still has
-     * @param next the offset to read from next
-     * @param entries the records, by rising offset
+     * @param oldest the oldest retained offset of the stream
+     * @param next the offset at which the next read starts
+     * @param entries the records, by ascending offset
      */
     record Records(long oldest, long next, List<StoredRecord> entries) implements ReadResult {
         /** Copies the list. */
@@ -22,21 +22,21 @@
     }
 
     /**
-     * The offset's record has expired.
+     * The record at the requested offset has expired.
      *
-     * @param oldest the oldest offset that is left
+     * @param oldest the oldest retained offset of the stream
      */
     record Expired(long oldest) implements ReadResult {}
 
     /**
      * The log could not be read.
      *
-     * @param reason why, for people
-     * @param retryAfter how long the log asked to wait; zero if it did not say
-     * @param tooLarge whether the answer was larger than the bound, so that fewer records may help
+     * @param reason the cause, as text for a person
+     * @param retryAfter the wait before a retry that the log service asked for; zero if none
+     * @param tooLarge whether the response exceeded the size limit; a read of fewer records may fit
      */
     record Unavailable(String reason, Duration retryAfter, boolean tooLarge) implements ReadResult {
-        /** Checks the parts. */
+        /** Validates that no component is null. */
         public Unavailable {
             Objects.requireNonNull(reason, "reason");
             Objects.requireNonNull(retryAfter, "retryAfter");
--- a/clients/src/main/java/org/whinhead/clients/log/StoredRecord.java
+++ b/clients/src/main/java/org/whinhead/clients/log/StoredRecord.java
@@ -4,15 +4,15 @@
 import java.util.Objects;
 
 /**
- * A record as the log gave it; its bytes are not copied, so they must not be changed.
+ * A record read from a log stream. The data array is not copied and must not be modified.
  *
- * @param offset its place in the stream
- * @param at when the log took it, by the log's clock
- * @param data its bytes
+ * @param offset the offset of the record in the stream
+ * @param at the time of the append, by the log service's clock
+ * @param data the bytes of the record
  */
 public record StoredRecord(long offset, Instant at, byte[] data) {
 
-    /** Checks the parts. */
+    /** Validates that no component is null. */
     public StoredRecord {
         Objects.requireNonNull(at, "at");
         Objects.requireNonNull(data, "data");
--- a/clients/src/main/java/org/whinhead/clients/log/package-info.java
+++ b/clients/src/main/java/org/whinhead/clients/log/package-info.java
@@ -1,2 +1,2 @@
-/** The client of the log service. */
+/** Client of the log service. */
 package org.whinhead.clients.log;
--- a/clients/src/main/java/org/whinhead/clients/package-info.java
+++ b/clients/src/main/java/org/whinhead/clients/package-info.java
@@ -1,2 +1,2 @@
-/** Clients of the platform and of endpoints: log service, VM list, cloud, weight store, engines. */
+/** HTTP clients of the log service, the VM list, the cloud API and the model engines. */
 package org.whinhead.clients;
--- a/clients/src/main/java/org/whinhead/clients/sse/SseParser.java
+++ b/clients/src/main/java/org/whinhead/clients/sse/SseParser.java
@@ -6,13 +6,13 @@
 import java.util.Objects;
 import java.util.function.Consumer;
 
-/** Splits bytes, however they were cut up on the way, into server-sent events. */
+/** Parses a byte stream, split at any position, into server-sent events. */
 public final class SseParser {
 
     private static final int LINE_FEED = '\n';
     private static final int CARRIAGE_RETURN = '\r';
 
-    private final Consumer<SseEvent> mEvents;
+    private final Consumer<SseEvent> mEventHandler;
     private final int mMaxEventBytes;
     private final ByteArrayOutputStream mLine = new ByteArrayOutputStream();
     private final StringBuilder mData = new StringBuilder();
@@ -21,21 +21,21 @@
     private boolean mHasData;
 
     /**
-     * Makes a parser for one stream.
+     * Creates a parser for one stream.
      *
-     * @param maxEventBytes the longest line and the most data that one event may have
-     * @param events takes each whole event
+     * @param maxEventBytes the maximum size of the current line and the data of the event together
+     * @param eventHandler receives each complete event
      */
-    public SseParser(final int maxEventBytes, final Consumer<SseEvent> events) {
+    public SseParser(final int maxEventBytes, final Consumer<SseEvent> eventHandler) {
         mMaxEventBytes = maxEventBytes;
-        mEvents = Objects.requireNonNull(events, "events");
+        mEventHandler = Objects.requireNonNull(eventHandler, "eventHandler");
     }
 
     /**
-     * Takes in bytes.
+     * Parses the next bytes and passes each completed event to the handler.
      *
      * @param bytes the next bytes of the stream
-     * @return false if an event is too large; the stream can not be parsed further then
+     * @return false if an event exceeds the size limit; the parser must not be used afterwards
      */
     public boolean feed(final ByteBuffer bytes) {
         while (bytes.hasRemaining()) {
@@ -77,7 +77,7 @@
             case "event" -> mName = value;
             case "data" -> appendData(value);
             default -> {
-                // Unknown fields are to be ignored, as the format demands.
+                // The format requires that unknown fields are ignored.
             }
         }
     }
@@ -92,7 +92,7 @@
 
     private void endEvent() {
         if (mHasData) {
-            mEvents.accept(new SseEvent(mId, mName, mData.toString()));
+            mEventHandler.accept(new SseEvent(mId, mName, mData.toString()));
         }
         mId = "";
         mName = "";
--- a/clients/src/main/java/org/whinhead/clients/sse/package-info.java
+++ b/clients/src/main/java/org/whinhead/clients/sse/package-info.java
@@ -1,2 +1,2 @@
-/** Server-sent events, parsed as their bytes arrive. */
+/** Incremental parser for server-sent events. */
 package org.whinhead.clients.sse;
--- a/clients/src/main/java/org/whinhead/clients/vms/ListedVm.java
+++ b/clients/src/main/java/org/whinhead/clients/vms/ListedVm.java
@@ -9,19 +9,19 @@
 import org.whinhead.api.model.Vm;
 
 /**
- * One VM of the list.
+ * An entry of the VM list.
  *
  * @param vm the VM
- * @param role what runs on it
- * @param uri where that listens
- * @param service the plain service's name; empty for other roles
- * @param checksFencing whether an engine refuses old fencing numbers
- * @param slots how many requests it works on at once
+ * @param role the role of the process on the VM
+ * @param uri the base address of that process
+ * @param service the name of the plain service; empty for other roles
+ * @param checksFencing whether the engine rejects outdated fencing numbers
+ * @param slots the number of requests that the process handles concurrently
  */
 public record ListedVm(
         Vm vm, VmRole role, URI uri, String service, boolean checksFencing, int slots) {
 
-    /** Checks every part. */
+    /** Validates that no component is null. */
     public ListedVm {
         Objects.requireNonNull(vm, "vm");
         Objects.requireNonNull(role, "role");
@@ -30,11 +30,11 @@
     }
 
     /**
-     * Returns the endpoint that runs on the VM, named after it.
+     * Returns the endpoint on the VM. Its id is the id of the VM.
      *
-     * @param models the models that an engine has loaded
+     * @param models the models that the engine has loaded; unused for a plain service
      * @return the endpoint
-     * @throws IllegalStateException if a daemon runs there
+     * @throws IllegalStateException if the VM runs a daemon
      */
     public Endpoint endpoint(final Set<ModelRef> models) {
         final EndpointId id = new EndpointId(vm.id().value());
@@ -42,7 +42,8 @@
                 switch (role) {
                     case ENGINE -> Endpoint.engine(id).models(models);
                     case SERVICE -> Endpoint.plainService(id, service);
-                    case ENTRY -> throw new IllegalStateException(id + " is no endpoint");
+                    case ENTRY ->
+                            throw new IllegalStateException(id + " runs a daemon, not an endpoint");
                 };
         return builder.vm(vm).uri(uri).checksFencing(checksFencing).slots(slots).build();
     }
--- a/clients/src/main/java/org/whinhead/clients/vms/VmListClient.java
+++ b/clients/src/main/java/org/whinhead/clients/vms/VmListClient.java
@@ -23,7 +23,7 @@
 import org.whinhead.clients.http.HttpCaller;
 import org.whinhead.clients.http.OutgoingRequest;
 
-/** Reads the VM list. */
+/** Reads the platform's VM list over HTTP. */
 public final class VmListClient {
 
     private static final ObjectMapper MAPPER = new ObjectMapper();
@@ -31,30 +31,32 @@
     private static final int MAX_RESPONSE_BYTES = 4 * 1024 * 1024;
     private static final String LEAVING = "leaving";
 
-    private final BufferedHttpClient mCalls;
+    private final BufferedHttpClient mClient;
     private final URI mBase;
 
     /**
-     * Makes a client.
+     * Creates a client.
      *
-     * @param caller makes the calls
-     * @param base where the list is
+     * @param caller the HTTP caller
+     * @param base the base address of the VM list service
      */
     public VmListClient(final HttpCaller caller, final URI base) {
-        mCalls = new BufferedHttpClient(caller, TIMEOUT, MAX_RESPONSE_BYTES);
+        mClient = new BufferedHttpClient(caller, TIMEOUT, MAX_RESPONSE_BYTES);
         mBase = base;
     }
 
-    /** Reads the list; fails with an {@link IOException} if it can not be had or understood. */
+    /**
+     * Reads the list; fails with an {@link IOException} if the call fails or the body is invalid.
+     */
     public CompletionStage<VmListing> read() {
-        return mCalls.send(OutgoingRequest.to(mBase, "/vms").build())
+        return mClient.send(OutgoingRequest.to(mBase, "/vms").build())
                 .thenApply(VmListClient::parse);
     }
 
     private static VmListing parse(final BufferedHttpResponse response) {
         try {
             if (response.status() != StatusCodes.OK) {
-                throw new IOException("the VM list answered with status " + response.status());
+                throw new IOException("VM list request failed with status " + response.status());
             }
             final JsonNode root = MAPPER.readTree(response.body());
             final List<ListedVm> vms = new ArrayList<>();
@@ -65,7 +67,7 @@
         } catch (final IOException e) {
             throw new UncheckedIOException(e);
         } catch (final IllegalArgumentException | DateTimeException e) {
-            throw new UncheckedIOException(new IOException("the VM list is not understood", e));
+            throw new UncheckedIOException(new IOException("invalid VM list", e));
         }
     }
 
--- a/clients/src/main/java/org/whinhead/clients/vms/VmListing.java
+++ b/clients/src/main/java/org/whinhead/clients/vms/VmListing.java
@@ -5,14 +5,14 @@
 import java.util.Objects;
 
 /**
- * The VM list as of some time.
+ * A snapshot of the VM list.
  *
- * @param asOf what time it shows
- * @param vms the VMs
+ * @param asOf the time of the snapshot
+ * @param vms the listed VMs
  */
 public record VmListing(Instant asOf, List<ListedVm> vms) {
 
-    /** Checks the time and copies the list. */
+    /** Validates the time and copies the list. */
     public VmListing {
         Objects.requireNonNull(asOf, "asOf");
         vms = List.copyOf(vms);
--- a/clients/src/main/java/org/whinhead/clients/vms/VmRole.java
+++ b/clients/src/main/java/org/whinhead/clients/vms/VmRole.java
@@ -1,6 +1,6 @@
 package org.whinhead.clients.vms;
 
-/** What runs on a listed VM. */
+/** The role of the process on a listed VM. */
 public enum VmRole {
     /** A daemon of this system. */
     ENTRY,
--- a/clients/src/main/java/org/whinhead/clients/vms/package-info.java
+++ b/clients/src/main/java/org/whinhead/clients/vms/package-info.java
@@ -1,2 +1,2 @@
-/** The client of the platform's VM list. */
+/** Client of the platform's VM list. */
 package org.whinhead.clients.vms;
