--- a/cli/src/main/java/org/whinhead/cli/CliException.java
+++ b/cli/src/main/java/org/whinhead/cli/CliException.java
@@ -2,7 +2,7 @@
 
 import java.io.Serial;
 
-/** A command ends early, with an exit code and a text for the operator. */
+/** Ends a command with an exit code and a message for the operator. */
 public final class CliException extends Exception {
 
     @Serial private static final long serialVersionUID = 1L;
@@ -10,11 +10,11 @@
     private final ExitCode mExitCode;
 
     /**
-     * Ends a command.
+     * Creates an exception.
      *
-     * @param exitCode what the process ends with
-     * @param messageKey the key of the text
-     * @param arguments the values for the text's places
+     * @param exitCode the exit code of the process
+     * @param messageKey the key of the message
+     * @param arguments the values for the placeholders of the message
      */
     public CliException(
             final ExitCode exitCode, final String messageKey, final Object... arguments) {
@@ -22,7 +22,7 @@
         mExitCode = exitCode;
     }
 
-    /** Returns what the process ends with. */
+    /** Returns the exit code of the process. */
     public ExitCode exitCode() {
         return mExitCode;
     }
--- a/cli/src/main/java/org/whinhead/cli/CliMessages.java
+++ b/cli/src/main/java/org/whinhead/cli/CliMessages.java
@@ -2,21 +2,21 @@
 
 import org.whinhead.api.message.MessageBundle;
 
-/** Looks up the texts of the command line by named key in {@code messages.properties}. */
+/** Looks up the messages of the command-line tool by key in {@code messages.properties}. */
 public final class CliMessages {
 
-    private static final MessageBundle TEXTS = MessageBundle.forPackageOf(CliMessages.class);
+    private static final MessageBundle MESSAGES = MessageBundle.forPackageOf(CliMessages.class);
 
     private CliMessages() {}
 
     /**
-     * Formats one text.
+     * Formats a message.
      *
-     * @param key the text's key
-     * @param arguments the values for its places, printed as they are
-     * @return the text
+     * @param key the key of the message
+     * @param arguments the values for the placeholders, inserted as they are
+     * @return the formatted message
      */
     public static String text(final String key, final Object... arguments) {
-        return TEXTS.text(key, arguments);
+        return MESSAGES.text(key, arguments);
     }
 }
--- a/cli/src/main/java/org/whinhead/cli/CliOption.java
+++ b/cli/src/main/java/org/whinhead/cli/CliOption.java
@@ -3,43 +3,43 @@
 import java.util.Locale;
 import org.apache.commons.cli.Option;
 
-/** Every option of every command: its type, default and example. */
+/** The options of all commands, each with its type, default and example. */
 public enum CliOption {
-    /** A daemon's operator address. */
+    /** The operator address of a daemon; repeatable. */
     DAEMON("daemon", "URI", "the variable WHINHEAD_DAEMON", "--daemon http://10.20.1.11:7002"),
-    /** The file with the operator's key. */
+    /** The file that contains the operator's key. */
     KEY_FILE("key-file", "FILE", "", "--key-file ~/.whinhead-key"),
-    /** How long one try may take. */
+    /** The timeout of one call to a daemon, in seconds. */
     TIMEOUT("timeout-seconds", "NUMBER", "10", "--timeout-seconds 30"),
-    /** Output for scripts. */
+    /** Prints JSON for scripts. */
     JSON("json", "", "off", "--json"),
-    /** Help on a command. */
+    /** Prints the help of a command. */
     HELP("help", "", "off", "--help"),
-    /** Why a change is made. */
+    /** The reason for a change. */
     REASON("reason", "TEXT", "", "--reason \"more clerks in court week\""),
-    /** Who makes a change. */
+    /** The author of a change. */
     AUTHOR("author", "NAME", "the name of the system's user", "--author aline"),
     /** The revision that a change replaces. */
     BASE("base", "NUMBER", "the revision in force", "--base 4711"),
-    /** The name of a change, to repeat it. */
+    /** The id of a change, given to repeat it. */
     CHANGE_ID("change-id", "TEXT", "a new one", "--change-id 0f8fad5b"),
     /** Deletes the document. */
     DELETE("delete", "", "off", "--delete"),
-    /** Only asks whether a change would be taken. */
+    /** Validates a change without applying it. */
     DRY_RUN("dry-run", "", "off", "--dry-run"),
-    /** How long to wait until a change is in force on all daemons. */
+    /** The time to wait until a change is in force on all daemons, in seconds. */
     WAIT("wait-seconds", "NUMBER", "0", "--wait-seconds 10"),
-    /** The most revisions shown. */
+    /** The maximum number of revisions shown. */
     MAX("max", "NUMBER", "20", "--max 100"),
-    /** The form of a report. */
+    /** The output format of a report. */
     FORMAT("format", "text|json|html", "text", "--format html"),
-    /** Where a report is written. */
+    /** The file to which a report is written. */
     OUT("out", "FILE", "the standard output", "--out burn.html"),
-    /** What the fleet costs. */
+    /** The price of all VMs per hour. */
     PRICE("price-per-hour", "NUMBER", "", "--price-per-hour 14.2"),
-    /** Saved logs to read in place of asking daemons. */
+    /** Saved log files to read instead of calling daemons. */
     LOGS("logs", "FILE,...", "", "--logs edge-1.log,edge-2.log"),
-    /** How long asking all daemons may take. */
+    /** The time limit for calling all daemons, in seconds. */
     TOTAL("total-seconds", "NUMBER", "30", "--total-seconds 60");
 
     private final String mName;
@@ -55,7 +55,7 @@
         mExample = example;
     }
 
-    /** Returns the name after the two dashes. */
+    /** Returns the name without the two dashes. */
     public String optionName() {
         return mName;
     }
@@ -65,12 +65,12 @@
         return mDefaultText;
     }
 
-    /** Returns the option as the parser takes it. */
+    /** Converts the option to an option of the parser. */
     Option toOption() {
         return Option.builder().longOpt(mName).hasArg(!mType.isEmpty()).get();
     }
 
-    /** Returns the lines about it in the help. */
+    /** Returns the help text of the option. */
     String help() {
         final String head = mType.isEmpty() ? "--" + mName : "--" + mName + " " + mType;
         return CliMessages.text(
--- a/cli/src/main/java/org/whinhead/cli/Command.java
+++ b/cli/src/main/java/org/whinhead/cli/Command.java
@@ -1,15 +1,15 @@
 package org.whinhead.cli;
 
-/** One sub-command. */
+/** A subcommand of the command-line tool. */
 public interface Command {
 
     /**
      * Runs the command.
      *
      * @param invocation the parsed command line
-     * @param console where the answer goes
-     * @return what the process ends with
-     * @throws CliException if the command ends early
+     * @param console receives the output
+     * @return the exit code of the process
+     * @throws CliException if the command fails
      */
     ExitCode run(Invocation invocation, Console console) throws CliException;
 }
--- a/cli/src/main/java/org/whinhead/cli/CommandName.java
+++ b/cli/src/main/java/org/whinhead/cli/CommandName.java
@@ -17,15 +17,15 @@
 import org.whinhead.cli.command.SettingsPutCommand;
 import org.whinhead.cli.command.StatusCommand;
 
-/** Every sub-command with its words, arguments and options. */
+/** The subcommands, each with its words, arguments and options. */
 public enum CommandName {
-    /** How a daemon is. */
+    /** Shows the status of a daemon. */
     STATUS("status", "", 0, 0, true, StatusCommand::new),
-    /** Which addresses callers are told. */
+    /** Lists the daemon addresses and which of them callers receive. */
     ADDRESSES("addresses", "", 0, 0, true, AddressesCommand::new),
-    /** Why a request or an order went as it did. */
+    /** Shows the decisions about a request or an order. */
     EXPLAIN("explain", "ID", 1, 1, true, ExplainCommand::new, CliOption.TOTAL, CliOption.LOGS),
-    /** How fast the tiers' allowances are used up. */
+    /** Reports the burn rate of the tiers' error budgets. */
     REPORT(
             "report",
             "",
@@ -37,9 +37,9 @@
             CliOption.OUT,
             CliOption.PRICE,
             CliOption.TOTAL),
-    /** What stands at a path. */
+    /** Shows the document at a path. */
     SETTINGS_GET("settings get", "PATH", 1, 1, true, SettingsGetCommand::new),
-    /** Puts a document in force. */
+    /** Stores or deletes a document. */
     SETTINGS_PUT(
             "settings put",
             "PATH [FILE]",
@@ -54,7 +54,7 @@
             CliOption.CHANGE_ID,
             CliOption.DRY_RUN,
             CliOption.WAIT),
-    /** Puts a list of documents in force. */
+    /** Stores a list of documents. */
     SETTINGS_LOAD(
             "settings load",
             "FILE",
@@ -65,10 +65,10 @@
             CliOption.REASON,
             CliOption.AUTHOR,
             CliOption.CHANGE_ID),
-    /** Who changed a path and why. */
+    /** Shows the revisions of a path. */
     SETTINGS_HISTORY(
             "settings history", "PATH", 1, 1, true, SettingsHistoryCommand::new, CliOption.MAX),
-    /** Checks files offline. */
+    /** Validates files offline. */
     SETTINGS_CHECK(
             "settings check",
             "FILE-OR-DIRECTORY ...",
@@ -91,21 +91,21 @@
     CommandName(
             final String words,
             final String arguments,
-            final int fewest,
-            final int most,
+            final int minArguments,
+            final int maxArguments,
             final boolean callsDaemon,
             final Supplier<Command> factory,
             final CliOption... options) {
         mWords = List.of(words.split(" "));
         mArguments = arguments;
-        mMinArguments = fewest;
-        mMaxArguments = most;
+        mMinArguments = minArguments;
+        mMaxArguments = maxArguments;
         mCallsDaemon = callsDaemon;
         mFactory = factory;
         mOptions = List.of(options);
     }
 
-    /** Finds the command that a command line begins with. */
+    /** Returns the command whose words the command line begins with. */
     static Optional<CommandName> find(final List<String> line) {
         return Arrays.stream(values())
                 .filter(name -> line.size() >= name.mWords.size())
@@ -113,22 +113,22 @@
                 .findFirst();
     }
 
-    /** Returns how many words of the command line name the command. */
+    /** Returns the number of words in the name of the command. */
     int wordCount() {
         return mWords.size();
     }
 
-    /** Makes the command. */
+    /** Creates the command. */
     Command create() {
         return mFactory.get();
     }
 
-    /** Tells whether the command takes a number of positional arguments. */
+    /** Returns whether the command accepts a number of positional arguments. */
     boolean acceptsArgumentCount(final int arguments) {
         return arguments >= mMinArguments && arguments <= mMaxArguments;
     }
 
-    /** Returns the options in the form that the parser takes. */
+    /** Returns the options for the parser. */
     Options parserOptions() {
         final Options options = new Options();
         options().forEach(option -> options.addOption(option.toOption()));
@@ -143,17 +143,17 @@
         return options;
     }
 
-    /** Returns the words and arguments, for example {@code settings get PATH}. */
+    /** Returns the name and the arguments, for example {@code settings get PATH}. */
     String usage() {
         return (String.join(" ", mWords) + " " + mArguments).strip();
     }
 
-    /** Returns the line about the command in the list of commands. */
+    /** Returns the one-line summary of the command. */
     String summary() {
         return CliMessages.text("command." + name().toLowerCase(Locale.ROOT));
     }
 
-    /** Returns the whole help. */
+    /** Returns the help text of the command. */
     String help() {
         final StringBuilder help = new StringBuilder();
         help.append(CliMessages.text("help.usage", usage())).append('\n');
--- a/cli/src/main/java/org/whinhead/cli/Console.java
+++ b/cli/src/main/java/org/whinhead/cli/Console.java
@@ -5,21 +5,21 @@
 import java.util.ArrayList;
 import java.util.List;
 
-/** Where a command's answer goes: JSON for scripts or tables for people. */
+/** Prints the output of a command, as JSON for scripts or as text and tables for people. */
 public final class Console {
 
-    private static final String GAP = "  ";
+    private static final String COLUMN_SEPARATOR = "  ";
 
     private final PrintStream mOut;
     private final PrintStream mErr;
     private final boolean mJson;
 
     /**
-     * Makes a console.
+     * Creates a console.
      *
      * @param out the standard output
      * @param err the standard error
-     * @param json whether answers are printed as JSON
+     * @param json whether the output is JSON
      */
     public Console(final PrintStream out, final PrintStream err, final boolean json) {
         mOut = out;
@@ -27,13 +27,13 @@
         mJson = json;
     }
 
-    /** Tells whether answers are printed as JSON. */
+    /** Returns whether the output is JSON. */
     public boolean isJson() {
         return mJson;
     }
 
     /**
-     * Prints a JSON document on several lines.
+     * Prints an indented JSON document.
      *
      * @param node the document
      */
@@ -42,9 +42,9 @@
     }
 
     /**
-     * Prints a text as it is.
+     * Prints a text unchanged.
      *
-     * @param text the text, which ends its last line itself
+     * @param text the text, including the line break at its end
      */
     public void text(final String text) {
         mOut.print(text);
@@ -52,10 +52,10 @@
     }
 
     /**
-     * Prints a line for people; nothing in JSON mode.
+     * Prints a line, or nothing in JSON mode.
      *
-     * @param messageKey the key of the text
-     * @param arguments the values for its places
+     * @param messageKey the key of the message
+     * @param arguments the values for the placeholders of the message
      */
     public void line(final String messageKey, final Object... arguments) {
         if (!mJson) {
@@ -64,10 +64,10 @@
     }
 
     /**
-     * Prints a line beside the answer, also in JSON mode.
+     * Prints a line to the standard error, also in JSON mode.
      *
-     * @param messageKey the key of the text
-     * @param arguments the values for its places
+     * @param messageKey the key of the message
+     * @param arguments the values for the placeholders of the message
      */
     public void note(final String messageKey, final Object... arguments) {
         mErr.println(CliMessages.text(messageKey, arguments));
@@ -76,7 +76,7 @@
     /**
      * Prints a table.
      *
-     * @param rows the rows, the first being the heads; all of one length
+     * @param rows the rows, beginning with the column heads; all of the same length
      */
     public void table(final List<List<String>> rows) {
         final List<Integer> widths = widths(rows);
@@ -84,7 +84,7 @@
             final StringBuilder line = new StringBuilder();
             for (int i = 0; i < row.size(); i++) {
                 line.append(row.get(i)).append(" ".repeat(widths.get(i) - row.get(i).length()));
-                line.append(GAP);
+                line.append(COLUMN_SEPARATOR);
             }
             mOut.println(line.toString().stripTrailing());
         }
--- a/cli/src/main/java/org/whinhead/cli/ExitCode.java
+++ b/cli/src/main/java/org/whinhead/cli/ExitCode.java
@@ -2,17 +2,17 @@
 
 import java.util.Locale;
 
-/** What the process ends with; stable, so that scripts can go by it. */
+/** The exit codes of the process. The numbers are stable, because scripts depend on them. */
 public enum ExitCode {
-    /** Done, or the answer is yes. */
+    /** The command succeeded, or the answer is yes. */
     OK(0),
-    /** A daemon refused, or the answer is no. */
+    /** A daemon refused the call, or the answer is no or partial. */
     REFUSED(1),
     /** The command line is wrong. */
     USAGE(2),
-    /** No daemon answered; a change may have taken effect all the same. */
+    /** No daemon responded; a change may still have taken effect. */
     UNREACHABLE(3),
-    /** Another change of the same path came first. */
+    /** Another change of the same path was applied first. */
     CONFLICT(4),
     /** The settings are invalid. */
     INVALID(5);
@@ -23,12 +23,12 @@
         mNumber = number;
     }
 
-    /** Returns the number. */
+    /** Returns the exit code as a number. */
     public int number() {
         return mNumber;
     }
 
-    /** Returns the key of the line about it in the help. */
+    /** Returns the key of the help text of the exit code. */
     String messageKey() {
         return "exit." + name().toLowerCase(Locale.ROOT);
     }
--- a/cli/src/main/java/org/whinhead/cli/Invocation.java
+++ b/cli/src/main/java/org/whinhead/cli/Invocation.java
@@ -14,7 +14,7 @@
 import org.whinhead.cli.http.FleetClient;
 import org.whinhead.cli.http.OperatorHttpClient;
 
-/** One parsed command line with the environment around it. */
+/** A parsed command line with the environment variables. */
 public final class Invocation {
 
     private static final String DAEMON_VARIABLE = "WHINHEAD_DAEMON";
@@ -24,10 +24,10 @@
     private final Map<String, String> mEnvironment;
 
     /**
-     * Wraps a parsed command line.
+     * Creates an invocation.
      *
-     * @param line the options and the positional arguments
-     * @param environment the environment's variables
+     * @param line the parsed options and positional arguments
+     * @param environment the environment variables
      */
     Invocation(final CommandLine line, final Map<String, String> environment) {
         mLine = line;
@@ -40,31 +40,31 @@
     }
 
     /**
-     * Tells whether an option is given.
+     * Returns whether an option is given.
      *
      * @param option the option
-     * @return true if it stands on the command line
+     * @return true if the command line contains the option
      */
     public boolean has(final CliOption option) {
         return mLine.hasOption(option.optionName());
     }
 
     /**
-     * Returns an option's text.
+     * Returns the value of an option.
      *
      * @param option the option
-     * @return the text, or empty if the option is not given
+     * @return the value, or empty if the option is not given
      */
     public Optional<String> text(final CliOption option) {
         return Optional.ofNullable(mLine.getOptionValue(option.optionName()));
     }
 
     /**
-     * Returns an option's number.
+     * Returns the value of an option as a number.
      *
      * @param option the option
      * @return the number, or empty if the option is not given
-     * @throws CliException if the text is not a number
+     * @throws CliException if the value is not a number
      */
     public Optional<Long> number(final CliOption option) throws CliException {
         final Optional<String> text = text(option);
@@ -77,20 +77,20 @@
     }
 
     /**
-     * Returns an option's number or its default.
+     * Returns the value of an option as a number, or the default of the option.
      *
      * @param option an option whose default is a number
      * @return the number
-     * @throws CliException if the text is not a number
+     * @throws CliException if the value is not a number
      */
     public long numberOrDefault(final CliOption option) throws CliException {
         return number(option).orElse(Long.parseLong(option.defaultText()));
     }
 
     /**
-     * Makes a client of the daemons that the command line or the environment names.
+     * Creates a client of the daemons that the command line or the environment names.
      *
-     * @return the client, to be closed
+     * @return the client, which the caller closes
      * @throws CliException if no daemon is named or the key cannot be read
      */
     public DaemonClient daemonClient() throws CliException {
@@ -99,15 +99,15 @@
     }
 
     /**
-     * Makes a client of all daemons of the fleet.
+     * Creates a client of all daemons of the fleet.
      *
-     * @return the client, to be closed
+     * @return the client, which the caller closes
      * @throws CliException if no daemon is named or the key cannot be read
      */
     public FleetClient fleetClient() throws CliException {
         final Duration timeout = Duration.ofSeconds(numberOrDefault(CliOption.TIMEOUT));
-        final Duration bound = Duration.ofSeconds(numberOrDefault(CliOption.TOTAL));
-        return new FleetClient(daemons(), key(), new OperatorHttpClient(timeout), bound);
+        final Duration totalTimeout = Duration.ofSeconds(numberOrDefault(CliOption.TOTAL));
+        return new FleetClient(daemons(), key(), new OperatorHttpClient(timeout), totalTimeout);
     }
 
     private List<URI> daemons() throws CliException {
--- a/cli/src/main/java/org/whinhead/cli/Main.java
+++ b/cli/src/main/java/org/whinhead/cli/Main.java
@@ -9,7 +9,7 @@
 import org.apache.commons.cli.DefaultParser;
 import org.apache.commons.cli.ParseException;
 
-/** The program {@code whinhead}: finds the sub-command, runs it, and ends with its exit code. */
+/** Entry point of {@code whinhead}: runs a subcommand and exits with its exit code. */
 public final class Main {
 
     private static final List<String> HELP_WORDS = List.of("help", "--help", "-h");
@@ -19,7 +19,7 @@
     private Main() {}
 
     /**
-     * Runs the program in a process of its own.
+     * Runs the program and exits the process.
      *
      * @param arguments the command line
      */
@@ -28,13 +28,13 @@
     }
 
     /**
-     * Runs the program.
+     * Runs the program without exiting the process.
      *
      * @param arguments the command line
-     * @param environment the environment's variables
-     * @param out where answers go
-     * @param err where errors go
-     * @return the exit code's number
+     * @param environment the environment variables
+     * @param out the standard output
+     * @param err the standard error
+     * @return the exit code
      */
     public static int run(
             final String[] arguments,
--- a/cli/src/main/java/org/whinhead/cli/command/AddressesCommand.java
+++ b/cli/src/main/java/org/whinhead/cli/command/AddressesCommand.java
@@ -9,7 +9,7 @@
 import org.whinhead.cli.Invocation;
 import org.whinhead.cli.http.DaemonClient;
 
-/** Shows the addresses that callers are told, and those that are left out. */
+/** Shows the daemon addresses that callers receive and those that are withheld. */
 public final class AddressesCommand implements Command {
 
     private static final List<String> COLUMNS = List.of("uri", "domain", "state");
--- a/cli/src/main/java/org/whinhead/cli/command/ExplainCommand.java
+++ b/cli/src/main/java/org/whinhead/cli/command/ExplainCommand.java
@@ -22,8 +22,9 @@
 import org.whinhead.cli.http.FleetClient;
 
 /**
- * Shows the decisions about a request or an order of all daemons that took part, in order of time;
- * a request that moved has some on each. With saved logs it reads these and asks no daemon.
+ * Shows the decisions of all daemons about a request or an order, in order of time. A request that
+ * moved between daemons has decisions on each of them. With saved logs, the command reads these and
+ * calls no daemon.
  */
 public final class ExplainCommand implements Command {
 
@@ -41,14 +42,15 @@
             return explainLogs(id, invocation.text(CliOption.LOGS).orElseThrow(), console);
         }
         try (FleetClient client = invocation.fleetClient()) {
-            final FleetAddresses plan =
+            final FleetAddresses addresses =
                     new FleetAddresses(
                             client.named(), OperatorResponses.requireBody(client.addresses()));
             client.get(
-                    plan.targets(),
+                    addresses.targets(),
                     "/operator/explain?id=" + OperatorResponses.encodeQuery(id),
                     this::add);
-            plan.hostsWithUnknownDaemons()
+            addresses
+                    .hostsWithUnknownDaemons()
                     .forEach(host -> mMissing.add(CliMessages.text("explain.not-known", host)));
         }
         mDecisions.sort(Comparator.comparing(decision -> decision.path("at").asText()));
@@ -63,15 +65,15 @@
 
     private static ExitCode explainLogs(final String id, final String files, final Console console)
             throws CliException {
-        final RequestTimeline story = new RequestTimeline();
+        final RequestTimeline timeline = new RequestTimeline();
         for (final String file : files.split(",")) {
             try {
-                story.read(Path.of(file));
+                timeline.read(Path.of(file));
             } catch (IOException e) {
                 throw new CliException(ExitCode.USAGE, "usage.unreadable", file);
             }
         }
-        final ArrayNode lines = story.linesFor(id);
+        final ArrayNode lines = timeline.linesFor(id);
         if (lines.isEmpty()) {
             throw new CliException(ExitCode.REFUSED, "explain.not-logged", id);
         }
@@ -83,14 +85,14 @@
         return ExitCode.OK;
     }
 
-    private void add(final DaemonResult answer) {
-        if (answer.response().isPresent() && answer.response().get().isOk()) {
-            for (final JsonNode decision : answer.response().get().body().path("decisions")) {
+    private void add(final DaemonResult result) {
+        if (result.response().isPresent() && result.response().get().isOk()) {
+            for (final JsonNode decision : result.response().get().body().path("decisions")) {
                 final ObjectNode copy = decision.deepCopy();
-                mDecisions.add(copy.put("daemon", answer.daemon().toString()));
+                mDecisions.add(copy.put("daemon", result.daemon().toString()));
             }
-        } else if (answer.response().isEmpty() || answer.response().get().status() != NOT_FOUND) {
-            mMissing.add(answer.problem());
+        } else if (result.response().isEmpty() || result.response().get().status() != NOT_FOUND) {
+            mMissing.add(result.problem());
         }
     }
 
--- a/cli/src/main/java/org/whinhead/cli/command/InForcePoller.java
+++ b/cli/src/main/java/org/whinhead/cli/command/InForcePoller.java
@@ -10,7 +10,7 @@
 import org.whinhead.cli.ExitCode;
 import org.whinhead.cli.http.DaemonClient;
 
-/** Asks at a fixed pace, and a limited number of times, whether all daemons hold a revision. */
+/** Polls at a fixed interval, with a timeout, whether a revision is in force on all daemons. */
 final class InForcePoller implements AutoCloseable {
 
     private static final Duration POLL_INTERVAL = Duration.ofMillis(250);
@@ -23,19 +23,19 @@
         mClient = client;
     }
 
-    /** Asks until no daemon is missing or the time is up; returns the last answer. */
-    JsonNode await(final long revision, final Duration bound) throws CliException {
-        final long asks = bound.dividedBy(POLL_INTERVAL) + 1;
-        JsonNode answer = poll(revision);
-        for (long asked = 1; asked < asks && !isComplete(answer); asked++) {
-            answer = pollAfterInterval(revision);
+    /** Polls until no daemon is missing or the timeout expires; returns the last response. */
+    JsonNode await(final long revision, final Duration timeout) throws CliException {
+        final long maxPolls = timeout.dividedBy(POLL_INTERVAL) + 1;
+        JsonNode response = poll(revision);
+        for (long polls = 1; polls < maxPolls && !isComplete(response); polls++) {
+            response = pollAfterInterval(revision);
         }
-        return answer;
+        return response;
     }
 
-    /** Tells whether an answer names no daemon as missing. */
-    static boolean isComplete(final JsonNode answer) {
-        return answer.path("missing").isEmpty();
+    /** Returns whether a response lists no daemon as missing. */
+    static boolean isComplete(final JsonNode response) {
+        return response.path("missing").isEmpty();
     }
 
     private JsonNode pollAfterInterval(final long revision) throws CliException {
--- a/cli/src/main/java/org/whinhead/cli/command/JsonTable.java
+++ b/cli/src/main/java/org/whinhead/cli/command/JsonTable.java
@@ -6,12 +6,14 @@
 import java.util.Locale;
 import java.util.Map;
 
-/** Lays out JSON as rows for tables. */
+/** Converts JSON to table rows. */
 final class JsonTable {
 
     private JsonTable() {}
 
-    /** Lays out a list of objects, one row each, with the wanted fields as columns. */
+    /**
+     * Converts a list of objects to a row of heads and one row each, with the fields as columns.
+     */
     static List<List<String>> columns(final JsonNode list, final List<String> fields) {
         final List<List<String>> rows = new ArrayList<>();
         rows.add(fields.stream().map(field -> field.toUpperCase(Locale.ROOT)).toList());
@@ -21,7 +23,7 @@
         return rows;
     }
 
-    /** Lays out any document as pairs of a dotted name and a value. */
+    /** Converts a document to rows of a dotted field name and a value. */
     static List<List<String>> pairs(final JsonNode document) {
         final List<List<String>> rows = new ArrayList<>();
         addPairs("", document, rows);
--- a/cli/src/main/java/org/whinhead/cli/command/OperatorResponses.java
+++ b/cli/src/main/java/org/whinhead/cli/command/OperatorResponses.java
@@ -10,7 +10,7 @@
 import org.whinhead.cli.ExitCode;
 import org.whinhead.cli.http.OperatorResponse;
 
-/** Turns daemons' answers into bodies or into exits of the command. */
+/** Converts responses of daemons to JSON bodies or to exceptions with an exit code. */
 final class OperatorResponses {
 
     private static final int CONFLICT = 409;
@@ -19,16 +19,16 @@
     private OperatorResponses() {}
 
     /**
-     * Returns the body of a good answer.
+     * Returns the body of a response with a 2xx status.
      *
-     * @throws CliException with the exit code that fits the status, if the answer is not good
+     * @throws CliException with the exit code for the status, if it is not 2xx
      */
-    static JsonNode requireBody(final OperatorResponse answer) throws CliException {
-        if (answer.isOk()) {
-            return answer.body();
+    static JsonNode requireBody(final OperatorResponse response) throws CliException {
+        if (response.isOk()) {
+            return response.body();
         }
-        final JsonNode body = answer.body();
-        switch (answer.status()) {
+        final JsonNode body = response.body();
+        switch (response.status()) {
             case CONFLICT:
                 throw new CliException(
                         ExitCode.CONFLICT,
@@ -40,7 +40,7 @@
                         ExitCode.INVALID, "answer.invalid", problems(body.path("problems")));
             default:
                 throw new CliException(
-                        ExitCode.REFUSED, "answer.refused", answer.status(), detail(body));
+                        ExitCode.REFUSED, "answer.refused", response.status(), detail(body));
         }
     }
 
@@ -66,7 +66,7 @@
         return CliMessages.text("answer.verdict", message, verdict);
     }
 
-    /** Encodes a value for a query. */
+    /** Encodes a value of a query parameter. */
     static String encodeQuery(final String value) {
         return URLEncoder.encode(value, StandardCharsets.UTF_8);
     }
--- a/cli/src/main/java/org/whinhead/cli/command/ReportCommand.java
+++ b/cli/src/main/java/org/whinhead/cli/command/ReportCommand.java
@@ -26,7 +26,7 @@
 import org.whinhead.report.FleetReport;
 import org.whinhead.report.ReportFormatException;
 
-/** Collects the counts of all daemons and writes the report on service-level burn. */
+/** Collects the counts of all daemons and writes the report on the burn of service levels. */
 public final class ReportCommand implements Command {
 
     private static final String TARGET = "/operator/burn";
@@ -43,12 +43,12 @@
     private static FleetReport collect(final Invocation invocation, final OptionalDouble price)
             throws CliException {
         try (FleetClient client = invocation.fleetClient()) {
-            final FleetAddresses plan =
+            final FleetAddresses addresses =
                     new FleetAddresses(
                             client.named(), OperatorResponses.requireBody(client.addresses()));
-            final ReportCollector collection = new ReportCollector();
-            client.get(plan.targets(), TARGET, collection::add);
-            return collection.merge(plan, price);
+            final ReportCollector collector = new ReportCollector();
+            client.get(addresses.targets(), TARGET, collector::add);
+            return collector.merge(addresses, price);
         }
     }
 
@@ -100,28 +100,28 @@
         report.missing().forEach(missing -> console.note("report.missing", missing));
     }
 
-    /** What came of asking each daemon. */
+    /** Collects the reports of the daemons and the causes of failed calls. */
     private static final class ReportCollector {
         private final FleetMerge mMerge = new FleetMerge();
         private final Set<URI> mCollected = new HashSet<>();
         private final Map<URI, String> mFailures = new HashMap<>();
 
-        private void add(final DaemonResult answer) {
-            if (answer.response().isEmpty() || !answer.response().get().isOk()) {
-                mFailures.put(answer.daemon(), answer.problem());
+        private void add(final DaemonResult result) {
+            if (result.response().isEmpty() || !result.response().get().isOk()) {
+                mFailures.put(result.daemon(), result.problem());
                 return;
             }
             try {
-                final DaemonReport report = DaemonReportJson.read(answer.response().get().body());
+                final DaemonReport report = DaemonReportJson.read(result.response().get().body());
                 mMerge.add(report);
                 mCollected.add(report.address());
             } catch (ReportFormatException e) {
-                mFailures.put(answer.daemon(), answer.daemon() + ": " + e.getMessage());
+                mFailures.put(result.daemon(), result.daemon() + ": " + e.getMessage());
             }
         }
 
-        /** Each daemon misses once: by the address that callers are told, if it is listed. */
-        private FleetReport merge(final FleetAddresses plan, final OptionalDouble price)
+        /** Lists each missing daemon once, by its public address if that is listed. */
+        private FleetReport merge(final FleetAddresses addresses, final OptionalDouble price)
                 throws CliException {
             if (mMerge.isEmpty()) {
                 throw new CliException(
@@ -129,24 +129,25 @@
                         "daemon.unreachable",
                         String.join("; ", mFailures.values()));
             }
-            plan.operatorByPublicAddress()
+            addresses
+                    .operatorByPublicAddress()
                     .forEach(
-                            (caller, operator) -> {
-                                if (!mCollected.contains(caller)) {
-                                    mMerge.addMissing(missing(caller, operator));
+                            (publicAddress, operator) -> {
+                                if (!mCollected.contains(publicAddress)) {
+                                    mMerge.addMissing(missing(publicAddress, operator));
                                 }
                             });
-            plan.operatorByPublicAddress().values().forEach(mFailures::remove);
+            addresses.operatorByPublicAddress().values().forEach(mFailures::remove);
             mFailures.values().forEach(mMerge::addMissing);
             mMerge.price(price);
             return mMerge.report();
         }
 
-        private String missing(final URI caller, final URI operator) {
+        private String missing(final URI publicAddress, final URI operator) {
             final String failure = mFailures.get(operator);
             return failure == null
-                    ? CliMessages.text("report.not-known", caller)
-                    : CliMessages.text("report.not-answered", caller, failure);
+                    ? CliMessages.text("report.not-known", publicAddress)
+                    : CliMessages.text("report.not-answered", publicAddress, failure);
         }
     }
 }
--- a/cli/src/main/java/org/whinhead/cli/command/ReportFormat.java
+++ b/cli/src/main/java/org/whinhead/cli/command/ReportFormat.java
@@ -9,7 +9,7 @@
 import org.whinhead.report.JsonReport;
 import org.whinhead.report.TextReport;
 
-/** The forms in which a report is written. */
+/** The output formats of a report. */
 enum ReportFormat {
     /** Tables for a terminal. */
     TEXT {
@@ -18,14 +18,14 @@
             return TextReport.write(report);
         }
     },
-    /** One object for scripts. */
+    /** A JSON object for scripts. */
     JSON {
         @Override
         String write(final FleetReport report) {
             return JsonReport.write(report) + "\n";
         }
     },
-    /** A page that needs no other file. */
+    /** A self-contained HTML page. */
     HTML {
         @Override
         String write(final FleetReport report) throws IOException {
@@ -33,10 +33,10 @@
         }
     };
 
-    /** Writes a report. */
+    /** Formats a report. */
     abstract String write(FleetReport report) throws IOException;
 
-    /** Finds the format of a name. */
+    /** Returns the format with a name, if any. */
     static Optional<ReportFormat> find(final String name) {
         return Arrays.stream(values())
                 .filter(format -> format.name().toLowerCase(Locale.ROOT).equals(name))
--- a/cli/src/main/java/org/whinhead/cli/command/RequestTimeline.java
+++ b/cli/src/main/java/org/whinhead/cli/command/RequestTimeline.java
@@ -21,25 +21,25 @@
 import java.util.stream.Collectors;
 
 /**
- * Tells what became of a request from the lines that daemons have logged: its own, and for each of
- * them what the daemon believed then of the endpoint and the configuration, with its age.
+ * Lists the log lines about a request from saved logs of several daemons. Each line is preceded by
+ * the state of the configuration and of the endpoint that the daemon had last logged, with its age.
  */
 final class RequestTimeline {
 
-    /** What is shown of a line. */
+    /** The columns of the output. */
     static final List<String> COLUMNS = List.of("at", "daemon", "age", "message", "fields");
 
     private static final ObjectMapper MAPPER = new ObjectMapper();
 
-    /** Lines that tell what a daemon believes of an endpoint. */
+    /** The messages that log the state of an endpoint as known to a daemon. */
     private static final Set<String> ENDPOINT_MESSAGES =
             Set.of("endpoint changed", "endpoint entry removed", "endpoint lapsed");
 
-    /** Fields that every line has; all others are inputs of its decision. */
+    /** The fields that every line has; all others are inputs of the logged decision. */
     private static final Set<String> STANDARD_FIELDS =
             Set.of("timestamp", "level", "logger", "message");
 
-    /** Where the daemon of the chat interface lists its inputs; the gateway's lines are flat. */
+    /** The field with the inputs in lines of the chat daemon; lines of the gateway are flat. */
     private static final String KEY_VALUE_LIST = "kvpList";
 
     private static final String CONFIGURATION_MESSAGE = "configuration in force";
@@ -47,8 +47,8 @@
     private final List<LogLine> mLines = new ArrayList<>();
 
     /**
-     * Reads a log. What stands before a line's JSON names the daemon, by its last word; without it
-     * the file's name does. Lines that are no JSON are passed over.
+     * Reads a log file. The last word before the JSON of a line is the name of the daemon; if there
+     * is none, the file name is used. Lines without JSON are skipped.
      */
     void read(final Path file) throws IOException {
         for (final String text : Files.readAllLines(file)) {
@@ -95,33 +95,38 @@
                 .forEach(field -> fields.put(field.getKey(), field.getValue().asText()));
     }
 
-    /** Lists the lines about a request in order of time, each preceded by what it went by. */
+    /** Returns the lines about a request in order of time, each preceded by the known state. */
     ArrayNode linesFor(final String request) {
-        final ArrayNode story = JsonNodeFactory.instance.arrayNode();
-        final Set<LogLine> told = new HashSet<>();
+        final ArrayNode timeline = JsonNodeFactory.instance.arrayNode();
+        final Set<LogLine> shown = new HashSet<>();
         mLines.stream()
                 .filter(line -> request.equals(line.fields().get("request")))
                 .sorted(Comparator.comparingLong(LogLine::at))
-                .forEach(line -> addWithState(line, told, story));
-        return story;
+                .forEach(line -> addWithState(line, shown, timeline));
+        return timeline;
     }
 
-    private void addWithState(final LogLine line, final Set<LogLine> told, final ArrayNode story) {
+    private void addWithState(
+            final LogLine line, final Set<LogLine> shown, final ArrayNode timeline) {
         final Predicate<LogLine> configuration =
                 other -> other.message().equals(CONFIGURATION_MESSAGE);
-        lastBefore(line, configuration).filter(told::add).ifPresent(b -> add(b, line, story));
+        lastBefore(line, configuration)
+                .filter(shown::add)
+                .ifPresent(state -> add(state, line, timeline));
         final String endpoint = line.fields().get("endpoint");
         final Predicate<LogLine> ofEndpoint =
                 other ->
                         ENDPOINT_MESSAGES.contains(other.message())
                                 && other.fields().get("endpoint").equals(endpoint);
         if (endpoint != null) {
-            lastBefore(line, ofEndpoint).filter(told::add).ifPresent(b -> add(b, line, story));
+            lastBefore(line, ofEndpoint)
+                    .filter(shown::add)
+                    .ifPresent(state -> add(state, line, timeline));
         }
-        add(line, line, story);
+        add(line, line, timeline);
     }
 
-    /** Finds the last line before another one of the same daemon. */
+    /** Returns the last line of a kind that the same daemon logged up to the time of a line. */
     private Optional<LogLine> lastBefore(final LogLine line, final Predicate<LogLine> kind) {
         return mLines.stream()
                 .filter(other -> other.daemon().equals(line.daemon()))
@@ -130,16 +135,16 @@
                 .max(Comparator.comparingLong(LogLine::at));
     }
 
-    private static void add(final LogLine shown, final LogLine seenAt, final ArrayNode story) {
+    private static void add(final LogLine shown, final LogLine decision, final ArrayNode timeline) {
         final String fields =
                 shown.fields().entrySet().stream()
                         .filter(field -> !field.getKey().equals("request"))
                         .map(field -> field.getKey() + "=" + field.getValue())
                         .collect(Collectors.joining(" "));
-        story.addObject()
+        timeline.addObject()
                 .put("at", Instant.ofEpochMilli(shown.at()).toString())
                 .put("daemon", shown.daemon())
-                .put("age", shown == seenAt ? "" : (seenAt.at() - shown.at()) + "ms")
+                .put("age", shown == decision ? "" : (decision.at() - shown.at()) + "ms")
                 .put("message", shown.message())
                 .put("fields", fields);
     }
--- a/cli/src/main/java/org/whinhead/cli/command/SettingsChange.java
+++ b/cli/src/main/java/org/whinhead/cli/command/SettingsChange.java
@@ -13,11 +13,11 @@
 import org.whinhead.cli.http.OperatorResponse;
 
 /**
- * One change as it is sent to daemons.
+ * A change of a settings document, sent to daemons.
  *
- * @param changeId the change's name, the same in each try
- * @param path the document's path
- * @param baseRevision the revision that it replaces
+ * @param changeId the id of the change, the same in each attempt
+ * @param path the path of the document
+ * @param baseRevision the revision that the change replaces; -1 if there must be none
  * @param document the new document; empty to delete it
  */
 record SettingsChange(
@@ -27,12 +27,12 @@
     private static final int NOT_FOUND = 404;
     private static final ObjectMapper MAPPER = new ObjectMapper();
 
-    /** Names a change: by the option, so that a lost one can be repeated, or anew. */
-    static String newChangeId(final Invocation invocation) {
+    /** Returns the id given as an option, to repeat a change with a lost response, or a new one. */
+    static String resolveChangeId(final Invocation invocation) {
         return invocation.text(CliOption.CHANGE_ID).orElseGet(() -> UUID.randomUUID().toString());
     }
 
-    /** Returns why the change is made, which an auditor will ask. */
+    /** Returns the reason for the change, which auditors need. */
     static String requireReason(final Invocation invocation) throws CliException {
         return invocation
                 .text(CliOption.REASON)
@@ -41,31 +41,31 @@
     }
 
     /**
-     * Asks what stands at a path. A path whose document was deleted has a revision too, the
-     * deletion's, and a change that makes the document anew replaces that one.
+     * Reads the current document at a path. The path of a deleted document has the revision of the
+     * deletion, and a change that creates the document again replaces that revision.
      */
     static CurrentDocument current(final DaemonClient client, final String path)
             throws CliException {
-        final OperatorResponse answer =
+        final OperatorResponse response =
                 client.get("/operator/settings?path=" + OperatorResponses.encodeQuery(path));
         final JsonNode body =
-                answer.status() == NOT_FOUND
-                        ? answer.body()
-                        : OperatorResponses.requireBody(answer);
+                response.status() == NOT_FOUND
+                        ? response.body()
+                        : OperatorResponses.requireBody(response);
         final Optional<JsonNode> document =
                 Optional.of(body.path("document")).filter(JsonNode::isObject);
         return new CurrentDocument(body.path("revision").asLong(NO_REVISION), document);
     }
 
     /**
-     * What stands at a path.
+     * The current document at a path.
      *
-     * @param revision the number that a change must name as its base
-     * @param document the document in force
+     * @param revision the base revision that a change must give; -1 if there is none
+     * @param document the document in force; empty if there is none
      */
     record CurrentDocument(long revision, Optional<JsonNode> document) {}
 
-    /** Sends the change and returns the daemon's answer. */
+    /** Sends the change and returns the body of the response. */
     JsonNode send(final DaemonClient client, final Invocation invocation) throws CliException {
         final ObjectNode body = MAPPER.createObjectNode();
         body.put("changeId", changeId);
--- a/cli/src/main/java/org/whinhead/cli/command/SettingsCheckCommand.java
+++ b/cli/src/main/java/org/whinhead/cli/command/SettingsCheckCommand.java
@@ -21,8 +21,8 @@
 import org.whinhead.settings.json.JsonText;
 
 /**
- * Checks files without a daemon: lists of documents and daemons' settings. The lists of one named
- * directory are checked together, as one deployment.
+ * Validates lists of documents and settings files of daemons, without calling a daemon. All lists
+ * in a directory given as an argument are validated together, as one deployment.
  */
 public final class SettingsCheckCommand implements Command {
 
@@ -95,7 +95,7 @@
         console.line(findings.isEmpty() ? "check.good" : "check.bad", files, findings.size());
     }
 
-    /** One problem with where it was found. */
+    /** A problem and the source in which it was found. */
     private record Finding(String source, SettingsProblem problem) {
         private JsonNode toJson() {
             return MAPPER.createObjectNode()
--- a/cli/src/main/java/org/whinhead/cli/command/SettingsGetCommand.java
+++ b/cli/src/main/java/org/whinhead/cli/command/SettingsGetCommand.java
@@ -9,7 +9,7 @@
 import org.whinhead.cli.Invocation;
 import org.whinhead.cli.http.DaemonClient;
 
-/** Shows the document at a path, or lists those below a path that ends in a slash. */
+/** Shows the document at a path, or lists the documents below a path that ends in a slash. */
 public final class SettingsGetCommand implements Command {
 
     private static final List<String> COLUMNS =
--- a/cli/src/main/java/org/whinhead/cli/command/SettingsHistoryCommand.java
+++ b/cli/src/main/java/org/whinhead/cli/command/SettingsHistoryCommand.java
@@ -10,7 +10,7 @@
 import org.whinhead.cli.Invocation;
 import org.whinhead.cli.http.DaemonClient;
 
-/** Shows who changed a path, when and why, newest first. */
+/** Lists the revisions of a path, with author, time and reason, newest first. */
 public final class SettingsHistoryCommand implements Command {
 
     private static final List<String> COLUMNS =
--- a/cli/src/main/java/org/whinhead/cli/command/SettingsLoadCommand.java
+++ b/cli/src/main/java/org/whinhead/cli/command/SettingsLoadCommand.java
@@ -17,8 +17,8 @@
 import org.whinhead.settings.json.JsonText;
 
 /**
- * Puts each document of a list in force, in the order of the list, and passes over those that are
- * in force as they stand. It stops at the first failure and can then be run again.
+ * Stores each document of a list in order and skips unchanged ones. The command stops at the first
+ * failure and can be run again.
  */
 public final class SettingsLoadCommand implements Command {
 
@@ -27,15 +27,15 @@
         final String file = invocation.arguments().get(0);
         final List<DocumentList.Entry> entries = entries(file);
         SettingsChange.requireReason(invocation);
-        final String changeId = SettingsChange.newChangeId(invocation);
+        final String changeId = SettingsChange.resolveChangeId(invocation);
         console.note("put.change", changeId);
-        int put = 0;
+        int storedCount = 0;
         try (DaemonClient client = invocation.daemonClient()) {
             for (final DocumentList.Entry entry : entries) {
-                put += load(client, invocation, console, changeId, entry) ? 1 : 0;
+                storedCount += load(client, invocation, console, changeId, entry) ? 1 : 0;
             }
         }
-        console.line("load.done", put, entries.size() - put);
+        console.line("load.done", storedCount, entries.size() - storedCount);
         return ExitCode.OK;
     }
 
@@ -47,17 +47,17 @@
             final DocumentList.Entry entry)
             throws CliException {
         final String path = entry.path().text();
-        final SettingsChange.CurrentDocument standing = SettingsChange.current(client, path);
+        final SettingsChange.CurrentDocument current = SettingsChange.current(client, path);
         final JsonNode document = document(path, entry.text());
-        if (standing.document().isPresent()
-                && document(path, standing.document().get().toString()).equals(document)) {
+        if (current.document().isPresent()
+                && document(path, current.document().get().toString()).equals(document)) {
             return false;
         }
         final SettingsChange change =
                 new SettingsChange(
-                        changeId + path, path, standing.revision(), Optional.of(document));
-        final JsonNode answer = change.send(client, invocation);
-        console.line("put.done", path, answer.path("revision").asText());
+                        changeId + path, path, current.revision(), Optional.of(document));
+        final JsonNode response = change.send(client, invocation);
+        console.line("put.done", path, response.path("revision").asText());
         return true;
     }
 
--- a/cli/src/main/java/org/whinhead/cli/command/SettingsPutCommand.java
+++ b/cli/src/main/java/org/whinhead/cli/command/SettingsPutCommand.java
@@ -17,7 +17,7 @@
 import org.whinhead.settings.SettingsException;
 import org.whinhead.settings.json.JsonText;
 
-/** Puts a document in force or deletes it, replacing a known revision only. */
+/** Stores or deletes a document if its current revision is the base revision. */
 public final class SettingsPutCommand implements Command {
 
     @Override
@@ -26,20 +26,20 @@
         final Optional<JsonNode> document = document(invocation);
         final long wait = invocation.numberOrDefault(CliOption.WAIT);
         SettingsChange.requireReason(invocation);
-        final String changeId = SettingsChange.newChangeId(invocation);
+        final String changeId = SettingsChange.resolveChangeId(invocation);
         try (DaemonClient client = invocation.daemonClient()) {
             final SettingsChange change =
                     new SettingsChange(changeId, path, base(client, invocation, path), document);
             console.note("put.change", changeId);
-            final JsonNode answer = change.send(client, invocation);
+            final JsonNode response = change.send(client, invocation);
             if (console.isJson()) {
-                console.json(answer);
+                console.json(response);
             }
             if (invocation.has(CliOption.DRY_RUN)) {
                 console.line("put.dry-run", path);
                 return ExitCode.OK;
             }
-            final long revision = answer.path("revision").asLong();
+            final long revision = response.path("revision").asLong();
             console.line("put.done", path, revision);
             return wait > 0 ? await(client, revision, wait, console) : ExitCode.OK;
         }
@@ -76,16 +76,16 @@
     private static ExitCode await(
             final DaemonClient client, final long revision, final long wait, final Console console)
             throws CliException {
-        try (InForcePoller inForce = new InForcePoller(client)) {
-            final JsonNode answer = inForce.await(revision, Duration.ofSeconds(wait));
+        try (InForcePoller poller = new InForcePoller(client)) {
+            final JsonNode response = poller.await(revision, Duration.ofSeconds(wait));
             if (console.isJson()) {
-                console.json(answer);
+                console.json(response);
             }
-            final boolean complete = InForcePoller.isComplete(answer);
+            final boolean complete = InForcePoller.isComplete(response);
             console.line(
                     complete ? "put.everywhere" : "put.missing",
-                    answer.path("inForce").size(),
-                    answer.path("missing"));
+                    response.path("inForce").size(),
+                    response.path("missing"));
             return complete ? ExitCode.OK : ExitCode.REFUSED;
         }
     }
--- a/cli/src/main/java/org/whinhead/cli/command/StatusCommand.java
+++ b/cli/src/main/java/org/whinhead/cli/command/StatusCommand.java
@@ -8,7 +8,7 @@
 import org.whinhead.cli.Invocation;
 import org.whinhead.cli.http.DaemonClient;
 
-/** Shows how one daemon is; the answer is no if it reports itself not able. */
+/** Shows the status of a daemon; exits with 1 if the daemon reports that it is not able. */
 public final class StatusCommand implements Command {
 
     @Override
--- a/cli/src/main/java/org/whinhead/cli/command/package-info.java
+++ b/cli/src/main/java/org/whinhead/cli/command/package-info.java
@@ -1,2 +1,2 @@
-/** The sub-commands, one class each. */
+/** The subcommands, one class each. */
 package org.whinhead.cli.command;
--- a/cli/src/main/java/org/whinhead/cli/http/DaemonClient.java
+++ b/cli/src/main/java/org/whinhead/cli/http/DaemonClient.java
@@ -10,50 +10,50 @@
 import org.whinhead.cli.CliException;
 import org.whinhead.cli.ExitCode;
 
-/** Calls the first daemon that answers, in the order in which they are named. */
+/** Calls the named daemons in order until one responds. */
 public final class DaemonClient implements AutoCloseable {
 
-    private static final int UNAVAILABLE = 503;
+    private static final int SERVICE_UNAVAILABLE = 503;
 
     private final List<URI> mDaemons;
     private final Optional<String> mKey;
-    private final OperatorHttpClient mExchange;
+    private final OperatorHttpClient mHttpClient;
 
     /**
-     * Makes a client.
+     * Creates a client.
      *
      * @param daemons the daemons' operator addresses, at least one
      * @param key the operator's key, if any
-     * @param exchange makes the calls; closed with the client
+     * @param httpClient the HTTP client, closed with this client
      */
     public DaemonClient(
             final List<URI> daemons,
             final Optional<String> key,
-            final OperatorHttpClient exchange) {
+            final OperatorHttpClient httpClient) {
         mDaemons = List.copyOf(daemons);
         mKey = key;
-        mExchange = exchange;
+        mHttpClient = httpClient;
     }
 
     /**
-     * Asks for something.
+     * Sends a GET request.
      *
-     * @param target path and query
-     * @return the answer of the first daemon that gives one
-     * @throws CliException if none does
+     * @param target the path and query
+     * @return the first response other than 503, or a 503 if no other came
+     * @throws CliException if no daemon responds
      */
     public OperatorResponse get(final String target) throws CliException {
         return call(Methods.GET, target, "");
     }
 
     /**
-     * Sends a change, to several daemons if need be. The body must name the change, so that a
-     * daemon that gets it after another one does not make it again.
+     * Sends a change, to several daemons if necessary. The body must contain an id of the change,
+     * so that a daemon does not apply a change again that another daemon has already applied.
      *
      * @param target the path
      * @param body the change
-     * @return the answer of the first daemon that gives one
-     * @throws CliException if none does
+     * @return the first response other than 503, or a 503 if no other came
+     * @throws CliException if no daemon responds
      */
     public OperatorResponse post(final String target, final JsonNode body) throws CliException {
         return call(Methods.POST, target, body.toString());
@@ -66,19 +66,20 @@
         boolean mayHaveArrived = false;
         for (final URI daemon : mDaemons) {
             try {
-                final OperatorResponse answer = mExchange.call(daemon, method, target, mKey, body);
-                if (answer.status() != UNAVAILABLE) {
-                    return answer;
+                final OperatorResponse response =
+                        mHttpClient.call(daemon, method, target, mKey, body);
+                if (response.status() != SERVICE_UNAVAILABLE) {
+                    return response;
                 }
-                unavailable = Optional.of(answer);
-                failures.add(daemon + ": status " + UNAVAILABLE);
+                unavailable = Optional.of(response);
+                failures.add(daemon + ": status " + SERVICE_UNAVAILABLE);
             } catch (HttpCallException e) {
                 mayHaveArrived |= e.mayHaveArrived();
                 failures.add(daemon + ": " + e.getMessage());
             }
         }
-        // A change whose answer was lost may be in force, whatever a later daemon says of its own
-        // try; only the same change sent again can tell.
+        // After a lost response, the change may be in force even if a later daemon responds with
+        // 503; only sending the same change again shows its result.
         if (unavailable.isPresent() && !mayHaveArrived) {
             return unavailable.get();
         }
@@ -91,6 +92,6 @@
 
     @Override
     public void close() {
-        mExchange.close();
+        mHttpClient.close();
     }
 }
--- a/cli/src/main/java/org/whinhead/cli/http/DaemonResult.java
+++ b/cli/src/main/java/org/whinhead/cli/http/DaemonResult.java
@@ -5,27 +5,28 @@
 import java.util.Optional;
 
 /**
- * What came of asking one of many daemons.
+ * The result of a call to one of several daemons.
  *
- * @param daemon its operator address
- * @param answer its answer, or empty if none came
- * @param failure why no answer came; empty if one did
+ * @param daemon the operator address of the daemon
+ * @param response the response, or empty if the call failed
+ * @param failure the cause of the failed call; empty if there is a response
  */
 public record DaemonResult(URI daemon, Optional<OperatorResponse> response, String failure) {
 
-    /** Checks every part. */
+    /** Validates that no component is null. */
     public DaemonResult {
         Objects.requireNonNull(daemon, "daemon");
-        Objects.requireNonNull(response, "answer");
+        Objects.requireNonNull(response, "response");
         Objects.requireNonNull(failure, "failure");
     }
 
-    /** Returns the daemon with the cause why its answer is of no use. */
+    /** Returns the address of the daemon and the cause of the failed call or its error response. */
     public String problem() {
-        return daemon + ": " + response.map(DaemonResult::refusal).orElse(failure);
+        return daemon + ": " + response.map(DaemonResult::describe).orElse(failure);
     }
 
-    private static String refusal(final OperatorResponse answer) {
-        return ("status " + answer.status() + " " + answer.body().path("message").asText()).strip();
+    private static String describe(final OperatorResponse response) {
+        return ("status " + response.status() + " " + response.body().path("message").asText())
+                .strip();
     }
 }
--- a/cli/src/main/java/org/whinhead/cli/http/FleetAddresses.java
+++ b/cli/src/main/java/org/whinhead/cli/http/FleetAddresses.java
@@ -10,9 +10,9 @@
 import java.util.Set;
 
 /**
- * Which operator addresses to ask so as to reach all daemons: those that were named, and one for
- * each address that callers are told. Where the list does not name it, it is taken to have the
- * address's host and the named daemon's port, which holds where each Vm runs one daemon.
+ * The operator addresses of all daemons: those given by the operator, and one for each public
+ * address. If the address list omits an operator address, it is assumed to have the host of the
+ * public address and the port of the first given daemon, as is the case with one daemon per Vm.
  */
 public final class FleetAddresses {
 
@@ -20,41 +20,44 @@
     private final Map<URI, URI> mOperatorByPublicAddress = new LinkedHashMap<>();
 
     /**
-     * Makes a plan.
+     * Creates the addresses.
      *
-     * @param named the operator addresses that were named, at least one
-     * @param addresses the answer to {@code GET /operator/addresses}
+     * @param named the operator addresses given by the operator, at least one
+     * @param addresses the response to {@code GET /operator/addresses}
      */
     public FleetAddresses(final List<URI> named, final JsonNode addresses) {
         mTargets.addAll(named);
         final int port = named.get(0).getPort();
         for (final JsonNode entry : addresses.path("addresses")) {
-            final URI caller = URI.create(entry.path("uri").asText());
+            final URI publicAddress = URI.create(entry.path("uri").asText());
             final String given = entry.path("operatorUri").asText();
             final URI operator =
                     given.isEmpty()
-                            ? URI.create(caller.getScheme() + "://" + caller.getHost() + ":" + port)
+                            ? URI.create(
+                                    publicAddress.getScheme()
+                                            + "://"
+                                            + publicAddress.getHost()
+                                            + ":"
+                                            + port)
                             : URI.create(given);
-            mOperatorByPublicAddress.put(caller, operator);
+            mOperatorByPublicAddress.put(publicAddress, operator);
         }
         mTargets.addAll(mOperatorByPublicAddress.values());
     }
 
-    /** Returns the operator addresses to ask, each once. */
+    /** Returns the operator addresses to call, without duplicates. */
     public Set<URI> targets() {
         return Set.copyOf(mTargets);
     }
 
-    /**
-     * Returns the addresses that callers are told, each with the operator address it stands for.
-     */
+    /** Returns the operator address of each daemon by its public address, which callers use. */
     public Map<URI, URI> operatorByPublicAddress() {
         return Map.copyOf(mOperatorByPublicAddress);
     }
 
     /**
-     * Returns the hosts that run more daemons than there are operator addresses known on them, so
-     * that some daemons cannot be asked.
+     * Returns the hosts with more daemons than known operator addresses. Some daemons of these
+     * hosts cannot be called.
      */
     public List<String> hostsWithUnknownDaemons() {
         return mOperatorByPublicAddress.keySet().stream()
--- a/cli/src/main/java/org/whinhead/cli/http/FleetClient.java
+++ b/cli/src/main/java/org/whinhead/cli/http/FleetClient.java
@@ -18,10 +18,10 @@
 import org.whinhead.cli.CliException;
 
 /**
- * Asks all daemons the same, some at a time.
+ * Sends the same request to all daemons, with limited concurrency.
  *
- * <p>Guards against a fleet of which many daemons are silent: each call ends after its timeout, and
- * all of them after the bound, with what has come until then.
+ * <p>Each call has a timeout, and all calls together have a total timeout, after which the results
+ * so far are kept, so that a fleet with many unresponsive daemons does not block a command.
  */
 public final class FleetClient implements AutoCloseable {
 
@@ -29,53 +29,53 @@
 
     private final List<URI> mNamed;
     private final Optional<String> mKey;
-    private final OperatorHttpClient mExchange;
+    private final OperatorHttpClient mHttpClient;
     private final Duration mTotalTimeout;
     private final ExecutorService mExecutor = Executors.newFixedThreadPool(MAX_CONCURRENT_CALLS);
 
     /**
-     * Makes a client.
+     * Creates a client.
      *
-     * @param named the operator addresses that were named, at least one
+     * @param named the operator addresses given by the operator, at least one
      * @param key the operator's key, if any
-     * @param exchange makes the calls; closed with the client
-     * @param bound how long asking all daemons may take
+     * @param httpClient the HTTP client, closed with this client
+     * @param totalTimeout the timeout of all calls together
      */
     public FleetClient(
             final List<URI> named,
             final Optional<String> key,
-            final OperatorHttpClient exchange,
-            final Duration bound) {
+            final OperatorHttpClient httpClient,
+            final Duration totalTimeout) {
         mNamed = List.copyOf(named);
         mKey = key;
-        mExchange = exchange;
-        mTotalTimeout = bound;
+        mHttpClient = httpClient;
+        mTotalTimeout = totalTimeout;
     }
 
     /**
-     * Asks the first named daemon that answers for the addresses of all.
+     * Reads the addresses of all daemons from the first named daemon that responds.
      *
-     * @return its answer
-     * @throws CliException if none answers
+     * @return the response
+     * @throws CliException if no daemon responds
      */
     public OperatorResponse addresses() throws CliException {
-        return new DaemonClient(mNamed, mKey, mExchange).get("/operator/addresses");
+        return new DaemonClient(mNamed, mKey, mHttpClient).get("/operator/addresses");
     }
 
-    /** Returns the operator addresses that were named. */
+    /** Returns the operator addresses given by the operator. */
     public List<URI> named() {
         return mNamed;
     }
 
     /**
-     * Asks daemons.
+     * Sends a GET request to several daemons.
      *
-     * @param daemons their operator addresses
-     * @param target path and query
-     * @param taker takes what came of each, one at a time, on the calling thread
+     * @param daemons the operator addresses of the daemons
+     * @param target the path and query
+     * @param handler receives the result of each daemon, one at a time, on the calling thread
      */
     public void get(
-            final Set<URI> daemons, final String target, final Consumer<DaemonResult> taker) {
+            final Set<URI> daemons, final String target, final Consumer<DaemonResult> handler) {
         final CompletionService<DaemonResult> calls = new ExecutorCompletionService<>(mExecutor);
         daemons.forEach(daemon -> calls.submit(() -> call(daemon, target)));
         final Set<URI> waiting = new HashSet<>(daemons);
@@ -87,23 +87,29 @@
                 if (done == null) {
                     break;
                 }
-                final DaemonResult answer = done.get();
-                waiting.remove(answer.daemon());
-                taker.accept(answer);
+                final DaemonResult result = done.get();
+                waiting.remove(result.daemon());
+                handler.accept(result);
             }
         } catch (InterruptedException e) {
             Thread.currentThread().interrupt();
         } catch (ExecutionException e) {
-            throw new IllegalStateException("a call failed", e.getCause());
+            throw new IllegalStateException("unexpected failure of a call", e.getCause());
         }
         waiting.forEach(
-                daemon -> taker.accept(failed(daemon, "not asked within " + mTotalTimeout)));
+                daemon ->
+                        handler.accept(
+                                failed(
+                                        daemon,
+                                        "no response within the total timeout of "
+                                                + mTotalTimeout)));
     }
 
     private DaemonResult call(final URI daemon, final String target) {
         try {
-            final OperatorResponse answer = mExchange.call(daemon, Methods.GET, target, mKey, "");
-            return new DaemonResult(daemon, Optional.of(answer), "");
+            final OperatorResponse response =
+                    mHttpClient.call(daemon, Methods.GET, target, mKey, "");
+            return new DaemonResult(daemon, Optional.of(response), "");
         } catch (HttpCallException e) {
             return failed(daemon, e.getMessage());
         }
@@ -116,6 +122,6 @@
     @Override
     public void close() {
         mExecutor.shutdownNow();
-        mExchange.close();
+        mHttpClient.close();
     }
 }
--- a/cli/src/main/java/org/whinhead/cli/http/HttpCallException.java
+++ b/cli/src/main/java/org/whinhead/cli/http/HttpCallException.java
@@ -2,7 +2,7 @@
 
 import java.io.Serial;
 
-/** A call got no whole answer. */
+/** Signals that a call ended without a complete response. */
 public final class HttpCallException extends Exception {
 
     @Serial private static final long serialVersionUID = 1L;
@@ -10,17 +10,17 @@
     private final boolean mMayHaveArrived;
 
     /**
-     * Reports a failed call.
+     * Creates an exception for a failed call.
      *
-     * @param detail the cause, for people
-     * @param mayHaveArrived whether the daemon may have got the request
+     * @param detail the cause, as text for a person
+     * @param mayHaveArrived whether the daemon may have received the request
      */
     public HttpCallException(final String detail, final boolean mayHaveArrived) {
         super(detail);
         mMayHaveArrived = mayHaveArrived;
     }
 
-    /** Tells whether the daemon may have got the request. */
+    /** Returns whether the daemon may have received the request. */
     public boolean mayHaveArrived() {
         return mMayHaveArrived;
     }
--- a/cli/src/main/java/org/whinhead/cli/http/OperatorHttpClient.java
+++ b/cli/src/main/java/org/whinhead/cli/http/OperatorHttpClient.java
@@ -30,7 +30,7 @@
 import org.xnio.Xnio;
 import org.xnio.XnioWorker;
 
-/** Makes one HTTP call at a time, each on a connection of its own, and waits for the answer. */
+/** Makes blocking HTTP calls, each on its own connection. */
 public final class OperatorHttpClient implements AutoCloseable {
 
     private static final int BUFFER_BYTES = 16 * 1024;
@@ -41,9 +41,9 @@
     private final Duration mTimeout;
 
     /**
-     * Starts the thread that the calls use.
+     * Creates a client and starts its IO thread.
      *
-     * @param timeout how long a connection and an answer may each take
+     * @param timeout the connect timeout, and also the timeout of the response
      */
     public OperatorHttpClient(final Duration timeout) {
         mTimeout = timeout;
@@ -56,20 +56,20 @@
                                             .set(Options.THREAD_DAEMON, true)
                                             .getMap());
         } catch (IOException e) {
-            throw new IllegalStateException("no worker for HTTP calls", e);
+            throw new IllegalStateException("cannot create the IO worker for HTTP calls", e);
         }
     }
 
     /**
-     * Makes a call.
+     * Sends a request and waits for the response.
      *
-     * @param base the daemon's address
+     * @param base the operator address of the daemon
      * @param method the HTTP method
-     * @param target path and query
+     * @param target the path and query
      * @param key the operator's key, if any
      * @param body the JSON body; empty for none
-     * @return the answer, whatever its status
-     * @throws HttpCallException if no whole answer came
+     * @return the response, of any status
+     * @throws HttpCallException if there is no complete response
      */
     public OperatorResponse call(
             final URI base,
@@ -89,19 +89,20 @@
                     text ->
                             request.getRequestHeaders()
                                     .put(Headers.AUTHORIZATION, "Bearer " + text));
-            final CompletableFuture<OperatorResponse> answer = new CompletableFuture<>();
+            final CompletableFuture<OperatorResponse> response = new CompletableFuture<>();
             onIoThread(
                     connection,
-                    () -> connection.sendRequest(request, new RequestCallback(body, answer)));
-            return await(answer, true);
+                    () -> connection.sendRequest(request, new RequestCallback(body, response)));
+            return await(response, true);
         } finally {
             onIoThread(connection, () -> IoUtils.safeClose(connection));
         }
     }
 
     /**
-     * Runs a step where the connection is at home. Its IO thread clears it away when the daemon
-     * closes it; a request written by another thread meanwhile ends in a NullPointerException.
+     * Runs a step on the IO thread of the connection. That thread cleans up the connection when the
+     * daemon closes it; writing a request on another thread meanwhile causes a
+     * NullPointerException.
      */
     private static void onIoThread(final ClientConnection connection, final Runnable step) {
         connection.getIoThread().execute(step);
@@ -122,7 +123,7 @@
         } catch (ExecutionException e) {
             throw new HttpCallException(String.valueOf(e.getCause().getMessage()), mayHaveArrived);
         } catch (TimeoutException e) {
-            throw new HttpCallException("no answer within " + mTimeout, mayHaveArrived);
+            throw new HttpCallException("no response within " + mTimeout, mayHaveArrived);
         } catch (InterruptedException e) {
             Thread.currentThread().interrupt();
             throw new HttpCallException("interrupted", mayHaveArrived);
@@ -140,11 +141,11 @@
                     text.isEmpty() ? MissingNode.getInstance() : MAPPER.readTree(text);
             return new OperatorResponse(status, body);
         } catch (JsonProcessingException e) {
-            throw new IOException("the answer is not JSON (status " + status + ")", e);
+            throw new IOException("the response is not JSON (status " + status + ")", e);
         }
     }
 
-    /** Completes a future with what a callback gets. */
+    /** Completes a future with the result of a callback. */
     private record FutureCallback<T>(CompletableFuture<T> future) implements ClientCallback<T> {
         @Override
         public void completed(final T result) {
@@ -157,20 +158,20 @@
         }
     }
 
-    /** Writes the body and awaits the head of the answer. */
+    /** Writes the request body and registers the callback for the response. */
     private final class RequestCallback implements ClientCallback<ClientExchange> {
         private final String mBody;
-        private final CompletableFuture<OperatorResponse> mAnswer;
+        private final CompletableFuture<OperatorResponse> mResponse;
 
         private RequestCallback(
-                final String body, final CompletableFuture<OperatorResponse> answer) {
+                final String body, final CompletableFuture<OperatorResponse> response) {
             mBody = body;
-            mAnswer = answer;
+            mResponse = response;
         }
 
         @Override
         public void completed(final ClientExchange exchange) {
-            exchange.setResponseListener(new ResponseCallback(mAnswer));
+            exchange.setResponseListener(new ResponseCallback(mResponse));
             if (!mBody.isEmpty()) {
                 new StringWriteChannelListener(mBody).setup(exchange.getRequestChannel());
             }
@@ -178,16 +179,16 @@
 
         @Override
         public void failed(final IOException cause) {
-            mAnswer.completeExceptionally(cause);
+            mResponse.completeExceptionally(cause);
         }
     }
 
-    /** Reads the answer's body. */
+    /** Reads the response body. */
     private final class ResponseCallback implements ClientCallback<ClientExchange> {
-        private final CompletableFuture<OperatorResponse> mAnswer;
+        private final CompletableFuture<OperatorResponse> mResponse;
 
-        private ResponseCallback(final CompletableFuture<OperatorResponse> answer) {
-            mAnswer = answer;
+        private ResponseCallback(final CompletableFuture<OperatorResponse> response) {
+            mResponse = response;
         }
 
         @Override
@@ -197,7 +198,7 @@
                 @Override
                 protected void stringDone(final String text) {
                     try {
-                        mAnswer.complete(parse(status, text));
+                        mResponse.complete(parse(status, text));
                     } catch (IOException e) {
                         error(e);
                     }
@@ -205,14 +206,14 @@
 
                 @Override
                 protected void error(final IOException cause) {
-                    mAnswer.completeExceptionally(cause);
+                    mResponse.completeExceptionally(cause);
                 }
             }.setup(exchange.getResponseChannel());
         }
 
         @Override
         public void failed(final IOException cause) {
-            mAnswer.completeExceptionally(cause);
+            mResponse.completeExceptionally(cause);
         }
     }
 }
--- a/cli/src/main/java/org/whinhead/cli/http/OperatorResponse.java
+++ b/cli/src/main/java/org/whinhead/cli/http/OperatorResponse.java
@@ -4,19 +4,19 @@
 import java.util.Objects;
 
 /**
- * What a daemon answered.
+ * The response of a daemon to an operator call.
  *
- * @param status the HTTP status
- * @param body the body; a missing node if there is none
+ * @param status the HTTP status code
+ * @param body the JSON body; a missing node if there is none
  */
 public record OperatorResponse(int status, JsonNode body) {
 
-    /** Checks both parts. */
+    /** Validates the body. */
     public OperatorResponse {
         Objects.requireNonNull(body, "body");
     }
 
-    /** Tells whether the daemon did what was asked. */
+    /** Returns whether the status is 2xx. */
     public boolean isOk() {
         return status / 100 == 2;
     }
--- a/cli/src/main/java/org/whinhead/cli/http/package-info.java
+++ b/cli/src/main/java/org/whinhead/cli/http/package-info.java
@@ -1,2 +1,2 @@
-/** Calls of the daemons' operator interface, with another daemon tried after a failure. */
+/** Client of the daemons' operator interface, with failover to another daemon. */
 package org.whinhead.cli.http;
--- a/cli/src/main/java/org/whinhead/cli/package-info.java
+++ b/cli/src/main/java/org/whinhead/cli/package-info.java
@@ -1,2 +1,2 @@
-/** The operators' command-line tool. */
+/** Command-line tool for operators. */
 package org.whinhead.cli;
--- a/cli/src/test/java/org/whinhead/cli/FakeDaemon.java
+++ b/cli/src/test/java/org/whinhead/cli/FakeDaemon.java
@@ -14,7 +14,7 @@
 import java.util.Queue;
 import org.xnio.IoUtils;
 
-/** Answers operator calls with prepared answers, in order, and remembers what it was asked. */
+/** Responds to operator calls with prepared responses, in order, and records the requests. */
 final class FakeDaemon implements AutoCloseable {
 
     private record Response(int status, String body) {}
@@ -51,7 +51,7 @@
         return "http://127.0.0.1:" + address.getPort();
     }
 
-    /** Returns each call as method, target, key and body. */
+    /** Returns the requests, each as method, target, authorization header and body. */
     List<String> requests() {
         return mRequests;
     }
@@ -68,13 +68,13 @@
                         + " "
                         + exchange.getRequestHeaders().getFirst(Headers.AUTHORIZATION)
                         + (body.isEmpty() ? "" : " " + body));
-        final Response answer = mResponses.remove();
-        if (answer.status() == CLOSE_CONNECTION) {
+        final Response response = mResponses.remove();
+        if (response.status() == CLOSE_CONNECTION) {
             IoUtils.safeClose(exchange.getConnection());
             return;
         }
-        exchange.setStatusCode(answer.status());
-        exchange.getResponseSender().send(answer.body());
+        exchange.setStatusCode(response.status());
+        exchange.getResponseSender().send(response.body());
     }
 
     @Override
--- a/cli/src/test/java/org/whinhead/cli/FleetCommandsTest.java
+++ b/cli/src/test/java/org/whinhead/cli/FleetCommandsTest.java
@@ -47,7 +47,7 @@
         mSecond.close();
     }
 
-    // Both daemons answer, and the report is whole; the list names where the second one is asked.
+    // Both daemons respond; the operator address of the second one comes from the address list.
     @Test
     void completeReportSumsAllDaemons() {
         mFirst.respondWith(200, addresses(entry(FIRST, ""), entry(SECOND, mSecond.uri())))
@@ -62,9 +62,9 @@
         assertThat(mSecond.requests()).containsExactly("GET /operator/burn null");
     }
 
-    // On the night of an outage the person on call takes half of the fleet for all of it: one
-    // daemon refuses the key, one is cut off, and the report looks as good as ever. So it names
-    // both and why, and ends with another exit code.
+    // Guards against a partial report that looks complete during an outage: one daemon refuses the
+    // key, and the operator address of another is unknown. The report names both with the cause,
+    // and the exit code is 1.
     @Test
     void partialReportNamesMissingDaemons() throws IOException {
         mFirst.respondWith(
@@ -75,8 +75,8 @@
         final Path page = mFolder.resolve("burn.html");
         assertThat(run("report", "--format", "html", "--out", page.toString())).isEqualTo(1);
         final String refused =
-                SECOND + ", asked at " + mSecond.uri() + ": status 401 the key is not known";
-        final String unknown = THIRD + ": its operator address is not known; name it with --daemon";
+                SECOND + ", called at " + mSecond.uri() + ": status 401 the key is not known";
+        final String unknown = THIRD + ": operator address unknown; name it with --daemon";
         assertThat(err())
                 .isEqualTo(
                         String.format(
@@ -94,7 +94,7 @@
         assertThat(run("report", "--price-per-hour", "-1")).isEqualTo(2);
     }
 
-    // A request was handed over when its daemon stopped; each daemon knows one half of why.
+    // A request was handed over when its daemon stopped, so each daemon has one of its decisions.
     @Test
     void explainShowsTheDecisionsOfAllDaemonsInOrder() {
         mFirst.respondWith(200, addresses(entry(FIRST, ""), entry(SECOND, mSecond.uri())))
@@ -117,7 +117,7 @@
         assertThat(run("explain", "r")).isEqualTo(1);
         assertThat(err())
                 .startsWith("Not collected: " + mSecond.uri() + ": ")
-                .endsWith("No daemon that answered keeps a decision about r\n");
+                .endsWith("No daemon that responded has a decision about r\n");
     }
 
     private static String decision(final String at, final String kind) {
--- a/cli/src/test/java/org/whinhead/cli/MainTest.java
+++ b/cli/src/test/java/org/whinhead/cli/MainTest.java
@@ -38,8 +38,8 @@
         mSecond.close();
     }
 
-    // An operator's change is in force twice, or reported as lost although it is in force: the
-    // first daemon appends it and dies before it answers, and the second try is a new change.
+    // Guards against a change that is applied twice, or reported as lost although it is in force:
+    // the first daemon appends it and fails before it responds, and the retry has a new id.
     @Test
     void lostResponseIsRetriedWithTheSameChangeId() throws IOException {
         mFirst.respondWith(404, "{}").closeConnection();
@@ -56,8 +56,8 @@
         assertThat(out()).endsWith("/tiers/clerk is in force at revision 42\n");
     }
 
-    // A script takes exit code 1 for "not changed" and puts another document, although the first
-    // change is in force: the second daemon's refusal spoke only of its own try.
+    // Guards against exit code 1, which scripts treat as "not changed", for a change that is in
+    // force: the response of the first daemon was lost, and the second daemon refuses the retry.
     @Test
     void lostResponseIsNotReportedAsRefusal() throws IOException {
         mFirst.closeConnection();
@@ -66,20 +66,21 @@
         assertThat(mSecond.requests().get(0))
                 .contains("{\"changeId\":\"a\"")
                 .contains("\"baseRevision\":7,\"document\":null");
-        assertThat(err()).startsWith("Change a\nThe answer was lost; the change may be in force.");
+        assertThat(err())
+                .startsWith("Change a\nThe response was lost; the change may be in force.");
     }
 
     @Test
     void unreachableDaemonIsSkipped() throws IOException {
-        final String dead;
+        final String unreachable;
         try (ServerSocket socket = new ServerSocket(0, 1, InetAddress.getLoopbackAddress())) {
-            dead = "http://127.0.0.1:" + socket.getLocalPort();
+            unreachable = "http://127.0.0.1:" + socket.getLocalPort();
         }
         mFirst.respondWith(200, "{\"able\": false, \"log\": {\"offset\": 7}, \"notUsable\": []}");
-        assertThat(runWith(dead + "," + mFirst.uri(), "status")).isEqualTo(1);
+        assertThat(runWith(unreachable + "," + mFirst.uri(), "status")).isEqualTo(1);
         assertThat(out()).isEqualTo("able        false\nlog.offset  7\nnotUsable   -\n");
-        assertThat(runWith(dead, "status")).isEqualTo(3);
-        assertThat(err()).startsWith("No daemon answered: " + dead);
+        assertThat(runWith(unreachable, "status")).isEqualTo(3);
+        assertThat(err()).startsWith("No daemon responded: " + unreachable);
     }
 
     @ParameterizedTest
@@ -91,7 +92,7 @@
                 "503 | {'message': 'log out', 'verdict': 'not-run'} | 1"
                         + " | Refused with status 503: log out (verdict: not-run)",
                 "409 | {'winningRevision': 43, 'author': 'aline'} | 4"
-                        + " | Revision 43 by aline came first; read it and put again",
+                        + " | Revision 43 by aline was applied first; read it and put again",
                 "422 | {'problems': [{'path': '$.weight', 'message': 'wrong'}, 'other']} | 5"
                         + " | The settings are invalid:~$.weight: wrong~other",
             })
--- a/cli/src/test/java/org/whinhead/cli/http/OperatorHttpClientTest.java
+++ b/cli/src/test/java/org/whinhead/cli/http/OperatorHttpClientTest.java
@@ -16,17 +16,16 @@
 
     private static final int CALLS = 400;
 
-    // A command ends with a NullPointerException in place of saying that the daemon did not answer.
-    // The
-    // daemon closed the connection while the calling thread was writing the request to it: the
-    // connection belongs to its IO thread, which was clearing it away at that moment.
+    // Guards against a NullPointerException in place of a failed call: the daemon closed the
+    // connection while the calling thread was writing the request, and the IO thread of the
+    // connection was cleaning it up at that moment.
     @Test
     void connectionThatClosesDuringTheRequestFailsTheCall() throws Exception {
         try (ServerSocket server = new ServerSocket(0, 50, InetAddress.getLoopbackAddress());
                 OperatorHttpClient exchange = new OperatorHttpClient(Duration.ofSeconds(10))) {
-            final Thread closing = new Thread(() -> closeEach(server));
-            closing.setDaemon(true);
-            closing.start();
+            final Thread closer = new Thread(() -> closeEach(server));
+            closer.setDaemon(true);
+            closer.start();
             final URI base = URI.create("http://127.0.0.1:" + server.getLocalPort());
             for (int call = 0; call < CALLS; call++) {
                 assertThatThrownBy(
