--- a/cli/src/main/java/org/whinhead/cli/command/ExplainCommand.java
+++ b/cli/src/main/java/org/whinhead/cli/command/ExplainCommand.java
@@ -22,9 +22,8 @@
 import org.whinhead.cli.http.FleetClient;
 
 /**
- * Shows the decisions of all daemons about a request or an order, in order of time. A request that
- * moved between daemons has decisions on each of them. With saved logs, the command reads these and
- * calls no daemon.
+ * Shows the decisions of all daemons about a request or an order, in order of time. A moved request
+ * has decisions on several daemons. Saved logs are read instead, if given.
  */
 public final class ExplainCommand implements Command {
 
--- a/cli/src/main/java/org/whinhead/cli/command/JsonTable.java
+++ b/cli/src/main/java/org/whinhead/cli/command/JsonTable.java
@@ -11,9 +11,7 @@
 
     private JsonTable() {}
 
-    /**
-     * Converts a list of objects to a row of heads and one row each, with the fields as columns.
-     */
+    /** Converts a list of objects to rows, with the fields as columns and a row of heads. */
     static List<List<String>> columns(final JsonNode list, final List<String> fields) {
         final List<List<String>> rows = new ArrayList<>();
         rows.add(fields.stream().map(field -> field.toUpperCase(Locale.ROOT)).toList());
--- a/cli/src/main/java/org/whinhead/cli/http/OperatorHttpClient.java
+++ b/cli/src/main/java/org/whinhead/cli/http/OperatorHttpClient.java
@@ -101,8 +101,7 @@
 
     /**
      * Runs a step on the IO thread of the connection. That thread cleans up the connection when the
-     * daemon closes it; writing a request on another thread meanwhile causes a
-     * NullPointerException.
+     * daemon closes it; a write on another thread meanwhile causes a NullPointerException.
      */
     private static void onIoThread(final ClientConnection connection, final Runnable step) {
         connection.getIoThread().execute(step);
--- a/clients/src/main/java/org/whinhead/clients/engine/EngineClient.java
+++ b/clients/src/main/java/org/whinhead/clients/engine/EngineClient.java
@@ -40,8 +40,7 @@
      * Reads the models that an engine has loaded.
      *
      * @param engine the engine's base address
-     * @return the models; fails with an {@link IOException} if the call fails or the body is
-     *     invalid
+     * @return the models; fails with an {@link IOException} if the call or the parsing fails
      */
     public CompletionStage<Set<ModelRef>> models(final URI engine) {
         return mClient.send(OutgoingRequest.to(engine, "/v1/models").build())
@@ -52,7 +51,7 @@
      * Reads the load of an engine.
      *
      * @param engine the engine's base address
-     * @return the load; fails with an {@link IOException} if the call fails or the body is invalid
+     * @return the load; fails with an {@link IOException} if the call or the parsing fails
      */
     public CompletionStage<EngineLoad> load(final URI engine) {
         return mClient.send(OutgoingRequest.to(engine, "/v1/load").build())
--- a/clients/src/main/java/org/whinhead/clients/http/ResponseListener.java
+++ b/clients/src/main/java/org/whinhead/clients/http/ResponseListener.java
@@ -32,8 +32,7 @@
     void onEnd();
 
     /**
-     * Called when the call fails before the response is complete; no other method is called
-     * afterwards.
+     * Called when the call fails before the response is complete; no further call follows.
      *
      * @param failure the kind of failure
      * @param detail the cause, as text for a person
--- a/clients/src/main/java/org/whinhead/clients/http/package-info.java
+++ b/clients/src/main/java/org/whinhead/clients/http/package-info.java
@@ -1,5 +1,4 @@
 /**
- * Non-blocking HTTP calls over Undertow's client, with pooled connections, timeouts and
- * cancellation.
+ * Non-blocking HTTP calls over Undertow's client: pooled connections, timeouts and cancellation.
  */
 package org.whinhead.clients.http;
--- a/clients/src/main/java/org/whinhead/clients/vms/VmListClient.java
+++ b/clients/src/main/java/org/whinhead/clients/vms/VmListClient.java
@@ -45,9 +45,7 @@
         mBase = base;
     }
 
-    /**
-     * Reads the list; fails with an {@link IOException} if the call fails or the body is invalid.
-     */
+    /** Reads the list; fails with an {@link IOException} if the call or the parsing fails. */
     public CompletionStage<VmListing> read() {
         return mClient.send(OutgoingRequest.to(mBase, "/vms").build())
                 .thenApply(VmListClient::parse);
