--- a/cli/src/main/java/org/whinhead/cli/command/AddressesCommand.java
+++ b/cli/src/main/java/org/whinhead/cli/command/AddressesCommand.java
@@ -9,19 +9,19 @@
 import org.whinhead.cli.Invocation;
 import org.whinhead.cli.http.DaemonClient;
 
-/** Shows the addresses that callers are told, and those that are left out. */
+/** Shows the daemon addresses that callers receive and those that are withheld. */
 public final class AddressesCommand implements Command {
 
     private static final List<String> COLUMNS = List.of("uri", "domain", "state");
 
     @Override
     public ExitCode run(final Invocation invocation, final Console console) throws CliException {
-        try (DaemonClient client = invocation.client()) {
-            final JsonNode body = Answers.body(client.get("/operator/addresses"));
+        try (DaemonClient client = invocation.daemonClient()) {
+            final JsonNode body = OperatorResponses.requireBody(client.get("/operator/addresses"));
             if (console.isJson()) {
                 console.json(body);
             } else {
-                console.table(JsonRows.columns(body.path("addresses"), COLUMNS));
+                console.table(JsonTable.columns(body.path("addresses"), COLUMNS));
             }
             return ExitCode.OK;
         }
--- a/cli/src/main/java/org/whinhead/cli/command/ExplainCommand.java
+++ b/cli/src/main/java/org/whinhead/cli/command/ExplainCommand.java
@@ -17,13 +17,13 @@
 import org.whinhead.cli.Console;
 import org.whinhead.cli.ExitCode;
 import org.whinhead.cli.Invocation;
-import org.whinhead.cli.http.FleetAnswer;
+import org.whinhead.cli.http.DaemonResult;
+import org.whinhead.cli.http.FleetAddresses;
 import org.whinhead.cli.http.FleetClient;
-import org.whinhead.cli.http.FleetPlan;
 
 /**
- * Shows the decisions about a request or an order of all daemons that took part, in order of time;
- * a request that moved has some on each. With saved logs it reads these and asks no daemon.
+ * Shows the decisions of all daemons about a request or an order, in order of time. A moved request
+ * has decisions on several daemons. Saved logs are read instead, if given.
  */
 public final class ExplainCommand implements Command {
 
@@ -40,10 +40,16 @@
         if (invocation.has(CliOption.LOGS)) {
             return explainLogs(id, invocation.text(CliOption.LOGS).orElseThrow(), console);
         }
-        try (FleetClient client = invocation.fleet()) {
-            final FleetPlan plan = new FleetPlan(client.named(), Answers.body(client.addresses()));
-            client.get(plan.toAsk(), "/operator/explain?id=" + Answers.query(id), this::take);
-            plan.hostsNotWhole()
+        try (FleetClient client = invocation.fleetClient()) {
+            final FleetAddresses addresses =
+                    new FleetAddresses(
+                            client.named(), OperatorResponses.requireBody(client.addresses()));
+            client.get(
+                    addresses.targets(),
+                    "/operator/explain?id=" + OperatorResponses.encodeQuery(id),
+                    this::add);
+            addresses
+                    .hostsWithUnknownDaemons()
                     .forEach(host -> mMissing.add(CliMessages.text("explain.not-known", host)));
         }
         mDecisions.sort(Comparator.comparing(decision -> decision.path("at").asText()));
@@ -58,34 +64,34 @@
 
     private static ExitCode explainLogs(final String id, final String files, final Console console)
             throws CliException {
-        final LogStory story = new LogStory();
+        final RequestTimeline timeline = new RequestTimeline();
         for (final String file : files.split(",")) {
             try {
-                story.read(Path.of(file));
+                timeline.read(Path.of(file));
             } catch (IOException e) {
                 throw new CliException(ExitCode.USAGE, "usage.unreadable", file);
             }
         }
-        final ArrayNode lines = story.of(id);
+        final ArrayNode lines = timeline.linesFor(id);
         if (lines.isEmpty()) {
             throw new CliException(ExitCode.REFUSED, "explain.not-logged", id);
         }
         if (console.isJson()) {
             console.json(JsonNodeFactory.instance.objectNode().put("id", id).set("lines", lines));
         } else {
-            console.table(JsonRows.columns(lines, LogStory.COLUMNS));
+            console.table(JsonTable.columns(lines, RequestTimeline.COLUMNS));
         }
         return ExitCode.OK;
     }
 
-    private void take(final FleetAnswer answer) {
-        if (answer.answer().isPresent() && answer.answer().get().isOk()) {
-            for (final JsonNode decision : answer.answer().get().body().path("decisions")) {
+    private void add(final DaemonResult result) {
+        if (result.response().isPresent() && result.response().get().isOk()) {
+            for (final JsonNode decision : result.response().get().body().path("decisions")) {
                 final ObjectNode copy = decision.deepCopy();
-                mDecisions.add(copy.put("daemon", answer.daemon().toString()));
+                mDecisions.add(copy.put("daemon", result.daemon().toString()));
             }
-        } else if (answer.answer().isEmpty() || answer.answer().get().status() != NOT_FOUND) {
-            mMissing.add(answer.problem());
+        } else if (result.response().isEmpty() || result.response().get().status() != NOT_FOUND) {
+            mMissing.add(result.problem());
         }
     }
 
@@ -96,7 +102,7 @@
             mMissing.forEach(root.putArray("missing")::add);
             console.json(root);
         } else {
-            console.table(JsonRows.columns(decisions, COLUMNS));
+            console.table(JsonTable.columns(decisions, COLUMNS));
         }
     }
 }
--- a/cli/src/main/java/org/whinhead/cli/command/Answers.java
+++ b/cli/src/main/java/org/whinhead/cli/command/OperatorResponses.java
@@ -8,27 +8,27 @@
 import org.whinhead.cli.CliException;
 import org.whinhead.cli.CliMessages;
 import org.whinhead.cli.ExitCode;
-import org.whinhead.cli.http.HttpAnswer;
+import org.whinhead.cli.http.OperatorResponse;
 
-/** Turns daemons' answers into bodies or into exits of the command. */
-final class Answers {
+/** Converts responses of daemons to JSON bodies or to exceptions with an exit code. */
+final class OperatorResponses {
 
     private static final int CONFLICT = 409;
     private static final int UNPROCESSABLE = 422;
 
-    private Answers() {}
+    private OperatorResponses() {}
 
     /**
-     * Returns the body of a good answer.
+     * Returns the body of a response with a 2xx status.
      *
-     * @throws CliException with the exit code that fits the status, if the answer is not good
+     * @throws CliException with the exit code for the status, if it is not 2xx
      */
-    static JsonNode body(final HttpAnswer answer) throws CliException {
-        if (answer.isOk()) {
-            return answer.body();
+    static JsonNode requireBody(final OperatorResponse response) throws CliException {
+        if (response.isOk()) {
+            return response.body();
         }
-        final JsonNode body = answer.body();
-        switch (answer.status()) {
+        final JsonNode body = response.body();
+        switch (response.status()) {
             case CONFLICT:
                 throw new CliException(
                         ExitCode.CONFLICT,
@@ -40,7 +40,7 @@
                         ExitCode.INVALID, "answer.invalid", problems(body.path("problems")));
             default:
                 throw new CliException(
-                        ExitCode.REFUSED, "answer.refused", answer.status(), detail(body));
+                        ExitCode.REFUSED, "answer.refused", response.status(), detail(body));
         }
     }
 
@@ -66,8 +66,8 @@
         return CliMessages.text("answer.verdict", message, verdict);
     }
 
-    /** Encodes a value for a query. */
-    static String query(final String value) {
+    /** Encodes a value of a query parameter. */
+    static String encodeQuery(final String value) {
         return URLEncoder.encode(value, StandardCharsets.UTF_8);
     }
 }
--- a/cli/src/main/java/org/whinhead/cli/command/ReportCommand.java
+++ b/cli/src/main/java/org/whinhead/cli/command/ReportCommand.java
@@ -17,16 +17,16 @@
 import org.whinhead.cli.Console;
 import org.whinhead.cli.ExitCode;
 import org.whinhead.cli.Invocation;
-import org.whinhead.cli.http.FleetAnswer;
+import org.whinhead.cli.http.DaemonResult;
+import org.whinhead.cli.http.FleetAddresses;
 import org.whinhead.cli.http.FleetClient;
-import org.whinhead.cli.http.FleetPlan;
 import org.whinhead.report.DaemonReport;
 import org.whinhead.report.DaemonReportJson;
 import org.whinhead.report.FleetReport;
 import org.whinhead.report.FleetReportMerger;
 import org.whinhead.report.ReportFormatException;
 
-/** Collects the counts of all daemons and writes the report on service-level burn. */
+/** Collects the counts of all daemons and writes the report on the burn of service levels. */
 public final class ReportCommand implements Command {
 
     private static final String TARGET = "/operator/burn";
@@ -42,11 +42,13 @@
 
     private static FleetReport collect(final Invocation invocation, final OptionalDouble price)
             throws CliException {
-        try (FleetClient client = invocation.fleet()) {
-            final FleetPlan plan = new FleetPlan(client.named(), Answers.body(client.addresses()));
-            final Collection collection = new Collection();
-            client.get(plan.toAsk(), TARGET, collection::take);
-            return collection.report(plan, price);
+        try (FleetClient client = invocation.fleetClient()) {
+            final FleetAddresses addresses =
+                    new FleetAddresses(
+                            client.named(), OperatorResponses.requireBody(client.addresses()));
+            final ReportCollector collector = new ReportCollector();
+            client.get(addresses.targets(), TARGET, collector::add);
+            return collector.merge(addresses, price);
         }
     }
 
@@ -98,28 +100,28 @@
         report.missing().forEach(missing -> console.note("report.missing", missing));
     }
 
-    /** What came of asking each daemon. */
-    private static final class Collection {
+    /** Collects the reports of the daemons and the causes of failed calls. */
+    private static final class ReportCollector {
         private final FleetReportMerger mMerge = new FleetReportMerger();
         private final Set<URI> mCollected = new HashSet<>();
         private final Map<URI, String> mFailures = new HashMap<>();
 
-        private void take(final FleetAnswer answer) {
-            if (answer.answer().isEmpty() || !answer.answer().get().isOk()) {
-                mFailures.put(answer.daemon(), answer.problem());
+        private void add(final DaemonResult result) {
+            if (result.response().isEmpty() || !result.response().get().isOk()) {
+                mFailures.put(result.daemon(), result.problem());
                 return;
             }
             try {
-                final DaemonReport report = DaemonReportJson.read(answer.answer().get().body());
+                final DaemonReport report = DaemonReportJson.read(result.response().get().body());
                 mMerge.add(report);
                 mCollected.add(report.address());
             } catch (ReportFormatException e) {
-                mFailures.put(answer.daemon(), answer.daemon() + ": " + e.getMessage());
+                mFailures.put(result.daemon(), result.daemon() + ": " + e.getMessage());
             }
         }
 
-        /** Each daemon misses once: by the address that callers are told, if it is listed. */
-        private FleetReport report(final FleetPlan plan, final OptionalDouble price)
+        /** Lists each missing daemon once, by its public address if that is listed. */
+        private FleetReport merge(final FleetAddresses addresses, final OptionalDouble price)
                 throws CliException {
             if (mMerge.isEmpty()) {
                 throw new CliException(
@@ -127,24 +129,25 @@
                         "daemon.unreachable",
                         String.join("; ", mFailures.values()));
             }
-            plan.operatorByCaller()
+            addresses
+                    .operatorByPublicAddress()
                     .forEach(
-                            (caller, operator) -> {
-                                if (!mCollected.contains(caller)) {
-                                    mMerge.addMissingDaemon(missing(caller, operator));
+                            (publicAddress, operator) -> {
+                                if (!mCollected.contains(publicAddress)) {
+                                    mMerge.addMissingDaemon(missing(publicAddress, operator));
                                 }
                             });
-            plan.operatorByCaller().values().forEach(mFailures::remove);
+            addresses.operatorByPublicAddress().values().forEach(mFailures::remove);
             mFailures.values().forEach(mMerge::addMissingDaemon);
             mMerge.setPricePerHour(price);
             return mMerge.report();
         }
 
-        private String missing(final URI caller, final URI operator) {
+        private String missing(final URI publicAddress, final URI operator) {
             final String failure = mFailures.get(operator);
             return failure == null
-                    ? CliMessages.text("report.not-known", caller)
-                    : CliMessages.text("report.not-answered", caller, failure);
+                    ? CliMessages.text("report.not-known", publicAddress)
+                    : CliMessages.text("report.not-answered", publicAddress, failure);
         }
     }
 }
--- a/cli/src/main/java/org/whinhead/cli/command/LogStory.java
+++ b/cli/src/main/java/org/whinhead/cli/command/RequestTimeline.java
@@ -21,34 +21,34 @@
 import java.util.stream.Collectors;
 
 /**
- * Tells what became of a request from the lines that daemons have logged: its own, and for each of
- * them what the daemon believed then of the endpoint and the configuration, with its age.
+ * Lists the log lines about a request from saved logs of several daemons. Each line is preceded by
+ * the state of the configuration and of the endpoint that the daemon had last logged, with its age.
  */
-final class LogStory {
+final class RequestTimeline {
 
-    /** What is shown of a line. */
+    /** The columns of the output. */
     static final List<String> COLUMNS = List.of("at", "daemon", "age", "message", "fields");
 
     private static final ObjectMapper MAPPER = new ObjectMapper();
 
-    /** Lines that tell what a daemon believes of an endpoint. */
+    /** The messages that log the state of an endpoint as known to a daemon. */
     private static final Set<String> ENDPOINT_MESSAGES =
             Set.of("endpoint changed", "endpoint entry removed", "endpoint lapsed");
 
-    /** Fields that every line has; all others are inputs of its decision. */
-    private static final Set<String> FRAME_FIELDS =
+    /** The fields that every line has; all others are inputs of the logged decision. */
+    private static final Set<String> STANDARD_FIELDS =
             Set.of("timestamp", "level", "logger", "message");
 
-    /** Where the daemon of the chat interface lists its inputs; the gateway's lines are flat. */
-    private static final String PAIRS = "kvpList";
+    /** The field with the inputs in lines of the chat daemon; lines of the gateway are flat. */
+    private static final String KEY_VALUE_LIST = "kvpList";
 
     private static final String CONFIGURATION_MESSAGE = "configuration in force";
 
-    private final List<Line> mLines = new ArrayList<>();
+    private final List<LogLine> mLines = new ArrayList<>();
 
     /**
-     * Reads a log. What stands before a line's JSON names the daemon, by its last word; without it
-     * the file's name does. Lines that are no JSON are passed over.
+     * Reads a log file. The last word before the JSON of a line is the name of the daemon; if there
+     * is none, the file name is used. Lines without JSON are skipped.
      */
     void read(final Path file) throws IOException {
         for (final String text : Files.readAllLines(file)) {
@@ -65,7 +65,7 @@
         }
     }
 
-    private static Optional<Line> parse(final String text, final String daemon) {
+    private static Optional<LogLine> parse(final String text, final String daemon) {
         final JsonNode json;
         try {
             json = MAPPER.readTree(text);
@@ -76,13 +76,13 @@
             return Optional.empty();
         }
         final Map<String, String> fields = new LinkedHashMap<>();
-        if (json.has(PAIRS)) {
-            json.path(PAIRS).forEach(pair -> putFields(pair, fields));
+        if (json.has(KEY_VALUE_LIST)) {
+            json.path(KEY_VALUE_LIST).forEach(pair -> putFields(pair, fields));
         } else {
             putFields(json, fields);
         }
         return Optional.of(
-                new Line(
+                new LogLine(
                         json.path("timestamp").asLong(),
                         daemon,
                         json.path("message").asText(),
@@ -91,58 +91,63 @@
 
     private static void putFields(final JsonNode json, final Map<String, String> fields) {
         json.properties().stream()
-                .filter(field -> !FRAME_FIELDS.contains(field.getKey()))
+                .filter(field -> !STANDARD_FIELDS.contains(field.getKey()))
                 .forEach(field -> fields.put(field.getKey(), field.getValue().asText()));
     }
 
-    /** Lists the lines about a request in order of time, each preceded by what it went by. */
-    ArrayNode of(final String request) {
-        final ArrayNode story = JsonNodeFactory.instance.arrayNode();
-        final Set<Line> told = new HashSet<>();
+    /** Returns the lines about a request in order of time, each preceded by the known state. */
+    ArrayNode linesFor(final String request) {
+        final ArrayNode timeline = JsonNodeFactory.instance.arrayNode();
+        final Set<LogLine> shown = new HashSet<>();
         mLines.stream()
                 .filter(line -> request.equals(line.fields().get("request")))
-                .sorted(Comparator.comparingLong(Line::at))
-                .forEach(line -> tell(line, told, story));
-        return story;
+                .sorted(Comparator.comparingLong(LogLine::at))
+                .forEach(line -> addWithState(line, shown, timeline));
+        return timeline;
     }
 
-    private void tell(final Line line, final Set<Line> told, final ArrayNode story) {
-        final Predicate<Line> configuration =
+    private void addWithState(
+            final LogLine line, final Set<LogLine> shown, final ArrayNode timeline) {
+        final Predicate<LogLine> configuration =
                 other -> other.message().equals(CONFIGURATION_MESSAGE);
-        believed(line, configuration).filter(told::add).ifPresent(b -> add(b, line, story));
+        lastBefore(line, configuration)
+                .filter(shown::add)
+                .ifPresent(state -> add(state, line, timeline));
         final String endpoint = line.fields().get("endpoint");
-        final Predicate<Line> ofEndpoint =
+        final Predicate<LogLine> ofEndpoint =
                 other ->
                         ENDPOINT_MESSAGES.contains(other.message())
                                 && other.fields().get("endpoint").equals(endpoint);
         if (endpoint != null) {
-            believed(line, ofEndpoint).filter(told::add).ifPresent(b -> add(b, line, story));
+            lastBefore(line, ofEndpoint)
+                    .filter(shown::add)
+                    .ifPresent(state -> add(state, line, timeline));
         }
-        add(line, line, story);
+        add(line, line, timeline);
     }
 
-    /** Finds the last line before another one of the same daemon. */
-    private Optional<Line> believed(final Line line, final Predicate<Line> kind) {
+    /** Returns the last line of a kind that the same daemon logged up to the time of a line. */
+    private Optional<LogLine> lastBefore(final LogLine line, final Predicate<LogLine> kind) {
         return mLines.stream()
                 .filter(other -> other.daemon().equals(line.daemon()))
                 .filter(other -> other.at() <= line.at())
                 .filter(kind)
-                .max(Comparator.comparingLong(Line::at));
+                .max(Comparator.comparingLong(LogLine::at));
     }
 
-    private static void add(final Line shown, final Line seenAt, final ArrayNode story) {
+    private static void add(final LogLine shown, final LogLine decision, final ArrayNode timeline) {
         final String fields =
                 shown.fields().entrySet().stream()
                         .filter(field -> !field.getKey().equals("request"))
                         .map(field -> field.getKey() + "=" + field.getValue())
                         .collect(Collectors.joining(" "));
-        story.addObject()
+        timeline.addObject()
                 .put("at", Instant.ofEpochMilli(shown.at()).toString())
                 .put("daemon", shown.daemon())
-                .put("age", shown == seenAt ? "" : (seenAt.at() - shown.at()) + "ms")
+                .put("age", shown == decision ? "" : (decision.at() - shown.at()) + "ms")
                 .put("message", shown.message())
                 .put("fields", fields);
     }
 
-    private record Line(long at, String daemon, String message, Map<String, String> fields) {}
+    private record LogLine(long at, String daemon, String message, Map<String, String> fields) {}
 }
--- a/cli/src/main/java/org/whinhead/cli/http/FleetClient.java
+++ b/cli/src/main/java/org/whinhead/cli/http/FleetClient.java
@@ -18,103 +18,110 @@
 import org.whinhead.cli.CliException;
 
 /**
- * Asks all daemons the same, some at a time.
+ * Sends the same request to all daemons, with limited concurrency.
  *
- * <p>Guards against a fleet of which many daemons are silent: each call ends after its timeout, and
- * all of them after the bound, with what has come until then.
+ * <p>Each call has a timeout, and all calls together have a total timeout, after which the results
+ * so far are kept, so that a fleet with many unresponsive daemons does not block a command.
  */
 public final class FleetClient implements AutoCloseable {
 
-    private static final int CALLS_AT_ONCE = 16;
+    private static final int MAX_CONCURRENT_CALLS = 16;
 
     private final List<URI> mNamed;
     private final Optional<String> mKey;
-    private final HttpExchange mExchange;
-    private final Duration mBound;
-    private final ExecutorService mCalls = Executors.newFixedThreadPool(CALLS_AT_ONCE);
+    private final OperatorHttpClient mHttpClient;
+    private final Duration mTotalTimeout;
+    private final ExecutorService mExecutor = Executors.newFixedThreadPool(MAX_CONCURRENT_CALLS);
 
     /**
-     * Makes a client.
+     * Creates a client.
      *
-     * @param named the operator addresses that were named, at least one
+     * @param named the operator addresses given by the operator, at least one
      * @param key the operator's key, if any
-     * @param exchange makes the calls; closed with the client
-     * @param bound how long asking all daemons may take
+     * @param httpClient the HTTP client, closed with this client
+     * @param totalTimeout the timeout of all calls together
      */
     public FleetClient(
             final List<URI> named,
             final Optional<String> key,
-            final HttpExchange exchange,
-            final Duration bound) {
+            final OperatorHttpClient httpClient,
+            final Duration totalTimeout) {
         mNamed = List.copyOf(named);
         mKey = key;
-        mExchange = exchange;
-        mBound = bound;
+        mHttpClient = httpClient;
+        mTotalTimeout = totalTimeout;
     }
 
     /**
-     * Asks the first named daemon that answers for the addresses of all.
+     * Reads the addresses of all daemons from the first named daemon that responds.
      *
-     * @return its answer
-     * @throws CliException if none answers
+     * @return the response
+     * @throws CliException if no daemon responds
      */
-    public HttpAnswer addresses() throws CliException {
-        return new DaemonClient(mNamed, mKey, mExchange).get("/operator/addresses");
+    public OperatorResponse addresses() throws CliException {
+        return new DaemonClient(mNamed, mKey, mHttpClient).get("/operator/addresses");
     }
 
-    /** Returns the operator addresses that were named. */
+    /** Returns the operator addresses given by the operator. */
     public List<URI> named() {
         return mNamed;
     }
 
     /**
-     * Asks daemons.
+     * Sends a GET request to several daemons.
      *
-     * @param daemons their operator addresses
-     * @param target path and query
-     * @param taker takes what came of each, one at a time, on the calling thread
+     * @param daemons the operator addresses of the daemons
+     * @param target the path and query
+     * @param handler receives the result of each daemon, one at a time, on the calling thread
      */
     public void get(
-            final Set<URI> daemons, final String target, final Consumer<FleetAnswer> taker) {
-        final CompletionService<FleetAnswer> calls = new ExecutorCompletionService<>(mCalls);
+            final Set<URI> daemons, final String target, final Consumer<DaemonResult> handler) {
+        final CompletionService<DaemonResult> calls = new ExecutorCompletionService<>(mExecutor);
         daemons.forEach(daemon -> calls.submit(() -> call(daemon, target)));
         final Set<URI> waiting = new HashSet<>(daemons);
-        final long end = System.nanoTime() + mBound.toNanos();
+        final long end = System.nanoTime() + mTotalTimeout.toNanos();
         try {
             while (!waiting.isEmpty()) {
-                final Future<FleetAnswer> done =
+                final Future<DaemonResult> done =
                         calls.poll(end - System.nanoTime(), TimeUnit.NANOSECONDS);
                 if (done == null) {
                     break;
                 }
-                final FleetAnswer answer = done.get();
-                waiting.remove(answer.daemon());
-                taker.accept(answer);
+                final DaemonResult result = done.get();
+                waiting.remove(result.daemon());
+                handler.accept(result);
             }
         } catch (InterruptedException e) {
             Thread.currentThread().interrupt();
         } catch (ExecutionException e) {
-            throw new IllegalStateException("a call failed", e.getCause());
+            throw new IllegalStateException("unexpected failure of a call", e.getCause());
         }
-        waiting.forEach(daemon -> taker.accept(failed(daemon, "not asked within " + mBound)));
+        waiting.forEach(
+                daemon ->
+                        handler.accept(
+                                failed(
+                                        daemon,
+                                        "no response within the total timeout of "
+                                                + mTotalTimeout)));
     }
 
-    private FleetAnswer call(final URI daemon, final String target) {
+    private DaemonResult call(final URI daemon, final String target) {
         try {
-            final HttpAnswer answer = mExchange.call(daemon, Methods.GET, target, mKey, "");
-            return new FleetAnswer(daemon, Optional.of(answer), "");
+            final OperatorResponse response =
+                    mHttpClient.call(daemon, Methods.GET, target, mKey, "");
+            return new DaemonResult(daemon, Optional.of(response), "");
         } catch (HttpCallException e) {
             return failed(daemon, e.getMessage());
         }
     }
 
-    private static FleetAnswer failed(final URI daemon, final String cause) {
-        return new FleetAnswer(daemon, Optional.empty(), cause);
+    private static DaemonResult failed(final URI daemon, final String cause) {
+        return new DaemonResult(daemon, Optional.empty(), cause);
     }
 
     @Override
     public void close() {
-        mCalls.shutdownNow();
-        mExchange.close();
+        mExecutor.shutdownNow();
+        mHttpClient.close();
     }
 }
--- a/cli/src/main/java/org/whinhead/cli/http/HttpExchange.java
+++ b/cli/src/main/java/org/whinhead/cli/http/OperatorHttpClient.java
@@ -30,8 +30,8 @@
 import org.xnio.Xnio;
 import org.xnio.XnioWorker;
 
-/** Makes one HTTP call at a time, each on a connection of its own, and waits for the answer. */
-public final class HttpExchange implements AutoCloseable {
+/** Makes blocking HTTP calls, each on its own connection. */
+public final class OperatorHttpClient implements AutoCloseable {
 
     private static final int BUFFER_BYTES = 16 * 1024;
     private static final ObjectMapper MAPPER = new ObjectMapper();
@@ -41,11 +41,11 @@
     private final Duration mTimeout;
 
     /**
-     * Starts the thread that the calls use.
+     * Creates a client and starts its IO thread.
      *
-     * @param timeout how long a connection and an answer may each take
+     * @param timeout the connect timeout, and also the timeout of the response
      */
-    public HttpExchange(final Duration timeout) {
+    public OperatorHttpClient(final Duration timeout) {
         mTimeout = timeout;
         try {
             mWorker =
@@ -56,22 +56,22 @@
                                             .set(Options.THREAD_DAEMON, true)
                                             .getMap());
         } catch (IOException e) {
-            throw new IllegalStateException("no worker for HTTP calls", e);
+            throw new IllegalStateException("cannot create the IO worker for HTTP calls", e);
         }
     }
 
     /**
-     * Makes a call.
+     * Sends a request and waits for the response.
      *
-     * @param base the daemon's address
+     * @param base the operator address of the daemon
      * @param method the HTTP method
-     * @param target path and query
+     * @param target the path and query
      * @param key the operator's key, if any
      * @param body the JSON body; empty for none
-     * @return the answer, whatever its status
-     * @throws HttpCallException if no whole answer came
+     * @return the response, of any status
+     * @throws HttpCallException if there is no complete response
      */
-    public HttpAnswer call(
+    public OperatorResponse call(
             final URI base,
             final HttpString method,
             final String target,
@@ -89,17 +89,19 @@
                     text ->
                             request.getRequestHeaders()
                                     .put(Headers.AUTHORIZATION, "Bearer " + text));
-            final CompletableFuture<HttpAnswer> answer = new CompletableFuture<>();
-            onIoThread(connection, () -> connection.sendRequest(request, new Sent(body, answer)));
-            return await(answer, true);
+            final CompletableFuture<OperatorResponse> response = new CompletableFuture<>();
+            onIoThread(
+                    connection,
+                    () -> connection.sendRequest(request, new RequestCallback(body, response)));
+            return await(response, true);
         } finally {
             onIoThread(connection, () -> IoUtils.safeClose(connection));
         }
     }
 
     /**
-     * Runs a step where the connection is at home. Its IO thread clears it away when the daemon
-     * closes it; a request written by another thread meanwhile ends in a NullPointerException.
+     * Runs a step on the IO thread of the connection. That thread cleans up the connection when the
+     * daemon closes it; a write on another thread meanwhile causes a NullPointerException.
      */
     private static void onIoThread(final ClientConnection connection, final Runnable step) {
         connection.getIoThread().execute(step);
@@ -108,7 +110,8 @@
     private ClientConnection connect(final URI base) throws HttpCallException {
         final CompletableFuture<ClientConnection> connection = new CompletableFuture<>();
         UndertowClient.getInstance()
-                .connect(new Completing<>(connection), base, mWorker, mBuffers, OptionMap.EMPTY);
+                .connect(
+                        new FutureCallback<>(connection), base, mWorker, mBuffers, OptionMap.EMPTY);
         return await(connection, false);
     }
 
@@ -119,7 +122,7 @@
         } catch (ExecutionException e) {
             throw new HttpCallException(String.valueOf(e.getCause().getMessage()), mayHaveArrived);
         } catch (TimeoutException e) {
-            throw new HttpCallException("no answer within " + mTimeout, mayHaveArrived);
+            throw new HttpCallException("no response within " + mTimeout, mayHaveArrived);
         } catch (InterruptedException e) {
             Thread.currentThread().interrupt();
             throw new HttpCallException("interrupted", mayHaveArrived);
@@ -131,18 +134,18 @@
         mWorker.shutdownNow();
     }
 
-    private static HttpAnswer answer(final int status, final String text) throws IOException {
+    private static OperatorResponse parse(final int status, final String text) throws IOException {
         try {
             final JsonNode body =
                     text.isEmpty() ? MissingNode.getInstance() : MAPPER.readTree(text);
-            return new HttpAnswer(status, body);
+            return new OperatorResponse(status, body);
         } catch (JsonProcessingException e) {
-            throw new IOException("the answer is not JSON (status " + status + ")", e);
+            throw new IOException("the response is not JSON (status " + status + ")", e);
         }
     }
 
-    /** Completes a future with what a callback gets. */
-    private record Completing<T>(CompletableFuture<T> future) implements ClientCallback<T> {
+    /** Completes a future with the result of a callback. */
+    private record FutureCallback<T>(CompletableFuture<T> future) implements ClientCallback<T> {
         @Override
         public void completed(final T result) {
             future.complete(result);
@@ -154,19 +157,20 @@
         }
     }
 
-    /** Writes the body and awaits the head of the answer. */
-    private final class Sent implements ClientCallback<ClientExchange> {
+    /** Writes the request body and registers the callback for the response. */
+    private final class RequestCallback implements ClientCallback<ClientExchange> {
         private final String mBody;
-        private final CompletableFuture<HttpAnswer> mAnswer;
+        private final CompletableFuture<OperatorResponse> mResponse;
 
-        private Sent(final String body, final CompletableFuture<HttpAnswer> answer) {
+        private RequestCallback(
+                final String body, final CompletableFuture<OperatorResponse> response) {
             mBody = body;
-            mAnswer = answer;
+            mResponse = response;
         }
 
         @Override
         public void completed(final ClientExchange exchange) {
-            exchange.setResponseListener(new Responded(mAnswer));
+            exchange.setResponseListener(new ResponseCallback(mResponse));
             if (!mBody.isEmpty()) {
                 new StringWriteChannelListener(mBody).setup(exchange.getRequestChannel());
             }
@@ -174,16 +178,16 @@
 
         @Override
         public void failed(final IOException cause) {
-            mAnswer.completeExceptionally(cause);
+            mResponse.completeExceptionally(cause);
         }
     }
 
-    /** Reads the answer's body. */
-    private final class Responded implements ClientCallback<ClientExchange> {
-        private final CompletableFuture<HttpAnswer> mAnswer;
+    /** Reads the response body. */
+    private final class ResponseCallback implements ClientCallback<ClientExchange> {
+        private final CompletableFuture<OperatorResponse> mResponse;
 
-        private Responded(final CompletableFuture<HttpAnswer> answer) {
-            mAnswer = answer;
+        private ResponseCallback(final CompletableFuture<OperatorResponse> response) {
+            mResponse = response;
         }
 
         @Override
@@ -193,7 +197,7 @@
                 @Override
                 protected void stringDone(final String text) {
                     try {
-                        mAnswer.complete(answer(status, text));
+                        mResponse.complete(parse(status, text));
                     } catch (IOException e) {
                         error(e);
                     }
@@ -201,14 +205,14 @@
 
                 @Override
                 protected void error(final IOException cause) {
-                    mAnswer.completeExceptionally(cause);
+                    mResponse.completeExceptionally(cause);
                 }
             }.setup(exchange.getResponseChannel());
         }
 
         @Override
         public void failed(final IOException cause) {
-            mAnswer.completeExceptionally(cause);
+            mResponse.completeExceptionally(cause);
         }
     }
 }
--- a/cli/src/test/java/org/whinhead/cli/FakeDaemon.java
+++ b/cli/src/test/java/org/whinhead/cli/FakeDaemon.java
@@ -14,16 +14,16 @@
 import java.util.Queue;
 import org.xnio.IoUtils;
 
-/** Answers operator calls with prepared answers, in order, and remembers what it was asked. */
+/** Responds to operator calls with prepared responses, in order, and records the requests. */
 final class FakeDaemon implements AutoCloseable {
 
-    private record Answer(int status, String body) {}
+    private record Response(int status, String body) {}
 
-    private static final int CUT = 0;
+    private static final int CLOSE_CONNECTION = 0;
 
     private final Undertow mServer;
-    private final Queue<Answer> mAnswers = new ArrayDeque<>();
-    private final List<String> mAsked = Collections.synchronizedList(new ArrayList<>());
+    private final Queue<Response> mResponses = new ArrayDeque<>();
+    private final List<String> mRequests = Collections.synchronizedList(new ArrayList<>());
 
     FakeDaemon() {
         mServer =
@@ -36,13 +36,13 @@
         mServer.start();
     }
 
-    FakeDaemon answers(final int status, final String body) {
-        mAnswers.add(new Answer(status, body));
+    FakeDaemon respondWith(final int status, final String body) {
+        mResponses.add(new Response(status, body));
         return this;
     }
 
-    FakeDaemon cuts() {
-        return answers(CUT, "");
+    FakeDaemon closeConnection() {
+        return respondWith(CLOSE_CONNECTION, "");
     }
 
     String uri() {
@@ -51,16 +51,16 @@
         return "http://127.0.0.1:" + address.getPort();
     }
 
-    /** Returns each call as method, target, key and body. */
-    List<String> asked() {
-        return mAsked;
+    /** Returns the requests, each as method, target, authorization header and body. */
+    List<String> requests() {
+        return mRequests;
     }
 
     private void handle(final HttpServerExchange exchange) throws IOException {
         final String body =
                 new String(exchange.getInputStream().readAllBytes(), StandardCharsets.UTF_8);
         final String query = exchange.getQueryString();
-        mAsked.add(
+        mRequests.add(
                 exchange.getRequestMethod()
                         + " "
                         + exchange.getRequestPath()
@@ -68,13 +68,13 @@
                         + " "
                         + exchange.getRequestHeaders().getFirst(Headers.AUTHORIZATION)
                         + (body.isEmpty() ? "" : " " + body));
-        final Answer answer = mAnswers.remove();
-        if (answer.status() == CUT) {
+        final Response response = mResponses.remove();
+        if (response.status() == CLOSE_CONNECTION) {
             IoUtils.safeClose(exchange.getConnection());
             return;
         }
-        exchange.setStatusCode(answer.status());
-        exchange.getResponseSender().send(answer.body());
+        exchange.setStatusCode(response.status());
+        exchange.getResponseSender().send(response.body());
     }
 
     @Override
--- a/clients/src/main/java/org/whinhead/clients/http/BodyWriter.java
+++ b/clients/src/main/java/org/whinhead/clients/http/BodyWriter.java
@@ -5,27 +5,27 @@
 import java.util.function.Consumer;
 import org.xnio.channels.StreamSinkChannel;
 
-/** Writes one request body as the channel takes it. */
+/** Writes one request body to a non-blocking channel. */
 final class BodyWriter {
 
     private final StreamSinkChannel mChannel;
     private final ByteBuffer mBody;
-    private final Consumer<IOException> mFailed;
-    private boolean mShutDown;
-    private boolean mDone;
+    private final Consumer<IOException> mFailureHandler;
+    private boolean mIsShutDown;
+    private boolean mIsDone;
 
     BodyWriter(
             final StreamSinkChannel channel,
             final byte[] body,
-            final Consumer<IOException> failed) {
+            final Consumer<IOException> failureHandler) {
         mChannel = channel;
         mBody = ByteBuffer.wrap(body);
-        mFailed = failed;
+        mFailureHandler = failureHandler;
     }
 
-    /** Tells whether the whole body has been sent. */
+    /** Returns whether the whole body has been written and flushed. */
     boolean isDone() {
-        return mDone;
+        return mIsDone;
     }
 
     void write() {
@@ -35,24 +35,24 @@
                 mChannel.resumeWrites();
                 return;
             }
-            mDone = true;
+            mIsDone = true;
             mChannel.getWriteSetter().set(null);
             mChannel.suspendWrites();
         } catch (final IOException e) {
-            mFailed.accept(e);
+            mFailureHandler.accept(e);
         }
     }
 
-    /** Returns whether all was written and flushed. */
+    /** Writes as much as possible; returns whether the whole body was written and flushed. */
     private boolean writeSome() throws IOException {
         while (mBody.hasRemaining()) {
             if (mChannel.write(mBody) == 0) {
                 return false;
             }
         }
-        if (!mShutDown) {
+        if (!mIsShutDown) {
             mChannel.shutdownWrites();
-            mShutDown = true;
+            mIsShutDown = true;
         }
         return mChannel.flush();
     }
--- a/clients/src/main/java/org/whinhead/clients/http/ResponseReader.java
+++ b/clients/src/main/java/org/whinhead/clients/http/ResponseReader.java
@@ -6,25 +6,25 @@
 import java.nio.ByteBuffer;
 import org.xnio.channels.StreamSourceChannel;
 
-/** Reads one response body as it arrives. */
+/** Reads one response body from a non-blocking channel. */
 final class ResponseReader {
 
-    /** Takes what was read. */
+    /** Receives the bytes and the end of a response body. */
     interface Sink {
-        /** Takes bytes; returns whether reading goes on. */
-        boolean bytes(ByteBuffer bytes);
+        /** Receives bytes; returns whether to continue reading. */
+        boolean onBytes(ByteBuffer bytes);
 
-        /** Takes the end of the body. */
-        void end();
+        /** Called at the end of the body. */
+        void onEnd();
 
-        /** Takes a broken connection. */
-        void cut(IOException cause);
+        /** Called when the connection breaks. */
+        void onDisconnect(IOException cause);
     }
 
     private final StreamSourceChannel mChannel;
     private final ByteBufferPool mBuffers;
     private final Sink mSink;
-    private boolean mListening;
+    private boolean mHasReadListener;
 
     ResponseReader(
             final StreamSourceChannel channel, final ByteBufferPool buffers, final Sink sink) {
@@ -37,7 +37,7 @@
         mChannel.suspendReads();
     }
 
-    /** Reads until nothing more is there, then waits for the channel. */
+    /** Reads until the channel has no more bytes, then resumes when it is readable again. */
     void read() {
         try (PooledByteBuffer pooled = mBuffers.allocate()) {
             final ByteBuffer buffer = pooled.getBuffer();
@@ -45,27 +45,27 @@
                 buffer.clear();
                 final int count = mChannel.read(buffer);
                 if (count < 0) {
-                    mSink.end();
+                    mSink.onEnd();
                     return;
                 }
                 if (count == 0) {
-                    listen();
+                    awaitBytes();
                     return;
                 }
                 buffer.flip();
-                if (!mSink.bytes(buffer)) {
+                if (!mSink.onBytes(buffer)) {
                     mChannel.suspendReads();
                     return;
                 }
             }
         } catch (final IOException e) {
-            mSink.cut(e);
+            mSink.onDisconnect(e);
         }
     }
 
-    private void listen() {
-        if (!mListening) {
-            mListening = true;
+    private void awaitBytes() {
+        if (!mHasReadListener) {
+            mHasReadListener = true;
             mChannel.getReadSetter().set(ignored -> read());
         }
         mChannel.resumeReads();
--- a/clients/src/main/java/org/whinhead/clients/sse/SseParser.java
+++ b/clients/src/main/java/org/whinhead/clients/sse/SseParser.java
@@ -6,13 +6,13 @@
 import java.util.Objects;
 import java.util.function.Consumer;
 
-/** Splits bytes, however they were cut up on the way, into server-sent events. */
+/** Parses a byte stream, split at any position, into server-sent events. */
 public final class SseParser {
 
     private static final int LINE_FEED = '\n';
     private static final int CARRIAGE_RETURN = '\r';
 
-    private final Consumer<SseEvent> mEvents;
+    private final Consumer<SseEvent> mEventHandler;
     private final int mMaxEventBytes;
     private final ByteArrayOutputStream mLine = new ByteArrayOutputStream();
     private final StringBuilder mData = new StringBuilder();
@@ -21,27 +21,27 @@
     private boolean mHasData;
 
     /**
-     * Makes a parser for one stream.
+     * Creates a parser for one stream.
      *
-     * @param maxEventBytes the longest line and the most data that one event may have
-     * @param events takes each whole event
+     * @param maxEventBytes the maximum size of the current line and the data of the event together
+     * @param eventHandler receives each complete event
      */
-    public SseParser(final int maxEventBytes, final Consumer<SseEvent> events) {
+    public SseParser(final int maxEventBytes, final Consumer<SseEvent> eventHandler) {
         mMaxEventBytes = maxEventBytes;
-        mEvents = Objects.requireNonNull(events, "events");
+        mEventHandler = Objects.requireNonNull(eventHandler, "eventHandler");
     }
 
     /**
-     * Takes in bytes.
+     * Parses the next bytes and passes each completed event to the handler.
      *
      * @param bytes the next bytes of the stream
-     * @return false if an event is too large; the stream can not be parsed further then
+     * @return false if an event exceeds the size limit; the parser must not be used afterwards
      */
     public boolean feed(final ByteBuffer bytes) {
         while (bytes.hasRemaining()) {
             final int next = bytes.get();
             if (next == LINE_FEED) {
-                line(mLine.toString(StandardCharsets.UTF_8));
+                parseLine(mLine.toString(StandardCharsets.UTF_8));
                 mLine.reset();
             } else if (next != CARRIAGE_RETURN) {
                 mLine.write(next);
@@ -53,7 +53,7 @@
         return true;
     }
 
-    private void line(final String line) {
+    private void parseLine(final String line) {
         if (line.isEmpty()) {
             endEvent();
             return;
@@ -63,7 +63,7 @@
             return;
         }
         final String field = colon < 0 ? line : line.substring(0, colon);
-        field(field, colon < 0 ? "" : valueAfter(line, colon));
+        applyField(field, colon < 0 ? "" : valueAfter(line, colon));
     }
 
     private static String valueAfter(final String line, final int colon) {
@@ -71,18 +71,18 @@
         return line.substring(start);
     }
 
-    private void field(final String field, final String value) {
+    private void applyField(final String field, final String value) {
         switch (field) {
             case "id" -> mId = value;
             case "event" -> mName = value;
-            case "data" -> data(value);
+            case "data" -> appendData(value);
             default -> {
-                // Unknown fields are to be ignored, as the format demands.
+                // The format requires that unknown fields are ignored.
             }
         }
     }
 
-    private void data(final String value) {
+    private void appendData(final String value) {
         if (mHasData) {
             mData.append('\n');
         }
@@ -92,7 +92,7 @@
 
     private void endEvent() {
         if (mHasData) {
-            mEvents.accept(new SseEvent(mId, mName, mData.toString()));
+            mEventHandler.accept(new SseEvent(mId, mName, mData.toString()));
         }
         mId = "";
         mName = "";
--- a/clients/src/main/java/org/whinhead/clients/vms/VmListClient.java
+++ b/clients/src/main/java/org/whinhead/clients/vms/VmListClient.java
@@ -18,43 +18,43 @@
 import org.whinhead.api.model.Vm;
 import org.whinhead.api.model.VmId;
 import org.whinhead.api.model.VmState;
+import org.whinhead.clients.http.BufferedHttpClient;
+import org.whinhead.clients.http.BufferedHttpResponse;
 import org.whinhead.clients.http.HttpCaller;
 import org.whinhead.clients.http.OutgoingRequest;
-import org.whinhead.clients.http.WholeCall;
-import org.whinhead.clients.http.WholeHttpResponse;
 
-/** Reads the VM list. */
+/** Reads the platform's VM list over HTTP. */
 public final class VmListClient {
 
     private static final ObjectMapper MAPPER = new ObjectMapper();
     private static final Duration TIMEOUT = Duration.ofSeconds(3);
-    private static final int MAX_BYTES = 4 * 1024 * 1024;
+    private static final int MAX_RESPONSE_BYTES = 4 * 1024 * 1024;
     private static final String LEAVING = "leaving";
 
-    private final WholeCall mCalls;
+    private final BufferedHttpClient mClient;
     private final URI mBase;
 
     /**
-     * Makes a client.
+     * Creates a client.
      *
-     * @param caller makes the calls
-     * @param base where the list is
+     * @param caller the HTTP caller
+     * @param base the base address of the VM list service
      */
     public VmListClient(final HttpCaller caller, final URI base) {
-        mCalls = new WholeCall(caller, TIMEOUT, MAX_BYTES);
+        mClient = new BufferedHttpClient(caller, TIMEOUT, MAX_RESPONSE_BYTES);
         mBase = base;
     }
 
-    /** Reads the list; fails with an {@link IOException} if it can not be had or understood. */
+    /** Reads the list; fails with an {@link IOException} if the call or the parsing fails. */
     public CompletionStage<VmListing> read() {
-        return mCalls.send(OutgoingRequest.to(mBase, "/vms").build())
+        return mClient.send(OutgoingRequest.to(mBase, "/vms").build())
                 .thenApply(VmListClient::parse);
     }
 
-    private static VmListing parse(final WholeHttpResponse response) {
+    private static VmListing parse(final BufferedHttpResponse response) {
         try {
             if (response.status() != StatusCodes.OK) {
-                throw new IOException("the VM list answered with status " + response.status());
+                throw new IOException("VM list request failed with status " + response.status());
             }
             final JsonNode root = MAPPER.readTree(response.body());
             final List<ListedVm> vms = new ArrayList<>();
@@ -65,7 +65,7 @@
         } catch (final IOException e) {
             throw new UncheckedIOException(e);
         } catch (final IllegalArgumentException | DateTimeException e) {
-            throw new UncheckedIOException(new IOException("the VM list is not understood", e));
+            throw new UncheckedIOException(new IOException("invalid VM list", e));
         }
     }
 
@@ -79,18 +79,18 @@
                         new FailureDomain(
                                 node.path("region").asText(), node.path("domain").asText()),
                         node.path("machineClass").asText(),
-                        Billing.valueOf(constant(node.path("billing").asText())),
+                        Billing.valueOf(enumName(node.path("billing").asText())),
                         state);
         return new ListedVm(
                 vm,
-                VmRole.valueOf(constant(node.path("role").asText())),
+                VmRole.valueOf(enumName(node.path("role").asText())),
                 URI.create(node.path("uri").asText()),
                 node.path("service").asText(""),
                 node.path("checksFencing").asBoolean(),
                 Math.max(1, node.path("slots").asInt(1)));
     }
 
-    private static String constant(final String wireName) {
+    private static String enumName(final String wireName) {
         return wireName.toUpperCase(Locale.ROOT).replace('-', '_');
     }
 }
--- a/daemon/src/main/java/org/whinhead/daemon/engine/EngineStream.java
+++ b/daemon/src/main/java/org/whinhead/daemon/engine/EngineStream.java
@@ -51,13 +51,13 @@
     }
 
     @Override
-    public void starting(final HttpCall call) {
+    public void onStart(final HttpCall call) {
         mCall = call;
         mPublisher.setCall(call);
     }
 
     @Override
-    public void began(final int status, final HeaderMap headers) {
+    public void onHeaders(final int status, final HeaderMap headers) {
         mStatus = status;
         if (status == StatusCodes.OK) {
             final String streamId = headers.getFirst(STREAM_HEADER);
@@ -66,7 +66,7 @@
     }
 
     @Override
-    public void arrived(final ByteBuffer bytes) {
+    public void onBodyBytes(final ByteBuffer bytes) {
         if (mStatus != StatusCodes.OK) {
             bytes.position(bytes.limit());
             return;
@@ -77,7 +77,7 @@
     }
 
     @Override
-    public void ended() {
+    public void onEnd() {
         if (mEnded) {
             return;
         }
@@ -96,7 +96,7 @@
     }
 
     @Override
-    public void failed(final HttpFailure failure, final String detail) {
+    public void onFailure(final HttpFailure failure, final String detail) {
         if (!mEnded) {
             mEnded = true;
             mPublisher.publishFailed(AttemptFailures.of(failure), detail);
