--- a/bench/src/main/java/org/whinhead/bench/log/ClaimsRun.java
+++ b/bench/src/main/java/org/whinhead/bench/log/ClaimsRun.java
@@ -33,7 +33,7 @@
             for (int i = 0; i < DAEMONS; i++) {
                 deployment.startDaemon();
             }
-            deployment.load();
+            deployment.loadSettings();
             final FigureTable table =
                     new FigureTable("calls, 8 daemons", "p50, ms", "p99, ms", "a second", "failed");
             load(deployment, "warm-up", CALLERS[1], WARM_UP);
@@ -91,7 +91,7 @@
         int failed = 0;
         for (int i = 0; i < calls; i++) {
             final long start = System.nanoTime();
-            final int status = deployment.call(caller % DAEMONS, path, name + "-" + i).statusCode();
+            final int status = deployment.callService(caller % DAEMONS, path, name + "-" + i).statusCode();
             if (status == OK) {
                 times.recordValue(System.nanoTime() - start);
             } else {
--- a/bench/src/main/java/org/whinhead/bench/log/LeaseRun.java
+++ b/bench/src/main/java/org/whinhead/bench/log/LeaseRun.java
@@ -32,7 +32,7 @@
             for (int i = 0; i < 2 * ROUNDS + 2; i++) {
                 deployment.startDaemon();
             }
-            deployment.load();
+            deployment.loadSettings();
             for (int i = 0; i < ROUNDS; i++) {
                 stopped.recordValue(takeOver(deployment, true));
                 crashed.recordValue(takeOver(deployment, false));
@@ -66,7 +66,7 @@
     /** Returns the daemon that holds the duty, as the newest fold among the daemons has it. */
     private static Optional<Integer> holder(final LocalDeployment deployment) {
         final Daemon newest =
-                IntStream.range(0, deployment.size())
+                IntStream.range(0, deployment.daemonCount())
                         .mapToObj(deployment::daemon)
                         .max((a, b) -> Long.compare(position(a), position(b)))
                         .orElseThrow();
@@ -80,7 +80,7 @@
                         .filter(state -> !state.released());
         return lease.flatMap(
                 held ->
-                        IntStream.range(0, deployment.size())
+                        IntStream.range(0, deployment.daemonCount())
                                 .filter(i -> deployment.daemon(i).id().equals(held.holder()))
                                 .boxed()
                                 .findFirst());
--- a/bench/src/main/java/org/whinhead/bench/log/SettingsRun.java
+++ b/bench/src/main/java/org/whinhead/bench/log/SettingsRun.java
@@ -32,7 +32,7 @@
             for (int i = 0; i < DAEMONS; i++) {
                 deployment.startDaemon();
             }
-            deployment.load();
+            deployment.loadSettings();
             final Histogram answered = new Histogram(DIGITS);
             final Histogram everywhere = new Histogram(DIGITS);
             long base = deployment.settings(0, PATH).path("revision").asLong();
@@ -60,12 +60,12 @@
             throws Exception {
         final long start = System.nanoTime();
         final HttpResponse<String> answer =
-                deployment.put(
+                deployment.putDocument(
                         number % DAEMONS,
                         "change-" + number,
                         PATH,
                         base,
-                        LocalDeployment.customer(LocalDeployment.KEY));
+                        LocalDeployment.customerDocument(LocalDeployment.KEY));
         answered.recordValue(System.nanoTime() - start);
         final JsonNode body = new ObjectMapper().readTree(answer.body());
         if (!body.path("revision").isIntegralNumber()) {
--- a/bench/src/main/java/org/whinhead/bench/overhead/OverheadBenchmark.java
+++ b/bench/src/main/java/org/whinhead/bench/overhead/OverheadBenchmark.java
@@ -40,7 +40,7 @@
         try (LocalDeployment deployment =
                 new LocalDeployment(LogConfig.DEFAULT, LogServiceSettings.DEFAULT)) {
             deployment.startDaemon();
-            deployment.load();
+            deployment.loadSettings();
             measure(deployment, options, out);
         } catch (final Exception e) {
             throw new IllegalStateException("the deployment could not be started", e);
--- a/bench/src/main/java/org/whinhead/bench/waves/WavesBenchmark.java
+++ b/bench/src/main/java/org/whinhead/bench/waves/WavesBenchmark.java
@@ -68,7 +68,7 @@
     private static DemoConfig config(final Deployment deployment, final Duration notice) {
         return DemoConfig.of(deployment).toBuilder()
                 .duration(LOAD)
-                .perSecond(PER_SECOND)
+                .requestsPerSecond(PER_SECOND)
                 .notice(notice)
                 .build();
     }
--- a/demo/src/main/java/org/whinhead/demo/Await.java
+++ b/demo/src/main/java/org/whinhead/demo/Await.java
@@ -8,7 +8,7 @@
 /** Waits for what another thread or process brings about, within a bound. */
 public final class Await {
 
-    private static final long LOOK_NANOS = TimeUnit.MILLISECONDS.toNanos(2);
+    private static final long POLL_INTERVAL_NANOS = TimeUnit.MILLISECONDS.toNanos(2);
 
     private Await() {}
 
@@ -28,7 +28,7 @@
             if (System.nanoTime() > end) {
                 throw new IllegalStateException("not within " + bound + ": " + what);
             }
-            LockSupport.parkNanos(LOOK_NANOS);
+            LockSupport.parkNanos(POLL_INTERVAL_NANOS);
         }
     }
 }
--- a/demo/src/main/java/org/whinhead/demo/DemoConfig.java
+++ b/demo/src/main/java/org/whinhead/demo/DemoConfig.java
@@ -13,7 +13,7 @@
  * What one run of a deployment is made of.
  *
  * @param deployment whose callers are played and whose settings are in force
- * @param perSecond requests a second of the open loop
+ * @param requestsPerSecond rate of the open loop, at least 1
  * @param duration how long requests are started
  * @param notice how long before their end the reclaimed VMs are announced
  * @param seed the seed of requests and of which failure domain is reclaimed
@@ -23,7 +23,7 @@
  */
 public record DemoConfig(
         Deployment deployment,
-        int perSecond,
+        int requestsPerSecond,
         Duration duration,
         Duration notice,
         long seed,
@@ -34,7 +34,7 @@
     /** Checks every part. */
     public DemoConfig {
         Objects.requireNonNull(deployment, "deployment");
-        Arguments.requireAtLeast(perSecond, 1, "perSecond");
+        Arguments.requireAtLeast(requestsPerSecond, 1, "perSecond");
         Arguments.requirePositive(duration, "duration");
         Objects.requireNonNull(notice, "notice");
         Arguments.requirePositive(callerDeadline, "callerDeadline");
@@ -47,12 +47,12 @@
     }
 
     /** Returns when the cloud announces the reclaim, counted from the first request. */
-    public Duration reclaimAfter() {
+    public Duration reclaimDelay() {
         return duration.dividedBy(2);
     }
 
     /** Returns the failure domain that is reclaimed. */
-    public FailureDomain reclaimed() {
+    public FailureDomain reclaimedDomain() {
         final List<FailureDomain> domains = plan().domains();
         return domains.get((int) Math.floorMod(seed, (long) domains.size()));
     }
@@ -70,7 +70,7 @@
     /** Returns a builder that holds these parts. */
     public Builder toBuilder() {
         return new Builder(deployment)
-                .perSecond(perSecond)
+                .requestsPerSecond(requestsPerSecond)
                 .duration(duration)
                 .notice(notice)
                 .seed(seed)
@@ -82,7 +82,7 @@
     /** Builds a {@link DemoConfig}. */
     public static final class Builder {
         private final Deployment mDeployment;
-        private int mPerSecond = 16;
+        private int mRequestsPerSecond = 16;
         private Duration mDuration = Duration.ofSeconds(22);
         private Duration mNotice = Duration.ofSeconds(4);
         private long mSeed = 1;
@@ -95,8 +95,8 @@
         }
 
         /** Sets the requests a second; 16 by default. */
-        public Builder perSecond(final int perSecond) {
-            mPerSecond = perSecond;
+        public Builder requestsPerSecond(final int perSecond) {
+            mRequestsPerSecond = perSecond;
             return this;
         }
 
@@ -140,7 +140,7 @@
         public DemoConfig build() {
             return new DemoConfig(
                     mDeployment,
-                    mPerSecond,
+                    mRequestsPerSecond,
                     mDuration,
                     mNotice,
                     mSeed,
--- a/demo/src/main/java/org/whinhead/demo/DemoMain.java
+++ b/demo/src/main/java/org/whinhead/demo/DemoMain.java
@@ -10,10 +10,10 @@
 public final class DemoMain {
 
     /** Nothing was lost, doubled or wrong. */
-    static final int EXIT_KEPT = 0;
+    static final int EXIT_PASSED = 0;
 
     /** Something was lost, doubled or wrong, or nothing was completed. */
-    static final int EXIT_BROKEN = 1;
+    static final int EXIT_FAILED = 1;
 
     /** The options are wrong. */
     static final int EXIT_USAGE = 2;
@@ -45,9 +45,9 @@
      */
     static int run(final PrintStream out, final PrintStream errors, final String... arguments)
             throws IOException, SettingsException, InterruptedException, ExecutionException {
-        if (DemoOptions.wantsHelp(arguments)) {
+        if (DemoOptions.isHelpRequested(arguments)) {
             out.print(DemoOptions.help());
-            return EXIT_KEPT;
+            return EXIT_PASSED;
         }
         final DemoOptions options;
         try {
@@ -62,6 +62,6 @@
         if (options.json()) {
             out.println(report.json());
         }
-        return result.promiseKept() ? EXIT_KEPT : EXIT_BROKEN;
+        return result.isGuaranteeKept() ? EXIT_PASSED : EXIT_FAILED;
     }
 }
--- a/demo/src/main/java/org/whinhead/demo/DemoOptions.java
+++ b/demo/src/main/java/org/whinhead/demo/DemoOptions.java
@@ -35,7 +35,7 @@
      *
      * @param arguments the command line
      */
-    static boolean wantsHelp(final String... arguments) {
+    static boolean isHelpRequested(final String... arguments) {
         return List.of(arguments).contains("--" + HELP);
     }
 
@@ -54,7 +54,7 @@
         final DemoConfig usual = DemoConfig.of(deployment(line));
         final DemoConfig config =
                 usual.toBuilder()
-                        .perSecond(number(line, RATE, 1, usual.perSecond()))
+                        .requestsPerSecond(number(line, RATE, 1, usual.requestsPerSecond()))
                         .duration(seconds(line, SECONDS, 1, usual.duration()))
                         .notice(seconds(line, NOTICE, 0, usual.notice()))
                         .seed(number(line, SEED, Integer.MIN_VALUE, (int) usual.seed()))
--- a/demo/src/main/java/org/whinhead/demo/DemoReport.java
+++ b/demo/src/main/java/org/whinhead/demo/DemoReport.java
@@ -16,7 +16,7 @@
 /** Writes what came of a run as tables for people or as JSON for scripts. */
 final class DemoReport {
 
-    private static final double MOST = 95;
+    private static final double REPORTED_PERCENTILE = 95;
     private static final double NANOS_IN_MILLI = 1_000_000.0;
     private static final double MILLIS_IN_SECOND = 1000.0;
     private static final ObjectMapper MAPPER = new ObjectMapper();
@@ -32,7 +32,7 @@
         final List<String> lines = new ArrayList<>();
         lines.add(title());
         for (final List<List<String>> rows :
-                List.of(outcomes(), judgements(), latencies(), costs(), tiers())) {
+                List.of(outcomes(), verdicts(), latencies(), costs(), tiers())) {
             lines.add("");
             lines.addAll(new TextTable(rows).lines());
         }
@@ -50,7 +50,7 @@
         final DemoConfig config = mResult.config();
         root.put("deployment", config.deployment().workload().name());
         root.put("seed", config.seed());
-        root.put("reclaimed", config.reclaimed().name());
+        root.put("reclaimed", config.reclaimedDomain().name());
         root.put("noticeMillis", config.notice().toMillis());
         root.put("requests", mResult.load().requests().size());
         root.put("accepted", mResult.load().accepted());
@@ -75,7 +75,7 @@
         root.set("costPerThousandByTier", MAPPER.valueToTree(mResult.costPerThousandByTier()));
         root.set("completedByTier", MAPPER.valueToTree(mResult.load().completedByTier()));
         root.set("errorCodes", MAPPER.valueToTree(mResult.load().errorCodes()));
-        root.put("promiseKept", mResult.promiseKept());
+        root.put("promiseKept", mResult.isGuaranteeKept());
         try {
             return MAPPER.writeValueAsString(root);
         } catch (final JsonProcessingException e) {
@@ -93,8 +93,8 @@
         return DemoMessages.text(
                 "report.title",
                 config.deployment().workload().name(),
-                config.reclaimed().name(),
-                seconds(config.reclaimAfter()),
+                config.reclaimedDomain().name(),
+                seconds(config.reclaimDelay()),
                 seconds(config.notice()),
                 mResult.load().requests().size(),
                 seconds(mResult.load().elapsed()));
@@ -109,7 +109,7 @@
         return rows;
     }
 
-    private List<List<String>> judgements() {
+    private List<List<String>> verdicts() {
         return List.of(
                 row("report.judgement", DemoMessages.text("report.count")),
                 row("report.lost", "" + mResult.lost()),
@@ -181,7 +181,7 @@
     }
 
     private static double millis(final LatencyDistribution times) {
-        return times.percentile(MOST).toNanos() / NANOS_IN_MILLI;
+        return times.percentile(REPORTED_PERCENTILE).toNanos() / NANOS_IN_MILLI;
     }
 
     private static String seconds(final Duration duration) {
--- a/demo/src/main/java/org/whinhead/demo/DemoResult.java
+++ b/demo/src/main/java/org/whinhead/demo/DemoResult.java
@@ -82,12 +82,12 @@
      * among the tiers by the tokens that reached their callers, a plain call counting as one.
      */
     public Map<String, Double> costPerThousandByTier() {
-        final double all = work(null);
+        final double all = deliveredTokens(null);
         final Map<String, Double> byTier = new TreeMap<>();
         load().completedByTier()
                 .forEach(
                         (tier, completed) ->
-                                byTier.put(tier, cost() * work(tier) / all * THOUSAND / completed));
+                                byTier.put(tier, cost() * deliveredTokens(tier) / all * THOUSAND / completed));
         return byTier;
     }
 
@@ -97,11 +97,11 @@
     }
 
     /** Tells whether nothing was lost, doubled or wrong, and some request was completed. */
-    public boolean promiseKept() {
+    public boolean isGuaranteeKept() {
         return load().isGuaranteeKept() && doubled == 0 && notRunButRan == 0 && unwitnessed == 0;
     }
 
-    private double work(final String tier) {
+    private double deliveredTokens(final String tier) {
         return load().requests().stream()
                 .filter(result -> result.outcome() == Outcome.COMPLETED)
                 .filter(result -> tier == null || tier.equals(result.request().customer().tier()))
@@ -110,7 +110,7 @@
     }
 
     /** Returns the identity under which engines see a request. */
-    static String nameAtEngines(final PlannedRequest request) {
+    static String engineRequestId(final PlannedRequest request) {
         return request.customer().name() + '/' + request.id().value();
     }
 
@@ -147,6 +147,6 @@
     private static boolean ran(final PlannedRequest request, final Witness witness) {
         return request.kind().style().isPlainService()
                 ? witness.executions(request.id().value()) > 0
-                : witness.ran(nameAtEngines(request));
+                : witness.ran(engineRequestId(request));
     }
 }
--- a/demo/src/main/java/org/whinhead/demo/DemoRun.java
+++ b/demo/src/main/java/org/whinhead/demo/DemoRun.java
@@ -22,7 +22,7 @@
 /** Runs one deployment with a reclaim halfway. */
 public final class DemoRun implements AutoCloseable {
 
-    private static final Duration WAVE_SETTLES = Duration.ofSeconds(3);
+    private static final Duration WAVE_SETTLE_TIME = Duration.ofSeconds(3);
 
     private final DemoConfig mConfig;
     private final EntryVms mEntries;
@@ -65,7 +65,7 @@
 
     private void startDaemons() throws IOException, SettingsException, InterruptedException {
         final ExampleSettings settings = new ExampleSettings(mConfig.deployment());
-        final PlatformUris platform = platform(mStandIns);
+        final PlatformUris platform = platformUris(mStandIns);
         for (final DaemonSettings daemon : settings.daemons()) {
             final URI uri = mEntries.start(daemon, platform);
             mStandIns.addEntry(daemon.vm().value(), daemon.domain(), uri);
@@ -75,7 +75,7 @@
     }
 
     /** Returns where the platform's services are. */
-    static PlatformUris platform(final DeploymentStandIns standIns) {
+    static PlatformUris platformUris(final DeploymentStandIns standIns) {
         return new PlatformUris(
                 standIns.log().uri(),
                 standIns.vms().uri(),
@@ -89,16 +89,16 @@
                                 mConfig.deployment().workload(),
                                 CallerConfig.of(mTargets).withDeadline(mConfig.callerDeadline()))
                         .duration(mConfig.duration())
-                        .requestsPerSecond(mConfig.perSecond())
+                        .requestsPerSecond(mConfig.requestsPerSecond())
                         .seed(mConfig.seed())
                         .build();
         final CompletableFuture<LoadResult> whole = load.start();
         final CompletableFuture<LoadResult> before = new CompletableFuture<>();
         final CompletableFuture<LoadResult> settled = new CompletableFuture<>();
-        final Duration reclaim = mConfig.reclaimAfter();
+        final Duration reclaim = mConfig.reclaimDelay();
         final Duration gone = reclaim.plus(mConfig.notice());
-        after(reclaim, () -> reclaim(before, load));
-        after(gone.plus(WAVE_SETTLES), () -> settled.complete(load.currentResult()));
+        schedule(reclaim, () -> reclaim(before, load));
+        schedule(gone.plus(WAVE_SETTLE_TIME), () -> settled.complete(load.currentResult()));
         final LoadResult end = whole.get();
         final LoadPhases phases = new LoadPhases(before.get(), settled.get(), end);
         return DemoResult.of(mConfig, phases, mStandIns);
@@ -106,10 +106,10 @@
 
     private void reclaim(final CompletableFuture<LoadResult> before, final LoadRun load) {
         before.complete(load.currentResult());
-        mStandIns.cloud().reclaim(mConfig.reclaimed(), mConfig.notice());
+        mStandIns.cloud().reclaim(mConfig.reclaimedDomain(), mConfig.notice());
     }
 
-    private void after(final Duration delay, final Runnable task) {
+    private void schedule(final Duration delay, final Runnable task) {
         mTimers.schedule(task, delay.toNanos(), TimeUnit.NANOSECONDS);
     }
 }
--- a/demo/src/main/java/org/whinhead/demo/EntryVms.java
+++ b/demo/src/main/java/org/whinhead/demo/EntryVms.java
@@ -35,9 +35,9 @@
     private static final String HOST = "127.0.0.1";
     private static final int IO_THREADS = 4;
     private static final int SECRET_BYTES = 32;
-    private static final int PORTS = 3;
+    private static final int PORTS_PER_DAEMON = 3;
     private static final Duration START_BOUND = Duration.ofSeconds(20);
-    private static final long LOOK_NANOS = TimeUnit.MILLISECONDS.toNanos(10);
+    private static final long POLL_INTERVAL_NANOS = TimeUnit.MILLISECONDS.toNanos(10);
 
     private final Map<String, Daemon> mDaemons = new ConcurrentSkipListMap<>();
     private final OperatorClient mOperator = new OperatorClient();
@@ -96,31 +96,31 @@
     void putSettings(final List<DocumentList.Entry> documents)
             throws IOException, InterruptedException {
         final List<URI> all = mDaemons.values().stream().map(Daemon::operatorUri).toList();
-        await(all.get(0), mOperator::followsLog);
+        await(all.get(0), mOperator::isFollowingLog);
         long last = 0;
         for (final DocumentList.Entry document : documents) {
-            last = mOperator.put(all.get(0), document);
+            last = mOperator.putDocument(all.get(0), document);
         }
         final long revision = last;
         for (final URI daemon : all) {
-            await(daemon, one -> mOperator.revision(one) >= revision && mOperator.isReady(one));
+            await(daemon, one -> mOperator.settingsRevision(one) >= revision && mOperator.isReady(one));
         }
     }
 
-    private static void await(final URI daemon, final Question question)
+    private static void await(final URI daemon, final DaemonCondition question)
             throws IOException, InterruptedException {
         final long end = System.nanoTime() + START_BOUND.toNanos();
-        while (!question.ask(daemon)) {
+        while (!question.isMet(daemon)) {
             if (System.nanoTime() > end) {
                 throw new IOException(daemon + " is not ready in time");
             }
-            LockSupport.parkNanos(LOOK_NANOS);
+            LockSupport.parkNanos(POLL_INTERVAL_NANOS);
         }
     }
 
     /** Something that is asked of a daemon until the answer is yes. */
-    private interface Question {
-        boolean ask(URI daemon) throws IOException, InterruptedException;
+    private interface DaemonCondition {
+        boolean isMet(URI daemon) throws IOException, InterruptedException;
     }
 
     @Override
@@ -154,7 +154,7 @@
     private static List<HostPort> freeAddresses() throws IOException {
         final List<ServerSocket> sockets = new ArrayList<>();
         final List<HostPort> addresses = new ArrayList<>();
-        for (int i = 0; i < PORTS; i++) {
+        for (int i = 0; i < PORTS_PER_DAEMON; i++) {
             final ServerSocket socket = new ServerSocket(0, 1, InetAddress.getByName(HOST));
             sockets.add(socket);
             addresses.add(new HostPort(HOST, socket.getLocalPort()));
--- a/demo/src/main/java/org/whinhead/demo/ExampleSettings.java
+++ b/demo/src/main/java/org/whinhead/demo/ExampleSettings.java
@@ -15,7 +15,7 @@
 /** Reads the settings of the example deployments, which are built into this program. */
 final class ExampleSettings {
 
-    private static final int ENTRIES = 8;
+    private static final int DAEMON_COUNT = 8;
 
     private final String mRoot;
 
@@ -31,7 +31,7 @@
     /** Returns the settings of each daemon, with the addresses of the example. */
     List<DaemonSettings> daemons() throws IOException, SettingsException {
         final List<DaemonSettings> daemons = new ArrayList<>();
-        for (int number = 1; number <= ENTRIES; number++) {
+        for (int number = 1; number <= DAEMON_COUNT; number++) {
             final String name = mRoot + "daemons/entry-" + number + ".json";
             daemons.add(SettingsReader.parse(name, text(name)));
         }
--- a/demo/src/main/java/org/whinhead/demo/LocalDeployment.java
+++ b/demo/src/main/java/org/whinhead/demo/LocalDeployment.java
@@ -45,7 +45,7 @@
 
     private static final ObjectMapper MAPPER = new ObjectMapper();
     private static final FailureDomain DOMAIN = new FailureDomain("kigali", "kg-gasabo");
-    private static final Duration BOUND = Duration.ofSeconds(30);
+    private static final Duration TIMEOUT = Duration.ofSeconds(30);
     private static final int IO_THREADS = 2;
     private static final long NO_REVISION = -1;
     private static final String TIER =
@@ -62,7 +62,7 @@
     private final LogStandIn mLog;
     private final ServiceStandIn mService;
     private final VmListStandIn mVms;
-    private final LogServiceSettings mTerms;
+    private final LogServiceSettings mLogSettings;
     private final List<XnioWorker> mWorkers = new ArrayList<>();
     private final Set<Integer> mStopped = new HashSet<>();
     private final List<Daemon> mDaemons = new ArrayList<>();
@@ -92,7 +92,7 @@
                         "filing",
                         true,
                         64));
-        mTerms = terms;
+        mLogSettings = terms;
     }
 
     /**
@@ -120,7 +120,7 @@
                                                 new OperatorKey(
                                                         "on-call", KeyHashes.hash(KEY), "/")))
                                 .build(),
-                        DaemonOptions.on(worker).withLog(mTerms)));
+                        DaemonOptions.on(worker).withLog(mLogSettings)));
         return number;
     }
 
@@ -145,7 +145,7 @@
     }
 
     /** Returns how many daemons were started. */
-    public int size() {
+    public int daemonCount() {
         return mDaemons.size();
     }
 
@@ -159,11 +159,11 @@
      *
      * @throws Exception if that fails
      */
-    public void load() throws Exception {
+    public void loadSettings() throws Exception {
         awaitLog(0);
-        putNew("/tiers/standard", TIER);
-        putNew("/services/filing", SERVICE);
-        putNew("/teams/clinics/customers/clinic", customer(KEY));
+        createDocument("/tiers/standard", TIER);
+        createDocument("/services/filing", SERVICE);
+        createDocument("/teams/clinics/customers/clinic", customerDocument(KEY));
         for (int i = 0; i < mDaemons.size(); i++) {
             awaitReady(i);
         }
@@ -175,12 +175,12 @@
      * @param key its key
      * @return the document
      */
-    public static String customer(final String key) {
+    public static String customerDocument(final String key) {
         return String.format(CUSTOMER, KeyHashes.hash(key));
     }
 
-    private void putNew(final String path, final String document) throws Exception {
-        final HttpResponse<String> answer = put(0, "load " + path, path, NO_REVISION, document);
+    private void createDocument(final String path, final String document) throws Exception {
+        final HttpResponse<String> answer = putDocument(0, "load " + path, path, NO_REVISION, document);
         if (answer.statusCode() != 200) {
             throw new IllegalStateException(path + ": " + answer.body());
         }
@@ -190,7 +190,7 @@
     public void awaitLog(final int daemon) throws Exception {
         Await.until(
                 "daemon " + daemon + " follows the log",
-                BOUND,
+                TIMEOUT,
                 () ->
                         status(daemon).at("/log/caughtUp").asBoolean()
                                 && status(daemon).at("/log/answering").asBoolean());
@@ -200,7 +200,7 @@
     public void awaitReady(final int daemon) throws Exception {
         Await.until(
                 "daemon " + daemon + " is ready",
-                BOUND,
+                TIMEOUT,
                 () -> operatorGet(daemon, "/health/ready").statusCode() == 200);
     }
 
@@ -208,7 +208,7 @@
     public void awaitRevision(final int daemon, final long revision) throws Exception {
         Await.until(
                 "daemon " + daemon + " goes by " + revision,
-                BOUND,
+                TIMEOUT,
                 () -> status(daemon).path("settingsRevision").asLong() >= revision);
     }
 
@@ -239,7 +239,7 @@
      * @return the answer
      * @throws Exception if there is none
      */
-    public HttpResponse<String> put(
+    public HttpResponse<String> putDocument(
             final int daemon,
             final String changeId,
             final String path,
@@ -265,18 +265,18 @@
      * @return the answer
      * @throws Exception if there is none
      */
-    public HttpResponse<String> call(final int daemon, final String path, final String key)
+    public HttpResponse<String> callService(final int daemon, final String path, final String key)
             throws Exception {
-        return send(calling(daemon, path, key));
+        return send(serviceRequest(daemon, path, key));
     }
 
     /** Calls the plain service again, as a caller that has no answer to its first submission. */
-    public HttpResponse<String> callAgain(final int daemon, final String path, final String key)
+    public HttpResponse<String> repeatServiceCall(final int daemon, final String path, final String key)
             throws Exception {
-        return send(calling(daemon, path, key).header("X-Whinhead-Repeat", "true"));
+        return send(serviceRequest(daemon, path, key).header("X-Whinhead-Repeat", "true"));
     }
 
-    private HttpRequest.Builder calling(final int daemon, final String path, final String key) {
+    private HttpRequest.Builder serviceRequest(final int daemon, final String path, final String key) {
         final URI service = mDaemons.get(daemon).callerUri().resolve("/v1/services/filing/");
         return HttpRequest.newBuilder(service.resolve(path))
                 .header("Idempotency-Key", key)
@@ -285,7 +285,7 @@
 
     private HttpResponse<String> send(final HttpRequest.Builder request) throws Exception {
         return mClient.send(
-                request.timeout(BOUND).header("Authorization", "Bearer " + KEY).build(),
+                request.timeout(TIMEOUT).header("Authorization", "Bearer " + KEY).build(),
                 HttpResponse.BodyHandlers.ofString());
     }
 
@@ -300,7 +300,7 @@
     }
 
     /** Returns how often the plain service ran the calls of a key. */
-    public int executions(final String key) {
+    public int executionCount(final String key) {
         return mStandIns.witness().executions(key);
     }
 
--- a/demo/src/main/java/org/whinhead/demo/OperatorClient.java
+++ b/demo/src/main/java/org/whinhead/demo/OperatorClient.java
@@ -30,13 +30,13 @@
     }
 
     /** Tells whether a daemon has read the log to its end and is answered by it. */
-    boolean followsLog(final URI daemon) throws IOException, InterruptedException {
+    boolean isFollowingLog(final URI daemon) throws IOException, InterruptedException {
         final JsonNode status = status(daemon);
         return status.at("/log/caughtUp").asBoolean() && status.at("/log/answering").asBoolean();
     }
 
     /** Returns the revision of the last change that a daemon has put in force. */
-    long revision(final URI daemon) throws IOException, InterruptedException {
+    long settingsRevision(final URI daemon) throws IOException, InterruptedException {
         return status(daemon).path("settingsRevision").asLong();
     }
 
@@ -46,7 +46,7 @@
      * @return the revision
      * @throws IOException if the change is refused or not answered
      */
-    long put(final URI daemon, final DocumentList.Entry entry)
+    long putDocument(final URI daemon, final DocumentList.Entry entry)
             throws IOException, InterruptedException {
         final ObjectNode body = mMapper.createObjectNode();
         body.put("changeId", "demo " + entry.path().text())
--- a/demo/src/test/java/org/whinhead/demo/BurnPathTest.java
+++ b/demo/src/test/java/org/whinhead/demo/BurnReportTest.java
@@ -14,7 +14,7 @@
 import org.whinhead.report.DaemonReportJson;
 
 @Timeout(60)
-class BurnPathTest {
+class BurnReportTest {
 
     private static final int TOKENS = 20;
     private static final int LONG_ANSWER = 1_000_000;
@@ -25,11 +25,11 @@
      * counts against the tier.
      */
     @Test
-    void operatorsSeeEachEndedRequestOnce() throws Exception {
-        try (WholePath path = new WholePath(20)) {
+    void reportCountsEachEndedRequestOnce() throws Exception {
+        try (SingleDaemonDeployment path = new SingleDaemonDeployment(20)) {
             assertThat(path.chat(body("summary", TOKENS)).statusCode()).isEqualTo(200);
             assertThat(path.chat(body("other", TOKENS)).statusCode()).isEqualTo(404);
-            hangUp(path);
+            closeConnectionEarly(path);
             Counts counts = Counts.NONE;
             while (counts.firstTokens() < 2) {
                 counts = counts(path);
@@ -40,7 +40,7 @@
         }
     }
 
-    private static Counts counts(final WholePath path) throws Exception {
+    private static Counts counts(final SingleDaemonDeployment path) throws Exception {
         final HttpResponse<String> response =
                 path.get(path.daemon().operatorUri().resolve("/operator/burn"));
         assertThat(response.statusCode()).isEqualTo(200);
@@ -54,8 +54,8 @@
     }
 
     @Test
-    void burnNeedsAnOperatorsKey() throws Exception {
-        try (WholePath path = new WholePath(20)) {
+    void reportRequiresOperatorKey() throws Exception {
+        try (SingleDaemonDeployment path = new SingleDaemonDeployment(20)) {
             final HttpRequest request =
                     HttpRequest.newBuilder(path.daemon().operatorUri().resolve("/operator/burn"))
                             .build();
@@ -63,12 +63,12 @@
         }
     }
 
-    private static void hangUp(final WholePath path) throws Exception {
+    private static void closeConnectionEarly(final SingleDaemonDeployment path) throws Exception {
         final String body = body("summary", LONG_ANSWER);
         try (Socket socket = new Socket(path.uri().getHost(), path.uri().getPort())) {
             final String request =
                     "POST /v1/chat/completions HTTP/1.1\r\nHost: x\r\nAuthorization: Bearer "
-                            + WholePath.KEY
+                            + SingleDaemonDeployment.KEY
                             + "\r\nContent-Length: "
                             + body.length()
                             + "\r\n\r\n"
--- a/demo/src/test/java/org/whinhead/demo/DemoRunTest.java
+++ b/demo/src/test/java/org/whinhead/demo/DemoRunTest.java
@@ -28,7 +28,7 @@
                 DemoConfig.of(deployment).toBuilder()
                         .duration(Duration.ofSeconds(4))
                         .notice(Duration.ofSeconds(1))
-                        .perSecond(10)
+                        .requestsPerSecond(10)
                         .callerDeadline(Duration.ofSeconds(8))
                         .build();
         final DemoResult result = DemoRun.run(config);
@@ -38,11 +38,11 @@
         assertThat(result.wrongAnswers()).isZero();
         assertThat(result.notRunButRan()).isZero();
         assertThat(result.unwitnessed()).isZero();
-        assertThat(result.promiseKept()).isTrue();
+        assertThat(result.isGuaranteeKept()).isTrue();
     }
 
     @Test
-    void wrongOptionsAreNamed() throws Exception {
+    void invalidOptionIsReportedByName() throws Exception {
         final ByteArrayOutputStream errors = new ByteArrayOutputStream();
         final int status =
                 DemoMain.run(System.out, new PrintStream(errors), "--deployment", "other");
--- a/demo/src/test/java/org/whinhead/demo/LostDaemonsTest.java
+++ b/demo/src/test/java/org/whinhead/demo/LostDaemonsTest.java
@@ -36,7 +36,7 @@
             final List<URI> targets = new ArrayList<>();
             final List<DaemonSettings> daemons = examples.daemons();
             for (final DaemonSettings daemon : daemons) {
-                targets.add(entries.start(daemon, DemoRun.platform(standIns)));
+                targets.add(entries.start(daemon, DemoRun.platformUris(standIns)));
             }
             entries.putSettings(examples.documents());
             final LoadRun load =
@@ -60,7 +60,7 @@
                                                     standIns.context()
                                                             .witness()
                                                             .recomputedTokens(
-                                                                    DemoResult.nameAtEngines(
+                                                                    DemoResult.engineRequestId(
                                                                             request.request())))
                                             .isZero());
         }
--- a/demo/src/test/java/org/whinhead/demo/MetricsPageTest.java
+++ b/demo/src/test/java/org/whinhead/demo/MetricsPageTest.java
@@ -21,8 +21,8 @@
      * Someone on call looks a metric up that the page does not have, or waits for one that went.
      */
     @Test
-    void pageHasExactlyTheMetricsOfDaemon() throws Exception {
-        try (WholePath path = new WholePath(20)) {
+    void pageListsExactlyTheMetricsOfDaemon() throws Exception {
+        try (SingleDaemonDeployment path = new SingleDaemonDeployment(20)) {
             final String served = path.get(path.daemon().operatorUri().resolve("/metrics")).body();
             assertThat(names(SERVED, served))
                     .isNotEmpty()
--- a/demo/src/test/java/org/whinhead/demo/PeerDeployment.java
+++ b/demo/src/test/java/org/whinhead/demo/PeerDeployment.java
@@ -43,12 +43,12 @@
 /** Daemons that know each other by seeds; only the first one hears the cloud's notices. */
 final class PeerDeployment implements AutoCloseable {
 
-    static final Duration BOUND = Duration.ofSeconds(30);
+    static final Duration TIMEOUT = Duration.ofSeconds(30);
 
     private static final ObjectMapper MAPPER = new ObjectMapper();
     private static final String KEY = "key-of-the-clinic";
     private static final FailureDomain DOMAIN = new FailureDomain("kigali", "kg-gasabo");
-    private static final URI NOWHERE = URI.create("http://127.0.0.1:1");
+    private static final URI UNREACHABLE = URI.create("http://127.0.0.1:1");
     private static final Map<String, String> DOCUMENTS =
             Map.of(
                     "/tiers/standard",
@@ -134,7 +134,7 @@
         mVms.seed(vm(daemonVm(number), VmEntry.Role.ENTRY, publicUri(number), ""));
         mCloud.adopt(daemonVm(number), order(VmEntry.Role.ENTRY));
         final HostPort free = new HostPort("127.0.0.1", 0);
-        final URI cloud = number == 0 ? mCloud.uri() : NOWHERE;
+        final URI cloud = number == 0 ? mCloud.uri() : UNREACHABLE;
         final Daemon daemon =
                 Daemon.start(
                         DaemonSettings.builder("daemon-" + number)
@@ -142,7 +142,7 @@
                                 .domain(DOMAIN)
                                 .listen(new ListenAddresses(free, free, free))
                                 .publicUri(publicUri(number))
-                                .platform(new PlatformUris(NOWHERE, mVms.uri(), cloud, NOWHERE))
+                                .platform(new PlatformUris(UNREACHABLE, mVms.uri(), cloud, UNREACHABLE))
                                 .seeds(mDaemons.stream().map(Daemon::peerAddress).toList())
                                 .tls(tls)
                                 .operators(
@@ -166,10 +166,10 @@
     }
 
     static void await(final String what, final Callable<Boolean> condition) throws Exception {
-        final long end = System.nanoTime() + BOUND.toNanos();
+        final long end = System.nanoTime() + TIMEOUT.toNanos();
         while (!condition.call()) {
             if (System.nanoTime() > end) {
-                throw new IllegalStateException("not within " + BOUND + ": " + what);
+                throw new IllegalStateException("not within " + TIMEOUT + ": " + what);
             }
             Thread.onSpinWait();
         }
@@ -190,7 +190,7 @@
     }
 
     /** Returns the daemons that are said to hold a revision, or those that are not. */
-    List<String> inForce(final int daemon, final long revision, final String list)
+    List<String> daemonsByRevision(final int daemon, final long revision, final String list)
             throws Exception {
         final String path = "/operator/settings/inforce?revision=" + revision;
         final HttpResponse<String> answer = get(mDaemons.get(daemon).operatorUri().resolve(path));
@@ -211,7 +211,7 @@
     }
 
     /** Calls the service through a daemon and returns the endpoint that ran the call. */
-    int call(final int daemon) throws Exception {
+    int callService(final int daemon) throws Exception {
         final String key = UUID.randomUUID().toString();
         final URI uri = mDaemons.get(daemon).callerUri().resolve("/v1/services/fees/status");
         final HttpResponse<String> answer =
--- a/demo/src/test/java/org/whinhead/demo/PeersTest.java
+++ b/demo/src/test/java/org/whinhead/demo/PeerDeploymentTest.java
@@ -18,7 +18,7 @@
 import org.whinhead.settings.daemon.TlsFiles;
 
 @Timeout(120)
-class PeersTest {
+class PeerDeploymentTest {
 
     private static final int DAEMONS = 3;
     private static final int MANY_CALLS = 30;
@@ -39,7 +39,7 @@
 
     private boolean avoids(final int daemon, final int endpoint) throws Exception {
         for (int i = 0; i < MANY_CALLS; i++) {
-            if (mDeployment.call(daemon) == endpoint) {
+            if (mDeployment.callService(daemon) == endpoint) {
                 return false;
             }
         }
@@ -52,11 +52,11 @@
      * on sending work there, unless the first tells them.
      */
     @Test
-    void noticeHeardByOneDaemonShutsTheVmOutOnAll() throws Exception {
+    void noticeReceivedByOneDaemonExcludesVmOnAll() throws Exception {
         mDeployment.startDaemons(DAEMONS);
         for (int daemon = 0; daemon < DAEMONS; daemon++) {
             final int asked = daemon;
-            PeerDeployment.await("both get work", () -> mDeployment.call(asked) == 0);
+            PeerDeployment.await("both get work", () -> mDeployment.callService(asked) == 0);
         }
         mDeployment.vms().freeze(true);
         mDeployment.cloud().reclaim(PeerDeployment.endpointVm(0), NOTICE);
@@ -75,7 +75,7 @@
      * it any more, and the one that stands on it must itself stop gracefully.
      */
     @Test
-    void leavingDaemonIsNamedToNoCaller() throws Exception {
+    void leavingDaemonIsNotListedForCallers() throws Exception {
         mDeployment.startDaemons(DAEMONS);
         mDeployment.vms().freeze(true);
         mDeployment.cloud().reclaim(PeerDeployment.daemonVm(1), NOTICE);
@@ -95,7 +95,7 @@
      * not sent to an address where nobody listens.
      */
     @Test
-    void stoppedDaemonVanishesFromTheOthersAddresses() throws Exception {
+    void stoppedDaemonIsRemovedFromAddressesOfOthers() throws Exception {
         mDeployment.startDaemons(DAEMONS);
         mDeployment.daemon(2).stop();
         for (int daemon = 0; daemon < 2; daemon++) {
@@ -110,7 +110,7 @@
      * alone must take it off the others' lists.
      */
     @Test
-    void killedDaemonVanishesAfterSuspicion() throws Exception {
+    void killedDaemonIsRemovedAfterSuspicion() throws Exception {
         mDeployment.startDaemons(DAEMONS);
         mDeployment.vms().freeze(true);
         mDeployment.daemon(2).close();
@@ -127,16 +127,16 @@
      * list, and cannot confirm anything.
      */
     @Test
-    void daemonsAreAskedWhatTheyHaveInForce() throws Exception {
+    void revisionInForceIsQueriedFromAllDaemons() throws Exception {
         mDeployment.startDaemons(DAEMONS);
-        assertThat(mDeployment.inForce(0, -1, "inForce"))
+        assertThat(mDeployment.daemonsByRevision(0, -1, "inForce"))
                 .containsExactlyInAnyOrder("daemon-0", "vm-entry-1", "vm-entry-2");
-        assertThat(mDeployment.inForce(0, 0, "missing"))
+        assertThat(mDeployment.daemonsByRevision(0, 0, "missing"))
                 .containsExactlyInAnyOrder("daemon-0", "vm-entry-1", "vm-entry-2");
         mDeployment.daemon(2).close();
-        assertThat(mDeployment.inForce(0, -1, "inForce"))
+        assertThat(mDeployment.daemonsByRevision(0, -1, "inForce"))
                 .containsExactlyInAnyOrder("daemon-0", "vm-entry-1");
-        assertThat(mDeployment.inForce(0, -1, "missing")).containsExactly("vm-entry-2");
+        assertThat(mDeployment.daemonsByRevision(0, -1, "missing")).containsExactly("vm-entry-2");
     }
 
     /**
@@ -144,7 +144,7 @@
      * join, or callers would be sent to it; operators see that somebody tried.
      */
     @Test
-    void strangerStaysAloneAndIsCounted() throws Exception {
+    void daemonOfOtherAuthorityIsRefusedAndCounted() throws Exception {
         final X509Bundle authority = authority("ours");
         mDeployment.startDaemon(Optional.of(files(authority, PeerDeployment.daemonVm(0))));
         mDeployment.startDaemon(Optional.of(files(authority, PeerDeployment.daemonVm(1))));
--- a/demo/src/test/java/org/whinhead/demo/ReclaimedDaemonTest.java
+++ b/demo/src/test/java/org/whinhead/demo/ReclaimedDaemonTest.java
@@ -43,7 +43,7 @@
                         DeploymentStandIns.start(DeploymentConfig.of(DeploymentPlan.INKIKO))) {
             final ExampleSettings examples = new ExampleSettings(Deployment.INKIKO);
             final DaemonSettings daemon = examples.daemons().get(0);
-            final URI uri = entries.start(daemon, DemoRun.platform(standIns));
+            final URI uri = entries.start(daemon, DemoRun.platformUris(standIns));
             standIns.addEntry(daemon.vm().value(), daemon.domain(), uri);
             entries.putSettings(examples.documents());
             standIns.cloud().reclaim(daemon.vm().value(), Duration.ofSeconds(30));
--- a/demo/src/test/java/org/whinhead/demo/SharedStateTest.java
+++ b/demo/src/test/java/org/whinhead/demo/SharedStateTest.java
@@ -28,7 +28,7 @@
         mDeployment = new LocalDeployment(log, terms);
         mDeployment.startDaemon();
         mDeployment.startDaemon();
-        mDeployment.load();
+        mDeployment.loadSettings();
     }
 
     private void start() throws Exception {
@@ -40,7 +40,7 @@
         mDeployment.close();
     }
 
-    private static <T> CompletableFuture<T> beside(final Callable<T> call) {
+    private static <T> CompletableFuture<T> callAsync(final Callable<T> call) {
         return CompletableFuture.supplyAsync(
                 () -> {
                     try {
@@ -68,17 +68,17 @@
     void filingRunsOnceThoughTheLogsAnswersAreLost() throws Exception {
         start();
         mDeployment.log().loseAnswers(MANY);
-        final var first = beside(() -> mDeployment.call(0, "claims", "case-7"));
-        final var second = beside(() -> mDeployment.call(1, "claims", "case-7"));
+        final var first = callAsync(() -> mDeployment.callService(0, "claims", "case-7"));
+        final var second = callAsync(() -> mDeployment.callService(1, "claims", "case-7"));
         final List<HttpResponse<String>> answers = List.of(first.get(), second.get());
         assertThat(answers).filteredOn(answer -> answer.statusCode() == 200).hasSize(1);
         assertThat(answers)
                 .filteredOn(answer -> answer.statusCode() != 200)
                 .allSatisfy(answer -> assertThat(verdict(answer)).isEqualTo("may-have-run"));
         mDeployment.log().loseAnswers(0);
-        final HttpResponse<String> third = mDeployment.call(1, "claims", "case-7");
+        final HttpResponse<String> third = mDeployment.callService(1, "claims", "case-7");
         assertThat(json(third).at("/error/code").asText()).isEqualTo("already-claimed");
-        assertThat(mDeployment.executions("case-7")).isEqualTo(1);
+        assertThat(mDeployment.executionCount("case-7")).isEqualTo(1);
     }
 
     /**
@@ -89,16 +89,16 @@
     void filingIsNotRunWhileTheLogIsOut() throws Exception {
         start();
         mDeployment.log().outage(true);
-        final HttpResponse<String> refused = mDeployment.call(0, "claims", "case-8");
+        final HttpResponse<String> refused = mDeployment.callService(0, "claims", "case-8");
         assertThat(json(refused).at("/error/code").asText()).isEqualTo("claim-unavailable");
         assertThat(verdict(refused)).isEqualTo("not-run");
-        assertThat(mDeployment.call(0, "status", "look-1").statusCode()).isEqualTo(200);
+        assertThat(mDeployment.callService(0, "status", "look-1").statusCode()).isEqualTo(200);
         mDeployment.log().outage(false);
         mDeployment.awaitLog(0);
-        assertThat(mDeployment.call(1, "claims", "case-9").statusCode()).isEqualTo(200);
-        assertThat(mDeployment.executions("case-8")).isZero();
-        assertThat(mDeployment.call(0, "claims", "case-8").statusCode()).isEqualTo(200);
-        assertThat(mDeployment.executions("case-8")).isEqualTo(1);
+        assertThat(mDeployment.callService(1, "claims", "case-9").statusCode()).isEqualTo(200);
+        assertThat(mDeployment.executionCount("case-8")).isZero();
+        assertThat(mDeployment.callService(0, "claims", "case-8").statusCode()).isEqualTo(200);
+        assertThat(mDeployment.executionCount("case-8")).isEqualTo(1);
     }
 
     /**
@@ -107,11 +107,11 @@
      * under a new key, and the docket would hold the claim twice.
      */
     @Test
-    void repeatIsNotToldNotRunOfWhatEarlierSubmissionsDid() throws Exception {
+    void repeatedCallIsRefusedAsMayHaveRun() throws Exception {
         start();
         mDeployment.log().outage(true);
-        final HttpResponse<String> first = mDeployment.call(1, "claims", "case-10");
-        final HttpResponse<String> repeat = mDeployment.callAgain(1, "claims", "case-11");
+        final HttpResponse<String> first = mDeployment.callService(1, "claims", "case-10");
+        final HttpResponse<String> repeat = mDeployment.repeatServiceCall(1, "claims", "case-11");
         assertThat(verdict(first)).isEqualTo("not-run");
         assertThat(verdict(repeat)).isEqualTo("may-have-run");
         assertThat(json(repeat).at("/error/verdict").asText()).isEqualTo("may-have-run");
@@ -127,10 +127,10 @@
     void racingChangesHaveOneWinnerThatIsInForceEverywhere() throws Exception {
         start();
         final long base = mDeployment.settings(1, CUSTOMER).path("revision").asLong();
-        final String document = LocalDeployment.customer(LocalDeployment.KEY);
+        final String document = LocalDeployment.customerDocument(LocalDeployment.KEY);
         final String heavier = document.replace("'weight':1", "'weight':2");
-        final var first = beside(() -> mDeployment.put(0, "a", CUSTOMER, base, document));
-        final var second = beside(() -> mDeployment.put(1, "b", CUSTOMER, base, heavier));
+        final var first = callAsync(() -> mDeployment.putDocument(0, "a", CUSTOMER, base, document));
+        final var second = callAsync(() -> mDeployment.putDocument(1, "b", CUSTOMER, base, heavier));
         final boolean firstWon = first.get().statusCode() == 200;
         final HttpResponse<String> winner = firstWon ? first.get() : second.get();
         final HttpResponse<String> loser = firstWon ? second.get() : first.get();
@@ -147,8 +147,8 @@
         }
         final HttpResponse<String> again =
                 firstWon
-                        ? mDeployment.put(1, "a", CUSTOMER, base, document)
-                        : mDeployment.put(0, "b", CUSTOMER, base, heavier);
+                        ? mDeployment.putDocument(1, "a", CUSTOMER, base, document)
+                        : mDeployment.putDocument(0, "b", CUSTOMER, base, heavier);
         assertThat(again.statusCode()).isEqualTo(200);
         assertThat(json(again).path("revision").asLong()).isEqualTo(won);
     }
@@ -158,24 +158,24 @@
      * is refused as not run; after the outage nothing was reverted and changes are taken again.
      */
     @Test
-    void outageNeitherRevertsNorStopsWhatIsInForce() throws Exception {
+    void settingsStayInForceDuringLogOutage() throws Exception {
         start();
         final long base = mDeployment.settings(0, CUSTOMER).path("revision").asLong();
-        final String document = LocalDeployment.customer(LocalDeployment.KEY);
+        final String document = LocalDeployment.customerDocument(LocalDeployment.KEY);
         mDeployment.log().outage(true);
         Await.until(
                 "the daemon notices",
                 Duration.ofSeconds(20),
                 () -> !mDeployment.status(0).at("/log/answering").asBoolean());
-        final HttpResponse<String> refused = mDeployment.put(0, "c", CUSTOMER, base, document);
+        final HttpResponse<String> refused = mDeployment.putDocument(0, "c", CUSTOMER, base, document);
         assertThat(refused.statusCode()).isEqualTo(503);
         assertThat(json(refused).path("verdict").asText()).isEqualTo("not-run");
-        assertThat(mDeployment.call(0, "status", "look-2").statusCode()).isEqualTo(200);
+        assertThat(mDeployment.callService(0, "status", "look-2").statusCode()).isEqualTo(200);
         assertThat(mDeployment.status(0).path("settingsRevision").asLong()).isEqualTo(base);
         mDeployment.log().outage(false);
         mDeployment.awaitLog(0);
         assertThat(mDeployment.status(0).path("settingsRevision").asLong()).isEqualTo(base);
-        final HttpResponse<String> taken = mDeployment.put(0, "c", CUSTOMER, base, document);
+        final HttpResponse<String> taken = mDeployment.putDocument(0, "c", CUSTOMER, base, document);
         assertThat(taken.statusCode()).isEqualTo(200);
     }
 
@@ -193,14 +193,14 @@
                 Duration.ofSeconds(60),
                 () -> mDeployment.logStatus("/log/fleet/records?from=2") == 410);
         final long base = mDeployment.settings(0, CUSTOMER).path("revision").asLong();
-        final String document = LocalDeployment.customer("another key");
-        final HttpResponse<String> put = mDeployment.put(0, "d", CUSTOMER, base, document);
+        final String document = LocalDeployment.customerDocument("another key");
+        final HttpResponse<String> put = mDeployment.putDocument(0, "d", CUSTOMER, base, document);
         final int replaced = mDeployment.startDaemon();
         mDeployment.awaitReady(replaced);
         mDeployment.awaitRevision(replaced, json(put).path("revision").asLong());
         assertThat(mDeployment.settings(replaced, "/"))
                 .isEqualTo(mDeployment.settings(0, "/"))
                 .hasSize(3);
-        assertThat(mDeployment.call(replaced, "status", "look-3").statusCode()).isEqualTo(401);
+        assertThat(mDeployment.callService(replaced, "status", "look-3").statusCode()).isEqualTo(401);
     }
 }
--- a/demo/src/test/java/org/whinhead/demo/WholePath.java
+++ b/demo/src/test/java/org/whinhead/demo/SingleDaemonDeployment.java
@@ -34,7 +34,7 @@
 import org.xnio.XnioWorker;
 
 /** One daemon in front of one engine stand-in, and a client. */
-final class WholePath implements AutoCloseable {
+final class SingleDaemonDeployment implements AutoCloseable {
 
     static final String KEY = "key-of-the-clinic";
     static final int MAX_BODY_BYTES = 4096;
@@ -65,7 +65,7 @@
     private final Daemon mDaemon;
     private final HttpClient mClient = HttpClient.newHttpClient();
 
-    WholePath(final double speedUp) throws Exception {
+    SingleDaemonDeployment(final double speedUp) throws Exception {
         mEngine =
                 EngineStandIn.start(
                         EngineConfig.builder("engine-1").speedUp(speedUp).build(), mStandIns);
@@ -78,7 +78,7 @@
         mDaemon.settingsChanged(
                 DeploymentSettings.of(
                         DOCUMENTS.entrySet().stream()
-                                .map(WholePath::document)
+                                .map(SingleDaemonDeployment::document)
                                 .collect(Collectors.toList())),
                 0);
         while (get(mDaemon.operatorUri().resolve("/health/ready")).statusCode() != 200) {
--- a/demo/src/test/java/org/whinhead/demo/WholePathTest.java
+++ b/demo/src/test/java/org/whinhead/demo/SingleDaemonTest.java
@@ -20,22 +20,22 @@
 import org.whinhead.standins.answer.ExpectedAnswer;
 
 @Timeout(60)
-class WholePathTest {
+class SingleDaemonTest {
 
     private static final ObjectMapper MAPPER = new ObjectMapper();
     private static final String PROMPT = "summarise the bundle of case 12";
     private static final int TOKENS = 20;
 
-    private WholePath mPath;
+    private SingleDaemonDeployment mDeployment;
 
     @BeforeEach
     void start() throws Exception {
-        mPath = new WholePath(20);
+        mDeployment = new SingleDaemonDeployment(20);
     }
 
     @AfterEach
     void stop() {
-        mPath.close();
+        mDeployment.close();
     }
 
     private static String body(final boolean stream, final int maxTokens) {
@@ -77,7 +77,7 @@
     @Test
     void streamedAnswerHasEachTokenOnceInOrder() throws Exception {
         for (int round = 0; round < 3; round++) {
-            final HttpResponse<String> response = mPath.chat(body(true, TOKENS));
+            final HttpResponse<String> response = mDeployment.chat(body(true, TOKENS));
             assertThat(response.statusCode()).isEqualTo(200);
             assertThat(streamedTokens(response.body()))
                     .isEqualTo(ExpectedAnswer.tokens(PROMPT, TOKENS));
@@ -98,8 +98,8 @@
                 body(true, TOKENS)
                         .replaceFirst("\\{", "{\"delivered_text\":\"" + delivered + "\",");
         final HttpResponse<String> response =
-                mPath.send(
-                        mPath.request("/v1/chat/completions")
+                mDeployment.send(
+                        mDeployment.request("/v1/chat/completions")
                                 .header("X-Whinhead-Ticket", "signed-by-nobody")
                                 .header("Last-Event-ID", "2")
                                 .POST(HttpRequest.BodyPublishers.ofString(body))
@@ -109,8 +109,8 @@
     }
 
     @Test
-    void wholeAnswerIsTheSameText() throws Exception {
-        final HttpResponse<String> response = mPath.chat(body(false, TOKENS));
+    void unstreamedAnswerHasTheSameText() throws Exception {
+        final HttpResponse<String> response = mDeployment.chat(body(false, TOKENS));
         final JsonNode answer = MAPPER.readTree(response.body());
         assertThat(answer.at("/choices/0/message/content").asText())
                 .isEqualTo(String.join("", ExpectedAnswer.tokens(PROMPT, TOKENS)));
@@ -119,26 +119,26 @@
     }
 
     @Test
-    void badRequestsAreRefusedWithTheirPlaceAndNeverReachTheEngine() throws Exception {
-        final HttpResponse<String> broken = mPath.chat("{\"model\": \"summary\",\n \"messages\" [");
+    void badRequestsAreRefusedWithPositionAndDoNotReachEngine() throws Exception {
+        final HttpResponse<String> broken = mDeployment.chat("{\"model\": \"summary\",\n \"messages\" [");
         assertRefused(broken, 400, "malformed-request");
         assertThat(broken.body()).contains("line 2, column 13: no valid JSON");
         final HttpResponse<String> role =
-                mPath.chat(body(true, 1).replace("\"user\"", "\"clerk\""));
+                mDeployment.chat(body(true, 1).replace("\"user\"", "\"clerk\""));
         assertRefused(role, 400, "malformed-request");
         assertThat(role.body()).contains("messages[0].role: expected system");
-        assertRefused(mPath.chat(body(true, 1).replace("summary", "other")), 404, "unknown-target");
+        assertRefused(mDeployment.chat(body(true, 1).replace("summary", "other")), 404, "unknown-target");
         assertRefused(
-                mPath.chat(" ".repeat(WholePath.MAX_BODY_BYTES) + body(true, 1)),
+                mDeployment.chat(" ".repeat(SingleDaemonDeployment.MAX_BODY_BYTES) + body(true, 1)),
                 413,
                 "body-too-large");
         final HttpRequest wrongKey =
-                HttpRequest.newBuilder(mPath.uri().resolve("/v1/models"))
+                HttpRequest.newBuilder(mDeployment.uri().resolve("/v1/models"))
                         .header("Authorization", "Bearer stolen")
                         .build();
-        assertRefused(mPath.send(wrongKey), 401, "unknown-key");
-        assertRefused(mPath.send(mPath.request("/v2/chat").build()), 404, "unknown-path");
-        assertThat(mPath.standIns().witness().generatedTokens()).isZero();
+        assertRefused(mDeployment.send(wrongKey), 401, "unknown-key");
+        assertRefused(mDeployment.send(mDeployment.request("/v2/chat").build()), 404, "unknown-path");
+        assertThat(mDeployment.standIns().witness().generatedTokens()).isZero();
     }
 
     /**
@@ -147,11 +147,11 @@
      */
     @Test
     void halfSentRequestIsRefusedInTime() throws Exception {
-        try (Socket socket = new Socket(mPath.uri().getHost(), mPath.uri().getPort())) {
+        try (Socket socket = new Socket(mDeployment.uri().getHost(), mDeployment.uri().getPort())) {
             final OutputStream out = socket.getOutputStream();
             final String head =
                     "POST /v1/chat/completions HTTP/1.1\r\nHost: x\r\nAuthorization: Bearer "
-                            + WholePath.KEY
+                            + SingleDaemonDeployment.KEY
                             + "\r\nContent-Length: 100\r\n\r\n{\"model\"";
             out.write(head.getBytes(StandardCharsets.US_ASCII));
             out.flush();
@@ -169,13 +169,13 @@
      * closes, and the engine must stop, or it would go on generating for nobody.
      */
     @Test
-    void hangUpCancelsAtTheEngine() throws Exception {
+    void closedCallerConnectionCancelsEngineRequest() throws Exception {
         final int longAnswer = 1_000_000;
         final String body = body(true, longAnswer);
-        try (Socket socket = new Socket(mPath.uri().getHost(), mPath.uri().getPort())) {
+        try (Socket socket = new Socket(mDeployment.uri().getHost(), mDeployment.uri().getPort())) {
             final String request =
                     "POST /v1/chat/completions HTTP/1.1\r\nHost: x\r\nAuthorization: Bearer "
-                            + WholePath.KEY
+                            + SingleDaemonDeployment.KEY
                             + "\r\nContent-Length: "
                             + body.length()
                             + "\r\n\r\n"
@@ -187,9 +187,9 @@
         while (running > 0) {
             running =
                     MAPPER.readTree(
-                                    mPath.send(
+                                    mDeployment.send(
                                                     HttpRequest.newBuilder(
-                                                                    mPath.engine()
+                                                                    mDeployment.engine()
                                                                             .uri()
                                                                             .resolve("/v1/load"))
                                                             .build())
@@ -197,21 +197,21 @@
                             .path("running")
                             .asInt();
         }
-        assertThat(mPath.standIns().witness().generatedTokens()).isLessThan(longAnswer);
+        assertThat(mDeployment.standIns().witness().generatedTokens()).isLessThan(longAnswer);
     }
 
     @Test
-    void plainServiceAnswersAndWhatMayRunOnceIsNotRunWithoutClaims() throws Exception {
+    void nonIdempotentCallIsRefusedWithoutClaims() throws Exception {
         final HttpResponse<String> answer = service("status", "key-1");
         assertThat(answer.statusCode()).isEqualTo(200);
-        assertThat(mPath.standIns().witness().executions("key-1")).isEqualTo(1);
+        assertThat(mDeployment.standIns().witness().executions("key-1")).isEqualTo(1);
         assertRefused(service("payments", "key-2"), 503, "claim-unavailable");
-        assertThat(mPath.standIns().witness().executions("key-2")).isZero();
+        assertThat(mDeployment.standIns().witness().executions("key-2")).isZero();
     }
 
     private HttpResponse<String> service(final String path, final String key) throws Exception {
-        return mPath.send(
-                mPath.request("/v1/services/fees/" + path)
+        return mDeployment.send(
+                mDeployment.request("/v1/services/fees/" + path)
                         .header("Idempotency-Key", key)
                         .POST(HttpRequest.BodyPublishers.ofString("{}"))
                         .build());
@@ -223,11 +223,11 @@
      * any more.
      */
     @Test
-    void gracefulStopCutsNothingAndTakesNothingNew() throws Exception {
+    void gracefulStopFinishesAnswersAndRefusesNewRequests() throws Exception {
         final int tokens = 400;
         final CompletableFuture<HttpResponse<String>> running =
-                CompletableFuture.supplyAsync(() -> quietly(() -> mPath.chat(body(true, tokens))));
-        while (!mPath.get(mPath.daemon().operatorUri().resolve("/operator/status"))
+                CompletableFuture.supplyAsync(() -> unchecked(() -> mDeployment.chat(body(true, tokens))));
+        while (!mDeployment.get(mDeployment.daemon().operatorUri().resolve("/operator/status"))
                 .body()
                 .contains("\"inProgress\":1")) {
             Thread.onSpinWait();
@@ -235,26 +235,26 @@
         final CompletableFuture<String> stop =
                 CompletableFuture.supplyAsync(
                         () ->
-                                quietly(
+                                unchecked(
                                         () -> {
-                                            mPath.daemon().stop();
+                                            mDeployment.daemon().stop();
                                             return "stopped";
                                         }));
-        while (mPath.get(mPath.daemon().operatorUri().resolve("/health/ready")).statusCode()
+        while (mDeployment.get(mDeployment.daemon().operatorUri().resolve("/health/ready")).statusCode()
                 == 200) {
             Thread.onSpinWait();
         }
-        final HttpResponse<String> refused = mPath.chat(body(true, 1));
+        final HttpResponse<String> refused = mDeployment.chat(body(true, 1));
         assertRefused(refused, 503, "stopping");
         assertThat(refused.headers().firstValue("Retry-After")).contains("1");
-        assertThat(mPath.send(mPath.request("/v1/addresses").build()).body())
+        assertThat(mDeployment.send(mDeployment.request("/v1/addresses").build()).body())
                 .startsWith("{\"addresses\":[]");
         assertThat(streamedTokens(running.get().body()))
                 .isEqualTo(ExpectedAnswer.tokens(PROMPT, tokens));
         assertThat(stop.get()).isEqualTo("stopped");
     }
 
-    private static <T> T quietly(final Callable<T> call) {
+    private static <T> T unchecked(final Callable<T> call) {
         try {
             return call.call();
         } catch (final Exception e) {
