--- a/bench/src/main/java/org/whinhead/bench/log/ClaimsRun.java
+++ b/bench/src/main/java/org/whinhead/bench/log/ClaimsRun.java
@@ -91,7 +91,8 @@
         int failed = 0;
         for (int i = 0; i < calls; i++) {
             final long start = System.nanoTime();
-            final int status = deployment.callService(caller % DAEMONS, path, name + "-" + i).statusCode();
+            final int status =
+                    deployment.callService(caller % DAEMONS, path, name + "-" + i).statusCode();
             if (status == OK) {
                 times.recordValue(System.nanoTime() - start);
             } else {
--- a/demo/src/main/java/org/whinhead/demo/Await.java
+++ b/demo/src/main/java/org/whinhead/demo/Await.java
@@ -5,7 +5,7 @@
 import java.util.concurrent.TimeUnit;
 import java.util.concurrent.locks.LockSupport;
 
-/** Waits for what another thread or process brings about, within a bound. */
+/** Polls for a condition that another thread or process fulfills, with a timeout. */
 public final class Await {
 
     private static final long POLL_INTERVAL_NANOS = TimeUnit.MILLISECONDS.toNanos(2);
@@ -15,18 +15,18 @@
     /**
      * Waits until a condition holds.
      *
-     * @param what the condition, for the message
-     * @param bound the longest wait
-     * @param condition asked again and again
-     * @throws Exception if the condition throws it, or does not hold in time
+     * @param description the condition, for the error message
+     * @param timeout the longest wait
+     * @param condition the condition, which is polled
+     * @throws Exception if the condition throws it or does not hold within the timeout
      */
     public static void until(
-            final String what, final Duration bound, final Callable<Boolean> condition)
+            final String description, final Duration timeout, final Callable<Boolean> condition)
             throws Exception {
-        final long end = System.nanoTime() + bound.toNanos();
+        final long deadlineNanos = System.nanoTime() + timeout.toNanos();
         while (!condition.call()) {
-            if (System.nanoTime() > end) {
-                throw new IllegalStateException("not within " + bound + ": " + what);
+            if (System.nanoTime() > deadlineNanos) {
+                throw new IllegalStateException("not within " + timeout + ": " + description);
             }
             LockSupport.parkNanos(POLL_INTERVAL_NANOS);
         }
--- a/demo/src/main/java/org/whinhead/demo/DemoConfig.java
+++ b/demo/src/main/java/org/whinhead/demo/DemoConfig.java
@@ -10,16 +10,16 @@
 import org.whinhead.standins.load.mix.Deployment;
 
 /**
- * What one run of a deployment is made of.
+ * The configuration of one run of a deployment.
  *
- * @param deployment whose callers are played and whose settings are in force
+ * @param deployment the deployment whose callers are simulated and whose settings are in force
  * @param requestsPerSecond rate of the open loop, at least 1
- * @param duration how long requests are started
- * @param notice how long before their end the reclaimed VMs are announced
- * @param seed the seed of requests and of which failure domain is reclaimed
- * @param speedUp how many times as fast as real engines
- * @param callerDeadline how long a caller waits for its whole answer
- * @param recovery what daemons make of the work of failed and leaving engines
+ * @param duration the time during which requests are started
+ * @param notice the time from the reclaim notice to the end of the VMs; zero for no notice
+ * @param seed the seed of the requests and of the choice of the reclaimed failure domain
+ * @param speedUp the factor by which the engines are faster than real ones
+ * @param callerDeadline the longest time that a caller waits for its whole answer
+ * @param recovery the way daemons recover the work of failed and leaving engines
  */
 public record DemoConfig(
         Deployment deployment,
@@ -31,22 +31,22 @@
         Duration callerDeadline,
         RecoveryMode recovery) {
 
-    /** Checks every part. */
+    /** Validates every component. */
     public DemoConfig {
         Objects.requireNonNull(deployment, "deployment");
-        Arguments.requireAtLeast(requestsPerSecond, 1, "perSecond");
+        Arguments.requireAtLeast(requestsPerSecond, 1, "requestsPerSecond");
         Arguments.requirePositive(duration, "duration");
         Objects.requireNonNull(notice, "notice");
         Arguments.requirePositive(callerDeadline, "callerDeadline");
         Objects.requireNonNull(recovery, "recovery");
     }
 
-    /** Returns what stands where. */
+    /** Returns the plan of the VMs and their failure domains. */
     public DeploymentPlan plan() {
         return DeploymentPlan.valueOf(deployment.name());
     }
 
-    /** Returns when the cloud announces the reclaim, counted from the first request. */
+    /** Returns the time from the start of the load to the reclaim notice. */
     public Duration reclaimDelay() {
         return duration.dividedBy(2);
     }
@@ -58,7 +58,7 @@
     }
 
     /**
-     * Makes the usual run of a deployment.
+     * Returns the default configuration of a deployment.
      *
      * @param deployment the deployment
      * @return the configuration
@@ -67,7 +67,7 @@
         return new Builder(deployment).build();
     }
 
-    /** Returns a builder that holds these parts. */
+    /** Returns a builder that is initialized with the values of this configuration. */
     public Builder toBuilder() {
         return new Builder(deployment)
                 .requestsPerSecond(requestsPerSecond)
@@ -94,13 +94,13 @@
             mDeployment = deployment;
         }
 
-        /** Sets the requests a second; 16 by default. */
-        public Builder requestsPerSecond(final int perSecond) {
-            mRequestsPerSecond = perSecond;
+        /** Sets the rate of the open loop in requests a second; 16 by default. */
+        public Builder requestsPerSecond(final int requestsPerSecond) {
+            mRequestsPerSecond = requestsPerSecond;
             return this;
         }
 
-        /** Sets how long requests are started; 22 s by default. */
+        /** Sets the time during which requests are started; 22 s by default. */
         public Builder duration(final Duration duration) {
             mDuration = duration;
             return this;
@@ -118,19 +118,19 @@
             return this;
         }
 
-        /** Sets how many times as fast as real engines; 1 by default. */
+        /** Sets the factor by which the engines are faster than real ones; 1 by default. */
         public Builder speedUp(final double speedUp) {
             mSpeedUp = speedUp;
             return this;
         }
 
-        /** Sets how long a caller waits for its whole answer; 15 s by default. */
+        /** Sets the longest time that a caller waits for its whole answer; 15 s by default. */
         public Builder callerDeadline(final Duration callerDeadline) {
             mCallerDeadline = callerDeadline;
             return this;
         }
 
-        /** Sets what daemons make of lost work; they keep what they can by default. */
+        /** Sets the way daemons recover lost work; by default they keep what they can. */
         public Builder recovery(final RecoveryMode recovery) {
             mRecovery = recovery;
             return this;
--- a/demo/src/main/java/org/whinhead/demo/DemoLogs.java
+++ b/demo/src/main/java/org/whinhead/demo/DemoLogs.java
@@ -1,6 +1,6 @@
 package org.whinhead.demo;
 
-/** Keeps the logs of daemons off standard output, which belongs to results. */
+/** Configures logging so that standard output has only results. */
 public final class DemoLogs {
 
     private static final String PROPERTY = "logback.configurationFile";
@@ -8,7 +8,7 @@
 
     private DemoLogs() {}
 
-    /** Sends warnings to standard error; to be called before the first logger is made. */
+    /** Sends warnings to standard error. Must be called before the first logger is created. */
     public static void toStandardError() {
         if (System.getProperty(PROPERTY) == null) {
             System.setProperty(PROPERTY, SETTINGS);
--- a/demo/src/main/java/org/whinhead/demo/DemoMain.java
+++ b/demo/src/main/java/org/whinhead/demo/DemoMain.java
@@ -9,13 +9,13 @@
 /** The command {@code bin/demo}. */
 public final class DemoMain {
 
-    /** Nothing was lost, doubled or wrong. */
+    /** Exit status if nothing was lost, doubled or wrong. */
     static final int EXIT_PASSED = 0;
 
-    /** Something was lost, doubled or wrong, or nothing was completed. */
+    /** Exit status if something was lost, doubled or wrong, or no request was completed. */
     static final int EXIT_FAILED = 1;
 
-    /** The options are wrong. */
+    /** Exit status if the options are invalid. */
     static final int EXIT_USAGE = 2;
 
     private DemoMain() {}
@@ -24,10 +24,10 @@
      * Runs the command and exits with its status.
      *
      * @param arguments the command line
-     * @throws IOException if a server can not be started
-     * @throws SettingsException if the example settings are wrong
+     * @throws IOException if a server cannot be started
+     * @throws SettingsException if the example settings are invalid
      * @throws InterruptedException if the run is interrupted
-     * @throws ExecutionException if the run fails by a fault of this program
+     * @throws ExecutionException if the run fails because of an internal error
      */
     public static void main(final String[] arguments)
             throws IOException, SettingsException, InterruptedException, ExecutionException {
@@ -38,8 +38,8 @@
     /**
      * Runs the command.
      *
-     * @param out where results go
-     * @param errors where complaints go
+     * @param out the stream for results
+     * @param errors the stream for error messages
      * @param arguments the command line
      * @return the exit status
      */
--- a/demo/src/main/java/org/whinhead/demo/DemoMessages.java
+++ b/demo/src/main/java/org/whinhead/demo/DemoMessages.java
@@ -4,7 +4,7 @@
 import java.util.Locale;
 import java.util.ResourceBundle;
 
-/** Looks up the demo's texts by named key. */
+/** Looks up and formats the demo's messages. */
 final class DemoMessages {
 
     private static final ResourceBundle BUNDLE =
@@ -13,11 +13,11 @@
     private DemoMessages() {}
 
     /**
-     * Formats one text.
+     * Formats a message.
      *
-     * @param key the text's key
-     * @param arguments the values for its places
-     * @return the text
+     * @param key the message's key
+     * @param arguments the values for its placeholders
+     * @return the formatted message
      */
     static String text(final String key, final Object... arguments) {
         return new MessageFormat(BUNDLE.getString(key), Locale.ROOT).format(arguments);
--- a/demo/src/main/java/org/whinhead/demo/DemoOptions.java
+++ b/demo/src/main/java/org/whinhead/demo/DemoOptions.java
@@ -16,8 +16,8 @@
 /**
  * The command line of the demo.
  *
- * @param config what is run
- * @param json whether a JSON object is wanted
+ * @param config the configuration of the run
+ * @param json whether a JSON object is printed as the last line
  */
 record DemoOptions(DemoConfig config, boolean json) {
 
@@ -31,7 +31,7 @@
     private static final int HELP_WIDTH = 100;
 
     /**
-     * Tells whether the help text is asked for, whatever else is given.
+     * Returns whether the help text is requested, regardless of other arguments.
      *
      * @param arguments the command line
      */
@@ -44,20 +44,20 @@
      *
      * @param arguments the command line
      * @return the options
-     * @throws ParseException if it is wrong; the message tells where
+     * @throws ParseException if the command line is invalid; the message names the argument
      */
     static DemoOptions parse(final String... arguments) throws ParseException {
         final CommandLine line = new DefaultParser().parse(options(), arguments);
         if (!line.getArgList().isEmpty()) {
             throw new ParseException(DemoMessages.text("error.stray", line.getArgList().get(0)));
         }
-        final DemoConfig usual = DemoConfig.of(deployment(line));
+        final DemoConfig defaults = DemoConfig.of(deployment(line));
         final DemoConfig config =
-                usual.toBuilder()
-                        .requestsPerSecond(number(line, RATE, 1, usual.requestsPerSecond()))
-                        .duration(seconds(line, SECONDS, 1, usual.duration()))
-                        .notice(seconds(line, NOTICE, 0, usual.notice()))
-                        .seed(number(line, SEED, Integer.MIN_VALUE, (int) usual.seed()))
+                defaults.toBuilder()
+                        .requestsPerSecond(number(line, RATE, 1, defaults.requestsPerSecond()))
+                        .duration(seconds(line, SECONDS, 1, defaults.duration()))
+                        .notice(seconds(line, NOTICE, 0, defaults.notice()))
+                        .seed(number(line, SEED, Integer.MIN_VALUE, (int) defaults.seed()))
                         .build();
         return new DemoOptions(config, line.hasOption(JSON));
     }
@@ -65,11 +65,11 @@
     /** Returns the help text. */
     static String help() {
         final StringBuilder text = new StringBuilder();
-        final TextHelpAppendable target = new TextHelpAppendable(text);
-        target.setMaxWidth(HELP_WIDTH);
+        final TextHelpAppendable output = new TextHelpAppendable(text);
+        output.setMaxWidth(HELP_WIDTH);
         try {
             HelpFormatter.builder()
-                    .setHelpAppendable(target)
+                    .setHelpAppendable(output)
                     .setShowSince(false)
                     .get()
                     .printHelp(
@@ -79,7 +79,7 @@
                             DemoMessages.text("footer"),
                             false);
         } catch (final IOException e) {
-            throw new UncheckedIOException("a text in memory cannot fail", e);
+            throw new UncheckedIOException("cannot write the help text to memory", e);
         }
         return text.toString();
     }
@@ -109,23 +109,26 @@
     }
 
     private static Duration seconds(
-            final CommandLine line, final String name, final int least, final Duration otherwise)
+            final CommandLine line,
+            final String name,
+            final int minimum,
+            final Duration defaultValue)
             throws ParseException {
-        return Duration.ofSeconds(number(line, name, least, (int) otherwise.toSeconds()));
+        return Duration.ofSeconds(number(line, name, minimum, (int) defaultValue.toSeconds()));
     }
 
     private static int number(
-            final CommandLine line, final String name, final int least, final int otherwise)
+            final CommandLine line, final String name, final int minimum, final int defaultValue)
             throws ParseException {
-        final String text = line.getOptionValue(name, Integer.toString(otherwise));
+        final String text = line.getOptionValue(name, Integer.toString(defaultValue));
         try {
             final int number = Integer.parseInt(text);
-            if (number >= least) {
+            if (number >= minimum) {
                 return number;
             }
         } catch (final NumberFormatException e) {
-            // Not a number at all; said below, as for a number that is too small.
+            // Reported below, like a number that is too small.
         }
-        throw new ParseException(DemoMessages.text("error.number", name, least, text));
+        throw new ParseException(DemoMessages.text("error.number", name, minimum, text));
     }
 }
--- a/demo/src/main/java/org/whinhead/demo/DemoReport.java
+++ b/demo/src/main/java/org/whinhead/demo/DemoReport.java
@@ -13,7 +13,7 @@
 import org.whinhead.standins.load.result.LatencyDistribution;
 import org.whinhead.standins.load.result.Outcome;
 
-/** Writes what came of a run as tables for people or as JSON for scripts. */
+/** Formats the result of a run as tables for people or as JSON for scripts. */
 final class DemoReport {
 
     private static final double REPORTED_PERCENTILE = 95;
@@ -27,7 +27,7 @@
         mResult = result;
     }
 
-    /** Returns the tables. */
+    /** Returns the result as tables, separated by empty lines. */
     String table() {
         final List<String> lines = new ArrayList<>();
         lines.add(title());
@@ -44,7 +44,7 @@
         return String.join(System.lineSeparator(), lines);
     }
 
-    /** Returns the JSON object on one line. */
+    /** Returns the result as a JSON object on one line. */
     String json() {
         final ObjectNode root = MAPPER.createObjectNode();
         final DemoConfig config = mResult.config();
@@ -79,7 +79,7 @@
         try {
             return MAPPER.writeValueAsString(root);
         } catch (final JsonProcessingException e) {
-            throw new IllegalStateException("a tree of texts and numbers has no JSON", e);
+            throw new IllegalStateException("cannot write the result as JSON", e);
         }
     }
 
@@ -134,14 +134,14 @@
     }
 
     private List<String> latency(
-            final String key, final Function<LoadPhases.Times, LatencyDistribution> part) {
+            final String key, final Function<LoadPhases.Times, LatencyDistribution> times) {
         final LoadPhases phases = mResult.phases();
         return row(
                 key,
-                oneDecimal(millis(part.apply(phases.before()))),
-                oneDecimal(millis(part.apply(phases.during()))),
-                oneDecimal(millis(part.apply(phases.after()))),
-                oneDecimal(millis(part.apply(phases.whole()))));
+                oneDecimal(millis(times.apply(phases.before()))),
+                oneDecimal(millis(times.apply(phases.during()))),
+                oneDecimal(millis(times.apply(phases.after()))),
+                oneDecimal(millis(times.apply(phases.whole()))));
     }
 
     private List<List<String>> costs() {
--- a/demo/src/main/java/org/whinhead/demo/DemoResult.java
+++ b/demo/src/main/java/org/whinhead/demo/DemoResult.java
@@ -10,17 +10,18 @@
 import org.whinhead.standins.witness.Witness;
 
 /**
- * What came of a run, as its callers and the stand-ins saw it.
+ * The result of a run, as seen by its callers and by the stand-ins.
  *
- * @param config what was run
- * @param phases what the callers saw
- * @param doubled requests that must not be repeated and were run more than once
- * @param notRunButRan requests that were refused as not run, though work was done for them
- * @param unwitnessed completed requests that no stand-in saw run, so that nothing said of them
- *     holds
- * @param recomputedTokens tokens that engines computed again for the same request and position
- * @param generatedTokens tokens that engines generated
- * @param costByRole what the VMs of each role have cost
+ * @param config the configuration of the run
+ * @param phases the callers' results in each phase of the run
+ * @param doubled the number of non-idempotent requests that were run more than once
+ * @param notRunButRan the number of requests that were refused as not run, but were run
+ * @param unwitnessed the number of completed requests that no stand-in saw run; the other counts
+ *     are not valid for them
+ * @param recomputedTokens the number of tokens that engines computed again for the same request and
+ *     position
+ * @param generatedTokens the number of tokens that engines generated
+ * @param costByRole the cost of the VMs of each role
  */
 public record DemoResult(
         DemoConfig config,
@@ -34,7 +35,7 @@
 
     private static final double THOUSAND = 1000;
 
-    /** Checks every part and copies the map. */
+    /** Validates every component and copies the map. */
     public DemoResult {
         Objects.requireNonNull(config, "config");
         Objects.requireNonNull(phases, "phases");
@@ -57,46 +58,52 @@
                 cost);
     }
 
-    /** Returns what the callers saw over the whole run. */
+    /** Returns the callers' results of the whole run. */
     public LoadResult load() {
         return phases.end();
     }
 
-    /** Returns how many accepted requests got no whole answer though one was owed. */
+    /** Returns the number of accepted requests that were owed a whole answer and did not get it. */
     public long lost() {
         return load().count(Outcome.LOST);
     }
 
-    /** Returns how many answers were wrong. */
+    /** Returns the number of wrong answers. */
     public long wrongAnswers() {
         return load().count(Outcome.WRONG);
     }
 
-    /** Returns what all VMs have cost. */
+    /** Returns the cost of all VMs. */
     public double cost() {
         return costByRole.values().stream().mapToDouble(Double::doubleValue).sum();
     }
 
     /**
-     * Returns what a thousand completed requests of each tier cost; the cost of the run is divided
-     * among the tiers by the tokens that reached their callers, a plain call counting as one.
+     * Returns the cost of a thousand completed requests by tier. The cost of the run is divided
+     * among the tiers by the tokens that their callers received; a plain call counts as one.
      */
     public Map<String, Double> costPerThousandByTier() {
-        final double all = deliveredTokens(null);
+        final double allTokens = deliveredTokens(null);
         final Map<String, Double> byTier = new TreeMap<>();
         load().completedByTier()
                 .forEach(
                         (tier, completed) ->
-                                byTier.put(tier, cost() * deliveredTokens(tier) / all * THOUSAND / completed));
+                                byTier.put(
+                                        tier,
+                                        cost()
+                                                * deliveredTokens(tier)
+                                                / allTokens
+                                                * THOUSAND
+                                                / completed));
         return byTier;
     }
 
-    /** Returns what a thousand completed requests cost, of all tiers together. */
+    /** Returns the cost of a thousand completed requests over all tiers. */
     public double costPerThousand() {
         return cost() * THOUSAND / Math.max(1, load().count(Outcome.COMPLETED));
     }
 
-    /** Tells whether nothing was lost, doubled or wrong, and some request was completed. */
+    /** Returns whether nothing was lost, doubled or wrong, and some request was completed. */
     public boolean isGuaranteeKept() {
         return load().isGuaranteeKept() && doubled == 0 && notRunButRan == 0 && unwitnessed == 0;
     }
@@ -109,7 +116,7 @@
                 .sum();
     }
 
-    /** Returns the identity under which engines see a request. */
+    /** Returns the identifier by which engines know a request. */
     static String engineRequestId(final PlannedRequest request) {
         return request.customer().name() + '/' + request.id().value();
     }
@@ -125,8 +132,8 @@
     }
 
     /**
-     * Guards against a judgement of nothing: if endpoints saw requests under other names than are
-     * looked up here, no doubled run would ever be found.
+     * Counts completed requests that no stand-in saw. If endpoints saw requests under other names
+     * than are looked up here, no doubled run would ever be found.
      */
     private static long unwitnessed(final LoadResult load, final Witness witness) {
         return count(load, Outcome.COMPLETED, witness, false);
@@ -143,7 +150,7 @@
                 .count();
     }
 
-    /** Services see the caller's own name as the idempotency key. */
+    /** Returns whether a stand-in ran a request; services use its id as the idempotency key. */
     private static boolean ran(final PlannedRequest request, final Witness witness) {
         return request.kind().style().isPlainService()
                 ? witness.executions(request.id().value()) > 0
--- a/demo/src/main/java/org/whinhead/demo/DemoRun.java
+++ b/demo/src/main/java/org/whinhead/demo/DemoRun.java
@@ -19,7 +19,7 @@
 import org.whinhead.standins.load.caller.CallerConfig;
 import org.whinhead.standins.load.result.LoadResult;
 
-/** Runs one deployment with a reclaim halfway. */
+/** Runs one deployment and reclaims one of its failure domains halfway. */
 public final class DemoRun implements AutoCloseable {
 
     private static final Duration WAVE_SETTLE_TIME = Duration.ofSeconds(3);
@@ -41,12 +41,12 @@
     /**
      * Runs a deployment to its end.
      *
-     * @param config what is run
-     * @return what came of it
-     * @throws IOException if a server can not be started
-     * @throws SettingsException if the example settings are wrong
+     * @param config the configuration of the run
+     * @return the result
+     * @throws IOException if a server cannot be started
+     * @throws SettingsException if the example settings are invalid
      * @throws InterruptedException if the run is interrupted
-     * @throws ExecutionException if the run fails by a fault of this program
+     * @throws ExecutionException if the run fails because of an internal error
      */
     public static DemoResult run(final DemoConfig config)
             throws IOException, SettingsException, InterruptedException, ExecutionException {
@@ -74,7 +74,7 @@
         mEntries.putSettings(settings.documents());
     }
 
-    /** Returns where the platform's services are. */
+    /** Returns the addresses of the platform's services. */
     static PlatformUris platformUris(final DeploymentStandIns standIns) {
         return new PlatformUris(
                 standIns.log().uri(),
@@ -93,19 +93,19 @@
                         .seed(mConfig.seed())
                         .build();
         final CompletableFuture<LoadResult> whole = load.start();
-        final CompletableFuture<LoadResult> before = new CompletableFuture<>();
+        final CompletableFuture<LoadResult> atNotice = new CompletableFuture<>();
         final CompletableFuture<LoadResult> settled = new CompletableFuture<>();
-        final Duration reclaim = mConfig.reclaimDelay();
-        final Duration gone = reclaim.plus(mConfig.notice());
-        schedule(reclaim, () -> reclaim(before, load));
-        schedule(gone.plus(WAVE_SETTLE_TIME), () -> settled.complete(load.currentResult()));
+        final Duration noticeDelay = mConfig.reclaimDelay();
+        final Duration endDelay = noticeDelay.plus(mConfig.notice());
+        schedule(noticeDelay, () -> reclaim(atNotice, load));
+        schedule(endDelay.plus(WAVE_SETTLE_TIME), () -> settled.complete(load.currentResult()));
         final LoadResult end = whole.get();
-        final LoadPhases phases = new LoadPhases(before.get(), settled.get(), end);
+        final LoadPhases phases = new LoadPhases(atNotice.get(), settled.get(), end);
         return DemoResult.of(mConfig, phases, mStandIns);
     }
 
-    private void reclaim(final CompletableFuture<LoadResult> before, final LoadRun load) {
-        before.complete(load.currentResult());
+    private void reclaim(final CompletableFuture<LoadResult> atNotice, final LoadRun load) {
+        atNotice.complete(load.currentResult());
         mStandIns.cloud().reclaim(mConfig.reclaimedDomain(), mConfig.notice());
     }
 
--- a/demo/src/main/java/org/whinhead/demo/EntryVms.java
+++ b/demo/src/main/java/org/whinhead/demo/EntryVms.java
@@ -29,14 +29,14 @@
 import org.whinhead.standins.cloud.VmOrder;
 import org.xnio.XnioWorker;
 
-/** The entry VMs, each with a daemon; a reclaimed one ends without a word. */
+/** The entry VMs, each with one daemon. The daemon of a reclaimed VM is closed at once. */
 final class EntryVms implements CloudActions, AutoCloseable {
 
     private static final String HOST = "127.0.0.1";
     private static final int IO_THREADS = 4;
     private static final int SECRET_BYTES = 32;
     private static final int PORTS_PER_DAEMON = 3;
-    private static final Duration START_BOUND = Duration.ofSeconds(20);
+    private static final Duration START_TIMEOUT = Duration.ofSeconds(20);
     private static final long POLL_INTERVAL_NANOS = TimeUnit.MILLISECONDS.toNanos(10);
 
     private final Map<String, Daemon> mDaemons = new ConcurrentSkipListMap<>();
@@ -45,10 +45,10 @@
     private final DaemonOptions mOptions;
 
     /**
-     * Makes VMs without daemons.
+     * Creates the VMs without daemons.
      *
-     * @param recovery what daemons make of the work of failed and leaving engines
-     * @throws IOException if the IO threads can not be started
+     * @param recovery the way daemons recover the work of failed and leaving engines
+     * @throws IOException if the IO threads cannot be started
      */
     EntryVms(final RecoveryMode recovery) throws IOException {
         mWorker = WorkerPool.start("entry", IO_THREADS);
@@ -63,8 +63,8 @@
     /**
      * Starts a daemon on a VM.
      *
-     * @param example its settings but for the addresses
-     * @param platform where the platform's services are
+     * @param example the daemon's settings, whose addresses are replaced
+     * @param platform the addresses of the platform's services
      * @return the address that callers connect to
      */
     URI start(final DaemonSettings example, final PlatformUris platform) throws IOException {
@@ -87,10 +87,10 @@
     }
 
     /**
-     * Puts documents through one daemon and waits until every daemon goes by them and can serve.
+     * Puts documents through one daemon and waits until every daemon applies them and is ready.
      *
      * @param documents the documents, in an order in which they can be put
-     * @throws IOException if a change is refused, or a daemon is not ready in time
+     * @throws IOException if a change is refused or a daemon is not ready within 20 s
      * @throws InterruptedException if the thread is interrupted while it waits
      */
     void putSettings(final List<DocumentList.Entry> documents)
@@ -103,34 +103,36 @@
         }
         final long revision = last;
         for (final URI daemon : all) {
-            await(daemon, one -> mOperator.settingsRevision(one) >= revision && mOperator.isReady(one));
+            await(
+                    daemon,
+                    uri -> mOperator.settingsRevision(uri) >= revision && mOperator.isReady(uri));
         }
     }
 
-    private static void await(final URI daemon, final DaemonCondition question)
+    private static void await(final URI daemon, final DaemonCondition condition)
             throws IOException, InterruptedException {
-        final long end = System.nanoTime() + START_BOUND.toNanos();
-        while (!question.isMet(daemon)) {
-            if (System.nanoTime() > end) {
+        final long deadlineNanos = System.nanoTime() + START_TIMEOUT.toNanos();
+        while (!condition.isMet(daemon)) {
+            if (System.nanoTime() > deadlineNanos) {
                 throw new IOException(daemon + " is not ready in time");
             }
             LockSupport.parkNanos(POLL_INTERVAL_NANOS);
         }
     }
 
-    /** Something that is asked of a daemon until the answer is yes. */
+    /** A condition of a daemon that is polled until it is met. */
     private interface DaemonCondition {
         boolean isMet(URI daemon) throws IOException, InterruptedException;
     }
 
     @Override
     public void onStarted(final String vm, final VmOrder order) {
-        // Replacements would start with settings of their own; the demo orders none.
+        // The demo orders no replacement VMs, which would need settings of their own.
     }
 
     @Override
     public void onNotice(final String vm, final Instant goneBy) {
-        // The daemon learns it from the cloud.
+        // The daemon receives the notice from the cloud.
     }
 
     @Override
@@ -148,8 +150,8 @@
     }
 
     /**
-     * Finds ports that nobody listens on. They have to be known before the daemon starts, as it
-     * tells them to callers and peers.
+     * Returns addresses with free ports. The ports must be known before the daemon starts, as the
+     * daemon publishes them to callers and peers.
      */
     private static List<HostPort> freeAddresses() throws IOException {
         final List<ServerSocket> sockets = new ArrayList<>();
--- a/demo/src/main/java/org/whinhead/demo/ExampleSettings.java
+++ b/demo/src/main/java/org/whinhead/demo/ExampleSettings.java
@@ -12,7 +12,7 @@
 import org.whinhead.settings.deployment.DocumentList;
 import org.whinhead.standins.load.mix.Deployment;
 
-/** Reads the settings of the example deployments, which are built into this program. */
+/** Reads the settings of the example deployments from the class path. */
 final class ExampleSettings {
 
     private static final int DAEMON_COUNT = 8;
@@ -20,15 +20,15 @@
     private final String mRoot;
 
     /**
-     * Names the settings.
+     * Creates a reader of the settings of one deployment.
      *
-     * @param deployment whose settings are read
+     * @param deployment the deployment whose settings are read
      */
     ExampleSettings(final Deployment deployment) {
         mRoot = "/examples/" + deployment.workload().name() + '/';
     }
 
-    /** Returns the settings of each daemon, with the addresses of the example. */
+    /** Returns the settings of each daemon, with the addresses from the example. */
     List<DaemonSettings> daemons() throws IOException, SettingsException {
         final List<DaemonSettings> daemons = new ArrayList<>();
         for (int number = 1; number <= DAEMON_COUNT; number++) {
--- a/demo/src/main/java/org/whinhead/demo/LoadPhases.java
+++ b/demo/src/main/java/org/whinhead/demo/LoadPhases.java
@@ -4,20 +4,20 @@
 import org.whinhead.standins.load.result.LoadResult;
 
 /**
- * What callers saw in each part of a run: until the notice, until the wave has settled, and until
- * the end.
+ * The callers' results in each phase of a run: until the reclaim notice, until the wave has
+ * settled, and until the end.
  *
- * @param atNotice all that was seen when the reclaim was announced
- * @param settled all that was seen when the wave had settled
- * @param end all that was seen
+ * @param atNotice the results from the start to the reclaim notice
+ * @param settled the results from the start until the wave had settled
+ * @param end the results of the whole run
  */
 public record LoadPhases(LoadResult atNotice, LoadResult settled, LoadResult end) {
 
     /**
-     * The times of one part of a run.
+     * The latencies of one phase of a run.
      *
-     * @param firstToken times to the first token, of requests that ended in this part
-     * @param betweenTokens times between two tokens
+     * @param firstToken the times to the first token of requests that ended in this phase
+     * @param betweenTokens the times between two tokens
      */
     public record Times(LatencyDistribution firstToken, LatencyDistribution betweenTokens) {
 
@@ -32,22 +32,22 @@
         }
     }
 
-    /** Returns the times until the notice. */
+    /** Returns the latencies before the reclaim notice. */
     public Times before() {
         return Times.of(atNotice);
     }
 
-    /** Returns the times from the notice until the wave had settled. */
+    /** Returns the latencies from the reclaim notice until the wave had settled. */
     public Times during() {
         return Times.of(settled).since(Times.of(atNotice));
     }
 
-    /** Returns the times after the wave had settled. */
+    /** Returns the latencies after the wave had settled. */
     public Times after() {
         return Times.of(end).since(Times.of(settled));
     }
 
-    /** Returns the times of the whole run. */
+    /** Returns the latencies of the whole run. */
     public Times whole() {
         return Times.of(end);
     }
--- a/demo/src/main/java/org/whinhead/demo/LocalDeployment.java
+++ b/demo/src/main/java/org/whinhead/demo/LocalDeployment.java
@@ -37,10 +37,10 @@
 import org.whinhead.standins.vms.VmListStandIn;
 import org.xnio.XnioWorker;
 
-/** Some daemons, a log, a VM list and a plain service in one process, and clients of them. */
+/** Runs daemons, a log, a VM list and a plain service in one process, with clients of each. */
 public final class LocalDeployment implements AutoCloseable {
 
-    /** The customer's and the operator's key. */
+    /** The API key of the customer and of the operator. */
     public static final String KEY = "key-of-the-clinic";
 
     private static final ObjectMapper MAPPER = new ObjectMapper();
@@ -69,12 +69,12 @@
     private final HttpClient mClient = HttpClient.newHttpClient();
 
     /**
-     * Starts a deployment without daemons.
+     * Creates a deployment without daemons.
      *
      * @param log the log's settings
-     * @param terms the bounds of the daemons' log duty
+     * @param logSettings the settings of the daemons' log service
      */
-    public LocalDeployment(final LogConfig log, final LogServiceSettings terms) {
+    public LocalDeployment(final LogConfig log, final LogServiceSettings logSettings) {
         mLog = LogStandIn.start(log, mStandIns);
         mService =
                 ServiceStandIn.start(ServiceConfig.of("filing", Duration.ofMillis(1)), mStandIns);
@@ -92,13 +92,13 @@
                         "filing",
                         true,
                         64));
-        mLogSettings = terms;
+        mLogSettings = logSettings;
     }
 
     /**
-     * Starts one more daemon.
+     * Starts another daemon.
      *
-     * @return its number, from 0
+     * @return the number of the daemon, from 0
      * @throws IOException if its IO threads cannot be started
      */
     public int startDaemon() throws IOException {
@@ -125,26 +125,26 @@
     }
 
     /**
-     * Ends a daemon's input and output at once, as when its VM is gone. Its other threads are left
-     * with nothing to do until the process ends, as it cannot be closed without its IO threads.
+     * Ends a daemon's input and output at once, like the loss of its VM. The daemon's other threads
+     * stay idle until the process ends, as the daemon cannot be closed without its IO threads.
      */
     public void crash(final int daemon) {
         mWorkers.get(daemon).shutdownNow();
         mStopped.add(daemon);
     }
 
-    /** Stops a daemon at once, with its duties given up. */
+    /** Closes a daemon at once; the daemon gives up its duties. */
     public void stop(final int daemon) {
         mDaemons.get(daemon).close();
         mStopped.add(daemon);
     }
 
-    /** Returns the plain service's own address. */
+    /** Returns the plain service's address, without a daemon in front of it. */
     public URI serviceUri() {
         return mService.uri();
     }
 
-    /** Returns how many daemons were started. */
+    /** Returns the number of daemons that were started. */
     public int daemonCount() {
         return mDaemons.size();
     }
@@ -155,9 +155,9 @@
     }
 
     /**
-     * Puts the documents that serving needs, and waits until every daemon can serve.
+     * Puts the documents that are needed for serving and waits until every daemon is ready.
      *
-     * @throws Exception if that fails
+     * @throws Exception if a change is refused or a daemon is not ready within 30 s
      */
     public void loadSettings() throws Exception {
         awaitLog(0);
@@ -170,9 +170,9 @@
     }
 
     /**
-     * Returns the document of a customer.
+     * Returns the settings document of a customer.
      *
-     * @param key its key
+     * @param key the customer's API key
      * @return the document
      */
     public static String customerDocument(final String key) {
@@ -180,13 +180,14 @@
     }
 
     private void createDocument(final String path, final String document) throws Exception {
-        final HttpResponse<String> answer = putDocument(0, "load " + path, path, NO_REVISION, document);
+        final HttpResponse<String> answer =
+                putDocument(0, "load " + path, path, NO_REVISION, document);
         if (answer.statusCode() != 200) {
             throw new IllegalStateException(path + ": " + answer.body());
         }
     }
 
-    /** Waits until a daemon follows the log. */
+    /** Waits until a daemon has caught up with the log and the log answers it. */
     public void awaitLog(final int daemon) throws Exception {
         Await.until(
                 "daemon " + daemon + " follows the log",
@@ -196,7 +197,7 @@
                                 && status(daemon).at("/log/answering").asBoolean());
     }
 
-    /** Waits until a daemon can serve. */
+    /** Waits until a daemon is ready to serve. */
     public void awaitReady(final int daemon) throws Exception {
         Await.until(
                 "daemon " + daemon + " is ready",
@@ -204,40 +205,40 @@
                 () -> operatorGet(daemon, "/health/ready").statusCode() == 200);
     }
 
-    /** Waits until a daemon goes by a revision. */
+    /** Waits until a daemon applies a settings revision. */
     public void awaitRevision(final int daemon, final long revision) throws Exception {
         Await.until(
-                "daemon " + daemon + " goes by " + revision,
+                "daemon " + daemon + " applies revision " + revision,
                 TIMEOUT,
                 () -> status(daemon).path("settingsRevision").asLong() >= revision);
     }
 
-    /** Returns a daemon's status as it tells its operators. */
+    /** Returns the status that a daemon reports to operators. */
     public JsonNode status(final int daemon) throws Exception {
         return MAPPER.readTree(operatorGet(daemon, "/operator/status").body());
     }
 
-    /** Asks a daemon's operator address. */
+    /** Sends a GET request to a daemon's operator address. */
     public HttpResponse<String> operatorGet(final int daemon, final String path) throws Exception {
         return send(HttpRequest.newBuilder(mDaemons.get(daemon).operatorUri().resolve(path)));
     }
 
-    /** Asks a daemon for the document at a path. */
+    /** Returns the settings that a daemon has at a path. */
     public JsonNode settings(final int daemon, final String path) throws Exception {
         final String query = URLEncoder.encode(path, StandardCharsets.UTF_8);
         return MAPPER.readTree(operatorGet(daemon, "/operator/settings?path=" + query).body());
     }
 
     /**
-     * Asks a daemon for a change.
+     * Puts a settings document through a daemon.
      *
      * @param daemon the daemon
-     * @param changeId the change's name
-     * @param path the path
-     * @param base the revision that it replaces
-     * @param document the new document; apostrophes stand for quotation marks
+     * @param changeId the identifier of the change, which a repeated change has again
+     * @param path the path of the document
+     * @param base the revision that the document replaces, or -1 for a new document
+     * @param document the new document; apostrophes are replaced by quotation marks
      * @return the answer
-     * @throws Exception if there is none
+     * @throws Exception if no answer arrives within 30 s
      */
     public HttpResponse<String> putDocument(
             final int daemon,
@@ -257,26 +258,27 @@
     }
 
     /**
-     * Calls the plain service through a daemon; what is below {@code claims} may run once only.
+     * Calls the plain service through a daemon. Paths below {@code claims} are not idempotent.
      *
      * @param daemon the daemon
-     * @param path the path
+     * @param path the path below the service
      * @param key the idempotency key
      * @return the answer
-     * @throws Exception if there is none
+     * @throws Exception if no answer arrives within 30 s
      */
     public HttpResponse<String> callService(final int daemon, final String path, final String key)
             throws Exception {
         return send(serviceRequest(daemon, path, key));
     }
 
-    /** Calls the plain service again, as a caller that has no answer to its first submission. */
-    public HttpResponse<String> repeatServiceCall(final int daemon, final String path, final String key)
-            throws Exception {
+    /** Repeats a service call, like a caller that got no answer to its first submission. */
+    public HttpResponse<String> repeatServiceCall(
+            final int daemon, final String path, final String key) throws Exception {
         return send(serviceRequest(daemon, path, key).header("X-Whinhead-Repeat", "true"));
     }
 
-    private HttpRequest.Builder serviceRequest(final int daemon, final String path, final String key) {
+    private HttpRequest.Builder serviceRequest(
+            final int daemon, final String path, final String key) {
         final URI service = mDaemons.get(daemon).callerUri().resolve("/v1/services/filing/");
         return HttpRequest.newBuilder(service.resolve(path))
                 .header("Idempotency-Key", key)
@@ -289,17 +291,17 @@
                 HttpResponse.BodyHandlers.ofString());
     }
 
-    /** Asks the log itself and returns the answer's status. */
+    /** Sends a GET request to the log and returns the HTTP status. */
     public int logStatus(final String path) throws Exception {
         return send(HttpRequest.newBuilder(mLog.uri().resolve(path))).statusCode();
     }
 
-    /** Returns the log. */
+    /** Returns the log stand-in. */
     public LogStandIn log() {
         return mLog;
     }
 
-    /** Returns how often the plain service ran the calls of a key. */
+    /** Returns the number of times that the plain service ran the calls of an idempotency key. */
     public int executionCount(final String key) {
         return mStandIns.witness().executions(key);
     }
--- a/demo/src/main/java/org/whinhead/demo/OperatorClient.java
+++ b/demo/src/main/java/org/whinhead/demo/OperatorClient.java
@@ -13,7 +13,7 @@
 import java.time.Duration;
 import org.whinhead.settings.deployment.DocumentList;
 
-/** Asks daemons what an operator would ask them. */
+/** Client of the daemons' operator interface. */
 final class OperatorClient {
 
     private static final String KEY = "example-operator-key-on-call";
@@ -24,26 +24,26 @@
     private final ObjectMapper mMapper = new ObjectMapper();
     private final HttpClient mClient = HttpClient.newHttpClient();
 
-    /** Tells whether a daemon can serve callers. */
+    /** Returns whether a daemon is ready to serve callers. */
     boolean isReady(final URI daemon) throws IOException, InterruptedException {
         return send(daemon, "/health/ready", HttpRequest.newBuilder()).statusCode() == OK;
     }
 
-    /** Tells whether a daemon has read the log to its end and is answered by it. */
+    /** Returns whether a daemon has caught up with the log and the log answers it. */
     boolean isFollowingLog(final URI daemon) throws IOException, InterruptedException {
         final JsonNode status = status(daemon);
         return status.at("/log/caughtUp").asBoolean() && status.at("/log/answering").asBoolean();
     }
 
-    /** Returns the revision of the last change that a daemon has put in force. */
+    /** Returns the settings revision that a daemon has in force. */
     long settingsRevision(final URI daemon) throws IOException, InterruptedException {
         return status(daemon).path("settingsRevision").asLong();
     }
 
     /**
-     * Puts a document where none has been.
+     * Creates a document at a path that has none.
      *
-     * @return the revision
+     * @return the revision of the change
      * @throws IOException if the change is refused or not answered
      */
     long putDocument(final URI daemon, final DocumentList.Entry entry)
--- a/demo/src/main/java/org/whinhead/demo/package-info.java
+++ b/demo/src/main/java/org/whinhead/demo/package-info.java
@@ -1,2 +1,2 @@
-/** One deployment in one process, with a reclaim halfway. */
+/** Runs one deployment in one process and reclaims a failure domain halfway. */
 package org.whinhead.demo;
--- a/demo/src/test/java/org/whinhead/demo/BurnReportTest.java
+++ b/demo/src/test/java/org/whinhead/demo/BurnReportTest.java
@@ -20,19 +20,19 @@
     private static final int LONG_ANSWER = 1_000_000;
 
     /**
-     * One clerk gets an answer, one names a model that is not there, one closes the page after the
-     * first bytes. The report has the answer, and neither the typing error nor the closed page
-     * counts against the tier.
+     * Guards against counting callers' own errors against the tier: of a completed request, a
+     * request for an unknown model and a request whose caller disconnects after the first bytes,
+     * the report must count only the first toward the objective.
      */
     @Test
     void reportCountsEachEndedRequestOnce() throws Exception {
-        try (SingleDaemonDeployment path = new SingleDaemonDeployment(20)) {
-            assertThat(path.chat(body("summary", TOKENS)).statusCode()).isEqualTo(200);
-            assertThat(path.chat(body("other", TOKENS)).statusCode()).isEqualTo(404);
-            closeConnectionEarly(path);
+        try (SingleDaemonDeployment deployment = new SingleDaemonDeployment(20)) {
+            assertThat(deployment.chat(body("summary", TOKENS)).statusCode()).isEqualTo(200);
+            assertThat(deployment.chat(body("other", TOKENS)).statusCode()).isEqualTo(404);
+            closeConnectionEarly(deployment);
             Counts counts = Counts.NONE;
             while (counts.firstTokens() < 2) {
-                counts = counts(path);
+                counts = counts(deployment);
             }
             assertThat(counts.counted()).isEqualTo(1);
             assertThat(counts.good()).isEqualTo(1);
@@ -40,9 +40,9 @@
         }
     }
 
-    private static Counts counts(final SingleDaemonDeployment path) throws Exception {
+    private static Counts counts(final SingleDaemonDeployment deployment) throws Exception {
         final HttpResponse<String> response =
-                path.get(path.daemon().operatorUri().resolve("/operator/burn"));
+                deployment.get(deployment.daemon().operatorUri().resolve("/operator/burn"));
         assertThat(response.statusCode()).isEqualTo(200);
         final DaemonReport report =
                 DaemonReportJson.read(new ObjectMapper().readTree(response.body()));
@@ -55,17 +55,19 @@
 
     @Test
     void reportRequiresOperatorKey() throws Exception {
-        try (SingleDaemonDeployment path = new SingleDaemonDeployment(20)) {
+        try (SingleDaemonDeployment deployment = new SingleDaemonDeployment(20)) {
             final HttpRequest request =
-                    HttpRequest.newBuilder(path.daemon().operatorUri().resolve("/operator/burn"))
+                    HttpRequest.newBuilder(
+                                    deployment.daemon().operatorUri().resolve("/operator/burn"))
                             .build();
-            assertThat(path.send(request).statusCode()).isEqualTo(401);
+            assertThat(deployment.send(request).statusCode()).isEqualTo(401);
         }
     }
 
-    private static void closeConnectionEarly(final SingleDaemonDeployment path) throws Exception {
+    private static void closeConnectionEarly(final SingleDaemonDeployment deployment)
+            throws Exception {
         final String body = body("summary", LONG_ANSWER);
-        try (Socket socket = new Socket(path.uri().getHost(), path.uri().getPort())) {
+        try (Socket socket = new Socket(deployment.uri().getHost(), deployment.uri().getPort())) {
             final String request =
                     "POST /v1/chat/completions HTTP/1.1\r\nHost: x\r\nAuthorization: Bearer "
                             + SingleDaemonDeployment.KEY
--- a/demo/src/test/java/org/whinhead/demo/DemoRunTest.java
+++ b/demo/src/test/java/org/whinhead/demo/DemoRunTest.java
@@ -17,9 +17,8 @@
 class DemoRunTest {
 
     /**
-     * Callers see an answer break off, come twice or belong to someone else after their zone is
-     * taken back: daemons and engines of one failure domain vanish together, a second after the
-     * notice, while answers are being made there.
+     * Guards against cut, repeated or mixed-up answers when a failure domain is reclaimed: its
+     * daemons and engines end together, a second after the notice, while they generate answers.
      */
     @ParameterizedTest
     @EnumSource(Deployment.class)
--- a/demo/src/test/java/org/whinhead/demo/LostDaemonsTest.java
+++ b/demo/src/test/java/org/whinhead/demo/LostDaemonsTest.java
@@ -22,9 +22,10 @@
 class LostDaemonsTest {
 
     /**
-     * Half of the daemons end with answers in progress, and the engines live. Callers come back
-     * elsewhere with tickets, and would wait for prompts to be computed again if the streams that
-     * the tickets name were gone, for example cancelled by the daemons that closed.
+     * Guards against recomputed prompts after half of the daemons end with answers in progress
+     * while the engines keep running. Callers resume at other daemons with tickets; prompts are
+     * computed again if the streams named by the tickets are gone, for example canceled by the
+     * daemons that closed.
      */
     @Test
     void streamsOfLostDaemonsAreReadOnElsewhere() throws Exception {
--- a/demo/src/test/java/org/whinhead/demo/MetricsPageTest.java
+++ b/demo/src/test/java/org/whinhead/demo/MetricsPageTest.java
@@ -17,13 +17,12 @@
     private static final Pattern SERVED = Pattern.compile("(?m)^# TYPE (whinhead_\\w+)");
     private static final Pattern DESCRIBED = Pattern.compile("(?m)^\\| `(whinhead_\\w+)`");
 
-    /**
-     * Someone on call looks a metric up that the page does not have, or waits for one that went.
-     */
+    /** Guards against metrics that are served but not documented, or documented but not served. */
     @Test
     void pageListsExactlyTheMetricsOfDaemon() throws Exception {
-        try (SingleDaemonDeployment path = new SingleDaemonDeployment(20)) {
-            final String served = path.get(path.daemon().operatorUri().resolve("/metrics")).body();
+        try (SingleDaemonDeployment deployment = new SingleDaemonDeployment(20)) {
+            final String served =
+                    deployment.get(deployment.daemon().operatorUri().resolve("/metrics")).body();
             assertThat(names(SERVED, served))
                     .isNotEmpty()
                     .containsExactlyInAnyOrderElementsOf(names(DESCRIBED, Files.readString(PAGE)));
--- a/demo/src/test/java/org/whinhead/demo/PeerDeployment.java
+++ b/demo/src/test/java/org/whinhead/demo/PeerDeployment.java
@@ -40,7 +40,7 @@
 import org.whinhead.standins.vms.VmListStandIn;
 import org.xnio.XnioWorker;
 
-/** Daemons that know each other by seeds; only the first one hears the cloud's notices. */
+/** Runs daemons that find each other by seeds; only the first one receives the cloud's notices. */
 final class PeerDeployment implements AutoCloseable {
 
     static final Duration TIMEOUT = Duration.ofSeconds(30);
@@ -72,7 +72,7 @@
     private final HttpClient mClient = HttpClient.newHttpClient();
     private final List<Daemon> mDaemons = new ArrayList<>();
 
-    /** Starts the platform with two endpoints of one service. */
+    /** Creates the platform with two endpoints of one service. */
     PeerDeployment() throws Exception {
         mWorker = WorkerPool.start("peers", 2);
         for (int i = 0; i < 2; i++) {
@@ -118,7 +118,7 @@
         return new VmOrder("adopted", DOMAIN, "small", Billing.RECLAIMABLE, role);
     }
 
-    /** Starts daemons and waits until each names all to its callers. */
+    /** Starts daemons and waits until each one lists all of them for callers. */
     void startDaemons(final int count) throws Exception {
         for (int i = 0; i < count; i++) {
             startDaemon(Optional.empty());
@@ -128,7 +128,7 @@
         }
     }
 
-    /** Starts a daemon on a listed VM, with those before it as seeds. */
+    /** Starts a daemon on a listed VM, with the earlier daemons as seeds. */
     int startDaemon(final Optional<TlsFiles> tls) throws Exception {
         final int number = mDaemons.size();
         mVms.seed(vm(daemonVm(number), VmEntry.Role.ENTRY, publicUri(number), ""));
@@ -142,7 +142,9 @@
                                 .domain(DOMAIN)
                                 .listen(new ListenAddresses(free, free, free))
                                 .publicUri(publicUri(number))
-                                .platform(new PlatformUris(UNREACHABLE, mVms.uri(), cloud, UNREACHABLE))
+                                .platform(
+                                        new PlatformUris(
+                                                UNREACHABLE, mVms.uri(), cloud, UNREACHABLE))
                                 .seeds(mDaemons.stream().map(Daemon::peerAddress).toList())
                                 .tls(tls)
                                 .operators(
@@ -165,11 +167,12 @@
                 DocumentPath.parse(entry.getKey()), entry.getValue().replace('\'', '"'), 0);
     }
 
-    static void await(final String what, final Callable<Boolean> condition) throws Exception {
-        final long end = System.nanoTime() + TIMEOUT.toNanos();
+    static void await(final String description, final Callable<Boolean> condition)
+            throws Exception {
+        final long deadlineNanos = System.nanoTime() + TIMEOUT.toNanos();
         while (!condition.call()) {
-            if (System.nanoTime() > end) {
-                throw new IllegalStateException("not within " + TIMEOUT + ": " + what);
+            if (System.nanoTime() > deadlineNanos) {
+                throw new IllegalStateException("not within " + TIMEOUT + ": " + description);
             }
             Thread.onSpinWait();
         }
@@ -177,7 +180,7 @@
 
     void awaitAddresses(final int daemon, final int count) throws Exception {
         await(
-                "daemon " + daemon + " names " + count + " addresses",
+                "daemon " + daemon + " lists " + count + " addresses",
                 () -> addresses(daemon).size() == count);
     }
 
@@ -189,17 +192,19 @@
         return get(mDaemons.get(daemon).operatorUri().resolve("/metrics")).body();
     }
 
-    /** Returns the daemons that are said to hold a revision, or those that are not. */
-    List<String> daemonsByRevision(final int daemon, final long revision, final String list)
+    /**
+     * Returns the daemons that confirm a revision or, for the field "missing", those that do not.
+     */
+    List<String> daemonsByRevision(final int daemon, final long revision, final String field)
             throws Exception {
         final String path = "/operator/settings/inforce?revision=" + revision;
         final HttpResponse<String> answer = get(mDaemons.get(daemon).operatorUri().resolve(path));
         final List<String> names = new ArrayList<>();
-        MAPPER.readTree(answer.body()).path(list).forEach(name -> names.add(name.asText()));
+        MAPPER.readTree(answer.body()).path(field).forEach(name -> names.add(name.asText()));
         return names;
     }
 
-    /** Returns the addresses that a daemon tells callers. */
+    /** Returns the addresses that a daemon lists for callers. */
     List<URI> addresses(final int daemon) throws Exception {
         final HttpResponse<String> answer =
                 get(mDaemons.get(daemon).callerUri().resolve("/v1/addresses"));
@@ -210,7 +215,7 @@
         return addresses;
     }
 
-    /** Calls the service through a daemon and returns the endpoint that ran the call. */
+    /** Calls the service through a daemon and returns the number of the endpoint that ran it. */
     int callService(final int daemon) throws Exception {
         final String key = UUID.randomUUID().toString();
         final URI uri = mDaemons.get(daemon).callerUri().resolve("/v1/services/fees/status");
@@ -257,7 +262,7 @@
         mWorker.shutdown();
     }
 
-    /** Notices are all that is asked of the cloud. */
+    /** Ignores all events, as the tests use only the notices of the cloud. */
     private static final class NoActions implements CloudActions {
         @Override
         public void onStarted(final String vm, final VmOrder order) {}
--- a/demo/src/test/java/org/whinhead/demo/PeerDeploymentTest.java
+++ b/demo/src/test/java/org/whinhead/demo/PeerDeploymentTest.java
@@ -47,22 +47,23 @@
     }
 
     /**
-     * A clerk's call is cut because it went to a VM that was already being taken back. One daemon
-     * of three hears the notice, the VM list is stuck and calls the VM live, and the other two go
-     * on sending work there, unless the first tells them.
+     * Guards against calls to a VM that is being reclaimed. Only one of three daemons receives the
+     * notice, and the VM list is stale and has the VM as live: the other two daemons send it work
+     * unless the first one shares the notice.
      */
     @Test
     void noticeReceivedByOneDaemonExcludesVmOnAll() throws Exception {
         mDeployment.startDaemons(DAEMONS);
         for (int daemon = 0; daemon < DAEMONS; daemon++) {
-            final int asked = daemon;
-            PeerDeployment.await("both get work", () -> mDeployment.callService(asked) == 0);
+            final int current = daemon;
+            PeerDeployment.await(
+                    "endpoint 0 gets work", () -> mDeployment.callService(current) == 0);
         }
         mDeployment.vms().freeze(true);
         mDeployment.cloud().reclaim(PeerDeployment.endpointVm(0), NOTICE);
         for (int daemon = 0; daemon < DAEMONS; daemon++) {
-            final int asked = daemon;
-            PeerDeployment.await(daemon + " avoids the VM", () -> avoids(asked, 0));
+            final int current = daemon;
+            PeerDeployment.await("daemon " + daemon + " avoids the VM", () -> avoids(current, 0));
         }
         for (int daemon = 0; daemon < DAEMONS; daemon++) {
             assertThat(avoids(daemon, 0)).as("daemon " + daemon).isTrue();
@@ -70,9 +71,9 @@
     }
 
     /**
-     * A caller asks for addresses and gets one that is taken back seconds later. The VM of one
-     * daemon is announced to another one only, and the stuck list calls it live: no daemon may name
-     * it any more, and the one that stands on it must itself stop gracefully.
+     * Guards against listing a daemon whose VM is being reclaimed. Only another daemon receives the
+     * notice, and the stale VM list has the VM as live: no daemon may list the address any more,
+     * and the daemon on that VM must stop gracefully.
      */
     @Test
     void leavingDaemonIsNotListedForCallers() throws Exception {
@@ -91,8 +92,8 @@
     }
 
     /**
-     * An operator stops a daemon. It says goodbye, so callers that ask the others afterwards are
-     * not sent to an address where nobody listens.
+     * Guards against listing the address of a stopped daemon: the daemon announces to its peers
+     * that it leaves, so that they do not send callers to a closed port.
      */
     @Test
     void stoppedDaemonIsRemovedFromAddressesOfOthers() throws Exception {
@@ -106,8 +107,8 @@
     }
 
     /**
-     * A daemon's VM loses its power. Nobody hears a goodbye, and the VM list is stuck: its silence
-     * alone must take it off the others' lists.
+     * Guards against listing the address of a failed daemon: it did not announce that it leaves,
+     * and the VM list is stale, so the other daemons must remove it by failure detection alone.
      */
     @Test
     void killedDaemonIsRemovedAfterSuspicion() throws Exception {
@@ -122,9 +123,9 @@
     }
 
     /**
-     * An operator asks one daemon whether a change is in force everywhere. Here no log answers, so
-     * each daemon stands at the log's beginning; one of them was killed just now, is still on the
-     * list, and cannot confirm anything.
+     * Guards against reporting a change as in force on a daemon that did not confirm it. No log
+     * answers here, so each daemon is at the log's beginning; a daemon that was killed just now is
+     * still listed and must be reported as missing.
      */
     @Test
     void revisionInForceIsQueriedFromAllDaemons() throws Exception {
@@ -140,8 +141,8 @@
     }
 
     /**
-     * A process of another deployment calls in with a certificate of its own authority. It must not
-     * join, or callers would be sent to it; operators see that somebody tried.
+     * Guards against a process of another deployment that connects with a certificate of another
+     * authority. It must not join, or callers would be sent to it, and a metric must count the try.
      */
     @Test
     void daemonOfOtherAuthorityIsRefusedAndCounted() throws Exception {
@@ -152,7 +153,7 @@
         mDeployment.awaitAddresses(0, 2);
         mDeployment.awaitAddresses(1, 2);
         PeerDeployment.await(
-                "the stranger is counted",
+                "the refused connection is counted",
                 () -> !mDeployment.metrics(0).contains("whinhead_peers_refused_connections 0.0"));
         assertThat(mDeployment.addresses(1))
                 .containsExactlyInAnyOrder(
--- a/demo/src/test/java/org/whinhead/demo/ReclaimedDaemonTest.java
+++ b/demo/src/test/java/org/whinhead/demo/ReclaimedDaemonTest.java
@@ -32,9 +32,9 @@
     }
 
     /**
-     * A caller's answer is cut when its daemon's VM disappears, though the VM was announced: the
-     * daemon heard of leaving endpoints only, went on taking requests and sent nobody away. A
-     * notice of its own VM must stop it: no new work, and its address is told no more.
+     * Guards against answers that are cut when a daemon's VM ends after a notice. A daemon that
+     * handles only notices of endpoints continues to accept requests; a notice of the daemon's own
+     * VM must make it refuse new work and remove its address from the list.
      */
     @Test
     void daemonStopsWhenItsOwnVmIsAnnounced() throws Exception {
--- a/demo/src/test/java/org/whinhead/demo/SharedStateTest.java
+++ b/demo/src/test/java/org/whinhead/demo/SharedStateTest.java
@@ -24,8 +24,8 @@
 
     private LocalDeployment mDeployment;
 
-    private void start(final LogConfig log, final LogServiceSettings terms) throws Exception {
-        mDeployment = new LocalDeployment(log, terms);
+    private void start(final LogConfig log, final LogServiceSettings logSettings) throws Exception {
+        mDeployment = new LocalDeployment(log, logSettings);
         mDeployment.startDaemon();
         mDeployment.startDaemon();
         mDeployment.loadSettings();
@@ -60,9 +60,9 @@
     }
 
     /**
-     * A clerk files a claim, sees nothing and files it again through another daemon, while the log
-     * takes every append but loses its answers. The docket must hold the claim once, and the try
-     * that came second must not be told that it did not run.
+     * Guards against a doubled run of a non-idempotent call that is sent through two daemons, while
+     * the log accepts every append but its answers are lost. The call must run once, and the second
+     * submission must not be refused as not run.
      */
     @Test
     void filingRunsOnceThoughTheLogsAnswersAreLost() throws Exception {
@@ -82,8 +82,9 @@
     }
 
     /**
-     * The log is out when a clerk files. The clerk is told "not run", and that stays true after the
-     * log is back, when the daemon's records reach it; a new try with the same key then runs.
+     * Guards against a late run of a call that was refused as "not run" during a log outage: the
+     * daemon's records reach the log after the outage, and the call must still not run. A new
+     * submission with the same key then runs.
      */
     @Test
     void filingIsNotRunWhileTheLogIsOut() throws Exception {
@@ -102,9 +103,9 @@
     }
 
     /**
-     * A clerk's filing runs through one daemon, which dies before it answers; the log goes out, and
-     * the clerk sends the filing again through another daemon. Told "not run", the clerk would file
-     * under a new key, and the docket would hold the claim twice.
+     * Guards against a false "not run" for a repeated submission during a log outage. The first
+     * submission may have run on a daemon that crashed before it answered; a caller that receives
+     * "not run" would submit again under a new key, and the call would run twice.
      */
     @Test
     void repeatedCallIsRefusedAsMayHaveRun() throws Exception {
@@ -119,9 +120,9 @@
     }
 
     /**
-     * Two operators change one customer at the same time through two daemons. One change wins; the
-     * other operator is told which one. Asked again through the other daemon under its name, as
-     * after a lost answer, the winning change is told that it won.
+     * Guards against lost updates when two operators change one customer at the same time through
+     * two daemons. One change wins, and the refusal of the other names the winner. The winning
+     * change must succeed again if it is repeated through the other daemon, as after a lost answer.
      */
     @Test
     void racingChangesHaveOneWinnerThatIsInForceEverywhere() throws Exception {
@@ -129,8 +130,10 @@
         final long base = mDeployment.settings(1, CUSTOMER).path("revision").asLong();
         final String document = LocalDeployment.customerDocument(LocalDeployment.KEY);
         final String heavier = document.replace("'weight':1", "'weight':2");
-        final var first = callAsync(() -> mDeployment.putDocument(0, "a", CUSTOMER, base, document));
-        final var second = callAsync(() -> mDeployment.putDocument(1, "b", CUSTOMER, base, heavier));
+        final var first =
+                callAsync(() -> mDeployment.putDocument(0, "a", CUSTOMER, base, document));
+        final var second =
+                callAsync(() -> mDeployment.putDocument(1, "b", CUSTOMER, base, heavier));
         final boolean firstWon = first.get().statusCode() == 200;
         final HttpResponse<String> winner = firstWon ? first.get() : second.get();
         final HttpResponse<String> loser = firstWon ? second.get() : first.get();
@@ -154,8 +157,9 @@
     }
 
     /**
-     * The log is out for a while. Callers are served by the last settings, and an operator's change
-     * is refused as not run; after the outage nothing was reverted and changes are taken again.
+     * Guards against reverted settings during and after a log outage. Callers are served by the
+     * last settings, and changes are refused as not run; after the outage the settings are the same
+     * and changes are accepted again.
      */
     @Test
     void settingsStayInForceDuringLogOutage() throws Exception {
@@ -164,10 +168,11 @@
         final String document = LocalDeployment.customerDocument(LocalDeployment.KEY);
         mDeployment.log().outage(true);
         Await.until(
-                "the daemon notices",
+                "daemon 0 detects the log outage",
                 Duration.ofSeconds(20),
                 () -> !mDeployment.status(0).at("/log/answering").asBoolean());
-        final HttpResponse<String> refused = mDeployment.putDocument(0, "c", CUSTOMER, base, document);
+        final HttpResponse<String> refused =
+                mDeployment.putDocument(0, "c", CUSTOMER, base, document);
         assertThat(refused.statusCode()).isEqualTo(503);
         assertThat(json(refused).path("verdict").asText()).isEqualTo("not-run");
         assertThat(mDeployment.callService(0, "status", "look-2").statusCode()).isEqualTo(200);
@@ -175,13 +180,14 @@
         mDeployment.log().outage(false);
         mDeployment.awaitLog(0);
         assertThat(mDeployment.status(0).path("settingsRevision").asLong()).isEqualTo(base);
-        final HttpResponse<String> taken = mDeployment.putDocument(0, "c", CUSTOMER, base, document);
+        final HttpResponse<String> taken =
+                mDeployment.putDocument(0, "c", CUSTOMER, base, document);
         assertThat(taken.statusCode()).isEqualTo(200);
     }
 
     /**
-     * A VM is replaced long after the settings were put, when their records have expired from the
-     * log. The new daemon must serve by them, and by the change that was made a moment ago.
+     * Guards against missing settings in a daemon that starts after their records have expired from
+     * the log. The daemon must apply the checkpoint and the recent change after it.
      */
     @Test
     void newDaemonCatchesUpFromCheckpointAndTail() throws Exception {
@@ -201,6 +207,7 @@
         assertThat(mDeployment.settings(replaced, "/"))
                 .isEqualTo(mDeployment.settings(0, "/"))
                 .hasSize(3);
-        assertThat(mDeployment.callService(replaced, "status", "look-3").statusCode()).isEqualTo(401);
+        assertThat(mDeployment.callService(replaced, "status", "look-3").statusCode())
+                .isEqualTo(401);
     }
 }
--- a/demo/src/test/java/org/whinhead/demo/SingleDaemonDeployment.java
+++ b/demo/src/test/java/org/whinhead/demo/SingleDaemonDeployment.java
@@ -33,7 +33,7 @@
 import org.whinhead.standins.vms.VmListStandIn;
 import org.xnio.XnioWorker;
 
-/** One daemon in front of one engine stand-in, and a client. */
+/** Runs one daemon with an engine stand-in and a service stand-in, and a client. */
 final class SingleDaemonDeployment implements AutoCloseable {
 
     static final String KEY = "key-of-the-clinic";
--- a/demo/src/test/java/org/whinhead/demo/SingleDaemonTest.java
+++ b/demo/src/test/java/org/whinhead/demo/SingleDaemonTest.java
@@ -86,9 +86,9 @@
     }
 
     /**
-     * A clerk's summary stops after three words, as its daemon is killed. The daemon that is asked
-     * for the rest was started with other ticket keys: it cannot read the ticket, and answered with
-     * an error though the request had been accepted. It must go on from the caller's text.
+     * Guards against losing an accepted request after its daemon is killed with three tokens sent.
+     * The daemon at which the caller resumes was started with other ticket keys and cannot read the
+     * ticket: it must continue from the caller's text instead of answering with an error.
      */
     @Test
     void ticketThatCannotBeReadDoesNotLoseTheAnswer() throws Exception {
@@ -99,7 +99,8 @@
                         .replaceFirst("\\{", "{\"delivered_text\":\"" + delivered + "\",");
         final HttpResponse<String> response =
                 mDeployment.send(
-                        mDeployment.request("/v1/chat/completions")
+                        mDeployment
+                                .request("/v1/chat/completions")
                                 .header("X-Whinhead-Ticket", "signed-by-nobody")
                                 .header("Last-Event-ID", "2")
                                 .POST(HttpRequest.BodyPublishers.ofString(body))
@@ -120,14 +121,16 @@
 
     @Test
     void badRequestsAreRefusedWithPositionAndDoNotReachEngine() throws Exception {
-        final HttpResponse<String> broken = mDeployment.chat("{\"model\": \"summary\",\n \"messages\" [");
+        final HttpResponse<String> broken =
+                mDeployment.chat("{\"model\": \"summary\",\n \"messages\" [");
         assertRefused(broken, 400, "malformed-request");
         assertThat(broken.body()).contains("line 2, column 13: no valid JSON");
         final HttpResponse<String> role =
                 mDeployment.chat(body(true, 1).replace("\"user\"", "\"clerk\""));
         assertRefused(role, 400, "malformed-request");
         assertThat(role.body()).contains("messages[0].role: expected system");
-        assertRefused(mDeployment.chat(body(true, 1).replace("summary", "other")), 404, "unknown-target");
+        assertRefused(
+                mDeployment.chat(body(true, 1).replace("summary", "other")), 404, "unknown-target");
         assertRefused(
                 mDeployment.chat(" ".repeat(SingleDaemonDeployment.MAX_BODY_BYTES) + body(true, 1)),
                 413,
@@ -137,13 +140,14 @@
                         .header("Authorization", "Bearer stolen")
                         .build();
         assertRefused(mDeployment.send(wrongKey), 401, "unknown-key");
-        assertRefused(mDeployment.send(mDeployment.request("/v2/chat").build()), 404, "unknown-path");
+        assertRefused(
+                mDeployment.send(mDeployment.request("/v2/chat").build()), 404, "unknown-path");
         assertThat(mDeployment.standIns().witness().generatedTokens()).isZero();
     }
 
     /**
-     * A caller's link dies in the middle of its body: the daemon gets half a request and then
-     * nothing. Without a bound on time the connection would wait for ever.
+     * Guards against connections that wait forever after the caller's link fails in the middle of
+     * the request body.
      */
     @Test
     void halfSentRequestIsRefusedInTime() throws Exception {
@@ -165,8 +169,8 @@
     }
 
     /**
-     * A clerk closes the page after the first words of a long answer. The caller's connection
-     * closes, and the engine must stop, or it would go on generating for nobody.
+     * Guards against engines that continue to generate a long answer after the caller has closed
+     * the connection.
      */
     @Test
     void closedCallerConnectionCancelsEngineRequest() throws Exception {
@@ -187,9 +191,11 @@
         while (running > 0) {
             running =
                     MAPPER.readTree(
-                                    mDeployment.send(
+                                    mDeployment
+                                            .send(
                                                     HttpRequest.newBuilder(
-                                                                    mDeployment.engine()
+                                                                    mDeployment
+                                                                            .engine()
                                                                             .uri()
                                                                             .resolve("/v1/load"))
                                                             .build())
@@ -211,23 +217,26 @@
 
     private HttpResponse<String> service(final String path, final String key) throws Exception {
         return mDeployment.send(
-                mDeployment.request("/v1/services/fees/" + path)
+                mDeployment
+                        .request("/v1/services/fees/" + path)
                         .header("Idempotency-Key", key)
                         .POST(HttpRequest.BodyPublishers.ofString("{}"))
                         .build());
     }
 
     /**
-     * An operator stops a daemon while a clerk waits for an answer. The clerk gets it whole; a
-     * request that arrives meanwhile is refused at once as not run, and nobody is told this address
-     * any more.
+     * Guards against cut answers when an operator stops a daemon. An answer in progress is
+     * finished; a request that arrives meanwhile is refused at once as not run, and the daemon's
+     * address is no longer listed.
      */
     @Test
     void gracefulStopFinishesAnswersAndRefusesNewRequests() throws Exception {
         final int tokens = 400;
         final CompletableFuture<HttpResponse<String>> running =
-                CompletableFuture.supplyAsync(() -> unchecked(() -> mDeployment.chat(body(true, tokens))));
-        while (!mDeployment.get(mDeployment.daemon().operatorUri().resolve("/operator/status"))
+                CompletableFuture.supplyAsync(
+                        () -> unchecked(() -> mDeployment.chat(body(true, tokens))));
+        while (!mDeployment
+                .get(mDeployment.daemon().operatorUri().resolve("/operator/status"))
                 .body()
                 .contains("\"inProgress\":1")) {
             Thread.onSpinWait();
@@ -240,7 +249,9 @@
                                             mDeployment.daemon().stop();
                                             return "stopped";
                                         }));
-        while (mDeployment.get(mDeployment.daemon().operatorUri().resolve("/health/ready")).statusCode()
+        while (mDeployment
+                        .get(mDeployment.daemon().operatorUri().resolve("/health/ready"))
+                        .statusCode()
                 == 200) {
             Thread.onSpinWait();
         }
