--- a/demo/src/test/java/org/whinhead/demo/DemoRunTest.java
+++ b/demo/src/test/java/org/whinhead/demo/DemoRunTest.java
@@ -17,9 +17,8 @@
 class DemoRunTest {
 
     /**
-     * Callers see an answer break off, come twice or belong to someone else after their zone is
-     * taken back: daemons and engines of one failure domain vanish together, a second after the
-     * notice, while answers are being made there.
+     * Guards against cut, repeated or mixed-up answers when a failure domain is reclaimed: its
+     * daemons and engines end together, a second after the notice, while they generate answers.
      */
     @ParameterizedTest
     @EnumSource(Deployment.class)
@@ -28,7 +27,7 @@
                 DemoConfig.of(deployment).toBuilder()
                         .duration(Duration.ofSeconds(4))
                         .notice(Duration.ofSeconds(1))
-                        .perSecond(10)
+                        .requestsPerSecond(10)
                         .callerDeadline(Duration.ofSeconds(8))
                         .build();
         final DemoResult result = DemoRun.run(config);
@@ -38,11 +37,11 @@
         assertThat(result.wrongAnswers()).isZero();
         assertThat(result.notRunButRan()).isZero();
         assertThat(result.unwitnessed()).isZero();
-        assertThat(result.promiseKept()).isTrue();
+        assertThat(result.isGuaranteeKept()).isTrue();
     }
 
     @Test
-    void wrongOptionsAreNamed() throws Exception {
+    void invalidOptionIsReportedByName() throws Exception {
         final ByteArrayOutputStream errors = new ByteArrayOutputStream();
         final int status =
                 DemoMain.run(System.out, new PrintStream(errors), "--deployment", "other");
--- a/demo/src/test/java/org/whinhead/demo/PeerDeployment.java
+++ b/demo/src/test/java/org/whinhead/demo/PeerDeployment.java
@@ -40,15 +40,15 @@
 import org.whinhead.standins.vms.VmListStandIn;
 import org.xnio.XnioWorker;
 
-/** Daemons that know each other by seeds; only the first one hears the cloud's notices. */
+/** Runs daemons that find each other by seeds; only the first one receives the cloud's notices. */
 final class PeerDeployment implements AutoCloseable {
 
-    static final Duration BOUND = Duration.ofSeconds(30);
+    static final Duration TIMEOUT = Duration.ofSeconds(30);
 
     private static final ObjectMapper MAPPER = new ObjectMapper();
     private static final String KEY = "key-of-the-clinic";
     private static final FailureDomain DOMAIN = new FailureDomain("kigali", "kg-gasabo");
-    private static final URI NOWHERE = URI.create("http://127.0.0.1:1");
+    private static final URI UNREACHABLE = URI.create("http://127.0.0.1:1");
     private static final Map<String, String> DOCUMENTS =
             Map.of(
                     "/tiers/standard",
@@ -72,7 +72,7 @@
     private final HttpClient mClient = HttpClient.newHttpClient();
     private final List<Daemon> mDaemons = new ArrayList<>();
 
-    /** Starts the platform with two endpoints of one service. */
+    /** Creates the platform with two endpoints of one service. */
     PeerDeployment() throws Exception {
         mWorker = WorkerPool.start("peers", 2);
         for (int i = 0; i < 2; i++) {
@@ -118,7 +118,7 @@
         return new VmOrder("adopted", DOMAIN, "small", Billing.RECLAIMABLE, role);
     }
 
-    /** Starts daemons and waits until each names all to its callers. */
+    /** Starts daemons and waits until each one lists all of them for callers. */
     void startDaemons(final int count) throws Exception {
         for (int i = 0; i < count; i++) {
             startDaemon(Optional.empty());
@@ -128,13 +128,13 @@
         }
     }
 
-    /** Starts a daemon on a listed VM, with those before it as seeds. */
+    /** Starts a daemon on a listed VM, with the earlier daemons as seeds. */
     int startDaemon(final Optional<TlsFiles> tls) throws Exception {
         final int number = mDaemons.size();
         mVms.seed(vm(daemonVm(number), VmEntry.Role.ENTRY, publicUri(number), ""));
         mCloud.adopt(daemonVm(number), order(VmEntry.Role.ENTRY));
         final HostPort free = new HostPort("127.0.0.1", 0);
-        final URI cloud = number == 0 ? mCloud.uri() : NOWHERE;
+        final URI cloud = number == 0 ? mCloud.uri() : UNREACHABLE;
         final Daemon daemon =
                 Daemon.start(
                         DaemonSettings.builder("daemon-" + number)
@@ -142,7 +142,9 @@
                                 .domain(DOMAIN)
                                 .listen(new ListenAddresses(free, free, free))
                                 .publicUri(publicUri(number))
-                                .platform(new PlatformUris(NOWHERE, mVms.uri(), cloud, NOWHERE))
+                                .platform(
+                                        new PlatformUris(
+                                                UNREACHABLE, mVms.uri(), cloud, UNREACHABLE))
                                 .seeds(mDaemons.stream().map(Daemon::peerAddress).toList())
                                 .tls(tls)
                                 .operators(
@@ -165,11 +167,12 @@
                 DocumentPath.parse(entry.getKey()), entry.getValue().replace('\'', '"'), 0);
     }
 
-    static void await(final String what, final Callable<Boolean> condition) throws Exception {
-        final long end = System.nanoTime() + BOUND.toNanos();
+    static void await(final String description, final Callable<Boolean> condition)
+            throws Exception {
+        final long deadlineNanos = System.nanoTime() + TIMEOUT.toNanos();
         while (!condition.call()) {
-            if (System.nanoTime() > end) {
-                throw new IllegalStateException("not within " + BOUND + ": " + what);
+            if (System.nanoTime() > deadlineNanos) {
+                throw new IllegalStateException("not within " + TIMEOUT + ": " + description);
             }
             Thread.onSpinWait();
         }
@@ -177,7 +180,7 @@
 
     void awaitAddresses(final int daemon, final int count) throws Exception {
         await(
-                "daemon " + daemon + " names " + count + " addresses",
+                "daemon " + daemon + " lists " + count + " addresses",
                 () -> addresses(daemon).size() == count);
     }
 
@@ -189,17 +192,19 @@
         return get(mDaemons.get(daemon).operatorUri().resolve("/metrics")).body();
     }
 
-    /** Returns the daemons that are said to hold a revision, or those that are not. */
-    List<String> inForce(final int daemon, final long revision, final String list)
+    /**
+     * Returns the daemons that confirm a revision or, for the field "missing", those that do not.
+     */
+    List<String> daemonsByRevision(final int daemon, final long revision, final String field)
             throws Exception {
         final String path = "/operator/settings/inforce?revision=" + revision;
         final HttpResponse<String> answer = get(mDaemons.get(daemon).operatorUri().resolve(path));
         final List<String> names = new ArrayList<>();
-        MAPPER.readTree(answer.body()).path(list).forEach(name -> names.add(name.asText()));
+        MAPPER.readTree(answer.body()).path(field).forEach(name -> names.add(name.asText()));
         return names;
     }
 
-    /** Returns the addresses that a daemon tells callers. */
+    /** Returns the addresses that a daemon lists for callers. */
     List<URI> addresses(final int daemon) throws Exception {
         final HttpResponse<String> answer =
                 get(mDaemons.get(daemon).callerUri().resolve("/v1/addresses"));
@@ -210,8 +215,8 @@
         return addresses;
     }
 
-    /** Calls the service through a daemon and returns the endpoint that ran the call. */
-    int call(final int daemon) throws Exception {
+    /** Calls the service through a daemon and returns the number of the endpoint that ran it. */
+    int callService(final int daemon) throws Exception {
         final String key = UUID.randomUUID().toString();
         final URI uri = mDaemons.get(daemon).callerUri().resolve("/v1/services/fees/status");
         final HttpResponse<String> answer =
@@ -257,7 +262,7 @@
         mWorker.shutdown();
     }
 
-    /** Notices are all that is asked of the cloud. */
+    /** Ignores all events, as the tests use only the notices of the cloud. */
     private static final class NoActions implements CloudActions {
         @Override
         public void onStarted(final String vm, final VmOrder order) {}
