--- a/bench/src/main/java/org/whinhead/bench/peers/LeavingFleet.java
+++ b/bench/src/main/java/org/whinhead/bench/peers/LeavingFleet.java
@@ -87,7 +87,7 @@
     void list(final int endpoint) {
         final String vm = endpointVm(endpoint);
         mVms.seed(vm(vm, VmEntry.Role.SERVICE, mEndpoints.uri(endpoint), SERVICE));
-        mCloud.adopt(
+        mCloud.addRunning(
                 vm,
                 new VmOrder("adopted", DOMAIN, "small", Billing.RECLAIMABLE, VmEntry.Role.SERVICE));
     }
--- a/demo/src/main/java/org/whinhead/demo/DemoResult.java
+++ b/demo/src/main/java/org/whinhead/demo/DemoResult.java
@@ -7,7 +7,7 @@
 import org.whinhead.standins.load.mix.PlannedRequest;
 import org.whinhead.standins.load.result.LoadResult;
 import org.whinhead.standins.load.result.Outcome;
-import org.whinhead.standins.witness.Witness;
+import org.whinhead.standins.witness.WorkCounter;
 
 /**
  * What came of a run, as its callers and the stand-ins saw it.
@@ -43,7 +43,7 @@
 
     static DemoResult of(
             final DemoConfig config, final LoadPhases phases, final DeploymentStandIns standIns) {
-        final Witness witness = standIns.context().witness();
+        final WorkCounter witness = standIns.context().witness();
         final Map<String, Double> cost = new TreeMap<>();
         standIns.cloud().cost().forEach((role, amount) -> cost.put(role.wireName(), amount));
         return new DemoResult(
@@ -114,13 +114,13 @@
         return request.customer().name() + '/' + request.id().value();
     }
 
-    private static long doubled(final LoadResult load, final Witness witness) {
+    private static long doubled(final LoadResult load, final WorkCounter witness) {
         return load.nonIdempotent().stream()
                 .filter(result -> witness.executions(result.request().id().value()) > 1)
                 .count();
     }
 
-    private static long notRunButRan(final LoadResult load, final Witness witness) {
+    private static long notRunButRan(final LoadResult load, final WorkCounter witness) {
         return count(load, Outcome.REFUSED_NOT_RUN, witness, true);
     }
 
@@ -128,14 +128,14 @@
      * Guards against a judgement of nothing: if endpoints saw requests under other names than are
      * looked up here, no doubled run would ever be found.
      */
-    private static long unwitnessed(final LoadResult load, final Witness witness) {
+    private static long unwitnessed(final LoadResult load, final WorkCounter witness) {
         return count(load, Outcome.COMPLETED, witness, false);
     }
 
     private static long count(
             final LoadResult load,
             final Outcome outcome,
-            final Witness witness,
+            final WorkCounter witness,
             final boolean ran) {
         return load.requests().stream()
                 .filter(result -> result.outcome() == outcome)
@@ -144,9 +144,9 @@
     }
 
     /** Services see the caller's own name as the idempotency key. */
-    private static boolean ran(final PlannedRequest request, final Witness witness) {
+    private static boolean ran(final PlannedRequest request, final WorkCounter witness) {
         return request.kind().style().plain()
                 ? witness.executions(request.id().value()) > 0
-                : witness.ran(nameAtEngines(request));
+                : witness.hasWork(nameAtEngines(request));
     }
 }
--- a/demo/src/test/java/org/whinhead/demo/PeerDeployment.java
+++ b/demo/src/test/java/org/whinhead/demo/PeerDeployment.java
@@ -82,7 +82,7 @@
             final ServiceStandIn service = ServiceStandIn.start(config, context);
             mServices.add(service);
             mVms.seed(vm(endpointVm(i), VmEntry.Role.SERVICE, service.uri(), "fees"));
-            mCloud.adopt(endpointVm(i), order(VmEntry.Role.SERVICE));
+            mCloud.addRunning(endpointVm(i), order(VmEntry.Role.SERVICE));
         }
     }
 
@@ -132,7 +132,7 @@
     int startDaemon(final Optional<TlsFiles> tls) throws Exception {
         final int number = mDaemons.size();
         mVms.seed(vm(daemonVm(number), VmEntry.Role.ENTRY, publicUri(number), ""));
-        mCloud.adopt(daemonVm(number), order(VmEntry.Role.ENTRY));
+        mCloud.addRunning(daemonVm(number), order(VmEntry.Role.ENTRY));
         final HostPort free = new HostPort("127.0.0.1", 0);
         final URI cloud = number == 0 ? mCloud.uri() : NOWHERE;
         final Daemon daemon =
--- a/standins/src/main/java/org/whinhead/standins/StandInContext.java
+++ b/standins/src/main/java/org/whinhead/standins/StandInContext.java
@@ -2,7 +2,7 @@
 
 import java.time.InstantSource;
 import org.whinhead.standins.clock.Ticker;
-import org.whinhead.standins.witness.Witness;
+import org.whinhead.standins.witness.WorkCounter;
 
 /**
  * What all stand-ins of one process share.
@@ -10,11 +10,11 @@
  * @param ticker the clock and the thread that drives them
  * @param witness what they saw
  */
-public record StandInContext(Ticker ticker, Witness witness) implements AutoCloseable {
+public record StandInContext(Ticker ticker, WorkCounter witness) implements AutoCloseable {
 
     /** Returns a context on the system's clock. */
     public static StandInContext start() {
-        return new StandInContext(new Ticker(InstantSource.system()), new Witness());
+        return new StandInContext(new Ticker(InstantSource.system()), new WorkCounter());
     }
 
     @Override
--- a/standins/src/main/java/org/whinhead/standins/clock/Ticker.java
+++ b/standins/src/main/java/org/whinhead/standins/clock/Ticker.java
@@ -19,7 +19,7 @@
     private static final Duration PERIOD = Duration.ofMillis(2);
 
     private final InstantSource mClock;
-    private final List<Consumer<Instant>> mDuties = new CopyOnWriteArrayList<>();
+    private final List<Consumer<Instant>> mTasks = new CopyOnWriteArrayList<>();
     private final ScheduledExecutorService mThread;
 
     /** Starts the thread. */
@@ -41,14 +41,14 @@
     }
 
     /**
-     * Adds a duty; it must not block.
+     * Adds a task; it must not block.
      *
-     * @param duty gets the time at each tick
-     * @return ends the duty
+     * @param task gets the time at each tick
+     * @return ends the task
      */
-    public Runnable add(final Consumer<Instant> duty) {
-        mDuties.add(duty);
-        return () -> mDuties.remove(duty);
+    public Runnable add(final Consumer<Instant> task) {
+        mTasks.add(task);
+        return () -> mTasks.remove(task);
     }
 
     @Override
@@ -57,9 +57,9 @@
     }
 
     private void tick() {
-        for (final Consumer<Instant> duty : mDuties) {
+        for (final Consumer<Instant> task : mTasks) {
             try {
-                duty.accept(mClock.instant());
+                task.accept(mClock.instant());
             } catch (final RuntimeException e) {
                 // A task that throws is never scheduled again, which would stop every stand-in.
                 LOG.error("a stand-in's tick failed", e);
--- a/standins/src/main/java/org/whinhead/standins/cloud/CloudSimulation.java
+++ b/standins/src/main/java/org/whinhead/standins/cloud/CloudSimulation.java
@@ -42,7 +42,7 @@
     }
 
     /** Takes in a VM that runs already. */
-    public void adopt(final String vm, final VmOrder order) {
+    public void addRunning(final String vm, final VmOrder order) {
         mMachines.put(vm, new Machine(order, Instant.MIN, true));
     }
 
--- a/standins/src/main/java/org/whinhead/standins/cloud/CloudStandIn.java
+++ b/standins/src/main/java/org/whinhead/standins/cloud/CloudStandIn.java
@@ -17,8 +17,8 @@
 import org.whinhead.api.model.Billing;
 import org.whinhead.api.model.FailureDomain;
 import org.whinhead.standins.StandInContext;
-import org.whinhead.standins.fault.FaultDesk;
-import org.whinhead.standins.http.Call;
+import org.whinhead.standins.fault.FaultHandler;
+import org.whinhead.standins.http.StandInCall;
 import org.whinhead.standins.http.StandInServer;
 import org.whinhead.standins.vms.VmEntry;
 
@@ -39,7 +39,7 @@
                         return thread;
                     });
     private final CloudSimulation mSimulation;
-    private final List<Waiting> mWaiting = new ArrayList<>();
+    private final List<PendingRequest> mPending = new ArrayList<>();
     private final Runnable mEndTicks;
 
     private CloudStandIn(
@@ -52,7 +52,7 @@
         mServer = server;
         mPrices = List.copyOf(prices);
         mMeter = new VmMeter(mPrices);
-        mSimulation = new CloudSimulation(boot, apart(actions));
+        mSimulation = new CloudSimulation(boot, onActionsThread(actions));
         server.route("POST", "/cloud/vms", this::startVm)
                 .route("DELETE", "/cloud/vms/{id}", this::stopVm)
                 .route("GET", "/cloud/prices", this::prices)
@@ -89,8 +89,8 @@
     }
 
     /** Takes in a VM that runs already. */
-    public synchronized void adopt(final String vm, final VmOrder order) {
-        mSimulation.adopt(vm, order);
+    public synchronized void addRunning(final String vm, final VmOrder order) {
+        mSimulation.addRunning(vm, order);
         mMeter.started(vm, order, mContext.ticker().now());
     }
 
@@ -122,7 +122,7 @@
     }
 
     /** Hands actions to a thread of their own, as starting and killing servers takes a while. */
-    private CloudActions apart(final CloudActions actions) {
+    private CloudActions onActionsThread(final CloudActions actions) {
         return new CloudActions() {
             @Override
             public void onStarted(final String vm, final VmOrder order) {
@@ -143,12 +143,12 @@
         };
     }
 
-    private FaultDesk faults() {
-        return new FaultDesk(mServer)
-                .on("refuse-starts", body -> refuseStarts(true))
-                .on("allow-starts", body -> refuseStarts(false))
-                .on("reclaim-vm", body -> reclaim(body.path("vm").asText(), noticeTime(body)))
-                .on("reclaim-domain", body -> reclaim(domain(body), noticeTime(body)));
+    private FaultHandler faults() {
+        return new FaultHandler(mServer)
+                .addFault("refuse-starts", body -> refuseStarts(true))
+                .addFault("allow-starts", body -> refuseStarts(false))
+                .addFault("reclaim-vm", body -> reclaim(body.path("vm").asText(), noticeTime(body)))
+                .addFault("reclaim-domain", body -> reclaim(domain(body), noticeTime(body)));
     }
 
     private static Duration noticeTime(final JsonNode body) {
@@ -161,10 +161,10 @@
 
     private synchronized void tick(final Instant now) {
         mSimulation.advance(now);
-        mWaiting.removeIf(waiting -> answer(waiting, now));
+        mPending.removeIf(waiting -> answer(waiting, now));
     }
 
-    private synchronized void startVm(final Call call) throws IOException {
+    private synchronized void startVm(final StandInCall call) throws IOException {
         final JsonNode body = call.json();
         final String billing = body.path("billing").asText().replace('-', '_');
         final VmOrder order =
@@ -176,19 +176,19 @@
                         VmEntry.Role.parse(body.path("role").asText()));
         final Optional<String> vm = mSimulation.start(order, mContext.ticker().now());
         if (vm.isPresent()) {
-            call.reply(200, Call.object().put("id", vm.get()));
+            call.reply(200, StandInCall.object().put("id", vm.get()));
         } else {
-            call.reply(409, Call.object().put("reason", "capacity"));
+            call.reply(409, StandInCall.object().put("reason", "capacity"));
         }
     }
 
-    private synchronized void stopVm(final Call call) {
+    private synchronized void stopVm(final StandInCall call) {
         mSimulation.stop(call.parameter("id").orElse(""));
         call.reply(204);
     }
 
-    private void prices(final Call call) {
-        final ObjectNode root = Call.object();
+    private void prices(final StandInCall call) {
+        final ObjectNode root = StandInCall.object();
         final ArrayNode prices = root.putArray("prices");
         for (final Price price : mPrices) {
             prices.addObject()
@@ -201,21 +201,21 @@
         call.reply(200, root);
     }
 
-    private synchronized void notices(final Call call) throws IOException {
+    private synchronized void notices(final StandInCall call) throws IOException {
         final Instant now = mContext.ticker().now();
         final Instant until = now.plusMillis(call.number("waitMillis", 0));
-        final Waiting waiting = new Waiting(call, call.number("after", 0), until);
+        final PendingRequest waiting = new PendingRequest(call, call.number("after", 0), until);
         if (!answer(waiting, now)) {
-            mWaiting.add(waiting);
+            mPending.add(waiting);
         }
     }
 
-    private boolean answer(final Waiting waiting, final Instant now) {
+    private boolean answer(final PendingRequest waiting, final Instant now) {
         final List<CloudSimulation.Notice> found = mSimulation.notices(waiting.after());
         if (found.isEmpty() && waiting.until().isAfter(now)) {
             return false;
         }
-        final ObjectNode root = Call.object();
+        final ObjectNode root = StandInCall.object();
         final ArrayNode notices = root.putArray("notices");
         long next = waiting.after();
         for (final CloudSimulation.Notice notice : found) {
@@ -229,5 +229,5 @@
         return true;
     }
 
-    private record Waiting(Call call, long after, Instant until) {}
+    private record PendingRequest(StandInCall call, long after, Instant until) {}
 }
--- a/standins/src/main/java/org/whinhead/standins/deployment/DeploymentStandIns.java
+++ b/standins/src/main/java/org/whinhead/standins/deployment/DeploymentStandIns.java
@@ -17,8 +17,8 @@
 import org.whinhead.standins.cloud.CloudStandIn;
 import org.whinhead.standins.cloud.VmOrder;
 import org.whinhead.standins.engine.EngineStandIn;
-import org.whinhead.standins.fault.FaultDesk;
-import org.whinhead.standins.http.Call;
+import org.whinhead.standins.fault.FaultHandler;
+import org.whinhead.standins.http.StandInCall;
 import org.whinhead.standins.http.StandInServer;
 import org.whinhead.standins.log.LogConfig;
 import org.whinhead.standins.log.LogStandIn;
@@ -45,7 +45,7 @@
     private final LogStandIn mLog;
     private final VmListStandIn mVms;
     private final WeightStoreStandIn mWeights;
-    private final Machines mMachines;
+    private final VmServers mServers;
     private final CloudStandIn mCloud;
     private final StandInServer mControl;
 
@@ -66,13 +66,13 @@
                         context);
         mVms = VmListStandIn.start(config.port(1), config.vmLag(), context);
         mWeights = WeightStoreStandIn.start(config.port(3), weights(config), context);
-        mMachines = new Machines(config, context, mVms, mWeights.uri(), entries);
+        mServers = new VmServers(config, context, mVms, mWeights.uri(), entries);
         mCloud =
                 CloudStandIn.start(
                         config.port(2),
                         scaled(BOOT, config.speedUp()),
                         config.plan().prices(),
-                        mMachines,
+                        mServers,
                         context);
         mControl = new StandInServer(HOST, config.port(CONTROL_PORT));
         mControl.route("GET", "/witness", call -> call.reply(200, context.witness().toJson()))
@@ -87,7 +87,7 @@
      * @return the stand-ins, which listen
      */
     public static DeploymentStandIns start(final DeploymentConfig config) {
-        return start(config, new Unattended());
+        return start(config, new NoOpCloudActions());
     }
 
     /**
@@ -133,33 +133,33 @@
 
     /** Returns the engines that run, by VM. */
     public Map<String, EngineStandIn> engines() {
-        return Map.copyOf(mMachines.engines());
+        return Map.copyOf(mServers.engines());
     }
 
     /** Returns the plain services that run, by VM. */
     public Map<String, ServiceStandIn> services() {
-        return Map.copyOf(mMachines.services());
+        return Map.copyOf(mServers.services());
     }
 
     /** Shows a daemon's VM on the VM list and in the cloud. */
     public void addEntry(final String vm, final FailureDomain domain, final URI uri) {
         final VmOrder order = order(vm, domain, DeploymentPlan.ENTRY_CLASS, VmEntry.Role.ENTRY);
-        mCloud.adopt(vm, order);
-        mMachines.show(vm, order, uri, "", true, 1);
+        mCloud.addRunning(vm, order);
+        mServers.show(vm, order, uri, "", true, 1);
     }
 
     /** Returns all addresses as JSON. */
     public ObjectNode addresses() {
-        final ObjectNode root = Call.object().put("deployment", mConfig.plan().wireName());
+        final ObjectNode root = StandInCall.object().put("deployment", mConfig.plan().wireName());
         root.put("log", mLog.uri().toString())
                 .put("vms", mVms.uri().toString())
                 .put("cloud", mCloud.uri().toString())
                 .put("weights", mWeights.uri().toString())
                 .put("control", mControl.uri().toString());
         final ObjectNode engines = root.putObject("engines");
-        mMachines.engines().forEach((vm, server) -> engines.put(vm, server.uri().toString()));
+        mServers.engines().forEach((vm, server) -> engines.put(vm, server.uri().toString()));
         final ObjectNode services = root.putObject("services");
-        mMachines.services().forEach((vm, server) -> services.put(vm, server.uri().toString()));
+        mServers.services().forEach((vm, server) -> services.put(vm, server.uri().toString()));
         return root;
     }
 
@@ -167,7 +167,7 @@
     public void close() {
         mControl.close();
         mCloud.close();
-        mMachines.close();
+        mServers.close();
         mWeights.close();
         mVms.close();
         mLog.close();
@@ -195,7 +195,7 @@
             final URI uri = mConfig.entries().get(index);
             addEntry("vm-entry-" + (index + 1), domains.get(index % domains.size()), uri);
         }
-        mMachines.initialStarted();
+        mServers.endInitialPhase();
     }
 
     private void startMachine(
@@ -205,8 +205,8 @@
                         ? DeploymentPlan.ENGINE_CLASS
                         : DeploymentPlan.SERVICE_CLASS;
         final VmOrder order = order(vm, domain, machineClass, role);
-        mCloud.adopt(vm, order);
-        mMachines.start(vm, order, port, Set.of(mConfig.plan().model()));
+        mCloud.addRunning(vm, order);
+        mServers.start(vm, order, port, Set.of(mConfig.plan().model()));
     }
 
     private static VmOrder order(
@@ -217,10 +217,10 @@
         return new VmOrder("initial-" + vm, domain, machineClass, Billing.RECLAIMABLE, role);
     }
 
-    private FaultDesk faults() {
-        return new FaultDesk(mControl)
-                .on("kill", body -> onServer(body, EngineStandIn::kill, ServiceStandIn::kill))
-                .on(
+    private FaultHandler faults() {
+        return new FaultHandler(mControl)
+                .addFault("kill", body -> onServer(body, EngineStandIn::kill, ServiceStandIn::kill))
+                .addFault(
                         "revive",
                         body -> onServer(body, EngineStandIn::revive, ServiceStandIn::revive));
     }
@@ -230,8 +230,8 @@
             final Consumer<EngineStandIn> engine,
             final Consumer<ServiceStandIn> service) {
         final String vm = body.path("vm").asText();
-        Optional.ofNullable(mMachines.engines().get(vm)).ifPresent(engine);
-        Optional.ofNullable(mMachines.services().get(vm)).ifPresent(service);
+        Optional.ofNullable(mServers.engines().get(vm)).ifPresent(engine);
+        Optional.ofNullable(mServers.services().get(vm)).ifPresent(service);
     }
 
     private static WeightStoreSimulation weights(final DeploymentConfig config) {
@@ -244,7 +244,7 @@
     }
 
     /** Leaves the daemons of reclaimed VMs alone. */
-    private static final class Unattended implements CloudActions {
+    private static final class NoOpCloudActions implements CloudActions {
         @Override
         public void onStarted(final String vm, final VmOrder order) {
             // Nobody starts daemons here.
--- a/standins/src/main/java/org/whinhead/standins/deployment/Machines.java
+++ b/standins/src/main/java/org/whinhead/standins/deployment/VmServers.java
@@ -19,7 +19,7 @@
 import org.whinhead.standins.vms.VmListStandIn;
 
 /** Runs the servers of the VMs: starts them, shows them on the VM list and ends them. */
-final class Machines implements CloudActions, AutoCloseable {
+final class VmServers implements CloudActions, AutoCloseable {
 
     private static final String HOST = "127.0.0.1";
     private static final Duration SERVICE_LATENCY = Duration.ofMillis(40);
@@ -32,10 +32,10 @@
     private final CloudActions mEntries;
     private final Map<String, EngineStandIn> mEngines = new ConcurrentSkipListMap<>();
     private final Map<String, ServiceStandIn> mServices = new ConcurrentSkipListMap<>();
-    private volatile boolean mInitial = true;
+    private volatile boolean mInitialPhase = true;
     private int mStarted;
 
-    Machines(
+    VmServers(
             final DeploymentConfig config,
             final StandInContext context,
             final VmListStandIn vms,
@@ -57,8 +57,8 @@
     }
 
     /** Ends the time in which VMs are shown as if they had always been there. */
-    void initialStarted() {
-        mInitial = false;
+    void endInitialPhase() {
+        mInitialPhase = false;
     }
 
     /** Starts the server of a VM on a port and shows it; entries are run by others. */
@@ -106,7 +106,7 @@
                         service,
                         checksFencing,
                         slots);
-        if (mInitial) {
+        if (mInitialPhase) {
             mVms.seed(entry);
         } else {
             mVms.put(entry);
@@ -120,7 +120,7 @@
 
     @Override
     public void onNotice(final String vm, final Instant goneBy) {
-        mVms.leaving(vm);
+        mVms.markLeaving(vm);
         if (!hasServer(vm)) {
             mEntries.onNotice(vm, goneBy);
         }
@@ -132,7 +132,7 @@
         if (!hasServer(vm)) {
             mEntries.onGone(vm);
         }
-        Optional.ofNullable(mEngines.remove(vm)).ifPresent(Machines::end);
+        Optional.ofNullable(mEngines.remove(vm)).ifPresent(VmServers::end);
         Optional.ofNullable(mServices.remove(vm)).ifPresent(ServiceStandIn::close);
     }
 
--- a/standins/src/main/java/org/whinhead/standins/engine/Batch.java
+++ b/standins/src/main/java/org/whinhead/standins/engine/Batch.java
@@ -5,7 +5,7 @@
 import java.util.ArrayList;
 import java.util.Comparator;
 import java.util.List;
-import org.whinhead.standins.witness.Witness;
+import org.whinhead.standins.witness.WorkCounter;
 
 /** The requests that an engine works on together, and those that wait; one step at a time. */
 final class Batch {
@@ -15,13 +15,13 @@
 
     private final EngineConfig mConfig;
     private final PrefixCache mCache;
-    private final Witness mWitness;
+    private final WorkCounter mWitness;
     private final List<EngineStream> mRunning = new ArrayList<>();
     private final List<EngineStream> mWaiting = new ArrayList<>();
     private double mSlowdown = 1;
     private Instant mStepEnd = Instant.MAX;
 
-    Batch(final EngineConfig config, final PrefixCache cache, final Witness witness) {
+    Batch(final EngineConfig config, final PrefixCache cache, final WorkCounter witness) {
         mConfig = config;
         mCache = cache;
         mWitness = witness;
@@ -35,7 +35,7 @@
         return mWaiting.size();
     }
 
-    void slowdown(final double factor) {
+    void setSlowdown(final double factor) {
         mSlowdown = factor;
     }
 
@@ -70,7 +70,7 @@
     }
 
     /** Drops the time that passed while the engine stood still, so that it doesn't catch up. */
-    void rebase(final Instant now) {
+    void skipElapsedTime(final Instant now) {
         if (mStepEnd != Instant.MAX) {
             mStepEnd = now;
         }
@@ -112,7 +112,7 @@
         final int tokens = Math.min(budget, stream.prefillLeft());
         final int from = stream.prefilled();
         stream.prefill(tokens);
-        mWitness.prefilled(stream.generation().requestId(), from, from + tokens);
+        mWitness.countPrefill(stream.generation().requestId(), from, from + tokens);
         if (stream.prefillLeft() == 0) {
             mCache.store(stream.blockHashes());
         }
@@ -120,10 +120,10 @@
     }
 
     private void generate(final EngineStream stream) {
-        mWitness.generated(
+        mWitness.countGeneratedToken(
                 stream.generation().requestId(), stream.promptTokens() + stream.generated());
         stream.generate();
-        if (stream.isWhole()) {
+        if (stream.isComplete()) {
             stream.end(EngineStream.State.FINISHED);
             mCache.store(stream.finalBlockHashes());
             mRunning.remove(stream);
@@ -135,7 +135,7 @@
             final EngineStream stream = mWaiting.remove(0);
             final int cached = mCache.lookUp(stream.blockHashes());
             stream.admit(cached);
-            mWitness.cached(stream.generation().requestId(), cached);
+            mWitness.countCachedTokens(stream.generation().requestId(), cached);
             mRunning.add(stream);
         }
         mRunning.sort(BY_PRIORITY);
--- a/standins/src/main/java/org/whinhead/standins/engine/ChatBody.java
+++ b/standins/src/main/java/org/whinhead/standins/engine/ChatBody.java
@@ -6,7 +6,7 @@
 import java.io.IOException;
 import java.util.ArrayList;
 import java.util.List;
-import org.whinhead.standins.http.Call;
+import org.whinhead.standins.http.StandInCall;
 
 /** Reads chat-completions bodies and writes the answers to them. */
 final class ChatBody {
@@ -84,7 +84,7 @@
     }
 
     private static ObjectNode root(final EngineStream stream, final String kind) {
-        return Call.object()
+        return StandInCall.object()
                 .put("id", stream.id())
                 .put("object", kind)
                 .put("model", stream.generation().model());
--- a/standins/src/main/java/org/whinhead/standins/engine/EngineConfig.java
+++ b/standins/src/main/java/org/whinhead/standins/engine/EngineConfig.java
@@ -74,7 +74,7 @@
         private Set<String> mModels = Set.of("summary@1");
         private int mSlots = 8;
         private int mMaxWaiting = 64;
-        private EngineSpeed mSpeed = EngineSpeed.MIDDLING;
+        private EngineSpeed mSpeed = EngineSpeed.TYPICAL;
         private int mCacheBlocks = 512;
         private Duration mLoadLag = Duration.ofSeconds(1);
         private Duration mCacheEventLag = Duration.ofSeconds(2);
--- a/standins/src/main/java/org/whinhead/standins/engine/EngineOrders.java
+++ b/standins/src/main/java/org/whinhead/standins/engine/EngineOrders.java
@@ -40,9 +40,9 @@
 
     private final boolean mChecksFencing;
     private final Set<String> mModels;
-    private final Set<String> mSeen = new HashSet<>();
-    private long mNewest = -1;
-    private int mStale;
+    private final Set<String> mAppliedIds = new HashSet<>();
+    private long mNewestFencing = -1;
+    private int mStaleOrders;
     private String mRole = "";
 
     /**
@@ -63,16 +63,16 @@
      * @return the newest fencing number if the order is refused for an old one
      */
     public OptionalLong apply(final Order order) {
-        final boolean old = order.fencing() < mNewest;
-        if (mSeen.contains(order.id())) {
+        final boolean old = order.fencing() < mNewestFencing;
+        if (mAppliedIds.contains(order.id())) {
             return OptionalLong.empty();
         }
         if (old && mChecksFencing) {
-            return OptionalLong.of(mNewest);
+            return OptionalLong.of(mNewestFencing);
         }
-        mStale += old ? 1 : 0;
-        mSeen.add(order.id());
-        mNewest = Math.max(mNewest, order.fencing());
+        mStaleOrders += old ? 1 : 0;
+        mAppliedIds.add(order.id());
+        mNewestFencing = Math.max(mNewestFencing, order.fencing());
         if (order.kind() == Kind.UNLOAD) {
             mModels.remove(order.model());
         } else if (order.kind() == Kind.ROLE) {
@@ -98,6 +98,6 @@
 
     /** Returns how many orders with an old fencing number were carried out. */
     public int staleOrders() {
-        return mStale;
+        return mStaleOrders;
     }
 }
--- a/standins/src/main/java/org/whinhead/standins/engine/EngineSimulation.java
+++ b/standins/src/main/java/org/whinhead/standins/engine/EngineSimulation.java
@@ -8,7 +8,7 @@
 import java.util.List;
 import java.util.Map;
 import java.util.Optional;
-import org.whinhead.standins.witness.Witness;
+import org.whinhead.standins.witness.WorkCounter;
 
 /** An engine without its HTTP side; single-threaded, and the time is passed in. */
 public final class EngineSimulation {
@@ -40,7 +40,7 @@
     private static final long RATE_MILLIS = 1000;
 
     private final EngineConfig mConfig;
-    private final Witness mWitness;
+    private final WorkCounter mWitness;
     private final Map<String, EngineStream> mStreams = new LinkedHashMap<>();
     private final Deque<CacheEvent> mEvents = new ArrayDeque<>();
     private final Deque<Load> mLoads = new ArrayDeque<>();
@@ -56,10 +56,10 @@
     private Instant mNow = Instant.MIN;
 
     /** Makes an idle engine. */
-    public EngineSimulation(final EngineConfig config, final Witness witness) {
+    public EngineSimulation(final EngineConfig config, final WorkCounter witness) {
         mConfig = config;
         mWitness = witness;
-        mCache = new PrefixCache(config.cacheBlocks(), this::cacheChanged);
+        mCache = new PrefixCache(config.cacheBlocks(), this::recordCacheEvent);
         mBatch = new Batch(config, mCache, witness);
     }
 
@@ -77,8 +77,8 @@
         }
         final EngineStream stream = new EngineStream(nextId(), generation, now);
         mStreams.put(stream.id(), stream);
-        mWitness.attempt(generation.requestId());
-        if (stream.isWhole()) {
+        mWitness.countAttempt(generation.requestId());
+        if (stream.isComplete()) {
             stream.end(EngineStream.State.FINISHED);
         } else {
             mBatch.add(stream, now);
@@ -135,7 +135,7 @@
         advance(now);
         final EngineStream stream = new EngineStream(nextId(), cache, now);
         mStreams.put(stream.id(), stream);
-        if (stream.isWhole()) {
+        if (stream.isComplete()) {
             stream.end(EngineStream.State.FINISHED);
         } else {
             mBatch.addRunning(stream, now);
@@ -184,12 +184,12 @@
     public void freeze(final boolean frozen, final Instant now) {
         advance(now);
         mFrozen = frozen;
-        mBatch.rebase(now);
+        mBatch.skipElapsedTime(now);
     }
 
     /** Makes every step longer by a factor. */
     public void slow(final double factor) {
-        mBatch.slowdown(factor);
+        mBatch.setSlowdown(factor);
     }
 
     /** Loses all streams and the cache, as the end of the process would. */
@@ -211,7 +211,7 @@
     private void dropAbandoned(final Instant now) {
         final Instant limit = now.minus(mConfig.readerGrace());
         for (final EngineStream stream : List.copyOf(mStreams.values())) {
-            if (stream.abandonedBefore(limit)) {
+            if (stream.isAbandonedBefore(limit)) {
                 stop(stream);
             }
         }
@@ -238,7 +238,7 @@
         }
     }
 
-    private void cacheChanged(final boolean stored, final long prefixHash) {
+    private void recordCacheEvent(final boolean stored, final long prefixHash) {
         mEventSequence++;
         final int gap = mConfig.cacheEventGap();
         if (gap > 0 && mEventSequence % gap == 0) {
--- a/standins/src/main/java/org/whinhead/standins/engine/EngineSpeed.java
+++ b/standins/src/main/java/org/whinhead/standins/engine/EngineSpeed.java
@@ -18,7 +18,7 @@
         int prefillChunk) {
 
     /** A middling engine: about 50 tokens a second for one request. */
-    public static final EngineSpeed MIDDLING =
+    public static final EngineSpeed TYPICAL =
             new EngineSpeed(Duration.ofMillis(18), Duration.ofMillis(2), 4000, 512);
 
     private static final double NANOS_PER_SECOND = 1e9;
--- a/standins/src/main/java/org/whinhead/standins/engine/EngineStandIn.java
+++ b/standins/src/main/java/org/whinhead/standins/engine/EngineStandIn.java
@@ -12,8 +12,8 @@
 import java.util.Optional;
 import java.util.UUID;
 import org.whinhead.standins.StandInContext;
-import org.whinhead.standins.fault.FaultDesk;
-import org.whinhead.standins.http.Call;
+import org.whinhead.standins.fault.FaultHandler;
+import org.whinhead.standins.http.StandInCall;
 import org.whinhead.standins.http.StandInServer;
 
 /** A model engine that listens: an {@link EngineSimulation} behind the engines' protocol. */
@@ -28,8 +28,8 @@
     private final StandInContext mContext;
     private final StandInServer mServer;
     private final EngineSimulation mSimulation;
-    private final OrderDesk mOrders;
-    private final List<StreamReader> mReaders = new ArrayList<>();
+    private final OrderHandler mOrders;
+    private final List<StreamSender> mReaders = new ArrayList<>();
     private final Runnable mEndTicks;
 
     private EngineStandIn(final EngineConfig config, final StandInContext context) {
@@ -37,7 +37,7 @@
         mContext = context;
         mServer = new StandInServer(config.host(), config.port());
         mSimulation = new EngineSimulation(config, context.witness());
-        mOrders = new OrderDesk(config);
+        mOrders = new OrderHandler(config);
         routes();
         mEndTicks = context.ticker().add(this::tick);
     }
@@ -118,10 +118,10 @@
 
     private synchronized void tick(final Instant now) {
         mSimulation.advance(now);
-        mReaders.removeIf(reader -> !reader.pump(now));
+        mReaders.removeIf(reader -> !reader.sendAvailable(now));
     }
 
-    private void chat(final Call call) throws IOException {
+    private void chat(final StandInCall call) throws IOException {
         final JsonNode body = call.json();
         final String request =
                 call.header("X-Request-Id").orElseGet(() -> UUID.randomUUID().toString());
@@ -132,11 +132,11 @@
         }
         final Optional<EngineStream> stream = submit(generation);
         if (stream.isEmpty()) {
-            call.with(RETRY_AFTER, "1").fail(503, "the queue is full");
+            call.withHeader(RETRY_AFTER, "1").fail(503, "the queue is full");
         } else if (body.path("stream").asBoolean()) {
             openEvents(call, stream.get(), 0);
         } else {
-            addReader(StreamReader.whole(stream.get(), call));
+            addReader(StreamSender.whole(stream.get(), call));
         }
     }
 
@@ -144,17 +144,17 @@
         return mSimulation.submit(generation, mContext.ticker().now());
     }
 
-    private synchronized void addReader(final StreamReader reader) {
+    private synchronized void addReader(final StreamSender reader) {
         mReaders.add(reader);
     }
 
-    private void openEvents(final Call call, final EngineStream stream, final long next)
+    private void openEvents(final StandInCall call, final EngineStream stream, final long next)
             throws IOException {
-        call.with(STREAM_ID, stream.id()).stream(
-                connection -> addReader(StreamReader.events(stream, connection, next)));
+        call.withHeader(STREAM_ID, stream.id()).stream(
+                connection -> addReader(StreamSender.events(stream, connection, next)));
     }
 
-    private void resume(final Call call) throws IOException {
+    private void resume(final StandInCall call) throws IOException {
         final Optional<EngineStream> stream = find(call);
         if (stream.isEmpty()) {
             call.fail(404, "no such stream");
@@ -164,16 +164,16 @@
         openEvents(call, stream.get(), last + 1);
     }
 
-    private synchronized Optional<EngineStream> find(final Call call) {
+    private synchronized Optional<EngineStream> find(final StandInCall call) {
         return mSimulation.find(call.parameter("id").orElse(""));
     }
 
-    private synchronized void cancel(final Call call) {
+    private synchronized void cancel(final StandInCall call) {
         mSimulation.cancel(call.parameter("id").orElse(""));
         call.reply(204);
     }
 
-    private synchronized void export(final Call call) throws IOException {
+    private synchronized void export(final StandInCall call) throws IOException {
         final Optional<KvCache> cache = mSimulation.export(call.parameter("id").orElse(""));
         if (cache.isEmpty()) {
             call.fail(404, "no such stream");
@@ -182,17 +182,17 @@
         }
     }
 
-    private synchronized void importCache(final Call call) throws IOException {
+    private synchronized void importCache(final StandInCall call) throws IOException {
         final KvCache cache = MAPPER.readValue(call.body(), KvCache.class);
         final EngineStream stream = mSimulation.importCache(cache, mContext.ticker().now());
-        call.reply(200, Call.object().put("stream_id", stream.id()));
+        call.reply(200, StandInCall.object().put("stream_id", stream.id()));
     }
 
-    private synchronized void load(final Call call) {
+    private synchronized void load(final StandInCall call) {
         final EngineSimulation.Load load = mSimulation.load(mContext.ticker().now());
         call.reply(
                 200,
-                Call.object()
+                StandInCall.object()
                         .put("asOf", load.asOf().toString())
                         .put("running", load.running())
                         .put("waiting", load.waiting())
@@ -200,10 +200,10 @@
                         .put("cachedBlocks", load.cachedBlocks()));
     }
 
-    private synchronized void cacheEvents(final Call call) throws IOException {
+    private synchronized void cacheEvents(final StandInCall call) throws IOException {
         final long after = call.number("after", 0);
         final int max = (int) call.number("max", DEFAULT_MAX_EVENTS);
-        final ObjectNode root = Call.object();
+        final ObjectNode root = StandInCall.object();
         final ArrayNode events = root.putArray("events");
         long next = after;
         for (final EngineSimulation.CacheEvent event :
@@ -217,15 +217,15 @@
         call.reply(200, root.put("next", next));
     }
 
-    private FaultDesk faults() {
-        return new FaultDesk(mServer)
-                .onceAnswered("kill", this::kill)
-                .on("freeze", body -> freeze(true))
-                .on("unfreeze", body -> freeze(false))
-                .on("slow", body -> slow(body.path("factor").asDouble(1)));
+    private FaultHandler faults() {
+        return new FaultHandler(mServer)
+                .addFaultAfterReply("kill", this::kill)
+                .addFault("freeze", body -> freeze(true))
+                .addFault("unfreeze", body -> freeze(false))
+                .addFault("slow", body -> slow(body.path("factor").asDouble(1)));
     }
 
-    private void witness(final Call call) {
+    private void witness(final StandInCall call) {
         final ObjectNode root = mContext.witness().toJson();
         call.reply(200, root.put("staleOrders", mOrders.staleOrders()));
     }
--- a/standins/src/main/java/org/whinhead/standins/engine/EngineStream.java
+++ b/standins/src/main/java/org/whinhead/standins/engine/EngineStream.java
@@ -27,7 +27,7 @@
         }
 
         /** Tells whether no token will follow. */
-        public boolean ended() {
+        public boolean isEnded() {
             return mEnded;
         }
     }
@@ -119,7 +119,7 @@
         mReaderless = now;
     }
 
-    boolean abandonedBefore(final Instant limit) {
+    boolean isAbandonedBefore(final Instant limit) {
         return mReaders == 0 && mReaderless.isBefore(limit);
     }
 
@@ -149,7 +149,7 @@
         mPrefilled += tokens;
     }
 
-    boolean isWhole() {
+    boolean isComplete() {
         return mTokens.size() >= mGeneration.maxTokens();
     }
 
--- a/standins/src/main/java/org/whinhead/standins/engine/OrderDesk.java
+++ b/standins/src/main/java/org/whinhead/standins/engine/OrderHandler.java
@@ -15,10 +15,10 @@
 import java.util.concurrent.Executor;
 import java.util.concurrent.TimeUnit;
 import org.whinhead.api.model.ModelRef;
-import org.whinhead.standins.http.Call;
+import org.whinhead.standins.http.StandInCall;
 
 /** An engine's orders over HTTP; a load waits for the weight store if there is one. */
-final class OrderDesk {
+final class OrderHandler {
 
     private static final Executor RETRY =
             CompletableFuture.delayedExecutor(500, TimeUnit.MILLISECONDS);
@@ -27,7 +27,7 @@
     private final Optional<URI> mWeights;
     private final HttpClient mClient = HttpClient.newHttpClient();
 
-    OrderDesk(final EngineConfig config) {
+    OrderHandler(final EngineConfig config) {
         mOrders = new EngineOrders(config.models(), config.checksFencing());
         mWeights = config.weights();
     }
@@ -40,25 +40,25 @@
         return mOrders.staleOrders();
     }
 
-    synchronized void models(final Call call) {
-        final ObjectNode root = Call.object();
+    synchronized void models(final StandInCall call) {
+        final ObjectNode root = StandInCall.object();
         final ArrayNode data = root.putArray("data");
         mOrders.models().stream().sorted().forEach(model -> data.addObject().put("id", model));
         mOrders.role().ifPresent(role -> root.put("role", role));
         call.reply(200, root);
     }
 
-    synchronized void order(final Call call) throws IOException {
+    synchronized void order(final StandInCall call) throws IOException {
         final EngineOrders.Order order = parse(call.json());
         final OptionalLong newest = mOrders.apply(order);
         if (newest.isPresent()) {
-            call.reply(409, Call.object().put("newest", newest.getAsLong()));
+            call.reply(409, StandInCall.object().put("newest", newest.getAsLong()));
             return;
         }
         if (order.kind() == EngineOrders.Kind.LOAD) {
             load(order.model());
         }
-        call.reply(200, Call.object());
+        call.reply(200, StandInCall.object());
     }
 
     private static EngineOrders.Order parse(final JsonNode body) {
--- a/standins/src/main/java/org/whinhead/standins/http/CallHandler.java
+++ b/standins/src/main/java/org/whinhead/standins/http/CallHandler.java
@@ -12,5 +12,5 @@
      * @param call the call
      * @throws IOException if its body is malformed; the caller gets status 400
      */
-    void handle(Call call) throws IOException;
+    void handle(StandInCall call) throws IOException;
 }
--- a/standins/src/main/java/org/whinhead/standins/http/Call.java
+++ b/standins/src/main/java/org/whinhead/standins/http/StandInCall.java
@@ -22,7 +22,7 @@
 import org.xnio.IoUtils;
 
 /** One HTTP call, read whole; it may be answered at once or later, from any thread. */
-public final class Call {
+public final class StandInCall {
 
     private static final ObjectMapper MAPPER = new ObjectMapper();
     private static final String JSON_TYPE = "application/json";
@@ -34,7 +34,7 @@
     private final HttpServerExchange mExchange;
     private final byte[] mBody;
 
-    Call(final HttpServerExchange exchange, final byte[] body) {
+    StandInCall(final HttpServerExchange exchange, final byte[] body) {
         mExchange = exchange;
         mBody = body;
     }
@@ -112,7 +112,7 @@
      * @param value its value
      * @return this call
      */
-    public Call with(final String name, final String value) {
+    public StandInCall withHeader(final String name, final String value) {
         mExchange.getResponseHeaders().put(new HttpString(name), value);
         return this;
     }
@@ -138,17 +138,17 @@
     }
 
     /** Cuts the connection without an answer. */
-    public void cut() {
+    public void closeConnection() {
         IoUtils.safeClose(mExchange.getConnection());
     }
 
     /** Runs a task on the call's own thread. */
-    public void after(final Duration delay, final Runnable task) {
+    public void runAfter(final Duration delay, final Runnable task) {
         mExchange.getIoThread().executeAfter(task, delay.toNanos(), TimeUnit.NANOSECONDS);
     }
 
     /** Runs a task soon, when the answer is on its way, and on another thread. */
-    public void afterwards(final Runnable task) {
+    public void runAfterReply(final Runnable task) {
         LATER.execute(task);
     }
 
--- a/standins/src/main/java/org/whinhead/standins/http/StandInServer.java
+++ b/standins/src/main/java/org/whinhead/standins/http/StandInServer.java
@@ -23,7 +23,7 @@
     private final String mHost;
     private final RoutingHandler mRoutes = new RoutingHandler();
     private final Set<ServerConnection> mConnections = ConcurrentHashMap.newKeySet();
-    private final List<Runnable> mParked = new ArrayList<>();
+    private final List<Runnable> mDeferredCalls = new ArrayList<>();
     private Undertow mUndertow;
     private int mPort;
     private boolean mFrozen;
@@ -74,7 +74,7 @@
 
     /** Cuts every connection and refuses new ones. */
     public void kill() {
-        final Undertow stopping = takeOut();
+        final Undertow stopping = detachServer();
         if (stopping == null) {
             return;
         }
@@ -92,13 +92,13 @@
     public synchronized void freeze(final boolean frozen) {
         mFrozen = frozen;
         if (!frozen) {
-            mParked.forEach(Runnable::run);
-            mParked.clear();
+            mDeferredCalls.forEach(Runnable::run);
+            mDeferredCalls.clear();
         }
     }
 
     /** Sets how long each call waits before it is handled. */
-    public synchronized void slow(final Duration delay) {
+    public synchronized void setDelay(final Duration delay) {
         mDelay = delay;
     }
 
@@ -122,17 +122,17 @@
                         (ready, body) ->
                                 ready.dispatch(
                                         SameThreadExecutor.INSTANCE,
-                                        () -> admit(new Call(ready, body), handler)));
+                                        () -> dispatch(new StandInCall(ready, body), handler)));
     }
 
-    private synchronized Undertow takeOut() {
+    private synchronized Undertow detachServer() {
         final Undertow running = mUndertow;
         mUndertow = null;
-        mParked.clear();
+        mDeferredCalls.clear();
         return running;
     }
 
-    private void admit(final Call call, final CallHandler handler) {
+    private void dispatch(final StandInCall call, final CallHandler handler) {
         if (CONTROL_PATHS.contains(call.path())) {
             run(call, handler);
             return;
@@ -140,7 +140,7 @@
         final Duration delay;
         synchronized (this) {
             if (mFrozen) {
-                mParked.add(() -> call.after(Duration.ZERO, () -> run(call, handler)));
+                mDeferredCalls.add(() -> call.runAfter(Duration.ZERO, () -> run(call, handler)));
                 return;
             }
             delay = mDelay;
@@ -148,11 +148,11 @@
         if (delay.isZero()) {
             run(call, handler);
         } else {
-            call.after(delay, () -> run(call, handler));
+            call.runAfter(delay, () -> run(call, handler));
         }
     }
 
-    private static void run(final Call call, final CallHandler handler) {
+    private static void run(final StandInCall call, final CallHandler handler) {
         try {
             handler.handle(call);
         } catch (final IOException | IllegalArgumentException e) {
--- a/standins/src/main/java/org/whinhead/standins/log/LogSimulation.java
+++ b/standins/src/main/java/org/whinhead/standins/log/LogSimulation.java
@@ -50,7 +50,7 @@
      * @param status how it went
      * @param firstOffset the first record's offset, if it went well
      */
-    public record Appended(Status status, long firstOffset) {}
+    public record AppendResult(Status status, long firstOffset) {}
 
     /**
      * What a read found.
@@ -60,7 +60,7 @@
      * @param next the offset to read from next
      * @param records the records, in order
      */
-    public record Found(Status status, long oldest, long next, List<Entry> records) {}
+    public record ReadResult(Status status, long oldest, long next, List<Entry> records) {}
 
     private static final Duration CAP_WINDOW = Duration.ofSeconds(1);
 
@@ -84,16 +84,16 @@
      * @param now the time
      * @return what it did
      */
-    public Appended append(final String stream, final List<String> data, final Instant now) {
+    public AppendResult append(final String stream, final List<String> data, final Instant now) {
         if (mOut) {
-            return new Appended(Status.OUT, 0);
+            return new AppendResult(Status.OUT, 0);
         }
         while (!mAppends.isEmpty() && !mAppends.getFirst().plus(CAP_WINDOW).isAfter(now)) {
             mAppends.removeFirst();
         }
         if (mAppends.size() >= mConfig.appendsPerSecond()) {
             mOverCap++;
-            return new Appended(Status.OVER_CAP, 0);
+            return new AppendResult(Status.OVER_CAP, 0);
         }
         mAppends.add(now);
         mAppended++;
@@ -103,7 +103,7 @@
             target.mEntries.add(new Entry(target.mNext, record, now));
             target.mNext++;
         }
-        return new Appended(Status.OK, first);
+        return new AppendResult(Status.OK, first);
     }
 
     /**
@@ -115,21 +115,21 @@
      * @param now the time
      * @return what was found
      */
-    public Found read(final String stream, final long from, final int max, final Instant now) {
+    public ReadResult read(final String stream, final long from, final int max, final Instant now) {
         if (mOut) {
-            return new Found(Status.OUT, 0, from, List.of());
+            return new ReadResult(Status.OUT, 0, from, List.of());
         }
         final Stream target = mStreams.getOrDefault(stream, new Stream());
         target.expire(now.minus(mConfig.retention()));
         final long oldest = target.oldest();
         if (from < oldest) {
-            return new Found(Status.EXPIRED, oldest, from, List.of());
+            return new ReadResult(Status.EXPIRED, oldest, from, List.of());
         }
         final List<Entry> found = new ArrayList<>();
         final int start = (int) Math.min(from - oldest, target.mEntries.size());
         final int end = Math.min(start + max, target.mEntries.size());
         found.addAll(target.mEntries.subList(start, end));
-        return new Found(Status.OK, oldest, from + found.size(), found);
+        return new ReadResult(Status.OK, oldest, from + found.size(), found);
     }
 
     /** Fault: neither appends nor reads are served. */
--- a/standins/src/main/java/org/whinhead/standins/log/LogStandIn.java
+++ b/standins/src/main/java/org/whinhead/standins/log/LogStandIn.java
@@ -11,8 +11,8 @@
 import java.util.Base64;
 import java.util.List;
 import org.whinhead.standins.StandInContext;
-import org.whinhead.standins.fault.FaultDesk;
-import org.whinhead.standins.http.Call;
+import org.whinhead.standins.fault.FaultHandler;
+import org.whinhead.standins.http.StandInCall;
 import org.whinhead.standins.http.StandInServer;
 
 /** A log service that listens: a {@link LogSimulation} behind the log's protocol. */
@@ -23,7 +23,7 @@
     private final StandInContext mContext;
     private final StandInServer mServer;
     private final LogSimulation mSimulation;
-    private final List<Waiting> mWaiting = new ArrayList<>();
+    private final List<PendingRead> mPending = new ArrayList<>();
     private final Runnable mEndTicks;
     private int mLoseAnswers;
     private int mLoseRequests;
@@ -65,7 +65,7 @@
 
     /** Fault: every call waits before it is served. */
     public void slow(final Duration delay) {
-        mServer.slow(delay);
+        mServer.setDelay(delay);
     }
 
     /** Fault: the next appends take effect, but their connections are cut before the answer. */
@@ -89,31 +89,31 @@
         mServer.close();
     }
 
-    private FaultDesk faults() {
-        return new FaultDesk(mServer)
-                .on("outage", body -> outage(true))
-                .on("recover", body -> outage(false))
-                .on("lose-answers", body -> loseAnswers(body.path("count").asInt(1)))
-                .on("lose-requests", body -> loseRequests(body.path("count").asInt(1)));
+    private FaultHandler faults() {
+        return new FaultHandler(mServer)
+                .addFault("outage", body -> outage(true))
+                .addFault("recover", body -> outage(false))
+                .addFault("lose-answers", body -> loseAnswers(body.path("count").asInt(1)))
+                .addFault("lose-requests", body -> loseRequests(body.path("count").asInt(1)));
     }
 
-    private synchronized void append(final Call call) throws IOException {
+    private synchronized void append(final StandInCall call) throws IOException {
         final List<String> records = records(call.json());
         if (mLoseRequests > 0) {
             mLoseRequests--;
-            call.cut();
+            call.closeConnection();
             return;
         }
         final Instant now = mContext.ticker().now();
-        final LogSimulation.Appended appended =
+        final LogSimulation.AppendResult appended =
                 mSimulation.append(call.parameter("stream").orElseThrow(), records, now);
         if (appended.status() != LogSimulation.Status.OK) {
             call.fail(appended.status().code(), appended.status().name());
         } else if (mLoseAnswers > 0) {
             mLoseAnswers--;
-            call.cut();
+            call.closeConnection();
         } else {
-            call.reply(200, Call.object().put("firstOffset", appended.firstOffset()));
+            call.reply(200, StandInCall.object().put("firstOffset", appended.firstOffset()));
         }
         tick(now);
     }
@@ -130,27 +130,27 @@
         return records;
     }
 
-    private synchronized void read(final Call call) throws IOException {
+    private synchronized void read(final StandInCall call) throws IOException {
         final Instant now = mContext.ticker().now();
         final Duration wait = Duration.ofMillis(call.number("waitMillis", 0));
-        final Waiting waiting =
-                new Waiting(
+        final PendingRead waiting =
+                new PendingRead(
                         call,
                         call.parameter("stream").orElseThrow(),
                         call.number("from", 0),
                         (int) call.number("max", DEFAULT_MAX),
                         now.plus(wait));
         if (!answer(waiting, now)) {
-            mWaiting.add(waiting);
+            mPending.add(waiting);
         }
     }
 
     private synchronized void tick(final Instant now) {
-        mWaiting.removeIf(waiting -> answer(waiting, now));
+        mPending.removeIf(waiting -> answer(waiting, now));
     }
 
-    private boolean answer(final Waiting waiting, final Instant now) {
-        final LogSimulation.Found found =
+    private boolean answer(final PendingRead waiting, final Instant now) {
+        final LogSimulation.ReadResult found =
                 mSimulation.read(waiting.stream(), waiting.from(), waiting.max(), now);
         final boolean empty =
                 found.status() == LogSimulation.Status.OK && found.records().isEmpty();
@@ -161,8 +161,8 @@
         return true;
     }
 
-    private static ObjectNode json(final LogSimulation.Found found) {
-        final ObjectNode root = Call.object().put("oldest", found.oldest());
+    private static ObjectNode json(final LogSimulation.ReadResult found) {
+        final ObjectNode root = StandInCall.object().put("oldest", found.oldest());
         if (found.status() != LogSimulation.Status.OK) {
             return root;
         }
@@ -177,13 +177,14 @@
         return root;
     }
 
-    private synchronized void witness(final Call call) {
+    private synchronized void witness(final StandInCall call) {
         call.reply(
                 200,
-                Call.object()
+                StandInCall.object()
                         .put("appends", mSimulation.appends())
                         .put("overCap", mSimulation.overCap()));
     }
 
-    private record Waiting(Call call, String stream, long from, int max, Instant until) {}
+    private record PendingRead(
+            StandInCall call, String stream, long from, int max, Instant until) {}
 }
--- a/standins/src/main/java/org/whinhead/standins/service/ServiceSimulation.java
+++ b/standins/src/main/java/org/whinhead/standins/service/ServiceSimulation.java
@@ -2,18 +2,18 @@
 
 import java.util.EnumMap;
 import java.util.Map;
-import org.whinhead.standins.witness.Witness;
+import org.whinhead.standins.witness.WorkCounter;
 
 /** A plain service without its HTTP side; single-threaded. */
 public final class ServiceSimulation {
 
     private final ServiceConfig mConfig;
-    private final Witness mWitness;
+    private final WorkCounter mWitness;
     private final Map<ServiceFault, Integer> mPlanned = new EnumMap<>(ServiceFault.class);
     private int mRunning;
 
     /** Makes an idle service. */
-    public ServiceSimulation(final ServiceConfig config, final Witness witness) {
+    public ServiceSimulation(final ServiceConfig config, final WorkCounter witness) {
         mConfig = config;
         mWitness = witness;
     }
@@ -34,7 +34,7 @@
         final ServiceFault fault = next();
         if (fault.runs()) {
             mRunning++;
-            mWitness.executed(request, idempotencyKey);
+            mWitness.countExecution(request, idempotencyKey);
         }
         return fault;
     }
--- a/standins/src/main/java/org/whinhead/standins/service/ServiceStandIn.java
+++ b/standins/src/main/java/org/whinhead/standins/service/ServiceStandIn.java
@@ -5,8 +5,8 @@
 import java.net.URI;
 import java.nio.charset.StandardCharsets;
 import org.whinhead.standins.StandInContext;
-import org.whinhead.standins.fault.FaultDesk;
-import org.whinhead.standins.http.Call;
+import org.whinhead.standins.fault.FaultHandler;
+import org.whinhead.standins.http.StandInCall;
 import org.whinhead.standins.http.StandInServer;
 
 /** A plain service that listens; its answer repeats the call, so that a caller knows its own. */
@@ -78,28 +78,28 @@
         mServer.close();
     }
 
-    private FaultDesk faults() {
-        final FaultDesk desk =
-                new FaultDesk(mServer)
-                        .onceAnswered("kill", this::kill)
-                        .on("freeze", body -> freeze(true))
-                        .on("unfreeze", body -> freeze(false));
+    private FaultHandler faults() {
+        final FaultHandler faults =
+                new FaultHandler(mServer)
+                        .addFaultAfterReply("kill", this::kill)
+                        .addFault("freeze", body -> freeze(true))
+                        .addFault("unfreeze", body -> freeze(false));
         for (final ServiceFault fault : ServiceFault.values()) {
-            desk.on(fault.wireName(), body -> plan(fault, body.path("count").asInt(1)));
+            faults.addFault(fault.wireName(), body -> plan(fault, body.path("count").asInt(1)));
         }
-        return desk;
+        return faults;
     }
 
-    private void run(final Call call) throws IOException {
+    private void run(final StandInCall call) throws IOException {
         final String key =
                 call.header("Idempotency-Key")
                         .orElseThrow(() -> new IOException("Idempotency-Key is missing"));
         final String request = call.header("X-Request-Id").orElse(key);
         final ServiceFault fault = begin(request, key);
         switch (fault) {
-            case REFUSE -> call.with("Retry-After", "1").fail(503, "busy");
-            case CUT_BEFORE_RUN -> call.cut();
-            default -> call.after(mConfig.latency(), () -> end(call, fault, answer(call, key)));
+            case REFUSE -> call.withHeader("Retry-After", "1").fail(503, "busy");
+            case CUT_BEFORE_RUN -> call.closeConnection();
+            default -> call.runAfter(mConfig.latency(), () -> end(call, fault, answer(call, key)));
         }
     }
 
@@ -107,8 +107,8 @@
         return mSimulation.begin(request, key);
     }
 
-    private ObjectNode answer(final Call call, final String key) {
-        return Call.object()
+    private ObjectNode answer(final StandInCall call, final String key) {
+        return StandInCall.object()
                 .put("service", mConfig.name())
                 .put("path", call.path())
                 .put("idempotencyKey", key)
@@ -117,10 +117,10 @@
     }
 
     private synchronized void end(
-            final Call call, final ServiceFault fault, final ObjectNode answer) {
+            final StandInCall call, final ServiceFault fault, final ObjectNode answer) {
         mSimulation.end();
         switch (fault) {
-            case CUT_AFTER_RUN -> call.cut();
+            case CUT_AFTER_RUN -> call.closeConnection();
             case ERROR_AFTER_RUN -> call.fail(500, "failed after it ran");
             default -> call.reply(200, answer);
         }
--- a/standins/src/main/java/org/whinhead/standins/vms/VmEntry.java
+++ b/standins/src/main/java/org/whinhead/standins/vms/VmEntry.java
@@ -6,7 +6,7 @@
 import org.whinhead.api.Arguments;
 import org.whinhead.api.model.Billing;
 import org.whinhead.api.model.FailureDomain;
-import org.whinhead.standins.http.Call;
+import org.whinhead.standins.http.StandInCall;
 
 /**
  * One VM as the list shows it.
@@ -96,7 +96,7 @@
     }
 
     ObjectNode toJson() {
-        return Call.object()
+        return StandInCall.object()
                 .put("id", id)
                 .put("host", host)
                 .put("region", domain.region())
--- a/standins/src/main/java/org/whinhead/standins/vms/VmListSimulation.java
+++ b/standins/src/main/java/org/whinhead/standins/vms/VmListSimulation.java
@@ -44,7 +44,7 @@
     }
 
     /** A VM was announced to stop. */
-    public void leaving(final String id, final Instant now) {
+    public void markLeaving(final String id, final Instant now) {
         mVms.computeIfPresent(id, (key, vm) -> vm.asLeaving());
         remember(now);
     }
--- a/standins/src/main/java/org/whinhead/standins/vms/VmListStandIn.java
+++ b/standins/src/main/java/org/whinhead/standins/vms/VmListStandIn.java
@@ -5,8 +5,8 @@
 import java.net.URI;
 import java.time.Duration;
 import org.whinhead.standins.StandInContext;
-import org.whinhead.standins.fault.FaultDesk;
-import org.whinhead.standins.http.Call;
+import org.whinhead.standins.fault.FaultHandler;
+import org.whinhead.standins.http.StandInCall;
 import org.whinhead.standins.http.StandInServer;
 
 /** A VM list that listens: a {@link VmListSimulation} behind the list's protocol. */
@@ -23,10 +23,10 @@
         mContext = context;
         mServer = server;
         mSimulation = simulation;
-        final FaultDesk faults =
-                new FaultDesk(server)
-                        .on("freeze", body -> freeze(true))
-                        .on("unfreeze", body -> freeze(false));
+        final FaultHandler faults =
+                new FaultHandler(server)
+                        .addFault("freeze", body -> freeze(true))
+                        .addFault("unfreeze", body -> freeze(false));
         server.route("GET", "/vms", this::list).route("POST", "/faults", faults);
     }
 
@@ -62,8 +62,8 @@
     }
 
     /** A VM was announced to stop. */
-    public synchronized void leaving(final String id) {
-        mSimulation.leaving(id, mContext.ticker().now());
+    public synchronized void markLeaving(final String id) {
+        mSimulation.markLeaving(id, mContext.ticker().now());
     }
 
     /** A VM stopped. */
@@ -81,9 +81,9 @@
         mServer.close();
     }
 
-    private synchronized void list(final Call call) {
+    private synchronized void list(final StandInCall call) {
         final VmListSimulation.Snapshot shown = mSimulation.list(mContext.ticker().now());
-        final ObjectNode root = Call.object().put("asOf", shown.asOf().toString());
+        final ObjectNode root = StandInCall.object().put("asOf", shown.asOf().toString());
         final ArrayNode vms = root.putArray("vms");
         shown.vms().forEach(vm -> vms.add(vm.toJson()));
         call.reply(200, root);
--- a/standins/src/main/java/org/whinhead/standins/weights/WeightStoreStandIn.java
+++ b/standins/src/main/java/org/whinhead/standins/weights/WeightStoreStandIn.java
@@ -5,8 +5,8 @@
 import java.time.Instant;
 import java.util.Optional;
 import org.whinhead.standins.StandInContext;
-import org.whinhead.standins.fault.FaultDesk;
-import org.whinhead.standins.http.Call;
+import org.whinhead.standins.fault.FaultHandler;
+import org.whinhead.standins.http.StandInCall;
 import org.whinhead.standins.http.StandInServer;
 
 /** A weight store that listens: a {@link WeightStoreSimulation} behind the store's protocol. */
@@ -24,7 +24,7 @@
         mServer = server;
         mSimulation = simulation;
         server.route("GET", "/weights/{name}/{version}", this::load)
-                .route("POST", "/faults", new FaultDesk(server));
+                .route("POST", "/faults", new FaultHandler(server));
     }
 
     /**
@@ -53,15 +53,15 @@
         mServer.close();
     }
 
-    private synchronized void load(final Call call) {
+    private synchronized void load(final StandInCall call) {
         final Instant now = mContext.ticker().now();
         final Optional<Instant> done = mSimulation.load(now);
         if (done.isEmpty()) {
-            call.with("Retry-After", "1").fail(429, "too many loads wait");
+            call.withHeader("Retry-After", "1").fail(429, "too many loads wait");
             return;
         }
-        call.after(
+        call.runAfter(
                 Duration.between(now, done.get()),
-                () -> call.reply(200, Call.object().put("bytes", mSimulation.bytes())));
+                () -> call.reply(200, StandInCall.object().put("bytes", mSimulation.bytes())));
     }
 }
--- a/standins/src/main/java/org/whinhead/standins/witness/Witness.java
+++ b/standins/src/main/java/org/whinhead/standins/witness/WorkCounter.java
@@ -7,38 +7,38 @@
 import java.util.TreeMap;
 
 /** Counts what all engines and services of one process did; safe for use by several threads. */
-public final class Witness {
+public final class WorkCounter {
 
-    private final Map<String, Seen> mByRequest = new TreeMap<>();
+    private final Map<String, RequestCounts> mByRequest = new TreeMap<>();
     private final Map<String, Integer> mExecutionsByKey = new TreeMap<>();
 
     /** An engine took an attempt in. */
-    public synchronized void attempt(final String request) {
-        seen(request).mAttempts++;
+    public synchronized void countAttempt(final String request) {
+        counts(request).mAttempts++;
     }
 
     /** An engine found leading tokens in its cache. */
-    public synchronized void cached(final String request, final int tokens) {
-        seen(request).mCached += tokens;
+    public synchronized void countCachedTokens(final String request, final int tokens) {
+        counts(request).mCached += tokens;
     }
 
     /** An engine computed prompt tokens. */
-    public synchronized void prefilled(final String request, final int from, final int to) {
-        final Seen seen = seen(request);
+    public synchronized void countPrefill(final String request, final int from, final int to) {
+        final RequestCounts seen = counts(request);
         seen.mPrefilled += to - from;
         seen.mPositions.set(from, to);
     }
 
     /** An engine generated a token. */
-    public synchronized void generated(final String request, final int position) {
-        final Seen seen = seen(request);
+    public synchronized void countGeneratedToken(final String request, final int position) {
+        final RequestCounts seen = counts(request);
         seen.mGenerated++;
         seen.mPositions.set(position);
     }
 
     /** A plain service ran a call. */
-    public synchronized void executed(final String request, final String idempotencyKey) {
-        seen(request).mExecutions++;
+    public synchronized void countExecution(final String request, final String idempotencyKey) {
+        counts(request).mExecutions++;
         mExecutionsByKey.merge(idempotencyKey, 1, Integer::sum);
     }
 
@@ -59,7 +59,7 @@
      * @return the number of attempts
      */
     public synchronized int attempts(final String request) {
-        return mByRequest.containsKey(request) ? seen(request).mAttempts : 0;
+        return mByRequest.containsKey(request) ? counts(request).mAttempts : 0;
     }
 
     /**
@@ -68,8 +68,8 @@
      * @param request the request's identity
      * @return true if any work was done for it
      */
-    public synchronized boolean ran(final String request) {
-        return mByRequest.containsKey(request) && seen(request).ran();
+    public synchronized boolean hasWork(final String request) {
+        return mByRequest.containsKey(request) && counts(request).hasWork();
     }
 
     /** Returns how many tokens the engines generated. */
@@ -84,7 +84,7 @@
 
     /** Returns how many tokens were computed again for the same request and position. */
     public synchronized long recomputedTokens() {
-        return mByRequest.values().stream().mapToLong(Seen::recomputed).sum();
+        return mByRequest.values().stream().mapToLong(RequestCounts::recomputed).sum();
     }
 
     /**
@@ -94,7 +94,7 @@
      * @return tokens computed beyond the first computation of each position
      */
     public synchronized long recomputedTokens(final String request) {
-        return mByRequest.containsKey(request) ? seen(request).recomputed() : 0;
+        return mByRequest.containsKey(request) ? counts(request).recomputed() : 0;
     }
 
     /** Returns all counts as JSON. */
@@ -110,11 +110,11 @@
         return root;
     }
 
-    private Seen seen(final String request) {
-        return mByRequest.computeIfAbsent(request, id -> new Seen());
+    private RequestCounts counts(final String request) {
+        return mByRequest.computeIfAbsent(request, id -> new RequestCounts());
     }
 
-    private static final class Seen {
+    private static final class RequestCounts {
         private final BitSet mPositions = new BitSet();
         private int mAttempts;
         private int mExecutions;
@@ -126,7 +126,7 @@
             return (long) mPrefilled + mGenerated - mPositions.cardinality();
         }
 
-        private boolean ran() {
+        private boolean hasWork() {
             return mExecutions + mPrefilled + mGenerated > 0;
         }
 
--- a/standins/src/test/java/org/whinhead/standins/cloud/CloudSimulationTest.java
+++ b/standins/src/test/java/org/whinhead/standins/cloud/CloudSimulationTest.java
@@ -26,8 +26,8 @@
      */
     @Test
     void reclaimsWholeDomainAndRefusesStarts() {
-        mCloud.adopt("a", order("1", Billing.RECLAIMABLE));
-        mCloud.adopt("b", order("2", Billing.ON_DEMAND));
+        mCloud.addRunning("a", order("1", Billing.RECLAIMABLE));
+        mCloud.addRunning("b", order("2", Billing.ON_DEMAND));
         mCloud.reclaim(DOMAIN, Duration.ofSeconds(5), NOW);
         mCloud.refuseStarts(true);
         assertThat(mCloud.start(order("3", Billing.RECLAIMABLE), NOW)).isEmpty();
--- a/standins/src/test/java/org/whinhead/standins/engine/EngineSimulationTest.java
+++ b/standins/src/test/java/org/whinhead/standins/engine/EngineSimulationTest.java
@@ -17,14 +17,14 @@
 import org.whinhead.standins.engine.EngineOrders.Kind;
 import org.whinhead.standins.engine.EngineOrders.Order;
 import org.whinhead.standins.engine.EngineStream.State;
-import org.whinhead.standins.witness.Witness;
+import org.whinhead.standins.witness.WorkCounter;
 
 final class EngineSimulationTest {
 
     private static final Instant NOW = Instant.parse("2026-03-02T08:00:00Z");
     private static final String LONG_PROMPT = words(64);
 
-    private final Witness mWitness = new Witness();
+    private final WorkCounter mWitness = new WorkCounter();
     private final EngineSimulation mEngine = engine(2, 1);
     private Instant mTime = NOW;
 
--- a/standins/src/test/java/org/whinhead/standins/log/LogSimulationTest.java
+++ b/standins/src/test/java/org/whinhead/standins/log/LogSimulationTest.java
@@ -6,8 +6,8 @@
 import java.time.Instant;
 import java.util.List;
 import org.junit.jupiter.api.Test;
-import org.whinhead.standins.log.LogSimulation.Appended;
-import org.whinhead.standins.log.LogSimulation.Found;
+import org.whinhead.standins.log.LogSimulation.AppendResult;
+import org.whinhead.standins.log.LogSimulation.ReadResult;
 import org.whinhead.standins.log.LogSimulation.Status;
 
 final class LogSimulationTest {
@@ -20,12 +20,13 @@
     @Test
     void eachStreamCountsItsOwnOffsetsUnderOneCap() {
         assertThat(mLog.append("a", List.of("eA==", "eQ=="), NOW))
-                .isEqualTo(new Appended(Status.OK, 0));
-        assertThat(mLog.append("b", List.of("eA=="), NOW)).isEqualTo(new Appended(Status.OK, 0));
+                .isEqualTo(new AppendResult(Status.OK, 0));
+        assertThat(mLog.append("b", List.of("eA=="), NOW))
+                .isEqualTo(new AppendResult(Status.OK, 0));
         assertThat(mLog.append("a", List.of("eA=="), NOW.plusMillis(999)).status())
                 .isEqualTo(Status.OVER_CAP);
         assertThat(mLog.append("a", List.of("eA=="), NOW.plusSeconds(1)))
-                .isEqualTo(new Appended(Status.OK, 2));
+                .isEqualTo(new AppendResult(Status.OK, 2));
         assertThat(mLog.read("a", 1, 1, NOW).next()).isEqualTo(2);
     }
 
@@ -34,7 +35,7 @@
         mLog.append("a", List.of("eA==", "eQ=="), NOW);
         mLog.append("a", List.of("eg=="), NOW.plusSeconds(50));
         final Instant later = NOW.plusSeconds(61);
-        final Found expired = mLog.read("a", 1, 10, later);
+        final ReadResult expired = mLog.read("a", 1, 10, later);
         assertThat(expired.status()).isEqualTo(Status.EXPIRED);
         assertThat(expired.oldest()).isEqualTo(2);
         assertThat(mLog.read("a", 2, 10, later).records().get(0).data()).isEqualTo("eg==");
--- a/standins/src/test/java/org/whinhead/standins/vms/VmListSimulationTest.java
+++ b/standins/src/test/java/org/whinhead/standins/vms/VmListSimulationTest.java
@@ -36,7 +36,7 @@
 
     @Test
     void showsChangesAfterTheLag() {
-        mList.leaving("a", NOW);
+        mList.markLeaving("a", NOW);
         mList.remove("a", NOW.plusSeconds(1));
         assertThat(shown(2999)).containsExactly(VM);
         assertThat(shown(3000)).containsExactly(VM.asLeaving());
