--- a/standins/src/main/java/org/whinhead/standins/answer/ExpectedAnswer.java
+++ b/standins/src/main/java/org/whinhead/standins/answer/ExpectedAnswer.java
@@ -6,10 +6,10 @@
 import org.whinhead.api.Arguments;
 
 /**
- * The one right answer to a prompt: every engine generates it, and every caller compares with it.
+ * Computes the deterministic answer to a prompt: engines generate it and callers compare with it.
  *
  * <p>Each token is a word that depends on the whole prompt and on the token's index, so that a
- * token from another answer, a missing one or a repeated one shows.
+ * comparison detects a token of another answer, a missing token and a repeated token.
  */
 public final class ExpectedAnswer {
 
@@ -23,7 +23,7 @@
      *
      * @param prompt all messages of the request, joined; without delivered text
      * @param index the token's index, from 0
-     * @return the token's text, which ends in a blank
+     * @return the token's text, which ends in a space
      */
     public static String token(final String prompt, final long index) {
         Arguments.requireAtLeast(index, 0, "index");
@@ -33,10 +33,10 @@
     }
 
     /**
-     * Returns the first tokens.
+     * Returns the first tokens of the answer.
      *
      * @param prompt all messages of the request, joined; without delivered text
-     * @param count how many tokens
+     * @param count the number of tokens
      * @return the tokens in order
      */
     public static List<String> tokens(final String prompt, final int count) {
--- a/standins/src/main/java/org/whinhead/standins/answer/package-info.java
+++ b/standins/src/main/java/org/whinhead/standins/answer/package-info.java
@@ -1,2 +1,2 @@
-/** What a stand-in engine generates for a prompt, so that a caller can check its own answer. */
+/** The deterministic answer to each prompt, against which callers check what they receive. */
 package org.whinhead.standins.answer;
--- a/standins/src/main/java/org/whinhead/standins/clock/Ticker.java
+++ b/standins/src/main/java/org/whinhead/standins/clock/Ticker.java
@@ -12,7 +12,7 @@
 import org.slf4j.Logger;
 import org.slf4j.LoggerFactory;
 
-/** Calls all stand-ins of a process with the time, again and again, on one thread. */
+/** Passes the current time to all registered tasks periodically, on one thread. */
 public final class Ticker implements AutoCloseable {
 
     private static final Logger LOG = LoggerFactory.getLogger(Ticker.class);
@@ -22,7 +22,7 @@
     private final List<Consumer<Instant>> mTasks = new CopyOnWriteArrayList<>();
     private final ScheduledExecutorService mThread;
 
-    /** Starts the thread. */
+    /** Creates a ticker and starts its thread. */
     public Ticker(final InstantSource clock) {
         mClock = clock;
         mThread =
@@ -35,16 +35,16 @@
         mThread.scheduleWithFixedDelay(this::tick, 0, PERIOD.toNanos(), TimeUnit.NANOSECONDS);
     }
 
-    /** Returns the time. */
+    /** Returns the current time. */
     public Instant now() {
         return mClock.instant();
     }
 
     /**
-     * Adds a task; it must not block.
+     * Adds a periodic task; it must not block.
      *
-     * @param task gets the time at each tick
-     * @return ends the task
+     * @param task receives the current time at each tick
+     * @return an action that removes the task
      */
     public Runnable add(final Consumer<Instant> task) {
         mTasks.add(task);
@@ -61,8 +61,8 @@
             try {
                 task.accept(mClock.instant());
             } catch (final RuntimeException e) {
-                // A task that throws is never scheduled again, which would stop every stand-in.
-                LOG.error("a stand-in's tick failed", e);
+                // The executor drops a task that throws, which would stop every stand-in.
+                LOG.error("periodic task of a stand-in failed", e);
             }
         }
     }
--- a/standins/src/main/java/org/whinhead/standins/clock/package-info.java
+++ b/standins/src/main/java/org/whinhead/standins/clock/package-info.java
@@ -1,2 +1,2 @@
-/** The one thread and the clock that drive the stand-ins of a process. */
+/** The clock and the timer thread that all stand-ins of a process share. */
 package org.whinhead.standins.clock;
--- a/standins/src/main/java/org/whinhead/standins/cloud/CloudActions.java
+++ b/standins/src/main/java/org/whinhead/standins/cloud/CloudActions.java
@@ -2,15 +2,15 @@
 
 import java.time.Instant;
 
-/** What happens to VMs, for those who run the stand-ins on them; on a thread of its own. */
+/** Listener for the start, reclaim notice and end of VMs. */
 public interface CloudActions {
 
-    /** A VM has started. */
+    /** Handles the start of a VM. */
     void onStarted(String vm, VmOrder order);
 
-    /** A VM will be taken back. */
+    /** Handles the notice that a VM will be reclaimed at a time. */
     void onNotice(String vm, Instant goneBy);
 
-    /** A VM is gone, and so is all that ran on it. */
+    /** Handles the end of a VM and of everything that ran on it. */
     void onGone(String vm);
 }
--- a/standins/src/main/java/org/whinhead/standins/cloud/CloudSimulation.java
+++ b/standins/src/main/java/org/whinhead/standins/cloud/CloudSimulation.java
@@ -10,15 +10,15 @@
 import java.util.TreeMap;
 import org.whinhead.api.model.FailureDomain;
 
-/** A cloud without its HTTP side; single-threaded, and the time is passed in. */
+/** Simulates a cloud without HTTP; not thread-safe, and callers pass the current time. */
 public final class CloudSimulation {
 
     /**
-     * A reclaim notice.
+     * An announcement that a VM will be reclaimed.
      *
-     * @param sequence its number, from 1
+     * @param sequence the notice's number, from 1
      * @param vm the VM
-     * @param goneBy when it is gone
+     * @param goneBy the time at which the VM ends
      */
     public record Notice(long sequence, String vm, Instant goneBy) {}
 
@@ -31,27 +31,27 @@
     private int mStarted;
 
     /**
-     * Makes a cloud without VMs.
+     * Creates a cloud without VMs.
      *
-     * @param boot how long a VM takes to start
-     * @param actions told what happens to VMs
+     * @param boot the time that a VM needs to start
+     * @param actions the listener for VM events
      */
     public CloudSimulation(final Duration boot, final CloudActions actions) {
         mBoot = boot;
         mActions = actions;
     }
 
-    /** Takes in a VM that runs already. */
+    /** Adds a VM that already runs. */
     public void addRunning(final String vm, final VmOrder order) {
         mMachines.put(vm, new Machine(order, Instant.MIN, true));
     }
 
     /**
-     * Orders a VM.
+     * Starts a VM, once for each order identity.
      *
      * @param order the order
      * @param now the time
-     * @return the VM's identity, or empty if there is no capacity
+     * @return the VM's identity, or empty if the cloud has no capacity
      */
     public Optional<String> start(final VmOrder order, final Instant now) {
         if (mVmsByOrder.containsKey(order.orderId())) {
@@ -75,7 +75,7 @@
     }
 
     /**
-     * Announces that a VM is taken back; one that is billed on demand, or was announced, is not.
+     * Announces the reclaim of a VM; ignores on-demand VMs and VMs announced before.
      */
     public void reclaim(final String vm, final Duration notice, final Instant now) {
         final Machine machine = mMachines.get(vm);
@@ -89,7 +89,7 @@
         mActions.onNotice(vm, machine.mGoneBy);
     }
 
-    /** Announces that all reclaimable VMs of a failure domain are taken back. */
+    /** Announces the reclaim of all reclaimable VMs of a failure domain. */
     public void reclaim(final FailureDomain domain, final Duration notice, final Instant now) {
         mMachines.forEach(
                 (vm, machine) -> {
@@ -99,7 +99,7 @@
                 });
     }
 
-    /** Lets time pass: VMs start, and those announced go. */
+    /** Advances the time: starts the VMs that are due and ends the announced ones that are due. */
     public void advance(final Instant now) {
         for (final String vm : List.copyOf(mMachines.keySet())) {
             final Machine machine = mMachines.get(vm);
@@ -114,17 +114,17 @@
     }
 
     /**
-     * Returns notices.
+     * Returns the reclaim notices after a sequence number.
      *
-     * @param after the last sequence number seen
-     * @return the later ones, in order
+     * @param after the last sequence number received
+     * @return the later notices, in order
      */
     public List<Notice> notices(final long after) {
         final int start = (int) Math.min(Math.max(after, 0), mNotices.size());
         return List.copyOf(mNotices.subList(start, mNotices.size()));
     }
 
-    /** Fault: no VM is started. */
+    /** Fault: sets whether the cloud refuses to start VMs. */
     public void refuseStarts(final boolean refuses) {
         mRefuses = refuses;
     }
--- a/standins/src/main/java/org/whinhead/standins/cloud/CloudStandIn.java
+++ b/standins/src/main/java/org/whinhead/standins/cloud/CloudStandIn.java
@@ -22,7 +22,7 @@
 import org.whinhead.standins.http.StandInServer;
 import org.whinhead.standins.vms.VmEntry;
 
-/** A cloud that listens: a {@link CloudSimulation} behind the cloud's protocol. */
+/** Serves a {@link CloudSimulation} over the cloud's HTTP protocol. */
 public final class CloudStandIn implements AutoCloseable {
 
     private static final long DEFAULT_NOTICE_MILLIS = 10_000;
@@ -62,14 +62,14 @@
     }
 
     /**
-     * Starts a cloud.
+     * Starts a cloud server.
      *
      * @param port the port, or 0 for a free one
-     * @param boot how long a VM takes to start
-     * @param prices what VMs cost
-     * @param actions told what happens to VMs
-     * @param context what the stand-ins of the process share
-     * @return the cloud, which listens
+     * @param boot the time that a VM needs to start
+     * @param prices the hourly prices of VMs
+     * @param actions the listener for VM events, called on a thread of its own
+     * @param context the clock and counters shared in the process
+     * @return the listening cloud
      */
     public static CloudStandIn start(
             final int port,
@@ -88,28 +88,28 @@
         return mServer.uri();
     }
 
-    /** Takes in a VM that runs already. */
+    /** Adds a VM that already runs. */
     public synchronized void addRunning(final String vm, final VmOrder order) {
         mSimulation.addRunning(vm, order);
         mMeter.started(vm, order, mContext.ticker().now());
     }
 
-    /** Returns what the VMs of each role have cost so far, by the list of prices. */
+    /** Returns the cost of the VMs of each role so far, by the price list. */
     public Map<VmEntry.Role, Double> cost() {
         return mMeter.cost(mContext.ticker().now());
     }
 
-    /** Fault: takes back one VM. */
+    /** Fault: reclaims one VM. */
     public synchronized void reclaim(final String vm, final Duration notice) {
         mSimulation.reclaim(vm, notice, mContext.ticker().now());
     }
 
-    /** Fault: takes back all reclaimable VMs of a failure domain. */
+    /** Fault: reclaims all reclaimable VMs of a failure domain. */
     public synchronized void reclaim(final FailureDomain domain, final Duration notice) {
         mSimulation.reclaim(domain, notice, mContext.ticker().now());
     }
 
-    /** Fault: no VM is started. */
+    /** Fault: sets whether the cloud refuses to start VMs. */
     public synchronized void refuseStarts(final boolean refuses) {
         mSimulation.refuseStarts(refuses);
     }
@@ -121,7 +121,7 @@
         mActionsThread.shutdownNow();
     }
 
-    /** Hands actions to a thread of their own, as starting and killing servers takes a while. */
+    /** Wraps a listener to run on the actions thread, as starting and killing servers is slow. */
     private CloudActions onActionsThread(final CloudActions actions) {
         return new CloudActions() {
             @Override
--- a/standins/src/main/java/org/whinhead/standins/cloud/Price.java
+++ b/standins/src/main/java/org/whinhead/standins/cloud/Price.java
@@ -6,16 +6,16 @@
 import org.whinhead.api.model.FailureDomain;
 
 /**
- * What a VM costs.
+ * The hourly price of a VM.
  *
- * @param domain where
- * @param machineClass which size
- * @param billing how it is paid for
+ * @param domain the failure domain
+ * @param machineClass the cloud's name of the VM size
+ * @param billing the billing mode
  * @param perHour the price of an hour
  */
 public record Price(FailureDomain domain, String machineClass, Billing billing, double perHour) {
 
-    /** Checks every part. */
+    /** Validates the components. */
     public Price {
         Objects.requireNonNull(domain, "domain");
         Arguments.requireText(machineClass, "machineClass");
--- a/standins/src/main/java/org/whinhead/standins/cloud/VmMeter.java
+++ b/standins/src/main/java/org/whinhead/standins/cloud/VmMeter.java
@@ -8,7 +8,7 @@
 import java.util.TreeMap;
 import org.whinhead.standins.vms.VmEntry;
 
-/** Adds up how long VMs ran and what that cost; the time is passed in. */
+/** Sums the cost of VMs by role; callers pass the current time. */
 final class VmMeter {
 
     private static final double MILLIS_IN_HOUR = Duration.ofHours(1).toMillis();
@@ -32,7 +32,7 @@
         }
     }
 
-    /** Returns what the VMs of each role have cost until now. */
+    /** Returns the cost of the VMs of each role until now. */
     synchronized Map<VmEntry.Role, Double> cost(final Instant now) {
         final Map<VmEntry.Role, Double> cost = new TreeMap<>(mEnded);
         for (final Running running : mRunning.values()) {
--- a/standins/src/main/java/org/whinhead/standins/cloud/VmOrder.java
+++ b/standins/src/main/java/org/whinhead/standins/cloud/VmOrder.java
@@ -7,13 +7,13 @@
 import org.whinhead.standins.vms.VmEntry;
 
 /**
- * An order for a VM.
+ * A request to start a VM.
  *
- * @param orderId its identity; the same one gives the same VM
- * @param domain where
- * @param machineClass which size
- * @param billing how it is paid for
- * @param role what runs on it
+ * @param orderId the order's identity; a repeated order returns the same VM
+ * @param domain the failure domain
+ * @param machineClass the cloud's name of the VM size
+ * @param billing the billing mode
+ * @param role the kind of server that runs on the VM
  */
 public record VmOrder(
         String orderId,
@@ -22,7 +22,7 @@
         Billing billing,
         VmEntry.Role role) {
 
-    /** Checks every part. */
+    /** Validates the components. */
     public VmOrder {
         Arguments.requireText(orderId, "orderId");
         Objects.requireNonNull(domain, "domain");
--- a/standins/src/main/java/org/whinhead/standins/cloud/package-info.java
+++ b/standins/src/main/java/org/whinhead/standins/cloud/package-info.java
@@ -1,2 +1,2 @@
-/** A stand-in cloud: starts and stops VMs, takes them back with notice, and tells prices. */
+/** A stand-in cloud: starts, stops and reclaims VMs, announces reclaims and lists prices. */
 package org.whinhead.standins.cloud;
--- a/standins/src/main/java/org/whinhead/standins/deployment/DeploymentConfig.java
+++ b/standins/src/main/java/org/whinhead/standins/deployment/DeploymentConfig.java
@@ -7,14 +7,14 @@
 import org.whinhead.api.Arguments;
 
 /**
- * How a deployment's stand-ins are run.
+ * Settings of a deployment's stand-ins.
  *
- * @param plan what stands where
+ * @param plan the failure domains, model and service of the deployment
  * @param ports the first port, or 0 for free ones
- * @param speedUp how many times as fast as real engines and VM starts
- * @param vmLag how old what the VM list shows is
- * @param readerGrace how long engines go on with a stream that nobody reads
- * @param entries the addresses of the system's daemons, for the VM list
+ * @param speedUp the speed of engines, weight loads and VM starts relative to real ones
+ * @param vmLag the age of the snapshot that the VM list returns
+ * @param readerGrace the time after which engines drop a stream without a reader
+ * @param entries the addresses of the daemons on the VM list
  */
 public record DeploymentConfig(
         DeploymentPlan plan,
@@ -24,7 +24,7 @@
         Duration readerGrace,
         List<URI> entries) {
 
-    /** Checks every part and copies the list. */
+    /** Validates the components and copies the list. */
     public DeploymentConfig {
         Objects.requireNonNull(plan, "plan");
         Arguments.requireAtLeast(ports, 0, "ports");
@@ -37,9 +37,9 @@
     }
 
     /**
-     * Makes settings on free ports, at the speed of real engines and with a lag of 3 s.
+     * Returns settings with free ports, the speed of real engines and a VM list lag of 3 s.
      *
-     * @param plan what stands where
+     * @param plan the failure domains, model and service of the deployment
      * @return the settings
      */
     public static DeploymentConfig of(final DeploymentPlan plan) {
@@ -48,9 +48,9 @@
     }
 
     /**
-     * Returns the same settings at another speed.
+     * Returns a copy with another speed.
      *
-     * @param factor how many times as fast as real engines
+     * @param factor the speed relative to real engines
      * @return a copy of these settings
      */
     public DeploymentConfig withSpeedUp(final double factor) {
@@ -58,9 +58,9 @@
     }
 
     /**
-     * Returns the same settings with another lag of the VM list.
+     * Returns a copy with another lag of the VM list.
      *
-     * @param lag how old what the list shows is
+     * @param lag the age of the snapshot that the list returns
      * @return a copy of these settings
      */
     public DeploymentConfig withVmLag(final Duration lag) {
@@ -68,7 +68,7 @@
     }
 
     /**
-     * Returns the same settings with the daemons' addresses.
+     * Returns a copy with the daemons' addresses.
      *
      * @param uris the addresses
      * @return a copy of these settings
@@ -77,8 +77,8 @@
         return new DeploymentConfig(plan, ports, speedUp, vmLag, readerGrace, uris);
     }
 
-    /** Returns a port by its place after the first, or 0 for a free one. */
-    int port(final int place) {
-        return ports == 0 ? 0 : ports + place;
+    /** Returns the port at an offset from the first port, or 0 for a free port. */
+    int port(final int offset) {
+        return ports == 0 ? 0 : ports + offset;
     }
 }
--- a/standins/src/main/java/org/whinhead/standins/deployment/DeploymentPlan.java
+++ b/standins/src/main/java/org/whinhead/standins/deployment/DeploymentPlan.java
@@ -7,9 +7,9 @@
 import org.whinhead.api.model.FailureDomain;
 import org.whinhead.standins.cloud.Price;
 
-/** What stands where in the two deployments of today. */
+/** The failure domains, model, service and prices of the two simulated deployments. */
 public enum DeploymentPlan {
-    /** Small-claims filing in Kigali. */
+    /** A small-claims filing service in Kigali. */
     INKIKO(
             9000,
             "kigali",
@@ -18,7 +18,7 @@
             "kg-gasabo",
             "kg-kicukiro",
             "kg-nyarugenge"),
-    /** Food costs in Nairobi. */
+    /** A food cost calculator in Nairobi. */
     MEZANI(
             9100,
             "nairobi",
@@ -34,10 +34,10 @@
     /** The machine class of plain services. */
     public static final String SERVICE_CLASS = "service-small";
 
-    /** The machine class of the system's own VMs. */
+    /** The machine class of the VMs that run daemons. */
     public static final String ENTRY_CLASS = "entry-small";
 
-    /** How many engines stand in a failure domain. */
+    /** The number of engines in each failure domain. */
     public static final int ENGINES_PER_DOMAIN = 2;
 
     private static final double[] DOMAIN_FACTORS = {1.0, 0.9, 1.15};
@@ -65,7 +65,7 @@
         mService = service;
     }
 
-    /** Returns the first port that {@code bin/standins} uses unless told otherwise. */
+    /** Returns the default first port of {@code bin/standins}. */
     public int ports() {
         return mPorts;
     }
@@ -75,12 +75,12 @@
         return List.copyOf(mDomains);
     }
 
-    /** Returns the model that the engines have loaded at the start. */
+    /** Returns the model that engines load initially, as {@code name@version}. */
     public String model() {
         return mModel;
     }
 
-    /** Returns the plain service's name. */
+    /** Returns the name of the plain service. */
     public String service() {
         return mService;
     }
@@ -90,7 +90,7 @@
         return name().toLowerCase(Locale.ROOT);
     }
 
-    /** Returns what VMs cost. */
+    /** Returns the hourly price of each machine class, by failure domain and billing. */
     public List<Price> prices() {
         final List<Price> prices = new ArrayList<>();
         for (int index = 0; index < mDomains.size(); index++) {
@@ -107,8 +107,8 @@
             final String machineClass,
             final double price) {
         final FailureDomain domain = mDomains.get(index);
-        final double here = price * DOMAIN_FACTORS[index];
-        prices.add(new Price(domain, machineClass, Billing.RECLAIMABLE, here));
-        prices.add(new Price(domain, machineClass, Billing.ON_DEMAND, here * ON_DEMAND_FACTOR));
+        final double domainPrice = price * DOMAIN_FACTORS[index];
+        prices.add(new Price(domain, machineClass, Billing.RECLAIMABLE, domainPrice));
+        prices.add(new Price(domain, machineClass, Billing.ON_DEMAND, domainPrice * ON_DEMAND_FACTOR));
     }
 }
--- a/standins/src/main/java/org/whinhead/standins/deployment/DeploymentStandIns.java
+++ b/standins/src/main/java/org/whinhead/standins/deployment/DeploymentStandIns.java
@@ -28,7 +28,7 @@
 import org.whinhead.standins.weights.WeightStoreSimulation;
 import org.whinhead.standins.weights.WeightStoreStandIn;
 
-/** The platform, the engines and the services of one deployment, all in this process. */
+/** Runs the platform, engine and service stand-ins of one deployment in this process. */
 public final class DeploymentStandIns implements AutoCloseable {
 
     private static final String HOST = "127.0.0.1";
@@ -81,10 +81,10 @@
     }
 
     /**
-     * Starts a deployment whose daemons are looked after by someone else.
+     * Starts a deployment whose daemons are started and stopped elsewhere.
      *
-     * @param config how it is run
-     * @return the stand-ins, which listen
+     * @param config the settings
+     * @return the listening stand-ins
      */
     public static DeploymentStandIns start(final DeploymentConfig config) {
         return start(config, new NoOpCloudActions());
@@ -93,9 +93,9 @@
     /**
      * Starts a deployment.
      *
-     * @param config how it is run
-     * @param entries told what happens to the VMs of the system's daemons
-     * @return the stand-ins, which listen
+     * @param config the settings
+     * @param entries the listener for events of the daemons' VMs
+     * @return the listening stand-ins
      */
     public static DeploymentStandIns start(
             final DeploymentConfig config, final CloudActions entries) {
@@ -106,7 +106,7 @@
         return all;
     }
 
-    /** Returns what the stand-ins share, with the witness. */
+    /** Returns the clock and the work counter that the stand-ins share. */
     public StandInContext context() {
         return mContext;
     }
@@ -131,24 +131,24 @@
         return mWeights;
     }
 
-    /** Returns the engines that run, by VM. */
+    /** Returns the running engines by VM. */
     public Map<String, EngineStandIn> engines() {
         return Map.copyOf(mServers.engines());
     }
 
-    /** Returns the plain services that run, by VM. */
+    /** Returns the running plain services by VM. */
     public Map<String, ServiceStandIn> services() {
         return Map.copyOf(mServers.services());
     }
 
-    /** Shows a daemon's VM on the VM list and in the cloud. */
+    /** Adds a daemon's VM to the cloud and the VM list. */
     public void addEntry(final String vm, final FailureDomain domain, final URI uri) {
         final VmOrder order = order(vm, domain, DeploymentPlan.ENTRY_CLASS, VmEntry.Role.ENTRY);
         mCloud.addRunning(vm, order);
         mServers.show(vm, order, uri, "", true, 1);
     }
 
-    /** Returns all addresses as JSON. */
+    /** Returns the addresses of all stand-ins as JSON. */
     public ObjectNode addresses() {
         final ObjectNode root = StandInCall.object().put("deployment", mConfig.plan().wireName());
         root.put("log", mLog.uri().toString())
@@ -243,21 +243,21 @@
         return Duration.ofNanos((long) (duration.toNanos() / speedUp));
     }
 
-    /** Leaves the daemons of reclaimed VMs alone. */
+    /** Ignores VM events, for daemons that are run elsewhere. */
     private static final class NoOpCloudActions implements CloudActions {
         @Override
         public void onStarted(final String vm, final VmOrder order) {
-            // Nobody starts daemons here.
+            // Daemons are started elsewhere.
         }
 
         @Override
         public void onNotice(final String vm, final Instant goneBy) {
-            // The daemon learns it from the cloud.
+            // The daemon polls the notice from the cloud.
         }
 
         @Override
         public void onGone(final String vm) {
-            // Nobody ends daemons here.
+            // Daemons are stopped elsewhere.
         }
     }
 }
--- a/standins/src/main/java/org/whinhead/standins/deployment/StandInsMain.java
+++ b/standins/src/main/java/org/whinhead/standins/deployment/StandInsMain.java
@@ -4,7 +4,7 @@
 import java.util.concurrent.CountDownLatch;
 import org.apache.commons.cli.ParseException;
 
-/** The command {@code bin/standins}. */
+/** Entry point of the command {@code bin/standins}. */
 public final class StandInsMain {
 
     private static final int EXIT_USAGE = 2;
@@ -14,13 +14,13 @@
     private StandInsMain() {}
 
     /**
-     * Runs the command until the process is told to stop.
+     * Runs the stand-ins until the process receives a stop signal.
      *
      * @param arguments the command line
      * @throws InterruptedException if the main thread is interrupted
      */
     public static void main(final String[] arguments) throws InterruptedException {
-        // Standard output is for the one line of JSON that scripts read, so logs go elsewhere.
+        // Scripts read one line of JSON from standard output, so logs go to standard error.
         if (System.getProperty(LOG_SETTINGS) == null) {
             System.setProperty(LOG_SETTINGS, OWN_LOG_SETTINGS);
         }
@@ -38,17 +38,17 @@
 
     private static void run(final DeploymentConfig config, final PrintStream out)
             throws InterruptedException {
-        final DeploymentStandIns all = DeploymentStandIns.start(config);
+        final DeploymentStandIns standIns = DeploymentStandIns.start(config);
         final CountDownLatch stopped = new CountDownLatch(1);
         Runtime.getRuntime()
                 .addShutdownHook(
                         new Thread(
                                 () -> {
-                                    all.close();
+                                    standIns.close();
                                     stopped.countDown();
                                 },
                                 "standins-stop"));
-        out.println(all.addresses());
+        out.println(standIns.addresses());
         stopped.await();
     }
 }
--- a/standins/src/main/java/org/whinhead/standins/deployment/StandInsOptions.java
+++ b/standins/src/main/java/org/whinhead/standins/deployment/StandInsOptions.java
@@ -16,7 +16,7 @@
 import org.apache.commons.cli.Options;
 import org.apache.commons.cli.ParseException;
 
-/** The command line of the stand-ins. */
+/** Parses the command line of the stand-ins. */
 final class StandInsOptions {
 
     private static final ResourceBundle TEXTS =
@@ -35,12 +35,12 @@
 
     private StandInsOptions() {}
 
-    /** Tells whether the help text is asked for, whatever else is given. */
+    /** Returns whether the arguments contain the help option, regardless of other arguments. */
     static boolean wantsHelp(final String... arguments) {
         return List.of(arguments).contains("--" + HELP);
     }
 
-    /** Parses a command line; the error tells which option is wrong. */
+    /** Parses a command line; the exception names the wrong option. */
     static DeploymentConfig parse(final String... arguments) throws ParseException {
         final CommandLine line = new DefaultParser().parse(options(), arguments);
         if (!line.getArgList().isEmpty()) {
@@ -119,7 +119,7 @@
                 return number;
             }
         } catch (final NumberFormatException e) {
-            // Not a number at all; said below, as for a number that is too small.
+            // The error below reports text that is not a number as well as negative numbers.
         }
         throw new ParseException(text("error.number", name, value));
     }
--- a/standins/src/main/java/org/whinhead/standins/deployment/VmServers.java
+++ b/standins/src/main/java/org/whinhead/standins/deployment/VmServers.java
@@ -18,7 +18,7 @@
 import org.whinhead.standins.vms.VmEntry;
 import org.whinhead.standins.vms.VmListStandIn;
 
-/** Runs the servers of the VMs: starts them, shows them on the VM list and ends them. */
+/** Starts and stops the server of each VM and updates the VM list. */
 final class VmServers implements CloudActions, AutoCloseable {
 
     private static final String HOST = "127.0.0.1";
@@ -56,12 +56,12 @@
         return mServices;
     }
 
-    /** Ends the time in which VMs are shown as if they had always been there. */
+    /** Ends the initial phase, in which VMs appear on the VM list without a lag. */
     void endInitialPhase() {
         mInitialPhase = false;
     }
 
-    /** Starts the server of a VM on a port and shows it; entries are run by others. */
+    /** Starts the server of a VM and lists the VM; the listener starts daemons. */
     void start(final String vm, final VmOrder order, final int port, final Set<String> models) {
         mStarted++;
         final boolean checks = mStarted % IGNORES_FENCING_EVERY != 0;
@@ -84,7 +84,7 @@
         }
     }
 
-    /** Shows a VM on the list. */
+    /** Adds a VM to the VM list. */
     void show(
             final String vm,
             final VmOrder order,
--- a/standins/src/main/java/org/whinhead/standins/deployment/package-info.java
+++ b/standins/src/main/java/org/whinhead/standins/deployment/package-info.java
@@ -1,2 +1,2 @@
-/** All stand-ins of one deployment together, in a JVM or as a process of their own. */
+/** Runs all stand-ins of one deployment, inside a JVM or as a separate process. */
 package org.whinhead.standins.deployment;
--- a/standins/src/main/java/org/whinhead/standins/engine/Batch.java
+++ b/standins/src/main/java/org/whinhead/standins/engine/Batch.java
@@ -7,7 +7,7 @@
 import java.util.List;
 import org.whinhead.standins.witness.WorkCounter;
 
-/** The requests that an engine works on together, and those that wait; one step at a time. */
+/** Continuous batching: runs the admitted streams step by step and queues the others. */
 final class Batch {
 
     private static final Comparator<EngineStream> BY_PRIORITY =
@@ -50,7 +50,7 @@
     }
 
     /**
-     * Takes in a stream whose KV cache came along; it runs at once, beyond the slots if need be.
+     * Adds a stream with an imported KV cache; it runs at once, even beyond the slots.
      */
     void addRunning(final EngineStream stream, final Instant now) {
         stream.resume();
@@ -69,14 +69,14 @@
         mStepEnd = Instant.MAX;
     }
 
-    /** Drops the time that passed while the engine stood still, so that it doesn't catch up. */
+    /** Skips the time during which the engine was frozen, so that it doesn't catch up. */
     void skipElapsedTime(final Instant now) {
         if (mStepEnd != Instant.MAX) {
             mStepEnd = now;
         }
     }
 
-    /** Ends all steps that are due; returns how many tokens were generated. */
+    /** Runs all due steps and returns the number of generated tokens. */
     int advance(final Instant now) {
         int generated = 0;
         while (!mStepEnd.isAfter(now)) {
--- a/standins/src/main/java/org/whinhead/standins/engine/ChatBody.java
+++ b/standins/src/main/java/org/whinhead/standins/engine/ChatBody.java
@@ -8,7 +8,7 @@
 import java.util.List;
 import org.whinhead.standins.http.StandInCall;
 
-/** Reads chat-completions bodies and writes the answers to them. */
+/** Parses chat-completions requests and builds their responses. */
 final class ChatBody {
 
     private static final int DEFAULT_MAX_TOKENS = 64;
@@ -17,7 +17,7 @@
 
     private ChatBody() {}
 
-    /** Reads what is to be generated; a body that lacks a needed field is malformed. */
+    /** Parses a request; a body without a required field is malformed. */
     static Generation parse(final String requestId, final JsonNode body) throws IOException {
         final JsonNode messages = body.path("messages");
         if (!messages.isArray() || messages.isEmpty()) {
@@ -45,19 +45,19 @@
                 body.path("priority").asInt());
     }
 
-    /** Writes the event of one token; the last one also carries the end. */
+    /** Returns the event of one token; the last token's event includes finish reason and usage. */
     static ObjectNode token(final EngineStream stream, final long index) {
         final boolean last =
                 stream.state() == EngineStream.State.FINISHED && index == stream.end() - 1;
         return chunk(stream, stream.token(index), last);
     }
 
-    /** Writes the end alone, for a reader that has every token. */
+    /** Returns the final event without a token, for a caller that has every token. */
     static ObjectNode end(final EngineStream stream) {
         return chunk(stream, "", true);
     }
 
-    /** Writes a whole answer. */
+    /** Returns the complete response. */
     static ObjectNode whole(final EngineStream stream) {
         final ObjectNode root = root(stream, "chat.completion");
         final ObjectNode choice = choices(root).addObject();
--- a/standins/src/main/java/org/whinhead/standins/engine/EngineConfig.java
+++ b/standins/src/main/java/org/whinhead/standins/engine/EngineConfig.java
@@ -8,22 +8,22 @@
 import org.whinhead.api.Arguments;
 
 /**
- * One engine's settings.
+ * Settings of one engine.
  *
- * @param name its name, which begins its stream ids
+ * @param name the engine's name, the prefix of its stream ids
  * @param host the address to listen on
  * @param port the port, or 0 for a free one
- * @param models the models loaded at the start, each as {@code name@version}
- * @param slots the most requests in a batch
- * @param maxWaiting the most requests that wait; more are refused
- * @param speed how long its work takes
- * @param cacheBlocks how many prefix blocks its cache holds
- * @param loadLag how old its load reports are
- * @param cacheEventLag how late its cache events are
- * @param cacheEventGap every how many events one is lost; 0 for none
- * @param readerGrace how long a stream goes on without a reader
- * @param checksFencing whether it refuses orders with an old fencing number
- * @param weights the weight store that load orders go through, if any
+ * @param models the initially loaded models, each as {@code name@version}
+ * @param slots the maximum number of requests in a batch
+ * @param maxWaiting the maximum number of queued requests; more are refused
+ * @param speed the duration of decoding and prefill steps
+ * @param cacheBlocks the capacity of the prefix cache in blocks
+ * @param loadLag the age of load reports
+ * @param cacheEventLag the delay of cache events
+ * @param cacheEventGap every nth cache event is lost; 0 for none
+ * @param readerGrace the time for which a stream continues without a reader
+ * @param checksFencing whether the engine refuses orders with an old fencing number
+ * @param weights the weight store from which models are loaded, if any
  */
 public record EngineConfig(
         String name,
@@ -41,7 +41,7 @@
         boolean checksFencing,
         Optional<URI> weights) {
 
-    /** Checks every part. */
+    /** Validates the components. */
     public EngineConfig {
         Arguments.requireText(name, "name");
         Arguments.requireText(host, "host");
@@ -57,7 +57,7 @@
     }
 
     /**
-     * Starts a builder.
+     * Returns a builder with default settings.
      *
      * @param name the engine's name
      * @return the builder
@@ -87,70 +87,70 @@
             mName = name;
         }
 
-        /** Sets where it listens; a free port of 127.0.0.1 by default. */
+        /** Sets the address to listen on; default is a free port of 127.0.0.1. */
         public Builder address(final String host, final int port) {
             mHost = host;
             mPort = port;
             return this;
         }
 
-        /** Sets the models loaded at the start. */
+        /** Sets the initially loaded models. */
         public Builder models(final Set<String> models) {
             mModels = models;
             return this;
         }
 
-        /** Sets the batch size and the length of the queue. */
+        /** Sets the batch size and the queue length. */
         public Builder slots(final int slots, final int maxWaiting) {
             mSlots = slots;
             mMaxWaiting = maxWaiting;
             return this;
         }
 
-        /** Sets how long its work takes. */
+        /** Sets the duration of decoding and prefill steps. */
         public Builder speed(final EngineSpeed speed) {
             mSpeed = speed;
             return this;
         }
 
-        /** Makes its work faster by a factor. */
+        /** Multiplies the engine's speed by a factor. */
         public Builder speedUp(final double factor) {
             mSpeed = mSpeed.times(factor);
             return this;
         }
 
-        /** Sets how many prefix blocks its cache holds. */
+        /** Sets the capacity of the prefix cache in blocks. */
         public Builder cacheBlocks(final int blocks) {
             mCacheBlocks = blocks;
             return this;
         }
 
-        /** Sets how old its load reports are. */
+        /** Sets the age of load reports. */
         public Builder loadLag(final Duration lag) {
             mLoadLag = lag;
             return this;
         }
 
-        /** Sets how late its cache events are, and every how many one is lost. */
+        /** Sets the delay of cache events, and the interval of lost events; 0 loses none. */
         public Builder cacheEvents(final Duration lag, final int gap) {
             mCacheEventLag = lag;
             mCacheEventGap = gap;
             return this;
         }
 
-        /** Sets how long a stream goes on without a reader. */
+        /** Sets the time for which a stream continues without a reader. */
         public Builder readerGrace(final Duration grace) {
             mReaderGrace = grace;
             return this;
         }
 
-        /** Sets whether it refuses orders with an old fencing number. */
+        /** Sets whether the engine refuses orders with an old fencing number. */
         public Builder checksFencing(final boolean checks) {
             mChecksFencing = checks;
             return this;
         }
 
-        /** Sets the weight store that load orders go through. */
+        /** Sets the weight store from which models are loaded. */
         public Builder weights(final URI store) {
             mWeights = Optional.of(store);
             return this;
--- a/standins/src/main/java/org/whinhead/standins/engine/EngineOrders.java
+++ b/standins/src/main/java/org/whinhead/standins/engine/EngineOrders.java
@@ -7,12 +7,12 @@
 import java.util.TreeSet;
 import org.whinhead.api.Arguments;
 
-/** What an engine was ordered to have loaded and to be; single-threaded. */
+/** Applies orders to the loaded models and the role of an engine; not thread-safe. */
 public final class EngineOrders {
 
-    /** What an order asks for. */
+    /** The kind of change that an order requests. */
     public enum Kind {
-        /** Load a model; it is served once its weights are there. */
+        /** Load a model; the engine serves it once its weights are loaded. */
         LOAD,
         /** Unload a model. */
         UNLOAD,
@@ -21,17 +21,17 @@
     }
 
     /**
-     * One order.
+     * An order to an engine.
      *
-     * @param id its identity
-     * @param fencing the fencing number of who gives it
-     * @param kind what it asks for
-     * @param model the model; empty for a role
-     * @param role the role; empty for a model
+     * @param id the order's identity
+     * @param fencing the sender's fencing number
+     * @param kind the requested change
+     * @param model the model; empty for a role change
+     * @param role the role; empty for a model change
      */
     public record Order(String id, long fencing, Kind kind, String model, String role) {
 
-        /** Checks every part. */
+        /** Validates the components. */
         public Order {
             Arguments.requireText(id, "orderId");
             Arguments.requireText(kind == Kind.ROLE ? role : model, "model or role");
@@ -46,10 +46,10 @@
     private String mRole = "";
 
     /**
-     * Starts without any order.
+     * Creates the state before any order.
      *
-     * @param models the models loaded at the start
-     * @param checksFencing whether an old fencing number is refused
+     * @param models the initially loaded models
+     * @param checksFencing whether orders with an old fencing number are refused
      */
     public EngineOrders(final Set<String> models, final boolean checksFencing) {
         mModels = new TreeSet<>(models);
@@ -57,10 +57,10 @@
     }
 
     /**
-     * Takes an order; the same one twice has one effect.
+     * Applies an order; a repeated order has no further effect.
      *
      * @param order the order
-     * @return the newest fencing number if the order is refused for an old one
+     * @return the newest fencing number if the order is refused as stale, else empty
      */
     public OptionalLong apply(final Order order) {
         final boolean old = order.fencing() < mNewestFencing;
@@ -81,7 +81,7 @@
         return OptionalLong.empty();
     }
 
-    /** The weights of a model are there. */
+    /** Marks a model as loaded and served. */
     public void loaded(final String model) {
         mModels.add(model);
     }
@@ -96,7 +96,7 @@
         return mRole.isEmpty() ? Optional.empty() : Optional.of(mRole);
     }
 
-    /** Returns how many orders with an old fencing number were carried out. */
+    /** Returns the number of applied orders with an old fencing number. */
     public int staleOrders() {
         return mStaleOrders;
     }
--- a/standins/src/main/java/org/whinhead/standins/engine/EngineSimulation.java
+++ b/standins/src/main/java/org/whinhead/standins/engine/EngineSimulation.java
@@ -10,27 +10,27 @@
 import java.util.Optional;
 import org.whinhead.standins.witness.WorkCounter;
 
-/** An engine without its HTTP side; single-threaded, and the time is passed in. */
+/** Simulates an engine without HTTP; not thread-safe, and callers pass the current time. */
 public final class EngineSimulation {
 
     /**
-     * One change of the prefix cache.
+     * A change of the prefix cache.
      *
-     * @param sequence its number, from 1
-     * @param at when it happened
-     * @param stored true if stored, false if evicted
+     * @param sequence the event's number, from 1
+     * @param at the time of the change
+     * @param stored true if the block was stored, false if evicted
      * @param prefixHash the block's hash
      */
     public record CacheEvent(long sequence, Instant at, boolean stored, long prefixHash) {}
 
     /**
-     * An engine's load at one moment.
+     * A snapshot of an engine's load.
      *
-     * @param asOf the moment
-     * @param running requests in the batch
-     * @param waiting requests that wait
-     * @param tokensPerSecond tokens generated in the second before
-     * @param cachedBlocks blocks in the prefix cache
+     * @param asOf the time of the snapshot
+     * @param running the number of requests in the batch
+     * @param waiting the number of queued requests
+     * @param tokensPerSecond the rate of generated tokens, updated about once a second
+     * @param cachedBlocks the number of blocks in the prefix cache
      */
     public record Load(
             Instant asOf, int running, int waiting, double tokensPerSecond, int cachedBlocks) {}
@@ -55,7 +55,7 @@
     private boolean mFrozen;
     private Instant mNow = Instant.MIN;
 
-    /** Makes an idle engine. */
+    /** Creates an idle engine. */
     public EngineSimulation(final EngineConfig config, final WorkCounter witness) {
         mConfig = config;
         mWitness = witness;
@@ -64,11 +64,11 @@
     }
 
     /**
-     * Takes a request in.
+     * Submits a request.
      *
      * @param generation the request
      * @param now the time
-     * @return its stream, or empty if the queue is full; then it was not started
+     * @return the request's stream, or empty if the queue is full and the request is refused
      */
     public Optional<EngineStream> submit(final Generation generation, final Instant now) {
         advance(now);
@@ -86,7 +86,7 @@
         return Optional.of(stream);
     }
 
-    /** Lets time pass. */
+    /** Advances the time and runs all due work, except while frozen. */
     public void advance(final Instant now) {
         mNow = now;
         if (mFrozen) {
@@ -98,24 +98,24 @@
     }
 
     /**
-     * Finds a stream.
+     * Returns a stream.
      *
-     * @param id its name
-     * @return the stream, if the engine still has it
+     * @param id the stream's id
+     * @return the stream, if the engine holds it
      */
     public Optional<EngineStream> find(final String id) {
         return Optional.ofNullable(mStreams.get(id));
     }
 
-    /** Stops a stream; nothing happens if it is unknown. */
+    /** Stops a stream; ignores an unknown id. */
     public void cancel(final String id) {
         find(id).ifPresent(this::stop);
     }
 
     /**
-     * Stops a stream and hands out its KV cache.
+     * Stops a stream and returns its KV cache.
      *
-     * @param id its name
+     * @param id the stream's id
      * @return the cache, or empty if the stream is unknown
      */
     public Optional<KvCache> export(final String id) {
@@ -125,11 +125,11 @@
     }
 
     /**
-     * Takes in a KV cache; the stream runs on at once.
+     * Imports a KV cache; its stream continues at once.
      *
-     * @param cache what another engine exported
+     * @param cache the KV cache exported by another engine
      * @param now the time
-     * @return the stream here
+     * @return the stream in this engine
      */
     public EngineStream importCache(final KvCache cache, final Instant now) {
         advance(now);
@@ -144,7 +144,7 @@
     }
 
     /**
-     * Returns the load as it was a lag ago.
+     * Returns the load report, which is older than the time by the configured lag.
      *
      * @param now the time
      * @return the load report
@@ -161,38 +161,38 @@
     }
 
     /**
-     * Returns cache events, late and with gaps.
+     * Returns cache events, with the configured delay and gaps.
      *
-     * @param after the last sequence number seen
-     * @param max the most events
+     * @param after the last sequence number received
+     * @param max the maximum number of events
      * @param now the time
-     * @return events in order
+     * @return the events, in order
      */
     public List<CacheEvent> cacheEvents(final long after, final int max, final Instant now) {
         final Instant limit = now.minus(mConfig.cacheEventLag());
         final List<CacheEvent> found = new ArrayList<>();
         for (final CacheEvent event : mEvents) {
-            final boolean ripe = !event.at().isAfter(limit);
-            if (ripe && event.sequence() > after && found.size() < max) {
+            final boolean isVisible = !event.at().isAfter(limit);
+            if (isVisible && event.sequence() > after && found.size() < max) {
                 found.add(event);
             }
         }
         return found;
     }
 
-    /** Freezes the engine, or lets it go on where it stood. */
+    /** Freezes the engine, or continues it from the state at the freeze. */
     public void freeze(final boolean frozen, final Instant now) {
         advance(now);
         mFrozen = frozen;
         mBatch.skipElapsedTime(now);
     }
 
-    /** Makes every step longer by a factor. */
+    /** Sets the factor by which every step takes longer. */
     public void slow(final double factor) {
         mBatch.setSlowdown(factor);
     }
 
-    /** Loses all streams and the cache, as the end of the process would. */
+    /** Discards all streams and the cache, as the end of the process does. */
     public void kill() {
         mStreams.values().forEach(stream -> stream.end(EngineStream.State.STOPPED));
         mStreams.clear();
--- a/standins/src/main/java/org/whinhead/standins/engine/EngineSpeed.java
+++ b/standins/src/main/java/org/whinhead/standins/engine/EngineSpeed.java
@@ -4,12 +4,12 @@
 import org.whinhead.api.Arguments;
 
 /**
- * How long an engine's work takes.
+ * The speed of an engine's decoding and prefill.
  *
- * @param stepBase the time of a decoding step whatever the batch
- * @param stepPerRequest what each running request adds to a step
- * @param prefillTokensPerSecond how many uncached prompt tokens it computes a second
- * @param prefillChunk the most prompt tokens computed in one step
+ * @param stepBase the duration of a decoding step, without the share of its requests
+ * @param stepPerRequest the time that each running request adds to a step
+ * @param prefillTokensPerSecond the rate of computed, uncached prompt tokens
+ * @param prefillChunk the maximum number of prompt tokens computed in one step
  */
 public record EngineSpeed(
         Duration stepBase,
@@ -17,13 +17,13 @@
         double prefillTokensPerSecond,
         int prefillChunk) {
 
-    /** A middling engine: about 50 tokens a second for one request. */
+    /** A typical engine: about 50 tokens a second for one request. */
     public static final EngineSpeed TYPICAL =
             new EngineSpeed(Duration.ofMillis(18), Duration.ofMillis(2), 4000, 512);
 
     private static final double NANOS_PER_SECOND = 1e9;
 
-    /** Checks every part. */
+    /** Validates the components. */
     public EngineSpeed {
         Arguments.requirePositive(stepBase, "stepBase");
         Arguments.requireAtLeast(stepPerRequest.toNanos(), 0, "stepPerRequest");
@@ -34,11 +34,11 @@
     }
 
     /**
-     * Returns the time of one step.
+     * Returns the duration of one step.
      *
-     * @param running requests in the batch
-     * @param prefillTokens prompt tokens computed in the step
-     * @return its duration
+     * @param running the number of requests in the batch
+     * @param prefillTokens the number of prompt tokens computed in the step
+     * @return the step's duration
      */
     public Duration step(final int running, final int prefillTokens) {
         final double prefill = prefillTokens / prefillTokensPerSecond * NANOS_PER_SECOND;
@@ -46,9 +46,9 @@
     }
 
     /**
-     * Returns a faster or slower engine.
+     * Returns this speed multiplied by a factor.
      *
-     * @param factor how many times as fast
+     * @param factor the multiplier; above 1 is faster
      * @return the scaled speed
      */
     public EngineSpeed times(final double factor) {
--- a/standins/src/main/java/org/whinhead/standins/engine/EngineStandIn.java
+++ b/standins/src/main/java/org/whinhead/standins/engine/EngineStandIn.java
@@ -16,7 +16,7 @@
 import org.whinhead.standins.http.StandInCall;
 import org.whinhead.standins.http.StandInServer;
 
-/** A model engine that listens: an {@link EngineSimulation} behind the engines' protocol. */
+/** Serves an {@link EngineSimulation} over the engines' HTTP protocol. */
 public final class EngineStandIn implements AutoCloseable {
 
     private static final ObjectMapper MAPPER = new ObjectMapper();
@@ -43,11 +43,11 @@
     }
 
     /**
-     * Starts an engine.
+     * Starts an engine server.
      *
-     * @param config its settings
-     * @param context what the stand-ins of the process share
-     * @return the engine, which listens
+     * @param config the engine's settings
+     * @param context the clock and counters shared in the process
+     * @return the listening engine
      */
     public static EngineStandIn start(final EngineConfig config, final StandInContext context) {
         final EngineStandIn engine = new EngineStandIn(config, context);
@@ -65,7 +65,7 @@
         return mConfig;
     }
 
-    /** Fault: all connections are cut, new ones refused, and all streams are lost. */
+    /** Fault: closes all connections, refuses new ones and discards all streams. */
     public void kill() {
         mServer.kill();
         synchronized (this) {
@@ -74,12 +74,12 @@
         }
     }
 
-    /** Ends {@link #kill}: listens again at the same address, empty. */
+    /** Ends {@link #kill}: listens at the same address again, without streams. */
     public void revive() {
         mServer.start();
     }
 
-    /** Fault: connections are accepted, but nothing is answered and no token is generated. */
+    /** Fault: while frozen, accepts connections but neither answers calls nor generates tokens. */
     public void freeze(final boolean frozen) {
         mServer.freeze(frozen);
         synchronized (this) {
@@ -88,9 +88,9 @@
     }
 
     /**
-     * Fault: every step takes longer.
+     * Fault: slows down every step.
      *
-     * @param factor how many times as long; 1 ends the fault
+     * @param factor the multiplier of a step's duration; 1 ends the fault
      */
     public synchronized void slow(final double factor) {
         mSimulation.slow(factor);
--- a/standins/src/main/java/org/whinhead/standins/engine/EngineStream.java
+++ b/standins/src/main/java/org/whinhead/standins/engine/EngineStream.java
@@ -6,18 +6,18 @@
 import org.whinhead.api.request.PrefixHashes;
 import org.whinhead.standins.answer.ExpectedAnswer;
 
-/** One generation in an engine: how far it is, and who reads it. */
+/** The progress and the readers of one generation in an engine. */
 public final class EngineStream {
 
-    /** The life of a stream. */
+    /** The state of a stream. */
     public enum State {
-        /** Waits for a place in the batch. */
+        /** Queued for a slot in the batch. */
         WAITING(false),
-        /** In the batch. */
+        /** Running in the batch. */
         RUNNING(false),
         /** All tokens are generated. */
         FINISHED(true),
-        /** Cancelled, moved away or lost: no token will follow. */
+        /** Canceled, exported or lost; no token will follow. */
         STOPPED(true);
 
         private final boolean mEnded;
@@ -26,7 +26,7 @@
             mEnded = ended;
         }
 
-        /** Tells whether no token will follow. */
+        /** Returns whether no token will follow. */
         public boolean isEnded() {
             return mEnded;
         }
@@ -58,12 +58,12 @@
         mTokens.addAll(cache.tokens());
     }
 
-    /** Returns the stream's name. */
+    /** Returns the stream's id. */
     public String id() {
         return mId;
     }
 
-    /** Returns what was asked. */
+    /** Returns the request. */
     public Generation generation() {
         return mGeneration;
     }
@@ -73,17 +73,17 @@
         return mState;
     }
 
-    /** Returns how many tokens are generated here or came along from another engine. */
+    /** Returns the number of tokens generated here or imported with a KV cache. */
     public int generated() {
         return mTokens.size();
     }
 
-    /** Returns the length of the prompt, with delivered text. */
+    /** Returns the number of prompt tokens, including delivered text. */
     public int promptTokens() {
         return mPromptTokens;
     }
 
-    /** Returns how many prompt tokens were found in the cache. */
+    /** Returns the number of prompt tokens found in the cache. */
     public int cachedTokens() {
         return mCached;
     }
@@ -94,10 +94,10 @@
     }
 
     /**
-     * Returns a token.
+     * Returns a generated token.
      *
-     * @param index its index in the whole answer
-     * @return its text
+     * @param index the token's index in the whole answer
+     * @return the token's text
      */
     public String token(final long index) {
         return mTokens.get((int) (index - mGeneration.startIndex()));
@@ -108,12 +108,12 @@
         return mGeneration.startIndex() + mTokens.size();
     }
 
-    /** Counts a reader in. */
+    /** Adds a reader. */
     public void attach() {
         mReaders++;
     }
 
-    /** Counts a reader out. */
+    /** Removes a reader. */
     public void detach(final Instant now) {
         mReaders--;
         mReaderless = now;
--- a/standins/src/main/java/org/whinhead/standins/engine/Generation.java
+++ b/standins/src/main/java/org/whinhead/standins/engine/Generation.java
@@ -4,15 +4,15 @@
 import org.whinhead.api.Arguments;
 
 /**
- * What a caller asks an engine to generate.
+ * A request to generate tokens.
  *
  * @param requestId the request's identity
  * @param model the model
- * @param prompt all messages, joined; without delivered text
- * @param delivered text that was delivered before and is continued
- * @param startIndex how many tokens that text has
- * @param maxTokens the most tokens to generate now; 0 if the delivered text is whole
- * @param priority its rank; a larger number is served first
+ * @param prompt all messages, joined, without delivered text
+ * @param delivered the text that the caller has already received and the engine continues
+ * @param startIndex the number of tokens in the delivered text
+ * @param maxTokens the maximum number of tokens to generate now; 0 if the answer is complete
+ * @param priority the request's priority; larger numbers are served first
  */
 public record Generation(
         String requestId,
@@ -23,7 +23,7 @@
         int maxTokens,
         int priority) {
 
-    /** Checks every part. */
+    /** Validates the components. */
     public Generation {
         Arguments.requireText(requestId, "requestId");
         Arguments.requireText(model, "model");
--- a/standins/src/main/java/org/whinhead/standins/engine/KvCache.java
+++ b/standins/src/main/java/org/whinhead/standins/engine/KvCache.java
@@ -3,11 +3,11 @@
 import java.util.List;
 
 /**
- * A stopped stream on its way to another engine.
+ * The exported state of a stopped stream, for import by another engine.
  *
- * @param generation what was asked
- * @param cachedTokens prompt tokens that were found in the first engine's cache
- * @param prefilled prompt tokens computed or found so far
+ * @param generation the request
+ * @param cachedTokens the number of prompt tokens found in the first engine's cache
+ * @param prefilled the number of prompt tokens computed or found so far
  * @param tokens the tokens generated so far
  */
 public record KvCache(Generation generation, int cachedTokens, int prefilled, List<String> tokens) {
--- a/standins/src/main/java/org/whinhead/standins/engine/OrderHandler.java
+++ b/standins/src/main/java/org/whinhead/standins/engine/OrderHandler.java
@@ -17,7 +17,7 @@
 import org.whinhead.api.model.ModelRef;
 import org.whinhead.standins.http.StandInCall;
 
-/** An engine's orders over HTTP; a load waits for the weight store if there is one. */
+/** Handles orders to an engine over HTTP; loads models through the weight store, if any. */
 final class OrderHandler {
 
     private static final Executor RETRY =
--- a/standins/src/main/java/org/whinhead/standins/engine/PrefixCache.java
+++ b/standins/src/main/java/org/whinhead/standins/engine/PrefixCache.java
@@ -6,11 +6,11 @@
 import org.whinhead.api.request.PrefixHashes;
 
 /**
- * Remembers which prompt prefixes an engine has computed, in limited memory.
+ * Least recently used cache of the prompt prefixes that an engine has computed.
  *
- * <p>A prompt is cut into blocks of {@value PrefixHashes#WORDS_PER_BLOCK} words; a block's hash
- * covers the model and all words up to the block's end, so a hit says that the whole prefix is
- * cached.
+ * <p>A prompt is split into blocks of {@value PrefixHashes#WORDS_PER_BLOCK} words; a block's hash
+ * covers the model and all words up to the block's end, so a hit means that the whole prefix
+ * is cached.
  */
 public final class PrefixCache {
 
@@ -19,10 +19,10 @@
     private final LinkedHashSet<Long> mBlocks = new LinkedHashSet<>();
 
     /**
-     * Makes an empty cache.
+     * Creates an empty cache.
      *
-     * @param limit how many blocks it holds
-     * @param changed gets true and the hash of a stored block, false and that of an evicted one
+     * @param limit the capacity in blocks
+     * @param changed receives true and a stored block's hash, or false and an evicted block's
      */
     public PrefixCache(final int limit, final BiConsumer<Boolean, Long> changed) {
         mLimit = limit;
@@ -30,17 +30,17 @@
     }
 
     /**
-     * Looks up a prompt and marks what it finds as used.
+     * Looks up a prompt and marks the found blocks as recently used.
      *
      * @param hashes the prompt's block hashes
-     * @return how many leading words are cached
+     * @return the number of leading words that are cached
      */
     public int lookUp(final List<Long> hashes) {
         int found = 0;
         while (found < hashes.size() && mBlocks.contains(hashes.get(found))) {
             found++;
         }
-        // The oldest goes first: a prefix must outlive what builds on it, so it is touched last.
+        // A prefix must be evicted after the blocks that extend it, so it is marked last.
         for (int index = found - 1; index >= 0; index--) {
             mBlocks.remove(hashes.get(index));
             mBlocks.add(hashes.get(index));
@@ -48,7 +48,7 @@
         return found * PrefixHashes.WORDS_PER_BLOCK;
     }
 
-    /** Stores a computed prompt, and evicts the least recently used blocks beyond the limit. */
+    /** Stores a computed prompt and evicts the least recently used blocks beyond the limit. */
     public void store(final List<Long> hashes) {
         for (int index = Math.min(hashes.size(), mLimit) - 1; index >= 0; index--) {
             final Long hash = hashes.get(index);
@@ -65,12 +65,12 @@
         }
     }
 
-    /** Forgets everything, without a word. */
+    /** Removes all blocks without notifying the listener. */
     public void clear() {
         mBlocks.clear();
     }
 
-    /** Returns how many blocks it holds. */
+    /** Returns the number of blocks in the cache. */
     public int size() {
         return mBlocks.size();
     }
--- a/standins/src/main/java/org/whinhead/standins/engine/StreamSender.java
+++ b/standins/src/main/java/org/whinhead/standins/engine/StreamSender.java
@@ -5,10 +5,10 @@
 import org.whinhead.standins.http.StandInCall;
 import org.xnio.IoUtils;
 
-/** Hands the tokens of a stream to one caller as they come; guarded by the engine's lock. */
+/** Sends the tokens of a stream to one caller; guarded by the engine's lock. */
 final class StreamSender {
 
-    // The library writes "data:" and "id:" without the blank that callers of model engines expect.
+    // The library writes "data:" and "id:" without the space that callers of model engines expect.
     private static final String BLANK = " ";
     private static final String DONE = " [DONE]";
 
@@ -30,12 +30,12 @@
         stream.attach();
     }
 
-    /** Makes a reader that answers once, with everything. */
+    /** Creates a sender that answers once, with the complete response. */
     static StreamSender whole(final EngineStream stream, final StandInCall call) {
         return new StreamSender(stream, call, null, 0);
     }
 
-    /** Makes a reader that sends an event for each token. */
+    /** Creates a sender of one event for each token. */
     static StreamSender events(
             final EngineStream stream,
             final ServerSentEventConnection connection,
@@ -46,7 +46,7 @@
         return reader;
     }
 
-    /** Sends what is new; returns false when the reader is done with. */
+    /** Sends the new tokens; returns whether more can follow. */
     boolean sendAvailable(final Instant now) {
         if (mClosed) {
             mStream.detach(now);
--- a/standins/src/main/java/org/whinhead/standins/engine/package-info.java
+++ b/standins/src/main/java/org/whinhead/standins/engine/package-info.java
@@ -1,2 +1,2 @@
-/** A stand-in model engine: batches, prefix cache, streams that resume, move and end. */
+/** A stand-in model engine: batching, prefix cache, and streams that resume or move to another engine. */
 package org.whinhead.standins.engine;
--- a/standins/src/main/java/org/whinhead/standins/fault/FaultHandler.java
+++ b/standins/src/main/java/org/whinhead/standins/fault/FaultHandler.java
@@ -11,14 +11,14 @@
 import org.whinhead.standins.http.StandInServer;
 
 /**
- * Answers {@code POST /faults}: a body's {@code kind} names the fault, its other fields the rest.
+ * Handles {@code POST /faults}; the body's {@code kind} names the fault, other fields set it up.
  */
 public final class FaultHandler implements CallHandler {
 
     private final Map<String, Consumer<JsonNode>> mEffects = new TreeMap<>();
     private final Map<String, Runnable> mEffectsAfterReply = new TreeMap<>();
 
-    /** Makes a desk that knows {@code delay} with {@code delayMillis}. */
+    /** Creates a handler with the fault {@code delay}, whose field is {@code delayMillis}. */
     public FaultHandler(final StandInServer server) {
         addFault(
                 "delay",
@@ -28,9 +28,9 @@
     /**
      * Adds a fault.
      *
-     * @param kind its name
-     * @param effect gets the command's body
-     * @return this desk
+     * @param kind the fault's name
+     * @param effect receives the command's body
+     * @return this handler
      */
     public FaultHandler addFault(final String kind, final Consumer<JsonNode> effect) {
         mEffects.put(kind, effect);
@@ -38,11 +38,11 @@
     }
 
     /**
-     * Adds a fault that ends the server, and so takes effect once the command is answered.
+     * Adds a fault that stops the server, and therefore starts after the reply to the command.
      *
-     * @param kind its name
-     * @param effect what it does
-     * @return this desk
+     * @param kind the fault's name
+     * @param effect starts the fault
+     * @return this handler
      */
     public FaultHandler addFaultAfterReply(final String kind, final Runnable effect) {
         mEffectsAfterReply.put(kind, effect);
--- a/standins/src/main/java/org/whinhead/standins/fault/package-info.java
+++ b/standins/src/main/java/org/whinhead/standins/fault/package-info.java
@@ -1,2 +1,2 @@
-/** Fault commands over HTTP, the same way at every stand-in. */
+/** Fault commands over HTTP, common to all stand-ins. */
 package org.whinhead.standins.fault;
--- a/standins/src/main/java/org/whinhead/standins/http/StandInCall.java
+++ b/standins/src/main/java/org/whinhead/standins/http/StandInCall.java
@@ -21,7 +21,7 @@
 import java.util.function.Consumer;
 import org.xnio.IoUtils;
 
-/** One HTTP call, read whole; it may be answered at once or later, from any thread. */
+/** An HTTP call with its complete body; any thread may answer it, at once or later. */
 public final class StandInCall {
 
     private static final ObjectMapper MAPPER = new ObjectMapper();
@@ -39,7 +39,7 @@
         mBody = body;
     }
 
-    /** Returns an empty JSON object to fill. */
+    /** Returns a new, empty JSON object. */
     public static ObjectNode object() {
         return JsonNodeFactory.instance.objectNode();
     }
@@ -48,7 +48,7 @@
      * Parses the body.
      *
      * @return the body's JSON object
-     * @throws IOException if the body is no JSON object
+     * @throws IOException if the body is not a JSON object
      */
     public JsonNode json() throws IOException {
         final JsonNode tree = MAPPER.readTree(mBody);
@@ -58,7 +58,7 @@
         return tree;
     }
 
-    /** Returns the body as it came. */
+    /** Returns the raw body. */
     public byte[] body() {
         return mBody.clone();
     }
@@ -69,7 +69,7 @@
     }
 
     /**
-     * Returns a parameter of the query or of the path template.
+     * Returns a query or path parameter.
      *
      * @param name the parameter's name
      * @return its first value, if any
@@ -80,12 +80,12 @@
     }
 
     /**
-     * Returns a number from the query.
+     * Returns a numeric query parameter.
      *
      * @param name the parameter's name
-     * @param fallback the value if it is absent
+     * @param fallback the value of an absent parameter
      * @return the number
-     * @throws IOException if it is no number
+     * @throws IOException if the parameter is not a number
      */
     public long number(final String name, final long fallback) throws IOException {
         try {
@@ -106,7 +106,7 @@
     }
 
     /**
-     * Sets a header of the answer; only before the answer is sent.
+     * Sets a response header; must be called before the response is sent.
      *
      * @param name the header's name
      * @param value its value
@@ -117,50 +117,50 @@
         return this;
     }
 
-    /** Answers with JSON. */
+    /** Responds with JSON. */
     public void reply(final int status, final JsonNode tree) {
         send(status, JSON_TYPE, tree.toString().getBytes(StandardCharsets.UTF_8));
     }
 
-    /** Answers with opaque bytes and status 200. */
+    /** Responds with opaque bytes and status 200. */
     public void reply(final byte[] bytes) {
         send(200, BYTES_TYPE, bytes);
     }
 
-    /** Answers without a body. */
+    /** Responds without a body. */
     public void reply(final int status) {
         send(status, JSON_TYPE, new byte[0]);
     }
 
-    /** Answers with an error text. */
+    /** Responds with an error message as JSON. */
     public void fail(final int status, final String message) {
         reply(status, object().set("error", object().put("message", message)));
     }
 
-    /** Cuts the connection without an answer. */
+    /** Closes the connection without a response. */
     public void closeConnection() {
         IoUtils.safeClose(mExchange.getConnection());
     }
 
-    /** Runs a task on the call's own thread. */
+    /** Runs a task on the call's I/O thread after a delay. */
     public void runAfter(final Duration delay, final Runnable task) {
         mExchange.getIoThread().executeAfter(task, delay.toNanos(), TimeUnit.NANOSECONDS);
     }
 
-    /** Runs a task soon, when the answer is on its way, and on another thread. */
+    /** Runs a task on another thread after 20 ms, when the response has usually been sent. */
     public void runAfterReply(final Runnable task) {
         LATER.execute(task);
     }
 
     /**
-     * Answers with a stream of server-sent events.
+     * Responds with a stream of server-sent events.
      *
-     * @param opened gets the connection once it is open
-     * @throws IOException if the answer can't begin
+     * @param opened receives the open connection
+     * @throws IOException if the response can't be started
      */
     public void stream(final Consumer<ServerSentEventConnection> opened) throws IOException {
-        // Without chunks the end of the connection is the end of the answer, and a caller could not
-        // tell a stream that was cut from one that is whole.
+        // Without chunks the end of the connection ends the response, and a caller can't
+        // distinguish an interrupted stream from a complete one.
         mExchange.getResponseHeaders().put(Headers.TRANSFER_ENCODING, Headers.CHUNKED.toString());
         try {
             new ServerSentEventHandler((connection, last) -> opened.accept(connection))
--- a/standins/src/main/java/org/whinhead/standins/http/StandInServer.java
+++ b/standins/src/main/java/org/whinhead/standins/http/StandInServer.java
@@ -15,7 +15,7 @@
 import java.util.concurrent.ConcurrentHashMap;
 import org.xnio.IoUtils;
 
-/** A small JSON server with transport faults: killed, frozen and slow. */
+/** An HTTP server with JSON bodies and the transport faults kill, freeze and delay. */
 public final class StandInServer implements AutoCloseable {
 
     private static final Set<String> CONTROL_PATHS = Set.of("/faults", "/witness");
@@ -30,7 +30,7 @@
     private Duration mDelay = Duration.ZERO;
 
     /**
-     * Makes a server that doesn't listen yet.
+     * Creates a server that isn't listening yet.
      *
      * @param host the address to listen on
      * @param port the port, or 0 for a free one
@@ -44,8 +44,8 @@
      * Adds a route.
      *
      * @param method the HTTP method
-     * @param template the path, with places such as <code>{id}</code>
-     * @param handler what answers
+     * @param template the path, with parameters such as <code>{id}</code>
+     * @param handler the handler of the route's calls
      * @return this server
      */
     public StandInServer route(
@@ -54,7 +54,7 @@
         return this;
     }
 
-    /** Listens, again on the same port after {@link #kill}. */
+    /** Starts to listen; after {@link #kill}, on the same port as before. */
     public synchronized void start() {
         if (mUndertow != null) {
             return;
@@ -72,22 +72,22 @@
         mPort = address.getPort();
     }
 
-    /** Cuts every connection and refuses new ones. */
+    /** Closes all connections and refuses new ones. */
     public void kill() {
         final Undertow stopping = detachServer();
         if (stopping == null) {
             return;
         }
         mConnections.forEach(IoUtils::safeClose);
-        // Stopping waits for the server's threads, which may wait for this object's lock to admit a
-        // call: with the lock held both would wait for ever.
+        // Stopping waits for the server's threads, which may wait for this object's lock to
+        // dispatch a call: stopping with the lock held would deadlock.
         stopping.stop();
         mConnections.forEach(IoUtils::safeClose);
         mConnections.clear();
     }
 
     /**
-     * Sets whether connections are accepted but nothing is answered; kept calls go on afterwards.
+     * Sets whether calls are accepted but deferred; the end of the freeze runs deferred calls.
      */
     public synchronized void freeze(final boolean frozen) {
         mFrozen = frozen;
@@ -97,7 +97,7 @@
         }
     }
 
-    /** Sets how long each call waits before it is handled. */
+    /** Sets the delay before each call is handled. */
     public synchronized void setDelay(final Duration delay) {
         mDelay = delay;
     }
--- a/standins/src/main/java/org/whinhead/standins/http/package-info.java
+++ b/standins/src/main/java/org/whinhead/standins/http/package-info.java
@@ -1,2 +1,2 @@
-/** JSON over Undertow, shared by all stand-ins: routes, one call, and transport faults. */
+/** HTTP server of the stand-ins, based on Undertow: routes, JSON calls and transport faults. */
 package org.whinhead.standins.http;
--- a/standins/src/main/java/org/whinhead/standins/log/LogSimulation.java
+++ b/standins/src/main/java/org/whinhead/standins/log/LogSimulation.java
@@ -9,18 +9,18 @@
 import java.util.List;
 import java.util.Map;
 
-/** A log service without its HTTP side; single-threaded, and the time is passed in. */
+/** Simulates a log service without HTTP; not thread-safe, and callers pass the current time. */
 public final class LogSimulation {
 
-    /** How an append or a read went. */
+    /** The outcome of an append or a read. */
     public enum Status {
-        /** Done. */
+        /** Successful. */
         OK(200),
-        /** The records asked for have expired. */
+        /** The requested records have expired. */
         EXPIRED(410),
-        /** Over the cap; nothing was appended. */
+        /** Over the append rate limit; nothing was appended. */
         OVER_CAP(429),
-        /** Down; nothing was done. */
+        /** Service outage; nothing was appended or read. */
         OUT(503);
 
         private final int mCode;
@@ -36,27 +36,27 @@
     }
 
     /**
-     * One record.
+     * A stored record.
      *
-     * @param offset its offset in the stream
-     * @param data its data in base64
-     * @param at when it was appended
+     * @param offset the record's offset in the stream
+     * @param data the record's data in base64
+     * @param at the time of the append
      */
     public record Entry(long offset, String data, Instant at) {}
 
     /**
-     * What an append did.
+     * The result of an append.
      *
-     * @param status how it went
-     * @param firstOffset the first record's offset, if it went well
+     * @param status the outcome
+     * @param firstOffset the first record's offset; 0 unless successful
      */
     public record AppendResult(Status status, long firstOffset) {}
 
     /**
-     * What a read found.
+     * The result of a read.
      *
-     * @param status how it went
-     * @param oldest the oldest offset that is kept
+     * @param status the outcome
+     * @param oldest the oldest retained offset
      * @param next the offset to read from next
      * @param records the records, in order
      */
@@ -71,18 +71,18 @@
     private long mAppended;
     private long mOverCap;
 
-    /** Makes an empty log. */
+    /** Creates an empty log. */
     public LogSimulation(final LogConfig config) {
         mConfig = config;
     }
 
     /**
-     * Appends records; they get consecutive offsets.
+     * Appends records with consecutive offsets.
      *
-     * @param stream the stream, which begins with its first append
+     * @param stream the stream, created by its first append
      * @param data the records in base64
      * @param now the time
-     * @return what it did
+     * @return the result
      */
     public AppendResult append(final String stream, final List<String> data, final Instant now) {
         if (mOut) {
@@ -107,13 +107,13 @@
     }
 
     /**
-     * Reads records.
+     * Reads records from an offset.
      *
-     * @param stream the stream; it is empty if nothing was appended yet
-     * @param from the first offset wanted
-     * @param max the most records
+     * @param stream the stream; empty before its first append
+     * @param from the first requested offset
+     * @param max the maximum number of records
      * @param now the time
-     * @return what was found
+     * @return the result
      */
     public ReadResult read(final String stream, final long from, final int max, final Instant now) {
         if (mOut) {
@@ -132,17 +132,17 @@
         return new ReadResult(Status.OK, oldest, from + found.size(), found);
     }
 
-    /** Fault: neither appends nor reads are served. */
+    /** Fault: sets whether appends and reads are refused. */
     public void outage(final boolean out) {
         mOut = out;
     }
 
-    /** Returns how many appends took effect. */
+    /** Returns the number of appends that took effect. */
     public long appends() {
         return mAppended;
     }
 
-    /** Returns how many appends were refused over the cap. */
+    /** Returns the number of appends refused by the rate limit. */
     public long overCap() {
         return mOverCap;
     }
--- a/standins/src/main/java/org/whinhead/standins/log/LogStandIn.java
+++ b/standins/src/main/java/org/whinhead/standins/log/LogStandIn.java
@@ -15,7 +15,7 @@
 import org.whinhead.standins.http.StandInCall;
 import org.whinhead.standins.http.StandInServer;
 
-/** A log service that listens: a {@link LogSimulation} behind the log's protocol. */
+/** Serves a {@link LogSimulation} over the log's HTTP protocol. */
 public final class LogStandIn implements AutoCloseable {
 
     private static final int DEFAULT_MAX = 1000;
@@ -40,11 +40,11 @@
     }
 
     /**
-     * Starts a log service.
+     * Starts a log server.
      *
-     * @param config its settings
-     * @param context what the stand-ins of the process share
-     * @return the service, which listens
+     * @param config the service's settings
+     * @param context the clock and counters shared in the process
+     * @return the listening service
      */
     public static LogStandIn start(final LogConfig config, final StandInContext context) {
         final LogStandIn log = new LogStandIn(config, context);
@@ -57,28 +57,28 @@
         return mServer.uri();
     }
 
-    /** Fault: neither appends nor reads are served; waiting reads end. */
+    /** Fault: sets whether appends and reads are refused; an outage also ends pending reads. */
     public synchronized void outage(final boolean out) {
         mSimulation.outage(out);
         tick(mContext.ticker().now());
     }
 
-    /** Fault: every call waits before it is served. */
+    /** Fault: delays every call. */
     public void slow(final Duration delay) {
         mServer.setDelay(delay);
     }
 
-    /** Fault: the next appends take effect, but their connections are cut before the answer. */
+    /** Fault: the next appends take effect, but their connections close without a response. */
     public synchronized void loseAnswers(final int count) {
         mLoseAnswers = count;
     }
 
-    /** Fault: the connections of the next appends are cut before they take effect. */
+    /** Fault: closes the connections of the next appends before the appends take effect. */
     public synchronized void loseRequests(final int count) {
         mLoseRequests = count;
     }
 
-    /** Returns how many appends took effect. */
+    /** Returns the number of appends that took effect. */
     public synchronized long appends() {
         return mSimulation.appends();
     }
--- a/standins/src/main/java/org/whinhead/standins/package-info.java
+++ b/standins/src/main/java/org/whinhead/standins/package-info.java
@@ -1,2 +1,2 @@
-/** Small stand-ins of the outside systems, and the load program. */
+/** Simulated external systems for tests and trials, and the load generator. */
 package org.whinhead.standins;
--- a/standins/src/main/java/org/whinhead/standins/service/ServiceConfig.java
+++ b/standins/src/main/java/org/whinhead/standins/service/ServiceConfig.java
@@ -5,17 +5,17 @@
 import org.whinhead.api.Arguments;
 
 /**
- * One plain service's settings.
+ * Settings of one plain service.
  *
  * @param name the service's name
  * @param host the address to listen on
  * @param port the port, or 0 for a free one
- * @param slots the most calls that run at once; more are refused
- * @param latency how long a call runs
+ * @param slots the maximum number of concurrent calls; more are refused
+ * @param latency the duration of a call
  */
 public record ServiceConfig(String name, String host, int port, int slots, Duration latency) {
 
-    /** Checks every part. */
+    /** Validates the components. */
     public ServiceConfig {
         Arguments.requireText(name, "name");
         Arguments.requireText(host, "host");
@@ -24,10 +24,10 @@
     }
 
     /**
-     * Makes settings on a free port of the loopback address.
+     * Returns settings with a free port of the loopback address.
      *
      * @param name the service's name
-     * @param latency how long a call runs
+     * @param latency the duration of a call
      * @return the settings
      */
     public static ServiceConfig of(final String name, final Duration latency) {
--- a/standins/src/main/java/org/whinhead/standins/service/ServiceFault.java
+++ b/standins/src/main/java/org/whinhead/standins/service/ServiceFault.java
@@ -2,17 +2,17 @@
 
 import java.util.Locale;
 
-/** What may go wrong with one call of a plain service. */
+/** A simulated failure of a plain service call. */
 public enum ServiceFault {
-    /** Nothing. */
+    /** No failure. */
     NONE(true),
-    /** Refused with status 503, before it runs. */
+    /** The call is refused with status 503 and doesn't run. */
     REFUSE(false),
-    /** The connection is cut before it runs. */
+    /** The connection is closed before the call runs. */
     CUT_BEFORE_RUN(false),
-    /** It runs, and the connection is cut instead of an answer. */
+    /** The call runs, and the connection is closed without a response. */
     CUT_AFTER_RUN(true),
-    /** It runs, and the answer is status 500. */
+    /** The call runs, and the response has status 500. */
     ERROR_AFTER_RUN(true);
 
     private final boolean mRuns;
@@ -21,7 +21,7 @@
         mRuns = runs;
     }
 
-    /** Tells whether the call runs. */
+    /** Returns whether the call runs. */
     public boolean runs() {
         return mRuns;
     }
--- a/standins/src/main/java/org/whinhead/standins/service/ServiceSimulation.java
+++ b/standins/src/main/java/org/whinhead/standins/service/ServiceSimulation.java
@@ -4,7 +4,7 @@
 import java.util.Map;
 import org.whinhead.standins.witness.WorkCounter;
 
-/** A plain service without its HTTP side; single-threaded. */
+/** Simulates a plain service without HTTP; not thread-safe. */
 public final class ServiceSimulation {
 
     private final ServiceConfig mConfig;
@@ -12,23 +12,23 @@
     private final Map<ServiceFault, Integer> mPlanned = new EnumMap<>(ServiceFault.class);
     private int mRunning;
 
-    /** Makes an idle service. */
+    /** Creates an idle service. */
     public ServiceSimulation(final ServiceConfig config, final WorkCounter witness) {
         mConfig = config;
         mWitness = witness;
     }
 
-    /** Plans a fault for the next calls. */
+    /** Sets the number of next calls that fail with a fault. */
     public void plan(final ServiceFault fault, final int count) {
         mPlanned.put(fault, count);
     }
 
     /**
-     * Begins a call; one that runs is counted at once, however it ends.
+     * Begins a call; counts its execution, if it runs, before its outcome is known.
      *
      * @param request the request's identity
-     * @param idempotencyKey the call's key
-     * @return what goes wrong with it
+     * @param idempotencyKey the call's idempotency key
+     * @return the fault of the call, or {@link ServiceFault#NONE}
      */
     public ServiceFault begin(final String request, final String idempotencyKey) {
         final ServiceFault fault = next();
@@ -44,7 +44,7 @@
         mRunning--;
     }
 
-    /** Forgets the calls in progress, as the end of the process would. */
+    /** Discards the calls in progress, as the end of the process does. */
     public void kill() {
         mRunning = 0;
     }
--- a/standins/src/main/java/org/whinhead/standins/service/ServiceStandIn.java
+++ b/standins/src/main/java/org/whinhead/standins/service/ServiceStandIn.java
@@ -9,7 +9,7 @@
 import org.whinhead.standins.http.StandInCall;
 import org.whinhead.standins.http.StandInServer;
 
-/** A plain service that listens; its answer repeats the call, so that a caller knows its own. */
+/** Serves a plain service over HTTP; responses echo the call, so that callers can match them. */
 public final class ServiceStandIn implements AutoCloseable {
 
     private final ServiceConfig mConfig;
@@ -28,11 +28,11 @@
     }
 
     /**
-     * Starts a service.
+     * Starts a service server.
      *
-     * @param config its settings
-     * @param context what the stand-ins of the process share
-     * @return the service, which listens
+     * @param config the service's settings
+     * @param context the clock and counters shared in the process
+     * @return the listening service
      */
     public static ServiceStandIn start(final ServiceConfig config, final StandInContext context) {
         final ServiceStandIn service = new ServiceStandIn(config, context);
@@ -50,12 +50,12 @@
         return mConfig;
     }
 
-    /** Plans a fault for the next calls. */
+    /** Sets the number of next calls that fail with a fault. */
     public synchronized void plan(final ServiceFault fault, final int count) {
         mSimulation.plan(fault, count);
     }
 
-    /** Fault: all connections are cut and new ones refused; calls in progress did run. */
+    /** Fault: closes all connections and refuses new ones; calls in progress count as run. */
     public void kill() {
         mServer.kill();
         synchronized (this) {
@@ -63,12 +63,12 @@
         }
     }
 
-    /** Ends {@link #kill}. */
+    /** Ends {@link #kill}: listens at the same address again. */
     public void revive() {
         mServer.start();
     }
 
-    /** Fault: connections are accepted, but no new call is answered. */
+    /** Fault: while frozen, accepts connections but defers new calls. */
     public void freeze(final boolean frozen) {
         mServer.freeze(frozen);
     }
--- a/standins/src/main/java/org/whinhead/standins/service/package-info.java
+++ b/standins/src/main/java/org/whinhead/standins/service/package-info.java
@@ -1,2 +1,2 @@
-/** A stand-in plain service, whose calls may not be repeated. */
+/** A stand-in plain service, whose calls must not be repeated. */
 package org.whinhead.standins.service;
--- a/standins/src/main/java/org/whinhead/standins/vms/VmEntry.java
+++ b/standins/src/main/java/org/whinhead/standins/vms/VmEntry.java
@@ -9,19 +9,19 @@
 import org.whinhead.standins.http.StandInCall;
 
 /**
- * One VM as the list shows it.
+ * An entry of the VM list.
  *
  * @param id the VM's identity
- * @param host the IP address that its processes listen on
+ * @param host the IP address on which the VM's processes listen
  * @param domain the failure domain
- * @param machineClass the cloud's name for its size
- * @param billing how it is paid for
- * @param leaving whether it was announced to stop
- * @param role what runs on it
- * @param uri the base address of what runs on it
- * @param service the plain service's name; empty for others
- * @param checksFencing whether its engine refuses old fencing numbers
- * @param slots how many requests it works on at once
+ * @param machineClass the cloud's name of the VM size
+ * @param billing the billing mode
+ * @param leaving whether the VM's end was announced
+ * @param role the kind of server that runs on the VM
+ * @param uri the base address of the server on the VM
+ * @param service the plain service's name; empty for other roles
+ * @param checksFencing whether the VM's engine refuses old fencing numbers
+ * @param slots the maximum number of concurrent requests
  */
 public record VmEntry(
         String id,
@@ -36,7 +36,7 @@
         boolean checksFencing,
         int slots) {
 
-    /** What runs on a VM. */
+    /** The kind of server that runs on a VM. */
     public enum Role {
         /** A daemon of the system. */
         ENTRY,
@@ -51,7 +51,7 @@
         }
 
         /**
-         * Reads the name used in bodies.
+         * Parses the name used in bodies.
          *
          * @param text the name
          * @return the role
@@ -61,7 +61,7 @@
         }
     }
 
-    /** Checks every part. */
+    /** Validates the components. */
     public VmEntry {
         Arguments.requireText(id, "id");
         Arguments.requireText(host, "host");
@@ -74,7 +74,7 @@
         Arguments.requireAtLeast(slots, 1, "slots");
     }
 
-    /** Returns the same VM, announced to stop. */
+    /** Returns a copy that is marked as leaving. */
     public VmEntry asLeaving() {
         return new VmEntry(
                 id,
@@ -90,7 +90,7 @@
                 slots);
     }
 
-    /** Returns the name of a way to pay that is used in bodies. */
+    /** Returns the name of a billing mode used in bodies. */
     public static String wireName(final Billing billing) {
         return billing.name().toLowerCase(Locale.ROOT).replace('_', '-');
     }
--- a/standins/src/main/java/org/whinhead/standins/vms/VmListSimulation.java
+++ b/standins/src/main/java/org/whinhead/standins/vms/VmListSimulation.java
@@ -8,13 +8,13 @@
 import java.util.Map;
 import java.util.TreeMap;
 
-/** A VM list without its HTTP side; single-threaded, and the time is passed in. */
+/** Simulates a VM list without HTTP; not thread-safe, and callers pass the current time. */
 public final class VmListSimulation {
 
     /**
-     * What the list shows.
+     * The state of the list at a time.
      *
-     * @param asOf when it was so
+     * @param asOf the time of the state
      * @param vms the VMs
      */
     public record Snapshot(Instant asOf, List<VmEntry> vms) {}
@@ -24,47 +24,47 @@
     private final Deque<Snapshot> mHistory = new ArrayDeque<>();
     private Instant mFrozenAt;
 
-    /** Makes an empty list. */
+    /** Creates an empty list. */
     public VmListSimulation(final Duration lag) {
         mLag = lag;
         remember(Instant.MIN);
     }
 
-    /** Shows a VM as if it had always been there. */
+    /** Adds a VM without a lag, and deletes the history of the list. */
     public void seed(final VmEntry vm) {
         mVms.put(vm.id(), vm);
         mHistory.clear();
         remember(Instant.MIN);
     }
 
-    /** A VM started, or changed. */
+    /** Adds or replaces a VM. */
     public void put(final VmEntry vm, final Instant now) {
         mVms.put(vm.id(), vm);
         remember(now);
     }
 
-    /** A VM was announced to stop. */
+    /** Marks a VM as leaving; ignores an unknown one. */
     public void markLeaving(final String id, final Instant now) {
         mVms.computeIfPresent(id, (key, vm) -> vm.asLeaving());
         remember(now);
     }
 
-    /** A VM stopped. */
+    /** Removes a VM. */
     public void remove(final String id, final Instant now) {
         mVms.remove(id);
         remember(now);
     }
 
-    /** Fault: what the list shows stays as it is. */
+    /** Fault: sets whether the returned list stops changing. */
     public void freeze(final boolean frozen, final Instant now) {
         mFrozenAt = frozen ? now : null;
     }
 
     /**
-     * Returns what the list shows.
+     * Returns the list as it was before the lag.
      *
      * @param now the time
-     * @return the VMs as they were a lag ago
+     * @return the snapshot of that time
      */
     public Snapshot list(final Instant now) {
         final Instant asOf = (mFrozenAt == null ? now : mFrozenAt).minus(mLag);
--- a/standins/src/main/java/org/whinhead/standins/vms/VmListStandIn.java
+++ b/standins/src/main/java/org/whinhead/standins/vms/VmListStandIn.java
@@ -9,7 +9,7 @@
 import org.whinhead.standins.http.StandInCall;
 import org.whinhead.standins.http.StandInServer;
 
-/** A VM list that listens: a {@link VmListSimulation} behind the list's protocol. */
+/** Serves a {@link VmListSimulation} over the list's HTTP protocol. */
 public final class VmListStandIn implements AutoCloseable {
 
     private final StandInContext mContext;
@@ -31,12 +31,12 @@
     }
 
     /**
-     * Starts a VM list.
+     * Starts a VM list server.
      *
      * @param port the port, or 0 for a free one
-     * @param lag how old what it shows is
-     * @param context what the stand-ins of the process share
-     * @return the list, which listens
+     * @param lag the age of the returned snapshot
+     * @param context the clock and counters shared in the process
+     * @return the listening VM list
      */
     public static VmListStandIn start(
             final int port, final Duration lag, final StandInContext context) {
@@ -51,27 +51,27 @@
         return mServer.uri();
     }
 
-    /** Shows a VM at once, as if it had always been there. */
+    /** Adds a VM without a lag, and deletes the history of the list. */
     public synchronized void seed(final VmEntry vm) {
         mSimulation.seed(vm);
     }
 
-    /** A VM started, or changed. */
+    /** Adds or replaces a VM. */
     public synchronized void put(final VmEntry vm) {
         mSimulation.put(vm, mContext.ticker().now());
     }
 
-    /** A VM was announced to stop. */
+    /** Marks a VM as leaving; ignores an unknown one. */
     public synchronized void markLeaving(final String id) {
         mSimulation.markLeaving(id, mContext.ticker().now());
     }
 
-    /** A VM stopped. */
+    /** Removes a VM. */
     public synchronized void remove(final String id) {
         mSimulation.remove(id, mContext.ticker().now());
     }
 
-    /** Fault: what the list shows stays as it is. */
+    /** Fault: sets whether the returned list stops changing. */
     public synchronized void freeze(final boolean frozen) {
         mSimulation.freeze(frozen, mContext.ticker().now());
     }
--- a/standins/src/main/java/org/whinhead/standins/vms/package-info.java
+++ b/standins/src/main/java/org/whinhead/standins/vms/package-info.java
@@ -1,2 +1,2 @@
-/** A stand-in VM list, which shows live and leaving VMs with a lag. */
+/** A stand-in VM list, which returns live and leaving VMs with a lag. */
 package org.whinhead.standins.vms;
--- a/standins/src/main/java/org/whinhead/standins/weights/WeightStoreSimulation.java
+++ b/standins/src/main/java/org/whinhead/standins/weights/WeightStoreSimulation.java
@@ -7,7 +7,7 @@
 import java.util.Optional;
 import org.whinhead.api.Arguments;
 
-/** A weight store without its HTTP side; single-threaded, and the time is passed in. */
+/** Simulates a weight store without HTTP; not thread-safe, and callers pass the current time. */
 public final class WeightStoreSimulation {
 
     private static final double NANOS_PER_SECOND = 1e9;
@@ -18,11 +18,11 @@
     private final Deque<Instant> mLoads = new ArrayDeque<>();
 
     /**
-     * Makes an idle store.
+     * Creates an idle store.
      *
-     * @param bytes the size of a model
-     * @param bytesPerSecond the rate for all loads together
-     * @param maxWaiting the most loads at once; more are refused
+     * @param bytes the size of a model in bytes
+     * @param bytesPerSecond the total rate of all loads
+     * @param maxWaiting the maximum number of unfinished loads; more are refused
      */
     public WeightStoreSimulation(
             final long bytes, final long bytesPerSecond, final int maxWaiting) {
@@ -32,10 +32,10 @@
     }
 
     /**
-     * Begins a load after those before it.
+     * Queues a load behind the unfinished ones.
      *
      * @param now the time
-     * @return when it is done, or empty if too many wait
+     * @return the time at which the load ends, or empty if the queue is full
      */
     public Optional<Instant> load(final Instant now) {
         while (!mLoads.isEmpty() && !mLoads.getFirst().isAfter(now)) {
@@ -50,7 +50,7 @@
         return Optional.of(mLoads.getLast());
     }
 
-    /** Returns the size of a model. */
+    /** Returns the size of a model in bytes. */
     public long bytes() {
         return mBytes;
     }
--- a/standins/src/main/java/org/whinhead/standins/weights/WeightStoreStandIn.java
+++ b/standins/src/main/java/org/whinhead/standins/weights/WeightStoreStandIn.java
@@ -9,7 +9,7 @@
 import org.whinhead.standins.http.StandInCall;
 import org.whinhead.standins.http.StandInServer;
 
-/** A weight store that listens: a {@link WeightStoreSimulation} behind the store's protocol. */
+/** Serves a {@link WeightStoreSimulation} over the store's HTTP protocol. */
 public final class WeightStoreStandIn implements AutoCloseable {
 
     private final StandInContext mContext;
@@ -28,12 +28,12 @@
     }
 
     /**
-     * Starts a weight store.
+     * Starts a weight store server.
      *
      * @param port the port, or 0 for a free one
-     * @param simulation the store's rate and queue
-     * @param context what the stand-ins of the process share
-     * @return the store, which listens
+     * @param simulation the store's load queue
+     * @param context the clock and counters shared in the process
+     * @return the listening store
      */
     public static WeightStoreStandIn start(
             final int port, final WeightStoreSimulation simulation, final StandInContext context) {
--- a/standins/src/main/java/org/whinhead/standins/weights/package-info.java
+++ b/standins/src/main/java/org/whinhead/standins/weights/package-info.java
@@ -1,2 +1,2 @@
-/** A stand-in weight store, which loads one model after the other at a limited rate. */
+/** A stand-in weight store, which serves one model load after the other at a limited rate. */
 package org.whinhead.standins.weights;
--- a/standins/src/main/java/org/whinhead/standins/witness/WorkCounter.java
+++ b/standins/src/main/java/org/whinhead/standins/witness/WorkCounter.java
@@ -6,44 +6,44 @@
 import java.util.Map;
 import java.util.TreeMap;
 
-/** Counts what all engines and services of one process did; safe for use by several threads. */
+/** Counts the work of all engines and services of one process; thread-safe. */
 public final class WorkCounter {
 
     private final Map<String, RequestCounts> mByRequest = new TreeMap<>();
     private final Map<String, Integer> mExecutionsByKey = new TreeMap<>();
 
-    /** An engine took an attempt in. */
+    /** Counts an attempt that an engine accepted. */
     public synchronized void countAttempt(final String request) {
         counts(request).mAttempts++;
     }
 
-    /** An engine found leading tokens in its cache. */
+    /** Counts leading prompt tokens that an engine found in its cache. */
     public synchronized void countCachedTokens(final String request, final int tokens) {
         counts(request).mCached += tokens;
     }
 
-    /** An engine computed prompt tokens. */
+    /** Counts computed prompt tokens, from a position to another (exclusive). */
     public synchronized void countPrefill(final String request, final int from, final int to) {
         final RequestCounts seen = counts(request);
         seen.mPrefilled += to - from;
         seen.mPositions.set(from, to);
     }
 
-    /** An engine generated a token. */
+    /** Counts a token that an engine generated at a position. */
     public synchronized void countGeneratedToken(final String request, final int position) {
         final RequestCounts seen = counts(request);
         seen.mGenerated++;
         seen.mPositions.set(position);
     }
 
-    /** A plain service ran a call. */
+    /** Counts an execution of a call by a plain service. */
     public synchronized void countExecution(final String request, final String idempotencyKey) {
         counts(request).mExecutions++;
         mExecutionsByKey.merge(idempotencyKey, 1, Integer::sum);
     }
 
     /**
-     * Returns how often a plain service ran the calls of a key.
+     * Returns the number of executions of an idempotency key by plain services.
      *
      * @param idempotencyKey the key
      * @return the number of executions
@@ -53,7 +53,7 @@
     }
 
     /**
-     * Returns how often an engine took in an attempt of a request.
+     * Returns the number of attempts of a request that engines accepted.
      *
      * @param request the request's identity
      * @return the number of attempts
@@ -63,35 +63,35 @@
     }
 
     /**
-     * Tells whether an engine computed anything for a request, or a service ran it.
+     * Returns whether an engine computed tokens for a request or a service executed it.
      *
      * @param request the request's identity
-     * @return true if any work was done for it
+     * @return true if any work was done for the request
      */
     public synchronized boolean hasWork(final String request) {
         return mByRequest.containsKey(request) && counts(request).hasWork();
     }
 
-    /** Returns how many tokens the engines generated. */
+    /** Returns the number of tokens that engines generated. */
     public synchronized long generatedTokens() {
         return mByRequest.values().stream().mapToLong(seen -> seen.mGenerated).sum();
     }
 
-    /** Returns how many prompt tokens the engines computed. */
+    /** Returns the number of prompt tokens that engines computed. */
     public synchronized long promptTokensComputed() {
         return mByRequest.values().stream().mapToLong(seen -> seen.mPrefilled).sum();
     }
 
-    /** Returns how many tokens were computed again for the same request and position. */
+    /** Returns the number of tokens computed again for the same request and position. */
     public synchronized long recomputedTokens() {
         return mByRequest.values().stream().mapToLong(RequestCounts::recomputed).sum();
     }
 
     /**
-     * Returns how many tokens of one request were computed again.
+     * Returns the number of recomputed tokens of one request.
      *
      * @param request the request's identity
-     * @return tokens computed beyond the first computation of each position
+     * @return the number of computations beyond the first of each position
      */
     public synchronized long recomputedTokens(final String request) {
         return mByRequest.containsKey(request) ? counts(request).recomputed() : 0;
--- a/standins/src/main/java/org/whinhead/standins/witness/package-info.java
+++ b/standins/src/main/java/org/whinhead/standins/witness/package-info.java
@@ -1,2 +1,2 @@
-/** What the stand-ins saw, so that redone work and repeated executions can be counted. */
+/** Counters of the stand-ins' work, which reveal recomputed tokens and repeated executions. */
 package org.whinhead.standins.witness;
--- a/standins/src/test/java/org/whinhead/standins/cloud/CloudSimulationTest.java
+++ b/standins/src/test/java/org/whinhead/standins/cloud/CloudSimulationTest.java
@@ -21,8 +21,8 @@
             new CloudSimulation(Duration.ofSeconds(20), new Recorder());
 
     /**
-     * A whole failure domain is taken back and no replacement starts: a fleet controller must see
-     * one notice for each VM and "capacity" for each order, and on-demand VMs stay.
+     * A whole failure domain is reclaimed while the cloud refuses to start replacements: each
+     * reclaimable VM gets one notice, orders are refused, and on-demand VMs stay.
      */
     @Test
     void reclaimsWholeDomainAndRefusesStarts() {
--- a/standins/src/test/java/org/whinhead/standins/deployment/DeploymentStandInsTest.java
+++ b/standins/src/test/java/org/whinhead/standins/deployment/DeploymentStandInsTest.java
@@ -23,11 +23,11 @@
     private final HttpClient mClient = HttpClient.newHttpClient();
 
     /**
-     * A failure domain is taken back: the cloud gives notice, then the domain's engines refuse
-     * connections. A daemon in the domain hears of it too, last as it was added last.
+     * A failure domain is reclaimed: after the notice, its engines refuse connections. The listener
+     * of the daemon's VM is notified last, because its id sorts last.
      */
     @Test
-    void reclaimEndsTheServersOfTheDomain() throws Exception {
+    void reclaimStopsServersOfDomain() throws Exception {
         final CompletableFuture<String> gone = new CompletableFuture<>();
         final DeploymentConfig config =
                 DeploymentConfig.of(DeploymentPlan.INKIKO).withVmLag(Duration.ofMillis(1));
@@ -49,7 +49,7 @@
     }
 
     @Test
-    void commandLineNamesTheWrongOption() throws ParseException {
+    void errorNamesWrongOption() throws ParseException {
         assertThat(
                         StandInsOptions.parse(
                                 "--deployment=mezani",
@@ -76,7 +76,7 @@
 
         @Override
         public void onNotice(final String vm, final Instant goneBy) {
-            // Only the end is looked at.
+            // The test checks only the end of the VM.
         }
 
         @Override
--- a/standins/src/test/java/org/whinhead/standins/engine/EngineFaultsTest.java
+++ b/standins/src/test/java/org/whinhead/standins/engine/EngineFaultsTest.java
@@ -23,11 +23,11 @@
                     + "\"messages\":[{\"role\":\"user\",\"content\":\"a\"}]}";
 
     /**
-     * An engine's process dies while many streams run and new requests arrive. Every caller must
-     * see its connection break at once, and not one that stays open and silent.
+     * An engine's process ends while many streams run and new requests arrive. Every caller's
+     * connection must fail at once instead of staying open without data.
      */
     @Test
-    void killBreaksEveryStreamAndRevivedEngineServes() throws Exception {
+    void killClosesEveryStreamAndRevivedEngineServes() throws Exception {
         final HttpClient client = HttpClient.newHttpClient();
         try (StandInContext context = StandInContext.start();
                 EngineStandIn engine =
@@ -54,11 +54,11 @@
     }
 
     /**
-     * An engine's VM is paused: connections open, requests go in, and nothing comes back. Once it
-     * wakes it goes on, and answers requests that their senders may have given up long ago.
+     * An engine's VM is paused: it accepts connections and requests but sends nothing. After the
+     * pause it continues and answers requests that their senders may have abandoned.
      */
     @Test
-    void frozenEngineKeepsCallsUntilItWakes() throws Exception {
+    void frozenEngineDefersCallsUntilUnfrozen() throws Exception {
         final HttpClient client = HttpClient.newHttpClient();
         try (StandInContext context = StandInContext.start();
                 EngineStandIn engine =
--- a/standins/src/test/java/org/whinhead/standins/engine/EngineSimulationTest.java
+++ b/standins/src/test/java/org/whinhead/standins/engine/EngineSimulationTest.java
@@ -55,11 +55,11 @@
     }
 
     /**
-     * The engine of a request dies after a few tokens, and another attempt starts over: prompt and
-     * tokens are computed again, and the witness must say how many.
+     * A request's engine is killed after a few tokens, and a second attempt starts over: the
+     * counter must report the prompt and answer tokens that are computed again.
      */
     @Test
-    void startingOverCountsAsRecomputed() {
+    void countsRecomputedTokensOfSecondAttempt() {
         submit("a", LONG_PROMPT, 10, 0);
         advance(500);
         assertThat(mWitness.recomputedTokens("a")).isZero();
@@ -79,9 +79,9 @@
         assertThat(mWitness.promptTokensComputed()).isEqualTo(64 + 2);
     }
 
-    /** The caller and its daemon are gone; the engine must not generate for nobody for ever. */
+    /** A caller and its daemon disconnect; the engine must not continue to generate forever. */
     @Test
-    void streamWithoutReaderIsDroppedAfterTheGrace() {
+    void streamWithoutReaderIsDroppedAfterGracePeriod() {
         final EngineStream stream = submit("a", "p", 100_000, 0);
         advance(1000);
         assertThat(mEngine.find(stream.id())).isPresent();
@@ -104,11 +104,11 @@
     }
 
     /**
-     * A lease holder is paused, a newer one gives orders, then the old one wakes and gives its own.
-     * An engine that checks refuses it; one that doesn't carries it out.
+     * A lease holder is paused, a newer holder sends orders, then the old holder resumes and sends
+     * a stale order. An engine that checks fencing refuses it; other engines apply it.
      */
     @Test
-    void oldFencingNumberIsRefusedOnlyByAnEngineThatChecks() {
+    void oldFencingNumberIsRefusedOnlyWithFencingCheck() {
         final EngineOrders checks = new EngineOrders(Set.of("m@1"), true);
         final EngineOrders ignores = new EngineOrders(Set.of("m@1"), false);
         for (final EngineOrders orders : List.of(checks, ignores)) {
--- a/standins/src/test/java/org/whinhead/standins/engine/EngineStandInTest.java
+++ b/standins/src/test/java/org/whinhead/standins/engine/EngineStandInTest.java
@@ -49,7 +49,7 @@
     }
 
     @Test
-    void answersWhole() throws Exception {
+    void answersWithCompleteResponse() throws Exception {
         final HttpResponse<String> answer = post("/v1/chat/completions", BODY.formatted(3, false));
         assertThat(answer.statusCode()).isEqualTo(200);
         assertThat(answer.body()).contains("\"content\":\"" + expected(0, 3) + "\"");
@@ -71,11 +71,11 @@
     }
 
     /**
-     * A caller's connection breaks in the middle of its answer, and it comes back through another
-     * daemon with the last token that it saw. It must get the rest, without a gap or a repeat.
+     * A caller's connection fails during its answer, and the caller reconnects through another
+     * daemon with the last received token. The rest must arrive without gaps or repeats.
      */
     @Test
-    void resumesAfterTheLastTokenSeen() throws Exception {
+    void resumesAfterLastReceivedToken() throws Exception {
         final HttpResponse<Stream<String>> first = stream(BODY.formatted(6, true));
         final String id = first.headers().firstValue("X-Stream-Id").orElseThrow();
         first.body().close();
@@ -90,11 +90,11 @@
     }
 
     /**
-     * A reclaim is announced; the daemon exports the stream's KV cache and imports it elsewhere.
-     * The caller's answer goes on there, and no token is computed twice.
+     * A reclaim is announced, and a stream's KV cache is exported and imported by another engine.
+     * The answer must continue there, and no token may be computed twice.
      */
     @Test
-    void movesWithItsKvCache() throws Exception {
+    void continuesOnOtherEngineWithImportedKvCache() throws Exception {
         final EngineStandIn other = start("two");
         final HttpResponse<Stream<String>> first = stream(BODY.formatted(400, true));
         final String id = first.headers().firstValue("X-Stream-Id").orElseThrow();
--- a/standins/src/test/java/org/whinhead/standins/log/LogSimulationTest.java
+++ b/standins/src/test/java/org/whinhead/standins/log/LogSimulationTest.java
@@ -18,7 +18,7 @@
             new LogSimulation(new LogConfig("127.0.0.1", 0, 2, Duration.ofMinutes(1)));
 
     @Test
-    void eachStreamCountsItsOwnOffsetsUnderOneCap() {
+    void streamsHaveSeparateOffsetsAndSharedRateLimit() {
         assertThat(mLog.append("a", List.of("eA==", "eQ=="), NOW))
                 .isEqualTo(new AppendResult(Status.OK, 0));
         assertThat(mLog.append("b", List.of("eA=="), NOW))
--- a/standins/src/test/java/org/whinhead/standins/log/LogStandInTest.java
+++ b/standins/src/test/java/org/whinhead/standins/log/LogStandInTest.java
@@ -29,7 +29,7 @@
     }
 
     @Test
-    void waitingReaderGetsTheNextRecord() throws Exception {
+    void pendingReadReturnsNextRecord() throws Exception {
         final CompletableFuture<HttpResponse<String>> waiting =
                 mClient.sendAsync(
                         request("/log/main/records?from=0&waitMillis=60000").build(),
@@ -41,17 +41,17 @@
     }
 
     /**
-     * An append takes effect but its answer is lost on the way. The writer sees a broken connection
-     * and can't know; the record must be there when it looks.
+     * An append takes effect but its response is lost. The writer sees a closed connection and
+     * can't know the outcome; a later read must return the record.
      */
     @Test
-    void appendWhoseAnswerIsLostTakesEffect() throws Exception {
+    void appendWithLostResponseTakesEffect() throws Exception {
         fault("{\"kind\":\"lose-answers\",\"count\":1}");
         assertThatThrownBy(this::append).isInstanceOf(IOException.class);
         assertThat(read().body()).contains("\"next\":1");
     }
 
-    /** The service is down for everyone: reads and appends get 503 until it recovers. */
+    /** During an outage, reads and appends are answered with 503 until the service recovers. */
     @Test
     void outageRefusesAppendsAndReads() throws Exception {
         fault("{\"kind\":\"outage\"}");
--- a/standins/src/test/java/org/whinhead/standins/service/ServiceStandInTest.java
+++ b/standins/src/test/java/org/whinhead/standins/service/ServiceStandInTest.java
@@ -28,7 +28,7 @@
     }
 
     @Test
-    void countsWhatRanAndOnlyThat() throws Exception {
+    void countsOnlyCallsThatRan() throws Exception {
         mService.plan(ServiceFault.REFUSE, 1);
         assertThat(file().statusCode()).isEqualTo(503);
         assertThat(mContext.witness().executions("k1")).isZero();
@@ -43,11 +43,11 @@
     }
 
     /**
-     * A claim is filed, and the connection breaks before the answer. The clerk sees an error, yet
-     * the claim is in the docket: a second attempt would double it.
+     * A claim is filed, and the connection closes before the response. The caller sees an error
+     * although the call ran, so that a second attempt would file the claim twice.
      */
     @Test
-    void callCutAfterItRanIsCounted() {
+    void countsCallWithConnectionClosedAfterRun() {
         mService.plan(ServiceFault.CUT_AFTER_RUN, 1);
         assertThatThrownBy(this::file).isInstanceOf(IOException.class);
         assertThat(mContext.witness().executions("k1")).isEqualTo(1);
--- a/standins/src/test/java/org/whinhead/standins/vms/VmListSimulationTest.java
+++ b/standins/src/test/java/org/whinhead/standins/vms/VmListSimulationTest.java
@@ -43,9 +43,9 @@
         assertThat(shown(4000)).isEmpty();
     }
 
-    /** The list stands still for an hour: a VM that is long gone is still shown as live. */
+    /** The list is frozen for an hour: it still returns a removed VM as live. */
     @Test
-    void frozenListShowsVmThatIsGone() {
+    void frozenListReturnsRemovedVm() {
         mList.freeze(true, NOW);
         mList.remove("a", NOW.plusSeconds(1));
         assertThat(shown(3_600_000)).containsExactly(VM);
--- a/standins/src/test/java/org/whinhead/standins/weights/WeightStoreSimulationTest.java
+++ b/standins/src/test/java/org/whinhead/standins/weights/WeightStoreSimulationTest.java
@@ -10,7 +10,7 @@
     private static final Instant NOW = Instant.parse("2026-03-02T08:00:00Z");
 
     @Test
-    void loadsOneAfterTheOtherAndRefusesMoreThanWait() {
+    void loadsSequentiallyAndRefusesLoadsBeyondLimit() {
         final WeightStoreSimulation store = new WeightStoreSimulation(100, 50, 2);
         assertThat(store.load(NOW)).contains(NOW.plusSeconds(2));
         assertThat(store.load(NOW.plusSeconds(1))).contains(NOW.plusSeconds(4));
