--- a/standins/src/main/java/org/whinhead/standins/cloud/CloudSimulation.java
+++ b/standins/src/main/java/org/whinhead/standins/cloud/CloudSimulation.java
@@ -27,7 +27,7 @@
     private final Map<String, Machine> mMachines = new TreeMap<>();
     private final Map<String, String> mVmsByOrder = new HashMap<>();
     private final List<Notice> mNotices = new ArrayList<>();
-    private boolean mRefuses;
+    private boolean mRefusesStarts;
     private int mStarted;
 
     /**
@@ -57,7 +57,7 @@
         if (mVmsByOrder.containsKey(order.orderId())) {
             return Optional.of(mVmsByOrder.get(order.orderId()));
         }
-        if (mRefuses) {
+        if (mRefusesStarts) {
             return Optional.empty();
         }
         mStarted++;
@@ -74,9 +74,7 @@
         }
     }
 
-    /**
-     * Announces the reclaim of a VM; ignores on-demand VMs and VMs announced before.
-     */
+    /** Announces the reclaim of a VM; ignores on-demand VMs and VMs announced before. */
     public void reclaim(final String vm, final Duration notice, final Instant now) {
         final Machine machine = mMachines.get(vm);
         if (machine == null
@@ -103,8 +101,8 @@
     public void advance(final Instant now) {
         for (final String vm : List.copyOf(mMachines.keySet())) {
             final Machine machine = mMachines.get(vm);
-            if (!machine.mUp && !machine.mUpAt.isAfter(now)) {
-                machine.mUp = true;
+            if (!machine.mRunning && !machine.mStartsAt.isAfter(now)) {
+                machine.mRunning = true;
                 mActions.onStarted(vm, machine.mOrder);
             }
             if (machine.mGoneBy != null && !machine.mGoneBy.isAfter(now)) {
@@ -126,19 +124,19 @@
 
     /** Fault: sets whether the cloud refuses to start VMs. */
     public void refuseStarts(final boolean refuses) {
-        mRefuses = refuses;
+        mRefusesStarts = refuses;
     }
 
     private static final class Machine {
         private final VmOrder mOrder;
-        private final Instant mUpAt;
-        private boolean mUp;
+        private final Instant mStartsAt;
+        private boolean mRunning;
         private Instant mGoneBy;
 
-        private Machine(final VmOrder order, final Instant upAt, final boolean up) {
+        private Machine(final VmOrder order, final Instant startsAt, final boolean running) {
             mOrder = order;
-            mUpAt = upAt;
-            mUp = up;
+            mStartsAt = startsAt;
+            mRunning = running;
         }
     }
 }
--- a/standins/src/main/java/org/whinhead/standins/cloud/CloudStandIn.java
+++ b/standins/src/main/java/org/whinhead/standins/cloud/CloudStandIn.java
@@ -40,7 +40,7 @@
                     });
     private final CloudSimulation mSimulation;
     private final List<PendingRequest> mPending = new ArrayList<>();
-    private final Runnable mEndTicks;
+    private final Runnable mRemoveTask;
 
     private CloudStandIn(
             final StandInServer server,
@@ -58,7 +58,7 @@
                 .route("GET", "/cloud/prices", this::prices)
                 .route("GET", "/cloud/notices", this::notices)
                 .route("POST", "/faults", faults());
-        mEndTicks = context.ticker().add(this::tick);
+        mRemoveTask = context.ticker().add(this::tick);
     }
 
     /**
@@ -116,7 +116,7 @@
 
     @Override
     public void close() {
-        mEndTicks.run();
+        mRemoveTask.run();
         mServer.close();
         mActionsThread.shutdownNow();
     }
@@ -161,7 +161,7 @@
 
     private synchronized void tick(final Instant now) {
         mSimulation.advance(now);
-        mPending.removeIf(waiting -> answer(waiting, now));
+        mPending.removeIf(pending -> answer(pending, now));
     }
 
     private synchronized void startVm(final StandInCall call) throws IOException {
@@ -204,20 +204,20 @@
     private synchronized void notices(final StandInCall call) throws IOException {
         final Instant now = mContext.ticker().now();
         final Instant until = now.plusMillis(call.number("waitMillis", 0));
-        final PendingRequest waiting = new PendingRequest(call, call.number("after", 0), until);
-        if (!answer(waiting, now)) {
-            mPending.add(waiting);
+        final PendingRequest pending = new PendingRequest(call, call.number("after", 0), until);
+        if (!answer(pending, now)) {
+            mPending.add(pending);
         }
     }
 
-    private boolean answer(final PendingRequest waiting, final Instant now) {
-        final List<CloudSimulation.Notice> found = mSimulation.notices(waiting.after());
-        if (found.isEmpty() && waiting.until().isAfter(now)) {
+    private boolean answer(final PendingRequest pending, final Instant now) {
+        final List<CloudSimulation.Notice> found = mSimulation.notices(pending.after());
+        if (found.isEmpty() && pending.until().isAfter(now)) {
             return false;
         }
         final ObjectNode root = StandInCall.object();
         final ArrayNode notices = root.putArray("notices");
-        long next = waiting.after();
+        long next = pending.after();
         for (final CloudSimulation.Notice notice : found) {
             notices.addObject()
                     .put("sequence", notice.sequence())
@@ -225,7 +225,7 @@
                     .put("goneBy", notice.goneBy().toString());
             next = notice.sequence();
         }
-        waiting.call().reply(200, root.put("next", next));
+        pending.call().reply(200, root.put("next", next));
         return true;
     }
 
--- a/standins/src/main/java/org/whinhead/standins/cloud/VmMeter.java
+++ b/standins/src/main/java/org/whinhead/standins/cloud/VmMeter.java
@@ -11,11 +11,11 @@
 /** Sums the cost of VMs by role; callers pass the current time. */
 final class VmMeter {
 
-    private static final double MILLIS_IN_HOUR = Duration.ofHours(1).toMillis();
+    private static final double MILLIS_PER_HOUR = Duration.ofHours(1).toMillis();
 
     private final List<Price> mPrices;
     private final Map<String, Running> mRunning = new HashMap<>();
-    private final Map<VmEntry.Role, Double> mEnded = new TreeMap<>();
+    private final Map<VmEntry.Role, Double> mEndedCost = new TreeMap<>();
 
     VmMeter(final List<Price> prices) {
         mPrices = List.copyOf(prices);
@@ -28,13 +28,13 @@
     synchronized void stopped(final String vm, final Instant now) {
         final Running running = mRunning.remove(vm);
         if (running != null) {
-            mEnded.merge(running.order().role(), cost(running, now), Double::sum);
+            mEndedCost.merge(running.order().role(), cost(running, now), Double::sum);
         }
     }
 
     /** Returns the cost of the VMs of each role until now. */
     synchronized Map<VmEntry.Role, Double> cost(final Instant now) {
-        final Map<VmEntry.Role, Double> cost = new TreeMap<>(mEnded);
+        final Map<VmEntry.Role, Double> cost = new TreeMap<>(mEndedCost);
         for (final Running running : mRunning.values()) {
             cost.merge(running.order().role(), cost(running, now), Double::sum);
         }
@@ -42,7 +42,7 @@
     }
 
     private double cost(final Running running, final Instant now) {
-        final double hours = Duration.between(running.since(), now).toMillis() / MILLIS_IN_HOUR;
+        final double hours = Duration.between(running.since(), now).toMillis() / MILLIS_PER_HOUR;
         return hours * perHour(running.order());
     }
 
--- a/standins/src/main/java/org/whinhead/standins/deployment/DeploymentPlan.java
+++ b/standins/src/main/java/org/whinhead/standins/deployment/DeploymentPlan.java
@@ -9,7 +9,7 @@
 
 /** The failure domains, model, service and prices of the two simulated deployments. */
 public enum DeploymentPlan {
-    /** A small-claims filing service in Kigali. */
+    /** The deployment for small-claims filing in Kigali. */
     INKIKO(
             9000,
             "kigali",
@@ -18,7 +18,7 @@
             "kg-gasabo",
             "kg-kicukiro",
             "kg-nyarugenge"),
-    /** A food cost calculator in Nairobi. */
+    /** The deployment for food costs in Nairobi. */
     MEZANI(
             9100,
             "nairobi",
@@ -109,6 +109,7 @@
         final FailureDomain domain = mDomains.get(index);
         final double domainPrice = price * DOMAIN_FACTORS[index];
         prices.add(new Price(domain, machineClass, Billing.RECLAIMABLE, domainPrice));
-        prices.add(new Price(domain, machineClass, Billing.ON_DEMAND, domainPrice * ON_DEMAND_FACTOR));
+        prices.add(
+                new Price(domain, machineClass, Billing.ON_DEMAND, domainPrice * ON_DEMAND_FACTOR));
     }
 }
--- a/standins/src/main/java/org/whinhead/standins/deployment/DeploymentStandIns.java
+++ b/standins/src/main/java/org/whinhead/standins/deployment/DeploymentStandIns.java
@@ -32,13 +32,13 @@
 public final class DeploymentStandIns implements AutoCloseable {
 
     private static final String HOST = "127.0.0.1";
-    private static final Duration BOOT = Duration.ofSeconds(30);
+    private static final Duration VM_START_TIME = Duration.ofSeconds(30);
     private static final long MODEL_BYTES = 16_000_000_000L;
-    private static final long WEIGHT_RATE = 2_000_000_000L;
+    private static final long WEIGHT_BYTES_PER_SECOND = 2_000_000_000L;
     private static final int MAX_LOADS = 8;
-    private static final int FIRST_ENGINE_PORT = 10;
-    private static final int FIRST_SERVICE_PORT = 30;
-    private static final int CONTROL_PORT = 4;
+    private static final int FIRST_ENGINE_PORT_OFFSET = 10;
+    private static final int FIRST_SERVICE_PORT_OFFSET = 30;
+    private static final int CONTROL_PORT_OFFSET = 4;
 
     private final DeploymentConfig mConfig;
     private final StandInContext mContext;
@@ -70,11 +70,11 @@
         mCloud =
                 CloudStandIn.start(
                         config.port(2),
-                        scaled(BOOT, config.speedUp()),
+                        scaled(VM_START_TIME, config.speedUp()),
                         config.plan().prices(),
                         mServers,
                         context);
-        mControl = new StandInServer(HOST, config.port(CONTROL_PORT));
+        mControl = new StandInServer(HOST, config.port(CONTROL_PORT_OFFSET));
         mControl.route("GET", "/witness", call -> call.reply(200, context.witness().toJson()))
                 .route("GET", "/addresses", call -> call.reply(200, addresses()))
                 .route("POST", "/faults", faults());
@@ -99,11 +99,11 @@
      */
     public static DeploymentStandIns start(
             final DeploymentConfig config, final CloudActions entries) {
-        final DeploymentStandIns all =
+        final DeploymentStandIns standIns =
                 new DeploymentStandIns(config, StandInContext.start(), entries);
-        all.startMachines();
-        all.mControl.start();
-        return all;
+        standIns.startMachines();
+        standIns.mControl.start();
+        return standIns;
     }
 
     /** Returns the clock and the work counter that the stand-ins share. */
@@ -182,14 +182,14 @@
                     "vm-engine-" + (index + 1),
                     domains.get(index % domains.size()),
                     VmEntry.Role.ENGINE,
-                    mConfig.port(FIRST_ENGINE_PORT + index));
+                    mConfig.port(FIRST_ENGINE_PORT_OFFSET + index));
         }
         for (int index = 0; index < domains.size(); index++) {
             startMachine(
                     "vm-service-" + (index + 1),
                     domains.get(index),
                     VmEntry.Role.SERVICE,
-                    mConfig.port(FIRST_SERVICE_PORT + index));
+                    mConfig.port(FIRST_SERVICE_PORT_OFFSET + index));
         }
         for (int index = 0; index < mConfig.entries().size(); index++) {
             final URI uri = mConfig.entries().get(index);
@@ -235,7 +235,7 @@
     }
 
     private static WeightStoreSimulation weights(final DeploymentConfig config) {
-        final long rate = (long) (WEIGHT_RATE * config.speedUp());
+        final long rate = (long) (WEIGHT_BYTES_PER_SECOND * config.speedUp());
         return new WeightStoreSimulation(MODEL_BYTES, rate, MAX_LOADS);
     }
 
@@ -252,7 +252,7 @@
 
         @Override
         public void onNotice(final String vm, final Instant goneBy) {
-            // The daemon polls the notice from the cloud.
+            // The daemon reads the notice from the cloud.
         }
 
         @Override
--- a/standins/src/main/java/org/whinhead/standins/engine/Batch.java
+++ b/standins/src/main/java/org/whinhead/standins/engine/Batch.java
@@ -15,16 +15,16 @@
 
     private final EngineConfig mConfig;
     private final PrefixCache mCache;
-    private final WorkCounter mWitness;
+    private final WorkCounter mWorkCounter;
     private final List<EngineStream> mRunning = new ArrayList<>();
     private final List<EngineStream> mWaiting = new ArrayList<>();
     private double mSlowdown = 1;
     private Instant mStepEnd = Instant.MAX;
 
-    Batch(final EngineConfig config, final PrefixCache cache, final WorkCounter witness) {
+    Batch(final EngineConfig config, final PrefixCache cache, final WorkCounter workCounter) {
         mConfig = config;
         mCache = cache;
-        mWitness = witness;
+        mWorkCounter = workCounter;
     }
 
     int running() {
@@ -46,16 +46,14 @@
     void add(final EngineStream stream, final Instant now) {
         mWaiting.add(stream);
         mWaiting.sort(BY_PRIORITY);
-        wake(now);
+        startStepIfIdle(now);
     }
 
-    /**
-     * Adds a stream with an imported KV cache; it runs at once, even beyond the slots.
-     */
+    /** Adds a stream with an imported KV cache; it runs at once, even beyond the slots. */
     void addRunning(final EngineStream stream, final Instant now) {
         stream.resume();
         mRunning.add(stream);
-        wake(now);
+        startStepIfIdle(now);
     }
 
     void remove(final EngineStream stream) {
@@ -85,10 +83,10 @@
         return generated;
     }
 
-    private void wake(final Instant now) {
+    private void startStepIfIdle(final Instant now) {
         if (mStepEnd == Instant.MAX) {
-            fill();
-            mStepEnd = now.plus(stepTime(prefillPlanned()));
+            admitWaiting();
+            mStepEnd = now.plus(stepTime(plannedPrefill()));
         }
     }
 
@@ -103,8 +101,8 @@
                 generated++;
             }
         }
-        fill();
-        mStepEnd = mRunning.isEmpty() ? Instant.MAX : mStepEnd.plus(stepTime(prefillPlanned()));
+        admitWaiting();
+        mStepEnd = mRunning.isEmpty() ? Instant.MAX : mStepEnd.plus(stepTime(plannedPrefill()));
         return generated;
     }
 
@@ -112,7 +110,7 @@
         final int tokens = Math.min(budget, stream.prefillLeft());
         final int from = stream.prefilled();
         stream.prefill(tokens);
-        mWitness.countPrefill(stream.generation().requestId(), from, from + tokens);
+        mWorkCounter.countPrefill(stream.generation().requestId(), from, from + tokens);
         if (stream.prefillLeft() == 0) {
             mCache.store(stream.blockHashes());
         }
@@ -120,7 +118,7 @@
     }
 
     private void generate(final EngineStream stream) {
-        mWitness.countGeneratedToken(
+        mWorkCounter.countGeneratedToken(
                 stream.generation().requestId(), stream.promptTokens() + stream.generated());
         stream.generate();
         if (stream.isComplete()) {
@@ -130,18 +128,18 @@
         }
     }
 
-    private void fill() {
+    private void admitWaiting() {
         while (mRunning.size() < mConfig.slots() && !mWaiting.isEmpty()) {
             final EngineStream stream = mWaiting.remove(0);
             final int cached = mCache.lookUp(stream.blockHashes());
             stream.admit(cached);
-            mWitness.countCachedTokens(stream.generation().requestId(), cached);
+            mWorkCounter.countCachedTokens(stream.generation().requestId(), cached);
             mRunning.add(stream);
         }
         mRunning.sort(BY_PRIORITY);
     }
 
-    private int prefillPlanned() {
+    private int plannedPrefill() {
         final int wanted = mRunning.stream().mapToInt(EngineStream::prefillLeft).sum();
         return Math.min(wanted, mConfig.speed().prefillChunk());
     }
--- a/standins/src/main/java/org/whinhead/standins/engine/EngineOrders.java
+++ b/standins/src/main/java/org/whinhead/standins/engine/EngineOrders.java
@@ -63,14 +63,14 @@
      * @return the newest fencing number if the order is refused as stale, else empty
      */
     public OptionalLong apply(final Order order) {
-        final boolean old = order.fencing() < mNewestFencing;
+        final boolean isStale = order.fencing() < mNewestFencing;
         if (mAppliedIds.contains(order.id())) {
             return OptionalLong.empty();
         }
-        if (old && mChecksFencing) {
+        if (isStale && mChecksFencing) {
             return OptionalLong.of(mNewestFencing);
         }
-        mStaleOrders += old ? 1 : 0;
+        mStaleOrders += isStale ? 1 : 0;
         mAppliedIds.add(order.id());
         mNewestFencing = Math.max(mNewestFencing, order.fencing());
         if (order.kind() == Kind.UNLOAD) {
--- a/standins/src/main/java/org/whinhead/standins/engine/EngineSimulation.java
+++ b/standins/src/main/java/org/whinhead/standins/engine/EngineSimulation.java
@@ -40,7 +40,7 @@
     private static final long RATE_MILLIS = 1000;
 
     private final EngineConfig mConfig;
-    private final WorkCounter mWitness;
+    private final WorkCounter mWorkCounter;
     private final Map<String, EngineStream> mStreams = new LinkedHashMap<>();
     private final Deque<CacheEvent> mEvents = new ArrayDeque<>();
     private final Deque<Load> mLoads = new ArrayDeque<>();
@@ -49,18 +49,18 @@
     private long mEventSequence;
     private long mNextStream;
     private long mGenerated;
-    private long mGeneratedBefore;
-    private Instant mRateSince = Instant.MIN;
+    private long mGeneratedAtRateUpdate;
+    private Instant mRateUpdatedAt = Instant.MIN;
     private double mRate;
     private boolean mFrozen;
     private Instant mNow = Instant.MIN;
 
     /** Creates an idle engine. */
-    public EngineSimulation(final EngineConfig config, final WorkCounter witness) {
+    public EngineSimulation(final EngineConfig config, final WorkCounter workCounter) {
         mConfig = config;
-        mWitness = witness;
+        mWorkCounter = workCounter;
         mCache = new PrefixCache(config.cacheBlocks(), this::recordCacheEvent);
-        mBatch = new Batch(config, mCache, witness);
+        mBatch = new Batch(config, mCache, workCounter);
     }
 
     /**
@@ -77,7 +77,7 @@
         }
         final EngineStream stream = new EngineStream(nextId(), generation, now);
         mStreams.put(stream.id(), stream);
-        mWitness.countAttempt(generation.requestId());
+        mWorkCounter.countAttempt(generation.requestId());
         if (stream.isComplete()) {
             stream.end(EngineStream.State.FINISHED);
         } else {
@@ -218,14 +218,14 @@
     }
 
     private void sampleLoad(final Instant now) {
-        if (mRateSince == Instant.MIN) {
-            mRateSince = now;
+        if (mRateUpdatedAt == Instant.MIN) {
+            mRateUpdatedAt = now;
         }
-        final long elapsed = now.toEpochMilli() - mRateSince.toEpochMilli();
+        final long elapsed = now.toEpochMilli() - mRateUpdatedAt.toEpochMilli();
         if (elapsed >= RATE_MILLIS) {
-            mRate = (mGenerated - mGeneratedBefore) * (double) RATE_MILLIS / elapsed;
-            mGeneratedBefore = mGenerated;
-            mRateSince = now;
+            mRate = (mGenerated - mGeneratedAtRateUpdate) * (double) RATE_MILLIS / elapsed;
+            mGeneratedAtRateUpdate = mGenerated;
+            mRateUpdatedAt = now;
         }
         final boolean due =
                 mLoads.isEmpty() || !mLoads.getLast().asOf().plusMillis(SAMPLE_MILLIS).isAfter(now);
--- a/standins/src/main/java/org/whinhead/standins/engine/EngineStandIn.java
+++ b/standins/src/main/java/org/whinhead/standins/engine/EngineStandIn.java
@@ -29,8 +29,8 @@
     private final StandInServer mServer;
     private final EngineSimulation mSimulation;
     private final OrderHandler mOrders;
-    private final List<StreamSender> mReaders = new ArrayList<>();
-    private final Runnable mEndTicks;
+    private final List<StreamSender> mSenders = new ArrayList<>();
+    private final Runnable mRemoveTask;
 
     private EngineStandIn(final EngineConfig config, final StandInContext context) {
         mConfig = config;
@@ -39,7 +39,7 @@
         mSimulation = new EngineSimulation(config, context.witness());
         mOrders = new OrderHandler(config);
         routes();
-        mEndTicks = context.ticker().add(this::tick);
+        mRemoveTask = context.ticker().add(this::tick);
     }
 
     /**
@@ -70,7 +70,7 @@
         mServer.kill();
         synchronized (this) {
             mSimulation.kill();
-            mReaders.clear();
+            mSenders.clear();
         }
     }
 
@@ -98,7 +98,7 @@
 
     @Override
     public void close() {
-        mEndTicks.run();
+        mRemoveTask.run();
         mServer.close();
     }
 
@@ -118,7 +118,7 @@
 
     private synchronized void tick(final Instant now) {
         mSimulation.advance(now);
-        mReaders.removeIf(reader -> !reader.sendAvailable(now));
+        mSenders.removeIf(sender -> !sender.sendAvailable(now));
     }
 
     private void chat(final StandInCall call) throws IOException {
@@ -136,7 +136,7 @@
         } else if (body.path("stream").asBoolean()) {
             openEvents(call, stream.get(), 0);
         } else {
-            addReader(StreamSender.whole(stream.get(), call));
+            addSender(StreamSender.whole(stream.get(), call));
         }
     }
 
@@ -144,14 +144,14 @@
         return mSimulation.submit(generation, mContext.ticker().now());
     }
 
-    private synchronized void addReader(final StreamSender reader) {
-        mReaders.add(reader);
+    private synchronized void addSender(final StreamSender sender) {
+        mSenders.add(sender);
     }
 
     private void openEvents(final StandInCall call, final EngineStream stream, final long next)
             throws IOException {
         call.withHeader(STREAM_ID, stream.id()).stream(
-                connection -> addReader(StreamSender.events(stream, connection, next)));
+                connection -> addSender(StreamSender.events(stream, connection, next)));
     }
 
     private void resume(final StandInCall call) throws IOException {
--- a/standins/src/main/java/org/whinhead/standins/engine/EngineStream.java
+++ b/standins/src/main/java/org/whinhead/standins/engine/EngineStream.java
@@ -38,23 +38,23 @@
     private final int mPromptTokens;
     private final List<String> mTokens = new ArrayList<>();
     private State mState = State.WAITING;
-    private int mCached;
-    private int mPrefilled;
+    private int mCachedTokens;
+    private int mPrefilledTokens;
     private int mReaders;
-    private Instant mReaderless;
+    private Instant mReaderlessSince;
 
     EngineStream(final String id, final Generation generation, final Instant now) {
         mId = id;
         mGeneration = generation;
         mText = generation.prompt() + " " + generation.delivered();
         mPromptTokens = PrefixHashes.countWords(mText);
-        mReaderless = now;
+        mReaderlessSince = now;
     }
 
     EngineStream(final String id, final KvCache cache, final Instant now) {
         this(id, cache.generation(), now);
-        mCached = cache.cachedTokens();
-        mPrefilled = cache.prefilled();
+        mCachedTokens = cache.cachedTokens();
+        mPrefilledTokens = cache.prefilled();
         mTokens.addAll(cache.tokens());
     }
 
@@ -85,7 +85,7 @@
 
     /** Returns the number of prompt tokens found in the cache. */
     public int cachedTokens() {
-        return mCached;
+        return mCachedTokens;
     }
 
     /** Returns the tokens generated so far. */
@@ -116,17 +116,17 @@
     /** Removes a reader. */
     public void detach(final Instant now) {
         mReaders--;
-        mReaderless = now;
+        mReaderlessSince = now;
     }
 
     boolean isAbandonedBefore(final Instant limit) {
-        return mReaders == 0 && mReaderless.isBefore(limit);
+        return mReaders == 0 && mReaderlessSince.isBefore(limit);
     }
 
     void admit(final int cached) {
         mState = State.RUNNING;
-        mCached = cached;
-        mPrefilled = cached;
+        mCachedTokens = cached;
+        mPrefilledTokens = cached;
     }
 
     void resume() {
@@ -138,15 +138,15 @@
     }
 
     int prefillLeft() {
-        return mPromptTokens - mPrefilled;
+        return mPromptTokens - mPrefilledTokens;
     }
 
     int prefilled() {
-        return mPrefilled;
+        return mPrefilledTokens;
     }
 
     void prefill(final int tokens) {
-        mPrefilled += tokens;
+        mPrefilledTokens += tokens;
     }
 
     boolean isComplete() {
@@ -167,6 +167,6 @@
     }
 
     KvCache kvCache() {
-        return new KvCache(mGeneration, mCached, mPrefilled, mTokens);
+        return new KvCache(mGeneration, mCachedTokens, mPrefilledTokens, mTokens);
     }
 }
--- a/standins/src/main/java/org/whinhead/standins/engine/PrefixCache.java
+++ b/standins/src/main/java/org/whinhead/standins/engine/PrefixCache.java
@@ -9,8 +9,8 @@
  * Least recently used cache of the prompt prefixes that an engine has computed.
  *
  * <p>A prompt is split into blocks of {@value PrefixHashes#WORDS_PER_BLOCK} words; a block's hash
- * covers the model and all words up to the block's end, so a hit means that the whole prefix
- * is cached.
+ * covers the model and all words up to the block's end, so a hit means that the whole prefix is
+ * cached.
  */
 public final class PrefixCache {
 
--- a/standins/src/main/java/org/whinhead/standins/engine/StreamSender.java
+++ b/standins/src/main/java/org/whinhead/standins/engine/StreamSender.java
@@ -9,7 +9,7 @@
 final class StreamSender {
 
     // The library writes "data:" and "id:" without the space that callers of model engines expect.
-    private static final String BLANK = " ";
+    private static final String SPACE = " ";
     private static final String DONE = " [DONE]";
 
     private final EngineStream mStream;
@@ -20,11 +20,11 @@
 
     private StreamSender(
             final EngineStream stream,
-            final StandInCall whole,
+            final StandInCall call,
             final ServerSentEventConnection events,
             final long next) {
         mStream = stream;
-        mCall = whole;
+        mCall = call;
         mEvents = events;
         mNext = next;
         stream.attach();
@@ -41,9 +41,9 @@
             final ServerSentEventConnection connection,
             final long next) {
         final long first = Math.max(next, stream.generation().startIndex());
-        final StreamSender reader = new StreamSender(stream, null, connection, first);
-        connection.addCloseTask(closed -> reader.mClosed = true);
-        return reader;
+        final StreamSender sender = new StreamSender(stream, null, connection, first);
+        connection.addCloseTask(closed -> sender.mClosed = true);
+        return sender;
     }
 
     /** Sends the new tokens; returns whether more can follow. */
@@ -74,11 +74,11 @@
     private boolean sendAvailableEvents() {
         final boolean finished = mStream.state() == EngineStream.State.FINISHED;
         if (finished && mNext >= mStream.end()) {
-            mEvents.send(BLANK + ChatBody.end(mStream));
+            mEvents.send(SPACE + ChatBody.end(mStream));
         }
         while (mNext < mStream.end()) {
-            final String data = BLANK + ChatBody.token(mStream, mNext);
-            mEvents.send(data, null, BLANK + mNext, null);
+            final String data = SPACE + ChatBody.token(mStream, mNext);
+            mEvents.send(data, null, SPACE + mNext, null);
             mNext++;
         }
         if (finished) {
--- a/standins/src/main/java/org/whinhead/standins/engine/package-info.java
+++ b/standins/src/main/java/org/whinhead/standins/engine/package-info.java
@@ -1,2 +1,2 @@
-/** A stand-in model engine: batching, prefix cache, and streams that resume or move to another engine. */
+/** A stand-in model engine: batching, prefix cache, and resumable and movable streams. */
 package org.whinhead.standins.engine;
--- a/standins/src/main/java/org/whinhead/standins/http/StandInServer.java
+++ b/standins/src/main/java/org/whinhead/standins/http/StandInServer.java
@@ -86,9 +86,7 @@
         mConnections.clear();
     }
 
-    /**
-     * Sets whether calls are accepted but deferred; the end of the freeze runs deferred calls.
-     */
+    /** Sets whether calls are accepted but deferred; the end of the freeze runs deferred calls. */
     public synchronized void freeze(final boolean frozen) {
         mFrozen = frozen;
         if (!frozen) {
--- a/standins/src/main/java/org/whinhead/standins/log/LogSimulation.java
+++ b/standins/src/main/java/org/whinhead/standins/log/LogSimulation.java
@@ -67,7 +67,7 @@
     private final LogConfig mConfig;
     private final Map<String, Stream> mStreams = new HashMap<>();
     private final Deque<Instant> mAppends = new ArrayDeque<>();
-    private boolean mOut;
+    private boolean mOutage;
     private long mAppended;
     private long mOverCap;
 
@@ -85,7 +85,7 @@
      * @return the result
      */
     public AppendResult append(final String stream, final List<String> data, final Instant now) {
-        if (mOut) {
+        if (mOutage) {
             return new AppendResult(Status.OUT, 0);
         }
         while (!mAppends.isEmpty() && !mAppends.getFirst().plus(CAP_WINDOW).isAfter(now)) {
@@ -98,10 +98,10 @@
         mAppends.add(now);
         mAppended++;
         final Stream target = mStreams.computeIfAbsent(stream, name -> new Stream());
-        final long first = target.mNext;
+        final long first = target.mNextOffset;
         for (final String record : data) {
-            target.mEntries.add(new Entry(target.mNext, record, now));
-            target.mNext++;
+            target.mEntries.add(new Entry(target.mNextOffset, record, now));
+            target.mNextOffset++;
         }
         return new AppendResult(Status.OK, first);
     }
@@ -116,7 +116,7 @@
      * @return the result
      */
     public ReadResult read(final String stream, final long from, final int max, final Instant now) {
-        if (mOut) {
+        if (mOutage) {
             return new ReadResult(Status.OUT, 0, from, List.of());
         }
         final Stream target = mStreams.getOrDefault(stream, new Stream());
@@ -134,7 +134,7 @@
 
     /** Fault: sets whether appends and reads are refused. */
     public void outage(final boolean out) {
-        mOut = out;
+        mOutage = out;
     }
 
     /** Returns the number of appends that took effect. */
@@ -149,10 +149,10 @@
 
     private static final class Stream {
         private final List<Entry> mEntries = new ArrayList<>();
-        private long mNext;
+        private long mNextOffset;
 
         private long oldest() {
-            return mNext - mEntries.size();
+            return mNextOffset - mEntries.size();
         }
 
         private void expire(final Instant limit) {
--- a/standins/src/main/java/org/whinhead/standins/log/LogStandIn.java
+++ b/standins/src/main/java/org/whinhead/standins/log/LogStandIn.java
@@ -24,7 +24,7 @@
     private final StandInServer mServer;
     private final LogSimulation mSimulation;
     private final List<PendingRead> mPending = new ArrayList<>();
-    private final Runnable mEndTicks;
+    private final Runnable mRemoveTask;
     private int mLoseAnswers;
     private int mLoseRequests;
 
@@ -36,7 +36,7 @@
                 .route("GET", "/log/{stream}/records", this::read)
                 .route("POST", "/faults", faults())
                 .route("GET", "/witness", this::witness);
-        mEndTicks = context.ticker().add(this::tick);
+        mRemoveTask = context.ticker().add(this::tick);
     }
 
     /**
@@ -85,7 +85,7 @@
 
     @Override
     public void close() {
-        mEndTicks.run();
+        mRemoveTask.run();
         mServer.close();
     }
 
@@ -133,31 +133,31 @@
     private synchronized void read(final StandInCall call) throws IOException {
         final Instant now = mContext.ticker().now();
         final Duration wait = Duration.ofMillis(call.number("waitMillis", 0));
-        final PendingRead waiting =
+        final PendingRead pending =
                 new PendingRead(
                         call,
                         call.parameter("stream").orElseThrow(),
                         call.number("from", 0),
                         (int) call.number("max", DEFAULT_MAX),
                         now.plus(wait));
-        if (!answer(waiting, now)) {
-            mPending.add(waiting);
+        if (!answer(pending, now)) {
+            mPending.add(pending);
         }
     }
 
     private synchronized void tick(final Instant now) {
-        mPending.removeIf(waiting -> answer(waiting, now));
+        mPending.removeIf(pending -> answer(pending, now));
     }
 
-    private boolean answer(final PendingRead waiting, final Instant now) {
+    private boolean answer(final PendingRead pending, final Instant now) {
         final LogSimulation.ReadResult found =
-                mSimulation.read(waiting.stream(), waiting.from(), waiting.max(), now);
+                mSimulation.read(pending.stream(), pending.from(), pending.max(), now);
         final boolean empty =
                 found.status() == LogSimulation.Status.OK && found.records().isEmpty();
-        if (empty && waiting.until().isAfter(now)) {
+        if (empty && pending.until().isAfter(now)) {
             return false;
         }
-        waiting.call().reply(found.status().code(), json(found));
+        pending.call().reply(found.status().code(), json(found));
         return true;
     }
 
--- a/standins/src/main/java/org/whinhead/standins/log/package-info.java
+++ b/standins/src/main/java/org/whinhead/standins/log/package-info.java
@@ -1,2 +1,2 @@
-/** A stand-in log service: record streams with offsets, an append rate limit, retention and outages. */
+/** A stand-in log service: record streams with offsets, a rate limit, retention and outages. */
 package org.whinhead.standins.log;
--- a/standins/src/main/java/org/whinhead/standins/service/ServiceSimulation.java
+++ b/standins/src/main/java/org/whinhead/standins/service/ServiceSimulation.java
@@ -8,19 +8,19 @@
 public final class ServiceSimulation {
 
     private final ServiceConfig mConfig;
-    private final WorkCounter mWitness;
-    private final Map<ServiceFault, Integer> mPlanned = new EnumMap<>(ServiceFault.class);
+    private final WorkCounter mWorkCounter;
+    private final Map<ServiceFault, Integer> mRemainingFaults = new EnumMap<>(ServiceFault.class);
     private int mRunning;
 
     /** Creates an idle service. */
-    public ServiceSimulation(final ServiceConfig config, final WorkCounter witness) {
+    public ServiceSimulation(final ServiceConfig config, final WorkCounter workCounter) {
         mConfig = config;
-        mWitness = witness;
+        mWorkCounter = workCounter;
     }
 
     /** Sets the number of next calls that fail with a fault. */
     public void plan(final ServiceFault fault, final int count) {
-        mPlanned.put(fault, count);
+        mRemainingFaults.put(fault, count);
     }
 
     /**
@@ -34,7 +34,7 @@
         final ServiceFault fault = next();
         if (fault.runs()) {
             mRunning++;
-            mWitness.countExecution(request, idempotencyKey);
+            mWorkCounter.countExecution(request, idempotencyKey);
         }
         return fault;
     }
@@ -50,7 +50,7 @@
     }
 
     private ServiceFault next() {
-        for (final Map.Entry<ServiceFault, Integer> planned : mPlanned.entrySet()) {
+        for (final Map.Entry<ServiceFault, Integer> planned : mRemainingFaults.entrySet()) {
             if (planned.getValue() > 0) {
                 planned.setValue(planned.getValue() - 1);
                 return planned.getKey();
--- a/standins/src/main/java/org/whinhead/standins/witness/WorkCounter.java
+++ b/standins/src/main/java/org/whinhead/standins/witness/WorkCounter.java
@@ -24,16 +24,16 @@
 
     /** Counts computed prompt tokens, from a position to another (exclusive). */
     public synchronized void countPrefill(final String request, final int from, final int to) {
-        final RequestCounts seen = counts(request);
-        seen.mPrefilled += to - from;
-        seen.mPositions.set(from, to);
+        final RequestCounts counts = counts(request);
+        counts.mPrefilled += to - from;
+        counts.mPositions.set(from, to);
     }
 
     /** Counts a token that an engine generated at a position. */
     public synchronized void countGeneratedToken(final String request, final int position) {
-        final RequestCounts seen = counts(request);
-        seen.mGenerated++;
-        seen.mPositions.set(position);
+        final RequestCounts counts = counts(request);
+        counts.mGenerated++;
+        counts.mPositions.set(position);
     }
 
     /** Counts an execution of a call by a plain service. */
@@ -74,12 +74,12 @@
 
     /** Returns the number of tokens that engines generated. */
     public synchronized long generatedTokens() {
-        return mByRequest.values().stream().mapToLong(seen -> seen.mGenerated).sum();
+        return mByRequest.values().stream().mapToLong(counts -> counts.mGenerated).sum();
     }
 
     /** Returns the number of prompt tokens that engines computed. */
     public synchronized long promptTokensComputed() {
-        return mByRequest.values().stream().mapToLong(seen -> seen.mPrefilled).sum();
+        return mByRequest.values().stream().mapToLong(counts -> counts.mPrefilled).sum();
     }
 
     /** Returns the number of tokens computed again for the same request and position. */
@@ -104,7 +104,7 @@
         root.put("promptTokensComputed", promptTokensComputed());
         root.put("recomputedTokens", recomputedTokens());
         final ObjectNode requests = root.putObject("requests");
-        mByRequest.forEach((id, seen) -> requests.set(id, seen.toJson()));
+        mByRequest.forEach((id, counts) -> requests.set(id, counts.toJson()));
         final ObjectNode keys = root.putObject("executionsByKey");
         mExecutionsByKey.forEach(keys::put);
         return root;
--- a/standins/src/test/java/org/whinhead/standins/engine/EngineSimulationTest.java
+++ b/standins/src/test/java/org/whinhead/standins/engine/EngineSimulationTest.java
@@ -24,7 +24,7 @@
     private static final Instant NOW = Instant.parse("2026-03-02T08:00:00Z");
     private static final String LONG_PROMPT = words(64);
 
-    private final WorkCounter mWitness = new WorkCounter();
+    private final WorkCounter mWorkCounter = new WorkCounter();
     private final EngineSimulation mEngine = engine(2, 1);
     private Instant mTime = NOW;
 
@@ -51,7 +51,7 @@
         engine.advance(at(25));
         assertThat(high.state()).isEqualTo(State.RUNNING);
         assertThat(low.state()).isEqualTo(State.WAITING);
-        assertThat(mWitness.attempts("d")).isZero();
+        assertThat(mWorkCounter.attempts("d")).isZero();
     }
 
     /**
@@ -62,11 +62,11 @@
     void countsRecomputedTokensOfSecondAttempt() {
         submit("a", LONG_PROMPT, 10, 0);
         advance(500);
-        assertThat(mWitness.recomputedTokens("a")).isZero();
+        assertThat(mWorkCounter.recomputedTokens("a")).isZero();
         mEngine.kill();
         submit("a", LONG_PROMPT, 10, 0);
         advance(1000);
-        assertThat(mWitness.recomputedTokens("a")).isEqualTo(64 + 10);
+        assertThat(mWorkCounter.recomputedTokens("a")).isEqualTo(64 + 10);
     }
 
     @Test
@@ -76,7 +76,7 @@
         final EngineStream again = submit("b", LONG_PROMPT + " other words", 1, 0);
         assertThat(again.cachedTokens()).isEqualTo(64);
         advance(1000);
-        assertThat(mWitness.promptTokensComputed()).isEqualTo(64 + 2);
+        assertThat(mWorkCounter.promptTokensComputed()).isEqualTo(64 + 2);
     }
 
     /** A caller and its daemon disconnect; the engine must not continue to generate forever. */
@@ -165,7 +165,7 @@
                         .cacheEvents(Duration.ofMillis(1200), 3)
                         .readerGrace(Duration.ofSeconds(1))
                         .build(),
-                mWitness);
+                mWorkCounter);
     }
 
     private static Generation generation(
