--- a/demo/src/main/java/org/whinhead/demo/DemoResult.java
+++ b/demo/src/main/java/org/whinhead/demo/DemoResult.java
@@ -7,7 +7,7 @@
 import org.whinhead.standins.load.mix.PlannedRequest;
 import org.whinhead.standins.load.result.LoadResult;
 import org.whinhead.standins.load.result.Outcome;
-import org.whinhead.standins.witness.Witness;
+import org.whinhead.standins.witness.WorkCounter;
 
 /**
  * The result of a run, as seen by its callers and by the stand-ins.
@@ -44,7 +44,7 @@
 
     static DemoResult of(
             final DemoConfig config, final LoadPhases phases, final DeploymentStandIns standIns) {
-        final Witness witness = standIns.context().witness();
+        final WorkCounter witness = standIns.context().witness();
         final Map<String, Double> cost = new TreeMap<>();
         standIns.cloud().cost().forEach((role, amount) -> cost.put(role.wireName(), amount));
         return new DemoResult(
@@ -121,13 +121,13 @@
         return request.customer().name() + '/' + request.id().value();
     }
 
-    private static long doubled(final LoadResult load, final Witness witness) {
+    private static long doubled(final LoadResult load, final WorkCounter witness) {
         return load.nonIdempotentResults().stream()
                 .filter(result -> witness.executions(result.request().id().value()) > 1)
                 .count();
     }
 
-    private static long notRunButRan(final LoadResult load, final Witness witness) {
+    private static long notRunButRan(final LoadResult load, final WorkCounter witness) {
         return count(load, Outcome.REFUSED_NOT_RUN, witness, true);
     }
 
@@ -135,14 +135,14 @@
      * Counts completed requests that no stand-in saw. If endpoints saw requests under other names
      * than are looked up here, no doubled run would ever be found.
      */
-    private static long unwitnessed(final LoadResult load, final Witness witness) {
+    private static long unwitnessed(final LoadResult load, final WorkCounter witness) {
         return count(load, Outcome.COMPLETED, witness, false);
     }
 
     private static long count(
             final LoadResult load,
             final Outcome outcome,
-            final Witness witness,
+            final WorkCounter witness,
             final boolean ran) {
         return load.requests().stream()
                 .filter(result -> result.outcome() == outcome)
@@ -151,9 +151,9 @@
     }
 
     /** Returns whether a stand-in ran a request; services use its id as the idempotency key. */
-    private static boolean ran(final PlannedRequest request, final Witness witness) {
+    private static boolean ran(final PlannedRequest request, final WorkCounter witness) {
         return request.kind().style().isPlainService()
                 ? witness.executions(request.id().value()) > 0
-                : witness.ran(engineRequestId(request));
+                : witness.hasWork(engineRequestId(request));
     }
 }
--- a/standins/src/main/java/org/whinhead/standins/clock/Ticker.java
+++ b/standins/src/main/java/org/whinhead/standins/clock/Ticker.java
@@ -12,17 +12,17 @@
 import org.slf4j.Logger;
 import org.slf4j.LoggerFactory;
 
-/** Calls all stand-ins of a process with the time, again and again, on one thread. */
+/** Passes the current time to all registered tasks periodically, on one thread. */
 public final class Ticker implements AutoCloseable {
 
     private static final Logger LOG = LoggerFactory.getLogger(Ticker.class);
     private static final Duration PERIOD = Duration.ofMillis(2);
 
     private final InstantSource mClock;
-    private final List<Consumer<Instant>> mDuties = new CopyOnWriteArrayList<>();
+    private final List<Consumer<Instant>> mTasks = new CopyOnWriteArrayList<>();
     private final ScheduledExecutorService mThread;
 
-    /** Starts the thread. */
+    /** Creates a ticker and starts its thread. */
     public Ticker(final InstantSource clock) {
         mClock = clock;
         mThread =
@@ -35,20 +35,20 @@
         mThread.scheduleWithFixedDelay(this::tick, 0, PERIOD.toNanos(), TimeUnit.NANOSECONDS);
     }
 
-    /** Returns the time. */
+    /** Returns the current time. */
     public Instant now() {
         return mClock.instant();
     }
 
     /**
-     * Adds a duty; it must not block.
+     * Adds a periodic task; it must not block.
      *
-     * @param duty gets the time at each tick
-     * @return ends the duty
+     * @param task receives the current time at each tick
+     * @return an action that removes the task
      */
-    public Runnable add(final Consumer<Instant> duty) {
-        mDuties.add(duty);
-        return () -> mDuties.remove(duty);
+    public Runnable add(final Consumer<Instant> task) {
+        mTasks.add(task);
+        return () -> mTasks.remove(task);
     }
 
     @Override
@@ -57,12 +57,12 @@
     }
 
     private void tick() {
-        for (final Consumer<Instant> duty : mDuties) {
+        for (final Consumer<Instant> task : mTasks) {
             try {
-                duty.accept(mClock.instant());
+                task.accept(mClock.instant());
             } catch (final RuntimeException e) {
-                // A task that throws is never scheduled again, which would stop every stand-in.
-                LOG.error("a stand-in's tick failed", e);
+                // The executor drops a task that throws, which would stop every stand-in.
+                LOG.error("periodic task of a stand-in failed", e);
             }
         }
     }
--- a/standins/src/main/java/org/whinhead/standins/cloud/CloudStandIn.java
+++ b/standins/src/main/java/org/whinhead/standins/cloud/CloudStandIn.java
@@ -17,12 +17,12 @@
 import org.whinhead.api.model.Billing;
 import org.whinhead.api.model.FailureDomain;
 import org.whinhead.standins.StandInContext;
-import org.whinhead.standins.fault.FaultDesk;
-import org.whinhead.standins.http.Call;
+import org.whinhead.standins.fault.FaultHandler;
+import org.whinhead.standins.http.StandInCall;
 import org.whinhead.standins.http.StandInServer;
 import org.whinhead.standins.vms.VmEntry;
 
-/** A cloud that listens: a {@link CloudSimulation} behind the cloud's protocol. */
+/** Serves a {@link CloudSimulation} over the cloud's HTTP protocol. */
 public final class CloudStandIn implements AutoCloseable {
 
     private static final long DEFAULT_NOTICE_MILLIS = 10_000;
@@ -39,8 +39,8 @@
                         return thread;
                     });
     private final CloudSimulation mSimulation;
-    private final List<Waiting> mWaiting = new ArrayList<>();
-    private final Runnable mEndTicks;
+    private final List<PendingRequest> mPending = new ArrayList<>();
+    private final Runnable mRemoveTask;
 
     private CloudStandIn(
             final StandInServer server,
@@ -52,24 +52,24 @@
         mServer = server;
         mPrices = List.copyOf(prices);
         mMeter = new VmMeter(mPrices);
-        mSimulation = new CloudSimulation(boot, apart(actions));
+        mSimulation = new CloudSimulation(boot, onActionsThread(actions));
         server.route("POST", "/cloud/vms", this::startVm)
                 .route("DELETE", "/cloud/vms/{id}", this::stopVm)
                 .route("GET", "/cloud/prices", this::prices)
                 .route("GET", "/cloud/notices", this::notices)
                 .route("POST", "/faults", faults());
-        mEndTicks = context.ticker().add(this::tick);
+        mRemoveTask = context.ticker().add(this::tick);
     }
 
     /**
-     * Starts a cloud.
+     * Starts a cloud server.
      *
      * @param port the port, or 0 for a free one
-     * @param boot how long a VM takes to start
-     * @param prices what VMs cost
-     * @param actions told what happens to VMs
-     * @param context what the stand-ins of the process share
-     * @return the cloud, which listens
+     * @param boot the time that a VM needs to start
+     * @param prices the hourly prices of VMs
+     * @param actions the listener for VM events, called on a thread of its own
+     * @param context the clock and counters shared in the process
+     * @return the listening cloud
      */
     public static CloudStandIn start(
             final int port,
@@ -88,41 +88,41 @@
         return mServer.uri();
     }
 
-    /** Takes in a VM that runs already. */
-    public synchronized void adopt(final String vm, final VmOrder order) {
-        mSimulation.adopt(vm, order);
+    /** Adds a VM that already runs. */
+    public synchronized void addRunning(final String vm, final VmOrder order) {
+        mSimulation.addRunning(vm, order);
         mMeter.started(vm, order, mContext.ticker().now());
     }
 
-    /** Returns what the VMs of each role have cost so far, by the list of prices. */
+    /** Returns the cost of the VMs of each role so far, by the price list. */
     public Map<VmEntry.Role, Double> cost() {
         return mMeter.cost(mContext.ticker().now());
     }
 
-    /** Fault: takes back one VM. */
+    /** Fault: reclaims one VM. */
     public synchronized void reclaim(final String vm, final Duration notice) {
         mSimulation.reclaim(vm, notice, mContext.ticker().now());
     }
 
-    /** Fault: takes back all reclaimable VMs of a failure domain. */
+    /** Fault: reclaims all reclaimable VMs of a failure domain. */
     public synchronized void reclaim(final FailureDomain domain, final Duration notice) {
         mSimulation.reclaim(domain, notice, mContext.ticker().now());
     }
 
-    /** Fault: no VM is started. */
+    /** Fault: sets whether the cloud refuses to start VMs. */
     public synchronized void refuseStarts(final boolean refuses) {
         mSimulation.refuseStarts(refuses);
     }
 
     @Override
     public void close() {
-        mEndTicks.run();
+        mRemoveTask.run();
         mServer.close();
         mActionsThread.shutdownNow();
     }
 
-    /** Hands actions to a thread of their own, as starting and killing servers takes a while. */
-    private CloudActions apart(final CloudActions actions) {
+    /** Wraps a listener to run on the actions thread, as starting and killing servers is slow. */
+    private CloudActions onActionsThread(final CloudActions actions) {
         return new CloudActions() {
             @Override
             public void onStarted(final String vm, final VmOrder order) {
@@ -143,12 +143,12 @@
         };
     }
 
-    private FaultDesk faults() {
-        return new FaultDesk(mServer)
-                .on("refuse-starts", body -> refuseStarts(true))
-                .on("allow-starts", body -> refuseStarts(false))
-                .on("reclaim-vm", body -> reclaim(body.path("vm").asText(), noticeTime(body)))
-                .on("reclaim-domain", body -> reclaim(domain(body), noticeTime(body)));
+    private FaultHandler faults() {
+        return new FaultHandler(mServer)
+                .addFault("refuse-starts", body -> refuseStarts(true))
+                .addFault("allow-starts", body -> refuseStarts(false))
+                .addFault("reclaim-vm", body -> reclaim(body.path("vm").asText(), noticeTime(body)))
+                .addFault("reclaim-domain", body -> reclaim(domain(body), noticeTime(body)));
     }
 
     private static Duration noticeTime(final JsonNode body) {
@@ -161,10 +161,10 @@
 
     private synchronized void tick(final Instant now) {
         mSimulation.advance(now);
-        mWaiting.removeIf(waiting -> answer(waiting, now));
+        mPending.removeIf(pending -> answer(pending, now));
     }
 
-    private synchronized void startVm(final Call call) throws IOException {
+    private synchronized void startVm(final StandInCall call) throws IOException {
         final JsonNode body = call.json();
         final String billing = body.path("billing").asText().replace('-', '_');
         final VmOrder order =
@@ -176,19 +176,19 @@
                         VmEntry.Role.parse(body.path("role").asText()));
         final Optional<String> vm = mSimulation.start(order, mContext.ticker().now());
         if (vm.isPresent()) {
-            call.reply(200, Call.object().put("id", vm.get()));
+            call.reply(200, StandInCall.object().put("id", vm.get()));
         } else {
-            call.reply(409, Call.object().put("reason", "capacity"));
+            call.reply(409, StandInCall.object().put("reason", "capacity"));
         }
     }
 
-    private synchronized void stopVm(final Call call) {
+    private synchronized void stopVm(final StandInCall call) {
         mSimulation.stop(call.parameter("id").orElse(""));
         call.reply(204);
     }
 
-    private void prices(final Call call) {
-        final ObjectNode root = Call.object();
+    private void prices(final StandInCall call) {
+        final ObjectNode root = StandInCall.object();
         final ArrayNode prices = root.putArray("prices");
         for (final Price price : mPrices) {
             prices.addObject()
@@ -201,23 +201,23 @@
         call.reply(200, root);
     }
 
-    private synchronized void notices(final Call call) throws IOException {
+    private synchronized void notices(final StandInCall call) throws IOException {
         final Instant now = mContext.ticker().now();
         final Instant until = now.plusMillis(call.number("waitMillis", 0));
-        final Waiting waiting = new Waiting(call, call.number("after", 0), until);
-        if (!answer(waiting, now)) {
-            mWaiting.add(waiting);
+        final PendingRequest pending = new PendingRequest(call, call.number("after", 0), until);
+        if (!answer(pending, now)) {
+            mPending.add(pending);
         }
     }
 
-    private boolean answer(final Waiting waiting, final Instant now) {
-        final List<CloudSimulation.Notice> found = mSimulation.notices(waiting.after());
-        if (found.isEmpty() && waiting.until().isAfter(now)) {
+    private boolean answer(final PendingRequest pending, final Instant now) {
+        final List<CloudSimulation.Notice> found = mSimulation.notices(pending.after());
+        if (found.isEmpty() && pending.until().isAfter(now)) {
             return false;
         }
-        final ObjectNode root = Call.object();
+        final ObjectNode root = StandInCall.object();
         final ArrayNode notices = root.putArray("notices");
-        long next = waiting.after();
+        long next = pending.after();
         for (final CloudSimulation.Notice notice : found) {
             notices.addObject()
                     .put("sequence", notice.sequence())
@@ -225,9 +225,9 @@
                     .put("goneBy", notice.goneBy().toString());
             next = notice.sequence();
         }
-        waiting.call().reply(200, root.put("next", next));
+        pending.call().reply(200, root.put("next", next));
         return true;
     }
 
-    private record Waiting(Call call, long after, Instant until) {}
+    private record PendingRequest(StandInCall call, long after, Instant until) {}
 }
--- a/standins/src/main/java/org/whinhead/standins/deployment/DeploymentStandIns.java
+++ b/standins/src/main/java/org/whinhead/standins/deployment/DeploymentStandIns.java
@@ -17,8 +17,8 @@
 import org.whinhead.standins.cloud.CloudStandIn;
 import org.whinhead.standins.cloud.VmOrder;
 import org.whinhead.standins.engine.EngineStandIn;
-import org.whinhead.standins.fault.FaultDesk;
-import org.whinhead.standins.http.Call;
+import org.whinhead.standins.fault.FaultHandler;
+import org.whinhead.standins.http.StandInCall;
 import org.whinhead.standins.http.StandInServer;
 import org.whinhead.standins.log.LogConfig;
 import org.whinhead.standins.log.LogStandIn;
@@ -28,24 +28,24 @@
 import org.whinhead.standins.weights.WeightStoreSimulation;
 import org.whinhead.standins.weights.WeightStoreStandIn;
 
-/** The platform, the engines and the services of one deployment, all in this process. */
+/** Runs the platform, engine and service stand-ins of one deployment in this process. */
 public final class DeploymentStandIns implements AutoCloseable {
 
     private static final String HOST = "127.0.0.1";
-    private static final Duration BOOT = Duration.ofSeconds(30);
+    private static final Duration VM_START_TIME = Duration.ofSeconds(30);
     private static final long MODEL_BYTES = 16_000_000_000L;
-    private static final long WEIGHT_RATE = 2_000_000_000L;
+    private static final long WEIGHT_BYTES_PER_SECOND = 2_000_000_000L;
     private static final int MAX_LOADS = 8;
-    private static final int FIRST_ENGINE_PORT = 10;
-    private static final int FIRST_SERVICE_PORT = 30;
-    private static final int CONTROL_PORT = 4;
+    private static final int FIRST_ENGINE_PORT_OFFSET = 10;
+    private static final int FIRST_SERVICE_PORT_OFFSET = 30;
+    private static final int CONTROL_PORT_OFFSET = 4;
 
     private final DeploymentConfig mConfig;
     private final StandInContext mContext;
     private final LogStandIn mLog;
     private final VmListStandIn mVms;
     private final WeightStoreStandIn mWeights;
-    private final Machines mMachines;
+    private final VmServers mServers;
     private final CloudStandIn mCloud;
     private final StandInServer mControl;
 
@@ -66,47 +66,47 @@
                         context);
         mVms = VmListStandIn.start(config.port(1), config.vmLag(), context);
         mWeights = WeightStoreStandIn.start(config.port(3), weights(config), context);
-        mMachines = new Machines(config, context, mVms, mWeights.uri(), entries);
+        mServers = new VmServers(config, context, mVms, mWeights.uri(), entries);
         mCloud =
                 CloudStandIn.start(
                         config.port(2),
-                        scaled(BOOT, config.speedUp()),
+                        scaled(VM_START_TIME, config.speedUp()),
                         config.plan().prices(),
-                        mMachines,
+                        mServers,
                         context);
-        mControl = new StandInServer(HOST, config.port(CONTROL_PORT));
+        mControl = new StandInServer(HOST, config.port(CONTROL_PORT_OFFSET));
         mControl.route("GET", "/witness", call -> call.reply(200, context.witness().toJson()))
                 .route("GET", "/addresses", call -> call.reply(200, addresses()))
                 .route("POST", "/faults", faults());
     }
 
     /**
-     * Starts a deployment whose daemons are looked after by someone else.
+     * Starts a deployment whose daemons are started and stopped elsewhere.
      *
-     * @param config how it is run
-     * @return the stand-ins, which listen
+     * @param config the settings
+     * @return the listening stand-ins
      */
     public static DeploymentStandIns start(final DeploymentConfig config) {
-        return start(config, new Unattended());
+        return start(config, new NoOpCloudActions());
     }
 
     /**
      * Starts a deployment.
      *
-     * @param config how it is run
-     * @param entries told what happens to the VMs of the system's daemons
-     * @return the stand-ins, which listen
+     * @param config the settings
+     * @param entries the listener for events of the daemons' VMs
+     * @return the listening stand-ins
      */
     public static DeploymentStandIns start(
             final DeploymentConfig config, final CloudActions entries) {
-        final DeploymentStandIns all =
+        final DeploymentStandIns standIns =
                 new DeploymentStandIns(config, StandInContext.start(), entries);
-        all.startMachines();
-        all.mControl.start();
-        return all;
+        standIns.startMachines();
+        standIns.mControl.start();
+        return standIns;
     }
 
-    /** Returns what the stand-ins share, with the witness. */
+    /** Returns the clock and the work counter that the stand-ins share. */
     public StandInContext context() {
         return mContext;
     }
@@ -131,35 +131,35 @@
         return mWeights;
     }
 
-    /** Returns the engines that run, by VM. */
+    /** Returns the running engines by VM. */
     public Map<String, EngineStandIn> engines() {
-        return Map.copyOf(mMachines.engines());
+        return Map.copyOf(mServers.engines());
     }
 
-    /** Returns the plain services that run, by VM. */
+    /** Returns the running plain services by VM. */
     public Map<String, ServiceStandIn> services() {
-        return Map.copyOf(mMachines.services());
+        return Map.copyOf(mServers.services());
     }
 
-    /** Shows a daemon's VM on the VM list and in the cloud. */
+    /** Adds a daemon's VM to the cloud and the VM list. */
     public void addEntry(final String vm, final FailureDomain domain, final URI uri) {
         final VmOrder order = order(vm, domain, DeploymentPlan.ENTRY_CLASS, VmEntry.Role.ENTRY);
-        mCloud.adopt(vm, order);
-        mMachines.show(vm, order, uri, "", true, 1);
+        mCloud.addRunning(vm, order);
+        mServers.show(vm, order, uri, "", true, 1);
     }
 
-    /** Returns all addresses as JSON. */
+    /** Returns the addresses of all stand-ins as JSON. */
     public ObjectNode addresses() {
-        final ObjectNode root = Call.object().put("deployment", mConfig.plan().wireName());
+        final ObjectNode root = StandInCall.object().put("deployment", mConfig.plan().wireName());
         root.put("log", mLog.uri().toString())
                 .put("vms", mVms.uri().toString())
                 .put("cloud", mCloud.uri().toString())
                 .put("weights", mWeights.uri().toString())
                 .put("control", mControl.uri().toString());
         final ObjectNode engines = root.putObject("engines");
-        mMachines.engines().forEach((vm, server) -> engines.put(vm, server.uri().toString()));
+        mServers.engines().forEach((vm, server) -> engines.put(vm, server.uri().toString()));
         final ObjectNode services = root.putObject("services");
-        mMachines.services().forEach((vm, server) -> services.put(vm, server.uri().toString()));
+        mServers.services().forEach((vm, server) -> services.put(vm, server.uri().toString()));
         return root;
     }
 
@@ -167,7 +167,7 @@
     public void close() {
         mControl.close();
         mCloud.close();
-        mMachines.close();
+        mServers.close();
         mWeights.close();
         mVms.close();
         mLog.close();
@@ -182,20 +182,20 @@
                     "vm-engine-" + (index + 1),
                     domains.get(index % domains.size()),
                     VmEntry.Role.ENGINE,
-                    mConfig.port(FIRST_ENGINE_PORT + index));
+                    mConfig.port(FIRST_ENGINE_PORT_OFFSET + index));
         }
         for (int index = 0; index < domains.size(); index++) {
             startMachine(
                     "vm-service-" + (index + 1),
                     domains.get(index),
                     VmEntry.Role.SERVICE,
-                    mConfig.port(FIRST_SERVICE_PORT + index));
+                    mConfig.port(FIRST_SERVICE_PORT_OFFSET + index));
         }
         for (int index = 0; index < mConfig.entries().size(); index++) {
             final URI uri = mConfig.entries().get(index);
             addEntry("vm-entry-" + (index + 1), domains.get(index % domains.size()), uri);
         }
-        mMachines.initialStarted();
+        mServers.endInitialPhase();
     }
 
     private void startMachine(
@@ -205,8 +205,8 @@
                         ? DeploymentPlan.ENGINE_CLASS
                         : DeploymentPlan.SERVICE_CLASS;
         final VmOrder order = order(vm, domain, machineClass, role);
-        mCloud.adopt(vm, order);
-        mMachines.start(vm, order, port, Set.of(mConfig.plan().model()));
+        mCloud.addRunning(vm, order);
+        mServers.start(vm, order, port, Set.of(mConfig.plan().model()));
     }
 
     private static VmOrder order(
@@ -217,10 +217,10 @@
         return new VmOrder("initial-" + vm, domain, machineClass, Billing.RECLAIMABLE, role);
     }
 
-    private FaultDesk faults() {
-        return new FaultDesk(mControl)
-                .on("kill", body -> onServer(body, EngineStandIn::kill, ServiceStandIn::kill))
-                .on(
+    private FaultHandler faults() {
+        return new FaultHandler(mControl)
+                .addFault("kill", body -> onServer(body, EngineStandIn::kill, ServiceStandIn::kill))
+                .addFault(
                         "revive",
                         body -> onServer(body, EngineStandIn::revive, ServiceStandIn::revive));
     }
@@ -230,12 +230,12 @@
             final Consumer<EngineStandIn> engine,
             final Consumer<ServiceStandIn> service) {
         final String vm = body.path("vm").asText();
-        Optional.ofNullable(mMachines.engines().get(vm)).ifPresent(engine);
-        Optional.ofNullable(mMachines.services().get(vm)).ifPresent(service);
+        Optional.ofNullable(mServers.engines().get(vm)).ifPresent(engine);
+        Optional.ofNullable(mServers.services().get(vm)).ifPresent(service);
     }
 
     private static WeightStoreSimulation weights(final DeploymentConfig config) {
-        final long rate = (long) (WEIGHT_RATE * config.speedUp());
+        final long rate = (long) (WEIGHT_BYTES_PER_SECOND * config.speedUp());
         return new WeightStoreSimulation(MODEL_BYTES, rate, MAX_LOADS);
     }
 
@@ -243,21 +243,21 @@
         return Duration.ofNanos((long) (duration.toNanos() / speedUp));
     }
 
-    /** Leaves the daemons of reclaimed VMs alone. */
-    private static final class Unattended implements CloudActions {
+    /** Ignores VM events, for daemons that are run elsewhere. */
+    private static final class NoOpCloudActions implements CloudActions {
         @Override
         public void onStarted(final String vm, final VmOrder order) {
-            // Nobody starts daemons here.
+            // Daemons are started elsewhere.
         }
 
         @Override
         public void onNotice(final String vm, final Instant goneBy) {
-            // The daemon learns it from the cloud.
+            // The daemon reads the notice from the cloud.
         }
 
         @Override
         public void onGone(final String vm) {
-            // Nobody ends daemons here.
+            // Daemons are stopped elsewhere.
         }
     }
 }
--- a/standins/src/main/java/org/whinhead/standins/engine/Batch.java
+++ b/standins/src/main/java/org/whinhead/standins/engine/Batch.java
@@ -5,9 +5,9 @@
 import java.util.ArrayList;
 import java.util.Comparator;
 import java.util.List;
-import org.whinhead.standins.witness.Witness;
+import org.whinhead.standins.witness.WorkCounter;
 
-/** The requests that an engine works on together, and those that wait; one step at a time. */
+/** Continuous batching: runs the admitted streams step by step and queues the others. */
 final class Batch {
 
     private static final Comparator<EngineStream> BY_PRIORITY =
@@ -15,16 +15,16 @@
 
     private final EngineConfig mConfig;
     private final PrefixCache mCache;
-    private final Witness mWitness;
+    private final WorkCounter mWorkCounter;
     private final List<EngineStream> mRunning = new ArrayList<>();
     private final List<EngineStream> mWaiting = new ArrayList<>();
     private double mSlowdown = 1;
     private Instant mStepEnd = Instant.MAX;
 
-    Batch(final EngineConfig config, final PrefixCache cache, final Witness witness) {
+    Batch(final EngineConfig config, final PrefixCache cache, final WorkCounter workCounter) {
         mConfig = config;
         mCache = cache;
-        mWitness = witness;
+        mWorkCounter = workCounter;
     }
 
     int running() {
@@ -35,7 +35,7 @@
         return mWaiting.size();
     }
 
-    void slowdown(final double factor) {
+    void setSlowdown(final double factor) {
         mSlowdown = factor;
     }
 
@@ -46,16 +46,14 @@
     void add(final EngineStream stream, final Instant now) {
         mWaiting.add(stream);
         mWaiting.sort(BY_PRIORITY);
-        wake(now);
+        startStepIfIdle(now);
     }
 
-    /**
-     * Takes in a stream whose KV cache came along; it runs at once, beyond the slots if need be.
-     */
+    /** Adds a stream with an imported KV cache; it runs at once, even beyond the slots. */
     void addRunning(final EngineStream stream, final Instant now) {
         stream.resume();
         mRunning.add(stream);
-        wake(now);
+        startStepIfIdle(now);
     }
 
     void remove(final EngineStream stream) {
@@ -69,14 +67,14 @@
         mStepEnd = Instant.MAX;
     }
 
-    /** Drops the time that passed while the engine stood still, so that it doesn't catch up. */
-    void rebase(final Instant now) {
+    /** Skips the time during which the engine was frozen, so that it doesn't catch up. */
+    void skipElapsedTime(final Instant now) {
         if (mStepEnd != Instant.MAX) {
             mStepEnd = now;
         }
     }
 
-    /** Ends all steps that are due; returns how many tokens were generated. */
+    /** Runs all due steps and returns the number of generated tokens. */
     int advance(final Instant now) {
         int generated = 0;
         while (!mStepEnd.isAfter(now)) {
@@ -85,10 +83,10 @@
         return generated;
     }
 
-    private void wake(final Instant now) {
+    private void startStepIfIdle(final Instant now) {
         if (mStepEnd == Instant.MAX) {
-            fill();
-            mStepEnd = now.plus(stepTime(prefillPlanned()));
+            admitWaiting();
+            mStepEnd = now.plus(stepTime(plannedPrefill()));
         }
     }
 
@@ -103,8 +101,8 @@
                 generated++;
             }
         }
-        fill();
-        mStepEnd = mRunning.isEmpty() ? Instant.MAX : mStepEnd.plus(stepTime(prefillPlanned()));
+        admitWaiting();
+        mStepEnd = mRunning.isEmpty() ? Instant.MAX : mStepEnd.plus(stepTime(plannedPrefill()));
         return generated;
     }
 
@@ -112,7 +110,7 @@
         final int tokens = Math.min(budget, stream.prefillLeft());
         final int from = stream.prefilled();
         stream.prefill(tokens);
-        mWitness.prefilled(stream.generation().requestId(), from, from + tokens);
+        mWorkCounter.countPrefill(stream.generation().requestId(), from, from + tokens);
         if (stream.prefillLeft() == 0) {
             mCache.store(stream.blockHashes());
         }
@@ -120,28 +118,28 @@
     }
 
     private void generate(final EngineStream stream) {
-        mWitness.generated(
+        mWorkCounter.countGeneratedToken(
                 stream.generation().requestId(), stream.promptTokens() + stream.generated());
         stream.generate();
-        if (stream.isWhole()) {
+        if (stream.isComplete()) {
             stream.end(EngineStream.State.FINISHED);
             mCache.store(stream.finalBlockHashes());
             mRunning.remove(stream);
         }
     }
 
-    private void fill() {
+    private void admitWaiting() {
         while (mRunning.size() < mConfig.slots() && !mWaiting.isEmpty()) {
             final EngineStream stream = mWaiting.remove(0);
             final int cached = mCache.lookUp(stream.blockHashes());
             stream.admit(cached);
-            mWitness.cached(stream.generation().requestId(), cached);
+            mWorkCounter.countCachedTokens(stream.generation().requestId(), cached);
             mRunning.add(stream);
         }
         mRunning.sort(BY_PRIORITY);
     }
 
-    private int prefillPlanned() {
+    private int plannedPrefill() {
         final int wanted = mRunning.stream().mapToInt(EngineStream::prefillLeft).sum();
         return Math.min(wanted, mConfig.speed().prefillChunk());
     }
--- a/standins/src/main/java/org/whinhead/standins/engine/EngineOrders.java
+++ b/standins/src/main/java/org/whinhead/standins/engine/EngineOrders.java
@@ -7,12 +7,12 @@
 import java.util.TreeSet;
 import org.whinhead.api.Arguments;
 
-/** What an engine was ordered to have loaded and to be; single-threaded. */
+/** Applies orders to the loaded models and the role of an engine; not thread-safe. */
 public final class EngineOrders {
 
-    /** What an order asks for. */
+    /** The kind of change that an order requests. */
     public enum Kind {
-        /** Load a model; it is served once its weights are there. */
+        /** Load a model; the engine serves it once its weights are loaded. */
         LOAD,
         /** Unload a model. */
         UNLOAD,
@@ -21,17 +21,17 @@
     }
 
     /**
-     * One order.
+     * An order to an engine.
      *
-     * @param id its identity
-     * @param fencing the fencing number of who gives it
-     * @param kind what it asks for
-     * @param model the model; empty for a role
-     * @param role the role; empty for a model
+     * @param id the order's identity
+     * @param fencing the sender's fencing number
+     * @param kind the requested change
+     * @param model the model; empty for a role change
+     * @param role the role; empty for a model change
      */
     public record Order(String id, long fencing, Kind kind, String model, String role) {
 
-        /** Checks every part. */
+        /** Validates the components. */
         public Order {
             Arguments.requireText(id, "orderId");
             Arguments.requireText(kind == Kind.ROLE ? role : model, "model or role");
@@ -40,16 +40,16 @@
 
     private final boolean mChecksFencing;
     private final Set<String> mModels;
-    private final Set<String> mSeen = new HashSet<>();
-    private long mNewest = -1;
-    private int mStale;
+    private final Set<String> mAppliedIds = new HashSet<>();
+    private long mNewestFencing = -1;
+    private int mStaleOrders;
     private String mRole = "";
 
     /**
-     * Starts without any order.
+     * Creates the state before any order.
      *
-     * @param models the models loaded at the start
-     * @param checksFencing whether an old fencing number is refused
+     * @param models the initially loaded models
+     * @param checksFencing whether orders with an old fencing number are refused
      */
     public EngineOrders(final Set<String> models, final boolean checksFencing) {
         mModels = new TreeSet<>(models);
@@ -57,22 +57,22 @@
     }
 
     /**
-     * Takes an order; the same one twice has one effect.
+     * Applies an order; a repeated order has no further effect.
      *
      * @param order the order
-     * @return the newest fencing number if the order is refused for an old one
+     * @return the newest fencing number if the order is refused as stale, else empty
      */
     public OptionalLong apply(final Order order) {
-        final boolean old = order.fencing() < mNewest;
-        if (mSeen.contains(order.id())) {
+        final boolean isStale = order.fencing() < mNewestFencing;
+        if (mAppliedIds.contains(order.id())) {
             return OptionalLong.empty();
         }
-        if (old && mChecksFencing) {
-            return OptionalLong.of(mNewest);
+        if (isStale && mChecksFencing) {
+            return OptionalLong.of(mNewestFencing);
         }
-        mStale += old ? 1 : 0;
-        mSeen.add(order.id());
-        mNewest = Math.max(mNewest, order.fencing());
+        mStaleOrders += isStale ? 1 : 0;
+        mAppliedIds.add(order.id());
+        mNewestFencing = Math.max(mNewestFencing, order.fencing());
         if (order.kind() == Kind.UNLOAD) {
             mModels.remove(order.model());
         } else if (order.kind() == Kind.ROLE) {
@@ -81,7 +81,7 @@
         return OptionalLong.empty();
     }
 
-    /** The weights of a model are there. */
+    /** Marks a model as loaded and served. */
     public void loaded(final String model) {
         mModels.add(model);
     }
@@ -96,8 +96,8 @@
         return mRole.isEmpty() ? Optional.empty() : Optional.of(mRole);
     }
 
-    /** Returns how many orders with an old fencing number were carried out. */
+    /** Returns the number of applied orders with an old fencing number. */
     public int staleOrders() {
-        return mStale;
+        return mStaleOrders;
     }
 }
--- a/standins/src/main/java/org/whinhead/standins/http/StandInServer.java
+++ b/standins/src/main/java/org/whinhead/standins/http/StandInServer.java
@@ -15,7 +15,7 @@
 import java.util.concurrent.ConcurrentHashMap;
 import org.xnio.IoUtils;
 
-/** A small JSON server with transport faults: killed, frozen and slow. */
+/** An HTTP server with JSON bodies and the transport faults kill, freeze and delay. */
 public final class StandInServer implements AutoCloseable {
 
     private static final Set<String> CONTROL_PATHS = Set.of("/faults", "/witness");
@@ -23,14 +23,14 @@
     private final String mHost;
     private final RoutingHandler mRoutes = new RoutingHandler();
     private final Set<ServerConnection> mConnections = ConcurrentHashMap.newKeySet();
-    private final List<Runnable> mParked = new ArrayList<>();
+    private final List<Runnable> mDeferredCalls = new ArrayList<>();
     private Undertow mUndertow;
     private int mPort;
     private boolean mFrozen;
     private Duration mDelay = Duration.ZERO;
 
     /**
-     * Makes a server that doesn't listen yet.
+     * Creates a server that isn't listening yet.
      *
      * @param host the address to listen on
      * @param port the port, or 0 for a free one
@@ -44,8 +44,8 @@
      * Adds a route.
      *
      * @param method the HTTP method
-     * @param template the path, with places such as <code>{id}</code>
-     * @param handler what answers
+     * @param template the path, with parameters such as <code>{id}</code>
+     * @param handler the handler of the route's calls
      * @return this server
      */
     public StandInServer route(
@@ -54,7 +54,7 @@
         return this;
     }
 
-    /** Listens, again on the same port after {@link #kill}. */
+    /** Starts to listen; after {@link #kill}, on the same port as before. */
     public synchronized void start() {
         if (mUndertow != null) {
             return;
@@ -72,33 +72,31 @@
         mPort = address.getPort();
     }
 
-    /** Cuts every connection and refuses new ones. */
+    /** Closes all connections and refuses new ones. */
     public void kill() {
-        final Undertow stopping = takeOut();
+        final Undertow stopping = detachServer();
         if (stopping == null) {
             return;
         }
         mConnections.forEach(IoUtils::safeClose);
-        // Stopping waits for the server's threads, which may wait for this object's lock to admit a
-        // call: with the lock held both would wait for ever.
+        // Stopping waits for the server's threads, which may wait for this object's lock to
+        // dispatch a call: stopping with the lock held would deadlock.
         stopping.stop();
         mConnections.forEach(IoUtils::safeClose);
         mConnections.clear();
     }
 
-    /**
-     * Sets whether connections are accepted but nothing is answered; kept calls go on afterwards.
-     */
+    /** Sets whether calls are accepted but deferred; the end of the freeze runs deferred calls. */
     public synchronized void freeze(final boolean frozen) {
         mFrozen = frozen;
         if (!frozen) {
-            mParked.forEach(Runnable::run);
-            mParked.clear();
+            mDeferredCalls.forEach(Runnable::run);
+            mDeferredCalls.clear();
         }
     }
 
-    /** Sets how long each call waits before it is handled. */
-    public synchronized void slow(final Duration delay) {
+    /** Sets the delay before each call is handled. */
+    public synchronized void setDelay(final Duration delay) {
         mDelay = delay;
     }
 
@@ -122,17 +120,17 @@
                         (ready, body) ->
                                 ready.dispatch(
                                         SameThreadExecutor.INSTANCE,
-                                        () -> admit(new Call(ready, body), handler)));
+                                        () -> dispatch(new StandInCall(ready, body), handler)));
     }
 
-    private synchronized Undertow takeOut() {
+    private synchronized Undertow detachServer() {
         final Undertow running = mUndertow;
         mUndertow = null;
-        mParked.clear();
+        mDeferredCalls.clear();
         return running;
     }
 
-    private void admit(final Call call, final CallHandler handler) {
+    private void dispatch(final StandInCall call, final CallHandler handler) {
         if (CONTROL_PATHS.contains(call.path())) {
             run(call, handler);
             return;
@@ -140,7 +138,7 @@
         final Duration delay;
         synchronized (this) {
             if (mFrozen) {
-                mParked.add(() -> call.after(Duration.ZERO, () -> run(call, handler)));
+                mDeferredCalls.add(() -> call.runAfter(Duration.ZERO, () -> run(call, handler)));
                 return;
             }
             delay = mDelay;
@@ -148,11 +146,11 @@
         if (delay.isZero()) {
             run(call, handler);
         } else {
-            call.after(delay, () -> run(call, handler));
+            call.runAfter(delay, () -> run(call, handler));
         }
     }
 
-    private static void run(final Call call, final CallHandler handler) {
+    private static void run(final StandInCall call, final CallHandler handler) {
         try {
             handler.handle(call);
         } catch (final IOException | IllegalArgumentException e) {
--- a/standins/src/main/java/org/whinhead/standins/log/LogSimulation.java
+++ b/standins/src/main/java/org/whinhead/standins/log/LogSimulation.java
@@ -9,18 +9,18 @@
 import java.util.List;
 import java.util.Map;
 
-/** A log service without its HTTP side; single-threaded, and the time is passed in. */
+/** Simulates a log service without HTTP; not thread-safe, and callers pass the current time. */
 public final class LogSimulation {
 
-    /** How an append or a read went. */
+    /** The outcome of an append or a read. */
     public enum Status {
-        /** Done. */
+        /** Successful. */
         OK(200),
-        /** The records asked for have expired. */
+        /** The requested records have expired. */
         EXPIRED(410),
-        /** Over the cap; nothing was appended. */
+        /** Over the append rate limit; nothing was appended. */
         OVER_CAP(429),
-        /** Down; nothing was done. */
+        /** Service outage; nothing was appended or read. */
         OUT(503);
 
         private final int mCode;
@@ -36,123 +36,123 @@
     }
 
     /**
-     * One record.
+     * A stored record.
      *
-     * @param offset its offset in the stream
-     * @param data its data in base64
-     * @param at when it was appended
+     * @param offset the record's offset in the stream
+     * @param data the record's data in base64
+     * @param at the time of the append
      */
     public record Entry(long offset, String data, Instant at) {}
 
     /**
-     * What an append did.
+     * The result of an append.
      *
-     * @param status how it went
-     * @param firstOffset the first record's offset, if it went well
+     * @param status the outcome
+     * @param firstOffset the first record's offset; 0 unless successful
      */
-    public record Appended(Status status, long firstOffset) {}
+    public record AppendResult(Status status, long firstOffset) {}
 
     /**
-     * What a read found.
+     * The result of a read.
      *
-     * @param status how it went
-     * @param oldest the oldest offset that is kept
+     * @param status the outcome
+     * @param oldest the oldest retained offset
      * @param next the offset to read from next
      * @param records the records, in order
      */
-    public record Found(Status status, long oldest, long next, List<Entry> records) {}
+    public record ReadResult(Status status, long oldest, long next, List<Entry> records) {}
 
     private static final Duration CAP_WINDOW = Duration.ofSeconds(1);
 
     private final LogConfig mConfig;
     private final Map<String, Stream> mStreams = new HashMap<>();
     private final Deque<Instant> mAppends = new ArrayDeque<>();
-    private boolean mOut;
+    private boolean mOutage;
     private long mAppended;
     private long mOverCap;
 
-    /** Makes an empty log. */
+    /** Creates an empty log. */
     public LogSimulation(final LogConfig config) {
         mConfig = config;
     }
 
     /**
-     * Appends records; they get consecutive offsets.
+     * Appends records with consecutive offsets.
      *
-     * @param stream the stream, which begins with its first append
+     * @param stream the stream, created by its first append
      * @param data the records in base64
      * @param now the time
-     * @return what it did
+     * @return the result
      */
-    public Appended append(final String stream, final List<String> data, final Instant now) {
-        if (mOut) {
-            return new Appended(Status.OUT, 0);
+    public AppendResult append(final String stream, final List<String> data, final Instant now) {
+        if (mOutage) {
+            return new AppendResult(Status.OUT, 0);
         }
         while (!mAppends.isEmpty() && !mAppends.getFirst().plus(CAP_WINDOW).isAfter(now)) {
             mAppends.removeFirst();
         }
         if (mAppends.size() >= mConfig.appendsPerSecond()) {
             mOverCap++;
-            return new Appended(Status.OVER_CAP, 0);
+            return new AppendResult(Status.OVER_CAP, 0);
         }
         mAppends.add(now);
         mAppended++;
         final Stream target = mStreams.computeIfAbsent(stream, name -> new Stream());
-        final long first = target.mNext;
+        final long first = target.mNextOffset;
         for (final String record : data) {
-            target.mEntries.add(new Entry(target.mNext, record, now));
-            target.mNext++;
+            target.mEntries.add(new Entry(target.mNextOffset, record, now));
+            target.mNextOffset++;
         }
-        return new Appended(Status.OK, first);
+        return new AppendResult(Status.OK, first);
     }
 
     /**
-     * Reads records.
+     * Reads records from an offset.
      *
-     * @param stream the stream; it is empty if nothing was appended yet
-     * @param from the first offset wanted
-     * @param max the most records
+     * @param stream the stream; empty before its first append
+     * @param from the first requested offset
+     * @param max the maximum number of records
      * @param now the time
-     * @return what was found
+     * @return the result
      */
-    public Found read(final String stream, final long from, final int max, final Instant now) {
-        if (mOut) {
-            return new Found(Status.OUT, 0, from, List.of());
+    public ReadResult read(final String stream, final long from, final int max, final Instant now) {
+        if (mOutage) {
+            return new ReadResult(Status.OUT, 0, from, List.of());
         }
         final Stream target = mStreams.getOrDefault(stream, new Stream());
         target.expire(now.minus(mConfig.retention()));
         final long oldest = target.oldest();
         if (from < oldest) {
-            return new Found(Status.EXPIRED, oldest, from, List.of());
+            return new ReadResult(Status.EXPIRED, oldest, from, List.of());
         }
         final List<Entry> found = new ArrayList<>();
         final int start = (int) Math.min(from - oldest, target.mEntries.size());
         final int end = Math.min(start + max, target.mEntries.size());
         found.addAll(target.mEntries.subList(start, end));
-        return new Found(Status.OK, oldest, from + found.size(), found);
+        return new ReadResult(Status.OK, oldest, from + found.size(), found);
     }
 
-    /** Fault: neither appends nor reads are served. */
+    /** Fault: sets whether appends and reads are refused. */
     public void outage(final boolean out) {
-        mOut = out;
+        mOutage = out;
     }
 
-    /** Returns how many appends took effect. */
+    /** Returns the number of appends that took effect. */
     public long appends() {
         return mAppended;
     }
 
-    /** Returns how many appends were refused over the cap. */
+    /** Returns the number of appends refused by the rate limit. */
     public long overCap() {
         return mOverCap;
     }
 
     private static final class Stream {
         private final List<Entry> mEntries = new ArrayList<>();
-        private long mNext;
+        private long mNextOffset;
 
         private long oldest() {
-            return mNext - mEntries.size();
+            return mNextOffset - mEntries.size();
         }
 
         private void expire(final Instant limit) {
--- a/standins/src/main/java/org/whinhead/standins/log/LogStandIn.java
+++ b/standins/src/main/java/org/whinhead/standins/log/LogStandIn.java
@@ -11,11 +11,11 @@
 import java.util.Base64;
 import java.util.List;
 import org.whinhead.standins.StandInContext;
-import org.whinhead.standins.fault.FaultDesk;
-import org.whinhead.standins.http.Call;
+import org.whinhead.standins.fault.FaultHandler;
+import org.whinhead.standins.http.StandInCall;
 import org.whinhead.standins.http.StandInServer;
 
-/** A log service that listens: a {@link LogSimulation} behind the log's protocol. */
+/** Serves a {@link LogSimulation} over the log's HTTP protocol. */
 public final class LogStandIn implements AutoCloseable {
 
     private static final int DEFAULT_MAX = 1000;
@@ -23,8 +23,8 @@
     private final StandInContext mContext;
     private final StandInServer mServer;
     private final LogSimulation mSimulation;
-    private final List<Waiting> mWaiting = new ArrayList<>();
-    private final Runnable mEndTicks;
+    private final List<PendingRead> mPending = new ArrayList<>();
+    private final Runnable mRemoveTask;
     private int mLoseAnswers;
     private int mLoseRequests;
 
@@ -36,15 +36,15 @@
                 .route("GET", "/log/{stream}/records", this::read)
                 .route("POST", "/faults", faults())
                 .route("GET", "/witness", this::witness);
-        mEndTicks = context.ticker().add(this::tick);
+        mRemoveTask = context.ticker().add(this::tick);
     }
 
     /**
-     * Starts a log service.
+     * Starts a log server.
      *
-     * @param config its settings
-     * @param context what the stand-ins of the process share
-     * @return the service, which listens
+     * @param config the service's settings
+     * @param context the clock and counters shared in the process
+     * @return the listening service
      */
     public static LogStandIn start(final LogConfig config, final StandInContext context) {
         final LogStandIn log = new LogStandIn(config, context);
@@ -57,63 +57,63 @@
         return mServer.uri();
     }
 
-    /** Fault: neither appends nor reads are served; waiting reads end. */
+    /** Fault: sets whether appends and reads are refused; an outage also ends pending reads. */
     public synchronized void outage(final boolean out) {
         mSimulation.outage(out);
         tick(mContext.ticker().now());
     }
 
-    /** Fault: every call waits before it is served. */
+    /** Fault: delays every call. */
     public void slow(final Duration delay) {
-        mServer.slow(delay);
+        mServer.setDelay(delay);
     }
 
-    /** Fault: the next appends take effect, but their connections are cut before the answer. */
+    /** Fault: the next appends take effect, but their connections close without a response. */
     public synchronized void loseAnswers(final int count) {
         mLoseAnswers = count;
     }
 
-    /** Fault: the connections of the next appends are cut before they take effect. */
+    /** Fault: closes the connections of the next appends before the appends take effect. */
     public synchronized void loseRequests(final int count) {
         mLoseRequests = count;
     }
 
-    /** Returns how many appends took effect. */
+    /** Returns the number of appends that took effect. */
     public synchronized long appends() {
         return mSimulation.appends();
     }
 
     @Override
     public void close() {
-        mEndTicks.run();
+        mRemoveTask.run();
         mServer.close();
     }
 
-    private FaultDesk faults() {
-        return new FaultDesk(mServer)
-                .on("outage", body -> outage(true))
-                .on("recover", body -> outage(false))
-                .on("lose-answers", body -> loseAnswers(body.path("count").asInt(1)))
-                .on("lose-requests", body -> loseRequests(body.path("count").asInt(1)));
+    private FaultHandler faults() {
+        return new FaultHandler(mServer)
+                .addFault("outage", body -> outage(true))
+                .addFault("recover", body -> outage(false))
+                .addFault("lose-answers", body -> loseAnswers(body.path("count").asInt(1)))
+                .addFault("lose-requests", body -> loseRequests(body.path("count").asInt(1)));
     }
 
-    private synchronized void append(final Call call) throws IOException {
+    private synchronized void append(final StandInCall call) throws IOException {
         final List<String> records = records(call.json());
         if (mLoseRequests > 0) {
             mLoseRequests--;
-            call.cut();
+            call.closeConnection();
             return;
         }
         final Instant now = mContext.ticker().now();
-        final LogSimulation.Appended appended =
+        final LogSimulation.AppendResult appended =
                 mSimulation.append(call.parameter("stream").orElseThrow(), records, now);
         if (appended.status() != LogSimulation.Status.OK) {
             call.fail(appended.status().code(), appended.status().name());
         } else if (mLoseAnswers > 0) {
             mLoseAnswers--;
-            call.cut();
+            call.closeConnection();
         } else {
-            call.reply(200, Call.object().put("firstOffset", appended.firstOffset()));
+            call.reply(200, StandInCall.object().put("firstOffset", appended.firstOffset()));
         }
         tick(now);
     }
@@ -130,39 +130,39 @@
         return records;
     }
 
-    private synchronized void read(final Call call) throws IOException {
+    private synchronized void read(final StandInCall call) throws IOException {
         final Instant now = mContext.ticker().now();
         final Duration wait = Duration.ofMillis(call.number("waitMillis", 0));
-        final Waiting waiting =
-                new Waiting(
+        final PendingRead pending =
+                new PendingRead(
                         call,
                         call.parameter("stream").orElseThrow(),
                         call.number("from", 0),
                         (int) call.number("max", DEFAULT_MAX),
                         now.plus(wait));
-        if (!answer(waiting, now)) {
-            mWaiting.add(waiting);
+        if (!answer(pending, now)) {
+            mPending.add(pending);
         }
     }
 
     private synchronized void tick(final Instant now) {
-        mWaiting.removeIf(waiting -> answer(waiting, now));
+        mPending.removeIf(pending -> answer(pending, now));
     }
 
-    private boolean answer(final Waiting waiting, final Instant now) {
-        final LogSimulation.Found found =
-                mSimulation.read(waiting.stream(), waiting.from(), waiting.max(), now);
+    private boolean answer(final PendingRead pending, final Instant now) {
+        final LogSimulation.ReadResult found =
+                mSimulation.read(pending.stream(), pending.from(), pending.max(), now);
         final boolean empty =
                 found.status() == LogSimulation.Status.OK && found.records().isEmpty();
-        if (empty && waiting.until().isAfter(now)) {
+        if (empty && pending.until().isAfter(now)) {
             return false;
         }
-        waiting.call().reply(found.status().code(), json(found));
+        pending.call().reply(found.status().code(), json(found));
         return true;
     }
 
-    private static ObjectNode json(final LogSimulation.Found found) {
-        final ObjectNode root = Call.object().put("oldest", found.oldest());
+    private static ObjectNode json(final LogSimulation.ReadResult found) {
+        final ObjectNode root = StandInCall.object().put("oldest", found.oldest());
         if (found.status() != LogSimulation.Status.OK) {
             return root;
         }
@@ -177,13 +177,14 @@
         return root;
     }
 
-    private synchronized void witness(final Call call) {
+    private synchronized void witness(final StandInCall call) {
         call.reply(
                 200,
-                Call.object()
+                StandInCall.object()
                         .put("appends", mSimulation.appends())
                         .put("overCap", mSimulation.overCap()));
     }
 
-    private record Waiting(Call call, String stream, long from, int max, Instant until) {}
+    private record PendingRead(
+            StandInCall call, String stream, long from, int max, Instant until) {}
 }
--- a/standins/src/main/java/org/whinhead/standins/service/ServiceStandIn.java
+++ b/standins/src/main/java/org/whinhead/standins/service/ServiceStandIn.java
@@ -5,11 +5,11 @@
 import java.net.URI;
 import java.nio.charset.StandardCharsets;
 import org.whinhead.standins.StandInContext;
-import org.whinhead.standins.fault.FaultDesk;
-import org.whinhead.standins.http.Call;
+import org.whinhead.standins.fault.FaultHandler;
+import org.whinhead.standins.http.StandInCall;
 import org.whinhead.standins.http.StandInServer;
 
-/** A plain service that listens; its answer repeats the call, so that a caller knows its own. */
+/** Serves a plain service over HTTP; responses echo the call, so that callers can match them. */
 public final class ServiceStandIn implements AutoCloseable {
 
     private final ServiceConfig mConfig;
@@ -28,11 +28,11 @@
     }
 
     /**
-     * Starts a service.
+     * Starts a service server.
      *
-     * @param config its settings
-     * @param context what the stand-ins of the process share
-     * @return the service, which listens
+     * @param config the service's settings
+     * @param context the clock and counters shared in the process
+     * @return the listening service
      */
     public static ServiceStandIn start(final ServiceConfig config, final StandInContext context) {
         final ServiceStandIn service = new ServiceStandIn(config, context);
@@ -50,12 +50,12 @@
         return mConfig;
     }
 
-    /** Plans a fault for the next calls. */
+    /** Sets the number of next calls that fail with a fault. */
     public synchronized void plan(final ServiceFault fault, final int count) {
         mSimulation.plan(fault, count);
     }
 
-    /** Fault: all connections are cut and new ones refused; calls in progress did run. */
+    /** Fault: closes all connections and refuses new ones; calls in progress count as run. */
     public void kill() {
         mServer.kill();
         synchronized (this) {
@@ -63,12 +63,12 @@
         }
     }
 
-    /** Ends {@link #kill}. */
+    /** Ends {@link #kill}: listens at the same address again. */
     public void revive() {
         mServer.start();
     }
 
-    /** Fault: connections are accepted, but no new call is answered. */
+    /** Fault: while frozen, accepts connections but defers new calls. */
     public void freeze(final boolean frozen) {
         mServer.freeze(frozen);
     }
@@ -78,28 +78,28 @@
         mServer.close();
     }
 
-    private FaultDesk faults() {
-        final FaultDesk desk =
-                new FaultDesk(mServer)
-                        .onceAnswered("kill", this::kill)
-                        .on("freeze", body -> freeze(true))
-                        .on("unfreeze", body -> freeze(false));
+    private FaultHandler faults() {
+        final FaultHandler faults =
+                new FaultHandler(mServer)
+                        .addFaultAfterReply("kill", this::kill)
+                        .addFault("freeze", body -> freeze(true))
+                        .addFault("unfreeze", body -> freeze(false));
         for (final ServiceFault fault : ServiceFault.values()) {
-            desk.on(fault.wireName(), body -> plan(fault, body.path("count").asInt(1)));
+            faults.addFault(fault.wireName(), body -> plan(fault, body.path("count").asInt(1)));
         }
-        return desk;
+        return faults;
     }
 
-    private void run(final Call call) throws IOException {
+    private void run(final StandInCall call) throws IOException {
         final String key =
                 call.header("Idempotency-Key")
                         .orElseThrow(() -> new IOException("Idempotency-Key is missing"));
         final String request = call.header("X-Request-Id").orElse(key);
         final ServiceFault fault = begin(request, key);
         switch (fault) {
-            case REFUSE -> call.with("Retry-After", "1").fail(503, "busy");
-            case CUT_BEFORE_RUN -> call.cut();
-            default -> call.after(mConfig.latency(), () -> end(call, fault, answer(call, key)));
+            case REFUSE -> call.withHeader("Retry-After", "1").fail(503, "busy");
+            case CUT_BEFORE_RUN -> call.closeConnection();
+            default -> call.runAfter(mConfig.latency(), () -> end(call, fault, answer(call, key)));
         }
     }
 
@@ -107,8 +107,8 @@
         return mSimulation.begin(request, key);
     }
 
-    private ObjectNode answer(final Call call, final String key) {
-        return Call.object()
+    private ObjectNode answer(final StandInCall call, final String key) {
+        return StandInCall.object()
                 .put("service", mConfig.name())
                 .put("path", call.path())
                 .put("idempotencyKey", key)
@@ -117,10 +117,10 @@
     }
 
     private synchronized void end(
-            final Call call, final ServiceFault fault, final ObjectNode answer) {
+            final StandInCall call, final ServiceFault fault, final ObjectNode answer) {
         mSimulation.end();
         switch (fault) {
-            case CUT_AFTER_RUN -> call.cut();
+            case CUT_AFTER_RUN -> call.closeConnection();
             case ERROR_AFTER_RUN -> call.fail(500, "failed after it ran");
             default -> call.reply(200, answer);
         }
--- a/standins/src/main/java/org/whinhead/standins/weights/WeightStoreStandIn.java
+++ b/standins/src/main/java/org/whinhead/standins/weights/WeightStoreStandIn.java
@@ -5,11 +5,11 @@
 import java.time.Instant;
 import java.util.Optional;
 import org.whinhead.standins.StandInContext;
-import org.whinhead.standins.fault.FaultDesk;
-import org.whinhead.standins.http.Call;
+import org.whinhead.standins.fault.FaultHandler;
+import org.whinhead.standins.http.StandInCall;
 import org.whinhead.standins.http.StandInServer;
 
-/** A weight store that listens: a {@link WeightStoreSimulation} behind the store's protocol. */
+/** Serves a {@link WeightStoreSimulation} over the store's HTTP protocol. */
 public final class WeightStoreStandIn implements AutoCloseable {
 
     private final StandInContext mContext;
@@ -24,16 +24,16 @@
         mServer = server;
         mSimulation = simulation;
         server.route("GET", "/weights/{name}/{version}", this::load)
-                .route("POST", "/faults", new FaultDesk(server));
+                .route("POST", "/faults", new FaultHandler(server));
     }
 
     /**
-     * Starts a weight store.
+     * Starts a weight store server.
      *
      * @param port the port, or 0 for a free one
-     * @param simulation the store's rate and queue
-     * @param context what the stand-ins of the process share
-     * @return the store, which listens
+     * @param simulation the store's load queue
+     * @param context the clock and counters shared in the process
+     * @return the listening store
      */
     public static WeightStoreStandIn start(
             final int port, final WeightStoreSimulation simulation, final StandInContext context) {
@@ -53,15 +53,15 @@
         mServer.close();
     }
 
-    private synchronized void load(final Call call) {
+    private synchronized void load(final StandInCall call) {
         final Instant now = mContext.ticker().now();
         final Optional<Instant> done = mSimulation.load(now);
         if (done.isEmpty()) {
-            call.with("Retry-After", "1").fail(429, "too many loads wait");
+            call.withHeader("Retry-After", "1").fail(429, "too many loads wait");
             return;
         }
-        call.after(
+        call.runAfter(
                 Duration.between(now, done.get()),
-                () -> call.reply(200, Call.object().put("bytes", mSimulation.bytes())));
+                () -> call.reply(200, StandInCall.object().put("bytes", mSimulation.bytes())));
     }
 }
--- a/standins/src/test/java/org/whinhead/standins/cloud/CloudSimulationTest.java
+++ b/standins/src/test/java/org/whinhead/standins/cloud/CloudSimulationTest.java
@@ -21,13 +21,13 @@
             new CloudSimulation(Duration.ofSeconds(20), new Recorder());
 
     /**
-     * A whole failure domain is taken back and no replacement starts: a fleet controller must see
-     * one notice for each VM and "capacity" for each order, and on-demand VMs stay.
+     * A whole failure domain is reclaimed while the cloud refuses to start replacements: each
+     * reclaimable VM gets one notice, orders are refused, and on-demand VMs stay.
      */
     @Test
     void reclaimsWholeDomainAndRefusesStarts() {
-        mCloud.adopt("a", order("1", Billing.RECLAIMABLE));
-        mCloud.adopt("b", order("2", Billing.ON_DEMAND));
+        mCloud.addRunning("a", order("1", Billing.RECLAIMABLE));
+        mCloud.addRunning("b", order("2", Billing.ON_DEMAND));
         mCloud.reclaim(DOMAIN, Duration.ofSeconds(5), NOW);
         mCloud.refuseStarts(true);
         assertThat(mCloud.start(order("3", Billing.RECLAIMABLE), NOW)).isEmpty();
--- a/standins/src/test/java/org/whinhead/standins/engine/EngineSimulationTest.java
+++ b/standins/src/test/java/org/whinhead/standins/engine/EngineSimulationTest.java
@@ -17,14 +17,14 @@
 import org.whinhead.standins.engine.EngineOrders.Kind;
 import org.whinhead.standins.engine.EngineOrders.Order;
 import org.whinhead.standins.engine.EngineStream.State;
-import org.whinhead.standins.witness.Witness;
+import org.whinhead.standins.witness.WorkCounter;
 
 final class EngineSimulationTest {
 
     private static final Instant NOW = Instant.parse("2026-03-02T08:00:00Z");
     private static final String LONG_PROMPT = words(64);
 
-    private final Witness mWitness = new Witness();
+    private final WorkCounter mWorkCounter = new WorkCounter();
     private final EngineSimulation mEngine = engine(2, 1);
     private Instant mTime = NOW;
 
@@ -51,22 +51,22 @@
         engine.advance(at(25));
         assertThat(high.state()).isEqualTo(State.RUNNING);
         assertThat(low.state()).isEqualTo(State.WAITING);
-        assertThat(mWitness.attempts("d")).isZero();
+        assertThat(mWorkCounter.attempts("d")).isZero();
     }
 
     /**
-     * The engine of a request dies after a few tokens, and another attempt starts over: prompt and
-     * tokens are computed again, and the witness must say how many.
+     * A request's engine is killed after a few tokens, and a second attempt starts over: the
+     * counter must report the prompt and answer tokens that are computed again.
      */
     @Test
-    void startingOverCountsAsRecomputed() {
+    void countsRecomputedTokensOfSecondAttempt() {
         submit("a", LONG_PROMPT, 10, 0);
         advance(500);
-        assertThat(mWitness.recomputedTokens("a")).isZero();
+        assertThat(mWorkCounter.recomputedTokens("a")).isZero();
         mEngine.kill();
         submit("a", LONG_PROMPT, 10, 0);
         advance(1000);
-        assertThat(mWitness.recomputedTokens("a")).isEqualTo(64 + 10);
+        assertThat(mWorkCounter.recomputedTokens("a")).isEqualTo(64 + 10);
     }
 
     @Test
@@ -76,12 +76,12 @@
         final EngineStream again = submit("b", LONG_PROMPT + " other words", 1, 0);
         assertThat(again.cachedTokens()).isEqualTo(64);
         advance(1000);
-        assertThat(mWitness.promptTokensComputed()).isEqualTo(64 + 2);
+        assertThat(mWorkCounter.promptTokensComputed()).isEqualTo(64 + 2);
     }
 
-    /** The caller and its daemon are gone; the engine must not generate for nobody for ever. */
+    /** A caller and its daemon disconnect; the engine must not continue to generate forever. */
     @Test
-    void streamWithoutReaderIsDroppedAfterTheGrace() {
+    void streamWithoutReaderIsDroppedAfterGracePeriod() {
         final EngineStream stream = submit("a", "p", 100_000, 0);
         advance(1000);
         assertThat(mEngine.find(stream.id())).isPresent();
@@ -104,11 +104,11 @@
     }
 
     /**
-     * A lease holder is paused, a newer one gives orders, then the old one wakes and gives its own.
-     * An engine that checks refuses it; one that doesn't carries it out.
+     * A lease holder is paused, a newer holder sends orders, then the old holder resumes and sends
+     * a stale order. An engine that checks fencing refuses it; other engines apply it.
      */
     @Test
-    void oldFencingNumberIsRefusedOnlyByAnEngineThatChecks() {
+    void oldFencingNumberIsRefusedOnlyWithFencingCheck() {
         final EngineOrders checks = new EngineOrders(Set.of("m@1"), true);
         final EngineOrders ignores = new EngineOrders(Set.of("m@1"), false);
         for (final EngineOrders orders : List.of(checks, ignores)) {
@@ -165,7 +165,7 @@
                         .cacheEvents(Duration.ofMillis(1200), 3)
                         .readerGrace(Duration.ofSeconds(1))
                         .build(),
-                mWitness);
+                mWorkCounter);
     }
 
     private static Generation generation(
--- a/standins/src/test/java/org/whinhead/standins/vms/VmListSimulationTest.java
+++ b/standins/src/test/java/org/whinhead/standins/vms/VmListSimulationTest.java
@@ -36,16 +36,16 @@
 
     @Test
     void showsChangesAfterTheLag() {
-        mList.leaving("a", NOW);
+        mList.markLeaving("a", NOW);
         mList.remove("a", NOW.plusSeconds(1));
         assertThat(shown(2999)).containsExactly(VM);
         assertThat(shown(3000)).containsExactly(VM.asLeaving());
         assertThat(shown(4000)).isEmpty();
     }
 
-    /** The list stands still for an hour: a VM that is long gone is still shown as live. */
+    /** The list is frozen for an hour: it still returns a removed VM as live. */
     @Test
-    void frozenListShowsVmThatIsGone() {
+    void frozenListReturnsRemovedVm() {
         mList.freeze(true, NOW);
         mList.remove("a", NOW.plusSeconds(1));
         assertThat(shown(3_600_000)).containsExactly(VM);
