--- a/bench/src/main/java/org/whinhead/bench/capacity/ClaimsCost.java
+++ b/bench/src/main/java/org/whinhead/bench/capacity/ClaimsCost.java
@@ -42,24 +42,24 @@
     }
 
     @Override
-    void measure(final Meter meter, final long seed, final Sheet out) {
+    void measure(final Meter meter, final long seed, final SeriesPrinter out) {
         final Series written =
                 new Series("written and read back", "claims a record", "ns a record");
         final Series read = new Series("decoded and applied", "claims a record", "ns a record");
         final Series bytes = new Series("record", "claims a record", "bytes");
         for (final int batch : BATCHES) {
             final Writer writer = new Writer(batch);
-            written.add(batch, meter.nanos(writer::record));
+            written.add(batch, meter.measureCpuNanos(writer::writeRecord));
             bytes.add(batch, Spread.exact(encoded(batch, 1_000).length));
             final Reader reader = new Reader(batch);
-            read.add(batch, meter.nanos(reader::records));
+            read.add(batch, meter.measureCpuNanos(reader::readRecords));
         }
-        out.add(written, read, bytes);
+        out.print(written, read, bytes);
         final Series memory = new Series("table", "keys", "bytes");
         for (final int keys : KEYS) {
-            memory.add(keys, meter.retained(() -> table(keys)));
+            memory.add(keys, meter.measureRetainedBytes(() -> table(keys)));
         }
-        out.add(memory);
+        out.print(memory);
     }
 
     private ClaimEntry entry() {
@@ -97,15 +97,15 @@
      */
     private final class Writer {
         private final int mBatch;
-        private final LoopLog mLog = new LoopLog();
+        private final LoopbackLog mLog = new LoopbackLog();
         private final ClaimTable mTable = new ClaimTable(WINDOW, INCARNATIONS);
-        private final ClaimCoordinator mDesk;
+        private final ClaimCoordinator mCoordinator;
         private Instant mNow = Fixtures.START;
         private long mDecided;
 
         Writer(final int batch) {
             mBatch = batch;
-            mDesk =
+            mCoordinator =
                     new ClaimCoordinator(
                             mTable,
                             mLog.writer(),
@@ -113,15 +113,15 @@
                             (key, attempt, result, dispatchBy) -> mDecided++);
         }
 
-        long record() {
+        long writeRecord() {
             mNow = mNow.plusSeconds(1);
             for (int i = 0; i < mBatch; i++) {
                 final ClaimEntry entry = entry();
                 final ClaimKey key = new ClaimKey(entry.keyHigh(), entry.keyLow());
-                mDesk.claim(key, entry.attempt(), mNow.plusSeconds(2), mNow);
+                mCoordinator.claim(key, entry.attempt(), mNow.plusSeconds(2), mNow);
             }
-            mDesk.tick(mNow);
-            mLog.flush(mNow).forEach(entry -> mDesk.apply(entry, mNow));
+            mCoordinator.tick(mNow);
+            mLog.flush(mNow).forEach(entry -> mCoordinator.apply(entry, mNow));
             return 1;
         }
     }
@@ -139,7 +139,7 @@
             }
         }
 
-        long records() {
+        long readRecords() {
             mTable.reset();
             for (final byte[] bytes : mRecords) {
                 mTable.apply(
--- a/bench/src/main/java/org/whinhead/bench/capacity/FleetCost.java
+++ b/bench/src/main/java/org/whinhead/bench/capacity/FleetCost.java
@@ -34,15 +34,15 @@
     }
 
     @Override
-    void measure(final Meter meter, final long seed, final Sheet out) {
-        out.add(rounds("round, one pool", 1, 1, meter));
-        out.add(rounds("round, twelve pools", POOLS, 1, meter));
-        out.add(rounds("round, one pool, a tenth too many", 1, 0.9, meter));
+    void measure(final Meter meter, final long seed, final SeriesPrinter out) {
+        out.print(rounds("round, one pool", 1, 1, meter));
+        out.print(rounds("round, twelve pools", POOLS, 1, meter));
+        out.print(rounds("round, one pool, a tenth too many", 1, 0.9, meter));
         final Series memory = new Series("view's memory, twelve pools", "members", "bytes");
         for (final int size : SIZES) {
-            memory.add(size, meter.retained(() -> view(size, POOLS, 1)));
+            memory.add(size, meter.measureRetainedBytes(() -> view(size, POOLS, 1)));
         }
-        out.add(memory);
+        out.print(memory);
     }
 
     private static Series rounds(
@@ -51,7 +51,7 @@
         for (final int size : SIZES) {
             final FleetView view = view(size, pools, wanted);
             final FleetReconciler reconciler = new FleetReconciler(SETTINGS);
-            series.add(size, meter.nanos(() -> round(reconciler, view)));
+            series.add(size, meter.measureCpuNanos(() -> round(reconciler, view)));
         }
         return series;
     }
--- a/bench/src/main/java/org/whinhead/bench/capacity/LoopLog.java
+++ b/bench/src/main/java/org/whinhead/bench/capacity/LoopbackLog.java
@@ -16,7 +16,7 @@
 import org.whinhead.state.writer.WriterLimits;
 
 /** A writer whose appends take effect at once; each record is encoded and decoded on its way. */
-final class LoopLog {
+final class LoopbackLog {
 
     private static final WriterLimits LIMITS = new WriterLimits(4096, 64);
 
--- a/bench/src/main/java/org/whinhead/bench/capacity/Meter.java
+++ b/bench/src/main/java/org/whinhead/bench/capacity/Meter.java
@@ -17,10 +17,10 @@
     private static final int REPETITIONS = 3;
 
     /** The serial collector leaves dead objects in place, but for each fourth full collection. */
-    private static final int COLLECTIONS = 4;
+    private static final int COLLECTIONS_PER_READING = 4;
 
-    private static final int MOST_WARM_WINDOWS = 6;
-    private static final double STEADY = 0.15;
+    private static final int MAX_WARM_UP_WINDOWS = 6;
+    private static final double STEADY_TOLERANCE = 0.15;
     private static final long WINDOW_NANOS = 500_000_000;
 
     private final OperatingSystemMXBean mSystem =
@@ -31,29 +31,29 @@
      *
      * @param work does some work and returns how many units it did
      */
-    Spread nanos(final LongSupplier work) {
-        warm(work);
+    Spread measureCpuNanos(final LongSupplier work) {
+        warmUp(work);
         final double[] nanos = new double[REPETITIONS];
         for (int repetition = 0; repetition < REPETITIONS; repetition++) {
-            nanos[repetition] = window(work);
+            nanos[repetition] = runWindow(work);
         }
         return Spread.of(nanos);
     }
 
     /** Runs until two windows in a row agree, so that the compiler's own time is left out. */
-    private void warm(final LongSupplier work) {
-        double before = window(work);
-        double last = window(work);
-        for (int windows = 2; windows < MOST_WARM_WINDOWS; windows++) {
-            if (Math.abs(last - before) <= STEADY * before) {
+    private void warmUp(final LongSupplier work) {
+        double before = runWindow(work);
+        double last = runWindow(work);
+        for (int windows = 2; windows < MAX_WARM_UP_WINDOWS; windows++) {
+            if (Math.abs(last - before) <= STEADY_TOLERANCE * before) {
                 return;
             }
             before = last;
-            last = window(work);
+            last = runWindow(work);
         }
     }
 
-    private double window(final LongSupplier work) {
+    private double runWindow(final LongSupplier work) {
         final long cpuBefore = mSystem.getProcessCpuTime();
         final long start = System.nanoTime();
         long units = 0;
@@ -68,26 +68,26 @@
      *
      * @param maker makes it anew each time
      */
-    Spread retained(final Supplier<?> maker) {
-        retainedOnce(maker);
+    Spread measureRetainedBytes(final Supplier<?> maker) {
+        retainedBytes(maker);
         final double[] bytes = new double[REPETITIONS];
         for (int repetition = 0; repetition < REPETITIONS; repetition++) {
-            bytes[repetition] = retainedOnce(maker);
+            bytes[repetition] = retainedBytes(maker);
         }
         return Spread.of(bytes);
     }
 
     // A method of its own: in a loop the last object would still be reachable from the frame.
-    private static long retainedOnce(final Supplier<?> maker) {
-        final long before = usedAfterCollection();
+    private static long retainedBytes(final Supplier<?> maker) {
+        final long before = usedHeapAfterCollection();
         final Object made = maker.get();
-        final long after = usedAfterCollection();
+        final long after = usedHeapAfterCollection();
         Reference.reachabilityFence(made);
         return after - before;
     }
 
-    private static long usedAfterCollection() {
-        for (int collection = 0; collection < COLLECTIONS; collection++) {
+    private static long usedHeapAfterCollection() {
+        for (int collection = 0; collection < COLLECTIONS_PER_READING; collection++) {
             System.gc();
         }
         return Runtime.getRuntime().totalMemory() - Runtime.getRuntime().freeMemory();
--- a/bench/src/main/java/org/whinhead/bench/capacity/PeersCost.java
+++ b/bench/src/main/java/org/whinhead/bench/capacity/PeersCost.java
@@ -38,17 +38,17 @@
     }
 
     @Override
-    void measure(final Meter meter, final long seed, final Sheet out) {
+    void measure(final Meter meter, final long seed, final SeriesPrinter out) {
         final Series memory = new Series("membership's memory", "daemons", "bytes");
         final Series list = new Series("unchanged list taken in", "daemons", "ns a list");
         final Series tick = new Series("tick", "daemons", "ns a tick");
         for (final int size : DAEMONS) {
-            memory.add(size, meter.retained(() -> new Daemon(size, seed)));
+            memory.add(size, meter.measureRetainedBytes(() -> new Daemon(size, seed)));
             final Daemon daemon = new Daemon(size, seed);
-            list.add(size, meter.nanos(daemon::list));
-            tick.add(size, meter.nanos(daemon::tick));
+            list.add(size, meter.measureCpuNanos(daemon::receiveList));
+            tick.add(size, meter.measureCpuNanos(daemon::tick));
         }
-        out.add(memory, list, tick);
+        out.print(memory, list, tick);
     }
 
     private static DaemonMember member(final int number) {
@@ -89,10 +89,10 @@
                             new SplittableRandom(seed),
                             this,
                             mNow);
-            list();
+            receiveList();
         }
 
-        long list() {
+        long receiveList() {
             mNow = mNow.plusMillis(1);
             mMembership.listReceived(new VmListSnapshot(mNow, mMembers, mEndpoints), mNow);
             return 1;
--- a/bench/src/main/java/org/whinhead/bench/capacity/SilentActions.java
+++ b/bench/src/main/java/org/whinhead/bench/capacity/RecordingActions.java
@@ -12,7 +12,7 @@
 import org.whinhead.requests.Ticket;
 
 /** Keeps the attempts that were started and counts what callers got; does nothing else. */
-final class SilentActions implements RequestActions {
+final class RecordingActions implements RequestActions {
 
     private final Deque<AttemptId> mStarted = new ArrayDeque<>();
     private long mDelivered;
--- a/bench/src/main/java/org/whinhead/bench/capacity/ReportCost.java
+++ b/bench/src/main/java/org/whinhead/bench/capacity/ReportCost.java
@@ -39,28 +39,28 @@
     }
 
     @Override
-    void measure(final Meter meter, final long seed, final Sheet out) {
+    void measure(final Meter meter, final long seed, final SeriesPrinter out) {
         final Series record = new Series("request counted", "customers", "ns a request");
         final Series made = new Series("report made", "customers", "ns a report");
         final Series memory = new Series("recorder after a whole window", "customers", "bytes");
         final Series bytes = new Series("report as JSON", "customers", "bytes");
         for (final int size : SERIES) {
-            final BurnRecorder recorder = full(size, "entry-17");
-            record.add(size, meter.nanos(() -> count(recorder, size, end())));
-            made.add(size, meter.nanos(() -> recorder.report(end()).series().isEmpty() ? 0 : 1));
+            final BurnRecorder recorder = fullRecorder(size, "entry-17");
+            record.add(size, meter.measureCpuNanos(() -> count(recorder, size, end())));
+            made.add(size, meter.measureCpuNanos(() -> recorder.report(end()).series().isEmpty() ? 0 : 1));
             bytes.add(size, Spread.exact(json(recorder.report(end())).length));
-            memory.add(size, meter.retained(() -> full(size, "entry-17")));
+            memory.add(size, meter.measureRetainedBytes(() -> fullRecorder(size, "entry-17")));
         }
-        out.add(record, made, memory, bytes);
+        out.print(record, made, memory, bytes);
         final Series merged = new Series("reports of 100 customers merged", "daemons", "ns");
         for (final int size : DAEMONS) {
             final List<DaemonReport> reports = new ArrayList<>();
             for (int i = 0; i < size; i++) {
-                reports.add(full(MERGED, "entry-" + i).report(end()));
+                reports.add(fullRecorder(MERGED, "entry-" + i).report(end()));
             }
-            merged.add(size, meter.nanos(() -> merge(reports)));
+            merged.add(size, meter.measureCpuNanos(() -> merge(reports)));
         }
-        out.add(merged);
+        out.print(merged);
     }
 
     private static Instant end() {
@@ -68,7 +68,7 @@
     }
 
     /** A recorder whose customers each had a request in every minute that it keeps. */
-    private static BurnRecorder full(final int customers, final String daemon) {
+    private static BurnRecorder fullRecorder(final int customers, final String daemon) {
         final BurnRecorder recorder =
                 new BurnRecorder(new DaemonId(daemon), ADDRESS, Fixtures.START);
         recorder.setObjectives(List.of(OBJECTIVE));
--- a/bench/src/main/java/org/whinhead/bench/capacity/RequestsCost.java
+++ b/bench/src/main/java/org/whinhead/bench/capacity/RequestsCost.java
@@ -19,11 +19,11 @@
 
     private static final int[] TOKENS = {1, 64, 256, 1024};
     private static final int[] OPEN = {500, 1000, 2000, 4000};
-    private static final int WATCHED = 256;
-    private static final int AT_ONCE = 400;
+    private static final int WATCHED_ENDPOINTS = 256;
+    private static final int CONCURRENT_REQUESTS = 400;
     private static final int MEAN_TOKENS = 265;
     private static final int SLOTS = 100_000;
-    private static final int BOUND = 100_000;
+    private static final int MAX_WAITING = 100_000;
 
     private final Random mRandom = new Random();
     private long mNext;
@@ -39,44 +39,44 @@
     }
 
     @Override
-    void measure(final Meter meter, final long seed, final Sheet out) {
+    void measure(final Meter meter, final long seed, final SeriesPrinter out) {
         mRandom.setSeed(seed);
         final Series answer = new Series("whole answers", "tokens an answer", "ns an answer");
         for (final int tokens : TOKENS) {
-            final World world = new World(seed);
+            final Harness world = new Harness(seed);
             final List<RequestSpec> specs = specs();
-            answer.add(tokens, meter.nanos(() -> answers(world, specs, tokens)));
+            answer.add(tokens, meter.measureCpuNanos(() -> runAnswers(world, specs, tokens)));
         }
-        out.add(answer);
+        out.print(answer);
         final Series tick = new Series("tick", "requests in progress", "ns a tick");
         final Series memory = new Series("state", "requests in progress", "bytes");
         for (final int open : OPEN) {
-            final World world = opened(seed, open);
-            tick.add(open, meter.nanos(world::tick));
-            memory.add(open, meter.retained(() -> opened(seed, open)));
+            final Harness world = withOpenRequests(seed, open);
+            tick.add(open, meter.measureCpuNanos(world::tick));
+            memory.add(open, meter.measureRetainedBytes(() -> withOpenRequests(seed, open)));
         }
-        out.add(tick);
-        out.add(memory);
+        out.print(tick);
+        out.print(memory);
     }
 
     private List<RequestSpec> specs() {
         final List<RequestSpec> specs = new ArrayList<>();
-        for (int i = 0; i < AT_ONCE; i++) {
+        for (int i = 0; i < CONCURRENT_REQUESTS; i++) {
             specs.add(Fixtures.request(mNext++, mRandom));
         }
         return specs;
     }
 
-    private static long answers(
-            final World world, final List<RequestSpec> specs, final int tokens) {
+    private static long runAnswers(
+            final Harness world, final List<RequestSpec> specs, final int tokens) {
         final List<AttemptId> attempts = world.begin(specs);
         world.deliver(attempts, tokens);
         attempts.forEach(attempt -> world.finish(attempt, tokens));
         return specs.size();
     }
 
-    private World opened(final long seed, final int open) {
-        final World world = new World(seed);
+    private Harness withOpenRequests(final long seed, final int open) {
+        final Harness world = new Harness(seed);
         final List<RequestSpec> specs = new ArrayList<>();
         for (int i = 0; i < open; i++) {
             specs.add(Fixtures.request(mNext++, mRandom));
@@ -86,16 +86,16 @@
     }
 
     /** A coordinator with the daemon's router and admission. */
-    private static final class World {
+    private static final class Harness {
 
-        private final SilentActions mActions = new SilentActions();
+        private final RecordingActions mActions = new RecordingActions();
         private final DefaultRequestCoordinator mCoordinator;
 
-        World(final long seed) {
+        Harness(final long seed) {
             final TieredAdmission admission =
                     new TieredAdmission(
                             new AdmissionSettings(
-                                    BOUND,
+                                    MAX_WAITING,
                                     SLOTS,
                                     Duration.ofMillis(200),
                                     Duration.ofMillis(500),
@@ -104,7 +104,7 @@
             admission.capacityChanged(Target.of(Fixtures.request(0, new Random(seed))), SLOTS);
             mCoordinator =
                     DefaultRequestCoordinator.builder()
-                            .router(RoutingCost.router(seed, Fixtures.endpoints(WATCHED)))
+                            .router(RoutingCost.router(seed, Fixtures.endpoints(WATCHED_ENDPOINTS)))
                             .admission(admission)
                             .actions(mActions)
                             .random(new SplittableRandom(seed))
@@ -117,7 +117,7 @@
                 mCoordinator.submit(spec, Fixtures.START);
                 final AttemptId attempt = mActions.nextStarted();
                 attempts.add(attempt);
-                happened(new AttemptEvent.Opened(attempt, "stream-" + attempt.request()));
+                handle(new AttemptEvent.Opened(attempt, "stream-" + attempt.request()));
             }
             return attempts;
         }
@@ -126,13 +126,13 @@
         void deliver(final List<AttemptId> attempts, final int tokens) {
             for (int index = 0; index < tokens; index++) {
                 for (final AttemptId attempt : attempts) {
-                    happened(new AttemptEvent.Token(attempt, index, " word"));
+                    handle(new AttemptEvent.Token(attempt, index, " word"));
                 }
             }
         }
 
         void finish(final AttemptId attempt, final int tokens) {
-            happened(
+            handle(
                     new AttemptEvent.Finished(
                             attempt, "stop", Fixtures.PROMPT_TOKENS, 512, tokens));
         }
@@ -142,7 +142,7 @@
             return 1;
         }
 
-        private void happened(final AttemptEvent event) {
+        private void handle(final AttemptEvent event) {
             mCoordinator.onAttemptEvent(event, Fixtures.START);
         }
     }
--- a/bench/src/main/java/org/whinhead/bench/capacity/RoleCost.java
+++ b/bench/src/main/java/org/whinhead/bench/capacity/RoleCost.java
@@ -9,7 +9,7 @@
 
     @Override
     public final void run(final BenchOptions options, final PrintStream out) {
-        measure(new Meter(), options.seed(), new Sheet(options, out));
+        measure(new Meter(), options.seed(), new SeriesPrinter(options, out));
     }
 
     /**
@@ -19,5 +19,5 @@
      * @param seed the seed of all chance
      * @param out where the figures go
      */
-    abstract void measure(Meter meter, long seed, Sheet out);
+    abstract void measure(Meter meter, long seed, SeriesPrinter out);
 }
--- a/bench/src/main/java/org/whinhead/bench/capacity/RoutingCost.java
+++ b/bench/src/main/java/org/whinhead/bench/capacity/RoutingCost.java
@@ -30,7 +30,7 @@
     }
 
     @Override
-    void measure(final Meter meter, final long seed, final Sheet out) {
+    void measure(final Meter meter, final long seed, final SeriesPrinter out) {
         final Series decision = new Series("choose and end", "endpoints", "ns a decision");
         final Series report = new Series("load report taken in", "endpoints", "ns a report");
         final Series memory = new Series("router's memory", "endpoints", "bytes");
@@ -39,35 +39,35 @@
         for (final int size : SIZES) {
             final List<Endpoint> endpoints = Fixtures.endpoints(size);
             final AffinityRouter router = router(seed, endpoints);
-            decision.add(size, meter.nanos(() -> decide(router, requests)));
-            report.add(size, meter.nanos(() -> report(router, endpoints)));
-            update.add(size, meter.nanos(() -> list(router, endpoints)));
-            memory.add(size, meter.retained(() -> router(seed, Fixtures.endpoints(size))));
+            decision.add(size, meter.measureCpuNanos(() -> decide(router, requests)));
+            report.add(size, meter.measureCpuNanos(() -> report(router, endpoints)));
+            update.add(size, meter.measureCpuNanos(() -> replaceEndpoints(router, endpoints)));
+            memory.add(size, meter.measureRetainedBytes(() -> router(seed, Fixtures.endpoints(size))));
         }
-        out.add(decision);
-        out.add(report);
-        out.add(update);
-        out.add(memory);
-        index(meter, seed, out);
+        out.print(decision);
+        out.print(report);
+        out.print(update);
+        out.print(memory);
+        measureIndex(meter, seed, out);
     }
 
-    private static void index(final Meter meter, final long seed, final Sheet out) {
+    private static void measureIndex(final Meter meter, final long seed, final SeriesPrinter out) {
         final Series memory = new Series("router's memory", "blocks in its index", "bytes");
         for (final int blocks : BLOCKS) {
-            memory.add(blocks, meter.retained(() -> indexed(seed, blocks)));
+            memory.add(blocks, meter.measureRetainedBytes(() -> routerWithBlocks(seed, blocks)));
         }
-        out.add(memory);
+        out.print(memory);
         final Random random = new Random(seed);
         final List<Endpoint> endpoints = Fixtures.endpoints(256);
         final AffinityRouter router = router(seed, endpoints);
         final Series events = new Series("cache event taken in", "events a call", "ns an event");
         for (final int size : new int[] {BATCH, 2 * BATCH}) {
-            events.add(size, meter.nanos(() -> events(router, endpoints, random, size)));
+            events.add(size, meter.measureCpuNanos(() -> events(router, endpoints, random, size)));
         }
-        out.add(events);
+        out.print(events);
     }
 
-    private static AffinityRouter indexed(final long seed, final int blocks) {
+    private static AffinityRouter routerWithBlocks(final long seed, final int blocks) {
         final List<Endpoint> endpoints = Fixtures.endpoints(256);
         final AffinityRouter router = router(seed, endpoints);
         events(router, endpoints, new Random(seed), blocks);
@@ -115,7 +115,7 @@
         return requests.size();
     }
 
-    private static long list(final AffinityRouter router, final List<Endpoint> endpoints) {
+    private static long replaceEndpoints(final AffinityRouter router, final List<Endpoint> endpoints) {
         router.endpointsChanged(endpoints);
         return 1;
     }
--- a/bench/src/main/java/org/whinhead/bench/capacity/Series.java
+++ b/bench/src/main/java/org/whinhead/bench/capacity/Series.java
@@ -10,9 +10,9 @@
 /** One cost at several sizes, and the line through it. */
 final class Series {
 
-    private final String mWhat;
-    private final String mSize;
-    private final String mUnit;
+    private final String mName;
+    private final String mSizeUnit;
+    private final String mFigureUnit;
     private final List<LinearFit.Point> mPoints = new ArrayList<>();
     private final List<Spread> mSpreads = new ArrayList<>();
 
@@ -24,9 +24,9 @@
      * @param unit the figure's unit
      */
     Series(final String what, final String size, final String unit) {
-        mWhat = what;
-        mSize = size;
-        mUnit = unit;
+        mName = what;
+        mSizeUnit = size;
+        mFigureUnit = unit;
     }
 
     void add(final double size, final Spread spread) {
@@ -36,7 +36,7 @@
 
     String toText() {
         final StringBuilder text = new StringBuilder();
-        text.append(String.format("%s, %s by %s%n", mWhat, mUnit, mSize));
+        text.append(String.format("%s, %s by %s%n", mName, mFigureUnit, mSizeUnit));
         for (int i = 0; i < mSpreads.size(); i++) {
             text.append(row(mPoints.get(i).size(), mSpreads.get(i)));
         }
@@ -63,7 +63,7 @@
 
     ObjectNode toJson() {
         final ObjectNode node = new ObjectMapper().createObjectNode();
-        node.put("what", mWhat).put("size", mSize).put("unit", mUnit);
+        node.put("what", mName).put("size", mSizeUnit).put("unit", mFigureUnit);
         final ArrayNode rows = node.putArray("rows");
         for (int i = 0; i < mSpreads.size(); i++) {
             final Spread spread = mSpreads.get(i);
--- a/bench/src/main/java/org/whinhead/bench/capacity/SettingsCost.java
+++ b/bench/src/main/java/org/whinhead/bench/capacity/SettingsCost.java
@@ -42,33 +42,33 @@
     }
 
     @Override
-    void measure(final Meter meter, final long seed, final Sheet out) {
-        changes(meter, out);
-        kept(meter, out);
+    void measure(final Meter meter, final long seed, final SeriesPrinter out) {
+        measureChanges(meter, out);
+        measureRetention(meter, out);
         final Series outcomes = new Series("fold's memory", "outcomes kept", "bytes");
         for (final int count : OUTCOMES) {
-            outcomes.add(count, meter.retained(() -> new Daemon(1, count, count)));
+            outcomes.add(count, meter.measureRetainedBytes(() -> new Daemon(1, count, count)));
         }
-        out.add(outcomes);
+        out.print(outcomes);
     }
 
-    private static void changes(final Meter meter, final Sheet out) {
+    private static void measureChanges(final Meter meter, final SeriesPrinter out) {
         final Series change = new Series("one change on the log", "documents", "bytes");
         final Series fold = new Series("change written, read, folded", "documents", "ns a change");
         final Series rules = new Series("change checked by the rules", "documents", "ns a check");
         final Series usable = new Series("documents made usable", "documents", "ns a change");
         for (final int documents : DOCUMENTS) {
             final Daemon daemon = new Daemon(documents, 1, MANY_OUTCOMES);
-            fold.add(documents, meter.nanos(daemon::change));
+            fold.add(documents, meter.measureCpuNanos(daemon::change));
             change.add(documents, Spread.exact(daemon.bytesOfChange()));
             final DeploymentSettings parsed = parsed(documents);
-            rules.add(documents, meter.nanos(() -> check(parsed)));
-            usable.add(documents, meter.nanos(() -> replace(parsed)));
+            rules.add(documents, meter.measureCpuNanos(() -> check(parsed)));
+            usable.add(documents, meter.measureCpuNanos(() -> replace(parsed)));
         }
-        out.add(change, fold, rules, usable);
+        out.print(change, fold, rules, usable);
     }
 
-    private static void kept(final Meter meter, final Sheet out) {
+    private static void measureRetention(final Meter meter, final SeriesPrinter out) {
         final Series memory = new Series("fold's memory", "revisions kept", "bytes");
         final Series size = new Series("checkpoint", "revisions kept", "bytes");
         final Series write = new Series("checkpoint written", "revisions kept", "ns");
@@ -79,11 +79,11 @@
             final FoldState state = new Daemon(KEPT_DOCUMENTS, revisions, 1).mFold.view().state();
             final byte[] bytes = codec.encode(state);
             size.add(kept, Spread.exact(bytes.length));
-            write.add(kept, meter.nanos(() -> codec.encode(state).length > 0 ? 1 : 0));
-            read.add(kept, meter.nanos(() -> decode(codec, bytes)));
-            memory.add(kept, meter.retained(() -> new Daemon(KEPT_DOCUMENTS, revisions, 1)));
+            write.add(kept, meter.measureCpuNanos(() -> codec.encode(state).length > 0 ? 1 : 0));
+            read.add(kept, meter.measureCpuNanos(() -> decode(codec, bytes)));
+            memory.add(kept, meter.measureRetainedBytes(() -> new Daemon(KEPT_DOCUMENTS, revisions, 1)));
         }
-        out.add(memory, size, write, read);
+        out.print(memory, size, write, read);
     }
 
     private static long decode(final CheckpointCodec codec, final byte[] bytes) {
@@ -140,7 +140,7 @@
 
     /** A fold after as many changes of each document as revisions are asked for. */
     private static final class Daemon {
-        private final LoopLog mLog = new LoopLog();
+        private final LoopbackLog mLog = new LoopbackLog();
         private final LogFold mFold;
         private final long[] mRevisions;
         private long mChanges;
@@ -149,7 +149,7 @@
             mFold =
                     new LogFold(
                             new SettingsLedger(
-                                    new AnythingGoes(),
+                                    new PermissiveValidator(),
                                     (author, path, current) -> true,
                                     new SettingsLedger.Limits(REVISIONS_PER_PATH, outcomes)),
                             INCARNATIONS);
@@ -194,7 +194,7 @@
     }
 
     /** Leaves the rules out, which are measured on their own. */
-    private static final class AnythingGoes implements SettingsValidator {
+    private static final class PermissiveValidator implements SettingsValidator {
         @Override
         public boolean supports(final int rules) {
             return true;
--- a/bench/src/main/java/org/whinhead/bench/capacity/WatchCost.java
+++ b/bench/src/main/java/org/whinhead/bench/capacity/WatchCost.java
@@ -29,7 +29,7 @@
     }
 
     @Override
-    void measure(final Meter meter, final long seed, final Sheet out) {
+    void measure(final Meter meter, final long seed, final SeriesPrinter out) {
         final Series plan = new Series("watch plan made", "daemons", "ns a plan");
         final Series watched = new Series("endpoints watched", "daemons", "endpoints");
         final Series polled = new Series("endpoints polled, mean", "daemons", "endpoints");
@@ -39,7 +39,7 @@
             final List<DaemonLocation> daemons = daemons(size);
             final List<Endpoint> endpoints =
                     Fixtures.endpoints(size * ENDPOINTS_AT_FULL_SIZE / DAEMONS_AT_FULL_SIZE);
-            plan.add(size, meter.nanos(() -> plan(daemons.get(0), daemons, endpoints)));
+            plan.add(size, meter.measureCpuNanos(() -> plan(daemons.get(0), daemons, endpoints)));
             int sum = 0;
             int highest = 0;
             for (final DaemonLocation daemon : daemons) {
@@ -55,20 +55,20 @@
             polled.add(size, Spread.exact((double) sum / size));
             most.add(size, Spread.exact(highest));
         }
-        out.add(plan, watched, polled, most, peers);
-        digests(meter, out);
+        out.print(plan, watched, polled, most, peers);
+        measureDigests(meter, out);
     }
 
-    private static void digests(final Meter meter, final Sheet out) {
+    private static void measureDigests(final Meter meter, final SeriesPrinter out) {
         final Series bytes = new Series("load digest", "reports", "bytes a message");
         final Series nanos = new Series("load digest written and read", "reports", "ns a message");
         for (final int size : REPORTS) {
             final List<Endpoint> endpoints = Fixtures.endpoints(size);
             bytes.add(size, Spread.exact(digest(endpoints).length));
-            nanos.add(size, meter.nanos(() -> writeAndRead(endpoints)));
+            nanos.add(size, meter.measureCpuNanos(() -> writeAndRead(endpoints)));
         }
-        out.add(bytes);
-        out.add(nanos);
+        out.print(bytes);
+        out.print(nanos);
     }
 
     private static long plan(
--- a/bench/src/main/java/org/whinhead/bench/days/RolloutDaysBenchmark.java
+++ b/bench/src/main/java/org/whinhead/bench/days/RolloutDaysBenchmark.java
@@ -77,16 +77,16 @@
         }
         table.add(
                 label,
-                part(outcomes, outcome -> outcome.state() == RolloutState.COMPLETED),
-                part(outcomes, RolloutDaysBenchmark::isOverExposed),
-                outcomes.stream().mapToDouble(RolloutDaysBenchmark::exposure).max().orElseThrow(),
+                share(outcomes, outcome -> outcome.state() == RolloutState.COMPLETED),
+                share(outcomes, RolloutDaysBenchmark::isOverExposed),
+                outcomes.stream().mapToDouble(RolloutDaysBenchmark::exposedPerAllowed).max().orElseThrow(),
                 outcomes.stream()
                         .mapToDouble(outcome -> outcome.decidedAfter().toMillis() / 1e3)
                         .average()
                         .orElseThrow());
     }
 
-    private static double part(
+    private static double share(
             final List<RolloutOutcome> outcomes, final Predicate<RolloutOutcome> which) {
         return (double) outcomes.stream().filter(which).count() / outcomes.size();
     }
@@ -96,7 +96,7 @@
                 RolloutSimulation.LIMITS.exposureShare(), RolloutSimulation.LIMITS.exposureSlack());
     }
 
-    private static double exposure(final RolloutOutcome outcome) {
+    private static double exposedPerAllowed(final RolloutOutcome outcome) {
         return outcome.exposed()
                 / (RolloutSimulation.LIMITS.exposureShare() * outcome.requests()
                         + RolloutSimulation.LIMITS.exposureSlack());
--- a/bench/src/main/java/org/whinhead/bench/goodput/GoodputRun.java
+++ b/bench/src/main/java/org/whinhead/bench/goodput/GoodputRun.java
@@ -21,7 +21,7 @@
 
     static final Cluster.Sizes SIZES = new Cluster.Sizes(6, 1);
 
-    private static final Duration LENGTH = Duration.ofSeconds(120);
+    private static final Duration DURATION = Duration.ofSeconds(120);
     private static final Duration WARM_UP = Duration.ofSeconds(30);
     private static final Duration TICK = Duration.ofMillis(20);
     private static final double NANOS_PER_SECOND = 1e9;
@@ -42,14 +42,14 @@
         mPerSecond = perSecond;
         mRandom = new Random(seed);
         mConversations = new Conversations(seed, EngineSettings.DEFAULT.blockTokens());
-        mCluster = new Cluster(SIZES, RoutingStrategy.AFFINITY, seed, mSimulation, this::finished);
+        mCluster = new Cluster(SIZES, RoutingStrategy.AFFINITY, seed, mSimulation, this::onFinished);
     }
 
     static Outcome of(final Admission admission, final double perSecond, final long seed) {
         final GoodputRun run = new GoodputRun(admission, perSecond, seed);
         run.arrive();
         run.tick();
-        run.mSimulation.runFor(LENGTH);
+        run.mSimulation.runFor(DURATION);
         return run.outcome();
     }
 
@@ -82,7 +82,7 @@
         }
     }
 
-    private void finished(final Sequence sequence) {
+    private void onFinished(final Sequence sequence) {
         final Instant now = mSimulation.now();
         final RequestSpec spec = sequence.spec();
         mAdmission.requestEnded(spec.id(), sequence.generated(), now);
@@ -113,7 +113,7 @@
      */
     record Outcome(int finished, Map<String, Integer> inTime, Map<String, Integer> offered) {
 
-        private static final double SECONDS = LENGTH.minus(WARM_UP).toSeconds();
+        private static final double SECONDS = DURATION.minus(WARM_UP).toSeconds();
 
         double finishedPerSecond() {
             return finished / SECONDS;
--- a/bench/src/main/java/org/whinhead/bench/retries/FaultyEngine.java
+++ b/bench/src/main/java/org/whinhead/bench/retries/FaultyEngine.java
@@ -26,9 +26,9 @@
     /** The text of each token. */
     static final String TOKEN_TEXT = "t ";
 
-    private static final Duration WAY = Duration.ofMillis(1);
-    private static final int LEAST_CUT_MILLIS = 300;
-    private static final int CUT_SPREAD_MILLIS = 700;
+    private static final Duration ONE_WAY_DELAY = Duration.ofMillis(1);
+    private static final int MIN_CUT_DELAY_MILLIS = 300;
+    private static final int CUT_JITTER_MILLIS = 700;
 
     private final Simulation mSimulation;
     private final Random mRandom;
@@ -37,7 +37,7 @@
     private final Map<AttemptId, Stream> mStreams = new LinkedHashMap<>();
     private final Map<Sequence, Stream> mBySequence = new HashMap<>();
     private EngineFault mFault = EngineFault.NONE;
-    private long mComputedByEnded;
+    private long mEndedComputedTokens;
 
     FaultyEngine(
             final int number,
@@ -73,20 +73,20 @@
         final int rest = (int) (answerTokens - fromIndex);
         final Stream stream = new Stream(attempt, new Sequence(spec, rest), fromIndex, events);
         if (mFault == EngineFault.UNREACHABLE) {
-            tell(stream, new AttemptEvent.Failed(attempt, AttemptFailure.CONNECT_FAILED, "fault"));
+            send(stream, new AttemptEvent.Failed(attempt, AttemptFailure.CONNECT_FAILED, "fault"));
             return;
         }
         stream.mMuted = mFault == EngineFault.SILENT;
-        tell(stream, new AttemptEvent.Opened(attempt, attempt.toString()));
+        send(stream, new AttemptEvent.Opened(attempt, attempt.toString()));
         if (rest <= 0) {
-            tell(stream, new AttemptEvent.Finished(attempt, "stop", 0, 0, fromIndex));
+            send(stream, new AttemptEvent.Finished(attempt, "stop", 0, 0, fromIndex));
             return;
         }
         mStreams.put(attempt, stream);
         mBySequence.put(stream.mSequence, stream);
         mModel.submit(stream.mSequence);
         if (mFault == EngineFault.CUTS_STREAMS) {
-            final int millis = LEAST_CUT_MILLIS + mRandom.nextInt(CUT_SPREAD_MILLIS);
+            final int millis = MIN_CUT_DELAY_MILLIS + mRandom.nextInt(CUT_JITTER_MILLIS);
             mSimulation.after(Duration.ofMillis(millis), () -> cut(stream));
         }
     }
@@ -96,12 +96,12 @@
         final Stream stream = mStreams.get(attempt);
         if (stream != null) {
             mModel.cancel(stream.mSequence);
-            forget(stream);
+            remove(stream);
         }
     }
 
     /** Tells whether load reports get out. */
-    boolean reports() {
+    boolean canReportLoad() {
         return mFault == EngineFault.NONE || mFault == EngineFault.CUTS_STREAMS;
     }
 
@@ -110,8 +110,8 @@
     }
 
     /** Returns the tokens computed so far, of prompts and answers. */
-    long computed() {
-        long computed = mComputedByEnded;
+    long computedTokens() {
+        long computed = mEndedComputedTokens;
         for (final Stream stream : mStreams.values()) {
             computed += stream.mSequence.computed();
         }
@@ -122,7 +122,7 @@
     public void decoded(final int engine, final Sequence sequence) {
         final Stream stream = mBySequence.get(sequence);
         final long index = stream.mFromIndex + sequence.generated() - 1;
-        tell(stream, new AttemptEvent.Token(stream.mAttempt, index, TOKEN_TEXT));
+        send(stream, new AttemptEvent.Token(stream.mAttempt, index, TOKEN_TEXT));
     }
 
     @Override
@@ -131,8 +131,8 @@
         final long answer = stream.mFromIndex + sequence.generated();
         final int prompt = sequence.spec().promptTokens();
         final int cached = prompt - sequence.uncachedPrompt();
-        forget(stream);
-        tell(stream, new AttemptEvent.Finished(stream.mAttempt, "stop", prompt, cached, answer));
+        remove(stream);
+        send(stream, new AttemptEvent.Finished(stream.mAttempt, "stop", prompt, cached, answer));
     }
 
     @Override
@@ -148,18 +148,18 @@
         cancel(stream.mAttempt);
         final AttemptFailure failure =
                 begun ? AttemptFailure.CUT_DURING_ANSWER : AttemptFailure.CUT_BEFORE_ANSWER;
-        tell(stream, new AttemptEvent.Failed(stream.mAttempt, failure, "fault"));
+        send(stream, new AttemptEvent.Failed(stream.mAttempt, failure, "fault"));
     }
 
-    private void forget(final Stream stream) {
+    private void remove(final Stream stream) {
         mStreams.remove(stream.mAttempt);
         mBySequence.remove(stream.mSequence);
-        mComputedByEnded += stream.mSequence.computed();
+        mEndedComputedTokens += stream.mSequence.computed();
     }
 
-    private void tell(final Stream stream, final AttemptEvent event) {
+    private void send(final Stream stream, final AttemptEvent event) {
         if (!stream.mMuted) {
-            mSimulation.after(WAY, () -> stream.mEvents.accept(event));
+            mSimulation.after(ONE_WAY_DELAY, () -> stream.mEvents.accept(event));
         }
     }
 
--- a/bench/src/main/java/org/whinhead/bench/retries/OutageFigures.java
+++ b/bench/src/main/java/org/whinhead/bench/retries/OutageMetrics.java
@@ -8,7 +8,7 @@
 import org.whinhead.bench.engine.Simulation;
 
 /** What one outage cost, taken at its beginning, its end and after the run. */
-final class OutageFigures {
+final class OutageMetrics {
 
     static final Duration WARM_UP = Duration.ofSeconds(30);
     static final Duration BEGIN = Duration.ofSeconds(60);
@@ -21,32 +21,32 @@
     private static final Duration BUCKET = Duration.ofSeconds(2);
     private static final double RECOVERED_SHARE = 0.95;
 
-    private final Callers mCallers;
+    private final SimulatedCallers mCallers;
     private final LongSupplier mDispatches;
     private final LongSupplier mComputed;
     private long mDispatchesBefore;
     private long mDispatchesAtEnd;
     private long mComputedBefore;
     private long mComputedAtEnd;
-    private long mComputedWarm;
+    private long mComputedAtWarmUpEnd;
 
-    OutageFigures(
-            final Callers callers, final LongSupplier dispatches, final LongSupplier computed) {
+    OutageMetrics(
+            final SimulatedCallers callers, final LongSupplier dispatches, final LongSupplier computed) {
         mCallers = callers;
         mDispatches = dispatches;
         mComputed = computed;
     }
 
-    void warm() {
-        mComputedWarm = mComputed.getAsLong();
+    void onWarmUpEnded() {
+        mComputedAtWarmUpEnd = mComputed.getAsLong();
     }
 
-    void outageBegan() {
+    void onOutageBegan() {
         mDispatchesBefore = mDispatches.getAsLong();
         mComputedBefore = mComputed.getAsLong();
     }
 
-    void outageEnded() {
+    void onOutageEnded() {
         mDispatchesAtEnd = mDispatches.getAsLong();
         mComputedAtEnd = mComputed.getAsLong();
     }
@@ -58,13 +58,13 @@
 
     /** Returns how often each call that came in the outage was asked for. */
     double triesPerCall() {
-        return arrived(BEGIN, END).stream().mapToInt(Callers.Call::tries).average().orElse(0);
+        return arrived(BEGIN, END).stream().mapToInt(SimulatedCallers.Call::tries).average().orElse(0);
     }
 
     /** Returns the tokens computed in the outage for each answer in it, against those before. */
     double tokensPerAnswer() {
         final double during = (double) (mComputedAtEnd - mComputedBefore) / answered(BEGIN, END);
-        final double before = (double) (mComputedBefore - mComputedWarm) / answered(WARM_UP, BEGIN);
+        final double before = (double) (mComputedBefore - mComputedAtWarmUpEnd) / answered(WARM_UP, BEGIN);
         return during / before;
     }
 
@@ -72,7 +72,7 @@
     double goodput() {
         final long inTime =
                 mCallers.calls().stream()
-                        .filter(Callers.Call::isInTime)
+                        .filter(SimulatedCallers.Call::isInTime)
                         .filter(call -> isIn(call.answeredAt(), BEGIN, END))
                         .count();
         return (double) inTime / END.minus(BEGIN).toSeconds();
@@ -88,11 +88,11 @@
      * 95% of the share before and stays there for two buckets; negative if it never is.
      */
     double secondsToRecover() {
-        final double wanted = RECOVERED_SHARE * atOnce(WARM_UP, BEGIN);
+        final double wanted = RECOVERED_SHARE * firstTryShare(WARM_UP, BEGIN);
         Duration from = END;
         while (from.compareTo(COUNTED_END) < 0) {
             final Duration next = from.plus(BUCKET);
-            if (atOnce(from, next) >= wanted && atOnce(next, next.plus(BUCKET)) >= wanted) {
+            if (firstTryShare(from, next) >= wanted && firstTryShare(next, next.plus(BUCKET)) >= wanted) {
                 return from.minus(END).toSeconds();
             }
             from = next;
@@ -100,20 +100,20 @@
         return -1;
     }
 
-    private double atOnce(final Duration from, final Duration to) {
-        return share(arrived(from, to), Callers.Call::isInTimeAtOnce);
+    private double firstTryShare(final Duration from, final Duration to) {
+        return share(arrived(from, to), SimulatedCallers.Call::isInTimeOnFirstTry);
     }
 
     private long answered(final Duration from, final Duration to) {
         return mCallers.calls().stream().filter(call -> isIn(call.answeredAt(), from, to)).count();
     }
 
-    private List<Callers.Call> arrived(final Duration from, final Duration to) {
+    private List<SimulatedCallers.Call> arrived(final Duration from, final Duration to) {
         return mCallers.calls().stream().filter(call -> isIn(call.arrived(), from, to)).toList();
     }
 
     private static double share(
-            final List<Callers.Call> calls, final Predicate<Callers.Call> condition) {
+            final List<SimulatedCallers.Call> calls, final Predicate<SimulatedCallers.Call> condition) {
         return (double) calls.stream().filter(condition).count() / calls.size();
     }
 
--- a/bench/src/main/java/org/whinhead/bench/retries/OutageRun.java
+++ b/bench/src/main/java/org/whinhead/bench/retries/OutageRun.java
@@ -32,16 +32,16 @@
     private final Simulation mSimulation = new Simulation();
     private final Map<EndpointId, FaultyEngine> mEngines = new LinkedHashMap<>();
     private final List<SimulatedDaemon> mDaemons = new ArrayList<>();
-    private final OutageFigures mFigures;
+    private final OutageMetrics mFigures;
 
-    private OutageRun(final RetryIdeas ideas, final double perSecond, final long seed) {
+    private OutageRun(final RetryVariant ideas, final double perSecond, final long seed) {
         final List<Endpoint> endpoints = Cluster.endpoints(ENGINES);
         final Random random = new Random(seed);
         for (int i = 0; i < ENGINES; i++) {
             final EndpointId id = endpoints.get(i).id();
             mEngines.put(id, new FaultyEngine(i, id, mSimulation, random, this::cacheChanged));
         }
-        final Callers callers = new Callers(mSimulation, perSecond, seed);
+        final SimulatedCallers callers = new SimulatedCallers(mSimulation, perSecond, seed);
         final Target target = new Target(EndpointKind.MODEL_ENGINE, Conversations.MODEL.toString());
         final SimulatedDaemon.Setup setup =
                 new SimulatedDaemon.Setup(mEngines, endpoints, target, DAEMONS);
@@ -49,26 +49,26 @@
             final Random own = new Random(seed + i);
             mDaemons.add(new SimulatedDaemon(ideas, setup, mSimulation, own, callers));
         }
-        mFigures = new OutageFigures(callers, this::dispatches, this::computed);
+        mFigures = new OutageMetrics(callers, this::dispatches, this::computedTokens);
         report();
-        plan();
+        scheduleOutage();
         callers.start(mDaemons);
     }
 
-    static OutageFigures of(final RetryIdeas ideas, final double perSecond, final long seed) {
+    static OutageMetrics of(final RetryVariant ideas, final double perSecond, final long seed) {
         final OutageRun run = new OutageRun(ideas, perSecond, seed);
-        run.mSimulation.runFor(OutageFigures.LENGTH);
+        run.mSimulation.runFor(OutageMetrics.LENGTH);
         return run.mFigures;
     }
 
-    private void plan() {
-        mSimulation.after(OutageFigures.WARM_UP, mFigures::warm);
-        mSimulation.after(OutageFigures.BEGIN, this::begin);
-        mSimulation.after(OutageFigures.END, this::end);
+    private void scheduleOutage() {
+        mSimulation.after(OutageMetrics.WARM_UP, mFigures::onWarmUpEnded);
+        mSimulation.after(OutageMetrics.BEGIN, this::begin);
+        mSimulation.after(OutageMetrics.END, this::end);
     }
 
     private void begin() {
-        mFigures.outageBegan();
+        mFigures.onOutageBegan();
         int at = 0;
         for (final FaultyEngine engine : mEngines.values()) {
             final int fault = at / ENGINES_OF_EACH_FAULT;
@@ -78,13 +78,13 @@
     }
 
     private void end() {
-        mFigures.outageEnded();
+        mFigures.onOutageEnded();
         mEngines.values().forEach(engine -> engine.setFault(EngineFault.NONE));
     }
 
     private void report() {
         for (final FaultyEngine engine : mEngines.values()) {
-            if (engine.reports()) {
+            if (engine.canReportLoad()) {
                 final LoadReport report = engine.load();
                 mSimulation.after(REPORT_LAG, () -> deliver(report));
             }
@@ -106,7 +106,7 @@
         return mDaemons.stream().mapToLong(SimulatedDaemon::dispatches).sum();
     }
 
-    private long computed() {
-        return mEngines.values().stream().mapToLong(FaultyEngine::computed).sum();
+    private long computedTokens() {
+        return mEngines.values().stream().mapToLong(FaultyEngine::computedTokens).sum();
     }
 }
--- a/bench/src/main/java/org/whinhead/bench/retries/RetriesBenchmark.java
+++ b/bench/src/main/java/org/whinhead/bench/retries/RetriesBenchmark.java
@@ -32,8 +32,8 @@
                             "in time/s",
                             "answered",
                             "recovery s");
-            for (final RetryIdeas ideas : RetryIdeas.values()) {
-                final OutageFigures outcome = OutageRun.of(ideas, perSecond, options.seed());
+            for (final RetryVariant ideas : RetryVariant.values()) {
+                final OutageMetrics outcome = OutageRun.of(ideas, perSecond, options.seed());
                 figures.add(
                         ideas.label(),
                         outcome.dispatchesPerCall(),
--- a/bench/src/main/java/org/whinhead/bench/retries/RetryIdeas.java
+++ b/bench/src/main/java/org/whinhead/bench/retries/RetryVariant.java
@@ -7,46 +7,46 @@
 import org.whinhead.routing.SuccessRule;
 
 /** Which of the ideas on retries are in force in a run. */
-enum RetryIdeas {
+enum RetryVariant {
     /** All of them: the program's own values. */
     ALL("all ideas"),
     /** Deadline and count of runs start anew once an answer has begun. */
     BOUNDS_PER_ATTEMPT("bounds per attempt") {
         @Override
-        RequestSettings requests() {
+        RequestSettings requestSettings() {
             return RequestSettings.builder().retryScope(RetryScope.ATTEMPT).build();
         }
     },
     /** Retries are not capped at a share of the traffic. */
     NO_RETRY_CAP("no retry cap") {
         @Override
-        RequestSettings requests() {
+        RequestSettings requestSettings() {
             return RequestSettings.builder().retries(1, UNBOUNDED).build();
         }
     },
     /** A failing endpoint stays open to new work. */
     NO_COOLDOWN("no cooldown") {
         @Override
-        HealthSettings health() {
-            return neverSuspect();
+        HealthSettings healthSettings() {
+            return withoutCooldown();
         }
     },
     /** A failing endpoint stays open, and retries are not capped. */
     NO_COOLDOWN_NO_CAP("no cooldown, no cap") {
         @Override
-        RequestSettings requests() {
+        RequestSettings requestSettings() {
             return RequestSettings.builder().retries(1, UNBOUNDED).build();
         }
 
         @Override
-        HealthSettings health() {
-            return neverSuspect();
+        HealthSettings healthSettings() {
+            return withoutCooldown();
         }
     },
     /** The wait for a probe doubles up to 32 s. */
     LONG_COOLDOWN("cooldown up to 32 s") {
         @Override
-        HealthSettings health() {
+        HealthSettings healthSettings() {
             final HealthSettings usual = HealthSettings.DEFAULT;
             return new HealthSettings(
                     usual.failuresToSuspect(),
@@ -60,14 +60,14 @@
     /** An old success clears a newer failure. */
     ANY_SUCCESS("any success clears") {
         @Override
-        HealthSettings health() {
+        HealthSettings healthSettings() {
             return withSuccessRule(SuccessRule.ANY);
         }
     },
     /** None of them. */
     NONE("none") {
         @Override
-        RequestSettings requests() {
+        RequestSettings requestSettings() {
             return RequestSettings.builder()
                     .retryScope(RetryScope.ATTEMPT)
                     .retries(1, UNBOUNDED)
@@ -75,14 +75,14 @@
         }
 
         @Override
-        HealthSettings health() {
-            return neverSuspect();
+        HealthSettings healthSettings() {
+            return withoutCooldown();
         }
     },
     /** All of them, and an engine that opens no stream within a second has failed. */
     OPEN_TIMEOUT("all, open within 1 s") {
         @Override
-        RequestSettings requests() {
+        RequestSettings requestSettings() {
             return RequestSettings.builder().openTimeout(Duration.ofSeconds(1)).build();
         }
     },
@@ -96,7 +96,7 @@
     /** Both: engines must open a stream within a second, and slots follow their health. */
     OPEN_TIMEOUT_AND_CAPACITY("all, both of these") {
         @Override
-        RequestSettings requests() {
+        RequestSettings requestSettings() {
             return RequestSettings.builder().openTimeout(Duration.ofSeconds(1)).build();
         }
 
@@ -108,7 +108,7 @@
     /** All of them, and silence before the first token counts as a failure ten times sooner. */
     SHORT_SILENCE("all, silence x2") {
         @Override
-        RequestSettings requests() {
+        RequestSettings requestSettings() {
             return RequestSettings.builder().silence(2, Duration.ofSeconds(2)).build();
         }
     };
@@ -117,7 +117,7 @@
 
     private final String mLabel;
 
-    RetryIdeas(final String label) {
+    RetryVariant(final String label) {
         mLabel = label;
     }
 
@@ -125,11 +125,11 @@
         return mLabel;
     }
 
-    RequestSettings requests() {
+    RequestSettings requestSettings() {
         return RequestSettings.builder().build();
     }
 
-    HealthSettings health() {
+    HealthSettings healthSettings() {
         return HealthSettings.DEFAULT;
     }
 
@@ -137,7 +137,7 @@
         return false;
     }
 
-    private static HealthSettings neverSuspect() {
+    private static HealthSettings withoutCooldown() {
         final HealthSettings usual = HealthSettings.DEFAULT;
         return new HealthSettings(
                 Integer.MAX_VALUE, usual.cooldown(), usual.jitter(), usual.probeTimeout());
--- a/bench/src/main/java/org/whinhead/bench/retries/Callers.java
+++ b/bench/src/main/java/org/whinhead/bench/retries/SimulatedCallers.java
@@ -16,11 +16,11 @@
 import org.whinhead.bench.engine.Simulation;
 
 /** Callers who ask at a rate, come back when they are told to, and hang up in the end. */
-final class Callers implements SimulatedDaemon.AnswerListener {
+final class SimulatedCallers implements SimulatedDaemon.AnswerListener {
 
     private static final Duration REQUEST_TIMEOUT = Duration.ofSeconds(20);
-    private static final Duration PATIENCE = Duration.ofSeconds(60);
-    private static final int MOST_TRIES = 4;
+    private static final Duration CALLER_TIMEOUT = Duration.ofSeconds(60);
+    private static final int MAX_TRIES = 4;
     private static final double NANOS_PER_SECOND = 1e9;
 
     private final Simulation mSimulation;
@@ -31,7 +31,7 @@
     private final List<Call> mCalls = new ArrayList<>();
     private List<SimulatedDaemon> mDaemons = List.of();
 
-    Callers(final Simulation simulation, final double perSecond, final long seed) {
+    SimulatedCallers(final Simulation simulation, final double perSecond, final long seed) {
         mSimulation = simulation;
         mPerSecond = perSecond;
         mRandom = new Random(seed);
@@ -69,32 +69,32 @@
     @Override
     public void refused(final RequestId request, final Refusal refusal) {
         final Try open = mOpen.remove(request);
-        if (open == null || open.mCall.mTries >= MOST_TRIES) {
+        if (open == null || open.mCall.mTries >= MAX_TRIES) {
             return;
         }
-        refusal.retryAfter().ifPresent(wait -> mSimulation.after(wait, () -> ask(open.mCall)));
+        refusal.retryAfter().ifPresent(wait -> mSimulation.after(wait, () -> submit(open.mCall)));
     }
 
     private void arrive() {
         final Call call = new Call(mConversations.next(mSimulation.now()), mSimulation.now());
         mCalls.add(call);
-        ask(call);
+        submit(call);
         final double wait = -Math.log(1 - mRandom.nextDouble()) / mPerSecond;
         mSimulation.after(Duration.ofNanos((long) (wait * NANOS_PER_SECOND)), this::arrive);
     }
 
-    private void ask(final Call call) {
+    private void submit(final Call call) {
         call.mTries++;
         final RequestSpec spec = spec(call);
         mOpen.put(spec.id(), new Try(call, spec));
         final SimulatedDaemon daemon = mDaemons.get(mRandom.nextInt(mDaemons.size()));
-        daemon.arrived(spec, call.mTurn.outputTokens());
-        mSimulation.after(PATIENCE, () -> hangUp(daemon, spec.id()));
+        daemon.submit(spec, call.mTurn.outputTokens());
+        mSimulation.after(CALLER_TIMEOUT, () -> disconnect(daemon, spec.id()));
     }
 
-    private void hangUp(final SimulatedDaemon daemon, final RequestId request) {
+    private void disconnect(final SimulatedDaemon daemon, final RequestId request) {
         if (mOpen.remove(request) != null) {
-            daemon.callerLeft(request);
+            daemon.disconnectCaller(request);
         }
     }
 
@@ -149,7 +149,7 @@
         }
 
         /** Tells whether it was in time and nobody had to ask twice. */
-        boolean isInTimeAtOnce() {
+        boolean isInTimeOnFirstTry() {
             return mInTime && mTries == 1;
         }
 
--- a/bench/src/main/java/org/whinhead/bench/retries/SimulatedDaemon.java
+++ b/bench/src/main/java/org/whinhead/bench/retries/SimulatedDaemon.java
@@ -32,7 +32,7 @@
 final class SimulatedDaemon implements RequestActions {
 
     private static final Duration TICK = Duration.ofMillis(20);
-    private static final Duration WAY = Duration.ofMillis(1);
+    private static final Duration ONE_WAY_DELAY = Duration.ofMillis(1);
     private static final Duration DISPATCH_ALLOWANCE = Duration.ofMillis(600);
     private static final double CAPACITY_FACTOR = 1.5;
 
@@ -41,14 +41,14 @@
     private final AnswerListener mListener;
     private final AffinityRouter mRouter;
     private final DefaultRequestCoordinator mCoordinator;
-    private final Map<RequestId, Work> mWork = new HashMap<>();
+    private final Map<RequestId, PendingRequest> mPending = new HashMap<>();
     private final TieredAdmission mAdmission;
     private final Setup mSetup;
     private final boolean mCapacityFollowsHealth;
     private long mDispatches;
 
     SimulatedDaemon(
-            final RetryIdeas ideas,
+            final RetryVariant ideas,
             final Setup setup,
             final Simulation simulation,
             final Random random,
@@ -62,14 +62,14 @@
         setCapacity(setup.endpoints());
         mRouter =
                 new AffinityRouter(
-                        RoutingSettings.of(Cluster.DOMAIN).withHealth(ideas.health()), random);
+                        RoutingSettings.of(Cluster.DOMAIN).withHealth(ideas.healthSettings()), random);
         mRouter.endpointsChanged(setup.endpoints());
         mCoordinator =
                 DefaultRequestCoordinator.builder()
                         .router(mRouter)
                         .admission(mAdmission)
                         .actions(this)
-                        .settings(ideas.requests())
+                        .settings(ideas.requestSettings())
                         .random(random)
                         .build();
         tick();
@@ -101,13 +101,13 @@
         return mDispatches;
     }
 
-    void arrived(final RequestSpec spec, final int answerTokens) {
-        mWork.put(spec.id(), new Work(spec, answerTokens));
+    void submit(final RequestSpec spec, final int answerTokens) {
+        mPending.put(spec.id(), new PendingRequest(spec, answerTokens));
         mCoordinator.submit(spec, mSimulation.now());
     }
 
-    void callerLeft(final RequestId request) {
-        mWork.remove(request);
+    void disconnectCaller(final RequestId request) {
+        mPending.remove(request);
         mCoordinator.onCallerDisconnected(request, mSimulation.now());
     }
 
@@ -118,9 +118,9 @@
             final String deliveredText,
             final long deliveredTokens) {
         mDispatches++;
-        final Work work = mWork.get(attempt.request());
+        final PendingRequest work = mPending.get(attempt.request());
         mSimulation.after(
-                WAY,
+                ONE_WAY_DELAY,
                 () ->
                         mEngines.get(endpoint.id())
                                 .generate(
@@ -128,10 +128,10 @@
                                         work.spec(),
                                         work.answerTokens(),
                                         deliveredTokens,
-                                        this::happened));
+                                        this::handle));
     }
 
-    private void happened(final AttemptEvent event) {
+    private void handle(final AttemptEvent event) {
         mCoordinator.onAttemptEvent(event, mSimulation.now());
     }
 
@@ -144,12 +144,12 @@
             final long fromIndex) {
         final AttemptEvent gone =
                 new AttemptEvent.Failed(attempt, AttemptFailure.STREAM_UNKNOWN, "gone");
-        mSimulation.after(WAY.multipliedBy(2), () -> happened(gone));
+        mSimulation.after(ONE_WAY_DELAY.multipliedBy(2), () -> handle(gone));
     }
 
     @Override
     public void cancel(final AttemptId attempt, final Endpoint endpoint, final String streamId) {
-        mSimulation.after(WAY, () -> mEngines.get(endpoint.id()).cancel(attempt));
+        mSimulation.after(ONE_WAY_DELAY, () -> mEngines.get(endpoint.id()).cancel(attempt));
     }
 
     @Override
@@ -161,13 +161,13 @@
 
     @Override
     public void complete(final RequestId request, final Completion completion) {
-        mWork.remove(request);
+        mPending.remove(request);
         mListener.completed(request);
     }
 
     @Override
     public void refuse(final RequestId request, final Refusal refusal) {
-        mWork.remove(request);
+        mPending.remove(request);
         mListener.refused(request, refusal);
     }
 
@@ -241,5 +241,5 @@
             int daemons) {}
 
     /** One request and its answer's length. */
-    private record Work(RequestSpec spec, int answerTokens) {}
+    private record PendingRequest(RequestSpec spec, int answerTokens) {}
 }
--- a/bench/src/test/java/org/whinhead/bench/retries/FaultyEngineTest.java
+++ b/bench/src/test/java/org/whinhead/bench/retries/FaultyEngineTest.java
@@ -33,15 +33,15 @@
         start(EngineFault.SILENT, 0);
         mSimulation.runFor(Duration.ofSeconds(10));
         assertThat(mEvents).isEmpty();
-        assertThat(mEngine.computed()).isGreaterThan(ANSWER);
+        assertThat(mEngine.computedTokens()).isGreaterThan(ANSWER);
         start(EngineFault.CUTS_STREAMS, 0);
         mSimulation.runFor(Duration.ofSeconds(20));
         assertThat(lastFailure()).isNotEqualTo(AttemptFailure.CONNECT_FAILED);
-        final long computed = mEngine.computed();
+        final long computed = mEngine.computedTokens();
         start(EngineFault.UNREACHABLE, 0);
         mSimulation.runFor(Duration.ofSeconds(30));
         assertThat(lastFailure()).isEqualTo(AttemptFailure.CONNECT_FAILED);
-        assertThat(mEngine.computed()).isEqualTo(computed);
+        assertThat(mEngine.computedTokens()).isEqualTo(computed);
     }
 
     @Test
