--- a/bench/src/main/java/org/whinhead/bench/capacity/ClaimsCost.java
+++ b/bench/src/main/java/org/whinhead/bench/capacity/ClaimsCost.java
@@ -17,19 +17,19 @@
 import org.whinhead.state.record.RecordFormatException;
 import org.whinhead.state.record.RecordId;
 
-/** A claim at the daemon that writes it, at one that only reads it, and in a table. */
+/** Measures the cost of a claim for the daemon that writes it, for readers, and in the table. */
 public final class ClaimsCost extends RoleCost {
 
-    private static final int[] BATCHES = {1, 8, 32, 128, 512};
-    private static final int[] KEYS = {10_000, 50_000, 100_000, 200_000};
+    private static final int[] BATCH_SIZES = {1, 8, 32, 128, 512};
+    private static final int[] TABLE_KEYS = {10_000, 50_000, 100_000, 200_000};
     private static final Duration WINDOW = Duration.ofMinutes(10);
     private static final Duration LINGER = Duration.ofMillis(20);
-    private static final Duration GRANT = Duration.ofMinutes(1);
+    private static final Duration GRANT_DURATION = Duration.ofMinutes(1);
     private static final int MAX_KEYS = 10_000_000;
     private static final int INCARNATIONS = 1_000;
-    private static final int RECORDS = 64;
+    private static final int RECORDS_PER_RUN = 64;
 
-    private long mNext;
+    private long mNextNumber;
 
     @Override
     public String name() {
@@ -47,7 +47,7 @@
                 new Series("written and read back", "claims a record", "ns a record");
         final Series read = new Series("decoded and applied", "claims a record", "ns a record");
         final Series bytes = new Series("record", "claims a record", "bytes");
-        for (final int batch : BATCHES) {
+        for (final int batch : BATCH_SIZES) {
             final Writer writer = new Writer(batch);
             written.add(batch, meter.measureCpuNanos(writer::writeRecord));
             bytes.add(batch, Spread.exact(encoded(batch, 1_000).length));
@@ -56,14 +56,14 @@
         }
         out.print(written, read, bytes);
         final Series memory = new Series("table", "keys", "bytes");
-        for (final int keys : KEYS) {
+        for (final int keys : TABLE_KEYS) {
             memory.add(keys, meter.measureRetainedBytes(() -> table(keys)));
         }
         out.print(memory);
     }
 
     private ClaimEntry entry() {
-        final long number = mNext++;
+        final long number = mNextNumber++;
         final ClaimKey key = ClaimKey.of(new CustomerId("customer"), "key-" + number);
         final long attempt = ClaimKey.attemptHash(new DaemonId("entry-17"), number);
         return new ClaimEntry(ClaimEntry.Action.CLAIM, key.high(), key.low(), attempt);
@@ -92,9 +92,7 @@
         return table;
     }
 
-    /**
-     * The daemon that takes claims and writes them, with a minute of the stream's time a record.
-     */
+    /** Accepts claims and writes them to the log; its clock advances by 1 s per record. */
     private final class Writer {
         private final int mBatch;
         private final LoopbackLog mLog = new LoopbackLog();
@@ -109,10 +107,11 @@
                     new ClaimCoordinator(
                             mTable,
                             mLog.writer(),
-                            new ClaimLimits(GRANT, LINGER, batch, MAX_KEYS, MAX_KEYS),
+                            new ClaimLimits(GRANT_DURATION, LINGER, batch, MAX_KEYS, MAX_KEYS),
                             (key, attempt, result, dispatchBy) -> mDecided++);
         }
 
+        /** Writes one record, applies it, and returns the number of records, 1. */
         long writeRecord() {
             mNow = mNow.plusSeconds(1);
             for (int i = 0; i < mBatch; i++) {
@@ -126,7 +125,7 @@
         }
     }
 
-    /** A daemon that only keeps the table. */
+    /** Decodes claim records and applies them to a table. */
     private final class Reader {
         private final LogRecordCodec mCodec = new LogRecordCodec();
         private final ClaimTable mTable = new ClaimTable(WINDOW, INCARNATIONS);
@@ -134,11 +133,12 @@
         private long mOffset;
 
         Reader(final int batch) {
-            for (int i = 0; i < RECORDS; i++) {
+            for (int i = 0; i < RECORDS_PER_RUN; i++) {
                 mRecords.add(encoded(batch, i + 1));
             }
         }
 
+        /** Applies all records to an empty table and returns their number. */
         long readRecords() {
             mTable.reset();
             for (final byte[] bytes : mRecords) {
@@ -153,7 +153,7 @@
             try {
                 return mCodec.decode(bytes);
             } catch (final RecordFormatException e) {
-                throw new IllegalStateException("a record that was just written", e);
+                throw new IllegalStateException("cannot decode a record that was just encoded", e);
             }
         }
     }
--- a/bench/src/main/java/org/whinhead/bench/capacity/Fixtures.java
+++ b/bench/src/main/java/org/whinhead/bench/capacity/Fixtures.java
@@ -20,7 +20,7 @@
 import org.whinhead.api.request.RequestId;
 import org.whinhead.api.request.RequestSpec;
 
-/** Endpoints and requests of the size that the roles are measured at. */
+/** Creates the endpoints and requests that the cost benchmarks use. */
 final class Fixtures {
 
     static final Instant START = Instant.parse("2026-01-01T00:00:00Z");
@@ -30,7 +30,7 @@
     static final int PROMPT_TOKENS = 1_024;
 
     private static final int BLOCK_TOKENS = 16;
-    private static final int SHARED_BLOCKS = 32;
+    private static final int SHARED_PREFIX_BLOCKS = 32;
     private static final int APPLICATIONS = 24;
     private static final int SLOTS = 16;
     private static final int MAX_TOKENS = 512;
@@ -44,6 +44,7 @@
 
     private Fixtures() {}
 
+    /** Returns a failure domain, assigned round-robin by number. */
     static FailureDomain domain(final int number) {
         final int domain = number % DOMAINS;
         return new FailureDomain("region" + domain / DOMAINS_IN_REGION, "domain" + domain);
@@ -74,13 +75,13 @@
                 .build();
     }
 
-    /** A streamed request whose prompt shares its first half with those of one application. */
+    /** Returns a streamed request that shares the first half of its prompt with its application. */
     static RequestSpec request(final long number, final Random random) {
         final int application = random.nextInt(APPLICATIONS);
         final Random shared = new Random(application);
         final List<Long> prefixes = new ArrayList<>();
         for (int i = 0; i < PROMPT_TOKENS / BLOCK_TOKENS; i++) {
-            prefixes.add(i < SHARED_BLOCKS ? shared.nextLong() : random.nextLong());
+            prefixes.add(i < SHARED_PREFIX_BLOCKS ? shared.nextLong() : random.nextLong());
         }
         return RequestSpec.builder(new RequestId("daemon-17/" + number))
                 .customer(new CustomerId("customer-" + application))
--- a/bench/src/main/java/org/whinhead/bench/capacity/FleetCost.java
+++ b/bench/src/main/java/org/whinhead/bench/capacity/FleetCost.java
@@ -14,10 +14,10 @@
 import org.whinhead.fleet.PoolName;
 import org.whinhead.fleet.Supply;
 
-/** One round of reconciling by the holder of the fleet's duty. */
+/** Measures one reconcile round of the fleet lease holder. */
 public final class FleetCost extends RoleCost {
 
-    private static final int[] SIZES = {60, 300, 900, 1800};
+    private static final int[] MEMBER_COUNTS = {60, 300, 900, 1800};
     private static final int POOLS = 12;
     private static final long MODEL_BYTES = 16_000_000_000L;
     private static final FleetSettings SETTINGS =
@@ -39,17 +39,17 @@
         out.print(rounds("round, twelve pools", POOLS, 1, meter));
         out.print(rounds("round, one pool, a tenth too many", 1, 0.9, meter));
         final Series memory = new Series("view's memory, twelve pools", "members", "bytes");
-        for (final int size : SIZES) {
+        for (final int size : MEMBER_COUNTS) {
             memory.add(size, meter.measureRetainedBytes(() -> view(size, POOLS, 1)));
         }
         out.print(memory);
     }
 
     private static Series rounds(
-            final String what, final int pools, final double wanted, final Meter meter) {
-        final Series series = new Series(what, "members", "ns a round");
-        for (final int size : SIZES) {
-            final FleetView view = view(size, pools, wanted);
+            final String name, final int pools, final double wantedShare, final Meter meter) {
+        final Series series = new Series(name, "members", "ns a round");
+        for (final int size : MEMBER_COUNTS) {
+            final FleetView view = view(size, pools, wantedShare);
             final FleetReconciler reconciler = new FleetReconciler(SETTINGS);
             series.add(size, meter.measureCpuNanos(() -> round(reconciler, view)));
         }
@@ -60,7 +60,7 @@
         return reconciler.reconcile(view, Instant.EPOCH).size() >= 0 ? 1 : 0;
     }
 
-    private static FleetView view(final int size, final int pools, final double wanted) {
+    private static FleetView view(final int size, final int pools, final double wantedShare) {
         final List<Pool> wantedPools = new ArrayList<>();
         for (int i = 0; i < pools; i++) {
             final int inPool = size / pools;
@@ -70,7 +70,7 @@
                             name(i),
                             Fixtures.MODEL,
                             MODEL_BYTES,
-                            (int) (wanted * surviving),
+                            (int) (wantedShare * surviving),
                             supplies()));
         }
         final List<PoolMember> members = new ArrayList<>();
--- a/bench/src/main/java/org/whinhead/bench/capacity/LinearFit.java
+++ b/bench/src/main/java/org/whinhead/bench/capacity/LinearFit.java
@@ -3,11 +3,11 @@
 import java.util.List;
 
 /**
- * The line through the figures at several sizes, by least squares.
+ * A least-squares line through the figures at several sizes.
  *
- * @param fixed the figure at size 0
- * @param slope what one more unit of size adds
- * @param determination share of the variance that the line explains; 1 is a straight line
+ * @param fixed intercept: the figure at size 0
+ * @param slope change of the figure per unit of size
+ * @param determination share of the variance that the line explains (R squared, 0 to 1)
  */
 record LinearFit(double fixed, double slope, double determination) {
 
@@ -16,19 +16,19 @@
         final double meanFigure = points.stream().mapToDouble(Point::figure).average().orElse(0);
         double sizes = 0;
         double figures = 0;
-        double both = 0;
+        double products = 0;
         for (final Point point : points) {
             final double size = point.size() - meanSize;
             final double figure = point.figure() - meanFigure;
             sizes += size * size;
             figures += figure * figure;
-            both += size * figure;
+            products += size * figure;
         }
-        final double slope = both / sizes;
-        final double determination = figures == 0 ? 1 : both * both / (sizes * figures);
+        final double slope = products / sizes;
+        final double determination = figures == 0 ? 1 : products * products / (sizes * figures);
         return new LinearFit(meanFigure - slope * meanSize, slope, determination);
     }
 
-    /** One size with its figure. */
+    /** A size and its measured figure. */
     record Point(double size, double figure) {}
 }
--- a/bench/src/main/java/org/whinhead/bench/capacity/LoopbackLog.java
+++ b/bench/src/main/java/org/whinhead/bench/capacity/LoopbackLog.java
@@ -15,7 +15,7 @@
 import org.whinhead.state.writer.LogWriter;
 import org.whinhead.state.writer.WriterLimits;
 
-/** A writer whose appends take effect at once; each record is encoded and decoded on its way. */
+/** A log whose appends succeed immediately; each record is encoded and decoded once. */
 final class LoopbackLog {
 
     private static final WriterLimits LIMITS = new WriterLimits(4096, 64);
@@ -34,12 +34,12 @@
         return mWriter;
     }
 
-    /** Returns the bytes of all records, before the log client's Base64. */
+    /** Returns the encoded size of all records in bytes, before the log client's Base64. */
     long bytes() {
         return mBytes;
     }
 
-    /** Appends what waits and returns it as a reader gets it. */
+    /** Appends all waiting records and returns them as decoded log entries. */
     List<LogEntry> flush(final Instant now) {
         final List<LogEntry> entries = new ArrayList<>();
         Optional<List<LogRecord>> batch = mWriter.nextBatch(now);
@@ -59,7 +59,7 @@
         try {
             return mCodec.decode(bytes);
         } catch (final RecordFormatException e) {
-            throw new IllegalStateException("a record that was just written", e);
+            throw new IllegalStateException("cannot decode a record that was just encoded", e);
         }
     }
 }
--- a/bench/src/main/java/org/whinhead/bench/capacity/Meter.java
+++ b/bench/src/main/java/org/whinhead/bench/capacity/Meter.java
@@ -9,14 +9,15 @@
 /**
  * Measures processor time and retained memory.
  *
- * <p>Processor time is that of the whole process, so that collecting the garbage counts too. Memory
- * is the used heap after full collections, before and after the objects were made.
+ * <p>Processor time is that of the whole process, so that it includes garbage collection. Retained
+ * memory is the difference of the used heap after full collections, before and after the objects
+ * are created.
  */
 final class Meter {
 
     private static final int REPETITIONS = 3;
 
-    /** The serial collector leaves dead objects in place, but for each fourth full collection. */
+    /** The serial collector leaves dead objects in place except on every fourth full collection. */
     private static final int COLLECTIONS_PER_READING = 4;
 
     private static final int MAX_WARM_UP_WINDOWS = 6;
@@ -27,9 +28,9 @@
             ManagementFactory.getPlatformMXBean(OperatingSystemMXBean.class);
 
     /**
-     * Measures nanoseconds of processor time for one unit of work.
+     * Measures the processor time per unit of work, in nanoseconds.
      *
-     * @param work does some work and returns how many units it did
+     * @param work does some work and returns the number of units done
      */
     Spread measureCpuNanos(final LongSupplier work) {
         warmUp(work);
@@ -40,7 +41,7 @@
         return Spread.of(nanos);
     }
 
-    /** Runs until two windows in a row agree, so that the compiler's own time is left out. */
+    /** Runs until two consecutive windows agree, to exclude the time of the JIT compiler. */
     private void warmUp(final LongSupplier work) {
         double before = runWindow(work);
         double last = runWindow(work);
@@ -64,25 +65,25 @@
     }
 
     /**
-     * Measures the bytes that an object retains.
+     * Measures the retained size of an object, in bytes.
      *
-     * @param maker makes it anew each time
+     * @param factory creates a new object on each call
      */
-    Spread measureRetainedBytes(final Supplier<?> maker) {
-        retainedBytes(maker);
+    Spread measureRetainedBytes(final Supplier<?> factory) {
+        retainedBytes(factory);
         final double[] bytes = new double[REPETITIONS];
         for (int repetition = 0; repetition < REPETITIONS; repetition++) {
-            bytes[repetition] = retainedBytes(maker);
+            bytes[repetition] = retainedBytes(factory);
         }
         return Spread.of(bytes);
     }
 
-    // A method of its own: in a loop the last object would still be reachable from the frame.
-    private static long retainedBytes(final Supplier<?> maker) {
+    // A separate method: in a loop the previous object would stay reachable from the frame.
+    private static long retainedBytes(final Supplier<?> factory) {
         final long before = usedHeapAfterCollection();
-        final Object made = maker.get();
+        final Object created = factory.get();
         final long after = usedHeapAfterCollection();
-        Reference.reachabilityFence(made);
+        Reference.reachabilityFence(created);
         return after - before;
     }
 
--- a/bench/src/main/java/org/whinhead/bench/capacity/PeersCost.java
+++ b/bench/src/main/java/org/whinhead/bench/capacity/PeersCost.java
@@ -19,10 +19,13 @@
 import org.whinhead.membership.MembershipView;
 import org.whinhead.membership.VmListSnapshot;
 
-/** The VM list and the view that one daemon keeps; traffic is MembershipBench's. */
+/**
+ * Measures the VM list and the membership view of one daemon; the traffic between daemons is not
+ * measured here.
+ */
 public final class PeersCost extends RoleCost {
 
-    private static final int[] DAEMONS = {9, 36, 165, 330};
+    private static final int[] DAEMON_COUNTS = {9, 36, 165, 330};
     private static final int ENDPOINTS_AT_FULL_SIZE = 1_800;
     private static final int DAEMONS_AT_FULL_SIZE = 330;
     private static final int PEER_PORT = 7400;
@@ -42,7 +45,7 @@
         final Series memory = new Series("membership's memory", "daemons", "bytes");
         final Series list = new Series("unchanged list taken in", "daemons", "ns a list");
         final Series tick = new Series("tick", "daemons", "ns a tick");
-        for (final int size : DAEMONS) {
+        for (final int size : DAEMON_COUNTS) {
             memory.add(size, meter.measureRetainedBytes(() -> new Daemon(size, seed)));
             final Daemon daemon = new Daemon(size, seed);
             list.add(size, meter.measureCpuNanos(daemon::receiveList));
@@ -66,7 +69,7 @@
                 URI.create("http://" + vm.host() + ":8080"));
     }
 
-    /** One daemon that has read the list. */
+    /** The membership of one daemon that has received the VM list. */
     private static final class Daemon implements MembershipActions {
         private final List<DaemonMember> mMembers = new ArrayList<>();
         private final List<Endpoint> mEndpoints;
--- a/bench/src/main/java/org/whinhead/bench/capacity/RecordingActions.java
+++ b/bench/src/main/java/org/whinhead/bench/capacity/RecordingActions.java
@@ -11,13 +11,14 @@
 import org.whinhead.requests.RequestActions;
 import org.whinhead.requests.Ticket;
 
-/** Keeps the attempts that were started and counts what callers got; does nothing else. */
+/** Records started attempts and counts deliveries and completions; fails on unexpected calls. */
 final class RecordingActions implements RequestActions {
 
     private final Deque<AttemptId> mStarted = new ArrayDeque<>();
     private long mDelivered;
     private long mCompleted;
 
+    /** Removes and returns the oldest started attempt. */
     AttemptId nextStarted() {
         return mStarted.remove();
     }
@@ -55,7 +56,7 @@
             final Endpoint endpoint,
             final String streamId,
             final long fromIndex) {
-        throw new IllegalStateException("nothing fails here");
+        throw new IllegalStateException("unexpected resume: no stream fails in this benchmark");
     }
 
     @Override
@@ -64,46 +65,49 @@
             final Endpoint from,
             final String streamId,
             final Endpoint to) {
-        throw new IllegalStateException("nothing leaves here");
+        throw new IllegalStateException("unexpected move: no endpoint leaves in this benchmark");
     }
 
     @Override
     public void call(final AttemptId attempt, final Endpoint endpoint) {
-        throw new IllegalStateException("no plain service here");
+        throw new IllegalStateException("unexpected call: this benchmark has no plain service");
     }
 
     @Override
     public void cancel(final AttemptId attempt, final Endpoint endpoint, final String streamId) {
-        throw new IllegalStateException("no caller hangs up here");
+        throw new IllegalStateException(
+                "unexpected cancel: no caller disconnects in this benchmark");
     }
 
     @Override
     public void claim(final RequestId request) {
-        throw new IllegalStateException("every request is idempotent here");
+        throw new IllegalStateException(
+                "unexpected claim: every request is idempotent in this benchmark");
     }
 
     @Override
     public void answer(final RequestId request, final PlainAnswer answer) {
-        throw new IllegalStateException("no plain service here");
+        throw new IllegalStateException("unexpected answer: this benchmark has no plain service");
     }
 
     @Override
     public void refuse(final RequestId request, final Refusal refusal) {
-        throw new IllegalStateException("refused: " + refusal);
+        throw new IllegalStateException("unexpected refusal: " + refusal);
     }
 
     @Override
     public void release(final AttemptId attempt) {
-        throw new IllegalStateException("nothing moves here");
+        throw new IllegalStateException("unexpected release: no stream moves in this benchmark");
     }
 
     @Override
     public void ticket(final RequestId request, final Ticket ticket) {
-        // A ticket is part of each answer's cost up to here; sealing it is the transport's.
+        // The cost includes making the ticket, not sealing it, which the transport does.
     }
 
     @Override
     public void handBack(final RequestId request, final Ticket ticket, final Refusal refusal) {
-        throw new IllegalStateException("the daemon does not stop here");
+        throw new IllegalStateException(
+                "unexpected handBack: the daemon does not stop in this benchmark");
     }
 }
--- a/bench/src/main/java/org/whinhead/bench/capacity/ReportCost.java
+++ b/bench/src/main/java/org/whinhead/bench/capacity/ReportCost.java
@@ -18,12 +18,12 @@
 import org.whinhead.report.RequestSample;
 import org.whinhead.report.SeriesKey;
 
-/** Counting ended requests, and the report that a daemon gives when it is asked. */
+/** Measures the counting of ended requests, and the making and merging of daemon reports. */
 public final class ReportCost extends RoleCost {
 
-    private static final int[] SERIES = {25, 100, 250, 500};
-    private static final int[] DAEMONS = {1, 4, 16};
-    private static final int MERGED = 100;
+    private static final int[] CUSTOMER_COUNTS = {25, 100, 250, 500};
+    private static final int[] DAEMON_COUNTS = {1, 4, 16};
+    private static final int MERGED_CUSTOMERS = 100;
     private static final URI ADDRESS = URI.create("http://10.0.0.17:8080");
     private static final Objective OBJECTIVE =
             new Objective("clerk", 0.999, 0.95, Duration.ofMillis(1400), Duration.ofMillis(72));
@@ -44,19 +44,21 @@
         final Series made = new Series("report made", "customers", "ns a report");
         final Series memory = new Series("recorder after a whole window", "customers", "bytes");
         final Series bytes = new Series("report as JSON", "customers", "bytes");
-        for (final int size : SERIES) {
+        for (final int size : CUSTOMER_COUNTS) {
             final BurnRecorder recorder = fullRecorder(size, "entry-17");
             record.add(size, meter.measureCpuNanos(() -> count(recorder, size, end())));
-            made.add(size, meter.measureCpuNanos(() -> recorder.report(end()).series().isEmpty() ? 0 : 1));
+            made.add(
+                    size,
+                    meter.measureCpuNanos(() -> recorder.report(end()).series().isEmpty() ? 0 : 1));
             bytes.add(size, Spread.exact(json(recorder.report(end())).length));
             memory.add(size, meter.measureRetainedBytes(() -> fullRecorder(size, "entry-17")));
         }
         out.print(record, made, memory, bytes);
         final Series merged = new Series("reports of 100 customers merged", "daemons", "ns");
-        for (final int size : DAEMONS) {
+        for (final int size : DAEMON_COUNTS) {
             final List<DaemonReport> reports = new ArrayList<>();
             for (int i = 0; i < size; i++) {
-                reports.add(fullRecorder(MERGED, "entry-" + i).report(end()));
+                reports.add(fullRecorder(MERGED_CUSTOMERS, "entry-" + i).report(end()));
             }
             merged.add(size, meter.measureCpuNanos(() -> merge(reports)));
         }
@@ -67,7 +69,7 @@
         return Fixtures.START.plus(Duration.ofMinutes(BurnRecorder.MAX_MINUTES_PER_SERIES - 1));
     }
 
-    /** A recorder whose customers each had a request in every minute that it keeps. */
+    /** Returns a recorder with one request per customer in every minute of its window. */
     private static BurnRecorder fullRecorder(final int customers, final String daemon) {
         final BurnRecorder recorder =
                 new BurnRecorder(new DaemonId(daemon), ADDRESS, Fixtures.START);
--- a/bench/src/main/java/org/whinhead/bench/capacity/RequestsCost.java
+++ b/bench/src/main/java/org/whinhead/bench/capacity/RequestsCost.java
@@ -14,11 +14,11 @@
 import org.whinhead.requests.AttemptEvent;
 import org.whinhead.requests.DefaultRequestCoordinator;
 
-/** A streamed answer from its arrival to its end, and what a request in progress holds. */
+/** Measures the cost of whole streamed answers and the memory of requests in progress. */
 public final class RequestsCost extends RoleCost {
 
-    private static final int[] TOKENS = {1, 64, 256, 1024};
-    private static final int[] OPEN = {500, 1000, 2000, 4000};
+    private static final int[] ANSWER_TOKENS = {1, 64, 256, 1024};
+    private static final int[] OPEN_REQUESTS = {500, 1000, 2000, 4000};
     private static final int WATCHED_ENDPOINTS = 256;
     private static final int CONCURRENT_REQUESTS = 400;
     private static final int MEAN_TOKENS = 265;
@@ -26,7 +26,7 @@
     private static final int MAX_WAITING = 100_000;
 
     private final Random mRandom = new Random();
-    private long mNext;
+    private long mNextNumber;
 
     @Override
     public String name() {
@@ -42,17 +42,17 @@
     void measure(final Meter meter, final long seed, final SeriesPrinter out) {
         mRandom.setSeed(seed);
         final Series answer = new Series("whole answers", "tokens an answer", "ns an answer");
-        for (final int tokens : TOKENS) {
-            final Harness world = new Harness(seed);
+        for (final int tokens : ANSWER_TOKENS) {
+            final Harness harness = new Harness(seed);
             final List<RequestSpec> specs = specs();
-            answer.add(tokens, meter.measureCpuNanos(() -> runAnswers(world, specs, tokens)));
+            answer.add(tokens, meter.measureCpuNanos(() -> runAnswers(harness, specs, tokens)));
         }
         out.print(answer);
         final Series tick = new Series("tick", "requests in progress", "ns a tick");
         final Series memory = new Series("state", "requests in progress", "bytes");
-        for (final int open : OPEN) {
-            final Harness world = withOpenRequests(seed, open);
-            tick.add(open, meter.measureCpuNanos(world::tick));
+        for (final int open : OPEN_REQUESTS) {
+            final Harness harness = withOpenRequests(seed, open);
+            tick.add(open, meter.measureCpuNanos(harness::tick));
             memory.add(open, meter.measureRetainedBytes(() -> withOpenRequests(seed, open)));
         }
         out.print(tick);
@@ -62,30 +62,30 @@
     private List<RequestSpec> specs() {
         final List<RequestSpec> specs = new ArrayList<>();
         for (int i = 0; i < CONCURRENT_REQUESTS; i++) {
-            specs.add(Fixtures.request(mNext++, mRandom));
+            specs.add(Fixtures.request(mNextNumber++, mRandom));
         }
         return specs;
     }
 
     private static long runAnswers(
-            final Harness world, final List<RequestSpec> specs, final int tokens) {
-        final List<AttemptId> attempts = world.begin(specs);
-        world.deliver(attempts, tokens);
-        attempts.forEach(attempt -> world.finish(attempt, tokens));
+            final Harness harness, final List<RequestSpec> specs, final int tokens) {
+        final List<AttemptId> attempts = harness.begin(specs);
+        harness.deliver(attempts, tokens);
+        attempts.forEach(attempt -> harness.finish(attempt, tokens));
         return specs.size();
     }
 
     private Harness withOpenRequests(final long seed, final int open) {
-        final Harness world = new Harness(seed);
+        final Harness harness = new Harness(seed);
         final List<RequestSpec> specs = new ArrayList<>();
         for (int i = 0; i < open; i++) {
-            specs.add(Fixtures.request(mNext++, mRandom));
+            specs.add(Fixtures.request(mNextNumber++, mRandom));
         }
-        world.deliver(world.begin(specs), MEAN_TOKENS);
-        return world;
+        harness.deliver(harness.begin(specs), MEAN_TOKENS);
+        return harness;
     }
 
-    /** A coordinator with the daemon's router and admission. */
+    /** A request coordinator with a daemon's router and admission. */
     private static final class Harness {
 
         private final RecordingActions mActions = new RecordingActions();
@@ -122,7 +122,7 @@
             return attempts;
         }
 
-        /** Hands tokens to all answers in turn, as many engines at once do. */
+        /** Delivers tokens to all answers in turn, as concurrent engines do. */
         void deliver(final List<AttemptId> attempts, final int tokens) {
             for (int index = 0; index < tokens; index++) {
                 for (final AttemptId attempt : attempts) {
@@ -132,9 +132,7 @@
         }
 
         void finish(final AttemptId attempt, final int tokens) {
-            handle(
-                    new AttemptEvent.Finished(
-                            attempt, "stop", Fixtures.PROMPT_TOKENS, 512, tokens));
+            handle(new AttemptEvent.Finished(attempt, "stop", Fixtures.PROMPT_TOKENS, 512, tokens));
         }
 
         long tick() {
--- a/bench/src/main/java/org/whinhead/bench/capacity/RoleCost.java
+++ b/bench/src/main/java/org/whinhead/bench/capacity/RoleCost.java
@@ -4,7 +4,7 @@
 import org.whinhead.bench.BenchOptions;
 import org.whinhead.bench.Benchmark;
 
-/** What one role of a daemon costs at several sizes, with a line through each cost. */
+/** A benchmark of the cost of one daemon role at several sizes, with a linear fit of each cost. */
 abstract class RoleCost implements Benchmark {
 
     @Override
@@ -13,11 +13,11 @@
     }
 
     /**
-     * Measures the role.
+     * Measures the role and prints its series.
      *
-     * @param meter measures
-     * @param seed the seed of all chance
-     * @param out where the figures go
+     * @param meter measures processor time and memory
+     * @param seed seed of all random generators
+     * @param out prints the series
      */
     abstract void measure(Meter meter, long seed, SeriesPrinter out);
 }
--- a/bench/src/main/java/org/whinhead/bench/capacity/RoutingCost.java
+++ b/bench/src/main/java/org/whinhead/bench/capacity/RoutingCost.java
@@ -11,13 +11,13 @@
 import org.whinhead.routing.LoadReport;
 import org.whinhead.routing.RoutingSettings;
 
-/** A routing decision, a load report, a cache event, and the memory of an endpoint. */
+/** Measures routing decisions, load reports, endpoint lists, cache events, and router memory. */
 public final class RoutingCost extends RoleCost {
 
-    private static final int[] SIZES = {60, 300, 900, 1800};
-    private static final int[] BLOCKS = {0, 16_384, 32_768, 65_536};
+    private static final int[] ENDPOINT_COUNTS = {60, 300, 900, 1800};
+    private static final int[] BLOCK_COUNTS = {0, 16_384, 32_768, 65_536};
     private static final int REQUESTS = 4_096;
-    private static final int BATCH = 1_000;
+    private static final int EVENTS_PER_CALL = 1_000;
 
     @Override
     public String name() {
@@ -36,13 +36,14 @@
         final Series memory = new Series("router's memory", "endpoints", "bytes");
         final Series update = new Series("whole list taken in", "endpoints", "ns a list");
         final List<RequestSpec> requests = requests(seed);
-        for (final int size : SIZES) {
+        for (final int size : ENDPOINT_COUNTS) {
             final List<Endpoint> endpoints = Fixtures.endpoints(size);
             final AffinityRouter router = router(seed, endpoints);
             decision.add(size, meter.measureCpuNanos(() -> decide(router, requests)));
             report.add(size, meter.measureCpuNanos(() -> report(router, endpoints)));
             update.add(size, meter.measureCpuNanos(() -> replaceEndpoints(router, endpoints)));
-            memory.add(size, meter.measureRetainedBytes(() -> router(seed, Fixtures.endpoints(size))));
+            memory.add(
+                    size, meter.measureRetainedBytes(() -> router(seed, Fixtures.endpoints(size))));
         }
         out.print(decision);
         out.print(report);
@@ -53,7 +54,7 @@
 
     private static void measureIndex(final Meter meter, final long seed, final SeriesPrinter out) {
         final Series memory = new Series("router's memory", "blocks in its index", "bytes");
-        for (final int blocks : BLOCKS) {
+        for (final int blocks : BLOCK_COUNTS) {
             memory.add(blocks, meter.measureRetainedBytes(() -> routerWithBlocks(seed, blocks)));
         }
         out.print(memory);
@@ -61,7 +62,7 @@
         final List<Endpoint> endpoints = Fixtures.endpoints(256);
         final AffinityRouter router = router(seed, endpoints);
         final Series events = new Series("cache event taken in", "events a call", "ns an event");
-        for (final int size : new int[] {BATCH, 2 * BATCH}) {
+        for (final int size : new int[] {EVENTS_PER_CALL, 2 * EVENTS_PER_CALL}) {
             events.add(size, meter.measureCpuNanos(() -> events(router, endpoints, random, size)));
         }
         out.print(events);
@@ -115,7 +116,8 @@
         return requests.size();
     }
 
-    private static long replaceEndpoints(final AffinityRouter router, final List<Endpoint> endpoints) {
+    private static long replaceEndpoints(
+            final AffinityRouter router, final List<Endpoint> endpoints) {
         router.endpointsChanged(endpoints);
         return 1;
     }
--- a/bench/src/main/java/org/whinhead/bench/capacity/Series.java
+++ b/bench/src/main/java/org/whinhead/bench/capacity/Series.java
@@ -7,7 +7,7 @@
 import java.util.List;
 import java.util.Locale;
 
-/** One cost at several sizes, and the line through it. */
+/** The measurements of one cost at several sizes, with their linear fit. */
 final class Series {
 
     private final String mName;
@@ -17,16 +17,16 @@
     private final List<Spread> mSpreads = new ArrayList<>();
 
     /**
-     * Makes an empty series.
+     * Creates an empty series.
      *
-     * @param what what is measured
-     * @param size what the size counts
-     * @param unit the figure's unit
+     * @param name the measured operation or object
+     * @param sizeUnit the unit of the size
+     * @param figureUnit the unit of the figures
      */
-    Series(final String what, final String size, final String unit) {
-        mName = what;
-        mSizeUnit = size;
-        mFigureUnit = unit;
+    Series(final String name, final String sizeUnit, final String figureUnit) {
+        mName = name;
+        mSizeUnit = sizeUnit;
+        mFigureUnit = figureUnit;
     }
 
     void add(final double size, final Spread spread) {
--- a/bench/src/main/java/org/whinhead/bench/capacity/SeriesPrinter.java
+++ b/bench/src/main/java/org/whinhead/bench/capacity/SeriesPrinter.java
@@ -3,7 +3,7 @@
 import java.io.PrintStream;
 import org.whinhead.bench.BenchOptions;
 
-/** Where the series of a run go, as text or a line of JSON for each. */
+/** Prints each series as text or as one line of JSON. */
 final class SeriesPrinter {
 
     private final BenchOptions mOptions;
--- a/bench/src/main/java/org/whinhead/bench/capacity/SettingsCost.java
+++ b/bench/src/main/java/org/whinhead/bench/capacity/SettingsCost.java
@@ -19,14 +19,14 @@
 import org.whinhead.state.settings.SettingsState;
 import org.whinhead.state.settings.SettingsValidator;
 
-/** A change in the fold, the rules that judge it, the memory of documents, and checkpoints. */
+/** Measures settings changes, their validation, the memory of documents, and checkpoints. */
 public final class SettingsCost extends RoleCost {
 
-    private static final int[] DOCUMENTS = {250, 500, 1000, 2000};
-    private static final int[] REVISIONS = {1, 8, 32, 64};
-    private static final int KEPT_DOCUMENTS = 500;
-    private static final int[] OUTCOMES = {1, 5_000, 10_000, 20_000};
-    private static final int MANY_OUTCOMES = 20_000;
+    private static final int[] DOCUMENT_COUNTS = {250, 500, 1000, 2000};
+    private static final int[] REVISION_COUNTS = {1, 8, 32, 64};
+    private static final int RETENTION_DOCUMENTS = 500;
+    private static final int[] OUTCOME_COUNTS = {1, 5_000, 10_000, 20_000};
+    private static final int MAX_OUTCOMES = 20_000;
     private static final int REVISIONS_PER_PATH = 64;
     private static final int INCARNATIONS = 1_000;
     private static final String TIER = "/tiers/clerk";
@@ -46,7 +46,7 @@
         measureChanges(meter, out);
         measureRetention(meter, out);
         final Series outcomes = new Series("fold's memory", "outcomes kept", "bytes");
-        for (final int count : OUTCOMES) {
+        for (final int count : OUTCOME_COUNTS) {
             outcomes.add(count, meter.measureRetainedBytes(() -> new Daemon(1, count, count)));
         }
         out.print(outcomes);
@@ -57,8 +57,8 @@
         final Series fold = new Series("change written, read, folded", "documents", "ns a change");
         final Series rules = new Series("change checked by the rules", "documents", "ns a check");
         final Series usable = new Series("documents made usable", "documents", "ns a change");
-        for (final int documents : DOCUMENTS) {
-            final Daemon daemon = new Daemon(documents, 1, MANY_OUTCOMES);
+        for (final int documents : DOCUMENT_COUNTS) {
+            final Daemon daemon = new Daemon(documents, 1, MAX_OUTCOMES);
             fold.add(documents, meter.measureCpuNanos(daemon::change));
             change.add(documents, Spread.exact(daemon.bytesOfChange()));
             final DeploymentSettings parsed = parsed(documents);
@@ -74,14 +74,18 @@
         final Series write = new Series("checkpoint written", "revisions kept", "ns");
         final Series read = new Series("checkpoint read", "revisions kept", "ns");
         final CheckpointCodec codec = new CheckpointCodec();
-        for (final int revisions : REVISIONS) {
-            final int kept = KEPT_DOCUMENTS * revisions;
-            final FoldState state = new Daemon(KEPT_DOCUMENTS, revisions, 1).mFold.view().state();
+        for (final int revisions : REVISION_COUNTS) {
+            final int kept = RETENTION_DOCUMENTS * revisions;
+            final FoldState state =
+                    new Daemon(RETENTION_DOCUMENTS, revisions, 1).mFold.view().state();
             final byte[] bytes = codec.encode(state);
             size.add(kept, Spread.exact(bytes.length));
             write.add(kept, meter.measureCpuNanos(() -> codec.encode(state).length > 0 ? 1 : 0));
             read.add(kept, meter.measureCpuNanos(() -> decode(codec, bytes)));
-            memory.add(kept, meter.measureRetainedBytes(() -> new Daemon(KEPT_DOCUMENTS, revisions, 1)));
+            memory.add(
+                    kept,
+                    meter.measureRetainedBytes(
+                            () -> new Daemon(RETENTION_DOCUMENTS, revisions, 1)));
         }
         out.print(memory, size, write, read);
     }
@@ -90,7 +94,7 @@
         try {
             return codec.decode(bytes).asOf() > 0 ? 1 : 0;
         } catch (final CheckpointException e) {
-            throw new IllegalStateException("a checkpoint that was just written", e);
+            throw new IllegalStateException("cannot decode a checkpoint that was just encoded", e);
         }
     }
 
@@ -129,7 +133,7 @@
     private static long check(final DeploymentSettings parsed) {
         if (!DocumentValidator.validate(path(7), Optional.of(document(7, 2)), parsed)
                 .canTakeEffect()) {
-            throw new IllegalStateException("the document is valid");
+            throw new IllegalStateException("a valid document was rejected: " + path(7));
         }
         return 1;
     }
@@ -138,7 +142,7 @@
         return parsed.with(stored(path(7), document(7, 2))).documents().isEmpty() ? 0 : 1;
     }
 
-    /** A fold after as many changes of each document as revisions are asked for. */
+    /** A log fold that has applied a number of revisions of each document. */
     private static final class Daemon {
         private final LoopbackLog mLog = new LoopbackLog();
         private final LogFold mFold;
@@ -179,7 +183,8 @@
                             now);
             for (final LogEntry entry : mLog.flush(now)) {
                 if (mFold.apply(entry) != LogFold.ApplyResult.NEW) {
-                    throw new IllegalStateException("not folded");
+                    throw new IllegalStateException(
+                            "log entry was not applied as new: offset " + entry.offset());
                 }
                 mRevisions[number] = entry.offset();
             }
@@ -193,7 +198,7 @@
         }
     }
 
-    /** Leaves the rules out, which are measured on their own. */
+    /** Accepts every change, since the cost of validation is measured separately. */
     private static final class PermissiveValidator implements SettingsValidator {
         @Override
         public boolean supports(final int rules) {
--- a/bench/src/main/java/org/whinhead/bench/capacity/Spread.java
+++ b/bench/src/main/java/org/whinhead/bench/capacity/Spread.java
@@ -3,11 +3,11 @@
 import java.util.Arrays;
 
 /**
- * The repetitions of one figure.
+ * The minimum, median and maximum of the repetitions of one measurement.
  *
- * @param least the least of them
- * @param median the middle one
- * @param greatest the greatest
+ * @param least the minimum
+ * @param median the median
+ * @param greatest the maximum
  */
 record Spread(double least, double median, double greatest) {
 
@@ -17,7 +17,7 @@
         return new Spread(sorted[0], sorted[sorted.length / 2], sorted[sorted.length - 1]);
     }
 
-    /** A figure that is counted and has no spread. */
+    /** Returns the spread of a counted figure, which does not vary. */
     static Spread exact(final double figure) {
         return new Spread(figure, figure, figure);
     }
--- a/bench/src/main/java/org/whinhead/bench/capacity/WatchCost.java
+++ b/bench/src/main/java/org/whinhead/bench/capacity/WatchCost.java
@@ -10,13 +10,13 @@
 import org.whinhead.routing.DaemonLocation;
 import org.whinhead.routing.WatchPlan;
 
-/** Which endpoints a daemon polls, whom it tells, and the bytes of what it tells. */
+/** Measures the watch plan of a daemon: its endpoints and peers, and the size of load digests. */
 public final class WatchCost extends RoleCost {
 
-    private static final int[] DAEMONS = {9, 32, 36, 55, 110, 165, 330};
+    private static final int[] DAEMON_COUNTS = {9, 32, 36, 55, 110, 165, 330};
     private static final int ENDPOINTS_AT_FULL_SIZE = 1_800;
     private static final int DAEMONS_AT_FULL_SIZE = 330;
-    private static final int[] REPORTS = {1, 14, 40, 256};
+    private static final int[] REPORT_COUNTS = {1, 14, 40, 256};
 
     @Override
     public String name() {
@@ -32,37 +32,37 @@
     void measure(final Meter meter, final long seed, final SeriesPrinter out) {
         final Series plan = new Series("watch plan made", "daemons", "ns a plan");
         final Series watched = new Series("endpoints watched", "daemons", "endpoints");
-        final Series polled = new Series("endpoints polled, mean", "daemons", "endpoints");
-        final Series most = new Series("endpoints polled, most", "daemons", "endpoints");
+        final Series meanPolled = new Series("endpoints polled, mean", "daemons", "endpoints");
+        final Series maxPolled = new Series("endpoints polled, most", "daemons", "endpoints");
         final Series peers = new Series("peers told", "daemons", "peers");
-        for (final int size : DAEMONS) {
+        for (final int size : DAEMON_COUNTS) {
             final List<DaemonLocation> daemons = daemons(size);
             final List<Endpoint> endpoints =
                     Fixtures.endpoints(size * ENDPOINTS_AT_FULL_SIZE / DAEMONS_AT_FULL_SIZE);
             plan.add(size, meter.measureCpuNanos(() -> plan(daemons.get(0), daemons, endpoints)));
             int sum = 0;
-            int highest = 0;
+            int max = 0;
             for (final DaemonLocation daemon : daemons) {
-                final WatchPlan made =
+                final WatchPlan daemonPlan =
                         WatchPlan.of(daemon, daemons, endpoints, WatchPlan.Limits.DEFAULT);
-                sum += made.polled().size();
-                highest = Math.max(highest, made.polled().size());
+                sum += daemonPlan.polled().size();
+                max = Math.max(max, daemonPlan.polled().size());
             }
             final WatchPlan first =
                     WatchPlan.of(daemons.get(0), daemons, endpoints, WatchPlan.Limits.DEFAULT);
             watched.add(size, Spread.exact(first.watched().size()));
             peers.add(size, Spread.exact(first.peers().size()));
-            polled.add(size, Spread.exact((double) sum / size));
-            most.add(size, Spread.exact(highest));
+            meanPolled.add(size, Spread.exact((double) sum / size));
+            maxPolled.add(size, Spread.exact(max));
         }
-        out.print(plan, watched, polled, most, peers);
+        out.print(plan, watched, meanPolled, maxPolled, peers);
         measureDigests(meter, out);
     }
 
     private static void measureDigests(final Meter meter, final SeriesPrinter out) {
         final Series bytes = new Series("load digest", "reports", "bytes a message");
         final Series nanos = new Series("load digest written and read", "reports", "ns a message");
-        for (final int size : REPORTS) {
+        for (final int size : REPORT_COUNTS) {
             final List<Endpoint> endpoints = Fixtures.endpoints(size);
             bytes.add(size, Spread.exact(digest(endpoints).length));
             nanos.add(size, meter.measureCpuNanos(() -> writeAndRead(endpoints)));
@@ -84,7 +84,7 @@
         try {
             return PeerProto.Envelope.parseFrom(digest(endpoints)).getSequence();
         } catch (final IOException e) {
-            throw new IllegalStateException("a message that was just written", e);
+            throw new IllegalStateException("cannot parse a message that was just encoded", e);
         }
     }
 
--- a/bench/src/main/java/org/whinhead/bench/capacity/package-info.java
+++ b/bench/src/main/java/org/whinhead/bench/capacity/package-info.java
@@ -1,2 +1,2 @@
-/** What each role costs a daemon as its size grows: processor time, memory and bytes. */
+/** Benchmarks of the processor time, memory and bytes of each daemon role by size. */
 package org.whinhead.bench.capacity;
--- a/bench/src/main/java/org/whinhead/bench/days/CapacityDaysBenchmark.java
+++ b/bench/src/main/java/org/whinhead/bench/days/CapacityDaysBenchmark.java
@@ -17,15 +17,15 @@
 import org.whinhead.simulation.capacity.CapacitySimulation;
 
 /**
- * What policies of capacity earn and cost on the days under {@code examples/simulation}: the one in
- * force beside others that keep more or less.
+ * Compares capacity policies by value and cost on the simulated days in {@code
+ * examples/simulation}: the default policy and variants with larger or smaller reserves.
  */
 public final class CapacityDaysBenchmark implements Benchmark {
 
     private static final Path DAYS = Path.of("examples", "simulation");
     private static final int SEEDS = 5;
 
-    /** Policies that are compared. */
+    /** A capacity policy with its row label. */
     private enum Policy {
         IN_FORCE("in force", CapacitySettings.usual()),
         NOTHING_SAFE("nothing safe in calm times", CapacitySettings.usual().surviving(0, 1)),
@@ -81,9 +81,9 @@
         for (int index = 0; index < SEEDS; index++) {
             outcomes.add(CapacitySimulation.run(day, policy.mSettings, seed + index));
         }
-        final double most =
+        final double max =
                 outcomes.stream().mapToDouble(CapacityOutcome::score).max().orElseThrow();
-        final double least =
+        final double min =
                 outcomes.stream().mapToDouble(CapacityOutcome::score).min().orElseThrow();
         table.add(
                 policy.mLabel,
@@ -91,7 +91,7 @@
                 mean(outcomes, CapacityOutcome::worstWindows),
                 mean(outcomes, CapacityOutcome::paidPerNeeded),
                 mean(outcomes, CapacityOutcome::score),
-                most - least);
+                max - min);
     }
 
     private static double mean(
@@ -106,7 +106,7 @@
                 days.add(CapacityDay.read(file));
             }
         } catch (IOException e) {
-            throw new UncheckedIOException("days can't be read", e);
+            throw new UncheckedIOException("cannot read the simulated days in " + DAYS, e);
         }
         return days;
     }
--- a/bench/src/main/java/org/whinhead/bench/days/RolloutDaysBenchmark.java
+++ b/bench/src/main/java/org/whinhead/bench/days/RolloutDaysBenchmark.java
@@ -16,16 +16,17 @@
 import org.whinhead.simulation.rollout.VersionBehavior;
 
 /**
- * How simulated roll-outs end, for good and bad versions, under disturbances and at several sizes;
- * the reports of evidence in force beside evidence that rides in the daemons' usual reports.
+ * Measures the outcomes of simulated roll-outs of good and bad versions, under disturbances and at
+ * several fleet sizes. Compares the default evidence reports with evidence carried in the daemons'
+ * regular reports.
  */
 public final class RolloutDaysBenchmark implements Benchmark {
 
     private static final int SEEDS = 100;
     private static final int[] SIZES = {6, 66, 330};
 
-    /** What each daemon adds to the interval of the usual reports. */
-    private static final int USUAL_MILLIS_PER_DAEMON = 22;
+    /** Milliseconds by which each daemon lengthens the interval of the regular reports. */
+    private static final int REGULAR_INTERVAL_MILLIS_PER_DAEMON = 22;
 
     @Override
     public String name() {
@@ -47,19 +48,20 @@
                             "over exposed",
                             "exposed/allowed",
                             "ended after s");
-            for (final VersionBehavior conduct : VersionBehavior.values()) {
+            for (final VersionBehavior behavior : VersionBehavior.values()) {
                 for (final Disturbance disturbance : Disturbance.values()) {
-                    final RolloutScenario played =
-                            RolloutScenario.ofSize(daemons, conduct, disturbance);
-                    addRow(table, conduct + ", " + disturbance, played, options.seed());
+                    final RolloutScenario scenario =
+                            RolloutScenario.ofSize(daemons, behavior, disturbance);
+                    addRow(table, behavior + ", " + disturbance, scenario, options.seed());
                 }
-                final Duration usual =
-                        Duration.ofMillis(Math.max(200, USUAL_MILLIS_PER_DAEMON * daemons));
+                final Duration regularInterval =
+                        Duration.ofMillis(
+                                Math.max(200, REGULAR_INTERVAL_MILLIS_PER_DAEMON * daemons));
                 addRow(
                         table,
-                        conduct + ", evidence in the usual reports",
-                        RolloutScenario.ofSize(daemons, conduct, Disturbance.NONE)
-                                .withEvidencePace(usual),
+                        behavior + ", evidence in the usual reports",
+                        RolloutScenario.ofSize(daemons, behavior, Disturbance.NONE)
+                                .withEvidencePace(regularInterval),
                         options.seed());
             }
             table.print(options, out);
@@ -69,17 +71,20 @@
     private static void addRow(
             final FigureTable table,
             final String label,
-            final RolloutScenario played,
+            final RolloutScenario scenario,
             final long seed) {
         final List<RolloutOutcome> outcomes = new ArrayList<>();
         for (int index = 0; index < SEEDS; index++) {
-            outcomes.add(RolloutSimulation.run(played, seed + index));
+            outcomes.add(RolloutSimulation.run(scenario, seed + index));
         }
         table.add(
                 label,
                 share(outcomes, outcome -> outcome.state() == RolloutState.COMPLETED),
                 share(outcomes, RolloutDaysBenchmark::isOverExposed),
-                outcomes.stream().mapToDouble(RolloutDaysBenchmark::exposedPerAllowed).max().orElseThrow(),
+                outcomes.stream()
+                        .mapToDouble(RolloutDaysBenchmark::exposedPerAllowed)
+                        .max()
+                        .orElseThrow(),
                 outcomes.stream()
                         .mapToDouble(outcome -> outcome.decidedAfter().toMillis() / 1e3)
                         .average()
@@ -87,8 +92,8 @@
     }
 
     private static double share(
-            final List<RolloutOutcome> outcomes, final Predicate<RolloutOutcome> which) {
-        return (double) outcomes.stream().filter(which).count() / outcomes.size();
+            final List<RolloutOutcome> outcomes, final Predicate<RolloutOutcome> condition) {
+        return (double) outcomes.stream().filter(condition).count() / outcomes.size();
     }
 
     private static boolean isOverExposed(final RolloutOutcome outcome) {
--- a/bench/src/main/java/org/whinhead/bench/days/package-info.java
+++ b/bench/src/main/java/org/whinhead/bench/days/package-info.java
@@ -1,2 +1,2 @@
-/** Policies of capacity over simulated days. */
+/** Benchmarks of capacity policies and roll-outs in simulated time. */
 package org.whinhead.bench.days;
--- a/bench/src/main/java/org/whinhead/bench/goodput/GoodputBenchmark.java
+++ b/bench/src/main/java/org/whinhead/bench/goodput/GoodputBenchmark.java
@@ -16,11 +16,14 @@
 import org.whinhead.bench.engine.Conversations;
 import org.whinhead.bench.engine.EngineSettings;
 
-/** Answers within target a second, by tier, from half to three times what the engines can do. */
+/**
+ * Measures answers within target per second, by tier, at 0.5 to 3 times the capacity of the
+ * engines.
+ */
 public final class GoodputBenchmark implements Benchmark {
 
     private static final double[] LOADS = {0.5, 1, 1.5, 2, 3};
-    private static final double FLOOD_PER_SECOND = 60;
+    private static final double SATURATING_REQUESTS_PER_SECOND = 60;
     private static final Target TARGET =
             new Target(EndpointKind.MODEL_ENGINE, Conversations.MODEL.toString());
 
@@ -37,7 +40,8 @@
     @Override
     public void run(final BenchOptions options, final PrintStream out) {
         final double capacity =
-                GoodputRun.of(noLimits(), FLOOD_PER_SECOND, options.seed()).finishedPerSecond();
+                GoodputRun.of(noLimits(), SATURATING_REQUESTS_PER_SECOND, options.seed())
+                        .finishedPerSecond();
         final FigureTable figures =
                 new FigureTable(
                         "load, admission",
@@ -48,12 +52,12 @@
                         "all/s",
                         "all/no-limits");
         for (final double load : LOADS) {
-            final GoodputRun.Outcome open =
+            final GoodputRun.Outcome unlimited =
                     GoodputRun.of(noLimits(), load * capacity, options.seed());
             final GoodputRun.Outcome tiered =
                     GoodputRun.of(tiered(), load * capacity, options.seed());
-            add(figures, load + " no limits", open, open);
-            add(figures, load + " tiered", tiered, open);
+            add(figures, load + " no limits", unlimited, unlimited);
+            add(figures, load + " tiered", tiered, unlimited);
         }
         figures.print(options, out);
     }
--- a/bench/src/main/java/org/whinhead/bench/goodput/GoodputRun.java
+++ b/bench/src/main/java/org/whinhead/bench/goodput/GoodputRun.java
@@ -16,7 +16,7 @@
 import org.whinhead.bench.engine.Simulation;
 import org.whinhead.routing.RoutingStrategy;
 
-/** One admission under traffic of one rate. */
+/** Simulates one admission policy under traffic of one mean rate. */
 final class GoodputRun {
 
     static final Cluster.Sizes SIZES = new Cluster.Sizes(6, 1);
@@ -42,9 +42,15 @@
         mPerSecond = perSecond;
         mRandom = new Random(seed);
         mConversations = new Conversations(seed, EngineSettings.DEFAULT.blockTokens());
-        mCluster = new Cluster(SIZES, RoutingStrategy.AFFINITY, seed, mSimulation, this::onFinished);
+        mCluster =
+                new Cluster(SIZES, RoutingStrategy.AFFINITY, seed, mSimulation, this::onFinished);
     }
 
+    /**
+     * Runs the simulation and returns its outcome.
+     *
+     * @param perSecond mean arrival rate, in requests per second
+     */
     static Outcome of(final Admission admission, final double perSecond, final long seed) {
         final GoodputRun run = new GoodputRun(admission, perSecond, seed);
         run.arrive();
@@ -105,11 +111,12 @@
     }
 
     /**
-     * What a run showed after its warm-up.
+     * Holds the request counts of a run after its warm-up.
      *
-     * @param finished requests that ended
-     * @param inTime those whose first token met the tier's target, by tier
-     * @param offered requests that came, by tier
+     * @param finished number of requests that ended
+     * @param inTime number of requests that met the tier's first token target and their deadline,
+     *     by tier name
+     * @param offered number of requests that arrived, by tier name
      */
     record Outcome(int finished, Map<String, Integer> inTime, Map<String, Integer> offered) {
 
--- a/bench/src/main/java/org/whinhead/bench/goodput/package-info.java
+++ b/bench/src/main/java/org/whinhead/bench/goodput/package-info.java
@@ -1,2 +1,2 @@
-/** Admission under overload, against no limits. */
+/** Benchmark of admission under overload, compared with no limits. */
 package org.whinhead.bench.goodput;
--- a/bench/src/main/java/org/whinhead/bench/retries/EngineFault.java
+++ b/bench/src/main/java/org/whinhead/bench/retries/EngineFault.java
@@ -1,13 +1,13 @@
 package org.whinhead.bench.retries;
 
-/** What is wrong with an engine. */
+/** The fault injected into an engine. */
 enum EngineFault {
-    /** Nothing. */
+    /** No fault. */
     NONE,
-    /** No connection can be made; streams that were open run on. */
+    /** New connections fail; open streams continue. */
     UNREACHABLE,
-    /** Streams are cut, and new ones are cut a little after they began. */
+    /** Open streams are cut, and new streams are cut shortly after they start. */
     CUTS_STREAMS,
-    /** Connections are made and nothing comes over them, while the engine works on. */
+    /** Connections succeed but carry no data, while the engine continues to compute. */
     SILENT
 }
--- a/bench/src/main/java/org/whinhead/bench/retries/FaultyEngine.java
+++ b/bench/src/main/java/org/whinhead/bench/retries/FaultyEngine.java
@@ -20,7 +20,7 @@
 import org.whinhead.routing.CacheEvent;
 import org.whinhead.routing.LoadReport;
 
-/** An engine of the model behind a connection that may fail. */
+/** A simulated engine behind a connection with injected faults. */
 final class FaultyEngine implements EngineListener {
 
     /** The text of each token. */
@@ -51,7 +51,7 @@
         mModel = new EngineModel(number, id, EngineSettings.DEFAULT, simulation, this);
     }
 
-    /** Changes what is wrong; streams of a cut or silent connection do not come back. */
+    /** Sets the fault; streams that were cut or silenced do not recover. */
     void setFault(final EngineFault fault) {
         mFault = fault;
         for (final Stream stream : new ArrayList<>(mStreams.values())) {
@@ -63,22 +63,28 @@
         }
     }
 
-    /** Takes an attempt; the rest of the answer has a number of tokens from an index on. */
+    /**
+     * Starts an attempt that generates the rest of an answer.
+     *
+     * @param answerTokens length of the whole answer, in tokens
+     * @param fromIndex index of the first token to generate
+     */
     void generate(
             final AttemptId attempt,
             final RequestSpec spec,
             final int answerTokens,
             final long fromIndex,
             final Consumer<AttemptEvent> events) {
-        final int rest = (int) (answerTokens - fromIndex);
-        final Stream stream = new Stream(attempt, new Sequence(spec, rest), fromIndex, events);
+        final int remainingTokens = (int) (answerTokens - fromIndex);
+        final Stream stream =
+                new Stream(attempt, new Sequence(spec, remainingTokens), fromIndex, events);
         if (mFault == EngineFault.UNREACHABLE) {
             send(stream, new AttemptEvent.Failed(attempt, AttemptFailure.CONNECT_FAILED, "fault"));
             return;
         }
         stream.mMuted = mFault == EngineFault.SILENT;
         send(stream, new AttemptEvent.Opened(attempt, attempt.toString()));
-        if (rest <= 0) {
+        if (remainingTokens <= 0) {
             send(stream, new AttemptEvent.Finished(attempt, "stop", 0, 0, fromIndex));
             return;
         }
@@ -91,7 +97,7 @@
         }
     }
 
-    /** Ends an attempt's work, if there is any. */
+    /** Cancels an attempt; does nothing if the attempt is not running. */
     void cancel(final AttemptId attempt) {
         final Stream stream = mStreams.get(attempt);
         if (stream != null) {
@@ -100,7 +106,7 @@
         }
     }
 
-    /** Tells whether load reports get out. */
+    /** Returns whether the engine's load reports reach the daemons. */
     boolean canReportLoad() {
         return mFault == EngineFault.NONE || mFault == EngineFault.CUTS_STREAMS;
     }
@@ -109,7 +115,7 @@
         return mModel.load();
     }
 
-    /** Returns the tokens computed so far, of prompts and answers. */
+    /** Returns the number of prompt and answer tokens computed so far. */
     long computedTokens() {
         long computed = mEndedComputedTokens;
         for (final Stream stream : mStreams.values()) {
@@ -144,10 +150,10 @@
         if (!mStreams.containsKey(stream.mAttempt)) {
             return;
         }
-        final boolean begun = stream.mSequence.generated() > 0;
+        final boolean hasStarted = stream.mSequence.generated() > 0;
         cancel(stream.mAttempt);
         final AttemptFailure failure =
-                begun ? AttemptFailure.CUT_DURING_ANSWER : AttemptFailure.CUT_BEFORE_ANSWER;
+                hasStarted ? AttemptFailure.CUT_DURING_ANSWER : AttemptFailure.CUT_BEFORE_ANSWER;
         send(stream, new AttemptEvent.Failed(stream.mAttempt, failure, "fault"));
     }
 
--- a/bench/src/main/java/org/whinhead/bench/retries/OutageMetrics.java
+++ b/bench/src/main/java/org/whinhead/bench/retries/OutageMetrics.java
@@ -7,7 +7,7 @@
 import java.util.function.Predicate;
 import org.whinhead.bench.engine.Simulation;
 
-/** What one outage cost, taken at its beginning, its end and after the run. */
+/** Cost of one outage, from counters read at its start and end, and from the calls of the run. */
 final class OutageMetrics {
 
     static final Duration WARM_UP = Duration.ofSeconds(30);
@@ -15,7 +15,7 @@
     static final Duration END = Duration.ofSeconds(90);
     static final Duration LENGTH = Duration.ofSeconds(180);
 
-    /** Calls of the last seconds are left out, since they may still be open. */
+    /** End of the counted arrivals; later calls may still be open at the end of the run. */
     private static final Duration COUNTED_END = Duration.ofSeconds(140);
 
     private static final Duration BUCKET = Duration.ofSeconds(2);
@@ -31,7 +31,9 @@
     private long mComputedAtWarmUpEnd;
 
     OutageMetrics(
-            final SimulatedCallers callers, final LongSupplier dispatches, final LongSupplier computed) {
+            final SimulatedCallers callers,
+            final LongSupplier dispatches,
+            final LongSupplier computed) {
         mCallers = callers;
         mDispatches = dispatches;
         mComputed = computed;
@@ -51,24 +53,28 @@
         mComputedAtEnd = mComputed.getAsLong();
     }
 
-    /** Returns the dispatches in the outage for each call that came in it. */
+    /** Returns the dispatches during the outage per call that arrived during it. */
     double dispatchesPerCall() {
         return (double) (mDispatchesAtEnd - mDispatchesBefore) / arrived(BEGIN, END).size();
     }
 
-    /** Returns how often each call that came in the outage was asked for. */
+    /** Returns the mean number of tries of a call that arrived during the outage. */
     double triesPerCall() {
-        return arrived(BEGIN, END).stream().mapToInt(SimulatedCallers.Call::tries).average().orElse(0);
+        return arrived(BEGIN, END).stream()
+                .mapToInt(SimulatedCallers.Call::tries)
+                .average()
+                .orElse(0);
     }
 
-    /** Returns the tokens computed in the outage for each answer in it, against those before. */
+    /** Returns the tokens computed per answer during the outage, divided by those before it. */
     double tokensPerAnswer() {
         final double during = (double) (mComputedAtEnd - mComputedBefore) / answered(BEGIN, END);
-        final double before = (double) (mComputedBefore - mComputedAtWarmUpEnd) / answered(WARM_UP, BEGIN);
+        final double before =
+                (double) (mComputedBefore - mComputedAtWarmUpEnd) / answered(WARM_UP, BEGIN);
         return during / before;
     }
 
-    /** Returns the answers in time a second during the outage, by the time of the answer. */
+    /** Returns the number of answers in time per second, of those that ended during the outage. */
     double goodput() {
         final long inTime =
                 mCallers.calls().stream()
@@ -78,21 +84,24 @@
         return (double) inTime / END.minus(BEGIN).toSeconds();
     }
 
-    /** Returns the share of calls of the outage that got a whole answer in the end. */
+    /**
+     * Returns the share (0 to 1) of calls that arrived during the outage and got a whole answer.
+     */
     double answeredShare() {
         return share(arrived(BEGIN, END), call -> call.answeredAt().isBefore(Instant.MAX));
     }
 
     /**
-     * Returns the seconds from the outage's end until the share of calls in time at once is back at
-     * 95% of the share before and stays there for two buckets; negative if it never is.
+     * Returns the seconds from the outage's end until the share of calls answered in time on the
+     * first try has been at least 95% of its earlier value for two buckets; -1 if it never is.
      */
     double secondsToRecover() {
-        final double wanted = RECOVERED_SHARE * firstTryShare(WARM_UP, BEGIN);
+        final double threshold = RECOVERED_SHARE * firstTryShare(WARM_UP, BEGIN);
         Duration from = END;
         while (from.compareTo(COUNTED_END) < 0) {
             final Duration next = from.plus(BUCKET);
-            if (firstTryShare(from, next) >= wanted && firstTryShare(next, next.plus(BUCKET)) >= wanted) {
+            if (firstTryShare(from, next) >= threshold
+                    && firstTryShare(next, next.plus(BUCKET)) >= threshold) {
                 return from.minus(END).toSeconds();
             }
             from = next;
@@ -113,7 +122,8 @@
     }
 
     private static double share(
-            final List<SimulatedCallers.Call> calls, final Predicate<SimulatedCallers.Call> condition) {
+            final List<SimulatedCallers.Call> calls,
+            final Predicate<SimulatedCallers.Call> condition) {
         return (double) calls.stream().filter(condition).count() / calls.size();
     }
 
--- a/bench/src/main/java/org/whinhead/bench/retries/OutageRun.java
+++ b/bench/src/main/java/org/whinhead/bench/retries/OutageRun.java
@@ -17,7 +17,7 @@
 import org.whinhead.routing.CacheEvent;
 import org.whinhead.routing.LoadReport;
 
-/** One outage under one set of ideas. */
+/** Simulates one outage under one retry variant. */
 final class OutageRun {
 
     private static final int ENGINES = 12;
@@ -34,7 +34,7 @@
     private final List<SimulatedDaemon> mDaemons = new ArrayList<>();
     private final OutageMetrics mFigures;
 
-    private OutageRun(final RetryVariant ideas, final double perSecond, final long seed) {
+    private OutageRun(final RetryVariant variant, final double perSecond, final long seed) {
         final List<Endpoint> endpoints = Cluster.endpoints(ENGINES);
         final Random random = new Random(seed);
         for (int i = 0; i < ENGINES; i++) {
@@ -46,8 +46,8 @@
         final SimulatedDaemon.Setup setup =
                 new SimulatedDaemon.Setup(mEngines, endpoints, target, DAEMONS);
         for (int i = 0; i < DAEMONS; i++) {
-            final Random own = new Random(seed + i);
-            mDaemons.add(new SimulatedDaemon(ideas, setup, mSimulation, own, callers));
+            final Random daemonRandom = new Random(seed + i);
+            mDaemons.add(new SimulatedDaemon(variant, setup, mSimulation, daemonRandom, callers));
         }
         mFigures = new OutageMetrics(callers, this::dispatches, this::computedTokens);
         report();
@@ -55,8 +55,8 @@
         callers.start(mDaemons);
     }
 
-    static OutageMetrics of(final RetryVariant ideas, final double perSecond, final long seed) {
-        final OutageRun run = new OutageRun(ideas, perSecond, seed);
+    static OutageMetrics of(final RetryVariant variant, final double perSecond, final long seed) {
+        final OutageRun run = new OutageRun(variant, perSecond, seed);
         run.mSimulation.runFor(OutageMetrics.LENGTH);
         return run.mFigures;
     }
@@ -69,11 +69,11 @@
 
     private void begin() {
         mFigures.onOutageBegan();
-        int at = 0;
+        int index = 0;
         for (final FaultyEngine engine : mEngines.values()) {
-            final int fault = at / ENGINES_OF_EACH_FAULT;
+            final int fault = index / ENGINES_OF_EACH_FAULT;
             engine.setFault(fault < FAULTS.size() ? FAULTS.get(fault) : EngineFault.NONE);
-            at++;
+            index++;
         }
     }
 
--- a/bench/src/main/java/org/whinhead/bench/retries/RetriesBenchmark.java
+++ b/bench/src/main/java/org/whinhead/bench/retries/RetriesBenchmark.java
@@ -5,7 +5,10 @@
 import org.whinhead.bench.Benchmark;
 import org.whinhead.bench.FigureTable;
 
-/** Half of the engines fail for 30 s, in three ways; each idea on retries is switched off once. */
+/**
+ * Compares retry variants while half of the engines fail for 30 s with three kinds of faults. Some
+ * variants switch off one mechanism, others add one.
+ */
 public final class RetriesBenchmark implements Benchmark {
 
     private static final double[] LOADS_PER_SECOND = {12, 30};
@@ -32,16 +35,16 @@
                             "in time/s",
                             "answered",
                             "recovery s");
-            for (final RetryVariant ideas : RetryVariant.values()) {
-                final OutageMetrics outcome = OutageRun.of(ideas, perSecond, options.seed());
+            for (final RetryVariant variant : RetryVariant.values()) {
+                final OutageMetrics metrics = OutageRun.of(variant, perSecond, options.seed());
                 figures.add(
-                        ideas.label(),
-                        outcome.dispatchesPerCall(),
-                        outcome.triesPerCall(),
-                        outcome.tokensPerAnswer(),
-                        outcome.goodput(),
-                        outcome.answeredShare(),
-                        outcome.secondsToRecover());
+                        variant.label(),
+                        metrics.dispatchesPerCall(),
+                        metrics.triesPerCall(),
+                        metrics.tokensPerAnswer(),
+                        metrics.goodput(),
+                        metrics.answeredShare(),
+                        metrics.secondsToRecover());
             }
             figures.print(options, out);
         }
--- a/bench/src/main/java/org/whinhead/bench/retries/RetryVariant.java
+++ b/bench/src/main/java/org/whinhead/bench/retries/RetryVariant.java
@@ -6,36 +6,36 @@
 import org.whinhead.routing.HealthSettings;
 import org.whinhead.routing.SuccessRule;
 
-/** Which of the ideas on retries are in force in a run. */
+/** The request and health settings of one benchmark run. */
 enum RetryVariant {
-    /** All of them: the program's own values. */
+    /** The default settings. */
     ALL("all ideas"),
-    /** Deadline and count of runs start anew once an answer has begun. */
+    /** Deadline and attempt count are reset once an answer has started. */
     BOUNDS_PER_ATTEMPT("bounds per attempt") {
         @Override
         RequestSettings requestSettings() {
             return RequestSettings.builder().retryScope(RetryScope.ATTEMPT).build();
         }
     },
-    /** Retries are not capped at a share of the traffic. */
+    /** The retry budget does not limit retries to a share of the traffic. */
     NO_RETRY_CAP("no retry cap") {
         @Override
         RequestSettings requestSettings() {
-            return RequestSettings.builder().retries(1, UNBOUNDED).build();
+            return RequestSettings.builder().retries(1, UNLIMITED_RETRIES).build();
         }
     },
-    /** A failing endpoint stays open to new work. */
+    /** A failing endpoint continues to receive requests. */
     NO_COOLDOWN("no cooldown") {
         @Override
         HealthSettings healthSettings() {
             return withoutCooldown();
         }
     },
-    /** A failing endpoint stays open, and retries are not capped. */
+    /** A failing endpoint continues to receive requests, and no retry budget applies. */
     NO_COOLDOWN_NO_CAP("no cooldown, no cap") {
         @Override
         RequestSettings requestSettings() {
-            return RequestSettings.builder().retries(1, UNBOUNDED).build();
+            return RequestSettings.builder().retries(1, UNLIMITED_RETRIES).build();
         }
 
         @Override
@@ -43,34 +43,34 @@
             return withoutCooldown();
         }
     },
-    /** The wait for a probe doubles up to 32 s. */
+    /** The delay before a probe doubles up to 32 s. */
     LONG_COOLDOWN("cooldown up to 32 s") {
         @Override
         HealthSettings healthSettings() {
-            final HealthSettings usual = HealthSettings.DEFAULT;
+            final HealthSettings defaults = HealthSettings.DEFAULT;
             return new HealthSettings(
-                    usual.failuresToSuspect(),
-                    usual.cooldown(),
-                    usual.jitter(),
-                    usual.probeTimeout(),
+                    defaults.failuresToSuspect(),
+                    defaults.cooldown(),
+                    defaults.jitter(),
+                    defaults.probeTimeout(),
                     Duration.ofSeconds(32),
-                    usual.successRule());
+                    defaults.successRule());
         }
     },
-    /** An old success clears a newer failure. */
+    /** A success clears a failure even if the failure is newer. */
     ANY_SUCCESS("any success clears") {
         @Override
         HealthSettings healthSettings() {
             return withSuccessRule(SuccessRule.ANY);
         }
     },
-    /** None of them. */
+    /** Limits per attempt, no retry budget and no cooldown. */
     NONE("none") {
         @Override
         RequestSettings requestSettings() {
             return RequestSettings.builder()
                     .retryScope(RetryScope.ATTEMPT)
-                    .retries(1, UNBOUNDED)
+                    .retries(1, UNLIMITED_RETRIES)
                     .build();
         }
 
@@ -79,21 +79,21 @@
             return withoutCooldown();
         }
     },
-    /** All of them, and an engine that opens no stream within a second has failed. */
+    /** The defaults; an attempt fails if its engine opens no stream within 1 s. */
     OPEN_TIMEOUT("all, open within 1 s") {
         @Override
         RequestSettings requestSettings() {
             return RequestSettings.builder().openTimeout(Duration.ofSeconds(1)).build();
         }
     },
-    /** All of them, and slots of suspect endpoints are not counted by admission. */
+    /** The defaults; admission does not count the slots of suspect endpoints. */
     CAPACITY_BY_HEALTH("all, slots by health") {
         @Override
         boolean capacityFollowsHealth() {
             return true;
         }
     },
-    /** Both: engines must open a stream within a second, and slots follow their health. */
+    /** The defaults with the open timeout of 1 s and capacity without suspect endpoints. */
     OPEN_TIMEOUT_AND_CAPACITY("all, both of these") {
         @Override
         RequestSettings requestSettings() {
@@ -105,7 +105,7 @@
             return true;
         }
     },
-    /** All of them, and silence before the first token counts as a failure ten times sooner. */
+    /** The defaults; silence before the first token counts as a failure ten times sooner. */
     SHORT_SILENCE("all, silence x2") {
         @Override
         RequestSettings requestSettings() {
@@ -113,7 +113,7 @@
         }
     };
 
-    private static final int UNBOUNDED = 1_000_000;
+    private static final int UNLIMITED_RETRIES = 1_000_000;
 
     private final String mLabel;
 
@@ -133,24 +133,25 @@
         return HealthSettings.DEFAULT;
     }
 
+    /** Returns whether admission leaves out the slots of suspect endpoints. */
     boolean capacityFollowsHealth() {
         return false;
     }
 
     private static HealthSettings withoutCooldown() {
-        final HealthSettings usual = HealthSettings.DEFAULT;
+        final HealthSettings defaults = HealthSettings.DEFAULT;
         return new HealthSettings(
-                Integer.MAX_VALUE, usual.cooldown(), usual.jitter(), usual.probeTimeout());
+                Integer.MAX_VALUE, defaults.cooldown(), defaults.jitter(), defaults.probeTimeout());
     }
 
     private static HealthSettings withSuccessRule(final SuccessRule rule) {
-        final HealthSettings usual = HealthSettings.DEFAULT;
+        final HealthSettings defaults = HealthSettings.DEFAULT;
         return new HealthSettings(
-                usual.failuresToSuspect(),
-                usual.cooldown(),
-                usual.jitter(),
-                usual.probeTimeout(),
-                usual.longestCooldown(),
+                defaults.failuresToSuspect(),
+                defaults.cooldown(),
+                defaults.jitter(),
+                defaults.probeTimeout(),
+                defaults.longestCooldown(),
                 rule);
     }
 }
--- a/bench/src/main/java/org/whinhead/bench/retries/SimulatedCallers.java
+++ b/bench/src/main/java/org/whinhead/bench/retries/SimulatedCallers.java
@@ -15,7 +15,10 @@
 import org.whinhead.bench.engine.EngineSettings;
 import org.whinhead.bench.engine.Simulation;
 
-/** Callers who ask at a rate, come back when they are told to, and hang up in the end. */
+/**
+ * Callers that send requests at a mean rate, retry after the delay of a refusal, and disconnect
+ * after a timeout.
+ */
 final class SimulatedCallers implements SimulatedDaemon.AnswerListener {
 
     private static final Duration REQUEST_TIMEOUT = Duration.ofSeconds(20);
@@ -31,6 +34,11 @@
     private final List<Call> mCalls = new ArrayList<>();
     private List<SimulatedDaemon> mDaemons = List.of();
 
+    /**
+     * Creates the callers.
+     *
+     * @param perSecond mean arrival rate, in calls per second
+     */
     SimulatedCallers(final Simulation simulation, final double perSecond, final long seed) {
         mSimulation = simulation;
         mPerSecond = perSecond;
@@ -38,6 +46,7 @@
         mConversations = new Conversations(seed, EngineSettings.DEFAULT.blockTokens());
     }
 
+    /** Starts the arrivals; each try goes to a random daemon. */
     void start(final List<SimulatedDaemon> daemons) {
         mDaemons = List.copyOf(daemons);
         arrive();
@@ -100,13 +109,13 @@
 
     private RequestSpec spec(final Call call) {
         final RequestSpec turn = call.mTurn.spec();
-        final Tier usual = turn.tier();
+        final Tier defaultTier = turn.tier();
         final Tier tier =
                 new Tier(
-                        usual.name(),
-                        usual.priority(),
-                        usual.firstTokenTarget(),
-                        usual.betweenTokensTarget(),
+                        defaultTier.name(),
+                        defaultTier.priority(),
+                        defaultTier.firstTokenTarget(),
+                        defaultTier.betweenTokensTarget(),
                         REQUEST_TIMEOUT);
         final Instant now = mSimulation.now();
         return RequestSpec.builder(new RequestId(turn.id() + "." + call.mTries))
@@ -122,7 +131,7 @@
                 .build();
     }
 
-    /** What one caller wants; it may ask several times. */
+    /** One caller's request, sent in one or more tries. */
     static final class Call {
         private final Conversations.Turn mTurn;
         private final Instant mArrived;
@@ -139,16 +148,19 @@
             return mArrived;
         }
 
+        /** Returns the time of the whole answer, or {@link Instant#MAX} without one. */
         Instant answeredAt() {
             return mAnsweredAt;
         }
 
-        /** Tells whether the answer met its targets, counted from the try that brought it. */
+        /**
+         * Returns whether the answer met its targets, counted from the start of the answered try.
+         */
         boolean isInTime() {
             return mInTime;
         }
 
-        /** Tells whether it was in time and nobody had to ask twice. */
+        /** Returns whether the first try was answered in time. */
         boolean isInTimeOnFirstTry() {
             return mInTime && mTries == 1;
         }
@@ -158,7 +170,7 @@
         }
     }
 
-    /** One time of asking. */
+    /** One try of a call. */
     private static final class Try {
         private final Call mCall;
         private final RequestSpec mSpec;
--- a/bench/src/main/java/org/whinhead/bench/retries/SimulatedDaemon.java
+++ b/bench/src/main/java/org/whinhead/bench/retries/SimulatedDaemon.java
@@ -28,7 +28,7 @@
 import org.whinhead.routing.AffinityRouter;
 import org.whinhead.routing.RoutingSettings;
 
-/** The decisions of one daemon, joined to the modelled engines. */
+/** Connects the request coordinator, router and admission of one daemon to simulated engines. */
 final class SimulatedDaemon implements RequestActions {
 
     private static final Duration TICK = Duration.ofMillis(20);
@@ -48,7 +48,7 @@
     private long mDispatches;
 
     SimulatedDaemon(
-            final RetryVariant ideas,
+            final RetryVariant variant,
             final Setup setup,
             final Simulation simulation,
             final Random random,
@@ -57,33 +57,34 @@
         mEngines = setup.engines();
         mListener = listener;
         mSetup = setup;
-        mCapacityFollowsHealth = ideas.capacityFollowsHealth();
+        mCapacityFollowsHealth = variant.capacityFollowsHealth();
         mAdmission = admission();
         setCapacity(setup.endpoints());
         mRouter =
                 new AffinityRouter(
-                        RoutingSettings.of(Cluster.DOMAIN).withHealth(ideas.healthSettings()), random);
+                        RoutingSettings.of(Cluster.DOMAIN).withHealth(variant.healthSettings()),
+                        random);
         mRouter.endpointsChanged(setup.endpoints());
         mCoordinator =
                 DefaultRequestCoordinator.builder()
                         .router(mRouter)
                         .admission(mAdmission)
                         .actions(this)
-                        .settings(ideas.requestSettings())
+                        .settings(variant.requestSettings())
                         .random(random)
                         .build();
         tick();
     }
 
     private static TieredAdmission admission() {
-        final AdmissionSettings usual = AdmissionSettings.DEFAULT;
+        final AdmissionSettings defaults = AdmissionSettings.DEFAULT;
         return new TieredAdmission(
                 new AdmissionSettings(
-                        usual.maxWaiting(),
-                        usual.initialSlots(),
+                        defaults.maxWaiting(),
+                        defaults.initialSlots(),
                         DISPATCH_ALLOWANCE,
-                        usual.minRetryAfter(),
-                        usual.maxRetryAfter()),
+                        defaults.minRetryAfter(),
+                        defaults.maxRetryAfter()),
                 Budget.UNLIMITED);
     }
 
@@ -118,15 +119,15 @@
             final String deliveredText,
             final long deliveredTokens) {
         mDispatches++;
-        final PendingRequest work = mPending.get(attempt.request());
+        final PendingRequest pending = mPending.get(attempt.request());
         mSimulation.after(
                 ONE_WAY_DELAY,
                 () ->
                         mEngines.get(endpoint.id())
                                 .generate(
                                         attempt,
-                                        work.spec(),
-                                        work.answerTokens(),
+                                        pending.spec(),
+                                        pending.answerTokens(),
                                         deliveredTokens,
                                         this::handle));
     }
@@ -135,16 +136,16 @@
         mCoordinator.onAttemptEvent(event, mSimulation.now());
     }
 
-    /** A stream whose connection broke is gone in this model. */
+    /** Fails the attempt: a stream whose connection broke cannot be resumed in this simulation. */
     @Override
     public void resume(
             final AttemptId attempt,
             final Endpoint endpoint,
             final String streamId,
             final long fromIndex) {
-        final AttemptEvent gone =
+        final AttemptEvent failure =
                 new AttemptEvent.Failed(attempt, AttemptFailure.STREAM_UNKNOWN, "gone");
-        mSimulation.after(ONE_WAY_DELAY.multipliedBy(2), () -> handle(gone));
+        mSimulation.after(ONE_WAY_DELAY.multipliedBy(2), () -> handle(failure));
     }
 
     @Override
@@ -173,12 +174,12 @@
 
     @Override
     public void ticket(final RequestId request, final Ticket ticket) {
-        // No caller of this model loses its daemon.
+        // No caller of this simulation loses its daemon.
     }
 
     @Override
     public void release(final AttemptId attempt) {
-        // A stream that is not read any more is cut already.
+        // A stream without a reader has already been cut.
     }
 
     @Override
@@ -187,27 +188,27 @@
             final Endpoint from,
             final String streamId,
             final Endpoint to) {
-        throw new IllegalStateException("no engine is announced to leave");
+        throw new IllegalStateException("move is not simulated: no engine leaves");
     }
 
     @Override
     public void call(final AttemptId attempt, final Endpoint endpoint) {
-        throw new IllegalStateException("there is no plain service");
+        throw new IllegalStateException("call is not simulated: there is no plain service");
     }
 
     @Override
     public void claim(final RequestId request) {
-        throw new IllegalStateException("every request is idempotent");
+        throw new IllegalStateException("claim is not simulated: every request is idempotent");
     }
 
     @Override
     public void answer(final RequestId request, final PlainAnswer answer) {
-        throw new IllegalStateException("there is no plain service");
+        throw new IllegalStateException("answer is not simulated: there is no plain service");
     }
 
     @Override
     public void handBack(final RequestId request, final Ticket ticket, final Refusal refusal) {
-        throw new IllegalStateException("no daemon stops");
+        throw new IllegalStateException("handBack is not simulated: no daemon stops");
     }
 
     private void tick() {
@@ -221,25 +222,30 @@
         mSimulation.after(TICK, this::tick);
     }
 
-    /** Told of answers. */
+    /** Receives the results of the callers' requests. */
     interface AnswerListener {
-        /** The first token reached the caller. */
+        /** Called when the first token reaches the caller. */
         void firstToken(RequestId request);
 
-        /** The whole answer reached the caller. */
+        /** Called when the whole answer has reached the caller. */
         void completed(RequestId request);
 
-        /** The caller was refused. */
+        /** Called when the request is refused. */
         void refused(RequestId request, Refusal refusal);
     }
 
-    /** What all daemons of a run share. */
+    /**
+     * The parameters that all daemons of a run share.
+     *
+     * @param target the admission target of all requests
+     * @param daemons number of daemons that share the capacity
+     */
     record Setup(
             Map<EndpointId, FaultyEngine> engines,
             List<Endpoint> endpoints,
             Target target,
             int daemons) {}
 
-    /** One request and its answer's length. */
+    /** A request in progress and the length of its answer, in tokens. */
     private record PendingRequest(RequestSpec spec, int answerTokens) {}
 }
--- a/bench/src/main/java/org/whinhead/bench/retries/package-info.java
+++ b/bench/src/main/java/org/whinhead/bench/retries/package-info.java
@@ -1,2 +1,2 @@
-/** Retries while part of the engines fail: each idea on and off, in simulated time. */
+/** Benchmark of retry variants while part of the engines fail, in simulated time. */
 package org.whinhead.bench.retries;
--- a/bench/src/test/java/org/whinhead/bench/capacity/LinearFitTest.java
+++ b/bench/src/test/java/org/whinhead/bench/capacity/LinearFitTest.java
@@ -6,10 +6,11 @@
 import java.util.List;
 import org.junit.jupiter.api.Test;
 
+// Guards against a wrong intercept, slope or determination of the fit, and a wrong median.
 class LinearFitTest {
 
     @Test
-    void lineIsFoundAndScatterShowsInItsDetermination() {
+    void findsLineAndLowDeterminationOfScatter() {
         final LinearFit line = LinearFit.of(List.of(at(1, 5), at(2, 7), at(10, 23)));
         assertThat(line.fixed()).isCloseTo(3, within(1e-9));
         assertThat(line.slope()).isCloseTo(2, within(1e-9));
@@ -19,7 +20,7 @@
     }
 
     @Test
-    void spreadNamesTheMiddleRepetition() {
+    void findsMedianOfRepetitions() {
         assertThat(Spread.of(9, 1, 4)).isEqualTo(new Spread(1, 4, 9));
     }
 
--- a/bench/src/test/java/org/whinhead/bench/retries/FaultyEngineTest.java
+++ b/bench/src/test/java/org/whinhead/bench/retries/FaultyEngineTest.java
@@ -17,7 +17,7 @@
 
 class FaultyEngineTest {
 
-    private static final int ANSWER = 50;
+    private static final int ANSWER_TOKENS = 50;
 
     private final Simulation mSimulation = new Simulation();
     private final RequestSpec mSpec = new Conversations(1, 64).next(Simulation.START).spec();
@@ -26,14 +26,15 @@
     private final FaultyEngine mEngine =
             new FaultyEngine(0, new EndpointId("e"), mSimulation, new Random(1), event -> {});
 
-    // The figures of the outage are worth nothing if a fault is not what it is called: a silent
-    // engine must work without a word, and a cut one must end its streams and stop to work.
+    // Guards against injected faults that differ from their names, which would void the outage
+    // benchmark: a silent engine must compute without events, and a cut engine must end its streams
+    // and stop computing.
     @Test
-    void eachFaultIsWhatItIsCalled() {
+    void injectsTheFaultThatWasSet() {
         start(EngineFault.SILENT, 0);
         mSimulation.runFor(Duration.ofSeconds(10));
         assertThat(mEvents).isEmpty();
-        assertThat(mEngine.computedTokens()).isGreaterThan(ANSWER);
+        assertThat(mEngine.computedTokens()).isGreaterThan(ANSWER_TOKENS);
         start(EngineFault.CUTS_STREAMS, 0);
         mSimulation.runFor(Duration.ofSeconds(20));
         assertThat(lastFailure()).isNotEqualTo(AttemptFailure.CONNECT_FAILED);
@@ -45,18 +46,18 @@
     }
 
     @Test
-    void healthyEngineContinuesFromIndex() {
+    void continuesAnswerFromIndexWithoutFault() {
         start(EngineFault.NONE, 20);
         mSimulation.runFor(Duration.ofSeconds(10));
-        assertThat(mEvents).hasSize(1 + ANSWER - 20 + 1);
+        assertThat(mEvents).hasSize(1 + ANSWER_TOKENS - 20 + 1);
         assertThat(((AttemptEvent.Token) mEvents.get(1)).index()).isEqualTo(20);
         final AttemptEvent last = mEvents.get(mEvents.size() - 1);
-        assertThat(((AttemptEvent.Finished) last).answerTokens()).isEqualTo(ANSWER);
+        assertThat(((AttemptEvent.Finished) last).answerTokens()).isEqualTo(ANSWER_TOKENS);
     }
 
     private void start(final EngineFault fault, final long from) {
         mEngine.setFault(fault);
-        mEngine.generate(mAttempt, mSpec, ANSWER, from, mEvents::add);
+        mEngine.generate(mAttempt, mSpec, ANSWER_TOKENS, from, mEvents::add);
     }
 
     private AttemptFailure lastFailure() {
