--- a/bench/src/main/java/org/whinhead/bench/capacity/Fixtures.java
+++ b/bench/src/main/java/org/whinhead/bench/capacity/Fixtures.java
@@ -75,7 +75,7 @@
                 .build();
     }
 
-    /** Returns a streamed request that shares the first half of its prompt with its application. */
+    /** Returns a streamed request whose first prompt half is that of its application. */
     static RequestSpec request(final long number, final Random random) {
         final int application = random.nextInt(APPLICATIONS);
         final Random shared = new Random(application);
--- a/bench/src/main/java/org/whinhead/bench/capacity/PeersCost.java
+++ b/bench/src/main/java/org/whinhead/bench/capacity/PeersCost.java
@@ -19,10 +19,7 @@
 import org.whinhead.membership.MembershipView;
 import org.whinhead.membership.VmListSnapshot;
 
-/**
- * Measures the VM list and the membership view of one daemon; the traffic between daemons is not
- * measured here.
- */
+/** Measures the VM list and membership view of one daemon; MembershipBench measures the traffic. */
 public final class PeersCost extends RoleCost {
 
     private static final int[] DAEMON_COUNTS = {9, 36, 165, 330};
--- a/bench/src/main/java/org/whinhead/bench/capacity/SettingsCost.java
+++ b/bench/src/main/java/org/whinhead/bench/capacity/SettingsCost.java
@@ -133,7 +133,7 @@
     private static long check(final DeploymentSettings parsed) {
         if (!DocumentValidator.validate(path(7), Optional.of(document(7, 2)), parsed)
                 .canTakeEffect()) {
-            throw new IllegalStateException("a valid document was rejected: " + path(7));
+            throw new IllegalStateException("a valid document was rejected");
         }
         return 1;
     }
@@ -183,8 +183,7 @@
                             now);
             for (final LogEntry entry : mLog.flush(now)) {
                 if (mFold.apply(entry) != LogFold.ApplyResult.NEW) {
-                    throw new IllegalStateException(
-                            "log entry was not applied as new: offset " + entry.offset());
+                    throw new IllegalStateException("the log entry was not applied as new");
                 }
                 mRevisions[number] = entry.offset();
             }
--- a/bench/src/main/java/org/whinhead/bench/days/CapacityDaysBenchmark.java
+++ b/bench/src/main/java/org/whinhead/bench/days/CapacityDaysBenchmark.java
@@ -106,7 +106,7 @@
                 days.add(CapacityDay.read(file));
             }
         } catch (IOException e) {
-            throw new UncheckedIOException("cannot read the simulated days in " + DAYS, e);
+            throw new UncheckedIOException("cannot read the simulated days", e);
         }
         return days;
     }
--- a/bench/src/main/java/org/whinhead/bench/retries/OutageMetrics.java
+++ b/bench/src/main/java/org/whinhead/bench/retries/OutageMetrics.java
@@ -92,8 +92,8 @@
     }
 
     /**
-     * Returns the seconds from the outage's end until the share of calls answered in time on the
-     * first try has been at least 95% of its earlier value for two buckets; -1 if it never is.
+     * Returns the seconds from the outage's end to the first two consecutive buckets whose share of
+     * calls in time on the first try is at least 95% of the share before; -1 if there are none.
      */
     double secondsToRecover() {
         final double threshold = RECOVERED_SHARE * firstTryShare(WARM_UP, BEGIN);
--- a/bench/src/main/java/org/whinhead/bench/retries/RetriesBenchmark.java
+++ b/bench/src/main/java/org/whinhead/bench/retries/RetriesBenchmark.java
@@ -6,8 +6,8 @@
 import org.whinhead.bench.FigureTable;
 
 /**
- * Compares retry variants while half of the engines fail for 30 s with three kinds of faults. Some
- * variants switch off one mechanism, others add one.
+ * Compares retry variants while half of the engines fail for 30 s with three kinds of faults. Each
+ * variant switches off or adds one or more mechanisms.
  */
 public final class RetriesBenchmark implements Benchmark {
 
