--- a/bench/src/main/java/org/whinhead/bench/capacity/Fixtures.java
+++ b/bench/src/main/java/org/whinhead/bench/capacity/Fixtures.java
@@ -75,7 +75,7 @@
                 .build();
     }
 
-    /** Returns a streamed request whose first prompt half is that of its application. */
+    /** Returns a streamed request; the first half of its prompt is common to its application. */
     static RequestSpec request(final long number, final Random random) {
         final int application = random.nextInt(APPLICATIONS);
         final Random shared = new Random(application);
--- a/bench/src/main/java/org/whinhead/bench/retries/RetriesBenchmark.java
+++ b/bench/src/main/java/org/whinhead/bench/retries/RetriesBenchmark.java
@@ -7,7 +7,7 @@
 
 /**
  * Compares retry variants while half of the engines fail for 30 s with three kinds of faults. Each
- * variant switches off or adds one or more mechanisms.
+ * variant other than the default changes one or more settings.
  */
 public final class RetriesBenchmark implements Benchmark {
 
