--- a/bench/src/main/java/org/whinhead/bench/capacity/Meter.java
+++ b/bench/src/main/java/org/whinhead/bench/capacity/Meter.java
@@ -9,51 +9,52 @@
 /**
  * Measures processor time and retained memory.
  *
- * <p>Processor time is that of the whole process, so that collecting the garbage counts too. Memory
- * is the used heap after full collections, before and after the objects were made.
+ * <p>Processor time is that of the whole process, so that it includes garbage collection. Retained
+ * memory is the difference of the used heap after full collections, before and after the objects
+ * are created.
  */
 final class Meter {
 
     private static final int REPETITIONS = 3;
 
-    /** The serial collector leaves dead objects in place, but for each fourth full collection. */
-    private static final int COLLECTIONS = 4;
+    /** The serial collector leaves dead objects in place except on every fourth full collection. */
+    private static final int COLLECTIONS_PER_READING = 4;
 
-    private static final int MOST_WARM_WINDOWS = 6;
-    private static final double STEADY = 0.15;
+    private static final int MAX_WARM_UP_WINDOWS = 6;
+    private static final double STEADY_TOLERANCE = 0.15;
     private static final long WINDOW_NANOS = 500_000_000;
 
     private final OperatingSystemMXBean mSystem =
             ManagementFactory.getPlatformMXBean(OperatingSystemMXBean.class);
 
     /**
-     * Measures nanoseconds of processor time for one unit of work.
+     * Measures the processor time per unit of work, in nanoseconds.
      *
-     * @param work does some work and returns how many units it did
+     * @param work does some work and returns the number of units done
      */
-    Spread nanos(final LongSupplier work) {
-        warm(work);
+    Spread measureCpuNanos(final LongSupplier work) {
+        warmUp(work);
         final double[] nanos = new double[REPETITIONS];
         for (int repetition = 0; repetition < REPETITIONS; repetition++) {
-            nanos[repetition] = window(work);
+            nanos[repetition] = runWindow(work);
         }
         return Spread.of(nanos);
     }
 
-    /** Runs until two windows in a row agree, so that the compiler's own time is left out. */
-    private void warm(final LongSupplier work) {
-        double before = window(work);
-        double last = window(work);
-        for (int windows = 2; windows < MOST_WARM_WINDOWS; windows++) {
-            if (Math.abs(last - before) <= STEADY * before) {
+    /** Runs until two consecutive windows agree, to exclude the time of the JIT compiler. */
+    private void warmUp(final LongSupplier work) {
+        double before = runWindow(work);
+        double last = runWindow(work);
+        for (int windows = 2; windows < MAX_WARM_UP_WINDOWS; windows++) {
+            if (Math.abs(last - before) <= STEADY_TOLERANCE * before) {
                 return;
             }
             before = last;
-            last = window(work);
+            last = runWindow(work);
         }
     }
 
-    private double window(final LongSupplier work) {
+    private double runWindow(final LongSupplier work) {
         final long cpuBefore = mSystem.getProcessCpuTime();
         final long start = System.nanoTime();
         long units = 0;
@@ -64,30 +65,30 @@
     }
 
     /**
-     * Measures the bytes that an object retains.
+     * Measures the retained size of an object, in bytes.
      *
-     * @param maker makes it anew each time
+     * @param factory creates a new object on each call
      */
-    Spread retained(final Supplier<?> maker) {
-        retainedOnce(maker);
+    Spread measureRetainedBytes(final Supplier<?> factory) {
+        retainedBytes(factory);
         final double[] bytes = new double[REPETITIONS];
         for (int repetition = 0; repetition < REPETITIONS; repetition++) {
-            bytes[repetition] = retainedOnce(maker);
+            bytes[repetition] = retainedBytes(factory);
         }
         return Spread.of(bytes);
     }
 
-    // A method of its own: in a loop the last object would still be reachable from the frame.
-    private static long retainedOnce(final Supplier<?> maker) {
-        final long before = usedAfterCollection();
-        final Object made = maker.get();
-        final long after = usedAfterCollection();
-        Reference.reachabilityFence(made);
+    // A separate method: in a loop the previous object would stay reachable from the frame.
+    private static long retainedBytes(final Supplier<?> factory) {
+        final long before = usedHeapAfterCollection();
+        final Object created = factory.get();
+        final long after = usedHeapAfterCollection();
+        Reference.reachabilityFence(created);
         return after - before;
     }
 
-    private static long usedAfterCollection() {
-        for (int collection = 0; collection < COLLECTIONS; collection++) {
+    private static long usedHeapAfterCollection() {
+        for (int collection = 0; collection < COLLECTIONS_PER_READING; collection++) {
             System.gc();
         }
         return Runtime.getRuntime().totalMemory() - Runtime.getRuntime().freeMemory();
--- a/bench/src/main/java/org/whinhead/bench/capacity/RoleCost.java
+++ b/bench/src/main/java/org/whinhead/bench/capacity/RoleCost.java
@@ -4,20 +4,20 @@
 import org.whinhead.bench.BenchOptions;
 import org.whinhead.bench.Benchmark;
 
-/** What one role of a daemon costs at several sizes, with a line through each cost. */
+/** A benchmark of the cost of one daemon role at several sizes, with a linear fit of each cost. */
 abstract class RoleCost implements Benchmark {
 
     @Override
     public final void run(final BenchOptions options, final PrintStream out) {
-        measure(new Meter(), options.seed(), new Sheet(options, out));
+        measure(new Meter(), options.seed(), new SeriesPrinter(options, out));
     }
 
     /**
-     * Measures the role.
+     * Measures the role and prints its series.
      *
-     * @param meter measures
-     * @param seed the seed of all chance
-     * @param out where the figures go
+     * @param meter measures processor time and memory
+     * @param seed seed of all random generators
+     * @param out prints the series
      */
-    abstract void measure(Meter meter, long seed, Sheet out);
+    abstract void measure(Meter meter, long seed, SeriesPrinter out);
 }
--- a/bench/src/main/java/org/whinhead/bench/capacity/SettingsCost.java
+++ b/bench/src/main/java/org/whinhead/bench/capacity/SettingsCost.java
@@ -19,14 +19,14 @@
 import org.whinhead.state.settings.SettingsState;
 import org.whinhead.state.settings.SettingsValidator;
 
-/** A change in the fold, the rules that judge it, the memory of documents, and checkpoints. */
+/** Measures settings changes, their validation, the memory of documents, and checkpoints. */
 public final class SettingsCost extends RoleCost {
 
-    private static final int[] DOCUMENTS = {250, 500, 1000, 2000};
-    private static final int[] REVISIONS = {1, 8, 32, 64};
-    private static final int KEPT_DOCUMENTS = 500;
-    private static final int[] OUTCOMES = {1, 5_000, 10_000, 20_000};
-    private static final int MANY_OUTCOMES = 20_000;
+    private static final int[] DOCUMENT_COUNTS = {250, 500, 1000, 2000};
+    private static final int[] REVISION_COUNTS = {1, 8, 32, 64};
+    private static final int RETENTION_DOCUMENTS = 500;
+    private static final int[] OUTCOME_COUNTS = {1, 5_000, 10_000, 20_000};
+    private static final int MAX_OUTCOMES = 20_000;
     private static final int REVISIONS_PER_PATH = 64;
     private static final int INCARNATIONS = 1_000;
     private static final String TIER = "/tiers/clerk";
@@ -42,55 +42,59 @@
     }
 
     @Override
-    void measure(final Meter meter, final long seed, final Sheet out) {
-        changes(meter, out);
-        kept(meter, out);
+    void measure(final Meter meter, final long seed, final SeriesPrinter out) {
+        measureChanges(meter, out);
+        measureRetention(meter, out);
         final Series outcomes = new Series("fold's memory", "outcomes kept", "bytes");
-        for (final int count : OUTCOMES) {
-            outcomes.add(count, meter.retained(() -> new Daemon(1, count, count)));
+        for (final int count : OUTCOME_COUNTS) {
+            outcomes.add(count, meter.measureRetainedBytes(() -> new Daemon(1, count, count)));
         }
-        out.add(outcomes);
+        out.print(outcomes);
     }
 
-    private static void changes(final Meter meter, final Sheet out) {
+    private static void measureChanges(final Meter meter, final SeriesPrinter out) {
         final Series change = new Series("one change on the log", "documents", "bytes");
         final Series fold = new Series("change written, read, folded", "documents", "ns a change");
         final Series rules = new Series("change checked by the rules", "documents", "ns a check");
         final Series usable = new Series("documents made usable", "documents", "ns a change");
-        for (final int documents : DOCUMENTS) {
-            final Daemon daemon = new Daemon(documents, 1, MANY_OUTCOMES);
-            fold.add(documents, meter.nanos(daemon::change));
+        for (final int documents : DOCUMENT_COUNTS) {
+            final Daemon daemon = new Daemon(documents, 1, MAX_OUTCOMES);
+            fold.add(documents, meter.measureCpuNanos(daemon::change));
             change.add(documents, Spread.exact(daemon.bytesOfChange()));
             final DeploymentSettings parsed = parsed(documents);
-            rules.add(documents, meter.nanos(() -> check(parsed)));
-            usable.add(documents, meter.nanos(() -> replace(parsed)));
+            rules.add(documents, meter.measureCpuNanos(() -> check(parsed)));
+            usable.add(documents, meter.measureCpuNanos(() -> replace(parsed)));
         }
-        out.add(change, fold, rules, usable);
+        out.print(change, fold, rules, usable);
     }
 
-    private static void kept(final Meter meter, final Sheet out) {
+    private static void measureRetention(final Meter meter, final SeriesPrinter out) {
         final Series memory = new Series("fold's memory", "revisions kept", "bytes");
         final Series size = new Series("checkpoint", "revisions kept", "bytes");
         final Series write = new Series("checkpoint written", "revisions kept", "ns");
         final Series read = new Series("checkpoint read", "revisions kept", "ns");
         final CheckpointCodec codec = new CheckpointCodec();
-        for (final int revisions : REVISIONS) {
-            final int kept = KEPT_DOCUMENTS * revisions;
-            final FoldState state = new Daemon(KEPT_DOCUMENTS, revisions, 1).mFold.view().state();
+        for (final int revisions : REVISION_COUNTS) {
+            final int kept = RETENTION_DOCUMENTS * revisions;
+            final FoldState state =
+                    new Daemon(RETENTION_DOCUMENTS, revisions, 1).mFold.view().state();
             final byte[] bytes = codec.encode(state);
             size.add(kept, Spread.exact(bytes.length));
-            write.add(kept, meter.nanos(() -> codec.encode(state).length > 0 ? 1 : 0));
-            read.add(kept, meter.nanos(() -> decode(codec, bytes)));
-            memory.add(kept, meter.retained(() -> new Daemon(KEPT_DOCUMENTS, revisions, 1)));
+            write.add(kept, meter.measureCpuNanos(() -> codec.encode(state).length > 0 ? 1 : 0));
+            read.add(kept, meter.measureCpuNanos(() -> decode(codec, bytes)));
+            memory.add(
+                    kept,
+                    meter.measureRetainedBytes(
+                            () -> new Daemon(RETENTION_DOCUMENTS, revisions, 1)));
         }
-        out.add(memory, size, write, read);
+        out.print(memory, size, write, read);
     }
 
     private static long decode(final CheckpointCodec codec, final byte[] bytes) {
         try {
             return codec.decode(bytes).asOf() > 0 ? 1 : 0;
         } catch (final CheckpointException e) {
-            throw new IllegalStateException("a checkpoint that was just written", e);
+            throw new IllegalStateException("cannot decode a checkpoint that was just encoded", e);
         }
     }
 
@@ -129,7 +133,7 @@
     private static long check(final DeploymentSettings parsed) {
         if (!DocumentValidator.validate(path(7), Optional.of(document(7, 2)), parsed)
                 .canTakeEffect()) {
-            throw new IllegalStateException("the document is valid");
+            throw new IllegalStateException("a valid document was rejected");
         }
         return 1;
     }
@@ -138,9 +142,9 @@
         return parsed.with(stored(path(7), document(7, 2))).documents().isEmpty() ? 0 : 1;
     }
 
-    /** A fold after as many changes of each document as revisions are asked for. */
+    /** A log fold that has applied a number of revisions of each document. */
     private static final class Daemon {
-        private final LoopLog mLog = new LoopLog();
+        private final LoopbackLog mLog = new LoopbackLog();
         private final LogFold mFold;
         private final long[] mRevisions;
         private long mChanges;
@@ -149,7 +153,7 @@
             mFold =
                     new LogFold(
                             new SettingsLedger(
-                                    new AnythingGoes(),
+                                    new PermissiveValidator(),
                                     (author, path, current) -> true,
                                     new SettingsLedger.Limits(REVISIONS_PER_PATH, outcomes)),
                             INCARNATIONS);
@@ -179,7 +183,7 @@
                             now);
             for (final LogEntry entry : mLog.flush(now)) {
                 if (mFold.apply(entry) != LogFold.ApplyResult.NEW) {
-                    throw new IllegalStateException("not folded");
+                    throw new IllegalStateException("the log entry was not applied as new");
                 }
                 mRevisions[number] = entry.offset();
             }
@@ -193,8 +197,8 @@
         }
     }
 
-    /** Leaves the rules out, which are measured on their own. */
-    private static final class AnythingGoes implements SettingsValidator {
+    /** Accepts every change, since the cost of validation is measured separately. */
+    private static final class PermissiveValidator implements SettingsValidator {
         @Override
         public boolean supports(final int rules) {
             return true;
--- a/bench/src/main/java/org/whinhead/bench/goodput/GoodputRun.java
+++ b/bench/src/main/java/org/whinhead/bench/goodput/GoodputRun.java
@@ -16,12 +16,12 @@
 import org.whinhead.bench.engine.Simulation;
 import org.whinhead.routing.RoutingStrategy;
 
-/** One admission under traffic of one rate. */
+/** Simulates one admission policy under traffic of one mean rate. */
 final class GoodputRun {
 
     static final Cluster.Sizes SIZES = new Cluster.Sizes(6, 1);
 
-    private static final Duration LENGTH = Duration.ofSeconds(120);
+    private static final Duration DURATION = Duration.ofSeconds(120);
     private static final Duration WARM_UP = Duration.ofSeconds(30);
     private static final Duration TICK = Duration.ofMillis(20);
     private static final double NANOS_PER_SECOND = 1e9;
@@ -42,14 +42,20 @@
         mPerSecond = perSecond;
         mRandom = new Random(seed);
         mConversations = new Conversations(seed, EngineSettings.DEFAULT.blockTokens());
-        mCluster = new Cluster(SIZES, RoutingStrategy.AFFINITY, seed, mSimulation, this::finished);
+        mCluster =
+                new Cluster(SIZES, RoutingStrategy.AFFINITY, seed, mSimulation, this::onFinished);
     }
 
+    /**
+     * Runs the simulation and returns its outcome.
+     *
+     * @param perSecond mean arrival rate, in requests per second
+     */
     static Outcome of(final Admission admission, final double perSecond, final long seed) {
         final GoodputRun run = new GoodputRun(admission, perSecond, seed);
         run.arrive();
         run.tick();
-        run.mSimulation.runFor(LENGTH);
+        run.mSimulation.runFor(DURATION);
         return run.outcome();
     }
 
@@ -82,7 +88,7 @@
         }
     }
 
-    private void finished(final Sequence sequence) {
+    private void onFinished(final Sequence sequence) {
         final Instant now = mSimulation.now();
         final RequestSpec spec = sequence.spec();
         mAdmission.requestEnded(spec.id(), sequence.generated(), now);
@@ -105,15 +111,16 @@
     }
 
     /**
-     * What a run showed after its warm-up.
+     * Holds the request counts of a run after its warm-up.
      *
-     * @param finished requests that ended
-     * @param inTime those whose first token met the tier's target, by tier
-     * @param offered requests that came, by tier
+     * @param finished number of requests that ended
+     * @param inTime number of requests that met the tier's first token target and their deadline,
+     *     by tier name
+     * @param offered number of requests that arrived, by tier name
      */
     record Outcome(int finished, Map<String, Integer> inTime, Map<String, Integer> offered) {
 
-        private static final double SECONDS = LENGTH.minus(WARM_UP).toSeconds();
+        private static final double SECONDS = DURATION.minus(WARM_UP).toSeconds();
 
         double finishedPerSecond() {
             return finished / SECONDS;
--- a/bench/src/main/java/org/whinhead/bench/retries/Callers.java
+++ b/bench/src/main/java/org/whinhead/bench/retries/SimulatedCallers.java
@@ -15,12 +15,15 @@
 import org.whinhead.bench.engine.EngineSettings;
 import org.whinhead.bench.engine.Simulation;
 
-/** Callers who ask at a rate, come back when they are told to, and hang up in the end. */
-final class Callers implements SimulatedDaemon.AnswerListener {
+/**
+ * Callers that send requests at a mean rate, retry after the delay of a refusal, and disconnect
+ * after a timeout.
+ */
+final class SimulatedCallers implements SimulatedDaemon.AnswerListener {
 
     private static final Duration REQUEST_TIMEOUT = Duration.ofSeconds(20);
-    private static final Duration PATIENCE = Duration.ofSeconds(60);
-    private static final int MOST_TRIES = 4;
+    private static final Duration CALLER_TIMEOUT = Duration.ofSeconds(60);
+    private static final int MAX_TRIES = 4;
     private static final double NANOS_PER_SECOND = 1e9;
 
     private final Simulation mSimulation;
@@ -31,13 +34,19 @@
     private final List<Call> mCalls = new ArrayList<>();
     private List<SimulatedDaemon> mDaemons = List.of();
 
-    Callers(final Simulation simulation, final double perSecond, final long seed) {
+    /**
+     * Creates the callers.
+     *
+     * @param perSecond mean arrival rate, in calls per second
+     */
+    SimulatedCallers(final Simulation simulation, final double perSecond, final long seed) {
         mSimulation = simulation;
         mPerSecond = perSecond;
         mRandom = new Random(seed);
         mConversations = new Conversations(seed, EngineSettings.DEFAULT.blockTokens());
     }
 
+    /** Starts the arrivals; each try goes to a random daemon. */
     void start(final List<SimulatedDaemon> daemons) {
         mDaemons = List.copyOf(daemons);
         arrive();
@@ -69,44 +78,44 @@
     @Override
     public void refused(final RequestId request, final Refusal refusal) {
         final Try open = mOpen.remove(request);
-        if (open == null || open.mCall.mTries >= MOST_TRIES) {
+        if (open == null || open.mCall.mTries >= MAX_TRIES) {
             return;
         }
-        refusal.retryAfter().ifPresent(wait -> mSimulation.after(wait, () -> ask(open.mCall)));
+        refusal.retryAfter().ifPresent(wait -> mSimulation.after(wait, () -> submit(open.mCall)));
     }
 
     private void arrive() {
         final Call call = new Call(mConversations.next(mSimulation.now()), mSimulation.now());
         mCalls.add(call);
-        ask(call);
+        submit(call);
         final double wait = -Math.log(1 - mRandom.nextDouble()) / mPerSecond;
         mSimulation.after(Duration.ofNanos((long) (wait * NANOS_PER_SECOND)), this::arrive);
     }
 
-    private void ask(final Call call) {
+    private void submit(final Call call) {
         call.mTries++;
         final RequestSpec spec = spec(call);
         mOpen.put(spec.id(), new Try(call, spec));
         final SimulatedDaemon daemon = mDaemons.get(mRandom.nextInt(mDaemons.size()));
-        daemon.arrived(spec, call.mTurn.outputTokens());
-        mSimulation.after(PATIENCE, () -> hangUp(daemon, spec.id()));
+        daemon.submit(spec, call.mTurn.outputTokens());
+        mSimulation.after(CALLER_TIMEOUT, () -> disconnect(daemon, spec.id()));
     }
 
-    private void hangUp(final SimulatedDaemon daemon, final RequestId request) {
+    private void disconnect(final SimulatedDaemon daemon, final RequestId request) {
         if (mOpen.remove(request) != null) {
-            daemon.callerLeft(request);
+            daemon.disconnectCaller(request);
         }
     }
 
     private RequestSpec spec(final Call call) {
         final RequestSpec turn = call.mTurn.spec();
-        final Tier usual = turn.tier();
+        final Tier defaultTier = turn.tier();
         final Tier tier =
                 new Tier(
-                        usual.name(),
-                        usual.priority(),
-                        usual.firstTokenTarget(),
-                        usual.betweenTokensTarget(),
+                        defaultTier.name(),
+                        defaultTier.priority(),
+                        defaultTier.firstTokenTarget(),
+                        defaultTier.betweenTokensTarget(),
                         REQUEST_TIMEOUT);
         final Instant now = mSimulation.now();
         return RequestSpec.builder(new RequestId(turn.id() + "." + call.mTries))
@@ -122,7 +131,7 @@
                 .build();
     }
 
-    /** What one caller wants; it may ask several times. */
+    /** One caller's request, sent in one or more tries. */
     static final class Call {
         private final Conversations.Turn mTurn;
         private final Instant mArrived;
@@ -139,17 +148,20 @@
             return mArrived;
         }
 
+        /** Returns the time of the whole answer, or {@link Instant#MAX} without one. */
         Instant answeredAt() {
             return mAnsweredAt;
         }
 
-        /** Tells whether the answer met its targets, counted from the try that brought it. */
+        /**
+         * Returns whether the answer met its targets, counted from the start of the answered try.
+         */
         boolean isInTime() {
             return mInTime;
         }
 
-        /** Tells whether it was in time and nobody had to ask twice. */
-        boolean isInTimeAtOnce() {
+        /** Returns whether the first try was answered in time. */
+        boolean isInTimeOnFirstTry() {
             return mInTime && mTries == 1;
         }
 
@@ -158,7 +170,7 @@
         }
     }
 
-    /** One time of asking. */
+    /** One try of a call. */
     private static final class Try {
         private final Call mCall;
         private final RequestSpec mSpec;
