--- a/bench/src/main/java/org/whinhead/bench/BenchMain.java
+++ b/bench/src/main/java/org/whinhead/bench/BenchMain.java
@@ -72,7 +72,7 @@
 
     private static void list(final PrintStream out) {
         for (final BenchmarkCatalog entry : BenchmarkCatalog.values()) {
-            final Benchmark benchmark = entry.make();
+            final Benchmark benchmark = entry.create();
             out.println(benchmark.name() + "\t" + benchmark.description());
         }
     }
--- a/bench/src/main/java/org/whinhead/bench/BenchmarkCatalog.java
+++ b/bench/src/main/java/org/whinhead/bench/BenchmarkCatalog.java
@@ -60,15 +60,15 @@
     /** What peers cost each other. */
     PEERS_TRAFFIC(TrafficBenchmark::new);
 
-    private final Supplier<Benchmark> mMaker;
+    private final Supplier<Benchmark> mFactory;
 
     BenchmarkCatalog(final Supplier<Benchmark> maker) {
-        mMaker = maker;
+        mFactory = maker;
     }
 
     /** Makes the benchmark. */
-    public Benchmark make() {
-        return mMaker.get();
+    public Benchmark create() {
+        return mFactory.get();
     }
 
     /**
@@ -79,7 +79,7 @@
      */
     public static Optional<Benchmark> find(final String name) {
         return Arrays.stream(values())
-                .map(BenchmarkCatalog::make)
+                .map(BenchmarkCatalog::create)
                 .filter(benchmark -> benchmark.name().equals(name))
                 .findFirst();
     }
--- a/bench/src/main/java/org/whinhead/bench/engine/Cluster.java
+++ b/bench/src/main/java/org/whinhead/bench/engine/Cluster.java
@@ -39,7 +39,7 @@
     private final Consumer<Sequence> mFinished;
     private final Random mRandom;
     private final List<EngineModel> mEngines = new ArrayList<>();
-    private final Map<EndpointId, Integer> mNumbers = new HashMap<>();
+    private final Map<EndpointId, Integer> mEngineIndexes = new HashMap<>();
     private final List<AffinityRouter> mRouters = new ArrayList<>();
     private final Map<RequestId, Integer> mRouterOf = new HashMap<>();
     private final List<Endpoint> mEndpoints;
@@ -65,7 +65,7 @@
         mEndpoints = endpoints(sizes.engines());
         for (int i = 0; i < sizes.engines(); i++) {
             final EndpointId id = mEndpoints.get(i).id();
-            mNumbers.put(id, i);
+            mEngineIndexes.put(id, i);
             mEngines.add(new EngineModel(i, id, EngineSettings.DEFAULT, simulation, this));
         }
         for (int i = 0; i < sizes.routers(); i++) {
@@ -74,7 +74,7 @@
             router.endpointsChanged(mEndpoints);
             mRouters.add(router);
         }
-        simulation.after(REPORT_PERIOD, this::report);
+        simulation.schedule(REPORT_PERIOD, this::scheduleReports);
     }
 
     /**
@@ -116,12 +116,12 @@
                 mRouters.get(router).choose(sequence.spec(), Set.of(), mSimulation.now());
         if (endpoint.isPresent()) {
             mRouterOf.put(sequence.spec().id(), router);
-            mEngines.get(mNumbers.get(endpoint.get().id())).submit(sequence);
+            mEngines.get(mEngineIndexes.get(endpoint.get().id())).submit(sequence);
         }
     }
 
     @Override
-    public void finished(final int engine, final Sequence sequence) {
+    public void sequenceFinished(final int engine, final Sequence sequence) {
         final int router = mRouterOf.remove(sequence.spec().id());
         final EndpointId id = mEndpoints.get(engine).id();
         mRouters.get(router).attemptSucceeded(id, sequence.spec(), mSimulation.now());
@@ -132,17 +132,17 @@
     @Override
     public void cacheChanged(final CacheEvent event) {
         if (mRandom.nextDouble() >= EVENT_LOSS) {
-            mSimulation.after(
+            mSimulation.schedule(
                     EVENT_LAG, () -> mRouters.forEach(router -> router.cacheChanged(event)));
         }
     }
 
-    private void report() {
+    private void scheduleReports() {
         for (final EngineModel engine : mEngines) {
-            final LoadReport report = engine.load();
-            mSimulation.after(REPORT_LAG, () -> deliver(report));
+            final LoadReport report = engine.loadReport();
+            mSimulation.schedule(REPORT_LAG, () -> deliver(report));
         }
-        mSimulation.after(REPORT_PERIOD, this::report);
+        mSimulation.schedule(REPORT_PERIOD, this::scheduleReports);
     }
 
     private void deliver(final LoadReport report) {
--- a/bench/src/main/java/org/whinhead/bench/engine/Conversations.java
+++ b/bench/src/main/java/org/whinhead/bench/engine/Conversations.java
@@ -24,14 +24,14 @@
     private static final int APPLICATION_BLOCKS = 12;
     private static final int TURN_BLOCKS = 5;
     private static final int MAX_TURNS = 8;
-    private static final int OPEN = 400;
+    private static final int MAX_OPEN_CONVERSATIONS = 400;
     private static final double CONTINUE_SHARE = 0.7;
-    private static final int LEAST_OUTPUT = 40;
-    private static final int OUTPUT_SPREAD = 120;
+    private static final int MIN_OUTPUT_TOKENS = 40;
+    private static final int OUTPUT_TOKEN_RANGE = 120;
     private static final Duration TIMEOUT = Duration.ofSeconds(120);
     private static final List<Tier> TIERS =
             List.of(tier("gold", 2, 2), tier("silver", 1, 4), tier("batch", 0, 8));
-    private static final int[] TIER_SHARES = {20, 60, 100};
+    private static final int[] CUMULATIVE_TIER_PERCENT = {20, 60, 100};
     private static final int PERCENT = 100;
 
     private final Random mRandom;
@@ -61,11 +61,11 @@
      * @param now when it arrives
      * @return the request with its answer's length and the conversation's number
      */
-    public Turn next(final Instant now) {
-        final Conversation conversation = pick();
+    public Turn nextTurn(final Instant now) {
+        final Conversation conversation = pickConversation();
         conversation.grow(TURN_BLOCKS, mRandom);
         final List<Long> prefixes = List.copyOf(conversation.mPrefixes);
-        final int output = LEAST_OUTPUT + mRandom.nextInt(OUTPUT_SPREAD);
+        final int output = MIN_OUTPUT_TOKENS + mRandom.nextInt(OUTPUT_TOKEN_RANGE);
         final Tier tier = conversation.mTier;
         final RequestSpec spec =
                 RequestSpec.builder(new RequestId("r" + mNext++))
@@ -82,7 +82,7 @@
         return new Turn(spec, output, conversation.mNumber);
     }
 
-    private Conversation pick() {
+    private Conversation pickConversation() {
         if (!mOpen.isEmpty() && mRandom.nextDouble() < CONTINUE_SHARE) {
             final int at = mRandom.nextInt(mOpen.size());
             final Conversation conversation = mOpen.get(at);
@@ -92,8 +92,8 @@
             }
             mOpen.remove(at);
         }
-        if (mOpen.size() >= OPEN) {
-            mOpen.remove(mRandom.nextInt(OPEN));
+        if (mOpen.size() >= MAX_OPEN_CONVERSATIONS) {
+            mOpen.remove(mRandom.nextInt(MAX_OPEN_CONVERSATIONS));
         }
         final double skewed = Math.pow(mRandom.nextDouble(), 2);
         final Conversation conversation =
@@ -108,7 +108,7 @@
     private Tier pickTier() {
         final int dice = mRandom.nextInt(PERCENT);
         int tier = 0;
-        while (dice >= TIER_SHARES[tier]) {
+        while (dice >= CUMULATIVE_TIER_PERCENT[tier]) {
             tier++;
         }
         return TIERS.get(tier);
--- a/bench/src/main/java/org/whinhead/bench/engine/EngineListener.java
+++ b/bench/src/main/java/org/whinhead/bench/engine/EngineListener.java
@@ -11,7 +11,7 @@
      * @param engine the engine's number
      * @param sequence the sequence
      */
-    default void decoded(final int engine, final Sequence sequence) {}
+    default void tokenDecoded(final int engine, final Sequence sequence) {}
 
     /**
      * A sequence got its last token.
@@ -19,7 +19,7 @@
      * @param engine the engine's number
      * @param sequence the sequence
      */
-    void finished(int engine, Sequence sequence);
+    void sequenceFinished(int engine, Sequence sequence);
 
     /**
      * The prefix cache changed.
--- a/bench/src/main/java/org/whinhead/bench/engine/EngineModel.java
+++ b/bench/src/main/java/org/whinhead/bench/engine/EngineModel.java
@@ -48,8 +48,8 @@
         mCache =
                 new PrefixCache(
                         settings.cacheBlocks(),
-                        hash -> tell(CacheEvent.Kind.STORED, hash),
-                        hash -> tell(CacheEvent.Kind.EVICTED, hash));
+                        hash -> publishCacheEvent(CacheEvent.Kind.STORED, hash),
+                        hash -> publishCacheEvent(CacheEvent.Kind.EVICTED, hash));
     }
 
     /**
@@ -76,7 +76,7 @@
     }
 
     /** Returns the load now. */
-    public LoadReport load() {
+    public LoadReport loadReport() {
         return new LoadReport(mId, mSimulation.now(), mBatch.size(), mWaiting.size(), 0);
     }
 
@@ -98,21 +98,21 @@
                 mSettings.stepMicros()
                         + mSettings.decodeMicros() * decoding.size()
                         + mSettings.prefillMicros() * (mSettings.prefillTokens() - budget);
-        mSimulation.after(Duration.of(micros, ChronoUnit.MICROS), () -> endStep(decoding));
+        mSimulation.schedule(Duration.of(micros, ChronoUnit.MICROS), () -> endStep(decoding));
     }
 
     private void endStep(final List<Sequence> decoding) {
         final Instant now = mSimulation.now();
         decoding.retainAll(mBatch);
         for (final Sequence sequence : decoding) {
-            if (sequence.generated() == 0) {
+            if (sequence.generatedTokens() == 0) {
                 mCache.store(sequence.spec().prefixHashes());
             }
             sequence.decode(now);
-            mListener.decoded(mNumber, sequence);
-            if (sequence.isDone()) {
+            mListener.tokenDecoded(mNumber, sequence);
+            if (sequence.isFinished()) {
                 mBatch.remove(sequence);
-                mListener.finished(mNumber, sequence);
+                mListener.sequenceFinished(mNumber, sequence);
             }
         }
         step();
@@ -123,12 +123,12 @@
             final Sequence sequence = mWaiting.remove().sequence();
             final int cached = mCache.lookup(sequence.spec().prefixHashes());
             final int cachedTokens = cached * mSettings.blockTokens();
-            sequence.begin(Math.max(1, sequence.spec().promptTokens() - cachedTokens));
+            sequence.startPrefill(Math.max(1, sequence.spec().promptTokens() - cachedTokens));
             mBatch.add(sequence);
         }
     }
 
-    private void tell(final CacheEvent.Kind kind, final long hash) {
+    private void publishCacheEvent(final CacheEvent.Kind kind, final long hash) {
         mListener.cacheChanged(new CacheEvent(mId, kind, hash));
     }
 
--- a/bench/src/main/java/org/whinhead/bench/engine/PrefixCache.java
+++ b/bench/src/main/java/org/whinhead/bench/engine/PrefixCache.java
@@ -13,13 +13,13 @@
 
     private final Map<Long, Boolean> mBlocks = new LinkedHashMap<>(64, LOAD_FACTOR, true);
     private final int mCapacity;
-    private final LongConsumer mStored;
-    private final LongConsumer mEvicted;
+    private final LongConsumer mStoredListener;
+    private final LongConsumer mEvictedListener;
 
     PrefixCache(final int capacity, final LongConsumer stored, final LongConsumer evicted) {
         mCapacity = capacity;
-        mStored = stored;
-        mEvicted = evicted;
+        mStoredListener = stored;
+        mEvictedListener = evicted;
     }
 
     /** Returns how many leading blocks of a prompt are held, and marks them as used. */
@@ -34,14 +34,14 @@
     void store(final List<Long> prefixes) {
         for (int i = prefixes.size() - 1; i >= 0; i--) {
             if (mBlocks.put(prefixes.get(i), Boolean.TRUE) == null) {
-                mStored.accept(prefixes.get(i));
+                mStoredListener.accept(prefixes.get(i));
             }
         }
         final Iterator<Long> oldest = mBlocks.keySet().iterator();
         while (mBlocks.size() > mCapacity) {
             final long evicted = oldest.next();
             oldest.remove();
-            mEvicted.accept(evicted);
+            mEvictedListener.accept(evicted);
         }
     }
 }
--- a/bench/src/main/java/org/whinhead/bench/engine/Sequence.java
+++ b/bench/src/main/java/org/whinhead/bench/engine/Sequence.java
@@ -30,17 +30,17 @@
     }
 
     /** Returns the tokens generated so far. */
-    public int generated() {
+    public int generatedTokens() {
         return mGenerated;
     }
 
     /** Returns the prompt tokens that were not in the cache. */
-    public int uncachedPrompt() {
+    public int uncachedPromptTokens() {
         return mUncachedPrompt;
     }
 
     /** Returns the tokens computed so far, of the prompt and of the answer. */
-    public int computed() {
+    public int computedTokens() {
         return mUncachedPrompt - mPromptLeft + mGenerated;
     }
 
@@ -49,7 +49,7 @@
         return mFirstTokenAt;
     }
 
-    void begin(final int uncachedPrompt) {
+    void startPrefill(final int uncachedPrompt) {
         mUncachedPrompt = uncachedPrompt;
         mPromptLeft = uncachedPrompt;
     }
@@ -71,7 +71,7 @@
         mGenerated++;
     }
 
-    boolean isDone() {
+    boolean isFinished() {
         return mGenerated >= mOutputTokens;
     }
 }
--- a/bench/src/main/java/org/whinhead/bench/engine/Simulation.java
+++ b/bench/src/main/java/org/whinhead/bench/engine/Simulation.java
@@ -25,7 +25,7 @@
      * @param delay how long from now
      * @param action what to do
      */
-    public void after(final Duration delay, final Runnable action) {
+    public void schedule(final Duration delay, final Runnable action) {
         mEvents.add(new Event(mNow.plus(delay), mSequence++, action));
     }
 
--- a/bench/src/main/java/org/whinhead/bench/goodput/GoodputRun.java
+++ b/bench/src/main/java/org/whinhead/bench/goodput/GoodputRun.java
@@ -55,7 +55,7 @@
 
     private void arrive() {
         final Instant now = mSimulation.now();
-        final Conversations.Turn turn = mConversations.next(now);
+        final Conversations.Turn turn = mConversations.nextTurn(now);
         final RequestSpec spec = turn.spec();
         if (isMeasured(now)) {
             mOffered.merge(spec.tier().name(), 1, Integer::sum);
@@ -66,12 +66,12 @@
         }
         dispatch();
         final double wait = -Math.log(1 - mRandom.nextDouble()) / mPerSecond;
-        mSimulation.after(Duration.ofNanos((long) (wait * NANOS_PER_SECOND)), this::arrive);
+        mSimulation.schedule(Duration.ofNanos((long) (wait * NANOS_PER_SECOND)), this::arrive);
     }
 
     private void tick() {
         dispatch();
-        mSimulation.after(TICK, this::tick);
+        mSimulation.schedule(TICK, this::tick);
     }
 
     private void dispatch() {
@@ -85,7 +85,7 @@
     private void finished(final Sequence sequence) {
         final Instant now = mSimulation.now();
         final RequestSpec spec = sequence.spec();
-        mAdmission.requestEnded(spec.id(), sequence.generated(), now);
+        mAdmission.requestEnded(spec.id(), sequence.generatedTokens(), now);
         if (!isMeasured(now)) {
             return;
         }
--- a/bench/src/main/java/org/whinhead/bench/membership/MembershipSimulation.java
+++ b/bench/src/main/java/org/whinhead/bench/membership/MembershipSimulation.java
@@ -40,9 +40,9 @@
     private final List<DaemonMember> mMembers = new ArrayList<>();
     private final List<Endpoint> mEndpoints = new ArrayList<>();
     private final SimulatedNetwork mNetwork;
-    private final PriorityQueue<Flight> mFlights =
+    private final PriorityQueue<InFlightMessage> mFlights =
             new PriorityQueue<>(
-                    Comparator.comparing(Flight::arrives).thenComparing(Flight::number));
+                    Comparator.comparing(InFlightMessage::arrives).thenComparing(InFlightMessage::number));
     private final PriorityQueue<SimulatedDaemon> mTicks =
             new PriorityQueue<>(Comparator.comparing(SimulatedDaemon::nextTick));
     private Instant mNow = START;
@@ -107,19 +107,19 @@
                 .ifPresent(delay -> mFlights.add(flight(from, receiver, delay, bytes)));
     }
 
-    private Flight flight(
+    private InFlightMessage flight(
             final SimulatedDaemon from,
             final SimulatedDaemon to,
             final Duration delay,
             final byte[] bytes) {
-        return new Flight(to.readsAt(mNow.plus(delay)), mMessages, from.member().id(), to, bytes);
+        return new InFlightMessage(to.readsAt(mNow.plus(delay)), mMessages, from.member().id(), to, bytes);
     }
 
     void run(final Duration time) {
         final Instant end = mNow.plus(time);
         while (true) {
             final Instant tick = mTicks.peek().nextTick();
-            final Flight flight = mFlights.peek();
+            final InFlightMessage flight = mFlights.peek();
             final boolean flightFirst = flight != null && !flight.arrives().isAfter(tick);
             final Instant next = flightFirst ? flight.arrives() : tick;
             if (next.isAfter(end)) {
@@ -128,10 +128,10 @@
             }
             mNow = next;
             if (!mNow.isBefore(mNextList)) {
-                list();
+                deliverVmList();
             }
             if (flightFirst) {
-                arrive(mFlights.poll());
+                deliver(mFlights.poll());
             } else {
                 final SimulatedDaemon daemon = mTicks.poll();
                 daemon.tick(mNow);
@@ -147,13 +147,13 @@
         daemon.end();
     }
 
-    private void list() {
+    private void deliverVmList() {
         mNextList = mNow.plus(LIST_INTERVAL);
         final VmListSnapshot list = new VmListSnapshot(mNow, mMembers, mEndpoints);
         mDaemons.forEach(daemon -> daemon.membership().listReceived(list, mNow));
     }
 
-    private void arrive(final Flight flight) {
+    private void deliver(final InFlightMessage flight) {
         if (flight.to().isEnded()) {
             return;
         }
@@ -201,6 +201,6 @@
         return suspicions;
     }
 
-    private record Flight(
+    private record InFlightMessage(
             Instant arrives, long number, VmId from, SimulatedDaemon to, byte[] bytes) {}
 }
--- a/bench/src/main/java/org/whinhead/bench/overhead/Caller.java
+++ b/bench/src/main/java/org/whinhead/bench/overhead/LoadGenerator.java
@@ -14,7 +14,7 @@
 import org.HdrHistogram.Histogram;
 
 /** Sends one kind of request over and over, by a rate or by a number in progress. */
-final class Caller {
+final class LoadGenerator {
 
     private static final int DIGITS = 3;
     private static final int OK = 200;
@@ -25,14 +25,14 @@
     private final String mKey;
     private final AtomicLong mNumber = new AtomicLong();
 
-    Caller(final HttpClient client, final URI uri, final String key) {
+    LoadGenerator(final HttpClient client, final URI uri, final String key) {
         mClient = client;
         mUri = uri;
         mKey = key;
     }
 
     /** Starts requests at even intervals; each is measured from its intended start. */
-    Outcome open(final int perSecond, final Duration time) {
+    Outcome runOpenLoop(final int perSecond, final Duration time) {
         final Histogram nanos = new ConcurrentHistogram(DIGITS);
         final AtomicLong failed = new AtomicLong();
         final long interval = Duration.ofSeconds(1).toNanos() / perSecond;
@@ -48,7 +48,7 @@
             }
             send().whenComplete(
                             (response, fault) -> {
-                                note(response, nanos, failed, intended);
+                                recordResult(response, nanos, failed, intended);
                                 ended.release();
                             });
         }
@@ -57,7 +57,7 @@
     }
 
     /** Keeps a number of requests in progress. */
-    Outcome closed(final int inProgress, final Duration time) {
+    Outcome runClosedLoop(final int inProgress, final Duration time) {
         final Histogram nanos = new ConcurrentHistogram(DIGITS);
         final AtomicLong failed = new AtomicLong();
         final Semaphore ended = new Semaphore(0);
@@ -79,7 +79,7 @@
         }
         send().whenComplete(
                         (response, fault) -> {
-                            note(response, nanos, failed, begun);
+                            recordResult(response, nanos, failed, begun);
                             repeat(nanos, failed, end, ended);
                         });
     }
@@ -95,7 +95,7 @@
         return mClient.sendAsync(request, BodyHandlers.discarding());
     }
 
-    private static void note(
+    private static void recordResult(
             final HttpResponse<Void> response,
             final Histogram nanos,
             final AtomicLong failed,
--- a/bench/src/main/java/org/whinhead/bench/overhead/OverheadBenchmark.java
+++ b/bench/src/main/java/org/whinhead/bench/overhead/OverheadBenchmark.java
@@ -52,18 +52,18 @@
         final HttpClient client =
                 HttpClient.newBuilder().version(HttpClient.Version.HTTP_1_1).build();
         final URI daemon = deployment.daemon(0).callerUri().resolve("/v1/services/filing/status");
-        final Caller direct =
-                new Caller(client, deployment.serviceUri().resolve("/status"), LocalDeployment.KEY);
-        final Caller through = new Caller(client, daemon, LocalDeployment.KEY);
-        direct.closed(IN_PROGRESS, WARM_UP);
-        through.closed(IN_PROGRESS, WARM_UP);
-        steady(direct, through, options, out);
-        most(direct, through, options, out);
+        final LoadGenerator direct =
+                new LoadGenerator(client, deployment.serviceUri().resolve("/status"), LocalDeployment.KEY);
+        final LoadGenerator through = new LoadGenerator(client, daemon, LocalDeployment.KEY);
+        direct.runClosedLoop(IN_PROGRESS, WARM_UP);
+        through.runClosedLoop(IN_PROGRESS, WARM_UP);
+        measureLatency(direct, through, options, out);
+        measureThroughput(direct, through, options, out);
     }
 
-    private static void steady(
-            final Caller direct,
-            final Caller through,
+    private static void measureLatency(
+            final LoadGenerator direct,
+            final LoadGenerator through,
             final BenchOptions options,
             final PrintStream out) {
         final FigureTable table =
@@ -77,8 +77,8 @@
                         "p99 added ms",
                         "failed");
         for (int i = 1; i <= REPETITIONS; i++) {
-            final Caller.Outcome a = direct.open(RATE, TURN);
-            final Caller.Outcome b = through.open(RATE, TURN);
+            final LoadGenerator.Outcome a = direct.runOpenLoop(RATE, TURN);
+            final LoadGenerator.Outcome b = through.runOpenLoop(RATE, TURN);
             table.add(
                     "run " + i,
                     a.millisAt(MEDIAN),
@@ -92,9 +92,9 @@
         table.print(options, out);
     }
 
-    private static void most(
-            final Caller direct,
-            final Caller through,
+    private static void measureThroughput(
+            final LoadGenerator direct,
+            final LoadGenerator through,
             final BenchOptions options,
             final PrintStream out) {
         final FigureTable table =
@@ -106,8 +106,8 @@
                         "direct failed",
                         "daemon failed");
         for (int i = 1; i <= REPETITIONS; i++) {
-            final Caller.Outcome a = direct.closed(IN_PROGRESS, TURN);
-            final Caller.Outcome b = through.closed(IN_PROGRESS, TURN);
+            final LoadGenerator.Outcome a = direct.runClosedLoop(IN_PROGRESS, TURN);
+            final LoadGenerator.Outcome b = through.runClosedLoop(IN_PROGRESS, TURN);
             table.add(
                     "run " + i,
                     a.perSecond(),
--- a/bench/src/main/java/org/whinhead/bench/peers/LeavingBenchmark.java
+++ b/bench/src/main/java/org/whinhead/bench/peers/LeavingBenchmark.java
@@ -41,7 +41,7 @@
         try (RecordingEndpoints endpoints = new RecordingEndpoints(LIVE + ROUNDS, DAEMONS);
                 LeavingFleet fleet = new LeavingFleet(endpoints)) {
             for (int endpoint = 0; endpoint < LIVE; endpoint++) {
-                fleet.list(endpoint);
+                fleet.addEndpoint(endpoint);
             }
             for (int daemon = 0; daemon < DAEMONS; daemon++) {
                 fleet.startDaemon();
@@ -94,7 +94,7 @@
         /** Announces the oldest endpoint and lists a new one in its place. */
         private void add(
                 final RecordingEndpoints endpoints, final LeavingFleet fleet, final int round) {
-            fleet.list(LIVE + round);
+            fleet.addEndpoint(LIVE + round);
             waitUntil(System.nanoTime() + ROUND_NANOS);
             for (int daemon = 0; daemon < DAEMONS; daemon++) {
                 if (endpoints.last(round, daemon) == 0) {
@@ -103,7 +103,7 @@
                 }
             }
             final long start = System.nanoTime();
-            fleet.announce(round);
+            fleet.announceReclaim(round);
             waitUntilQuiet(endpoints, round, start);
             final long hearing = endpoints.last(round, 0) - start;
             long others = 0;
--- a/bench/src/main/java/org/whinhead/bench/peers/LeavingFleet.java
+++ b/bench/src/main/java/org/whinhead/bench/peers/LeavingFleet.java
@@ -53,7 +53,7 @@
     private final StandInContext mContext = StandInContext.start();
     private final VmListStandIn mVms = VmListStandIn.start(0, Duration.ZERO, mContext);
     private final CloudStandIn mCloud =
-            CloudStandIn.start(0, Duration.ZERO, List.of(), new Unheard(), mContext);
+            CloudStandIn.start(0, Duration.ZERO, List.of(), new NoOpCloudActions(), mContext);
     private final RecordingEndpoints mEndpoints;
     private final XnioWorker mWorker;
     private final List<Daemon> mDaemons = new ArrayList<>();
@@ -84,7 +84,7 @@
     }
 
     /** Puts an endpoint on the VM list. */
-    void list(final int endpoint) {
+    void addEndpoint(final int endpoint) {
         final String vm = endpointVm(endpoint);
         mVms.seed(vm(vm, VmEntry.Role.SERVICE, mEndpoints.uri(endpoint), SERVICE));
         mCloud.adopt(
@@ -93,7 +93,7 @@
     }
 
     /** Announces an endpoint to the first daemon. */
-    void announce(final int endpoint) {
+    void announceReclaim(final int endpoint) {
         mCloud.reclaim(endpointVm(endpoint), NOTICE);
     }
 
@@ -144,7 +144,7 @@
     }
 
     /** The endpoints stay up; only the notice matters. */
-    private static final class Unheard implements CloudActions {
+    private static final class NoOpCloudActions implements CloudActions {
         @Override
         public void onStarted(final String vm, final VmOrder order) {
             // No VM is ordered here.
--- a/bench/src/main/java/org/whinhead/bench/peers/TrafficBenchmark.java
+++ b/bench/src/main/java/org/whinhead/bench/peers/TrafficBenchmark.java
@@ -75,7 +75,7 @@
 
     private void measure(final Path folder, final XnioWorker worker, final FigureTable figures)
             throws IOException, PeerException {
-        final TrafficAuthority authority = new TrafficAuthority(folder);
+        final TrafficCertificateAuthority authority = new TrafficCertificateAuthority(folder);
         final double[][] rows = new double[SIZES.length][];
         for (int i = 0; i < SIZES.length; i++) {
             try (TrafficFleet fleet = new TrafficFleet(SIZES[i], authority, worker)) {
--- a/bench/src/main/java/org/whinhead/bench/peers/TrafficAuthority.java
+++ b/bench/src/main/java/org/whinhead/bench/peers/TrafficCertificateAuthority.java
@@ -8,12 +8,12 @@
 import org.whinhead.settings.daemon.TlsFiles;
 
 /** Issues the certificates of a run. */
-final class TrafficAuthority {
+final class TrafficCertificateAuthority {
 
     private final Path mFolder;
     private final X509Bundle mRoot;
 
-    TrafficAuthority(final Path folder) {
+    TrafficCertificateAuthority(final Path folder) {
         mFolder = folder;
         try {
             mRoot = builder("root").setIsCertificateAuthority(true).buildSelfSigned();
--- a/bench/src/main/java/org/whinhead/bench/peers/TrafficFleet.java
+++ b/bench/src/main/java/org/whinhead/bench/peers/TrafficFleet.java
@@ -44,7 +44,7 @@
     private final List<ListedVm> mVms = new ArrayList<>();
     private final List<Endpoint> mEndpoints = new ArrayList<>();
 
-    TrafficFleet(final int daemons, final TrafficAuthority authority, final XnioWorker worker)
+    TrafficFleet(final int daemons, final TrafficCertificateAuthority authority, final XnioWorker worker)
             throws IOException, PeerException {
         final int endpoints = daemons * ENDPOINTS_AT_FULL_SIZE / DAEMONS_AT_FULL_SIZE;
         for (int i = 0; i < daemons; i++) {
@@ -63,7 +63,7 @@
                             InstantSource.system(),
                             worker.getIoThread(),
                             () -> 0,
-                            new Silent()));
+                            new NoOpListener()));
         }
     }
 
@@ -145,7 +145,7 @@
     }
 
     /** Decisions are no part of what is measured here. */
-    private static final class Silent implements PeerServiceListener {
+    private static final class NoOpListener implements PeerServiceListener {
         @Override
         public boolean endpointsChanged(final List<Endpoint> endpoints) {
             return true;
--- a/bench/src/main/java/org/whinhead/bench/retries/Callers.java
+++ b/bench/src/main/java/org/whinhead/bench/retries/Callers.java
@@ -72,15 +72,15 @@
         if (open == null || open.mCall.mTries >= MOST_TRIES) {
             return;
         }
-        refusal.retryAfter().ifPresent(wait -> mSimulation.after(wait, () -> ask(open.mCall)));
+        refusal.retryAfter().ifPresent(wait -> mSimulation.schedule(wait, () -> ask(open.mCall)));
     }
 
     private void arrive() {
-        final Call call = new Call(mConversations.next(mSimulation.now()), mSimulation.now());
+        final Call call = new Call(mConversations.nextTurn(mSimulation.now()), mSimulation.now());
         mCalls.add(call);
         ask(call);
         final double wait = -Math.log(1 - mRandom.nextDouble()) / mPerSecond;
-        mSimulation.after(Duration.ofNanos((long) (wait * NANOS_PER_SECOND)), this::arrive);
+        mSimulation.schedule(Duration.ofNanos((long) (wait * NANOS_PER_SECOND)), this::arrive);
     }
 
     private void ask(final Call call) {
@@ -89,7 +89,7 @@
         mOpen.put(spec.id(), new Try(call, spec));
         final SimulatedDaemon daemon = mDaemons.get(mRandom.nextInt(mDaemons.size()));
         daemon.arrived(spec, call.mTurn.outputTokens());
-        mSimulation.after(PATIENCE, () -> hangUp(daemon, spec.id()));
+        mSimulation.schedule(PATIENCE, () -> hangUp(daemon, spec.id()));
     }
 
     private void hangUp(final SimulatedDaemon daemon, final RequestId request) {
--- a/bench/src/main/java/org/whinhead/bench/retries/FaultyEngine.java
+++ b/bench/src/main/java/org/whinhead/bench/retries/FaultyEngine.java
@@ -87,7 +87,7 @@
         mModel.submit(stream.mSequence);
         if (mFault == EngineFault.CUTS_STREAMS) {
             final int millis = LEAST_CUT_MILLIS + mRandom.nextInt(CUT_SPREAD_MILLIS);
-            mSimulation.after(Duration.ofMillis(millis), () -> cut(stream));
+            mSimulation.schedule(Duration.ofMillis(millis), () -> cut(stream));
         }
     }
 
@@ -106,31 +106,31 @@
     }
 
     LoadReport load() {
-        return mModel.load();
+        return mModel.loadReport();
     }
 
     /** Returns the tokens computed so far, of prompts and answers. */
     long computed() {
         long computed = mComputedByEnded;
         for (final Stream stream : mStreams.values()) {
-            computed += stream.mSequence.computed();
+            computed += stream.mSequence.computedTokens();
         }
         return computed;
     }
 
     @Override
-    public void decoded(final int engine, final Sequence sequence) {
+    public void tokenDecoded(final int engine, final Sequence sequence) {
         final Stream stream = mBySequence.get(sequence);
-        final long index = stream.mFromIndex + sequence.generated() - 1;
+        final long index = stream.mFromIndex + sequence.generatedTokens() - 1;
         tell(stream, new AttemptEvent.Token(stream.mAttempt, index, TOKEN_TEXT));
     }
 
     @Override
-    public void finished(final int engine, final Sequence sequence) {
+    public void sequenceFinished(final int engine, final Sequence sequence) {
         final Stream stream = mBySequence.get(sequence);
-        final long answer = stream.mFromIndex + sequence.generated();
+        final long answer = stream.mFromIndex + sequence.generatedTokens();
         final int prompt = sequence.spec().promptTokens();
-        final int cached = prompt - sequence.uncachedPrompt();
+        final int cached = prompt - sequence.uncachedPromptTokens();
         forget(stream);
         tell(stream, new AttemptEvent.Finished(stream.mAttempt, "stop", prompt, cached, answer));
     }
@@ -144,7 +144,7 @@
         if (!mStreams.containsKey(stream.mAttempt)) {
             return;
         }
-        final boolean begun = stream.mSequence.generated() > 0;
+        final boolean begun = stream.mSequence.generatedTokens() > 0;
         cancel(stream.mAttempt);
         final AttemptFailure failure =
                 begun ? AttemptFailure.CUT_DURING_ANSWER : AttemptFailure.CUT_BEFORE_ANSWER;
@@ -154,12 +154,12 @@
     private void forget(final Stream stream) {
         mStreams.remove(stream.mAttempt);
         mBySequence.remove(stream.mSequence);
-        mComputedByEnded += stream.mSequence.computed();
+        mComputedByEnded += stream.mSequence.computedTokens();
     }
 
     private void tell(final Stream stream, final AttemptEvent event) {
         if (!stream.mMuted) {
-            mSimulation.after(WAY, () -> stream.mEvents.accept(event));
+            mSimulation.schedule(WAY, () -> stream.mEvents.accept(event));
         }
     }
 
--- a/bench/src/main/java/org/whinhead/bench/retries/OutageRun.java
+++ b/bench/src/main/java/org/whinhead/bench/retries/OutageRun.java
@@ -62,9 +62,9 @@
     }
 
     private void plan() {
-        mSimulation.after(OutageFigures.WARM_UP, mFigures::warm);
-        mSimulation.after(OutageFigures.BEGIN, this::begin);
-        mSimulation.after(OutageFigures.END, this::end);
+        mSimulation.schedule(OutageFigures.WARM_UP, mFigures::warm);
+        mSimulation.schedule(OutageFigures.BEGIN, this::begin);
+        mSimulation.schedule(OutageFigures.END, this::end);
     }
 
     private void begin() {
@@ -86,10 +86,10 @@
         for (final FaultyEngine engine : mEngines.values()) {
             if (engine.reports()) {
                 final LoadReport report = engine.load();
-                mSimulation.after(REPORT_LAG, () -> deliver(report));
+                mSimulation.schedule(REPORT_LAG, () -> deliver(report));
             }
         }
-        mSimulation.after(REPORT_PERIOD, this::report);
+        mSimulation.schedule(REPORT_PERIOD, this::report);
     }
 
     private void deliver(final LoadReport report) {
@@ -98,7 +98,7 @@
     }
 
     private void cacheChanged(final CacheEvent event) {
-        mSimulation.after(
+        mSimulation.schedule(
                 EVENT_LAG, () -> mDaemons.forEach(daemon -> daemon.router().cacheChanged(event)));
     }
 
--- a/bench/src/main/java/org/whinhead/bench/retries/SimulatedDaemon.java
+++ b/bench/src/main/java/org/whinhead/bench/retries/SimulatedDaemon.java
@@ -119,7 +119,7 @@
             final long deliveredTokens) {
         mDispatches++;
         final Work work = mWork.get(attempt.request());
-        mSimulation.after(
+        mSimulation.schedule(
                 WAY,
                 () ->
                         mEngines.get(endpoint.id())
@@ -144,12 +144,12 @@
             final long fromIndex) {
         final AttemptEvent gone =
                 new AttemptEvent.Failed(attempt, AttemptFailure.STREAM_UNKNOWN, "gone");
-        mSimulation.after(WAY.multipliedBy(2), () -> happened(gone));
+        mSimulation.schedule(WAY.multipliedBy(2), () -> happened(gone));
     }
 
     @Override
     public void cancel(final AttemptId attempt, final Endpoint endpoint, final String streamId) {
-        mSimulation.after(WAY, () -> mEngines.get(endpoint.id()).cancel(attempt));
+        mSimulation.schedule(WAY, () -> mEngines.get(endpoint.id()).cancel(attempt));
     }
 
     @Override
@@ -218,7 +218,7 @@
                             .toList());
         }
         mCoordinator.tick(mSimulation.now());
-        mSimulation.after(TICK, this::tick);
+        mSimulation.schedule(TICK, this::tick);
     }
 
     /** Told of answers. */
--- a/bench/src/main/java/org/whinhead/bench/routing/DecisionRate.java
+++ b/bench/src/main/java/org/whinhead/bench/routing/DecisionRate.java
@@ -28,12 +28,12 @@
     private DecisionRate() {}
 
     /** Measures with the requests of the model's traffic, whose prompts share prefixes. */
-    static double of(final RoutingStrategy strategy, final long seed) {
-        return of(strategy, seed, requests(seed));
+    static double measure(final RoutingStrategy strategy, final long seed) {
+        return measure(strategy, seed, requests(seed));
     }
 
     /** Measures with requests that share no prefix, so that nothing kept from before helps. */
-    static double ofStrangers(final RoutingStrategy strategy, final long seed) {
+    static double measureWithoutSharedPrefixes(final RoutingStrategy strategy, final long seed) {
         final Random random = new Random(seed);
         final List<RequestSpec> requests = new ArrayList<>();
         for (final RequestSpec spec : requests(seed)) {
@@ -51,10 +51,10 @@
                             .deadline(spec.deadline())
                             .build());
         }
-        return of(strategy, seed, requests);
+        return measure(strategy, seed, requests);
     }
 
-    private static double of(
+    private static double measure(
             final RoutingStrategy strategy, final long seed, final List<RequestSpec> requests) {
         final AffinityRouter router =
                 new AffinityRouter(
@@ -79,7 +79,7 @@
                 new Conversations(seed, EngineSettings.DEFAULT.blockTokens());
         final List<RequestSpec> requests = new ArrayList<>();
         for (int i = 0; i < REQUESTS; i++) {
-            requests.add(conversations.next(Simulation.START).spec());
+            requests.add(conversations.nextTurn(Simulation.START).spec());
         }
         return requests;
     }
--- a/bench/src/main/java/org/whinhead/bench/routing/RoutingBenchmark.java
+++ b/bench/src/main/java/org/whinhead/bench/routing/RoutingBenchmark.java
@@ -55,11 +55,11 @@
                         DecisionRate.ENDPOINTS + " endpoints", "decisions/s", "against-random");
         double random = 0;
         for (final RoutingStrategy strategy : RoutingStrategy.values()) {
-            final double rate = DecisionRate.of(strategy, options.seed());
+            final double rate = DecisionRate.measure(strategy, options.seed());
             random = strategy == RoutingStrategy.RANDOM ? rate : random;
             rates.add(strategy.name(), rate, rate / random);
         }
-        final double strangers = DecisionRate.ofStrangers(RoutingStrategy.AFFINITY, options.seed());
+        final double strangers = DecisionRate.measureWithoutSharedPrefixes(RoutingStrategy.AFFINITY, options.seed());
         rates.add("AFFINITY, none shared", strangers, strangers / random);
         rates.print(options, out);
     }
--- a/bench/src/main/java/org/whinhead/bench/routing/RoutingRun.java
+++ b/bench/src/main/java/org/whinhead/bench/routing/RoutingRun.java
@@ -45,13 +45,13 @@
     }
 
     private void arrive() {
-        final Conversations.Turn turn = mConversations.next(mSimulation.now());
+        final Conversations.Turn turn = mConversations.nextTurn(mSimulation.now());
         final boolean same = mRandom.nextDouble() < SAME_DAEMON_SHARE;
         final int other = mRandom.nextInt(SIZES.routers());
         final int router = same ? turn.conversation() % SIZES.routers() : other;
         mCluster.send(new Sequence(turn.spec(), turn.outputTokens()), router);
         final double wait = -Math.log(1 - mRandom.nextDouble()) / ARRIVALS_PER_SECOND;
-        mSimulation.after(Duration.ofNanos((long) (wait * NANOS_PER_SECOND)), this::arrive);
+        mSimulation.schedule(Duration.ofNanos((long) (wait * NANOS_PER_SECOND)), this::arrive);
     }
 
     private void finished(final Sequence sequence) {
@@ -60,8 +60,8 @@
         }
         mFinished++;
         mPromptTokens += sequence.spec().promptTokens();
-        mUncachedTokens += sequence.uncachedPrompt();
-        mGeneratedTokens += sequence.generated();
+        mUncachedTokens += sequence.uncachedPromptTokens();
+        mGeneratedTokens += sequence.generatedTokens();
         final Duration firstToken =
                 Duration.between(sequence.spec().arrived(), sequence.firstTokenAt());
         mFirstTokenMicros.recordValue(firstToken.toNanos() / 1000);
--- a/bench/src/main/java/org/whinhead/bench/waves/WaveTotals.java
+++ b/bench/src/main/java/org/whinhead/bench/waves/WaveTotals.java
@@ -8,7 +8,7 @@
 /** Adds several waves up. */
 final class WaveTotals {
 
-    private static final double MOST = 95;
+    private static final double TAIL_PERCENTILE = 95;
     private static final double MICROS_IN_MILLI = 1000;
     private static final double THOUSAND = 1000;
     private static final double PERCENT = 100;
@@ -47,8 +47,8 @@
             mRecomputed,
             mRecomputed * PERCENT / Math.max(1, mGenerated),
             (double) mRecomputed / Math.max(1, baseline.mRecomputed),
-            mFirstToken.getValueAtPercentile(MOST) / MICROS_IN_MILLI,
-            mBetweenTokens.getValueAtPercentile(MOST) / MICROS_IN_MILLI,
+            mFirstToken.getValueAtPercentile(TAIL_PERCENTILE) / MICROS_IN_MILLI,
+            mBetweenTokens.getValueAtPercentile(TAIL_PERCENTILE) / MICROS_IN_MILLI,
             mCost * THOUSAND / Math.max(1, mCompleted),
             mLost,
             mDoubled,
--- a/bench/src/test/java/org/whinhead/bench/BenchMainTest.java
+++ b/bench/src/test/java/org/whinhead/bench/BenchMainTest.java
@@ -16,8 +16,8 @@
     void listNamesEachBenchmarkAndUnknownNameIsUsageError() {
         assertThat(run("--list")).isZero();
         for (final BenchmarkCatalog entry : BenchmarkCatalog.values()) {
-            assertThat(mOut.toString(StandardCharsets.UTF_8)).contains(entry.make().name() + "\t");
-            assertThat(BenchmarkCatalog.find(entry.make().name())).isPresent();
+            assertThat(mOut.toString(StandardCharsets.UTF_8)).contains(entry.create().name() + "\t");
+            assertThat(BenchmarkCatalog.find(entry.create().name())).isPresent();
         }
         assertThat(run("no-such")).isEqualTo(2);
         assertThat(run("routing", "--seed", "x")).isEqualTo(2);
--- a/bench/src/test/java/org/whinhead/bench/engine/EngineModelTest.java
+++ b/bench/src/test/java/org/whinhead/bench/engine/EngineModelTest.java
@@ -19,15 +19,15 @@
     void secondRequestOfConversationFindsItsPrefixAndCostsLess() {
         final EngineModel engine = engine(EngineSettings.DEFAULT);
         final Conversations conversations = new Conversations(1, 64);
-        final Sequence first = new Sequence(conversations.next(Simulation.START).spec(), 3);
+        final Sequence first = new Sequence(conversations.nextTurn(Simulation.START).spec(), 3);
         engine.submit(first);
         mSimulation.runFor(Duration.ofSeconds(10));
         final Sequence again = new Sequence(first.spec(), 3);
         engine.submit(again);
         mSimulation.runFor(Duration.ofSeconds(20));
         assertThat(mFinished).containsExactly(first, again);
-        assertThat(first.uncachedPrompt()).isEqualTo(first.spec().promptTokens());
-        assertThat(again.uncachedPrompt()).isEqualTo(1);
+        assertThat(first.uncachedPromptTokens()).isEqualTo(first.spec().promptTokens());
+        assertThat(again.uncachedPromptTokens()).isEqualTo(1);
         assertThat(mEvents).hasSize(first.spec().prefixHashes().size());
     }
 
@@ -37,7 +37,7 @@
         final EngineModel engine = engine(small);
         final Conversations conversations = new Conversations(2, 64);
         for (int i = 0; i < 30; i++) {
-            engine.submit(new Sequence(conversations.next(Simulation.START).spec(), 2));
+            engine.submit(new Sequence(conversations.nextTurn(Simulation.START).spec(), 2));
         }
         mSimulation.runFor(Duration.ofSeconds(60));
         final long stored =
@@ -51,7 +51,7 @@
     }
 
     @Override
-    public void finished(final int engine, final Sequence sequence) {
+    public void sequenceFinished(final int engine, final Sequence sequence) {
         mFinished.add(sequence);
     }
 
--- a/bench/src/test/java/org/whinhead/bench/retries/FaultyEngineTest.java
+++ b/bench/src/test/java/org/whinhead/bench/retries/FaultyEngineTest.java
@@ -20,7 +20,7 @@
     private static final int ANSWER = 50;
 
     private final Simulation mSimulation = new Simulation();
-    private final RequestSpec mSpec = new Conversations(1, 64).next(Simulation.START).spec();
+    private final RequestSpec mSpec = new Conversations(1, 64).nextTurn(Simulation.START).spec();
     private final AttemptId mAttempt = new AttemptId(mSpec.id(), 1);
     private final List<AttemptEvent> mEvents = new ArrayList<>();
     private final FaultyEngine mEngine =
