--- a/bench/src/main/java/org/whinhead/bench/BenchMain.java
+++ b/bench/src/main/java/org/whinhead/bench/BenchMain.java
@@ -7,7 +7,7 @@
 import org.apache.commons.cli.Options;
 import org.apache.commons.cli.ParseException;
 
-/** The command line of the benchmarks. */
+/** Command line of the benchmarks. */
 public final class BenchMain {
 
     private static final String JSON = "json";
@@ -33,9 +33,9 @@
      * Runs one benchmark or lists all.
      *
      * @param arguments the command line
-     * @param out where figures go
-     * @param errors where complaints go
-     * @return the exit code
+     * @param out receives the figures
+     * @param errors receives error messages and the usage
+     * @return exit code: 0, or 2 for invalid arguments
      */
     static int run(final String[] arguments, final PrintStream out, final PrintStream errors) {
         try {
--- a/bench/src/main/java/org/whinhead/bench/BenchOptions.java
+++ b/bench/src/main/java/org/whinhead/bench/BenchOptions.java
@@ -1,9 +1,9 @@
 package org.whinhead.bench;
 
 /**
- * What a run is told.
+ * Options of a benchmark run.
  *
  * @param json whether the figures are printed as JSON
- * @param seed the seed of all chance in the run
+ * @param seed seed of the run's random generators
  */
 public record BenchOptions(boolean json, long seed) {}
--- a/bench/src/main/java/org/whinhead/bench/Benchmark.java
+++ b/bench/src/main/java/org/whinhead/bench/Benchmark.java
@@ -2,20 +2,20 @@
 
 import java.io.PrintStream;
 
-/** One benchmark; it prints ratios against baselines of the same run. */
+/** A benchmark that prints ratios against baselines of the same run. */
 public interface Benchmark {
 
-    /** Returns the name that the command line takes. */
+    /** Returns the benchmark's name on the command line. */
     String name();
 
-    /** Returns what is measured, in one line. */
+    /** Returns a one-line description of the measured quantities. */
     String description();
 
     /**
-     * Runs it.
+     * Runs the benchmark and prints its figures.
      *
-     * @param options the seed and the form of the output
-     * @param out where the figures go
+     * @param options seed and output format
+     * @param out receives the figures
      */
     void run(BenchOptions options, PrintStream out);
 }
--- a/bench/src/main/java/org/whinhead/bench/BenchmarkCatalog.java
+++ b/bench/src/main/java/org/whinhead/bench/BenchmarkCatalog.java
@@ -22,13 +22,13 @@
 import org.whinhead.bench.routing.RoutingBenchmark;
 import org.whinhead.bench.waves.WavesBenchmark;
 
-/** Every benchmark that the command line knows. */
+/** All benchmarks of the command line. */
 public enum BenchmarkCatalog {
     /** Routing strategies under the same traffic. */
     ROUTING(RoutingBenchmark::new),
     /** Admission under overload. */
     GOODPUT(GoodputBenchmark::new),
-    /** What a daemon adds to a request. */
+    /** Latency that a daemon adds to a request, and its throughput. */
     OVERHEAD(OverheadBenchmark::new),
     /** Reclaim waves over whole deployments. */
     WAVES(WavesBenchmark::new),
@@ -36,45 +36,46 @@
     RETRIES(RetriesBenchmark::new),
     /** Settings, claims and leases through whole daemons. */
     LOG(LogBenchmark::new),
-    /** What the role costs by its size. */
+    /** Cost of streamed answers. */
     CAPACITY_REQUESTS(RequestsCost::new),
-    /** What the role costs by its size. */
+    /** Cost of routing decisions by size of the deployment. */
     CAPACITY_ROUTING(RoutingCost::new),
-    /** What the role costs by its size. */
+    /** Cost of endpoint polling and load digests by size of the deployment. */
     CAPACITY_WATCH(WatchCost::new),
-    /** What the role costs by its size. */
+    /** Cost of the VM list and the view by size of the deployment. */
     CAPACITY_PEERS(PeersCost::new),
-    /** What the role costs by its size. */
+    /** Cost of claims by size of the deployment. */
     CAPACITY_CLAIMS(ClaimsCost::new),
-    /** What the role costs by its size. */
+    /** Cost of settings by size of the deployment. */
     CAPACITY_SETTINGS(SettingsCost::new),
-    /** What the role costs by its size. */
+    /** Cost of a reconcile round. */
     CAPACITY_FLEET(FleetCost::new),
-    /** What the role costs by its size. */
+    /** Cost of service-level counts. */
     CAPACITY_REPORT(ReportCost::new),
-    /** Policies of capacity over simulated days. */
+    /** Capacity policies over simulated days. */
     CAPACITY_DAYS(CapacityDaysBenchmark::new),
+    /** Rollouts over simulated days. */
     ROLLOUT_DAYS(RolloutDaysBenchmark::new),
-    /** How fast a notice reaches every daemon. */
+    /** Delay until a reclaim notice reaches every daemon. */
     PEERS_LEAVING(LeavingBenchmark::new),
-    /** What peers cost each other. */
+    /** Traffic and CPU time of the peer protocol. */
     PEERS_TRAFFIC(TrafficBenchmark::new);
 
     private final Supplier<Benchmark> mFactory;
 
-    BenchmarkCatalog(final Supplier<Benchmark> maker) {
-        mFactory = maker;
+    BenchmarkCatalog(final Supplier<Benchmark> factory) {
+        mFactory = factory;
     }
 
-    /** Makes the benchmark. */
+    /** Creates the benchmark. */
     public Benchmark create() {
         return mFactory.get();
     }
 
     /**
-     * Finds a benchmark.
+     * Finds a benchmark by name.
      *
-     * @param name its name
+     * @param name name on the command line
      * @return the benchmark, or empty if there is none of that name
      */
     public static Optional<Benchmark> find(final String name) {
--- a/bench/src/main/java/org/whinhead/bench/FigureTable.java
+++ b/bench/src/main/java/org/whinhead/bench/FigureTable.java
@@ -9,7 +9,7 @@
 import java.util.List;
 import java.util.Locale;
 
-/** Rows of figures under named columns, printed for people or as JSON. */
+/** Table of figures with labeled rows and named columns, printed as text or JSON. */
 public final class FigureTable {
 
     private static final int LABEL_WIDTH = 24;
@@ -20,10 +20,10 @@
     private final List<Row> mRows = new ArrayList<>();
 
     /**
-     * Makes an empty table.
+     * Creates an empty table.
      *
-     * @param title what the rows are
-     * @param columns the names of the figures, with their units
+     * @param title heading of the row labels
+     * @param columns column names, with their units
      */
     public FigureTable(final String title, final String... columns) {
         mTitle = title;
@@ -33,8 +33,9 @@
     /**
      * Adds a row.
      *
-     * @param label what the figures belong to
-     * @param figures one for each column
+     * @param label label of the row
+     * @param figures one figure for each column
+     * @throws IllegalArgumentException if the numbers of figures and columns differ
      */
     public void add(final String label, final double... figures) {
         if (figures.length != mColumns.size()) {
@@ -46,8 +47,8 @@
     /**
      * Prints the table.
      *
-     * @param options the form
-     * @param out where to
+     * @param options output format
+     * @param out receives the table
      */
     public void print(final BenchOptions options, final PrintStream out) {
         if (options.json()) {
@@ -89,6 +90,6 @@
         return String.format(Locale.ROOT, "%" + width + "s", text);
     }
 
-    /** One line of figures. */
+    /** A row of the table. */
     private record Row(String label, double[] figures) {}
 }
--- a/bench/src/main/java/org/whinhead/bench/engine/Cluster.java
+++ b/bench/src/main/java/org/whinhead/bench/engine/Cluster.java
@@ -24,10 +24,13 @@
 import org.whinhead.routing.RoutingSettings;
 import org.whinhead.routing.RoutingStrategy;
 
-/** Engines and the routers of several daemons before them, with lagging reports and events. */
+/**
+ * Simulates engines behind the routers of several daemons; load reports and cache events reach the
+ * routers late, and some events are lost.
+ */
 public final class Cluster implements EngineListener {
 
-    /** The failure domain of everything in the model. */
+    /** Failure domain of all simulated VMs. */
     public static final FailureDomain DOMAIN = new FailureDomain("kigali", "kg-gasabo");
 
     private static final Duration REPORT_PERIOD = Duration.ofSeconds(1);
@@ -45,13 +48,13 @@
     private final List<Endpoint> mEndpoints;
 
     /**
-     * Makes idle engines and routers that know them.
+     * Creates idle engines and routers that have them as endpoints.
      *
-     * @param sizes how many engines and routers
-     * @param strategy how the routers choose
-     * @param seed the seed of all chance
-     * @param simulation the simulated time
-     * @param finished told of each whole answer
+     * @param sizes number of engines and routers
+     * @param strategy strategy by which the routers choose an engine
+     * @param seed seed of the random generators
+     * @param simulation simulated clock and event queue
+     * @param finished receives each sequence once its answer is complete
      */
     public Cluster(
             final Sizes sizes,
@@ -78,9 +81,9 @@
     }
 
     /**
-     * Makes endpoints that all serve the model.
+     * Creates endpoints that all serve {@link Conversations#MODEL}.
      *
-     * @param count how many
+     * @param count number of endpoints
      * @return the endpoints
      */
     public static List<Endpoint> endpoints(final int count) {
@@ -106,10 +109,10 @@
     }
 
     /**
-     * Routes a request through one of the daemons to an engine.
+     * Routes a request to an engine; drops it if the router finds none.
      *
      * @param sequence the request
-     * @param router the number of the daemon's router
+     * @param router index of the daemon's router
      */
     public void send(final Sequence sequence, final int router) {
         final Optional<Endpoint> endpoint =
@@ -150,10 +153,10 @@
     }
 
     /**
-     * How much there is.
+     * Number of simulated engines and routers.
      *
-     * @param engines engines
-     * @param routers daemons
+     * @param engines number of engines
+     * @param routers number of routers, one for each daemon
      */
     public record Sizes(int engines, int routers) {}
 }
--- a/bench/src/main/java/org/whinhead/bench/engine/Conversations.java
+++ b/bench/src/main/java/org/whinhead/bench/engine/Conversations.java
@@ -12,12 +12,12 @@
 import org.whinhead.api.request.RequestSpec;
 
 /**
- * Callers that talk in turns: a few applications, each with a long prompt of its own, and under it
- * conversations that grow with each turn.
+ * Generates requests of multi-turn conversations. Each application has a long prompt prefix, which
+ * all its conversations share; each turn adds blocks to its conversation's prompt.
  */
 public final class Conversations {
 
-    /** The model that all of them ask for. */
+    /** Model of every request. */
     public static final ModelRef MODEL = ModelRef.of("claims", "1");
 
     private static final int APPLICATIONS = 24;
@@ -40,26 +40,26 @@
     private long mNext;
 
     /**
-     * Starts without any conversation.
+     * Creates a generator without open conversations.
      *
-     * @param seed the seed of all chance
-     * @param blockTokens prompt tokens in a block
+     * @param seed seed of the random generator
+     * @param blockTokens number of prompt tokens in a block
      */
     public Conversations(final long seed, final int blockTokens) {
         mRandom = new Random(seed);
         mBlockTokens = blockTokens;
     }
 
-    /** Returns the tiers, most urgent first. */
+    /** Returns the tiers, highest priority first. */
     public static List<Tier> tiers() {
         return TIERS;
     }
 
     /**
-     * Makes the next request.
+     * Returns the next request, of a new or an open conversation.
      *
-     * @param now when it arrives
-     * @return the request with its answer's length and the conversation's number
+     * @param now arrival time of the request
+     * @return the request, the length of its answer and its conversation
      */
     public Turn nextTurn(final Instant now) {
         final Conversation conversation = pickConversation();
@@ -84,13 +84,13 @@
 
     private Conversation pickConversation() {
         if (!mOpen.isEmpty() && mRandom.nextDouble() < CONTINUE_SHARE) {
-            final int at = mRandom.nextInt(mOpen.size());
-            final Conversation conversation = mOpen.get(at);
+            final int index = mRandom.nextInt(mOpen.size());
+            final Conversation conversation = mOpen.get(index);
             conversation.mTurns++;
             if (conversation.mTurns < MAX_TURNS) {
                 return conversation;
             }
-            mOpen.remove(at);
+            mOpen.remove(index);
         }
         if (mOpen.size() >= MAX_OPEN_CONVERSATIONS) {
             mOpen.remove(mRandom.nextInt(MAX_OPEN_CONVERSATIONS));
@@ -106,9 +106,9 @@
     }
 
     private Tier pickTier() {
-        final int dice = mRandom.nextInt(PERCENT);
+        final int percent = mRandom.nextInt(PERCENT);
         int tier = 0;
-        while (dice >= CUMULATIVE_TIER_PERCENT[tier]) {
+        while (percent >= CUMULATIVE_TIER_PERCENT[tier]) {
             tier++;
         }
         return TIERS.get(tier);
@@ -119,10 +119,16 @@
                 name, priority, Duration.ofSeconds(targetSeconds), Duration.ofMillis(200), TIMEOUT);
     }
 
-    /** One request. */
+    /**
+     * One request of a conversation.
+     *
+     * @param spec the request
+     * @param outputTokens number of tokens in its answer
+     * @param conversation number of its conversation
+     */
     public record Turn(RequestSpec spec, int outputTokens, int conversation) {}
 
-    /** One caller's conversation. */
+    /** An open conversation and the block hashes of its prompt. */
     private static final class Conversation {
         private final int mNumber;
         private final int mApplication;
--- a/bench/src/main/java/org/whinhead/bench/engine/EngineListener.java
+++ b/bench/src/main/java/org/whinhead/bench/engine/EngineListener.java
@@ -2,11 +2,11 @@
 
 import org.whinhead.routing.CacheEvent;
 
-/** Told what an engine does. */
+/** Receives the events of an engine. */
 public interface EngineListener {
 
     /**
-     * A sequence got a token; told before {@link #finished}.
+     * Called when a sequence received a token, before {@link #sequenceFinished}.
      *
      * @param engine the engine's number
      * @param sequence the sequence
@@ -14,7 +14,7 @@
     default void tokenDecoded(final int engine, final Sequence sequence) {}
 
     /**
-     * A sequence got its last token.
+     * Called when a sequence received its last token.
      *
      * @param engine the engine's number
      * @param sequence the sequence
@@ -22,9 +22,9 @@
     void sequenceFinished(int engine, Sequence sequence);
 
     /**
-     * The prefix cache changed.
+     * Called when the prefix cache stored or evicted a block.
      *
-     * @param event what happened
+     * @param event the engine, the kind of change and the block's hash
      */
     void cacheChanged(CacheEvent event);
 }
--- a/bench/src/main/java/org/whinhead/bench/engine/EngineModel.java
+++ b/bench/src/main/java/org/whinhead/bench/engine/EngineModel.java
@@ -11,7 +11,10 @@
 import org.whinhead.routing.CacheEvent;
 import org.whinhead.routing.LoadReport;
 
-/** One engine: each step gives a token to every sequence in the batch and computes some prompts. */
+/**
+ * Simulates one engine with continuous batching. Each step decodes one token for every prefilled
+ * sequence of the batch and computes a bounded number of prompt tokens.
+ */
 public final class EngineModel {
 
     private final int mNumber;
@@ -26,13 +29,13 @@
     private boolean mStepping;
 
     /**
-     * Makes an idle engine with an empty cache.
+     * Creates an idle engine with an empty prefix cache.
      *
-     * @param number its number
-     * @param id its endpoint
-     * @param settings how fast it is
-     * @param simulation the simulated time
-     * @param listener told what it does
+     * @param number number that the listener receives with each event
+     * @param id the engine's endpoint
+     * @param settings batch size, cache size and speed
+     * @param simulation simulated clock and event queue
+     * @param listener receives the engine's events
      */
     public EngineModel(
             final int number,
@@ -53,7 +56,7 @@
     }
 
     /**
-     * Takes a sequence.
+     * Queues a sequence, and starts stepping if the engine is idle.
      *
      * @param sequence the sequence
      */
@@ -66,7 +69,7 @@
     }
 
     /**
-     * Takes a sequence out, wherever it is; nothing more is computed for it.
+     * Removes a sequence from the batch or the queue; nothing more is computed for it.
      *
      * @param sequence the sequence
      */
@@ -75,7 +78,7 @@
         mWaiting.removeIf(waiting -> waiting.sequence() == sequence);
     }
 
-    /** Returns the load now. */
+    /** Returns the numbers of running and waiting sequences at the current simulated time. */
     public LoadReport loadReport() {
         return new LoadReport(mId, mSimulation.now(), mBatch.size(), mWaiting.size(), 0);
     }
@@ -132,7 +135,7 @@
         mListener.cacheChanged(new CacheEvent(mId, kind, hash));
     }
 
-    /** A sequence that waits for a slot. */
+    /** A queued sequence; ordered by priority, highest first, then by arrival. */
     private record Waiting(Sequence sequence, int priority, long arrival)
             implements Comparable<Waiting> {
         private static final Comparator<Waiting> ORDER =
--- a/bench/src/main/java/org/whinhead/bench/engine/EngineSettings.java
+++ b/bench/src/main/java/org/whinhead/bench/engine/EngineSettings.java
@@ -1,15 +1,15 @@
 package org.whinhead.bench.engine;
 
 /**
- * How fast an engine is.
+ * Capacity and speed of a simulated engine.
  *
- * @param slots sequences in a batch
- * @param cacheBlocks blocks that the prefix cache holds
- * @param blockTokens prompt tokens in a block
- * @param stepMicros a step without any work
- * @param decodeMicros each sequence that gets a token in a step
- * @param prefillMicros each prompt token that is computed in a step
- * @param prefillTokens the most prompt tokens in a step
+ * @param slots maximum number of sequences in the batch
+ * @param cacheBlocks maximum number of blocks in the prefix cache
+ * @param blockTokens number of prompt tokens in a block
+ * @param stepMicros fixed duration of a step, in microseconds
+ * @param decodeMicros microseconds that each decoded token adds to a step
+ * @param prefillMicros microseconds that each computed prompt token adds to a step
+ * @param prefillTokens maximum number of prompt tokens computed in a step
  */
 public record EngineSettings(
         int slots,
--- a/bench/src/main/java/org/whinhead/bench/engine/PrefixCache.java
+++ b/bench/src/main/java/org/whinhead/bench/engine/PrefixCache.java
@@ -6,7 +6,7 @@
 import java.util.Map;
 import java.util.function.LongConsumer;
 
-/** An engine's prefix cache: a bounded number of blocks, the longest unused goes first. */
+/** Prefix cache of an engine; evicts the least recently used blocks above its capacity. */
 final class PrefixCache {
 
     private static final float LOAD_FACTOR = 0.75f;
@@ -22,13 +22,13 @@
         mEvictedListener = evicted;
     }
 
-    /** Returns how many leading blocks of a prompt are held, and marks them as used. */
+    /** Returns the number of leading blocks of a prompt in the cache, and marks them as used. */
     int lookup(final List<Long> prefixes) {
-        int held = 0;
-        while (held < prefixes.size() && mBlocks.get(prefixes.get(held)) != null) {
-            held++;
+        int cached = 0;
+        while (cached < prefixes.size() && mBlocks.get(prefixes.get(cached)) != null) {
+            cached++;
         }
-        return held;
+        return cached;
     }
 
     void store(final List<Long> prefixes) {
--- a/bench/src/main/java/org/whinhead/bench/engine/Sequence.java
+++ b/bench/src/main/java/org/whinhead/bench/engine/Sequence.java
@@ -3,7 +3,7 @@
 import java.time.Instant;
 import org.whinhead.api.request.RequestSpec;
 
-/** One request in an engine; changed in place by the engine. */
+/** Progress of one request in an engine, which updates it in place. */
 public final class Sequence {
 
     private final RequestSpec mSpec;
@@ -14,10 +14,10 @@
     private Instant mFirstTokenAt = Instant.MAX;
 
     /**
-     * Makes a sequence that has not begun.
+     * Creates a sequence whose prefill has not started.
      *
      * @param spec the request
-     * @param outputTokens how many tokens its answer has
+     * @param outputTokens number of tokens in its answer
      */
     public Sequence(final RequestSpec spec, final int outputTokens) {
         mSpec = spec;
@@ -29,22 +29,22 @@
         return mSpec;
     }
 
-    /** Returns the tokens generated so far. */
+    /** Returns the number of tokens generated so far. */
     public int generatedTokens() {
         return mGenerated;
     }
 
-    /** Returns the prompt tokens that were not in the cache. */
+    /** Returns the number of prompt tokens that were not in the prefix cache. */
     public int uncachedPromptTokens() {
         return mUncachedPrompt;
     }
 
-    /** Returns the tokens computed so far, of the prompt and of the answer. */
+    /** Returns the number of prompt and answer tokens computed so far. */
     public int computedTokens() {
         return mUncachedPrompt - mPromptLeft + mGenerated;
     }
 
-    /** Returns when the first token came. */
+    /** Returns when the first token was generated, or {@link Instant#MAX} before that. */
     public Instant firstTokenAt() {
         return mFirstTokenAt;
     }
@@ -58,15 +58,15 @@
         return mPromptLeft > 0;
     }
 
-    int prefill(final int mostTokens) {
-        final int tokens = Math.min(mostTokens, mPromptLeft);
+    int prefill(final int maxTokens) {
+        final int tokens = Math.min(maxTokens, mPromptLeft);
         mPromptLeft -= tokens;
         return tokens;
     }
 
-    void decode(final Instant at) {
+    void decode(final Instant now) {
         if (mGenerated == 0) {
-            mFirstTokenAt = at;
+            mFirstTokenAt = now;
         }
         mGenerated++;
     }
--- a/bench/src/main/java/org/whinhead/bench/engine/Simulation.java
+++ b/bench/src/main/java/org/whinhead/bench/engine/Simulation.java
@@ -4,10 +4,13 @@
 import java.time.Instant;
 import java.util.PriorityQueue;
 
-/** Events in simulated time, run in order. */
+/**
+ * Discrete-event simulation: runs actions in order of their simulated time, and those of the same
+ * time in the order in which they were scheduled.
+ */
 public final class Simulation {
 
-    /** The simulated time at which every run starts. */
+    /** Simulated time at the start of every run. */
     public static final Instant START = Instant.parse("2026-01-01T00:00:00Z");
 
     private final PriorityQueue<Event> mEvents = new PriorityQueue<>();
@@ -20,19 +23,19 @@
     }
 
     /**
-     * Plans an action.
+     * Schedules an action.
      *
-     * @param delay how long from now
-     * @param action what to do
+     * @param delay delay from the current simulated time
+     * @param action action to run
      */
     public void schedule(final Duration delay, final Runnable action) {
         mEvents.add(new Event(mNow.plus(delay), mSequence++, action));
     }
 
     /**
-     * Runs all events up to a moment.
+     * Runs all events before an end time.
      *
-     * @param length how long from the start
+     * @param length duration from {@link #START} to the end time, exclusive
      */
     public void runFor(final Duration length) {
         final Instant end = START.plus(length);
@@ -43,7 +46,7 @@
         }
     }
 
-    /** One planned action. */
+    /** A scheduled action. */
     private record Event(Instant at, long sequence, Runnable action) implements Comparable<Event> {
         @Override
         public int compareTo(final Event other) {
--- a/bench/src/main/java/org/whinhead/bench/engine/package-info.java
+++ b/bench/src/main/java/org/whinhead/bench/engine/package-info.java
@@ -1,2 +1,2 @@
-/** A small model of engines in simulated time: continuous batching and a prefix cache. */
+/** Simulated engines with continuous batching and a prefix cache. */
 package org.whinhead.bench.engine;
--- a/bench/src/main/java/org/whinhead/bench/log/ClaimsRun.java
+++ b/bench/src/main/java/org/whinhead/bench/log/ClaimsRun.java
@@ -15,14 +15,14 @@
 import org.whinhead.demo.LocalDeployment;
 import org.whinhead.standins.log.LogConfig;
 
-/** Times calls that need a claim beside the same calls without one. */
+/** Measures the latency of calls that need a claim and of the same calls without one. */
 final class ClaimsRun {
 
     private static final int DAEMONS = 8;
-    private static final int[] CALLERS = {1, 8, 64};
-    private static final int CALLS_EACH = 60;
-    private static final int WARM_UP = 10;
-    private static final int DIGITS = 3;
+    private static final int[] CALLER_COUNTS = {1, 8, 64};
+    private static final int CALLS_PER_CALLER = 60;
+    private static final int WARM_UP_CALLS = 10;
+    private static final int SIGNIFICANT_DIGITS = 3;
     private static final int OK = 200;
 
     private ClaimsRun() {}
@@ -36,37 +36,42 @@
             deployment.load();
             final FigureTable table =
                     new FigureTable("calls, 8 daemons", "p50, ms", "p99, ms", "a second", "failed");
-            load(deployment, "warm-up", CALLERS[1], WARM_UP);
-            for (final int callers : CALLERS) {
-                add(table, callers + " without claim", load(deployment, "status", callers, 0));
-                add(table, callers + " with claim", load(deployment, "claims", callers, 0));
+            measure(deployment, "warm-up", CALLER_COUNTS[1], WARM_UP_CALLS);
+            for (final int callers : CALLER_COUNTS) {
+                addRow(
+                        table,
+                        callers + " without claim",
+                        measure(deployment, "status", callers, 0));
+                addRow(table, callers + " with claim", measure(deployment, "claims", callers, 0));
             }
             table.print(options, out);
         }
     }
 
-    private static void add(final FigureTable table, final String label, final Result result) {
+    private static void addRow(final FigureTable table, final String label, final Result result) {
         table.add(
                 label,
-                SettingsRun.millis(result.times().getValueAtPercentile(50)),
-                SettingsRun.millis(result.times().getValueAtPercentile(99)),
+                SettingsRun.toMillis(result.times().getValueAtPercentile(50)),
+                SettingsRun.toMillis(result.times().getValueAtPercentile(99)),
                 result.times().getTotalCount() / result.seconds(),
                 result.failed());
     }
 
-    private static Result load(
+    private static Result measure(
             final LocalDeployment deployment, final String path, final int callers, final int calls)
             throws Exception {
         final ExecutorService pool = Executors.newFixedThreadPool(callers);
         try {
-            final Histogram times = new ConcurrentHistogram(DIGITS);
+            final Histogram times = new ConcurrentHistogram(SIGNIFICANT_DIGITS);
             final List<Future<Integer>> running = new ArrayList<>();
-            final int each = calls > 0 ? calls : CALLS_EACH;
+            final int callsPerCaller = calls > 0 ? calls : CALLS_PER_CALLER;
             final long start = System.nanoTime();
             for (int i = 0; i < callers; i++) {
                 final int caller = i;
                 final String name = path + "-" + callers + "-" + caller;
-                running.add(pool.submit(() -> call(deployment, path, caller, name, each, times)));
+                running.add(
+                        pool.submit(
+                                () -> call(deployment, path, caller, name, callsPerCaller, times)));
             }
             int failed = 0;
             for (final Future<Integer> future : running) {
--- a/bench/src/main/java/org/whinhead/bench/log/LeaseRun.java
+++ b/bench/src/main/java/org/whinhead/bench/log/LeaseRun.java
@@ -15,18 +15,18 @@
 import org.whinhead.state.checkpoint.CheckpointPublisher;
 import org.whinhead.state.lease.LeaseState;
 
-/** Times how long a duty is without a holder after its holder stopped or crashed. */
+/** Measures how long a duty has no lease holder after its holder stopped or crashed. */
 final class LeaseRun {
 
     private static final int ROUNDS = 5;
-    private static final Duration BOUND = Duration.ofSeconds(40);
-    private static final int DIGITS = 3;
+    private static final Duration TIMEOUT = Duration.ofSeconds(40);
+    private static final int SIGNIFICANT_DIGITS = 3;
 
     private LeaseRun() {}
 
     static void run(final BenchOptions options, final PrintStream out) throws Exception {
-        final Histogram stopped = new Histogram(DIGITS);
-        final Histogram crashed = new Histogram(DIGITS);
+        final Histogram stopped = new Histogram(SIGNIFICANT_DIGITS);
+        final Histogram crashed = new Histogram(SIGNIFICANT_DIGITS);
         try (LocalDeployment deployment =
                 new LocalDeployment(LogConfig.DEFAULT, LogServiceSettings.DEFAULT)) {
             for (int i = 0; i < 2 * ROUNDS + 2; i++) {
@@ -34,22 +34,22 @@
             }
             deployment.load();
             for (int i = 0; i < ROUNDS; i++) {
-                stopped.recordValue(takeOver(deployment, true));
-                crashed.recordValue(takeOver(deployment, false));
+                stopped.recordValue(measureFailover(deployment, true));
+                crashed.recordValue(measureFailover(deployment, false));
             }
         }
         final FigureTable table =
                 new FigureTable("lease take-over", "least, ms", "p50, ms", "most, ms", "rounds");
-        row(table, "holder stopped", stopped);
-        row(table, "holder crashed", crashed);
+        addRow(table, "holder stopped", stopped);
+        addRow(table, "holder crashed", crashed);
         table.print(options, out);
     }
 
-    /** Ends the holder and returns how long it took until another daemon held the duty. */
-    private static long takeOver(final LocalDeployment deployment, final boolean gracefully)
+    /** Ends the lease holder and returns the nanoseconds until another daemon holds the lease. */
+    private static long measureFailover(final LocalDeployment deployment, final boolean gracefully)
             throws Exception {
-        Await.until("the duty is held", BOUND, () -> holder(deployment).isPresent());
-        final int holder = holder(deployment).orElseThrow();
+        Await.until("the duty is held", TIMEOUT, () -> findHolder(deployment).isPresent());
+        final int holder = findHolder(deployment).orElseThrow();
         final long start = System.nanoTime();
         if (gracefully) {
             deployment.stop(holder);
@@ -58,13 +58,13 @@
         }
         Await.until(
                 "another daemon holds the duty",
-                BOUND,
-                () -> holder(deployment).filter(now -> now != holder).isPresent());
+                TIMEOUT,
+                () -> findHolder(deployment).filter(now -> now != holder).isPresent());
         return System.nanoTime() - start;
     }
 
-    /** Returns the daemon that holds the duty, as the newest fold among the daemons has it. */
-    private static Optional<Integer> holder(final LocalDeployment deployment) {
+    /** Returns the index of the lease holder according to the daemon with the newest log state. */
+    private static Optional<Integer> findHolder(final LocalDeployment deployment) {
         final Daemon newest =
                 IntStream.range(0, deployment.size())
                         .mapToObj(deployment::daemon)
@@ -90,12 +90,12 @@
         return daemon.logSnapshot().fold().state().asOf();
     }
 
-    private static void row(final FigureTable table, final String label, final Histogram times) {
+    private static void addRow(final FigureTable table, final String label, final Histogram times) {
         table.add(
                 label,
-                SettingsRun.millis(times.getMinValue()),
-                SettingsRun.millis(times.getValueAtPercentile(50)),
-                SettingsRun.millis(times.getMaxValue()),
+                SettingsRun.toMillis(times.getMinValue()),
+                SettingsRun.toMillis(times.getValueAtPercentile(50)),
+                SettingsRun.toMillis(times.getMaxValue()),
                 times.getTotalCount());
     }
 }
--- a/bench/src/main/java/org/whinhead/bench/log/LogBenchmark.java
+++ b/bench/src/main/java/org/whinhead/bench/log/LogBenchmark.java
@@ -4,7 +4,7 @@
 import org.whinhead.bench.BenchOptions;
 import org.whinhead.bench.Benchmark;
 
-/** Settings in force, claims and the take-over of leases, through whole daemons in one process. */
+/** Measures settings changes, claims and lease failover through whole daemons in one process. */
 public final class LogBenchmark implements Benchmark {
 
     @Override
@@ -24,7 +24,7 @@
             ClaimsRun.run(options, out);
             LeaseRun.run(options, out);
         } catch (final Exception e) {
-            throw new IllegalStateException("the run failed", e);
+            throw new IllegalStateException("log benchmark failed", e);
         }
     }
 }
--- a/bench/src/main/java/org/whinhead/bench/log/SettingsRun.java
+++ b/bench/src/main/java/org/whinhead/bench/log/SettingsRun.java
@@ -14,14 +14,14 @@
 import org.whinhead.demo.LocalDeployment;
 import org.whinhead.standins.log.LogConfig;
 
-/** Times changes of settings from the operator's call until they are in force. */
+/** Measures the time from an operator's settings change until it is in force on all daemons. */
 final class SettingsRun {
 
     private static final int DAEMONS = 8;
-    private static final int WARM_UP = 20;
+    private static final int WARM_UP_CHANGES = 20;
     private static final int CHANGES = 200;
-    private static final Duration BOUND = Duration.ofSeconds(20);
-    private static final int DIGITS = 3;
+    private static final Duration TIMEOUT = Duration.ofSeconds(20);
+    private static final int SIGNIFICANT_DIGITS = 3;
     private static final String PATH = "/teams/clinics/customers/clinic";
 
     private SettingsRun() {}
@@ -33,11 +33,11 @@
                 deployment.startDaemon();
             }
             deployment.load();
-            final Histogram answered = new Histogram(DIGITS);
-            final Histogram everywhere = new Histogram(DIGITS);
+            final Histogram answered = new Histogram(SIGNIFICANT_DIGITS);
+            final Histogram everywhere = new Histogram(SIGNIFICANT_DIGITS);
             long base = deployment.settings(0, PATH).path("revision").asLong();
-            for (int i = 0; i < WARM_UP + CHANGES; i++) {
-                if (i == WARM_UP) {
+            for (int i = 0; i < WARM_UP_CHANGES + CHANGES; i++) {
+                if (i == WARM_UP_CHANGES) {
                     answered.reset();
                     everywhere.reset();
                 }
@@ -45,8 +45,8 @@
             }
             final FigureTable table =
                     new FigureTable("settings, 8 daemons", "p50, ms", "p99, ms", "changes");
-            row(table, "answered", answered);
-            row(table, "in force everywhere", everywhere);
+            addRow(table, "answered", answered);
+            addRow(table, "in force everywhere", everywhere);
             table.print(options, out);
         }
     }
@@ -69,29 +69,29 @@
         answered.recordValue(System.nanoTime() - start);
         final JsonNode body = new ObjectMapper().readTree(answer.body());
         if (!body.path("revision").isIntegralNumber()) {
-            throw new IllegalStateException(answer.body());
+            throw new IllegalStateException("settings change failed: " + answer.body());
         }
         final long revision = body.path("revision").asLong();
         for (int i = 0; i < DAEMONS; i++) {
             final int daemon = i;
             Await.until(
                     "in force",
-                    BOUND,
+                    TIMEOUT,
                     () -> deployment.daemon(daemon).logSnapshot().revision() >= revision);
         }
         everywhere.recordValue(System.nanoTime() - start);
         return revision;
     }
 
-    private static void row(final FigureTable table, final String label, final Histogram times) {
+    private static void addRow(final FigureTable table, final String label, final Histogram times) {
         table.add(
                 label,
-                millis(times.getValueAtPercentile(50)),
-                millis(times.getValueAtPercentile(99)),
+                toMillis(times.getValueAtPercentile(50)),
+                toMillis(times.getValueAtPercentile(99)),
                 times.getTotalCount());
     }
 
-    static double millis(final long nanos) {
+    static double toMillis(final long nanos) {
         return nanos / (double) TimeUnit.MILLISECONDS.toNanos(1);
     }
 }
--- a/bench/src/main/java/org/whinhead/bench/log/package-info.java
+++ b/bench/src/main/java/org/whinhead/bench/log/package-info.java
@@ -1,2 +1,2 @@
-/** What the shared state costs in time, through whole daemons. */
+/** Latency of operations on the shared log, measured through whole daemons. */
 package org.whinhead.bench.log;
--- a/bench/src/main/java/org/whinhead/bench/membership/MembershipBench.java
+++ b/bench/src/main/java/org/whinhead/bench/membership/MembershipBench.java
@@ -17,18 +17,18 @@
 import org.whinhead.api.model.VmState;
 import org.whinhead.membership.LeavingNotice;
 
-/** Prints what membership costs a daemon, and how fast and how rightly news travels. */
+/** Measures the cost of membership to a daemon, and the speed and accuracy of its gossip. */
 public final class MembershipBench {
 
     private static final int[] SIZES = {9, 30, 100, 330};
     private static final long SEED = 20300101;
-    private static final Duration WARM = Duration.ofSeconds(20);
+    private static final Duration WARM_UP = Duration.ofSeconds(20);
     private static final Duration SECOND = Duration.ofSeconds(1);
-    private static final Duration SILENCE = Duration.ofSeconds(20);
+    private static final Duration SUSPICION_WAIT = Duration.ofSeconds(20);
     private static final Duration NOTICE = Duration.ofHours(1);
     private static final double NANOS_IN_PERCENT_OF_SECOND = 1e7;
 
-    /** Frame length, TLS record, TCP and IP headers, and half an acknowledgement. */
+    /** Frame length, TLS record, TCP and IP headers, and half an acknowledgment. */
     private static final int BYTES_AROUND_MESSAGE = 4 + 22 + 40 + 20;
 
     private final int mSeconds;
@@ -57,29 +57,29 @@
     }
 
     private void run() {
-        steady(SIZES[1], false);
+        measureSteadyState(SIZES[1], false);
         for (final int size : SIZES) {
-            silence(size);
+            measureSilence(size);
         }
         for (final int size : SIZES) {
-            steady(size, true);
+            measureSteadyState(size, true);
         }
         for (final int size : SIZES) {
             for (final double loss : new double[] {0, 0.05, 0.2}) {
-                leaving(size, loss, 0);
+                measureLeaving(size, loss, 0);
             }
-            leaving(size, 0, 0.1);
+            measureLeaving(size, 0, 0.1);
         }
         for (final int size : SIZES) {
-            wave(size);
-            partition(size);
+            measureReclaimWave(size);
+            measurePartition(size);
         }
     }
 
-    private void steady(final int size, final boolean print) {
+    private void measureSteadyState(final int size, final boolean print) {
         final MembershipSimulation simulation =
                 new MembershipSimulation(size, 0, new SimulatedNetwork(SEED, 0));
-        simulation.run(WARM);
+        simulation.run(WARM_UP);
         final long messages = simulation.messages();
         final long bytes = simulation.bytes();
         final long cpu = threadCpu();
@@ -101,22 +101,22 @@
         }
     }
 
-    /** One daemon leaves at a time; each other daemon's time to know it goes into a histogram. */
-    private void leaving(final int size, final double loss, final double slowShare) {
+    /** Lets daemons leave, one at a time; measures the delay until each daemon knows. */
+    private void measureLeaving(final int size, final double loss, final double slowShare) {
         final MembershipSimulation simulation =
                 new MembershipSimulation(size, slowShare, new SimulatedNetwork(SEED, loss));
-        simulation.run(WARM);
+        simulation.run(WARM_UP);
         final Histogram millis = new Histogram(3);
         long unaware = 0;
         long suspicions = 0;
         final int trials = Math.min(mTrials, size / 2);
         for (int trial = 0; trial < trials; trial++) {
-            final SimulatedDaemon leaver = simulation.daemons().get(size - 1 - trial);
+            final SimulatedDaemon leavingDaemon = simulation.daemons().get(size - 1 - trial);
             final Instant start = simulation.now();
             simulation
                     .daemons()
-                    .forEach(daemon -> daemon.await(leaver.member().id(), VmState.LEAVING));
-            leaver.membership().shutdownStarted(start.plus(NOTICE), start);
+                    .forEach(daemon -> daemon.await(leavingDaemon.member().id(), VmState.LEAVING));
+            leavingDaemon.membership().shutdownStarted(start.plus(NOTICE), start);
             for (int second = 0; second < 10; second++) {
                 simulation.run(SECOND);
                 suspicions += simulation.suspicions();
@@ -144,22 +144,22 @@
                 100 * suspicions / pairs);
     }
 
-    /** Daemons die without a word, one at a time; measures until each other suspects them. */
-    private void silence(final int size) {
+    /** Ends daemons without notice, one at a time; measures the delay until each suspects them. */
+    private void measureSilence(final int size) {
         final MembershipSimulation simulation =
                 new MembershipSimulation(size, 0, new SimulatedNetwork(SEED, 0));
-        simulation.run(WARM);
+        simulation.run(WARM_UP);
         final Histogram millis = new Histogram(3);
         long unaware = 0;
         final int trials = Math.min(mTrials, size / 3);
         for (int trial = 0; trial < trials; trial++) {
-            final SimulatedDaemon dead = simulation.daemons().get(size - 1 - trial);
+            final SimulatedDaemon endedDaemon = simulation.daemons().get(size - 1 - trial);
             final Instant start = simulation.now();
-            simulation.kill(dead);
+            simulation.kill(endedDaemon);
             simulation
                     .daemons()
-                    .forEach(daemon -> daemon.await(dead.member().id(), VmState.SUSPECT));
-            simulation.run(SILENCE);
+                    .forEach(daemon -> daemon.await(endedDaemon.member().id(), VmState.SUSPECT));
+            simulation.run(SUSPICION_WAIT);
             for (final SimulatedDaemon daemon : simulation.daemons()) {
                 if (daemon.awaitedSeenAt() == null) {
                     unaware++;
@@ -174,15 +174,15 @@
                 millis.getValueAtPercentile(50),
                 millis.getValueAtPercentile(99),
                 millis.getMaxValue(),
-                SILENCE,
+                SUSPICION_WAIT,
                 unaware);
     }
 
-    /** A whole domain, daemons and endpoints, is taken back; one daemon reads the notice. */
-    private void wave(final int size) {
+    /** Reclaims a whole failure domain; one daemon reads the notice. */
+    private void measureReclaimWave(final int size) {
         final MembershipSimulation simulation =
                 new MembershipSimulation(size, 0, new SimulatedNetwork(SEED, 0));
-        simulation.run(WARM);
+        simulation.run(WARM_UP);
         final SimulatedDaemon reader = simulation.daemons().get(0);
         final SimulatedDaemon last = simulation.daemons().get(size - 1);
         final FailureDomain domain = last.member().vm().domain();
@@ -214,15 +214,15 @@
                 size, vms.size(), slowest, burst);
     }
 
-    /** The regions lose each other for five minutes and find each other again. */
-    private void partition(final int size) {
+    /** Partitions the regions for five minutes, then measures the recovery. */
+    private void measurePartition(final int size) {
         final SimulatedNetwork network = new SimulatedNetwork(SEED, 0);
         final MembershipSimulation simulation = new MembershipSimulation(size, 0, network);
-        simulation.run(WARM);
-        network.cut(true);
+        simulation.run(WARM_UP);
+        network.setPartitioned(true);
         simulation.run(Duration.ofMinutes(5));
-        final long cutOff = simulation.suspicions();
-        network.cut(false);
+        final long suspectPairs = simulation.suspicions();
+        network.setPartitioned(false);
         long peak = 0;
         int seconds = 0;
         do {
@@ -234,10 +234,10 @@
         System.out.printf(
                 "partition n=%d: suspect pairs while cut=%d of %d; after healing none after %d s"
                         + " (left %d), busiest second sent a daemon: %d B%n",
-                size, cutOff, acrossPairs(size), seconds, simulation.suspicions(), peak);
+                size, suspectPairs, crossRegionPairs(size), seconds, simulation.suspicions(), peak);
     }
 
-    private static long acrossPairs(final int size) {
+    private static long crossRegionPairs(final int size) {
         long west = 0;
         for (int i = 0; i < size; i++) {
             west += i % 6 < 3 ? 1 : 0;
--- a/bench/src/main/java/org/whinhead/bench/membership/MembershipSimulation.java
+++ b/bench/src/main/java/org/whinhead/bench/membership/MembershipSimulation.java
@@ -25,7 +25,7 @@
 import org.whinhead.peer.MembershipCodec;
 import org.whinhead.peer.generated.PeerProto.Envelope;
 
-/** Many daemons in one thread, with encoded messages between them and a clock of their own. */
+/** Simulates many daemons in one thread, with encoded messages and a simulated clock. */
 final class MembershipSimulation {
 
     private static final Instant START = Instant.parse("2030-01-01T00:00:00Z");
@@ -40,9 +40,10 @@
     private final List<DaemonMember> mMembers = new ArrayList<>();
     private final List<Endpoint> mEndpoints = new ArrayList<>();
     private final SimulatedNetwork mNetwork;
-    private final PriorityQueue<InFlightMessage> mFlights =
+    private final PriorityQueue<InFlightMessage> mInFlight =
             new PriorityQueue<>(
-                    Comparator.comparing(InFlightMessage::arrives).thenComparing(InFlightMessage::number));
+                    Comparator.comparing(InFlightMessage::arrives)
+                            .thenComparing(InFlightMessage::number));
     private final PriorityQueue<SimulatedDaemon> mTicks =
             new PriorityQueue<>(Comparator.comparing(SimulatedDaemon::nextTick));
     private Instant mNow = START;
@@ -104,24 +105,25 @@
         mBytes += bytes.length;
         final SimulatedDaemon receiver = mById.get(to);
         mNetwork.delay(from.member().vm().domain(), receiver.member().vm().domain())
-                .ifPresent(delay -> mFlights.add(flight(from, receiver, delay, bytes)));
+                .ifPresent(delay -> mInFlight.add(inFlight(from, receiver, delay, bytes)));
     }
 
-    private InFlightMessage flight(
+    private InFlightMessage inFlight(
             final SimulatedDaemon from,
             final SimulatedDaemon to,
             final Duration delay,
             final byte[] bytes) {
-        return new InFlightMessage(to.readsAt(mNow.plus(delay)), mMessages, from.member().id(), to, bytes);
+        return new InFlightMessage(
+                to.readsAt(mNow.plus(delay)), mMessages, from.member().id(), to, bytes);
     }
 
     void run(final Duration time) {
         final Instant end = mNow.plus(time);
         while (true) {
             final Instant tick = mTicks.peek().nextTick();
-            final InFlightMessage flight = mFlights.peek();
-            final boolean flightFirst = flight != null && !flight.arrives().isAfter(tick);
-            final Instant next = flightFirst ? flight.arrives() : tick;
+            final InFlightMessage message = mInFlight.peek();
+            final boolean messageFirst = message != null && !message.arrives().isAfter(tick);
+            final Instant next = messageFirst ? message.arrives() : tick;
             if (next.isAfter(end)) {
                 mNow = end;
                 return;
@@ -130,8 +132,8 @@
             if (!mNow.isBefore(mNextList)) {
                 deliverVmList();
             }
-            if (flightFirst) {
-                deliver(mFlights.poll());
+            if (messageFirst) {
+                deliver(mInFlight.poll());
             } else {
                 final SimulatedDaemon daemon = mTicks.poll();
                 daemon.tick(mNow);
@@ -140,7 +142,7 @@
         }
     }
 
-    /** Ends a daemon without a word; the list goes on to name it. */
+    /** Ends a daemon without notice; the VM list still contains it. */
     void kill(final SimulatedDaemon daemon) {
         mDaemons.remove(daemon);
         mTicks.remove(daemon);
@@ -153,18 +155,18 @@
         mDaemons.forEach(daemon -> daemon.membership().listReceived(list, mNow));
     }
 
-    private void deliver(final InFlightMessage flight) {
-        if (flight.to().isEnded()) {
+    private void deliver(final InFlightMessage inFlight) {
+        if (inFlight.to().isEnded()) {
             return;
         }
         try {
-            final Envelope envelope = Envelope.parseFrom(flight.bytes());
+            final Envelope envelope = Envelope.parseFrom(inFlight.bytes());
             MembershipCodec.decode(envelope)
                     .ifPresent(
                             message ->
-                                    flight.to()
+                                    inFlight.to()
                                             .membership()
-                                            .messageReceived(flight.from(), message, mNow));
+                                            .messageReceived(inFlight.from(), message, mNow));
         } catch (final IOException e) {
             throw new UncheckedIOException(e);
         }
@@ -190,7 +192,7 @@
         return mEndpoints;
     }
 
-    /** Counts pairs of daemons in which the first sees the second as suspect. */
+    /** Returns the number of ordered daemon pairs in which the first suspects the second. */
     long suspicions() {
         long suspicions = 0;
         for (final SimulatedDaemon daemon : mDaemons) {
--- a/bench/src/main/java/org/whinhead/bench/membership/SimulatedDaemon.java
+++ b/bench/src/main/java/org/whinhead/bench/membership/SimulatedDaemon.java
@@ -13,7 +13,7 @@
 import org.whinhead.membership.MembershipView;
 import org.whinhead.peer.MembershipCodec;
 
-/** One daemon of the simulation and what it has sent. */
+/** One daemon of the simulation, which ticks irregularly if it is slow. */
 final class SimulatedDaemon implements MembershipActions {
 
     private static final int TICK_MILLIS = 100;
@@ -100,7 +100,7 @@
         mNextTick = now.plusMillis(pause);
     }
 
-    /** Returns when a message that arrives now is read: a slow daemon reads when it next runs. */
+    /** Returns when an arriving message is read: a slow daemon reads it at its next tick. */
     Instant readsAt(final Instant arrival) {
         return mSlow && arrival.isBefore(mNextTick) ? mNextTick : arrival;
     }
--- a/bench/src/main/java/org/whinhead/bench/membership/SimulatedNetwork.java
+++ b/bench/src/main/java/org/whinhead/bench/membership/SimulatedNetwork.java
@@ -5,32 +5,33 @@
 import java.util.SplittableRandom;
 import org.whinhead.api.model.FailureDomain;
 
-/** How long a message is on its way, and whether it arrives. */
+/** Simulated network with random delays, message loss and a partition between regions. */
 final class SimulatedNetwork {
 
-    private static final int NEAR_MICROS = 1_000;
-    private static final int FAR_MICROS = 20_000;
+    private static final int SAME_REGION_MIN_MICROS = 1_000;
+    private static final int CROSS_REGION_MIN_MICROS = 20_000;
 
     private final SplittableRandom mRandom;
     private final double mLoss;
-    private boolean mCut;
+    private boolean mPartitioned;
 
     SimulatedNetwork(final long seed, final double loss) {
         mRandom = new SplittableRandom(seed);
         mLoss = loss;
     }
 
-    /** Cuts the regions off from each other, or joins them again. */
-    void cut(final boolean cut) {
-        mCut = cut;
+    /** Starts or ends a partition between the regions. */
+    void setPartitioned(final boolean partitioned) {
+        mPartitioned = partitioned;
     }
 
+    /** Returns the delay of a message, or empty if it is lost. */
     Optional<Duration> delay(final FailureDomain from, final FailureDomain to) {
-        final boolean near = from.region().equals(to.region());
-        if (mCut && !near || mRandom.nextDouble() < mLoss) {
+        final boolean sameRegion = from.region().equals(to.region());
+        if (mPartitioned && !sameRegion || mRandom.nextDouble() < mLoss) {
             return Optional.empty();
         }
-        final int micros = near ? NEAR_MICROS : FAR_MICROS;
+        final int micros = sameRegion ? SAME_REGION_MIN_MICROS : CROSS_REGION_MIN_MICROS;
         return Optional.of(Duration.ofNanos(1000L * (micros + mRandom.nextInt(micros))));
     }
 }
--- a/bench/src/main/java/org/whinhead/bench/membership/package-info.java
+++ b/bench/src/main/java/org/whinhead/bench/membership/package-info.java
@@ -1,2 +1,4 @@
-/** What membership costs and how fast news travels, with many daemons in one process. */
+/**
+ * Measures the cost of membership and the speed of its gossip, with many daemons in one process.
+ */
 package org.whinhead.bench.membership;
--- a/bench/src/main/java/org/whinhead/bench/overhead/LoadGenerator.java
+++ b/bench/src/main/java/org/whinhead/bench/overhead/LoadGenerator.java
@@ -13,10 +13,10 @@
 import org.HdrHistogram.ConcurrentHistogram;
 import org.HdrHistogram.Histogram;
 
-/** Sends one kind of request over and over, by a rate or by a number in progress. */
+/** Sends the same request repeatedly, in an open loop at a rate or in a closed loop. */
 final class LoadGenerator {
 
-    private static final int DIGITS = 3;
+    private static final int SIGNIFICANT_DIGITS = 3;
     private static final int OK = 200;
     private static final String KEY_HEADER = "Idempotency-Key";
 
@@ -31,9 +31,9 @@
         mKey = key;
     }
 
-    /** Starts requests at even intervals; each is measured from its intended start. */
+    /** Starts requests at even intervals; latency is measured from the intended start. */
     Outcome runOpenLoop(final int perSecond, final Duration time) {
-        final Histogram nanos = new ConcurrentHistogram(DIGITS);
+        final Histogram nanos = new ConcurrentHistogram(SIGNIFICANT_DIGITS);
         final AtomicLong failed = new AtomicLong();
         final long interval = Duration.ofSeconds(1).toNanos() / perSecond;
         final long count = time.toNanos() / interval;
@@ -56,9 +56,9 @@
         return new Outcome(nanos, failed.get(), System.nanoTime() - start);
     }
 
-    /** Keeps a number of requests in progress. */
+    /** Keeps a constant number of requests in progress. */
     Outcome runClosedLoop(final int inProgress, final Duration time) {
-        final Histogram nanos = new ConcurrentHistogram(DIGITS);
+        final Histogram nanos = new ConcurrentHistogram(SIGNIFICANT_DIGITS);
         final AtomicLong failed = new AtomicLong();
         final Semaphore ended = new Semaphore(0);
         final long start = System.nanoTime();
@@ -72,14 +72,14 @@
 
     private void repeat(
             final Histogram nanos, final AtomicLong failed, final long end, final Semaphore ended) {
-        final long begun = System.nanoTime();
-        if (begun >= end) {
+        final long started = System.nanoTime();
+        if (started >= end) {
             ended.release();
             return;
         }
         send().whenComplete(
                         (response, fault) -> {
-                            recordResult(response, nanos, failed, begun);
+                            recordResult(response, nanos, failed, started);
                             repeat(nanos, failed, end, ended);
                         });
     }
@@ -99,20 +99,20 @@
             final HttpResponse<Void> response,
             final Histogram nanos,
             final AtomicLong failed,
-            final long since) {
+            final long start) {
         if (response == null || response.statusCode() != OK) {
             failed.incrementAndGet();
         } else {
-            nanos.recordValue(System.nanoTime() - since);
+            nanos.recordValue(System.nanoTime() - start);
         }
     }
 
     /**
-     * What came of a run.
+     * Result of a run.
      *
-     * @param nanos times of the requests that were answered with 200
-     * @param failed how many were not
-     * @param elapsed the run's length in nanoseconds
+     * @param nanos latencies of the requests answered with status 200, in nanoseconds
+     * @param failed number of other requests
+     * @param elapsed duration of the run in nanoseconds
      */
     record Outcome(Histogram nanos, long failed, long elapsed) {
 
--- a/bench/src/main/java/org/whinhead/bench/overhead/OverheadBenchmark.java
+++ b/bench/src/main/java/org/whinhead/bench/overhead/OverheadBenchmark.java
@@ -12,8 +12,8 @@
 import org.whinhead.standins.log.LogConfig;
 
 /**
- * Calls a plain service directly and through one daemon, in turns of the same run: the time that
- * the daemon adds at a steady rate, and the most requests a second that it carries.
+ * Calls a plain service directly and through one daemon, alternating within the run. Measures the
+ * latency that the daemon adds at a constant rate, and its maximum throughput.
  */
 public final class OverheadBenchmark implements Benchmark {
 
@@ -53,7 +53,8 @@
                 HttpClient.newBuilder().version(HttpClient.Version.HTTP_1_1).build();
         final URI daemon = deployment.daemon(0).callerUri().resolve("/v1/services/filing/status");
         final LoadGenerator direct =
-                new LoadGenerator(client, deployment.serviceUri().resolve("/status"), LocalDeployment.KEY);
+                new LoadGenerator(
+                        client, deployment.serviceUri().resolve("/status"), LocalDeployment.KEY);
         final LoadGenerator through = new LoadGenerator(client, daemon, LocalDeployment.KEY);
         direct.runClosedLoop(IN_PROGRESS, WARM_UP);
         through.runClosedLoop(IN_PROGRESS, WARM_UP);
--- a/bench/src/main/java/org/whinhead/bench/overhead/package-info.java
+++ b/bench/src/main/java/org/whinhead/bench/overhead/package-info.java
@@ -1,2 +1,2 @@
-/** What a daemon adds to a request, against calling the endpoint directly. */
+/** Overhead of a daemon compared with calling the endpoint directly. */
 package org.whinhead.bench.overhead;
--- a/bench/src/main/java/org/whinhead/bench/peers/CallerLoop.java
+++ b/bench/src/main/java/org/whinhead/bench/peers/CallerLoop.java
@@ -7,7 +7,7 @@
 import java.net.http.HttpResponse;
 import java.util.concurrent.atomic.LongAdder;
 
-/** Sends one request after the other to one daemon until it is closed. */
+/** Sends requests to one daemon, one at a time, until the loop is closed. */
 final class CallerLoop implements AutoCloseable {
 
     private final HttpClient mClient;
--- a/bench/src/main/java/org/whinhead/bench/peers/LeavingBenchmark.java
+++ b/bench/src/main/java/org/whinhead/bench/peers/LeavingBenchmark.java
@@ -14,16 +14,16 @@
 import org.whinhead.bench.Benchmark;
 import org.whinhead.bench.FigureTable;
 
-/** How long after a notice to one daemon all daemons go on sending work to the VM. */
+/** Measures how long daemons send work to a VM after one daemon received its reclaim notice. */
 public final class LeavingBenchmark implements Benchmark {
 
     private static final int DAEMONS = 8;
-    private static final int LIVE = 4;
+    private static final int LIVE_ENDPOINTS = 4;
     private static final int ROUNDS = 50;
-    private static final long WARM_NANOS = TimeUnit.SECONDS.toNanos(10);
+    private static final long WARM_UP_NANOS = TimeUnit.SECONDS.toNanos(10);
     private static final long ROUND_NANOS = TimeUnit.SECONDS.toNanos(2);
     private static final long QUIET_NANOS = TimeUnit.SECONDS.toNanos(1);
-    private static final long LONGEST_NANOS = TimeUnit.SECONDS.toNanos(20);
+    private static final long MAX_WAIT_NANOS = TimeUnit.SECONDS.toNanos(20);
     private static final double NANOS_IN_MILLI = 1e6;
 
     @Override
@@ -38,9 +38,10 @@
 
     @Override
     public void run(final BenchOptions options, final PrintStream out) {
-        try (RecordingEndpoints endpoints = new RecordingEndpoints(LIVE + ROUNDS, DAEMONS);
+        try (RecordingEndpoints endpoints =
+                        new RecordingEndpoints(LIVE_ENDPOINTS + ROUNDS, DAEMONS);
                 LeavingFleet fleet = new LeavingFleet(endpoints)) {
-            for (int endpoint = 0; endpoint < LIVE; endpoint++) {
+            for (int endpoint = 0; endpoint < LIVE_ENDPOINTS; endpoint++) {
                 fleet.addEndpoint(endpoint);
             }
             for (int daemon = 0; daemon < DAEMONS; daemon++) {
@@ -63,7 +64,7 @@
         for (int daemon = 0; daemon < DAEMONS; daemon++) {
             callers.add(new CallerLoop(client, fleet.callerUri(daemon), daemon, answered));
         }
-        waitUntil(System.nanoTime() + WARM_NANOS);
+        waitUntil(System.nanoTime() + WARM_UP_NANOS);
         final long before = answered.sum();
         final long start = System.nanoTime();
         final Rounds rounds = new Rounds();
@@ -84,17 +85,17 @@
         }
     }
 
-    /** What came of the notices. */
+    /** Delays from a notice to the last work that the VM received. */
     private static final class Rounds {
-        private final Histogram mHearing = new Histogram(3);
+        private final Histogram mNotified = new Histogram(3);
         private final Histogram mOthers = new Histogram(3);
         private final Histogram mAll = new Histogram(3);
         private int mUnserved;
 
-        /** Announces the oldest endpoint and lists a new one in its place. */
+        /** Adds a new endpoint, announces the reclaim of the oldest one and records the delays. */
         private void add(
                 final RecordingEndpoints endpoints, final LeavingFleet fleet, final int round) {
-            fleet.addEndpoint(LIVE + round);
+            fleet.addEndpoint(LIVE_ENDPOINTS + round);
             waitUntil(System.nanoTime() + ROUND_NANOS);
             for (int daemon = 0; daemon < DAEMONS; daemon++) {
                 if (endpoints.last(round, daemon) == 0) {
@@ -105,14 +106,14 @@
             final long start = System.nanoTime();
             fleet.announceReclaim(round);
             waitUntilQuiet(endpoints, round, start);
-            final long hearing = endpoints.last(round, 0) - start;
+            final long notified = endpoints.last(round, 0) - start;
             long others = 0;
             for (int daemon = 1; daemon < DAEMONS; daemon++) {
                 others = Math.max(others, endpoints.last(round, daemon) - start);
             }
-            mHearing.recordValue(Math.max(0, hearing));
+            mNotified.recordValue(Math.max(0, notified));
             mOthers.recordValue(others);
-            mAll.recordValue(Math.max(others, Math.max(0, hearing)));
+            mAll.recordValue(Math.max(others, Math.max(0, notified)));
         }
 
         private static void waitUntilQuiet(
@@ -124,14 +125,14 @@
                     last = Math.max(last, endpoints.last(endpoint, daemon));
                 }
             } while (System.nanoTime() < last + QUIET_NANOS
-                    && System.nanoTime() < start + LONGEST_NANOS);
+                    && System.nanoTime() < start + MAX_WAIT_NANOS);
         }
 
         private void print(final BenchOptions options, final PrintStream out) {
             final FigureTable figures =
                     new FigureTable(
                             "last work after notice", "notices", "p50-ms", "p99-ms", "max-ms");
-            add(figures, "daemon that hears it", mHearing);
+            add(figures, "daemon that hears it", mNotified);
             add(figures, "the seven others", mOthers);
             add(figures, "all", mAll);
             figures.print(options, out);
--- a/bench/src/main/java/org/whinhead/bench/peers/LeavingFleet.java
+++ b/bench/src/main/java/org/whinhead/bench/peers/LeavingFleet.java
@@ -28,14 +28,14 @@
 import org.whinhead.standins.vms.VmListStandIn;
 import org.xnio.XnioWorker;
 
-/** Daemons in one process of which only the first hears the cloud's notices. */
+/** Daemons in one process, of which only the first receives the cloud's reclaim notices. */
 final class LeavingFleet implements AutoCloseable {
 
     static final String KEY = "key-of-the-bench";
     static final String SERVICE = "fees";
 
     private static final FailureDomain DOMAIN = new FailureDomain("kigali", "kg-gasabo");
-    private static final URI NOWHERE = URI.create("http://127.0.0.1:1");
+    private static final URI UNREACHABLE_URI = URI.create("http://127.0.0.1:1");
     private static final Duration NOTICE = Duration.ofHours(1);
     private static final int IO_THREADS = 4;
     private static final int SLOTS = 64;
@@ -83,7 +83,7 @@
                 SLOTS);
     }
 
-    /** Puts an endpoint on the VM list. */
+    /** Adds an endpoint to the VM list and its VM to the cloud. */
     void addEndpoint(final int endpoint) {
         final String vm = endpointVm(endpoint);
         mVms.seed(vm(vm, VmEntry.Role.SERVICE, mEndpoints.uri(endpoint), SERVICE));
@@ -92,19 +92,19 @@
                 new VmOrder("adopted", DOMAIN, "small", Billing.RECLAIMABLE, VmEntry.Role.SERVICE));
     }
 
-    /** Announces an endpoint to the first daemon. */
+    /** Announces the reclaim of an endpoint's VM to the first daemon. */
     void announceReclaim(final int endpoint) {
         mCloud.reclaim(endpointVm(endpoint), NOTICE);
     }
 
-    /** Starts one more daemon, with those before it as seeds. */
+    /** Starts another daemon, with the running daemons as seeds. */
     void startDaemon() {
         final int number = mDaemons.size();
         final String vm = "vm-entry-" + number;
         final URI publicUri = URI.create("http://127.0.0.1:2/" + number);
         mVms.seed(vm(vm, VmEntry.Role.ENTRY, publicUri, ""));
         final HostPort free = new HostPort("127.0.0.1", 0);
-        final URI cloud = number == 0 ? mCloud.uri() : NOWHERE;
+        final URI cloud = number == 0 ? mCloud.uri() : UNREACHABLE_URI;
         final Daemon daemon =
                 Daemon.start(
                         DaemonSettings.builder("daemon-" + number)
@@ -112,7 +112,12 @@
                                 .domain(DOMAIN)
                                 .listen(new ListenAddresses(free, free, free))
                                 .publicUri(publicUri)
-                                .platform(new PlatformUris(NOWHERE, mVms.uri(), cloud, NOWHERE))
+                                .platform(
+                                        new PlatformUris(
+                                                UNREACHABLE_URI,
+                                                mVms.uri(),
+                                                cloud,
+                                                UNREACHABLE_URI))
                                 .seeds(mDaemons.stream().map(Daemon::peerAddress).toList())
                                 .build(),
                         DaemonOptions.on(mWorker));
@@ -143,21 +148,21 @@
         mWorker.shutdown();
     }
 
-    /** The endpoints stay up; only the notice matters. */
+    /** Ignores cloud events: the endpoints keep running, only the notice is measured. */
     private static final class NoOpCloudActions implements CloudActions {
         @Override
         public void onStarted(final String vm, final VmOrder order) {
-            // No VM is ordered here.
+            // The benchmark orders no VM.
         }
 
         @Override
         public void onNotice(final String vm, final Instant goneBy) {
-            // The first daemon hears it from the cloud.
+            // The first daemon receives the notice from the cloud.
         }
 
         @Override
         public void onGone(final String vm) {
-            // The notice outlasts the run.
+            // The notice period is longer than the run.
         }
     }
 }
--- a/bench/src/main/java/org/whinhead/bench/peers/RecordingEndpoints.java
+++ b/bench/src/main/java/org/whinhead/bench/peers/RecordingEndpoints.java
@@ -8,7 +8,7 @@
 import java.util.Map;
 import java.util.concurrent.atomic.AtomicLongArray;
 
-/** Endpoints of a plain service that remember when each daemon sent them work last. */
+/** Endpoints of a plain service that record the time of each daemon's last request. */
 final class RecordingEndpoints implements AutoCloseable {
 
     private static final String HOST = "127.0.0.1";
@@ -39,7 +39,7 @@
         }
     }
 
-    /** Returns the path below the service that a daemon's callers use. */
+    /** Returns the path, below the service, by which a request names its daemon. */
     static String path(final int daemon) {
         return DAEMON_PATH + daemon;
     }
@@ -58,7 +58,7 @@
         exchange.getResponseSender().send("{}");
     }
 
-    /** Returns when a daemon sent an endpoint work last, or 0 if it never did. */
+    /** Returns the nano time of a daemon's last request to an endpoint, or 0 if there was none. */
     long last(final int endpoint, final int daemon) {
         return mLast.get(endpoint * mDaemons + daemon);
     }
--- a/bench/src/main/java/org/whinhead/bench/peers/TrafficBenchmark.java
+++ b/bench/src/main/java/org/whinhead/bench/peers/TrafficBenchmark.java
@@ -19,15 +19,15 @@
 import org.whinhead.peer.PeerException;
 import org.xnio.XnioWorker;
 
-/** What the peer duty costs a daemon each second, over sockets with TLS, by daemons. */
+/** Measures a daemon's peer traffic and CPU time per second over TLS, by number of daemons. */
 public final class TrafficBenchmark implements Benchmark {
 
     private static final int[] SIZES = {8, 16, 24};
-    private static final int WARM_PERIODS = 60;
+    private static final int WARM_UP_PERIODS = 60;
     private static final int PERIODS = 40;
     private static final long PERIOD_NANOS = TimeUnit.MILLISECONDS.toNanos(500);
 
-    /** Frame length, TLS record, TCP and IP headers, and half an acknowledgement. */
+    /** Frame length, TLS record, TCP and IP headers, and half an acknowledgment. */
     private static final int BYTES_AROUND_MESSAGE = 4 + 22 + 40 + 20;
 
     private static final double PERCENT = 100;
@@ -85,16 +85,16 @@
         }
         final double[] first = rows[0];
         final double[] last = rows[SIZES.length - 1];
-        final double more = SIZES[SIZES.length - 1] - SIZES[0];
+        final double addedDaemons = SIZES[SIZES.length - 1] - SIZES[0];
         final double[] slope = new double[first.length];
         for (int i = 0; i < slope.length; i++) {
-            slope[i] = (last[i] - first[i]) / more;
+            slope[i] = (last[i] - first[i]) / addedDaemons;
         }
         figures.add("each further daemon", slope);
     }
 
     private double[] row(final TrafficFleet fleet, final int daemons) {
-        feed(fleet, WARM_PERIODS);
+        feed(fleet, WARM_UP_PERIODS);
         final long messages = fleet.messagesSent();
         final long bytes = fleet.bytesSent();
         final long dropped = fleet.dropped();
--- a/bench/src/main/java/org/whinhead/bench/peers/TrafficCertificateAuthority.java
+++ b/bench/src/main/java/org/whinhead/bench/peers/TrafficCertificateAuthority.java
@@ -7,7 +7,7 @@
 import java.nio.file.Path;
 import org.whinhead.settings.daemon.TlsFiles;
 
-/** Issues the certificates of a run. */
+/** Issues the TLS certificates of a run. */
 final class TrafficCertificateAuthority {
 
     private final Path mFolder;
@@ -18,7 +18,7 @@
         try {
             mRoot = builder("root").setIsCertificateAuthority(true).buildSelfSigned();
         } catch (final Exception e) {
-            throw new IllegalStateException("no certificate authority", e);
+            throw new IllegalStateException("creating the certificate authority failed", e);
         }
     }
 
@@ -33,7 +33,7 @@
         try {
             own = builder(vm).buildIssuedBy(mRoot);
         } catch (final Exception e) {
-            throw new IllegalStateException("no certificate for " + vm, e);
+            throw new IllegalStateException("issuing a certificate failed: vm=" + vm, e);
         }
         return new TlsFiles(
                 Files.writeString(mFolder.resolve(vm + ".crt"), own.getCertificatePathPEM()),
--- a/bench/src/main/java/org/whinhead/bench/peers/TrafficFleet.java
+++ b/bench/src/main/java/org/whinhead/bench/peers/TrafficFleet.java
@@ -31,20 +31,21 @@
 import org.whinhead.settings.daemon.TlsFiles;
 import org.xnio.XnioWorker;
 
-/** The peer duties of many daemons over TLS on loopback, fed with lists and load reports. */
+/** Peer services of many daemons over TLS on loopback, fed with VM lists and load reports. */
 final class TrafficFleet implements AutoCloseable {
 
     private static final int ENDPOINTS_AT_FULL_SIZE = 1_800;
     private static final int DAEMONS_AT_FULL_SIZE = 330;
     private static final int DOMAINS = 3;
-    private static final URI NOWHERE = URI.create("http://127.0.0.1:1");
+    private static final URI UNREACHABLE_URI = URI.create("http://127.0.0.1:1");
     private static final String HOST = "127.0.0.1";
 
-    private final List<PeerService> mDuties = new ArrayList<>();
+    private final List<PeerService> mPeerServices = new ArrayList<>();
     private final List<ListedVm> mVms = new ArrayList<>();
     private final List<Endpoint> mEndpoints = new ArrayList<>();
 
-    TrafficFleet(final int daemons, final TrafficCertificateAuthority authority, final XnioWorker worker)
+    TrafficFleet(
+            final int daemons, final TrafficCertificateAuthority authority, final XnioWorker worker)
             throws IOException, PeerException {
         final int endpoints = daemons * ENDPOINTS_AT_FULL_SIZE / DAEMONS_AT_FULL_SIZE;
         for (int i = 0; i < daemons; i++) {
@@ -56,7 +57,7 @@
         }
         for (int i = 0; i < daemons; i++) {
             final DaemonSettings settings = settings(i, authority.issue("vm-entry-" + i));
-            mDuties.add(
+            mPeerServices.add(
                     PeerService.start(
                             settings,
                             new DaemonId(settings.name()),
@@ -95,32 +96,34 @@
                 .domain(domain(number))
                 .listen(new ListenAddresses(free, free, free))
                 .publicUri(publicUri(number))
-                .platform(new PlatformUris(NOWHERE, NOWHERE, NOWHERE, NOWHERE))
-                .seeds(mDuties.stream().map(PeerService::address).toList())
+                .platform(
+                        new PlatformUris(
+                                UNREACHABLE_URI, UNREACHABLE_URI, UNREACHABLE_URI, UNREACHABLE_URI))
+                .seeds(mPeerServices.stream().map(PeerService::address).toList())
                 .tls(Optional.of(tls))
                 .build();
     }
 
-    /** Gives each daemon what it would read from the platform in one period. */
+    /** Feeds each daemon the VM list and the load reports that it would read in one period. */
     void feed() {
         final Instant now = Instant.now();
         final VmListing listing = new VmListing(now, mVms);
-        for (final PeerService duty : mDuties) {
-            duty.vmListRead(listing);
+        for (final PeerService peer : mPeerServices) {
+            peer.vmListRead(listing);
             for (final Endpoint endpoint : mEndpoints) {
-                if (duty.isPolledHere(endpoint.id())) {
-                    duty.loadPolled(new LoadReport(endpoint.id(), now, 3, 1, 250));
+                if (peer.isPolledHere(endpoint.id())) {
+                    peer.loadPolled(new LoadReport(endpoint.id(), now, 3, 1, 250));
                 }
             }
         }
     }
 
-    /** Returns how many daemons each sees as live, at the least. */
+    /** Returns the smallest number of live daemons in any daemon's view. */
     long leastLive() {
-        return mDuties.stream()
+        return mPeerServices.stream()
                 .mapToLong(
-                        duty ->
-                                duty.view().daemons().stream()
+                        peer ->
+                                peer.view().daemons().stream()
                                         .filter(member -> member.vm().state() == VmState.LIVE)
                                         .count())
                 .min()
@@ -128,23 +131,23 @@
     }
 
     long messagesSent() {
-        return mDuties.stream().mapToLong(duty -> duty.counters().messagesSent()).sum();
+        return mPeerServices.stream().mapToLong(peer -> peer.counters().messagesSent()).sum();
     }
 
     long bytesSent() {
-        return mDuties.stream().mapToLong(duty -> duty.counters().bytesSent()).sum();
+        return mPeerServices.stream().mapToLong(peer -> peer.counters().bytesSent()).sum();
     }
 
     long dropped() {
-        return mDuties.stream().mapToLong(duty -> duty.counters().messagesDropped()).sum();
+        return mPeerServices.stream().mapToLong(peer -> peer.counters().messagesDropped()).sum();
     }
 
     @Override
     public void close() {
-        mDuties.forEach(PeerService::close);
+        mPeerServices.forEach(PeerService::close);
     }
 
-    /** Decisions are no part of what is measured here. */
+    /** Ignores the events of the peer service, which are not measured. */
     private static final class NoOpListener implements PeerServiceListener {
         @Override
         public boolean endpointsChanged(final List<Endpoint> endpoints) {
@@ -158,7 +161,7 @@
 
         @Override
         public void addressesChanged(final List<EntryAddress> addresses) {
-            // Nobody asks for addresses here.
+            // The benchmark uses no entry addresses.
         }
 
         @Override
@@ -168,7 +171,7 @@
 
         @Override
         public void loadReported(final LoadReport report) {
-            // No router runs here.
+            // The benchmark runs no router.
         }
     }
 }
--- a/bench/src/main/java/org/whinhead/bench/peers/package-info.java
+++ b/bench/src/main/java/org/whinhead/bench/peers/package-info.java
@@ -1,4 +1,2 @@
-/**
- * Measures how fast news of leaving VMs travels, and what peers cost each other on real sockets.
- */
+/** Measures how fast reclaim notices spread, and the cost of peer traffic on real sockets. */
 package org.whinhead.bench.peers;
--- a/bench/src/main/java/org/whinhead/bench/routing/DecisionRate.java
+++ b/bench/src/main/java/org/whinhead/bench/routing/DecisionRate.java
@@ -15,7 +15,7 @@
 import org.whinhead.routing.RoutingSettings;
 import org.whinhead.routing.RoutingStrategy;
 
-/** Decisions a second of one thread, in wall time, with every endpoint in one pool. */
+/** Measures routing decisions per second of one thread, in wall-clock time, over one pool. */
 final class DecisionRate {
 
     static final int ENDPOINTS = 1800;
@@ -27,12 +27,14 @@
 
     private DecisionRate() {}
 
-    /** Measures with the requests of the model's traffic, whose prompts share prefixes. */
+    /** Returns decisions per second for conversations, whose prompts share prefixes. */
     static double measure(final RoutingStrategy strategy, final long seed) {
         return measure(strategy, seed, requests(seed));
     }
 
-    /** Measures with requests that share no prefix, so that nothing kept from before helps. */
+    /**
+     * Returns decisions per second for requests without shared prefixes, so that none is cached.
+     */
     static double measureWithoutSharedPrefixes(final RoutingStrategy strategy, final long seed) {
         final Random random = new Random(seed);
         final List<RequestSpec> requests = new ArrayList<>();
--- a/bench/src/main/java/org/whinhead/bench/routing/RoutingBenchmark.java
+++ b/bench/src/main/java/org/whinhead/bench/routing/RoutingBenchmark.java
@@ -6,7 +6,7 @@
 import org.whinhead.bench.FigureTable;
 import org.whinhead.routing.RoutingStrategy;
 
-/** The same traffic under each strategy, in simulated time, and decisions a second. */
+/** Compares routing strategies under the same simulated traffic, and their decision rates. */
 public final class RoutingBenchmark implements Benchmark {
 
     @Override
@@ -30,12 +30,12 @@
                         "tokens/request",
                         "p95/random",
                         "tokens/random");
-        final RoutingRun.Outcome random = RoutingRun.of(RoutingStrategy.RANDOM, options.seed());
+        final RoutingRun.Outcome random = RoutingRun.run(RoutingStrategy.RANDOM, options.seed());
         for (final RoutingStrategy strategy : RoutingStrategy.values()) {
             final RoutingRun.Outcome outcome =
                     strategy == RoutingStrategy.RANDOM
                             ? random
-                            : RoutingRun.of(strategy, options.seed());
+                            : RoutingRun.run(strategy, options.seed());
             figures.add(
                     strategy.name(),
                     outcome.finished(),
@@ -59,8 +59,9 @@
             random = strategy == RoutingStrategy.RANDOM ? rate : random;
             rates.add(strategy.name(), rate, rate / random);
         }
-        final double strangers = DecisionRate.measureWithoutSharedPrefixes(RoutingStrategy.AFFINITY, options.seed());
-        rates.add("AFFINITY, none shared", strangers, strangers / random);
+        final double unshared =
+                DecisionRate.measureWithoutSharedPrefixes(RoutingStrategy.AFFINITY, options.seed());
+        rates.add("AFFINITY, none shared", unshared, unshared / random);
         rates.print(options, out);
     }
 }
--- a/bench/src/main/java/org/whinhead/bench/routing/RoutingRun.java
+++ b/bench/src/main/java/org/whinhead/bench/routing/RoutingRun.java
@@ -10,7 +10,7 @@
 import org.whinhead.bench.engine.Simulation;
 import org.whinhead.routing.RoutingStrategy;
 
-/** One strategy under the seed's traffic. */
+/** Simulates one routing strategy under the traffic of a seed. */
 final class RoutingRun {
 
     private static final Duration LENGTH = Duration.ofSeconds(180);
@@ -37,21 +37,22 @@
         mCluster = new Cluster(SIZES, strategy, seed, mSimulation, this::finished);
     }
 
-    static Outcome of(final RoutingStrategy strategy, final long seed) {
+    static Outcome run(final RoutingStrategy strategy, final long seed) {
         final RoutingRun run = new RoutingRun(strategy, seed);
-        run.arrive();
+        run.sendNextRequest();
         run.mSimulation.runFor(LENGTH);
         return run.outcome();
     }
 
-    private void arrive() {
+    private void sendNextRequest() {
         final Conversations.Turn turn = mConversations.nextTurn(mSimulation.now());
         final boolean same = mRandom.nextDouble() < SAME_DAEMON_SHARE;
         final int other = mRandom.nextInt(SIZES.routers());
         final int router = same ? turn.conversation() % SIZES.routers() : other;
         mCluster.send(new Sequence(turn.spec(), turn.outputTokens()), router);
         final double wait = -Math.log(1 - mRandom.nextDouble()) / ARRIVALS_PER_SECOND;
-        mSimulation.schedule(Duration.ofNanos((long) (wait * NANOS_PER_SECOND)), this::arrive);
+        mSimulation.schedule(
+                Duration.ofNanos((long) (wait * NANOS_PER_SECOND)), this::sendNextRequest);
     }
 
     private void finished(final Sequence sequence) {
@@ -76,12 +77,12 @@
     }
 
     /**
-     * What a run showed.
+     * Results of a run.
      *
-     * @param finished requests that ended after the warm-up
-     * @param firstTokenMillis 95th percentile of the time to the first token
-     * @param hitShare share of prompt tokens found in a cache
-     * @param computedTokens tokens computed for a request, prompt and answer
+     * @param finished number of finished requests that arrived after the warm-up
+     * @param firstTokenMillis 95th percentile of the time to the first token, in milliseconds
+     * @param hitShare share of prompt tokens found in a prefix cache, 0 to 1
+     * @param computedTokens mean number of prompt and answer tokens computed for a request
      */
     record Outcome(
             long finished, double firstTokenMillis, double hitShare, double computedTokens) {}
--- a/bench/src/main/java/org/whinhead/bench/routing/package-info.java
+++ b/bench/src/main/java/org/whinhead/bench/routing/package-info.java
@@ -1,2 +1,2 @@
-/** Routing strategies under the same traffic, and how fast they decide. */
+/** Compares routing strategies under the same traffic, and their decision rates. */
 package org.whinhead.bench.routing;
--- a/bench/src/main/java/org/whinhead/bench/waves/WaveTotals.java
+++ b/bench/src/main/java/org/whinhead/bench/waves/WaveTotals.java
@@ -5,17 +5,17 @@
 import org.whinhead.demo.LoadPhases;
 import org.whinhead.standins.load.result.Outcome;
 
-/** Adds several waves up. */
+/** Sums the results of several reclaim waves. */
 final class WaveTotals {
 
     private static final double TAIL_PERCENTILE = 95;
     private static final double MICROS_IN_MILLI = 1000;
     private static final double THOUSAND = 1000;
     private static final double PERCENT = 100;
-    private static final int DIGITS = 3;
+    private static final int SIGNIFICANT_DIGITS = 3;
 
-    private final Histogram mFirstToken = new Histogram(DIGITS);
-    private final Histogram mBetweenTokens = new Histogram(DIGITS);
+    private final Histogram mFirstToken = new Histogram(SIGNIFICANT_DIGITS);
+    private final Histogram mBetweenTokens = new Histogram(SIGNIFICANT_DIGITS);
     private long mRecomputed;
     private long mGenerated;
     private long mCompleted;
@@ -39,7 +39,7 @@
         mCost += wave.cost();
     }
 
-    /** Returns the figures in the order of {@link WavesBenchmark}'s columns. */
+    /** Returns the figures in the order of the columns of {@link WavesBenchmark}. */
     double[] figures(final WaveTotals baseline) {
         return new double[] {
             mRequests,
--- a/bench/src/main/java/org/whinhead/bench/waves/WavesBenchmark.java
+++ b/bench/src/main/java/org/whinhead/bench/waves/WavesBenchmark.java
@@ -16,7 +16,7 @@
 import org.whinhead.settings.SettingsException;
 import org.whinhead.standins.load.mix.Deployment;
 
-/** Whole deployments whose failure domains are reclaimed with and without notice. */
+/** Reclaims failure domains of whole deployments with and without notice. */
 public final class WavesBenchmark implements Benchmark {
 
     private static final int WAVES = 3;
@@ -55,11 +55,11 @@
             for (final Duration notice : NOTICES) {
                 final DemoConfig config = config(deployment, notice);
                 final WaveTotals baseline = total(config, RecoveryMode.START_OVER, options.seed());
-                final WaveTotals kept = total(config, RecoveryMode.KEEP_WORK, options.seed());
+                final WaveTotals keepWork = total(config, RecoveryMode.KEEP_WORK, options.seed());
                 final String label =
                         deployment.workload().name() + ' ' + notice.toSeconds() + " s ";
                 table.add(label + "start over", baseline.figures(baseline));
-                table.add(label + "keep work", kept.figures(baseline));
+                table.add(label + "keep work", keepWork.figures(baseline));
             }
         }
         table.print(options, out);
@@ -86,10 +86,10 @@
         try {
             return DemoRun.run(config);
         } catch (final IOException | SettingsException | ExecutionException e) {
-            throw new IllegalStateException("a wave could not be run", e);
+            throw new IllegalStateException("reclaim wave failed", e);
         } catch (final InterruptedException e) {
             Thread.currentThread().interrupt();
-            throw new IllegalStateException("a wave was interrupted", e);
+            throw new IllegalStateException("reclaim wave was interrupted", e);
         }
     }
 }
--- a/bench/src/main/java/org/whinhead/bench/waves/package-info.java
+++ b/bench/src/main/java/org/whinhead/bench/waves/package-info.java
@@ -1,2 +1,2 @@
-/** Reclaim waves over whole deployments, against a system that starts every answer over. */
+/** Compares reclaim waves over whole deployments with a system that restarts every answer. */
 package org.whinhead.bench.waves;
--- a/bench/src/test/java/org/whinhead/bench/BenchMainTest.java
+++ b/bench/src/test/java/org/whinhead/bench/BenchMainTest.java
@@ -7,16 +7,20 @@
 import java.nio.charset.StandardCharsets;
 import org.junit.jupiter.api.Test;
 
+/**
+ * Guards against benchmarks missing from the command line and against runs that ignore the seed.
+ */
 class BenchMainTest {
 
     private final ByteArrayOutputStream mOut = new ByteArrayOutputStream();
     private final ByteArrayOutputStream mErrors = new ByteArrayOutputStream();
 
     @Test
-    void listNamesEachBenchmarkAndUnknownNameIsUsageError() {
+    void listsEveryBenchmarkAndRejectsInvalidArguments() {
         assertThat(run("--list")).isZero();
         for (final BenchmarkCatalog entry : BenchmarkCatalog.values()) {
-            assertThat(mOut.toString(StandardCharsets.UTF_8)).contains(entry.create().name() + "\t");
+            assertThat(mOut.toString(StandardCharsets.UTF_8))
+                    .contains(entry.create().name() + "\t");
             assertThat(BenchmarkCatalog.find(entry.create().name())).isPresent();
         }
         assertThat(run("no-such")).isEqualTo(2);
@@ -24,7 +28,7 @@
     }
 
     @Test
-    void sameSeedGivesTheSameFiguresInSimulatedTime() {
+    void sameSeedGivesSameFigures() {
         assertThat(run("goodput", "--json", "--seed", "3")).isZero();
         final String first = mOut.toString(StandardCharsets.UTF_8);
         mOut.reset();
--- a/bench/src/test/java/org/whinhead/bench/engine/EngineModelTest.java
+++ b/bench/src/test/java/org/whinhead/bench/engine/EngineModelTest.java
@@ -9,6 +9,10 @@
 import org.whinhead.api.model.EndpointId;
 import org.whinhead.routing.CacheEvent;
 
+/**
+ * Guards against prompts that are computed again although their prefix is cached, and against a
+ * prefix cache that outgrows its capacity or doesn't report its evictions.
+ */
 class EngineModelTest implements EngineListener {
 
     private final List<Sequence> mFinished = new ArrayList<>();
@@ -16,7 +20,7 @@
     private final Simulation mSimulation = new Simulation();
 
     @Test
-    void secondRequestOfConversationFindsItsPrefixAndCostsLess() {
+    void repeatedPromptIsServedFromPrefixCache() {
         final EngineModel engine = engine(EngineSettings.DEFAULT);
         final Conversations conversations = new Conversations(1, 64);
         final Sequence first = new Sequence(conversations.nextTurn(Simulation.START).spec(), 3);
@@ -32,7 +36,7 @@
     }
 
     @Test
-    void cacheStaysBoundedAndTellsWhatItDropped() {
+    void cacheStaysWithinCapacityAndReportsEvictions() {
         final EngineSettings small = new EngineSettings(4, 20, 64, 20_000, 500, 150, 512);
         final EngineModel engine = engine(small);
         final Conversations conversations = new Conversations(2, 64);
