--- a/bench/src/main/java/org/whinhead/bench/BenchmarkCatalog.java
+++ b/bench/src/main/java/org/whinhead/bench/BenchmarkCatalog.java
@@ -36,25 +36,25 @@
     RETRIES(RetriesBenchmark::new),
     /** Settings, claims and leases through whole daemons. */
     LOG(LogBenchmark::new),
-    /** Cost of streamed answers. */
+    /** Cost of streamed answers in the coordinator. */
     CAPACITY_REQUESTS(RequestsCost::new),
-    /** Cost of routing decisions by size of the deployment. */
+    /** Cost of routing by number of endpoints. */
     CAPACITY_ROUTING(RoutingCost::new),
-    /** Cost of endpoint polling and load digests by size of the deployment. */
+    /** Polling of endpoints and bytes of load digests. */
     CAPACITY_WATCH(WatchCost::new),
-    /** Cost of the VM list and the view by size of the deployment. */
+    /** Cost of the VM list and the view by number of daemons. */
     CAPACITY_PEERS(PeersCost::new),
-    /** Cost of claims by size of the deployment. */
+    /** Cost of claims by batch size. */
     CAPACITY_CLAIMS(ClaimsCost::new),
-    /** Cost of settings by size of the deployment. */
+    /** Cost of settings by number of documents. */
     CAPACITY_SETTINGS(SettingsCost::new),
-    /** Cost of a reconcile round. */
+    /** Cost of a reconcile round by number of members. */
     CAPACITY_FLEET(FleetCost::new),
     /** Cost of service-level counts. */
     CAPACITY_REPORT(ReportCost::new),
     /** Capacity policies over simulated days. */
     CAPACITY_DAYS(CapacityDaysBenchmark::new),
-    /** Rollouts over simulated days. */
+    /** Roll-outs over simulated days with disturbances. */
     ROLLOUT_DAYS(RolloutDaysBenchmark::new),
     /** Delay until a reclaim notice reaches every daemon. */
     PEERS_LEAVING(LeavingBenchmark::new),
--- a/bench/src/main/java/org/whinhead/bench/membership/MembershipBench.java
+++ b/bench/src/main/java/org/whinhead/bench/membership/MembershipBench.java
@@ -42,7 +42,7 @@
     /**
      * Runs the benchmark.
      *
-     * @param arguments {@code --seconds}, {@code --trials}
+     * @param arguments {@code --seconds} of the steady state, {@code --trials} of each failure
      * @throws ParseException if an argument is unknown
      */
     public static void main(final String[] arguments) throws ParseException {
@@ -144,7 +144,7 @@
                 100 * suspicions / pairs);
     }
 
-    /** Ends daemons without notice, one at a time; measures the delay until each suspects them. */
+    /** Ends daemons without notice, one at a time; measures the delay until others suspect each. */
     private void measureSilence(final int size) {
         final MembershipSimulation simulation =
                 new MembershipSimulation(size, 0, new SimulatedNetwork(SEED, 0));
