--- a/bench/src/main/java/org/whinhead/bench/engine/Cluster.java
+++ b/bench/src/main/java/org/whinhead/bench/engine/Cluster.java
@@ -24,10 +24,13 @@
 import org.whinhead.routing.RoutingSettings;
 import org.whinhead.routing.RoutingStrategy;
 
-/** Engines and the routers of several daemons before them, with lagging reports and events. */
+/**
+ * Simulates engines behind the routers of several daemons; load reports and cache events reach the
+ * routers late, and some events are lost.
+ */
 public final class Cluster implements EngineListener {
 
-    /** The failure domain of everything in the model. */
+    /** Failure domain of all simulated VMs. */
     public static final FailureDomain DOMAIN = new FailureDomain("kigali", "kg-gasabo");
 
     private static final Duration REPORT_PERIOD = Duration.ofSeconds(1);
@@ -39,19 +42,19 @@
     private final Consumer<Sequence> mFinished;
     private final Random mRandom;
     private final List<EngineModel> mEngines = new ArrayList<>();
-    private final Map<EndpointId, Integer> mNumbers = new HashMap<>();
+    private final Map<EndpointId, Integer> mEngineIndexes = new HashMap<>();
     private final List<AffinityRouter> mRouters = new ArrayList<>();
     private final Map<RequestId, Integer> mRouterOf = new HashMap<>();
     private final List<Endpoint> mEndpoints;
 
     /**
-     * Makes idle engines and routers that know them.
+     * Creates idle engines and routers that have them as endpoints.
      *
-     * @param sizes how many engines and routers
-     * @param strategy how the routers choose
-     * @param seed the seed of all chance
-     * @param simulation the simulated time
-     * @param finished told of each whole answer
+     * @param sizes number of engines and routers
+     * @param strategy strategy by which the routers choose an engine
+     * @param seed seed of the random generators
+     * @param simulation simulated clock and event queue
+     * @param finished receives each sequence once its answer is complete
      */
     public Cluster(
             final Sizes sizes,
@@ -65,7 +68,7 @@
         mEndpoints = endpoints(sizes.engines());
         for (int i = 0; i < sizes.engines(); i++) {
             final EndpointId id = mEndpoints.get(i).id();
-            mNumbers.put(id, i);
+            mEngineIndexes.put(id, i);
             mEngines.add(new EngineModel(i, id, EngineSettings.DEFAULT, simulation, this));
         }
         for (int i = 0; i < sizes.routers(); i++) {
@@ -74,13 +77,13 @@
             router.endpointsChanged(mEndpoints);
             mRouters.add(router);
         }
-        simulation.after(REPORT_PERIOD, this::report);
+        simulation.schedule(REPORT_PERIOD, this::scheduleReports);
     }
 
     /**
-     * Makes endpoints that all serve the model.
+     * Creates endpoints that all serve {@link Conversations#MODEL}.
      *
-     * @param count how many
+     * @param count number of endpoints
      * @return the endpoints
      */
     public static List<Endpoint> endpoints(final int count) {
@@ -106,22 +109,22 @@
     }
 
     /**
-     * Routes a request through one of the daemons to an engine.
+     * Routes a request to an engine; drops it if the router finds none.
      *
      * @param sequence the request
-     * @param router the number of the daemon's router
+     * @param router index of the daemon's router
      */
     public void send(final Sequence sequence, final int router) {
         final Optional<Endpoint> endpoint =
                 mRouters.get(router).choose(sequence.spec(), Set.of(), mSimulation.now());
         if (endpoint.isPresent()) {
             mRouterOf.put(sequence.spec().id(), router);
-            mEngines.get(mNumbers.get(endpoint.get().id())).submit(sequence);
+            mEngines.get(mEngineIndexes.get(endpoint.get().id())).submit(sequence);
         }
     }
 
     @Override
-    public void finished(final int engine, final Sequence sequence) {
+    public void sequenceFinished(final int engine, final Sequence sequence) {
         final int router = mRouterOf.remove(sequence.spec().id());
         final EndpointId id = mEndpoints.get(engine).id();
         mRouters.get(router).attemptSucceeded(id, sequence.spec(), mSimulation.now());
@@ -132,17 +135,17 @@
     @Override
     public void cacheChanged(final CacheEvent event) {
         if (mRandom.nextDouble() >= EVENT_LOSS) {
-            mSimulation.after(
+            mSimulation.schedule(
                     EVENT_LAG, () -> mRouters.forEach(router -> router.cacheChanged(event)));
         }
     }
 
-    private void report() {
+    private void scheduleReports() {
         for (final EngineModel engine : mEngines) {
-            final LoadReport report = engine.load();
-            mSimulation.after(REPORT_LAG, () -> deliver(report));
+            final LoadReport report = engine.loadReport();
+            mSimulation.schedule(REPORT_LAG, () -> deliver(report));
         }
-        mSimulation.after(REPORT_PERIOD, this::report);
+        mSimulation.schedule(REPORT_PERIOD, this::scheduleReports);
     }
 
     private void deliver(final LoadReport report) {
@@ -150,10 +153,10 @@
     }
 
     /**
-     * How much there is.
+     * Number of simulated engines and routers.
      *
-     * @param engines engines
-     * @param routers daemons
+     * @param engines number of engines
+     * @param routers number of routers, one for each daemon
      */
     public record Sizes(int engines, int routers) {}
 }
--- a/bench/src/main/java/org/whinhead/bench/engine/Conversations.java
+++ b/bench/src/main/java/org/whinhead/bench/engine/Conversations.java
@@ -12,26 +12,26 @@
 import org.whinhead.api.request.RequestSpec;
 
 /**
- * Callers that talk in turns: a few applications, each with a long prompt of its own, and under it
- * conversations that grow with each turn.
+ * Generates requests of multi-turn conversations. Each application has a long prompt prefix, which
+ * all its conversations share; each turn adds blocks to its conversation's prompt.
  */
 public final class Conversations {
 
-    /** The model that all of them ask for. */
+    /** Model of every request. */
     public static final ModelRef MODEL = ModelRef.of("claims", "1");
 
     private static final int APPLICATIONS = 24;
     private static final int APPLICATION_BLOCKS = 12;
     private static final int TURN_BLOCKS = 5;
     private static final int MAX_TURNS = 8;
-    private static final int OPEN = 400;
+    private static final int MAX_OPEN_CONVERSATIONS = 400;
     private static final double CONTINUE_SHARE = 0.7;
-    private static final int LEAST_OUTPUT = 40;
-    private static final int OUTPUT_SPREAD = 120;
+    private static final int MIN_OUTPUT_TOKENS = 40;
+    private static final int OUTPUT_TOKEN_RANGE = 120;
     private static final Duration TIMEOUT = Duration.ofSeconds(120);
     private static final List<Tier> TIERS =
             List.of(tier("gold", 2, 2), tier("silver", 1, 4), tier("batch", 0, 8));
-    private static final int[] TIER_SHARES = {20, 60, 100};
+    private static final int[] CUMULATIVE_TIER_PERCENT = {20, 60, 100};
     private static final int PERCENT = 100;
 
     private final Random mRandom;
@@ -40,32 +40,32 @@
     private long mNext;
 
     /**
-     * Starts without any conversation.
+     * Creates a generator without open conversations.
      *
-     * @param seed the seed of all chance
-     * @param blockTokens prompt tokens in a block
+     * @param seed seed of the random generator
+     * @param blockTokens number of prompt tokens in a block
      */
     public Conversations(final long seed, final int blockTokens) {
         mRandom = new Random(seed);
         mBlockTokens = blockTokens;
     }
 
-    /** Returns the tiers, most urgent first. */
+    /** Returns the tiers, highest priority first. */
     public static List<Tier> tiers() {
         return TIERS;
     }
 
     /**
-     * Makes the next request.
+     * Returns the next request, of a new or an open conversation.
      *
-     * @param now when it arrives
-     * @return the request with its answer's length and the conversation's number
+     * @param now arrival time of the request
+     * @return the request, the length of its answer and its conversation
      */
-    public Turn next(final Instant now) {
-        final Conversation conversation = pick();
+    public Turn nextTurn(final Instant now) {
+        final Conversation conversation = pickConversation();
         conversation.grow(TURN_BLOCKS, mRandom);
         final List<Long> prefixes = List.copyOf(conversation.mPrefixes);
-        final int output = LEAST_OUTPUT + mRandom.nextInt(OUTPUT_SPREAD);
+        final int output = MIN_OUTPUT_TOKENS + mRandom.nextInt(OUTPUT_TOKEN_RANGE);
         final Tier tier = conversation.mTier;
         final RequestSpec spec =
                 RequestSpec.builder(new RequestId("r" + mNext++))
@@ -82,18 +82,18 @@
         return new Turn(spec, output, conversation.mNumber);
     }
 
-    private Conversation pick() {
+    private Conversation pickConversation() {
         if (!mOpen.isEmpty() && mRandom.nextDouble() < CONTINUE_SHARE) {
-            final int at = mRandom.nextInt(mOpen.size());
-            final Conversation conversation = mOpen.get(at);
+            final int index = mRandom.nextInt(mOpen.size());
+            final Conversation conversation = mOpen.get(index);
             conversation.mTurns++;
             if (conversation.mTurns < MAX_TURNS) {
                 return conversation;
             }
-            mOpen.remove(at);
+            mOpen.remove(index);
         }
-        if (mOpen.size() >= OPEN) {
-            mOpen.remove(mRandom.nextInt(OPEN));
+        if (mOpen.size() >= MAX_OPEN_CONVERSATIONS) {
+            mOpen.remove(mRandom.nextInt(MAX_OPEN_CONVERSATIONS));
         }
         final double skewed = Math.pow(mRandom.nextDouble(), 2);
         final Conversation conversation =
@@ -106,9 +106,9 @@
     }
 
     private Tier pickTier() {
-        final int dice = mRandom.nextInt(PERCENT);
+        final int percent = mRandom.nextInt(PERCENT);
         int tier = 0;
-        while (dice >= TIER_SHARES[tier]) {
+        while (percent >= CUMULATIVE_TIER_PERCENT[tier]) {
             tier++;
         }
         return TIERS.get(tier);
@@ -119,10 +119,16 @@
                 name, priority, Duration.ofSeconds(targetSeconds), Duration.ofMillis(200), TIMEOUT);
     }
 
-    /** One request. */
+    /**
+     * One request of a conversation.
+     *
+     * @param spec the request
+     * @param outputTokens number of tokens in its answer
+     * @param conversation number of its conversation
+     */
     public record Turn(RequestSpec spec, int outputTokens, int conversation) {}
 
-    /** One caller's conversation. */
+    /** An open conversation and the block hashes of its prompt. */
     private static final class Conversation {
         private final int mNumber;
         private final int mApplication;
--- a/bench/src/main/java/org/whinhead/bench/engine/PrefixCache.java
+++ b/bench/src/main/java/org/whinhead/bench/engine/PrefixCache.java
@@ -6,42 +6,42 @@
 import java.util.Map;
 import java.util.function.LongConsumer;
 
-/** An engine's prefix cache: a bounded number of blocks, the longest unused goes first. */
+/** Prefix cache of an engine; evicts the least recently used blocks above its capacity. */
 final class PrefixCache {
 
     private static final float LOAD_FACTOR = 0.75f;
 
     private final Map<Long, Boolean> mBlocks = new LinkedHashMap<>(64, LOAD_FACTOR, true);
     private final int mCapacity;
-    private final LongConsumer mStored;
-    private final LongConsumer mEvicted;
+    private final LongConsumer mStoredListener;
+    private final LongConsumer mEvictedListener;
 
     PrefixCache(final int capacity, final LongConsumer stored, final LongConsumer evicted) {
         mCapacity = capacity;
-        mStored = stored;
-        mEvicted = evicted;
+        mStoredListener = stored;
+        mEvictedListener = evicted;
     }
 
-    /** Returns how many leading blocks of a prompt are held, and marks them as used. */
+    /** Returns the number of leading blocks of a prompt in the cache, and marks them as used. */
     int lookup(final List<Long> prefixes) {
-        int held = 0;
-        while (held < prefixes.size() && mBlocks.get(prefixes.get(held)) != null) {
-            held++;
+        int cached = 0;
+        while (cached < prefixes.size() && mBlocks.get(prefixes.get(cached)) != null) {
+            cached++;
         }
-        return held;
+        return cached;
     }
 
     void store(final List<Long> prefixes) {
         for (int i = prefixes.size() - 1; i >= 0; i--) {
             if (mBlocks.put(prefixes.get(i), Boolean.TRUE) == null) {
-                mStored.accept(prefixes.get(i));
+                mStoredListener.accept(prefixes.get(i));
             }
         }
         final Iterator<Long> oldest = mBlocks.keySet().iterator();
         while (mBlocks.size() > mCapacity) {
             final long evicted = oldest.next();
             oldest.remove();
-            mEvicted.accept(evicted);
+            mEvictedListener.accept(evicted);
         }
     }
 }
--- a/bench/src/main/java/org/whinhead/bench/peers/TrafficAuthority.java
+++ b/bench/src/main/java/org/whinhead/bench/peers/TrafficCertificateAuthority.java
@@ -7,18 +7,18 @@
 import java.nio.file.Path;
 import org.whinhead.settings.daemon.TlsFiles;
 
-/** Issues the certificates of a run. */
-final class TrafficAuthority {
+/** Issues the TLS certificates of a run. */
+final class TrafficCertificateAuthority {
 
     private final Path mFolder;
     private final X509Bundle mRoot;
 
-    TrafficAuthority(final Path folder) {
+    TrafficCertificateAuthority(final Path folder) {
         mFolder = folder;
         try {
             mRoot = builder("root").setIsCertificateAuthority(true).buildSelfSigned();
         } catch (final Exception e) {
-            throw new IllegalStateException("no certificate authority", e);
+            throw new IllegalStateException("creating the certificate authority failed", e);
         }
     }
 
@@ -33,7 +33,7 @@
         try {
             own = builder(vm).buildIssuedBy(mRoot);
         } catch (final Exception e) {
-            throw new IllegalStateException("no certificate for " + vm, e);
+            throw new IllegalStateException("issuing a certificate failed: vm=" + vm, e);
         }
         return new TlsFiles(
                 Files.writeString(mFolder.resolve(vm + ".crt"), own.getCertificatePathPEM()),
--- a/bench/src/main/java/org/whinhead/bench/retries/FaultyEngine.java
+++ b/bench/src/main/java/org/whinhead/bench/retries/FaultyEngine.java
@@ -93,7 +93,7 @@
         mModel.submit(stream.mSequence);
         if (mFault == EngineFault.CUTS_STREAMS) {
             final int millis = MIN_CUT_DELAY_MILLIS + mRandom.nextInt(CUT_JITTER_MILLIS);
-            mSimulation.after(Duration.ofMillis(millis), () -> cut(stream));
+            mSimulation.schedule(Duration.ofMillis(millis), () -> cut(stream));
         }
     }
 
@@ -112,31 +112,31 @@
     }
 
     LoadReport load() {
-        return mModel.load();
+        return mModel.loadReport();
     }
 
     /** Returns the number of prompt and answer tokens computed so far. */
     long computedTokens() {
         long computed = mEndedComputedTokens;
         for (final Stream stream : mStreams.values()) {
-            computed += stream.mSequence.computed();
+            computed += stream.mSequence.computedTokens();
         }
         return computed;
     }
 
     @Override
-    public void decoded(final int engine, final Sequence sequence) {
+    public void tokenDecoded(final int engine, final Sequence sequence) {
         final Stream stream = mBySequence.get(sequence);
-        final long index = stream.mFromIndex + sequence.generated() - 1;
+        final long index = stream.mFromIndex + sequence.generatedTokens() - 1;
         send(stream, new AttemptEvent.Token(stream.mAttempt, index, TOKEN_TEXT));
     }
 
     @Override
-    public void finished(final int engine, final Sequence sequence) {
+    public void sequenceFinished(final int engine, final Sequence sequence) {
         final Stream stream = mBySequence.get(sequence);
-        final long answer = stream.mFromIndex + sequence.generated();
+        final long answer = stream.mFromIndex + sequence.generatedTokens();
         final int prompt = sequence.spec().promptTokens();
-        final int cached = prompt - sequence.uncachedPrompt();
+        final int cached = prompt - sequence.uncachedPromptTokens();
         remove(stream);
         send(stream, new AttemptEvent.Finished(stream.mAttempt, "stop", prompt, cached, answer));
     }
@@ -150,7 +150,7 @@
         if (!mStreams.containsKey(stream.mAttempt)) {
             return;
         }
-        final boolean hasStarted = stream.mSequence.generated() > 0;
+        final boolean hasStarted = stream.mSequence.generatedTokens() > 0;
         cancel(stream.mAttempt);
         final AttemptFailure failure =
                 hasStarted ? AttemptFailure.CUT_DURING_ANSWER : AttemptFailure.CUT_BEFORE_ANSWER;
@@ -160,12 +160,12 @@
     private void remove(final Stream stream) {
         mStreams.remove(stream.mAttempt);
         mBySequence.remove(stream.mSequence);
-        mEndedComputedTokens += stream.mSequence.computed();
+        mEndedComputedTokens += stream.mSequence.computedTokens();
     }
 
     private void send(final Stream stream, final AttemptEvent event) {
         if (!stream.mMuted) {
-            mSimulation.after(ONE_WAY_DELAY, () -> stream.mEvents.accept(event));
+            mSimulation.schedule(ONE_WAY_DELAY, () -> stream.mEvents.accept(event));
         }
     }
 
--- a/bench/src/main/java/org/whinhead/bench/retries/SimulatedCallers.java
+++ b/bench/src/main/java/org/whinhead/bench/retries/SimulatedCallers.java
@@ -81,15 +81,15 @@
         if (open == null || open.mCall.mTries >= MAX_TRIES) {
             return;
         }
-        refusal.retryAfter().ifPresent(wait -> mSimulation.after(wait, () -> submit(open.mCall)));
+        refusal.retryAfter().ifPresent(wait -> mSimulation.schedule(wait, () -> submit(open.mCall)));
     }
 
     private void arrive() {
-        final Call call = new Call(mConversations.next(mSimulation.now()), mSimulation.now());
+        final Call call = new Call(mConversations.nextTurn(mSimulation.now()), mSimulation.now());
         mCalls.add(call);
         submit(call);
         final double wait = -Math.log(1 - mRandom.nextDouble()) / mPerSecond;
-        mSimulation.after(Duration.ofNanos((long) (wait * NANOS_PER_SECOND)), this::arrive);
+        mSimulation.schedule(Duration.ofNanos((long) (wait * NANOS_PER_SECOND)), this::arrive);
     }
 
     private void submit(final Call call) {
@@ -98,7 +98,7 @@
         mOpen.put(spec.id(), new Try(call, spec));
         final SimulatedDaemon daemon = mDaemons.get(mRandom.nextInt(mDaemons.size()));
         daemon.submit(spec, call.mTurn.outputTokens());
-        mSimulation.after(CALLER_TIMEOUT, () -> disconnect(daemon, spec.id()));
+        mSimulation.schedule(CALLER_TIMEOUT, () -> disconnect(daemon, spec.id()));
     }
 
     private void disconnect(final SimulatedDaemon daemon, final RequestId request) {
--- a/bench/src/main/java/org/whinhead/bench/retries/SimulatedDaemon.java
+++ b/bench/src/main/java/org/whinhead/bench/retries/SimulatedDaemon.java
@@ -120,7 +120,7 @@
             final long deliveredTokens) {
         mDispatches++;
         final PendingRequest pending = mPending.get(attempt.request());
-        mSimulation.after(
+        mSimulation.schedule(
                 ONE_WAY_DELAY,
                 () ->
                         mEngines.get(endpoint.id())
@@ -145,12 +145,12 @@
             final long fromIndex) {
         final AttemptEvent failure =
                 new AttemptEvent.Failed(attempt, AttemptFailure.STREAM_UNKNOWN, "gone");
-        mSimulation.after(ONE_WAY_DELAY.multipliedBy(2), () -> handle(failure));
+        mSimulation.schedule(ONE_WAY_DELAY.multipliedBy(2), () -> handle(failure));
     }
 
     @Override
     public void cancel(final AttemptId attempt, final Endpoint endpoint, final String streamId) {
-        mSimulation.after(ONE_WAY_DELAY, () -> mEngines.get(endpoint.id()).cancel(attempt));
+        mSimulation.schedule(ONE_WAY_DELAY, () -> mEngines.get(endpoint.id()).cancel(attempt));
     }
 
     @Override
@@ -219,7 +219,7 @@
                             .toList());
         }
         mCoordinator.tick(mSimulation.now());
-        mSimulation.after(TICK, this::tick);
+        mSimulation.schedule(TICK, this::tick);
     }
 
     /** Receives the results of the callers' requests. */
--- a/bench/src/main/java/org/whinhead/bench/routing/DecisionRate.java
+++ b/bench/src/main/java/org/whinhead/bench/routing/DecisionRate.java
@@ -15,7 +15,7 @@
 import org.whinhead.routing.RoutingSettings;
 import org.whinhead.routing.RoutingStrategy;
 
-/** Decisions a second of one thread, in wall time, with every endpoint in one pool. */
+/** Measures routing decisions per second of one thread, in wall-clock time, over one pool. */
 final class DecisionRate {
 
     static final int ENDPOINTS = 1800;
@@ -27,13 +27,15 @@
 
     private DecisionRate() {}
 
-    /** Measures with the requests of the model's traffic, whose prompts share prefixes. */
-    static double of(final RoutingStrategy strategy, final long seed) {
-        return of(strategy, seed, requests(seed));
+    /** Returns decisions per second for conversations, whose prompts share prefixes. */
+    static double measure(final RoutingStrategy strategy, final long seed) {
+        return measure(strategy, seed, requests(seed));
     }
 
-    /** Measures with requests that share no prefix, so that nothing kept from before helps. */
-    static double ofStrangers(final RoutingStrategy strategy, final long seed) {
+    /**
+     * Returns decisions per second for requests without shared prefixes, so that none is cached.
+     */
+    static double measureWithoutSharedPrefixes(final RoutingStrategy strategy, final long seed) {
         final Random random = new Random(seed);
         final List<RequestSpec> requests = new ArrayList<>();
         for (final RequestSpec spec : requests(seed)) {
@@ -51,10 +53,10 @@
                             .deadline(spec.deadline())
                             .build());
         }
-        return of(strategy, seed, requests);
+        return measure(strategy, seed, requests);
     }
 
-    private static double of(
+    private static double measure(
             final RoutingStrategy strategy, final long seed, final List<RequestSpec> requests) {
         final AffinityRouter router =
                 new AffinityRouter(
@@ -79,7 +81,7 @@
                 new Conversations(seed, EngineSettings.DEFAULT.blockTokens());
         final List<RequestSpec> requests = new ArrayList<>();
         for (int i = 0; i < REQUESTS; i++) {
-            requests.add(conversations.next(Simulation.START).spec());
+            requests.add(conversations.nextTurn(Simulation.START).spec());
         }
         return requests;
     }
--- a/bench/src/main/java/org/whinhead/bench/routing/RoutingBenchmark.java
+++ b/bench/src/main/java/org/whinhead/bench/routing/RoutingBenchmark.java
@@ -6,7 +6,7 @@
 import org.whinhead.bench.FigureTable;
 import org.whinhead.routing.RoutingStrategy;
 
-/** The same traffic under each strategy, in simulated time, and decisions a second. */
+/** Compares routing strategies under the same simulated traffic, and their decision rates. */
 public final class RoutingBenchmark implements Benchmark {
 
     @Override
@@ -30,12 +30,12 @@
                         "tokens/request",
                         "p95/random",
                         "tokens/random");
-        final RoutingRun.Outcome random = RoutingRun.of(RoutingStrategy.RANDOM, options.seed());
+        final RoutingRun.Outcome random = RoutingRun.run(RoutingStrategy.RANDOM, options.seed());
         for (final RoutingStrategy strategy : RoutingStrategy.values()) {
             final RoutingRun.Outcome outcome =
                     strategy == RoutingStrategy.RANDOM
                             ? random
-                            : RoutingRun.of(strategy, options.seed());
+                            : RoutingRun.run(strategy, options.seed());
             figures.add(
                     strategy.name(),
                     outcome.finished(),
@@ -55,12 +55,13 @@
                         DecisionRate.ENDPOINTS + " endpoints", "decisions/s", "against-random");
         double random = 0;
         for (final RoutingStrategy strategy : RoutingStrategy.values()) {
-            final double rate = DecisionRate.of(strategy, options.seed());
+            final double rate = DecisionRate.measure(strategy, options.seed());
             random = strategy == RoutingStrategy.RANDOM ? rate : random;
             rates.add(strategy.name(), rate, rate / random);
         }
-        final double strangers = DecisionRate.ofStrangers(RoutingStrategy.AFFINITY, options.seed());
-        rates.add("AFFINITY, none shared", strangers, strangers / random);
+        final double unshared =
+                DecisionRate.measureWithoutSharedPrefixes(RoutingStrategy.AFFINITY, options.seed());
+        rates.add("AFFINITY, none shared", unshared, unshared / random);
         rates.print(options, out);
     }
 }
