--- a/bench/src/main/java/org/whinhead/bench/retries/SimulatedCallers.java
+++ b/bench/src/main/java/org/whinhead/bench/retries/SimulatedCallers.java
@@ -81,7 +81,8 @@
         if (open == null || open.mCall.mTries >= MAX_TRIES) {
             return;
         }
-        refusal.retryAfter().ifPresent(wait -> mSimulation.schedule(wait, () -> submit(open.mCall)));
+        refusal.retryAfter()
+                .ifPresent(wait -> mSimulation.schedule(wait, () -> submit(open.mCall)));
     }
 
     private void arrive() {
