--- a/daemon/src/main/java/org/whinhead/daemon/caller/ChatRequestParser.java
+++ b/daemon/src/main/java/org/whinhead/daemon/caller/ChatRequestParser.java
@@ -58,7 +58,7 @@
 
     private static String prompt(final JsonNode messages) throws RequestException {
         if (!messages.isArray() || messages.isEmpty()) {
-            throw malformed(ChatFields.MESSAGES + ": expected a non-empty list");
+            throw malformed(ChatFields.MESSAGES + ": expected a list with a message");
         }
         final StringJoiner prompt = new StringJoiner("\n");
         for (int index = 0; index < messages.size(); index++) {
--- a/daemon/src/main/java/org/whinhead/daemon/caller/RequestSubmitter.java
+++ b/daemon/src/main/java/org/whinhead/daemon/caller/RequestSubmitter.java
@@ -55,7 +55,7 @@
      */
     void checkAccepting() throws RequestException {
         if (mStopping.getAsBoolean()) {
-            throw refused(ErrorCode.STOPPING, "the daemon is stopping, use another address");
+            throw refused(ErrorCode.STOPPING, "ask for another address");
         }
         if (mRequests.count() >= mMaxInProgress) {
             throw refused(ErrorCode.OVERLOADED, "too many requests in progress");
--- a/daemon/src/main/java/org/whinhead/daemon/caller/ResumeRequest.java
+++ b/daemon/src/main/java/org/whinhead/daemon/caller/ResumeRequest.java
@@ -50,7 +50,7 @@
         }
         final long tokens = deliveredTokens(exchange);
         if (request.deliveredText().isEmpty() != (tokens == 0)) {
-            throw refused(ChatFields.DELIVERED_TEXT + ": expected together with Last-Event-ID");
+            throw refused(ChatFields.DELIVERED_TEXT + ": does not go with Last-Event-ID");
         }
         final Ticket ticket = ticket(text, tickets, customer, requestId, now);
         return Optional.of(new ResumeRequest(ticket, tokens, request.deliveredText()));
--- a/daemon/src/main/java/org/whinhead/daemon/decision/DecisionEvent.java
+++ b/daemon/src/main/java/org/whinhead/daemon/decision/DecisionEvent.java
@@ -55,7 +55,7 @@
             return new Refusal(
                     ErrorCode.ALREADY_CLAIMED,
                     Verdict.MAY_HAVE_RUN,
-                    "the request is in progress at this daemon",
+                    "it is in progress here",
                     Optional.of(RETRY_AFTER));
         }
     }
--- a/daemon/src/main/java/org/whinhead/daemon/engine/EngineStream.java
+++ b/daemon/src/main/java/org/whinhead/daemon/engine/EngineStream.java
@@ -21,7 +21,7 @@
     private static final String STREAM_HEADER = "X-Stream-Id";
     private static final String DONE = "[DONE]";
     private static final int MAX_EVENT_BYTES = 256 * 1024;
-    private static final String NOT_PARSED = "the engine's event is not a valid chat chunk";
+    private static final String NOT_PARSED = "the engine's event is not understood";
 
     private final AttemptEventPublisher mPublisher;
     private final boolean mIsResumed;
--- a/daemon/src/main/java/org/whinhead/daemon/limits/AdmissionMetrics.java
+++ b/daemon/src/main/java/org/whinhead/daemon/limits/AdmissionMetrics.java
@@ -29,12 +29,12 @@
         meters.gauge(
                 "whinhead.admission.returned",
                 UNIT,
-                "Requests resumed with a ticket, which bypass the queue.",
+                "Requests that came back with a ticket and went on without a queue.",
                 () -> admission.counts().resumed());
         meters.gauge(
                 "whinhead.admission.returned.without.budget",
                 UNIT,
-                "Requests resumed although no budget was left.",
+                "Requests that came back and went on though no budget was left.",
                 () -> admission.counts().resumedWithoutBudget());
     }
 }
--- a/requests/src/main/java/org/whinhead/requests/AttemptLauncher.java
+++ b/requests/src/main/java/org/whinhead/requests/AttemptLauncher.java
@@ -53,7 +53,7 @@
     void retryLater(final RequestState state, final ErrorCode code, final Instant now) {
         final Duration wait = mBackoff.nextDelay(Math.max(1, state.dispatches()));
         if (!now.plus(wait).isBefore(state.deadline())) {
-            mActiveRequests.giveUp(state, code, "the deadline precedes the next retry", now);
+            mActiveRequests.giveUp(state, code, "the deadline comes before the next try", now);
             return;
         }
         mContext.log().add(state, DecisionKind.PAUSED, code.wireName(), now);
@@ -169,7 +169,7 @@
         if (now.isBefore(since.plus(mContext.settings().patience()))) {
             retryLater(state, code, now);
         } else {
-            mActiveRequests.giveUp(state, code, "no capacity became available in time", now);
+            mActiveRequests.giveUp(state, code, "nothing became free in time", now);
         }
     }
 }
--- a/requests/src/main/java/org/whinhead/requests/DefaultRequestCoordinator.java
+++ b/requests/src/main/java/org/whinhead/requests/DefaultRequestCoordinator.java
@@ -203,7 +203,7 @@
             final String detail = "tokens are missing before the end";
             mRecovery.handleFailure(state, attempt, AttemptFailure.CUT_DURING_ANSWER, detail, now);
         } else if (mStallDetector.isSilent(state, attempt, now)) {
-            final String detail = "no token within the silence limit";
+            final String detail = "no token in time";
             mRecovery.handleFailure(state, attempt, AttemptFailure.SILENT, detail, now);
         }
     }
--- a/requests/src/main/java/org/whinhead/requests/EndpointDrainer.java
+++ b/requests/src/main/java/org/whinhead/requests/EndpointDrainer.java
@@ -55,7 +55,7 @@
         if (state.move().isPresent()) {
             final Attempt move = state.move().get();
             if (!now.isBefore(move.startedAt().plus(mContext.settings().moveTime()))) {
-                abortMove(state, move, "move timed out", now);
+                abortMove(state, move, "too late", now);
             }
             return;
         }
--- a/requests/src/main/java/org/whinhead/requests/Shutdown.java
+++ b/requests/src/main/java/org/whinhead/requests/Shutdown.java
@@ -14,7 +14,7 @@
  */
 final class Shutdown {
 
-    private static final String DETAIL = "the rest of the answer is available from another daemon";
+    private static final String DETAIL = "the rest is to be had from another daemon";
 
     private final CoordinatorContext mContext;
     private final ActiveRequests mActiveRequests;
--- a/requests/src/main/java/org/whinhead/requests/TicketHandler.java
+++ b/requests/src/main/java/org/whinhead/requests/TicketHandler.java
@@ -76,7 +76,7 @@
         mContext.log().add(state, DecisionKind.CALLER_RETURNED, latest.endpoint().value(), now);
         if (state.isPastDeadline(now)) {
             mActiveRequests.giveUp(
-                    state, ErrorCode.DEADLINE_PASSED, "before the caller returned", now);
+                    state, ErrorCode.DEADLINE_PASSED, "before the caller came back", now);
         } else {
             resumeOrRedispatch(state, latest, now);
         }
--- a/requests/src/test/java/org/whinhead/requests/TicketCodecTest.java
+++ b/requests/src/test/java/org/whinhead/requests/TicketCodecTest.java
@@ -39,7 +39,7 @@
         final TicketCodec rotated = new TicketCodec(List.of(NEW, OLD));
         assertThat(rotated.read(text, CLINIC, NOW)).isEqualTo(TICKET);
         assertThat(refusalOf(new TicketCodec(List.of(NEW)), text, CLINIC, NOW))
-                .isEqualTo("The ticket cannot be used: its signature is not valid");
+                .isEqualTo("The ticket can not be used: its signature is not valid");
     }
 
     /**
@@ -51,9 +51,9 @@
         final TicketCodec codec = new TicketCodec(List.of(NEW));
         final String text = codec.write(TICKET);
         assertThat(refusalOf(codec, text, new CustomerId("other"), NOW))
-                .isEqualTo("The ticket cannot be used: it belongs to another customer");
+                .isEqualTo("The ticket can not be used: it belongs to another customer");
         assertThat(refusalOf(codec, text, CLINIC, TICKET.deadline()))
-                .isEqualTo("The ticket cannot be used: it has expired");
+                .isEqualTo("The ticket can not be used: it has expired");
     }
 
     /** Guards against a caller that modifies its ticket to read another caller's stream. */
