--- a/bench/src/main/java/org/whinhead/bench/capacity/LoopLog.java
+++ b/bench/src/main/java/org/whinhead/bench/capacity/LoopLog.java
@@ -11,8 +11,8 @@
 import org.whinhead.state.record.LogRecord;
 import org.whinhead.state.record.LogRecordCodec;
 import org.whinhead.state.record.RecordFormatException;
-import org.whinhead.state.writer.Backoff;
 import org.whinhead.state.writer.LogWriter;
+import org.whinhead.state.writer.WriteBackoff;
 import org.whinhead.state.writer.WriterLimits;
 
 /** A writer whose appends take effect at once; each record is encoded and decoded on its way. */
@@ -25,7 +25,7 @@
             new LogWriter(
                     new DaemonId("entry-17-1785000000000"),
                     LIMITS,
-                    new Backoff(
+                    new WriteBackoff(
                             Duration.ofMillis(10), Duration.ofSeconds(1), new SplittableRandom(1)));
     private long mOffset;
     private long mBytes;
--- a/bench/src/main/java/org/whinhead/bench/engine/EngineModel.java
+++ b/bench/src/main/java/org/whinhead/bench/engine/EngineModel.java
@@ -19,7 +19,7 @@
     private final EngineSettings mSettings;
     private final Simulation mSimulation;
     private final EngineListener mListener;
-    private final PrefixCache mCache;
+    private final SimulatedPrefixCache mCache;
     private final List<Sequence> mBatch = new ArrayList<>();
     private final PriorityQueue<Waiting> mWaiting = new PriorityQueue<>();
     private long mArrivals;
@@ -46,7 +46,7 @@
         mSimulation = simulation;
         mListener = listener;
         mCache =
-                new PrefixCache(
+                new SimulatedPrefixCache(
                         settings.cacheBlocks(),
                         hash -> tell(CacheEvent.Kind.STORED, hash),
                         hash -> tell(CacheEvent.Kind.EVICTED, hash));
--- a/bench/src/main/java/org/whinhead/bench/engine/PrefixCache.java
+++ b/bench/src/main/java/org/whinhead/bench/engine/SimulatedPrefixCache.java
@@ -7,7 +7,7 @@
 import java.util.function.LongConsumer;
 
 /** An engine's prefix cache: a bounded number of blocks, the longest unused goes first. */
-final class PrefixCache {
+final class SimulatedPrefixCache {
 
     private static final float LOAD_FACTOR = 0.75f;
 
@@ -16,7 +16,8 @@
     private final LongConsumer mStored;
     private final LongConsumer mEvicted;
 
-    PrefixCache(final int capacity, final LongConsumer stored, final LongConsumer evicted) {
+    SimulatedPrefixCache(
+            final int capacity, final LongConsumer stored, final LongConsumer evicted) {
         mCapacity = capacity;
         mStored = stored;
         mEvicted = evicted;
--- a/bench/src/main/java/org/whinhead/bench/membership/MembershipBench.java
+++ b/bench/src/main/java/org/whinhead/bench/membership/MembershipBench.java
@@ -111,7 +111,7 @@
         long suspicions = 0;
         final int trials = Math.min(mTrials, size / 2);
         for (int trial = 0; trial < trials; trial++) {
-            final SimulatedDaemon leaver = simulation.daemons().get(size - 1 - trial);
+            final SimulatedMember leaver = simulation.daemons().get(size - 1 - trial);
             final Instant start = simulation.now();
             simulation
                     .daemons()
@@ -121,7 +121,7 @@
                 simulation.run(SECOND);
                 suspicions += simulation.suspicions();
             }
-            for (final SimulatedDaemon daemon : simulation.daemons()) {
+            for (final SimulatedMember daemon : simulation.daemons()) {
                 if (daemon.awaitedSeenAt() == null) {
                     unaware++;
                 } else {
@@ -153,14 +153,14 @@
         long unaware = 0;
         final int trials = Math.min(mTrials, size / 3);
         for (int trial = 0; trial < trials; trial++) {
-            final SimulatedDaemon dead = simulation.daemons().get(size - 1 - trial);
+            final SimulatedMember dead = simulation.daemons().get(size - 1 - trial);
             final Instant start = simulation.now();
             simulation.kill(dead);
             simulation
                     .daemons()
                     .forEach(daemon -> daemon.await(dead.member().id(), VmState.SUSPECT));
             simulation.run(SILENCE);
-            for (final SimulatedDaemon daemon : simulation.daemons()) {
+            for (final SimulatedMember daemon : simulation.daemons()) {
                 if (daemon.awaitedSeenAt() == null) {
                     unaware++;
                 } else {
@@ -183,11 +183,11 @@
         final MembershipSimulation simulation =
                 new MembershipSimulation(size, 0, new SimulatedNetwork(SEED, 0));
         simulation.run(WARM);
-        final SimulatedDaemon reader = simulation.daemons().get(0);
-        final SimulatedDaemon last = simulation.daemons().get(size - 1);
+        final SimulatedMember reader = simulation.daemons().get(0);
+        final SimulatedMember last = simulation.daemons().get(size - 1);
         final FailureDomain domain = last.member().vm().domain();
         final Set<VmId> vms = new HashSet<>();
-        for (final SimulatedDaemon daemon : simulation.daemons()) {
+        for (final SimulatedMember daemon : simulation.daemons()) {
             daemon.await(last.member().id(), VmState.LEAVING);
             if (daemon.member().vm().domain().equals(domain)) {
                 vms.add(daemon.member().id());
@@ -204,7 +204,7 @@
         simulation.run(SECOND);
         final double burst = (double) (simulation.bytes() - bytes) / size;
         long slowest = 0;
-        for (final SimulatedDaemon daemon : simulation.daemons()) {
+        for (final SimulatedMember daemon : simulation.daemons()) {
             final Instant seen = daemon.awaitedSeenAt();
             slowest = Math.max(slowest, Duration.between(start, seen).toMillis());
         }
--- a/bench/src/main/java/org/whinhead/bench/membership/MembershipSimulation.java
+++ b/bench/src/main/java/org/whinhead/bench/membership/MembershipSimulation.java
@@ -35,16 +35,16 @@
     private static final int DAEMONS_AT_FULL_SIZE = 330;
     private static final int ENDPOINTS_AT_FULL_SIZE = 1_800;
 
-    private final List<SimulatedDaemon> mDaemons = new ArrayList<>();
-    private final Map<VmId, SimulatedDaemon> mById = new HashMap<>();
+    private final List<SimulatedMember> mDaemons = new ArrayList<>();
+    private final Map<VmId, SimulatedMember> mById = new HashMap<>();
     private final List<DaemonMember> mMembers = new ArrayList<>();
     private final List<Endpoint> mEndpoints = new ArrayList<>();
     private final SimulatedNetwork mNetwork;
     private final PriorityQueue<Flight> mFlights =
             new PriorityQueue<>(
                     Comparator.comparing(Flight::arrives).thenComparing(Flight::number));
-    private final PriorityQueue<SimulatedDaemon> mTicks =
-            new PriorityQueue<>(Comparator.comparing(SimulatedDaemon::nextTick));
+    private final PriorityQueue<SimulatedMember> mTicks =
+            new PriorityQueue<>(Comparator.comparing(SimulatedMember::nextTick));
     private Instant mNow = START;
     private Instant mNextList = START;
     private long mMessages;
@@ -62,8 +62,8 @@
         }
         for (int i = 0; i < daemons; i++) {
             final boolean slow = i < slowShare * daemons;
-            final SimulatedDaemon daemon =
-                    new SimulatedDaemon(
+            final SimulatedMember daemon =
+                    new SimulatedMember(
                             mMembers.get(i), this, MembershipSettings.defaults(), slow, mNow);
             mDaemons.add(daemon);
             mById.put(daemon.member().id(), daemon);
@@ -99,17 +99,17 @@
                 .build();
     }
 
-    void post(final SimulatedDaemon from, final VmId to, final Envelope message) {
+    void post(final SimulatedMember from, final VmId to, final Envelope message) {
         final byte[] bytes = message.toBuilder().setSequence(++mMessages).build().toByteArray();
         mBytes += bytes.length;
-        final SimulatedDaemon receiver = mById.get(to);
+        final SimulatedMember receiver = mById.get(to);
         mNetwork.delay(from.member().vm().domain(), receiver.member().vm().domain())
                 .ifPresent(delay -> mFlights.add(flight(from, receiver, delay, bytes)));
     }
 
     private Flight flight(
-            final SimulatedDaemon from,
-            final SimulatedDaemon to,
+            final SimulatedMember from,
+            final SimulatedMember to,
             final Duration delay,
             final byte[] bytes) {
         return new Flight(to.readsAt(mNow.plus(delay)), mMessages, from.member().id(), to, bytes);
@@ -133,7 +133,7 @@
             if (flightFirst) {
                 arrive(mFlights.poll());
             } else {
-                final SimulatedDaemon daemon = mTicks.poll();
+                final SimulatedMember daemon = mTicks.poll();
                 daemon.tick(mNow);
                 mTicks.add(daemon);
             }
@@ -141,7 +141,7 @@
     }
 
     /** Ends a daemon without a word; the list goes on to name it. */
-    void kill(final SimulatedDaemon daemon) {
+    void kill(final SimulatedMember daemon) {
         mDaemons.remove(daemon);
         mTicks.remove(daemon);
         daemon.end();
@@ -182,7 +182,7 @@
         return mBytes;
     }
 
-    List<SimulatedDaemon> daemons() {
+    List<SimulatedMember> daemons() {
         return mDaemons;
     }
 
@@ -193,7 +193,7 @@
     /** Counts pairs of daemons in which the first sees the second as suspect. */
     long suspicions() {
         long suspicions = 0;
-        for (final SimulatedDaemon daemon : mDaemons) {
+        for (final SimulatedMember daemon : mDaemons) {
             for (final DaemonMember member : daemon.membership().view().daemons()) {
                 suspicions += member.vm().state() == VmState.SUSPECT ? 1 : 0;
             }
@@ -202,5 +202,5 @@
     }
 
     private record Flight(
-            Instant arrives, long number, VmId from, SimulatedDaemon to, byte[] bytes) {}
+            Instant arrives, long number, VmId from, SimulatedMember to, byte[] bytes) {}
 }
--- a/bench/src/main/java/org/whinhead/bench/membership/SimulatedDaemon.java
+++ b/bench/src/main/java/org/whinhead/bench/membership/SimulatedMember.java
@@ -14,7 +14,7 @@
 import org.whinhead.peer.MembershipCodec;
 
 /** One daemon of the simulation and what it has sent. */
-final class SimulatedDaemon implements MembershipActions {
+final class SimulatedMember implements MembershipActions {
 
     private static final int TICK_MILLIS = 100;
     private static final int SLOWEST_TICK_MILLIS = 4_000;
@@ -30,7 +30,7 @@
     private VmState mAwaitedState;
     private boolean mEnded;
 
-    SimulatedDaemon(
+    SimulatedMember(
             final DaemonMember member,
             final MembershipSimulation simulation,
             final MembershipSettings settings,
--- a/bench/src/main/java/org/whinhead/bench/waves/WaveTotals.java
+++ b/bench/src/main/java/org/whinhead/bench/waves/WaveTotals.java
@@ -3,7 +3,7 @@
 import org.HdrHistogram.Histogram;
 import org.whinhead.demo.DemoResult;
 import org.whinhead.demo.LoadPhases;
-import org.whinhead.standins.load.result.Outcome;
+import org.whinhead.standins.load.result.RequestOutcome;
 
 /** Adds several waves up. */
 final class WaveTotals {
@@ -32,7 +32,7 @@
         mRecomputed += wave.recomputedTokens();
         mGenerated += wave.generatedTokens();
         mRequests += wave.load().requests().size();
-        mCompleted += wave.load().count(Outcome.COMPLETED);
+        mCompleted += wave.load().count(RequestOutcome.COMPLETED);
         mLost += wave.lost();
         mDoubled += wave.doubled();
         mWrong += wave.wrongAnswers() + wave.notRunButRan();
--- a/cli/src/main/java/org/whinhead/cli/command/SettingsChange.java
+++ b/cli/src/main/java/org/whinhead/cli/command/SettingsChangeRequest.java
@@ -20,7 +20,7 @@
  * @param baseRevision the revision that the change replaces; -1 if there must be none
  * @param document the new document; empty to delete it
  */
-record SettingsChange(
+record SettingsChangeRequest(
         String changeId, String path, long baseRevision, Optional<JsonNode> document) {
 
     private static final long NO_REVISION = -1;
--- a/cli/src/main/java/org/whinhead/cli/command/SettingsLoadCommand.java
+++ b/cli/src/main/java/org/whinhead/cli/command/SettingsLoadCommand.java
@@ -26,8 +26,8 @@
     public ExitCode run(final Invocation invocation, final Console console) throws CliException {
         final String file = invocation.arguments().get(0);
         final List<DocumentList.Entry> entries = entries(file);
-        SettingsChange.requireReason(invocation);
-        final String changeId = SettingsChange.resolveChangeId(invocation);
+        SettingsChangeRequest.requireReason(invocation);
+        final String changeId = SettingsChangeRequest.resolveChangeId(invocation);
         console.note("put.change", changeId);
         int storedCount = 0;
         try (DaemonClient client = invocation.daemonClient()) {
@@ -47,14 +47,15 @@
             final DocumentList.Entry entry)
             throws CliException {
         final String path = entry.path().text();
-        final SettingsChange.CurrentDocument current = SettingsChange.current(client, path);
+        final SettingsChangeRequest.CurrentDocument current =
+                SettingsChangeRequest.current(client, path);
         final JsonNode document = document(path, entry.text());
         if (current.document().isPresent()
                 && document(path, current.document().get().toString()).equals(document)) {
             return false;
         }
-        final SettingsChange change =
-                new SettingsChange(
+        final SettingsChangeRequest change =
+                new SettingsChangeRequest(
                         changeId + path, path, current.revision(), Optional.of(document));
         final JsonNode response = change.send(client, invocation);
         console.line("put.done", path, response.path("revision").asText());
--- a/cli/src/main/java/org/whinhead/cli/command/SettingsPutCommand.java
+++ b/cli/src/main/java/org/whinhead/cli/command/SettingsPutCommand.java
@@ -25,11 +25,12 @@
         final String path = invocation.arguments().get(0);
         final Optional<JsonNode> document = document(invocation);
         final long wait = invocation.numberOrDefault(CliOption.WAIT);
-        SettingsChange.requireReason(invocation);
-        final String changeId = SettingsChange.resolveChangeId(invocation);
+        SettingsChangeRequest.requireReason(invocation);
+        final String changeId = SettingsChangeRequest.resolveChangeId(invocation);
         try (DaemonClient client = invocation.daemonClient()) {
-            final SettingsChange change =
-                    new SettingsChange(changeId, path, base(client, invocation, path), document);
+            final SettingsChangeRequest change =
+                    new SettingsChangeRequest(
+                            changeId, path, base(client, invocation, path), document);
             console.note("put.change", changeId);
             final JsonNode response = change.send(client, invocation);
             if (console.isJson()) {
@@ -70,7 +71,7 @@
         if (given.isPresent()) {
             return given.get();
         }
-        return SettingsChange.current(client, path).revision();
+        return SettingsChangeRequest.current(client, path).revision();
     }
 
     private static ExitCode await(
--- a/daemon/src/main/java/org/whinhead/daemon/engine/AttemptTransport.java
+++ b/daemon/src/main/java/org/whinhead/daemon/engine/AttemptTransport.java
@@ -80,7 +80,11 @@
                         .method(Methods.POST)
                         .body(chat.encoder().encode(deliveredText, deliveredTokens), JSON)
                         .build();
-        start(attempt, outgoing, request.thread(), EngineStream.opening(publisher(attempt)));
+        start(
+                attempt,
+                outgoing,
+                request.thread(),
+                EngineEventConverter.opening(publisher(attempt)));
     }
 
     /**
@@ -107,7 +111,7 @@
                 attempt,
                 builder.build(),
                 request.thread(),
-                EngineStream.resuming(publisher(attempt), streamId));
+                EngineEventConverter.resuming(publisher(attempt), streamId));
     }
 
     /**
--- a/daemon/src/main/java/org/whinhead/daemon/engine/EngineStream.java
+++ b/daemon/src/main/java/org/whinhead/daemon/engine/EngineEventConverter.java
@@ -15,7 +15,7 @@
 import org.whinhead.requests.AttemptFailure;
 
 /** Converts an engine's server-sent events to attempt events. */
-final class EngineStream implements ResponseListener {
+final class EngineEventConverter implements ResponseListener {
 
     private static final ObjectMapper MAPPER = new ObjectMapper();
     private static final String STREAM_HEADER = "X-Stream-Id";
@@ -33,7 +33,7 @@
     private AttemptEvent.Finished mFinished;
     private boolean mEnded;
 
-    private EngineStream(
+    private EngineEventConverter(
             final AttemptEventPublisher publisher, final boolean isResumed, final String streamId) {
         mPublisher = publisher;
         mIsResumed = isResumed;
@@ -41,13 +41,14 @@
     }
 
     /** Returns the listener of a new stream, whose id is in the engine's response. */
-    static EngineStream opening(final AttemptEventPublisher publisher) {
-        return new EngineStream(publisher, false, "");
+    static EngineEventConverter opening(final AttemptEventPublisher publisher) {
+        return new EngineEventConverter(publisher, false, "");
     }
 
     /** Returns the listener of a resumed stream that the engine still holds. */
-    static EngineStream resuming(final AttemptEventPublisher publisher, final String streamId) {
-        return new EngineStream(publisher, true, streamId);
+    static EngineEventConverter resuming(
+            final AttemptEventPublisher publisher, final String streamId) {
+        return new EngineEventConverter(publisher, true, streamId);
     }
 
     @Override
--- a/daemon/src/main/java/org/whinhead/daemon/log/LogService.java
+++ b/daemon/src/main/java/org/whinhead/daemon/log/LogService.java
@@ -15,9 +15,9 @@
 import org.whinhead.state.claim.ClaimKey;
 import org.whinhead.state.fold.FoldState;
 import org.whinhead.state.fold.FoldView;
-import org.whinhead.state.writer.Backoff;
 import org.whinhead.state.writer.LogReader;
 import org.whinhead.state.writer.LogWriter;
+import org.whinhead.state.writer.WriteBackoff;
 import org.whinhead.state.writer.WriterLimits;
 import org.xnio.XnioIoThread;
 
@@ -115,8 +115,8 @@
                 new LogWriter(mSelf, limits, backoff()));
     }
 
-    private Backoff backoff() {
-        return new Backoff(FIRST_BACKOFF, MAX_BACKOFF, mRandom);
+    private WriteBackoff backoff() {
+        return new WriteBackoff(FIRST_BACKOFF, MAX_BACKOFF, mRandom);
     }
 
     /** Starts the thread. */
--- a/demo/src/main/java/org/whinhead/demo/DemoReport.java
+++ b/demo/src/main/java/org/whinhead/demo/DemoReport.java
@@ -11,7 +11,7 @@
 import java.util.function.Function;
 import org.whinhead.standins.load.TextTable;
 import org.whinhead.standins.load.result.LatencyDistribution;
-import org.whinhead.standins.load.result.Outcome;
+import org.whinhead.standins.load.result.RequestOutcome;
 
 /** Formats the result of a run as tables for people or as JSON for scripts. */
 final class DemoReport {
@@ -54,8 +54,8 @@
         root.put("noticeMillis", config.notice().toMillis());
         root.put("requests", mResult.load().requests().size());
         root.put("accepted", mResult.load().accepted());
-        for (final Outcome outcome : Outcome.values()) {
-            if (outcome != Outcome.WRONG) {
+        for (final RequestOutcome outcome : RequestOutcome.values()) {
+            if (outcome != RequestOutcome.WRONG) {
                 root.put(outcome.jsonName(), mResult.load().count(outcome));
             }
         }
@@ -103,7 +103,7 @@
     private List<List<String>> outcomes() {
         final List<List<String>> rows = new ArrayList<>();
         rows.add(row("report.outcome", DemoMessages.text("report.requests")));
-        for (final Outcome outcome : Outcome.values()) {
+        for (final RequestOutcome outcome : RequestOutcome.values()) {
             rows.add(List.of(outcome.jsonName(), "" + mResult.load().count(outcome)));
         }
         return rows;
--- a/demo/src/main/java/org/whinhead/demo/DemoResult.java
+++ b/demo/src/main/java/org/whinhead/demo/DemoResult.java
@@ -6,7 +6,7 @@
 import org.whinhead.standins.deployment.DeploymentStandIns;
 import org.whinhead.standins.load.mix.PlannedRequest;
 import org.whinhead.standins.load.result.LoadResult;
-import org.whinhead.standins.load.result.Outcome;
+import org.whinhead.standins.load.result.RequestOutcome;
 import org.whinhead.standins.witness.WorkCounter;
 
 /**
@@ -65,12 +65,12 @@
 
     /** Returns the number of accepted requests that were owed a whole answer and did not get it. */
     public long lost() {
-        return load().count(Outcome.LOST);
+        return load().count(RequestOutcome.LOST);
     }
 
     /** Returns the number of wrong answers. */
     public long wrongAnswers() {
-        return load().count(Outcome.WRONG);
+        return load().count(RequestOutcome.WRONG);
     }
 
     /** Returns the cost of all VMs. */
@@ -100,7 +100,7 @@
 
     /** Returns the cost of a thousand completed requests over all tiers. */
     public double costPerThousand() {
-        return cost() * THOUSAND / Math.max(1, load().count(Outcome.COMPLETED));
+        return cost() * THOUSAND / Math.max(1, load().count(RequestOutcome.COMPLETED));
     }
 
     /** Returns whether nothing was lost, doubled or wrong, and some request was completed. */
@@ -110,7 +110,7 @@
 
     private double deliveredTokens(final String tier) {
         return load().requests().stream()
-                .filter(result -> result.outcome() == Outcome.COMPLETED)
+                .filter(result -> result.outcome() == RequestOutcome.COMPLETED)
                 .filter(result -> tier == null || tier.equals(result.request().customer().tier()))
                 .mapToLong(result -> Math.max(1, result.tokens()))
                 .sum();
@@ -128,7 +128,7 @@
     }
 
     private static long notRunButRan(final LoadResult load, final WorkCounter witness) {
-        return count(load, Outcome.REFUSED_NOT_RUN, witness, true);
+        return count(load, RequestOutcome.REFUSED_NOT_RUN, witness, true);
     }
 
     /**
@@ -136,12 +136,12 @@
      * than are looked up here, no doubled run would ever be found.
      */
     private static long unwitnessed(final LoadResult load, final WorkCounter witness) {
-        return count(load, Outcome.COMPLETED, witness, false);
+        return count(load, RequestOutcome.COMPLETED, witness, false);
     }
 
     private static long count(
             final LoadResult load,
-            final Outcome outcome,
+            final RequestOutcome outcome,
             final WorkCounter witness,
             final boolean ran) {
         return load.requests().stream()
--- a/demo/src/test/java/org/whinhead/demo/DemoRunTest.java
+++ b/demo/src/test/java/org/whinhead/demo/DemoRunTest.java
@@ -11,7 +11,7 @@
 import org.junit.jupiter.params.ParameterizedTest;
 import org.junit.jupiter.params.provider.EnumSource;
 import org.whinhead.standins.load.mix.Deployment;
-import org.whinhead.standins.load.result.Outcome;
+import org.whinhead.standins.load.result.RequestOutcome;
 
 @Timeout(90)
 class DemoRunTest {
@@ -31,7 +31,7 @@
                         .callerDeadline(Duration.ofSeconds(8))
                         .build();
         final DemoResult result = DemoRun.run(config);
-        assertThat(result.load().count(Outcome.COMPLETED)).isPositive();
+        assertThat(result.load().count(RequestOutcome.COMPLETED)).isPositive();
         assertThat(result.lost()).isZero();
         assertThat(result.doubled()).isZero();
         assertThat(result.wrongAnswers()).isZero();
--- a/faults/src/main/java/org/whinhead/faults/world/DaemonClaims.java
+++ b/faults/src/main/java/org/whinhead/faults/world/DaemonClaims.java
@@ -28,7 +28,7 @@
     private final FakeDaemon mDaemon;
     private final FakeProcess mProcess;
     private final ClaimTable mTable = new ClaimTable(CLAIM_WINDOW, MAX_INCARNATIONS);
-    private final LogClient mLog;
+    private final PausableLogClient mLog;
     private final ClaimCoordinator mCoordinator;
     private final Map<RequestId, Claim> mCurrentClaims = new HashMap<>();
     private final Map<Long, RequestId> mRequestsByAttempt = new HashMap<>();
@@ -38,7 +38,7 @@
         mDaemon = daemon;
         mProcess = process;
         mLog =
-                new LogClient(
+                new PausableLogClient(
                         log, FakeLog.CLAIMS, daemon.id(), process, this::onRecord, this::onExpired);
         mCoordinator = new ClaimCoordinator(mTable, mLog.writer(), LIMITS, this::onClaimDecided);
     }
--- a/faults/src/main/java/org/whinhead/faults/world/DaemonState.java
+++ b/faults/src/main/java/org/whinhead/faults/world/DaemonState.java
@@ -37,18 +37,19 @@
 
     private final LogFold mFold = new LogFold(newLedger(), MAX_INCARNATIONS);
     private final CheckpointAssembler mAssembler = new CheckpointAssembler();
-    private final LogClient mFleetLog;
-    private final LogClient mCheckpointLog;
+    private final PausableLogClient mFleetLog;
+    private final PausableLogClient mCheckpointLog;
     private final CheckpointPublisher mPublisher;
     private final LeaseElector mElector;
 
     DaemonState(
             final FakeLog log, final DaemonId self, final FakeProcess process, final long seed) {
         mFleetLog =
-                new LogClient(log, FakeLog.FLEET, self, process, this::onFleetRecord, oldest -> {});
+                new PausableLogClient(
+                        log, FakeLog.FLEET, self, process, this::onFleetRecord, oldest -> {});
         mFleetLog.setHeadListener(this::onHeadReached);
         mCheckpointLog =
-                new LogClient(
+                new PausableLogClient(
                         log,
                         FakeLog.CHECKPOINTS,
                         self,
@@ -78,7 +79,7 @@
         return mElector;
     }
 
-    LogClient log() {
+    PausableLogClient log() {
         return mFleetLog;
     }
 
--- a/faults/src/main/java/org/whinhead/faults/world/FakeOperator.java
+++ b/faults/src/main/java/org/whinhead/faults/world/FakeOperator.java
@@ -113,7 +113,7 @@
             mOutcome = Optional.of(outcome);
         }
 
-        void appendTo(final LogClient log, final Instant now) {
+        void appendTo(final PausableLogClient log, final Instant now) {
             log.writer()
                     .offer(
                             id ->
--- a/faults/src/main/java/org/whinhead/faults/world/LogClient.java
+++ b/faults/src/main/java/org/whinhead/faults/world/PausableLogClient.java
@@ -7,14 +7,14 @@
 import java.util.function.LongConsumer;
 import org.whinhead.api.model.DaemonId;
 import org.whinhead.state.record.LogEntry;
-import org.whinhead.state.writer.Backoff;
 import org.whinhead.state.writer.LogReader;
 import org.whinhead.state.writer.LogWriter;
 import org.whinhead.state.writer.ReadRequest;
+import org.whinhead.state.writer.WriteBackoff;
 import org.whinhead.state.writer.WriterLimits;
 
 /** One daemon's writer and reader of one stream; answers wait while the daemon is paused. */
-final class LogClient {
+final class PausableLogClient {
 
     private static final int QUEUE_RECORDS = 256;
     private static final int BATCH_RECORDS = 16;
@@ -31,7 +31,7 @@
     private final LongConsumer mExpiryListener;
     private Runnable mHeadListener = () -> {};
 
-    LogClient(
+    PausableLogClient(
             final FakeLog log,
             final String stream,
             final DaemonId self,
@@ -48,12 +48,12 @@
                 new LogWriter(
                         self,
                         new WriterLimits(QUEUE_RECORDS, BATCH_RECORDS),
-                        new Backoff(FIRST_BACKOFF, MAX_BACKOFF, random));
+                        new WriteBackoff(FIRST_BACKOFF, MAX_BACKOFF, random));
         mReader =
                 new LogReader(
                         READ_RECORDS,
                         Duration.ZERO,
-                        new Backoff(FIRST_BACKOFF, MAX_BACKOFF, random));
+                        new WriteBackoff(FIRST_BACKOFF, MAX_BACKOFF, random));
     }
 
     LogWriter writer() {
--- a/fleet/src/main/java/org/whinhead/fleet/FleetReconciler.java
+++ b/fleet/src/main/java/org/whinhead/fleet/FleetReconciler.java
@@ -83,7 +83,7 @@
                 limits.put(supply, present.getOrDefault(supply, 0));
             }
         }
-        return CapacityPlanner.plan(pool.needed(), pool.supplies(), limits);
+        return VmPlanner.plan(pool.needed(), pool.supplies(), limits);
     }
 
     /** Counts members and open start orders, so that no VM is ordered twice. */
--- a/fleet/src/main/java/org/whinhead/fleet/CapacityPlanner.java
+++ b/fleet/src/main/java/org/whinhead/fleet/VmPlanner.java
@@ -17,9 +17,9 @@
  * Trying every {@code m} from 1 to {@code needed} finds the optimum: its largest domain has some
  * size {@code m}, and for that {@code m} no choice is cheaper than the one in order of price.
  */
-public final class CapacityPlanner {
+public final class VmPlanner {
 
-    private CapacityPlanner() {}
+    private VmPlanner() {}
 
     /**
      * Plans one pool of equivalent VMs.
--- a/fleet/src/test/java/org/whinhead/fleet/CapacityPlannerTest.java
+++ b/fleet/src/test/java/org/whinhead/fleet/VmPlannerTest.java
@@ -15,7 +15,7 @@
 import org.whinhead.api.model.Billing;
 import org.whinhead.api.model.FailureDomain;
 
-class CapacityPlannerTest {
+class VmPlannerTest {
 
     // Guards against a plan with all VMs in the cheapest domain: if that domain is reclaimed, the
     // remaining capacity does not suffice, and requests wait for an hour.
@@ -24,7 +24,7 @@
         final Supply cheap = supply("kg-gasabo", 1.0);
         final Supply expensive = supply("kg-kicukiro", 3.0);
 
-        final CapacityPlan plan = CapacityPlanner.plan(4, List.of(cheap, expensive), Map.of());
+        final CapacityPlan plan = VmPlanner.plan(4, List.of(cheap, expensive), Map.of());
 
         assertThat(plan.counts()).isEqualTo(Map.of(cheap, 4, expensive, 4));
         assertThat(plan.shortfall()).isZero();
@@ -34,7 +34,7 @@
     void similarPricesSpreadVmsOverMoreDomains() {
         final List<Supply> supplies = List.of(supply("a", 1.0), supply("b", 1.1), supply("c", 1.2));
 
-        final CapacityPlan plan = CapacityPlanner.plan(4, supplies, Map.of());
+        final CapacityPlan plan = VmPlanner.plan(4, supplies, Map.of());
 
         assertThat(plan.vmCount()).isEqualTo(6);
         assertThat(plan.largestDomainVmCount()).isEqualTo(2);
@@ -45,8 +45,7 @@
         final Supply only = supply("a", 1.0);
         final Supply refused = supply("b", 1.0);
 
-        final CapacityPlan plan =
-                CapacityPlanner.plan(3, List.of(only, refused), Map.of(refused, 1));
+        final CapacityPlan plan = VmPlanner.plan(3, List.of(only, refused), Map.of(refused, 1));
 
         assertThat(plan.shortfall()).isEqualTo(2);
     }
@@ -62,7 +61,7 @@
         }
         final Map<Supply, Integer> limits = Map.of(supplies.get(0), firstLimit);
 
-        final CapacityPlan found = CapacityPlanner.plan(needed, supplies, limits);
+        final CapacityPlan found = VmPlanner.plan(needed, supplies, limits);
         final CapacityPlan expected =
                 planExhaustively(needed, supplies, limits, 0, new TreeMap<>());
 
--- a/gateway/src/main/java/org/whinhead/gateway/Gateway.java
+++ b/gateway/src/main/java/org/whinhead/gateway/Gateway.java
@@ -37,7 +37,7 @@
 import org.whinhead.serving.configuration.ServingConfiguration;
 import org.whinhead.serving.duty.DutyLease;
 import org.whinhead.serving.duty.UsageDecider;
-import org.whinhead.serving.limit.RetryBudget;
+import org.whinhead.serving.limit.ServiceRetryBudget;
 import org.whinhead.serving.member.Member;
 import org.whinhead.serving.member.MemberTable;
 import org.whinhead.serving.quota.ClockReading;
@@ -195,7 +195,7 @@
                 .chooser(new EndpointChooser(self.domain(), new Random()))
                 .limits(
                         new CustomerQuotas(self.incarnation(), held, tokens, new Random()),
-                        new RetryBudget(
+                        new ServiceRetryBudget(
                                 settings.retryShare(),
                                 settings.retryFixed(),
                                 settings.retryWindow()))
--- a/gateway/src/main/java/org/whinhead/gateway/caller/CallerConnection.java
+++ b/gateway/src/main/java/org/whinhead/gateway/caller/CallerConnection.java
@@ -113,7 +113,7 @@
         try {
             mRequest = mServer.protocol().decode(head);
         } catch (BadRequestException e) {
-            refuseUnread(Refusal.invalid(HttpResponseStatus.BAD_REQUEST, e.getMessage()));
+            refuseUnread(RefusalResponse.invalid(HttpResponseStatus.BAD_REQUEST, e.getMessage()));
             return;
         }
         if (HttpUtil.getContentLength(head, 0L) > mServer.limits().maxBodyBytes()) {
@@ -127,21 +127,23 @@
         mBody = mContext.alloc().compositeBuffer(1024);
     }
 
-    private static Refusal refusalOf(final Throwable cause) {
+    private static RefusalResponse refusalOf(final Throwable cause) {
         if (cause instanceof TooLongFrameException) {
-            return Refusal.invalid(
+            return RefusalResponse.invalid(
                     HttpResponseStatus.REQUEST_HEADER_FIELDS_TOO_LARGE, "head too long");
         }
-        return Refusal.invalid(HttpResponseStatus.BAD_REQUEST, "unreadable head");
+        return RefusalResponse.invalid(HttpResponseStatus.BAD_REQUEST, "unreadable head");
     }
 
-    private static Refusal tooLarge() {
-        return Refusal.invalid(HttpResponseStatus.REQUEST_ENTITY_TOO_LARGE, "body too long");
+    private static RefusalResponse tooLarge() {
+        return RefusalResponse.invalid(
+                HttpResponseStatus.REQUEST_ENTITY_TOO_LARGE, "body too long");
     }
 
     private void readContent(final HttpContent content) {
         if (content.decoderResult().isFailure()) {
-            refuseUnread(Refusal.invalid(HttpResponseStatus.BAD_REQUEST, "unreadable body"));
+            refuseUnread(
+                    RefusalResponse.invalid(HttpResponseStatus.BAD_REQUEST, "unreadable body"));
             return;
         }
         if (content.content().isReadable()) {
@@ -166,7 +168,7 @@
     }
 
     /** Refuses a request that was not read to its end, and discards all further input. */
-    private void refuseUnread(final Refusal refusal) {
+    private void refuseUnread(final RefusalResponse refusal) {
         mDiscarding = true;
         mKeepAlive = false;
         mServing = true;
@@ -219,7 +221,7 @@
     }
 
     @Override
-    public void refuse(final Refusal refusal) {
+    public void refuse(final RefusalResponse refusal) {
         final FullHttpResponse response =
                 new DefaultFullHttpResponse(
                         HttpVersion.HTTP_1_1,
@@ -303,7 +305,7 @@
             return;
         }
         refuseUnread(
-                new Refusal(
+                new RefusalResponse(
                         HttpResponseStatus.REQUEST_TIMEOUT,
                         "body not received in time",
                         java.util.Optional.empty()));
--- a/gateway/src/main/java/org/whinhead/gateway/caller/CallerHttpServer.java
+++ b/gateway/src/main/java/org/whinhead/gateway/caller/CallerHttpServer.java
@@ -117,7 +117,7 @@
         mConnections.remove(connection);
     }
 
-    void logUnreadRefusal(final Refusal refusal) {
+    void logUnreadRefusal(final RefusalResponse refusal) {
         LOG.atInfo()
                 .addKeyValue("status", refusal.status().code())
                 .addKeyValue("reason", refusal.reason())
--- a/gateway/src/main/java/org/whinhead/gateway/caller/CallerResponse.java
+++ b/gateway/src/main/java/org/whinhead/gateway/caller/CallerResponse.java
@@ -33,5 +33,5 @@
      *
      * @param refusal the response
      */
-    void refuse(Refusal refusal);
+    void refuse(RefusalResponse refusal);
 }
--- a/gateway/src/main/java/org/whinhead/gateway/caller/Refusal.java
+++ b/gateway/src/main/java/org/whinhead/gateway/caller/RefusalResponse.java
@@ -15,10 +15,11 @@
  * @param reason the reason in a few words, for the body and the log
  * @param retryAfter the delay after which the caller should retry; empty if it should not
  */
-public record Refusal(HttpResponseStatus status, String reason, Optional<Duration> retryAfter) {
+public record RefusalResponse(
+        HttpResponseStatus status, String reason, Optional<Duration> retryAfter) {
 
     /** Checks that no component is null. */
-    public Refusal {
+    public RefusalResponse {
         Objects.requireNonNull(status, "status");
         Objects.requireNonNull(reason, "reason");
         Objects.requireNonNull(retryAfter, "retryAfter");
@@ -31,8 +32,9 @@
      * @param retryAfter the delay after which to retry
      * @return the refusal
      */
-    public static Refusal notRun(final String reason, final Duration retryAfter) {
-        return new Refusal(HttpResponseStatus.SERVICE_UNAVAILABLE, reason, Optional.of(retryAfter));
+    public static RefusalResponse notRun(final String reason, final Duration retryAfter) {
+        return new RefusalResponse(
+                HttpResponseStatus.SERVICE_UNAVAILABLE, reason, Optional.of(retryAfter));
     }
 
     /**
@@ -41,8 +43,8 @@
      * @param retryAfter the delay after which the allowance suffices again
      * @return the refusal
      */
-    public static Refusal overAllowance(final Duration retryAfter) {
-        return new Refusal(
+    public static RefusalResponse overAllowance(final Duration retryAfter) {
+        return new RefusalResponse(
                 HttpResponseStatus.TOO_MANY_REQUESTS, "over allowance", Optional.of(retryAfter));
     }
 
@@ -53,8 +55,8 @@
      * @param reason the reason, for the body and the log
      * @return the refusal
      */
-    public static Refusal invalid(final HttpResponseStatus status, final String reason) {
-        return new Refusal(status, reason, Optional.empty());
+    public static RefusalResponse invalid(final HttpResponseStatus status, final String reason) {
+        return new RefusalResponse(status, reason, Optional.empty());
     }
 
     /**
@@ -63,8 +65,8 @@
      * @param reason the reason, for the body and the log
      * @return the refusal
      */
-    public static Refusal mayHaveRun(final String reason) {
-        return new Refusal(HttpResponseStatus.BAD_GATEWAY, reason, Optional.empty());
+    public static RefusalResponse mayHaveRun(final String reason) {
+        return new RefusalResponse(HttpResponseStatus.BAD_GATEWAY, reason, Optional.empty());
     }
 
     /**
@@ -72,7 +74,8 @@
      *
      * @return the refusal
      */
-    public static Refusal timedOut() {
-        return new Refusal(HttpResponseStatus.GATEWAY_TIMEOUT, "timed out", Optional.empty());
+    public static RefusalResponse timedOut() {
+        return new RefusalResponse(
+                HttpResponseStatus.GATEWAY_TIMEOUT, "timed out", Optional.empty());
     }
 }
--- a/gateway/src/main/java/org/whinhead/gateway/exchange/Admission.java
+++ b/gateway/src/main/java/org/whinhead/gateway/exchange/AdmittedRequest.java
@@ -17,7 +17,7 @@
  * @param spend the tokens charged to the customer; empty without a customer
  * @param arrivedAt the earliest time at which the whole request may have arrived
  */
-record Admission(
+record AdmittedRequest(
         CallerRequest request,
         Route route,
         Optional<CustomerAccount> customer,
--- a/gateway/src/main/java/org/whinhead/gateway/exchange/Exchange.java
+++ b/gateway/src/main/java/org/whinhead/gateway/exchange/Exchange.java
@@ -11,7 +11,7 @@
 import org.whinhead.gateway.caller.CallerRequest;
 import org.whinhead.gateway.caller.CallerRequestHandler;
 import org.whinhead.gateway.caller.CallerResponse;
-import org.whinhead.gateway.caller.Refusal;
+import org.whinhead.gateway.caller.RefusalResponse;
 import org.whinhead.gateway.endpoint.AttemptContext;
 import org.whinhead.gateway.endpoint.EndpointConnection;
 import org.whinhead.gateway.endpoint.EndpointFailure;
@@ -44,7 +44,7 @@
     private static final String TOO_LATE = "read too late";
 
     private final Exchanges mExchanges;
-    private final Admission mAdmission;
+    private final AdmittedRequest mAdmission;
     private final ByteBuf mBody;
     private final CallerResponse mResponse;
     private final String mService;
@@ -66,7 +66,7 @@
 
     Exchange(
             final Exchanges exchanges,
-            final Admission admission,
+            final AdmittedRequest admission,
             final ByteBuf body,
             final CallerResponse response) {
         mExchanges = exchanges;
@@ -389,7 +389,7 @@
         refuse(reason, mRefusals.givenUpRefusal(reason));
     }
 
-    private void refuse(final String reason, final Refusal refusal) {
+    private void refuse(final String reason, final RefusalResponse refusal) {
         finish(reason, refusal.status().code());
         mResponse.refuse(refusal);
     }
--- a/gateway/src/main/java/org/whinhead/gateway/exchange/Exchanges.java
+++ b/gateway/src/main/java/org/whinhead/gateway/exchange/Exchanges.java
@@ -12,7 +12,7 @@
 import org.whinhead.gateway.caller.CallerRequest;
 import org.whinhead.gateway.caller.CallerRequestHandler;
 import org.whinhead.gateway.caller.CallerResponse;
-import org.whinhead.gateway.caller.Refusal;
+import org.whinhead.gateway.caller.RefusalResponse;
 import org.whinhead.gateway.endpoint.EndpointConnections;
 import org.whinhead.gateway.endpoint.EndpointProtocol;
 import org.whinhead.gateway.endpoint.RunMover;
@@ -97,7 +97,7 @@
                     request,
                     body,
                     response,
-                    Refusal.notRun("no configuration yet", NO_CONFIGURATION_RETRY_AFTER));
+                    RefusalResponse.notRun("no configuration yet", NO_CONFIGURATION_RETRY_AFTER));
         }
         final ServingConfiguration configuration = current.get();
         final Optional<Route> route = configuration.routes().find(request.host(), request.path());
@@ -106,7 +106,7 @@
                     request,
                     body,
                     response,
-                    Refusal.invalid(HttpResponseStatus.NOT_FOUND, "no such route"));
+                    RefusalResponse.invalid(HttpResponseStatus.NOT_FOUND, "no such route"));
         }
         final Optional<CustomerAccount> customer =
                 request.key().flatMap(configuration::customerOfKey);
@@ -116,14 +116,16 @@
                     request,
                     body,
                     response,
-                    Refusal.invalid(HttpResponseStatus.UNAUTHORIZED, "unknown key"));
+                    RefusalResponse.invalid(HttpResponseStatus.UNAUTHORIZED, "unknown key"));
         }
         if (mRefusesStreams && route.get().kind().isStream()) {
-            return refuse(request, body, response, Refusal.notRun("stopping", Duration.ZERO));
+            return refuse(
+                    request, body, response, RefusalResponse.notRun("stopping", Duration.ZERO));
         }
         if (customer.isEmpty()) {
             return start(
-                    new Admission(request, route.get(), customer, Optional.empty(), arrivedAt),
+                    new AdmittedRequest(
+                            request, route.get(), customer, Optional.empty(), arrivedAt),
                     body,
                     response);
         }
@@ -136,7 +138,7 @@
 
     /** Starts the exchange of an admitted request. */
     ActiveRequest start(
-            final Admission admission, final ByteBuf body, final CallerResponse response) {
+            final AdmittedRequest admission, final ByteBuf body, final CallerResponse response) {
         final Exchange exchange = new Exchange(this, admission, body, response);
         mRunning.add(exchange);
         exchange.start();
@@ -163,7 +165,7 @@
             final CallerRequest request,
             final ByteBuf body,
             final CallerResponse response,
-            final Refusal refusal) {
+            final RefusalResponse refusal) {
         body.release();
         mRequestLogger.refused(request, refusal);
         response.refuse(refusal);
--- a/gateway/src/main/java/org/whinhead/gateway/exchange/PendingAdmission.java
+++ b/gateway/src/main/java/org/whinhead/gateway/exchange/PendingAdmission.java
@@ -7,7 +7,7 @@
 import org.whinhead.gateway.caller.CallerRequest;
 import org.whinhead.gateway.caller.CallerRequestHandler;
 import org.whinhead.gateway.caller.CallerResponse;
-import org.whinhead.gateway.caller.Refusal;
+import org.whinhead.gateway.caller.RefusalResponse;
 import org.whinhead.serving.configuration.CustomerAccount;
 import org.whinhead.serving.quota.TokenClaimListener;
 import org.whinhead.serving.quota.TokenGrant;
@@ -69,8 +69,8 @@
     @Override
     public void granted(final TokenGrant spend) {
         mExchanges.requestLogger().admitted(mCandidate.customer(), mTokens);
-        final Admission admission =
-                new Admission(
+        final AdmittedRequest admission =
+                new AdmittedRequest(
                         mCandidate.request(),
                         mCandidate.route(),
                         Optional.of(mCandidate.customer()),
@@ -84,15 +84,15 @@
         mExchanges
                 .requestLogger()
                 .overAllowance(mCandidate.request(), mCandidate.customer(), mTokens, retryAfter);
-        refuse(Refusal.overAllowance(retryAfter));
+        refuse(RefusalResponse.overAllowance(retryAfter));
     }
 
     @Override
     public void unavailable(final Duration retryAfter) {
-        refuse(Refusal.notRun("allowance not known", retryAfter));
+        refuse(RefusalResponse.notRun("allowance not known", retryAfter));
     }
 
-    private void refuse(final Refusal refusal) {
+    private void refuse(final RefusalResponse refusal) {
         mSuccessor =
                 Optional.of(mExchanges.refuse(mCandidate.request(), mBody, mResponse, refusal));
     }
--- a/gateway/src/main/java/org/whinhead/gateway/exchange/RefusalFactory.java
+++ b/gateway/src/main/java/org/whinhead/gateway/exchange/RefusalFactory.java
@@ -1,7 +1,7 @@
 package org.whinhead.gateway.exchange;
 
 import java.time.Duration;
-import org.whinhead.gateway.caller.Refusal;
+import org.whinhead.gateway.caller.RefusalResponse;
 
 /** Creates the refusal of a request without a response, by whether the request may have run. */
 final class RefusalFactory {
@@ -13,10 +13,10 @@
     private static final int RETRY_AFTER_DIVISOR = 12;
 
     private final ServingState mState;
-    private final Admission mAdmission;
+    private final AdmittedRequest mAdmission;
     private boolean mMayHaveRun;
 
-    RefusalFactory(final ServingState state, final Admission admission) {
+    RefusalFactory(final ServingState state, final AdmittedRequest admission) {
         mState = state;
         mAdmission = admission;
     }
@@ -32,12 +32,12 @@
      *
      * @param reason the reason for the log and the caller
      */
-    Refusal givenUpRefusal(final String reason) {
+    RefusalResponse givenUpRefusal(final String reason) {
         if (mMayHaveRun) {
-            return Refusal.mayHaveRun(reason);
+            return RefusalResponse.mayHaveRun(reason);
         }
         mAdmission.spend().ifPresent(mState.quotas()::refund);
-        return Refusal.notRun(reason, retryAfter());
+        return RefusalResponse.notRun(reason, retryAfter());
     }
 
     /**
@@ -45,8 +45,8 @@
      *
      * @param reason the reason for the log and the caller
      */
-    Refusal timeoutRefusal(final String reason) {
-        return mMayHaveRun ? Refusal.timedOut() : givenUpRefusal(reason);
+    RefusalResponse timeoutRefusal(final String reason) {
+        return mMayHaveRun ? RefusalResponse.timedOut() : givenUpRefusal(reason);
     }
 
     private Duration retryAfter() {
--- a/gateway/src/main/java/org/whinhead/gateway/exchange/RequestLogger.java
+++ b/gateway/src/main/java/org/whinhead/gateway/exchange/RequestLogger.java
@@ -6,7 +6,7 @@
 import org.slf4j.LoggerFactory;
 import org.whinhead.api.verdict.Verdict;
 import org.whinhead.gateway.caller.CallerRequest;
-import org.whinhead.gateway.caller.Refusal;
+import org.whinhead.gateway.caller.RefusalResponse;
 import org.whinhead.gateway.endpoint.MoveOutcome;
 import org.whinhead.gateway.metrics.RequestMetrics;
 import org.whinhead.serving.balance.Placement;
@@ -32,7 +32,7 @@
         mCounts = counts;
     }
 
-    void refused(final CallerRequest request, final Refusal refusal) {
+    void refused(final CallerRequest request, final RefusalResponse refusal) {
         mCounts.recordRefused(refusal.reason());
         LOG.atInfo()
                 .addKeyValue("request", request.id())
@@ -61,7 +61,7 @@
     }
 
     void attemptFailed(
-            final Admission admission,
+            final AdmittedRequest admission,
             final EndpointEntry endpoint,
             final Verdict verdict,
             final String reason) {
@@ -76,7 +76,7 @@
     }
 
     void moved(
-            final Admission admission,
+            final AdmittedRequest admission,
             final EndpointEntry source,
             final Placement target,
             final MoveOutcome outcome,
@@ -92,7 +92,7 @@
     }
 
     void finished(
-            final Admission admission,
+            final AdmittedRequest admission,
             final Placement placement,
             final int sends,
             final String outcome,
--- a/gateway/src/main/java/org/whinhead/gateway/exchange/RunMove.java
+++ b/gateway/src/main/java/org/whinhead/gateway/exchange/RunMove.java
@@ -21,7 +21,7 @@
     private static final Duration STREAM_END_TIMEOUT = Duration.ofMillis(150);
 
     private final Exchanges mExchanges;
-    private final Admission mAdmission;
+    private final AdmittedRequest mAdmission;
     private final Placement mSource;
     private final Placement mTarget;
     private final Listener mListener;
@@ -32,7 +32,7 @@
 
     private RunMove(
             final Exchanges exchanges,
-            final Admission admission,
+            final AdmittedRequest admission,
             final Placement source,
             final Placement target,
             final Listener listener) {
@@ -56,7 +56,7 @@
     /** Starts to move a run, if there is another endpoint and the retry budget allows it. */
     static Optional<RunMove> start(
             final Exchanges exchanges,
-            final Admission admission,
+            final AdmittedRequest admission,
             final String service,
             final Placement source,
             final Listener listener) {
--- a/gateway/src/main/java/org/whinhead/gateway/exchange/ServingState.java
+++ b/gateway/src/main/java/org/whinhead/gateway/exchange/ServingState.java
@@ -10,7 +10,7 @@
 import org.whinhead.serving.endpoint.EndpointEntry;
 import org.whinhead.serving.endpoint.EndpointRegistry;
 import org.whinhead.serving.endpoint.ReclaimedEndpoints;
-import org.whinhead.serving.limit.RetryBudget;
+import org.whinhead.serving.limit.ServiceRetryBudget;
 import org.whinhead.serving.quota.ClockReading;
 import org.whinhead.serving.quota.CustomerQuotas;
 import org.whinhead.serving.rollout.Rollouts;
@@ -34,7 +34,7 @@
     private final ReclaimedEndpoints mLeaving = new ReclaimedEndpoints();
     private final EndpointChooser mChooser;
     private final CustomerQuotas mQuotas;
-    private final RetryBudget mRetryBudget;
+    private final ServiceRetryBudget mRetryBudget;
     private final UsageLedger mUsage;
     private final UsageWindows mUsageWindows;
     private final FleetClock mUsageClock;
@@ -168,7 +168,7 @@
         return mQuotas;
     }
 
-    public RetryBudget retryBudget() {
+    public ServiceRetryBudget retryBudget() {
         return mRetryBudget;
     }
 
@@ -187,7 +187,7 @@
         private InstantSource mTimeOfDay;
         private EndpointChooser mChooser;
         private CustomerQuotas mQuotas;
-        private RetryBudget mRetryBudget;
+        private ServiceRetryBudget mRetryBudget;
         private UsageLedger mUsage;
         private UsageWindows mUsageWindows;
         private boolean mRolloutsInForce;
@@ -225,7 +225,7 @@
          * @param retryBudget the limit on the load that retries add
          * @return this builder
          */
-        public Builder limits(final CustomerQuotas quotas, final RetryBudget retryBudget) {
+        public Builder limits(final CustomerQuotas quotas, final ServiceRetryBudget retryBudget) {
             mQuotas = quotas;
             mRetryBudget = retryBudget;
             return this;
--- a/gateway/src/main/java/org/whinhead/gateway/exchange/UsageRecorder.java
+++ b/gateway/src/main/java/org/whinhead/gateway/exchange/UsageRecorder.java
@@ -7,10 +7,10 @@
 final class UsageRecorder {
 
     private final ServingState mState;
-    private final Admission mAdmission;
+    private final AdmittedRequest mAdmission;
     private boolean mCounted;
 
-    UsageRecorder(final ServingState state, final Admission admission) {
+    UsageRecorder(final ServingState state, final AdmittedRequest admission) {
         mState = state;
         mAdmission = admission;
     }
--- a/gateway/src/main/java/org/whinhead/gateway/http/EventLoopHttpClient.java
+++ b/gateway/src/main/java/org/whinhead/gateway/http/EventLoopHttpClient.java
@@ -56,10 +56,10 @@
      * Starts a call. Must be called on the event loop.
      *
      * @param call the call
-     * @return the response; the future fails with a {@link CallFailedException} if there is none in
-     *     time
+     * @return the response; the future fails with a {@link NoValidResponseException} if there is
+     *     none in time
      */
-    public CompletableFuture<HttpReply> call(final HttpCall call) {
+    public CompletableFuture<HttpReply> call(final OutboundRequest call) {
         final PendingCall pending = new PendingCall(call);
         final Future<?> timeout =
                 mLoop.schedule(
@@ -126,11 +126,11 @@
     }
 
     private final class PendingCall {
-        private final HttpCall mCall;
+        private final OutboundRequest mCall;
         private final CompletableFuture<HttpReply> mReply = new CompletableFuture<>();
         private Channel mChannel;
 
-        private PendingCall(final HttpCall call) {
+        private PendingCall(final OutboundRequest call) {
             mCall = call;
         }
 
@@ -166,7 +166,7 @@
             if (mChannel != null) {
                 mChannel.close();
             }
-            mReply.completeExceptionally(new CallFailedException(reason));
+            mReply.completeExceptionally(new NoValidResponseException(reason));
         }
     }
 
--- a/gateway/src/main/java/org/whinhead/gateway/http/CallFailedException.java
+++ b/gateway/src/main/java/org/whinhead/gateway/http/NoValidResponseException.java
@@ -2,8 +2,8 @@
 
 import java.io.IOException;
 
-/** Thrown when a call got no response; it is unknown whether the server executed it. */
-public final class CallFailedException extends IOException {
+/** Thrown when a call got no valid response; it is unknown whether the server executed it. */
+public final class NoValidResponseException extends IOException {
 
     private static final long serialVersionUID = 1L;
 
@@ -12,7 +12,7 @@
      *
      * @param message the cause
      */
-    public CallFailedException(final String message) {
+    public NoValidResponseException(final String message) {
         super(message);
     }
 }
--- a/gateway/src/main/java/org/whinhead/gateway/http/HttpCall.java
+++ b/gateway/src/main/java/org/whinhead/gateway/http/OutboundRequest.java
@@ -6,7 +6,7 @@
 import java.util.Objects;
 
 /** An immutable HTTP request with its timeout. */
-public final class HttpCall {
+public final class OutboundRequest {
 
     private final HttpMethod mMethod;
     private final String mTarget;
@@ -14,7 +14,7 @@
     private final byte[] mBody;
     private final Duration mTimeout;
 
-    private HttpCall(final Builder builder) {
+    private OutboundRequest(final Builder builder) {
         mMethod = builder.mMethod;
         mTarget = builder.mTarget;
         mHeaders = Map.copyOf(builder.mHeaders);
@@ -53,7 +53,7 @@
         return mTimeout;
     }
 
-    /** Builds an {@link HttpCall}. */
+    /** Builds an {@link OutboundRequest}. */
     public static final class Builder {
 
         private final HttpMethod mMethod;
@@ -106,8 +106,8 @@
          *
          * @return the call
          */
-        public HttpCall build() {
-            return new HttpCall(this);
+        public OutboundRequest build() {
+            return new OutboundRequest(this);
         }
     }
 }
--- a/gateway/src/test/java/org/whinhead/gateway/caller/CallerConnectionTest.java
+++ b/gateway/src/test/java/org/whinhead/gateway/caller/CallerConnectionTest.java
@@ -211,7 +211,7 @@
     @Test
     void refusalStatesRetryDelay() {
         send("GET /a HTTP/1.1\r\nHost: h\r\nId: 1\r\n\r\n");
-        mResponses.get(0).refuse(Refusal.notRun("busy", Duration.ofMillis(250)));
+        mResponses.get(0).refuse(RefusalResponse.notRun("busy", Duration.ofMillis(250)));
         assertThat(received())
                 .startsWith("HTTP/1.1 503")
                 .containsIgnoringCase("retry-after: 0.250");
--- a/gateway/src/test/java/org/whinhead/gateway/exchange/RefusalFactoryTest.java
+++ b/gateway/src/test/java/org/whinhead/gateway/exchange/RefusalFactoryTest.java
@@ -21,7 +21,7 @@
     private final RefusalFactory mRefusals =
             new RefusalFactory(TestServing.state(() -> mNow), admission());
 
-    private static Admission admission() {
+    private static AdmittedRequest admission() {
         final CallerRequest request =
                 CallerRequest.builder()
                         .id("r-1")
@@ -37,7 +37,7 @@
                         .service(new WeightedService("api", 1))
                         .maxAttempts(1)
                         .build();
-        return new Admission(request, route, Optional.empty(), Optional.empty(), START);
+        return new AdmittedRequest(request, route, Optional.empty(), Optional.empty(), START);
     }
 
     @Test
--- a/gateway/src/test/java/org/whinhead/gateway/exchange/TestServing.java
+++ b/gateway/src/test/java/org/whinhead/gateway/exchange/TestServing.java
@@ -9,7 +9,7 @@
 import org.whinhead.gateway.quota.DatagramQuotaTransport;
 import org.whinhead.serving.balance.EndpointChooser;
 import org.whinhead.serving.endpoint.EndpointEntry;
-import org.whinhead.serving.limit.RetryBudget;
+import org.whinhead.serving.limit.ServiceRetryBudget;
 import org.whinhead.serving.quota.ClockReading;
 import org.whinhead.serving.quota.CustomerQuotas;
 import org.whinhead.serving.quota.HeldShares;
@@ -29,7 +29,7 @@
         return ServingState.builder()
                 .clocks(clock, clock)
                 .chooser(new EndpointChooser("domain-a", new Random(1)))
-                .limits(quotas(clock), new RetryBudget(0.2, 10, WINDOW))
+                .limits(quotas(clock), new ServiceRetryBudget(0.2, 10, WINDOW))
                 .usage(new UsageLedger("self"), new UsageWindows(WINDOW))
                 .build();
     }
--- a/serving/src/main/java/org/whinhead/serving/limit/RetryBudget.java
+++ b/serving/src/main/java/org/whinhead/serving/limit/ServiceRetryBudget.java
@@ -13,7 +13,7 @@
  * fixed number in each window. Each daemon uses the share of its own requests and an equal part of
  * the fixed number, so daemons exchange no messages and a lost daemon frees no budget.
  */
-public final class RetryBudget {
+public final class ServiceRetryBudget {
 
     /** The fraction of the budget in use; the rest covers daemons that count in other windows. */
     private static final double USED_FRACTION = 0.8;
@@ -31,7 +31,7 @@
      * @param fixed the additional retries of all daemons together in each window
      * @param window the length of the sliding window
      */
-    public RetryBudget(final double share, final int fixed, final Duration window) {
+    public ServiceRetryBudget(final double share, final int fixed, final Duration window) {
         mRetryShare = share;
         mFixedRetries = fixed;
         mWindow = window;
--- a/serving/src/test/java/org/whinhead/serving/limit/RetryBudgetTest.java
+++ b/serving/src/test/java/org/whinhead/serving/limit/ServiceRetryBudgetTest.java
@@ -6,7 +6,7 @@
 import java.time.Instant;
 import org.junit.jupiter.api.Test;
 
-class RetryBudgetTest {
+class ServiceRetryBudgetTest {
 
     private static final Instant START = Instant.parse("2026-01-01T00:00:00Z");
 
@@ -16,7 +16,8 @@
     void allDaemonsTogetherStayWithinTheBudget() {
         int retries = 0;
         for (int daemon = 0; daemon < 8; daemon++) {
-            final RetryBudget budget = new RetryBudget(0.2, 56, Duration.ofSeconds(10));
+            final ServiceRetryBudget budget =
+                    new ServiceRetryBudget(0.2, 56, Duration.ofSeconds(10));
             budget.setDaemonCount(8, 8);
             for (int request = 0; request < 100; request++) {
                 final Instant now = START.plusMillis(request * 50L);
@@ -33,7 +34,8 @@
     void startingDaemonsUseOnlyTheirPartOfFixedRetries() {
         int retries = 0;
         for (int daemon = 0; daemon < 95; daemon++) {
-            final RetryBudget budget = new RetryBudget(0.2, 230, Duration.ofSeconds(10));
+            final ServiceRetryBudget budget =
+                    new ServiceRetryBudget(0.2, 230, Duration.ofSeconds(10));
             budget.setDaemonCount(1, daemon % 2 == 0 ? 0 : 95);
             for (int request = 0; request < 20; request++) {
                 final Instant now = START.plusMillis(request * 50L);
@@ -46,7 +48,7 @@
 
     @Test
     void budgetRecoversAfterWindow() {
-        final RetryBudget budget = new RetryBudget(0, 2, Duration.ofSeconds(10));
+        final ServiceRetryBudget budget = new ServiceRetryBudget(0, 2, Duration.ofSeconds(10));
         budget.setDaemonCount(1, 1);
         assertThat(budget.tryRetry("pool", START)).isTrue();
         assertThat(budget.tryRetry("pool", START)).isFalse();
--- a/standins/src/main/java/org/whinhead/standins/load/LoadMain.java
+++ b/standins/src/main/java/org/whinhead/standins/load/LoadMain.java
@@ -54,16 +54,21 @@
         }
         final LoadRun load = newRun(options);
         final Thread partial =
-                new Thread(() -> print(new LoadReport(load.currentResult(), true), options, out));
+                new Thread(
+                        () ->
+                                print(
+                                        new RunResultFormatter(load.currentResult(), true),
+                                        options,
+                                        out));
         Runtime.getRuntime().addShutdownHook(partial);
         final LoadResult result = load.start().get();
         Runtime.getRuntime().removeShutdownHook(partial);
-        print(new LoadReport(result), options, out);
+        print(new RunResultFormatter(result), options, out);
         return result.isGuaranteeKept() ? EXIT_SUCCESS : EXIT_FAILURE;
     }
 
     private static void print(
-            final LoadReport report, final LoadOptions options, final PrintStream out) {
+            final RunResultFormatter report, final LoadOptions options, final PrintStream out) {
         out.println(report.table());
         if (options.json()) {
             out.println(report.json());
--- a/standins/src/main/java/org/whinhead/standins/load/LoadRecorder.java
+++ b/standins/src/main/java/org/whinhead/standins/load/LoadRecorder.java
@@ -12,7 +12,7 @@
 import org.whinhead.standins.load.caller.CallObserver;
 import org.whinhead.standins.load.result.LatencyDistribution;
 import org.whinhead.standins.load.result.LoadResult;
-import org.whinhead.standins.load.result.Outcome;
+import org.whinhead.standins.load.result.RequestOutcome;
 import org.whinhead.standins.load.result.RequestResult;
 
 /** Records the results and latencies of a run. Thread-safe. */
@@ -39,7 +39,7 @@
         result.timeToFirstToken()
                 .ifPresent(
                         time -> recordTimeToFirstToken(result.request().customer().tier(), time));
-        if (result.outcome() == Outcome.COMPLETED) {
+        if (result.outcome() == RequestOutcome.COMPLETED) {
             final String kind = result.request().kind().name();
             record(histogramOf(mLatencyByKind, kind), result.latency());
         }
--- a/standins/src/main/java/org/whinhead/standins/load/LoadRun.java
+++ b/standins/src/main/java/org/whinhead/standins/load/LoadRun.java
@@ -15,7 +15,7 @@
 import org.whinhead.standins.load.mix.RequestPlanner;
 import org.whinhead.standins.load.mix.Workload;
 import org.whinhead.standins.load.result.LoadResult;
-import org.whinhead.standins.load.result.Outcome;
+import org.whinhead.standins.load.result.RequestOutcome;
 import org.whinhead.standins.load.result.RequestResult;
 
 /**
@@ -115,7 +115,7 @@
     }
 
     private void scheduleClosedLoopRequest(final RequestResult result) {
-        final boolean failed = result.outcome() != Outcome.COMPLETED;
+        final boolean failed = result.outcome() != RequestOutcome.COMPLETED;
         // Refusals arrive at once; without a pause the caller would send in a tight loop.
         final Duration pause = failed ? PAUSE_AFTER_FAILURE : Duration.ZERO;
         mScheduler.schedule(this::startClosedLoopRequest, pause.toNanos(), TimeUnit.NANOSECONDS);
--- a/standins/src/main/java/org/whinhead/standins/load/LoadReport.java
+++ b/standins/src/main/java/org/whinhead/standins/load/RunResultFormatter.java
@@ -12,11 +12,11 @@
 import java.util.stream.Collectors;
 import org.whinhead.standins.load.result.LatencyDistribution;
 import org.whinhead.standins.load.result.LoadResult;
-import org.whinhead.standins.load.result.Outcome;
+import org.whinhead.standins.load.result.RequestOutcome;
 import org.whinhead.standins.load.result.RequestResult;
 
 /** Formats the result of a run as a text table or as JSON. */
-final class LoadReport {
+final class RunResultFormatter {
 
     private static final double NANOS_PER_MILLI = 1_000_000.0;
     private static final double MILLIS_PER_SECOND = 1000.0;
@@ -34,7 +34,7 @@
      *
      * @param result the result
      */
-    LoadReport(final LoadResult result) {
+    RunResultFormatter(final LoadResult result) {
         this(result, false);
     }
 
@@ -44,7 +44,7 @@
      * @param result the result
      * @param partial whether requests are still in progress
      */
-    LoadReport(final LoadResult result, final boolean partial) {
+    RunResultFormatter(final LoadResult result, final boolean partial) {
         mResult = result;
         mPartial = partial;
     }
@@ -76,7 +76,7 @@
         root.put("elapsedMillis", mResult.elapsed().toMillis());
         root.put("requests", mResult.requests().size());
         root.put("accepted", mResult.accepted());
-        for (final Outcome outcome : Outcome.values()) {
+        for (final RequestOutcome outcome : RequestOutcome.values()) {
             root.put(outcome.jsonName(), mResult.count(outcome));
         }
         root.put("resumes", mResult.resumes());
@@ -121,7 +121,7 @@
         final List<String> header = new ArrayList<>();
         header.add(LoadMessages.text("report.kind"));
         header.add(LoadMessages.text("report.requests"));
-        for (final Outcome outcome : Outcome.values()) {
+        for (final RequestOutcome outcome : RequestOutcome.values()) {
             header.add(outcome.jsonName());
         }
         rows.add(header);
@@ -142,7 +142,7 @@
         final List<String> row = new ArrayList<>();
         row.add(kind);
         row.add(Integer.toString(results.size()));
-        for (final Outcome outcome : Outcome.values()) {
+        for (final RequestOutcome outcome : RequestOutcome.values()) {
             final long count = results.stream().filter(r -> r.outcome() == outcome).count();
             row.add(Long.toString(count));
         }
--- a/standins/src/main/java/org/whinhead/standins/load/caller/Call.java
+++ b/standins/src/main/java/org/whinhead/standins/load/caller/Call.java
@@ -14,14 +14,14 @@
 import org.whinhead.api.verdict.Verdict;
 import org.whinhead.standins.load.mix.PlannedRequest;
 import org.whinhead.standins.load.result.AnswerFault;
-import org.whinhead.standins.load.result.Outcome;
+import org.whinhead.standins.load.result.RequestOutcome;
 import org.whinhead.standins.load.result.RequestResult;
 
 /**
  * Runs one request with all of its attempts. After the loss of a daemon, the same body and identity
  * are sent to another one; a refused request is retried after the pause that the daemon requested.
  */
-final class Call implements Attempt.Listener {
+final class Call implements CallAttempt.Listener {
 
     private static final String ERROR_EVENT = "error";
     private static final Duration VERDICT_GRACE = Duration.ofSeconds(1);
@@ -36,7 +36,7 @@
     private final IdleTimeout mIdleTimeout;
     private final CompletableFuture<RequestResult> mResult = new CompletableFuture<>();
 
-    private Attempt mAttempt;
+    private CallAttempt mAttempt;
     private boolean mEnded;
     private boolean mDeadlinePassed;
     private boolean mAttemptHasTokens;
@@ -72,32 +72,32 @@
     }
 
     @Override
-    public synchronized void onAnswerStarted(final Attempt attempt) {
+    public synchronized void onAnswerStarted(final CallAttempt attempt) {
         if (!isCurrent(attempt)) {
             return;
         }
         mProgress.recordAccepted();
         if (mDeadlinePassed) {
-            end(Outcome.LOST);
+            end(RequestOutcome.LOST);
         } else if (mRequest.kind().style().isStreamed()) {
             mIdleTimeout.start(mContext.config().streamSilence(), () -> onIdleTimeout(attempt));
         }
     }
 
     @Override
-    public synchronized void onTicket(final Attempt attempt, final String ticket) {
+    public synchronized void onTicket(final CallAttempt attempt, final String ticket) {
         if (isCurrent(attempt)) {
             mProgress.recordTicket(ticket);
         }
     }
 
     @Override
-    public void onLine(final Attempt attempt) {
+    public void onLine(final CallAttempt attempt) {
         mIdleTimeout.recordActivity();
     }
 
     @Override
-    public synchronized void onEvent(final Attempt attempt, final SseEvent event) {
+    public synchronized void onEvent(final CallAttempt attempt, final ReceivedSseEvent event) {
         if (!isCurrent(attempt)) {
             return;
         }
@@ -119,7 +119,7 @@
 
     @Override
     public synchronized void onResponse(
-            final Attempt attempt, final HttpResponse<String> response) {
+            final CallAttempt attempt, final HttpResponse<String> response) {
         if (!isCurrent(attempt)) {
             return;
         }
@@ -133,7 +133,7 @@
     }
 
     @Override
-    public synchronized void onFailure(final Attempt attempt, final Throwable cause) {
+    public synchronized void onFailure(final CallAttempt attempt, final Throwable cause) {
         if (!isCurrent(attempt)) {
             return;
         }
@@ -169,7 +169,7 @@
         }
         mProgress.recordAttempt();
         mAttemptHasTokens = false;
-        final Attempt attempt = new Attempt(this);
+        final CallAttempt attempt = new CallAttempt(this);
         mAttempt = attempt;
         mIdleTimeout.start(mContext.config().answerSilence(), () -> onIdleTimeout(attempt));
         attempt.send(
@@ -196,7 +196,7 @@
         }
     }
 
-    private void handleToken(final SseEvent event, final String text) {
+    private void handleToken(final ReceivedSseEvent event, final String text) {
         if (text.isEmpty()) {
             return; // the last event may carry only the finish reason and the usage
         }
@@ -226,7 +226,7 @@
 
     private void endAnswer(final Optional<AnswerFault> fault) {
         fault.ifPresent(mProgress::recordFault);
-        end(fault.isPresent() ? Outcome.WRONG : Outcome.COMPLETED);
+        end(fault.isPresent() ? RequestOutcome.WRONG : RequestOutcome.COMPLETED);
     }
 
     /** Handles an error event; the verdict "not run" is false if the attempt delivered tokens. */
@@ -250,7 +250,7 @@
             case MAY_HAVE_RUN -> end(mProgress.outcomeIfRefused());
             case RAN -> {
                 mProgress.recordAccepted();
-                end(Outcome.FAILED_RAN);
+                end(RequestOutcome.FAILED_RAN);
             }
             default -> throw new IllegalStateException("unknown verdict " + error.verdict());
         }
@@ -276,7 +276,7 @@
         scheduleAttempt(mDaemonSelector.nextBackoff());
     }
 
-    private synchronized void onIdleTimeout(final Attempt attempt) {
+    private synchronized void onIdleTimeout(final CallAttempt attempt) {
         if (isCurrent(attempt)) {
             attempt.close();
             retryOnOtherDaemon();
@@ -305,11 +305,11 @@
         }
     }
 
-    private void end(final Outcome outcome) {
+    private void end(final RequestOutcome outcome) {
         mEnded = true;
         mDeadlineTimer.cancel(false);
         mIdleTimeout.cancel();
-        if (mAttempt != null && outcome != Outcome.COMPLETED) {
+        if (mAttempt != null && outcome != RequestOutcome.COMPLETED) {
             mAttempt.close();
         }
         final RequestResult result = mProgress.result(outcome, now());
@@ -317,7 +317,7 @@
         mResult.complete(result);
     }
 
-    private boolean isCurrent(final Attempt attempt) {
+    private boolean isCurrent(final CallAttempt attempt) {
         return !mEnded && attempt == mAttempt;
     }
 
--- a/standins/src/main/java/org/whinhead/standins/load/caller/Attempt.java
+++ b/standins/src/main/java/org/whinhead/standins/load/caller/CallAttempt.java
@@ -13,7 +13,7 @@
 import java.util.concurrent.Flow;
 
 /** One attempt of a request at one daemon; notifies a listener of the response until closed. */
-final class Attempt {
+final class CallAttempt {
 
     private static final String EVENT_STREAM = "text/event-stream";
     private static final String TICKET_HEADER = "X-Whinhead-Ticket";
@@ -23,22 +23,22 @@
     /** Receives the response; called from the client's threads, one call at a time. */
     interface Listener {
         /** The daemon started a successful response. */
-        void onAnswerStarted(Attempt attempt);
+        void onAnswerStarted(CallAttempt attempt);
 
         /** The daemon sent a ticket. */
-        void onTicket(Attempt attempt, String ticket);
+        void onTicket(CallAttempt attempt, String ticket);
 
         /** An event of a stream arrived. */
-        void onEvent(Attempt attempt, SseEvent event);
+        void onEvent(CallAttempt attempt, ReceivedSseEvent event);
 
         /** A line of a stream arrived, possibly a comment. */
-        void onLine(Attempt attempt);
+        void onLine(CallAttempt attempt);
 
         /** The response is complete; the body is empty if it was a stream. */
-        void onResponse(Attempt attempt, HttpResponse<String> response);
+        void onResponse(CallAttempt attempt, HttpResponse<String> response);
 
         /** The connection failed before the response was complete. */
-        void onFailure(Attempt attempt, Throwable cause);
+        void onFailure(CallAttempt attempt, Throwable cause);
     }
 
     private final Listener mListener;
@@ -51,7 +51,7 @@
      *
      * @param listener receives the response
      */
-    Attempt(final Listener listener) {
+    CallAttempt(final Listener listener) {
         mListener = listener;
     }
 
@@ -130,7 +130,7 @@
         @Override
         public void onNext(final String line) {
             if (!mClosed) {
-                mListener.onLine(Attempt.this);
+                mListener.onLine(CallAttempt.this);
                 mParser.parseLine(line);
             }
         }
@@ -145,15 +145,15 @@
             // The future of the response reports the end.
         }
 
-        private void forwardEvent(final SseEvent event) {
+        private void forwardEvent(final ReceivedSseEvent event) {
             if (!mClosed) {
-                mListener.onEvent(Attempt.this, event);
+                mListener.onEvent(CallAttempt.this, event);
             }
         }
 
         private void forwardTicket(final String text) {
             if (!mClosed && text.startsWith(TICKET_COMMENT)) {
-                mListener.onTicket(Attempt.this, text.substring(TICKET_COMMENT.length()));
+                mListener.onTicket(CallAttempt.this, text.substring(TICKET_COMMENT.length()));
             }
         }
     }
--- a/standins/src/main/java/org/whinhead/standins/load/caller/CallProgress.java
+++ b/standins/src/main/java/org/whinhead/standins/load/caller/CallProgress.java
@@ -5,7 +5,7 @@
 import org.whinhead.api.verdict.Verdict;
 import org.whinhead.standins.load.mix.PlannedRequest;
 import org.whinhead.standins.load.result.AnswerFault;
-import org.whinhead.standins.load.result.Outcome;
+import org.whinhead.standins.load.result.RequestOutcome;
 import org.whinhead.standins.load.result.RequestResult;
 
 /** The state of a request over all of its attempts; derives the outcome at its end. */
@@ -118,13 +118,13 @@
      * Returns the outcome after a final refusal. "Not run" is reported only if no attempt may have
      * run. An accepted idempotent request counts as lost, because it could have been run again.
      */
-    Outcome outcomeIfRefused() {
+    RequestOutcome outcomeIfRefused() {
         if (!mMayHaveRun) {
-            return Outcome.REFUSED_NOT_RUN;
+            return RequestOutcome.REFUSED_NOT_RUN;
         }
         return mAccepted && mRequest.kind().style().isIdempotent()
-                ? Outcome.LOST
-                : Outcome.FAILED_MAY_HAVE_RUN;
+                ? RequestOutcome.LOST
+                : RequestOutcome.FAILED_MAY_HAVE_RUN;
     }
 
     /**
@@ -132,11 +132,11 @@
      *
      * @param pending whether an attempt was sent and has no verdict yet
      */
-    Outcome outcomeAtDeadline(final boolean pending) {
+    RequestOutcome outcomeAtDeadline(final boolean pending) {
         if (pending || (mMayHaveRun && !mLastAttemptRefused)) {
-            return Outcome.LOST;
+            return RequestOutcome.LOST;
         }
-        return mLastAttemptRefused ? outcomeIfRefused() : Outcome.UNREACHED;
+        return mLastAttemptRefused ? outcomeIfRefused() : RequestOutcome.UNREACHED;
     }
 
     /**
@@ -146,7 +146,7 @@
      * @param now the current time in nanoseconds
      * @return the result
      */
-    RequestResult result(final Outcome outcome, final long now) {
+    RequestResult result(final RequestOutcome outcome, final long now) {
         return RequestResult.builder(mRequest, outcome)
                 .accepted(mAccepted)
                 .attempts(mAttempts, mResumes)
--- a/standins/src/main/java/org/whinhead/standins/load/caller/SseEvent.java
+++ b/standins/src/main/java/org/whinhead/standins/load/caller/ReceivedSseEvent.java
@@ -10,10 +10,10 @@
  * @param id the event's id, if it is numeric
  * @param data the data lines, joined by line feeds
  */
-record SseEvent(String name, OptionalLong id, String data) {
+record ReceivedSseEvent(String name, OptionalLong id, String data) {
 
     /** Checks that no component is null. */
-    SseEvent {
+    ReceivedSseEvent {
         Objects.requireNonNull(name, "name");
         Objects.requireNonNull(id, "id");
         Objects.requireNonNull(data, "data");
--- a/standins/src/main/java/org/whinhead/standins/load/caller/SseEventParser.java
+++ b/standins/src/main/java/org/whinhead/standins/load/caller/SseEventParser.java
@@ -10,7 +10,7 @@
 
     private static final String LINE_SEPARATOR = "\n";
 
-    private final Consumer<SseEvent> mEventReceiver;
+    private final Consumer<ReceivedSseEvent> mEventReceiver;
     private final Consumer<String> mCommentReceiver;
     private String mName = "";
     private OptionalLong mId = OptionalLong.empty();
@@ -22,7 +22,7 @@
      * @param events receives each event
      * @param comments receives the text of each comment line
      */
-    SseEventParser(final Consumer<SseEvent> events, final Consumer<String> comments) {
+    SseEventParser(final Consumer<ReceivedSseEvent> events, final Consumer<String> comments) {
         mEventReceiver = Objects.requireNonNull(events, "events");
         mCommentReceiver = Objects.requireNonNull(comments, "comments");
     }
@@ -66,7 +66,8 @@
     }
 
     private void dispatch() {
-        final SseEvent event = new SseEvent(mName, mId, mData == null ? "" : mData.toString());
+        final ReceivedSseEvent event =
+                new ReceivedSseEvent(mName, mId, mData == null ? "" : mData.toString());
         final boolean isEmpty = mData == null;
         mName = "";
         mId = OptionalLong.empty();
--- a/standins/src/main/java/org/whinhead/standins/load/result/LoadResult.java
+++ b/standins/src/main/java/org/whinhead/standins/load/result/LoadResult.java
@@ -46,7 +46,7 @@
      * @param outcome the outcome
      * @return the number of requests
      */
-    public long count(final Outcome outcome) {
+    public long count(final RequestOutcome outcome) {
         return requests.stream().filter(result -> result.outcome() == outcome).count();
     }
 
@@ -68,7 +68,7 @@
     /** Returns the number of completed requests of each tier. */
     public Map<String, Long> completedByTier() {
         return requests.stream()
-                .filter(result -> result.outcome() == Outcome.COMPLETED)
+                .filter(result -> result.outcome() == RequestOutcome.COMPLETED)
                 .collect(groupAndCount(result -> result.request().customer().tier()));
     }
 
@@ -82,7 +82,7 @@
     /** Returns the number of requests that were not completed, by error code. */
     public Map<String, Long> errorCodes() {
         return requests.stream()
-                .filter(result -> result.outcome() != Outcome.COMPLETED)
+                .filter(result -> result.outcome() != RequestOutcome.COMPLETED)
                 .filter(result -> !result.errorCode().isEmpty())
                 .collect(groupAndCount(RequestResult::errorCode));
     }
@@ -94,7 +94,7 @@
 
     /** Returns whether no request was lost or answered wrongly and at least one was completed. */
     public boolean isGuaranteeKept() {
-        return count(Outcome.COMPLETED) > 0
+        return count(RequestOutcome.COMPLETED) > 0
                 && requests.stream().noneMatch(result -> result.outcome().violatesGuarantee());
     }
 
--- a/standins/src/main/java/org/whinhead/standins/load/result/Outcome.java
+++ b/standins/src/main/java/org/whinhead/standins/load/result/RequestOutcome.java
@@ -3,7 +3,7 @@
 import java.util.Locale;
 
 /** The way in which a request ended for its caller. */
-public enum Outcome {
+public enum RequestOutcome {
     /** The answer is complete and correct. */
     COMPLETED(false),
     /** A daemon reported that the request did not run, and no other attempt may have run. */
@@ -21,7 +21,7 @@
 
     private final boolean mViolatesGuarantee;
 
-    Outcome(final boolean violatesGuarantee) {
+    RequestOutcome(final boolean violatesGuarantee) {
         mViolatesGuarantee = violatesGuarantee;
     }
 
--- a/standins/src/main/java/org/whinhead/standins/load/result/RequestResult.java
+++ b/standins/src/main/java/org/whinhead/standins/load/result/RequestResult.java
@@ -21,7 +21,7 @@
  */
 public record RequestResult(
         PlannedRequest request,
-        Outcome outcome,
+        RequestOutcome outcome,
         boolean accepted,
         int attempts,
         int resumes,
@@ -58,14 +58,14 @@
      * @param outcome the way in which the request ended
      * @return the builder
      */
-    public static Builder builder(final PlannedRequest request, final Outcome outcome) {
+    public static Builder builder(final PlannedRequest request, final RequestOutcome outcome) {
         return new Builder(request, outcome);
     }
 
     /** Builds a {@link RequestResult}. */
     public static final class Builder {
         private final PlannedRequest mRequest;
-        private final Outcome mOutcome;
+        private final RequestOutcome mOutcome;
         private boolean mAccepted;
         private int mAttempts;
         private int mResumes;
@@ -75,7 +75,7 @@
         private Duration mLatency;
         private Optional<Duration> mTimeToFirstToken = Optional.empty();
 
-        private Builder(final PlannedRequest request, final Outcome outcome) {
+        private Builder(final PlannedRequest request, final RequestOutcome outcome) {
             mRequest = request;
             mOutcome = outcome;
         }
--- a/standins/src/test/java/org/whinhead/standins/load/LoadRunTest.java
+++ b/standins/src/test/java/org/whinhead/standins/load/LoadRunTest.java
@@ -16,7 +16,7 @@
 import org.whinhead.standins.load.caller.CallerConfig;
 import org.whinhead.standins.load.mix.Deployment;
 import org.whinhead.standins.load.result.LoadResult;
-import org.whinhead.standins.load.result.Outcome;
+import org.whinhead.standins.load.result.RequestOutcome;
 import org.whinhead.standins.load.result.RequestResult;
 
 /** Complete load runs, through the API and through the command line. */
@@ -44,13 +44,14 @@
             final CompletableFuture<LoadResult> future = run.start();
             started.await(1, TimeUnit.MINUTES);
             final JsonNode partial =
-                    new ObjectMapper().readTree(new LoadReport(run.currentResult(), true).json());
+                    new ObjectMapper()
+                            .readTree(new RunResultFormatter(run.currentResult(), true).json());
             assertThat(partial.path("partial").asBoolean()).isTrue();
             assertThat(partial.path("completed").asInt()).isPositive();
             run.stop();
             final LoadResult result = future.get(1, TimeUnit.MINUTES);
             assertThat(result.requests()).hasSameSizeAs(daemon.calls());
-            assertThat(result.count(Outcome.COMPLETED)).isEqualTo(result.requests().size());
+            assertThat(result.count(RequestOutcome.COMPLETED)).isEqualTo(result.requests().size());
             assertThat(result.nonIdempotentResults())
                     .isNotEmpty()
                     .extracting(RequestResult::idempotencyKey)
--- a/standins/src/test/java/org/whinhead/standins/load/caller/LoadClientFailoverTest.java
+++ b/standins/src/test/java/org/whinhead/standins/load/caller/LoadClientFailoverTest.java
@@ -19,7 +19,7 @@
 import org.whinhead.standins.answer.ExpectedAnswer;
 import org.whinhead.standins.load.ScriptedDaemon;
 import org.whinhead.standins.load.mix.CallStyle;
-import org.whinhead.standins.load.result.Outcome;
+import org.whinhead.standins.load.result.RequestOutcome;
 import org.whinhead.standins.load.result.RequestResult;
 
 /** Failover of {@link LoadClient} after the loss of a daemon, and the resulting outcomes. */
@@ -40,7 +40,7 @@
         try (ScriptedDaemon first = new ScriptedDaemon(BROKEN_HALFWAY, REMAINING_TOKENS);
                 ScriptedDaemon second = first.startPeer()) {
             final RequestResult result = call(first, CallStyle.STREAMED);
-            assertThat(result.outcome()).isEqualTo(Outcome.COMPLETED);
+            assertThat(result.outcome()).isEqualTo(RequestOutcome.COMPLETED);
             assertThat(result.resumes()).isEqualTo(1);
             final ScriptedDaemon.ReceivedRequest before = first.calls().get(0);
             final ScriptedDaemon.ReceivedRequest after = first.calls().get(1);
@@ -70,7 +70,8 @@
                                 .write(": ticket second\n\n")
                                 .sendError("stopping", "may-have-run");
         try (ScriptedDaemon daemon = new ScriptedDaemon(moved, REMAINING_TOKENS)) {
-            assertThat(call(daemon, CallStyle.STREAMED).outcome()).isEqualTo(Outcome.COMPLETED);
+            assertThat(call(daemon, CallStyle.STREAMED).outcome())
+                    .isEqualTo(RequestOutcome.COMPLETED);
             assertThat(daemon.calls().get(1).header("X-Whinhead-Ticket")).isEqualTo("second");
         }
     }
@@ -86,7 +87,7 @@
         try (ScriptedDaemon daemon =
                 new ScriptedDaemon(ScriptedDaemon.ReceivedRequest::breakConnection, claimed)) {
             final RequestResult result = call(daemon, CallStyle.PLAIN_ONCE);
-            assertThat(result.outcome()).isEqualTo(Outcome.FAILED_MAY_HAVE_RUN);
+            assertThat(result.outcome()).isEqualTo(RequestOutcome.FAILED_MAY_HAVE_RUN);
             assertThat(result.idempotencyKey()).contains("request-1");
             assertThat(daemon.calls()).hasSize(2);
             assertThat(daemon.calls())
@@ -110,7 +111,7 @@
                         ScriptedDaemon.ReceivedRequest::breakConnection,
                         OVERLOADED_WITHOUT_RETRY)) {
             assertThat(call(daemon, CallStyle.PLAIN_ONCE).outcome())
-                    .isEqualTo(Outcome.FAILED_MAY_HAVE_RUN);
+                    .isEqualTo(RequestOutcome.FAILED_MAY_HAVE_RUN);
         }
     }
 
@@ -125,10 +126,10 @@
                         call.sendTokens(0, HALF_TOKEN_COUNT)
                                 .sendError("endpoint-lost", "may-have-run");
         try (ScriptedDaemon daemon = new ScriptedDaemon(failed)) {
-            assertThat(call(daemon, CallStyle.STREAMED).outcome()).isEqualTo(Outcome.LOST);
+            assertThat(call(daemon, CallStyle.STREAMED).outcome()).isEqualTo(RequestOutcome.LOST);
         }
         try (ScriptedDaemon daemon = new ScriptedDaemon(BROKEN_HALFWAY, OVERLOADED_WITHOUT_RETRY)) {
-            assertThat(call(daemon, CallStyle.STREAMED).outcome()).isEqualTo(Outcome.LOST);
+            assertThat(call(daemon, CallStyle.STREAMED).outcome()).isEqualTo(RequestOutcome.LOST);
         }
     }
 
@@ -145,13 +146,13 @@
                     OVERLOADED.answer(call);
                 };
         assertThat(callPastDeadline(refusedLate, deadlinePassed).outcome())
-                .isEqualTo(Outcome.REFUSED_NOT_RUN);
+                .isEqualTo(RequestOutcome.REFUSED_NOT_RUN);
         assertThat(
                         callPastDeadline(
                                         ScriptedDaemon.ReceivedRequest::breakConnection,
                                         deadlinePassed)
                                 .outcome())
-                .isEqualTo(Outcome.LOST);
+                .isEqualTo(RequestOutcome.LOST);
     }
 
     private static RequestResult callPastDeadline(
@@ -204,7 +205,7 @@
                             .withTimeouts(Duration.ofSeconds(20), Duration.ofMillis(200));
             final RequestResult result = call(config, CallStyle.STREAMED);
             paused.countDown();
-            assertThat(result.outcome()).isEqualTo(Outcome.COMPLETED);
+            assertThat(result.outcome()).isEqualTo(RequestOutcome.COMPLETED);
             assertThat(first.calls())
                     .extracting(ScriptedDaemon.ReceivedRequest::daemon)
                     .containsExactlyInAnyOrder(first.uri(), second.uri());
@@ -218,7 +219,8 @@
         final CallerConfig config =
                 CallerConfig.of(List.of(closed.uri())).withDeadline(Duration.ofMillis(100));
         closed.close();
-        assertThat(call(config, CallStyle.PLAIN_ONCE).outcome()).isEqualTo(Outcome.UNREACHED);
+        assertThat(call(config, CallStyle.PLAIN_ONCE).outcome())
+                .isEqualTo(RequestOutcome.UNREACHED);
     }
 
     private static JsonNode withoutDeliveredText(final JsonNode body) {
--- a/standins/src/test/java/org/whinhead/standins/load/caller/LoadClientTest.java
+++ b/standins/src/test/java/org/whinhead/standins/load/caller/LoadClientTest.java
@@ -19,7 +19,7 @@
 import org.whinhead.standins.load.ScriptedDaemon;
 import org.whinhead.standins.load.mix.CallStyle;
 import org.whinhead.standins.load.result.AnswerFault;
-import org.whinhead.standins.load.result.Outcome;
+import org.whinhead.standins.load.result.RequestOutcome;
 import org.whinhead.standins.load.result.RequestResult;
 import org.whinhead.standins.service.ServiceConfig;
 import org.whinhead.standins.service.ServiceStandIn;
@@ -36,10 +36,10 @@
                 new ScriptedDaemon(REMAINING_TOKENS, ScriptedDaemon.ReceivedRequest::answerWhole)) {
             final RequestResult streamed = call(daemon, CallStyle.STREAMED);
             final RequestResult whole = call(daemon, CallStyle.WHOLE);
-            assertThat(streamed.outcome()).isEqualTo(Outcome.COMPLETED);
+            assertThat(streamed.outcome()).isEqualTo(RequestOutcome.COMPLETED);
             assertThat(streamed.tokens()).isEqualTo(TOKEN_COUNT);
             assertThat(streamed.timeToFirstToken()).isPresent();
-            assertThat(whole.outcome()).isEqualTo(Outcome.COMPLETED);
+            assertThat(whole.outcome()).isEqualTo(RequestOutcome.COMPLETED);
             assertThat(daemon.calls().get(0).header("Authorization")).isEqualTo("Bearer key");
         }
     }
@@ -98,12 +98,12 @@
                 new ScriptedDaemon(
                         OVERLOADED, OVERLOADED, ScriptedDaemon.ReceivedRequest::answerWhole)) {
             final RequestResult result = call(daemon, CallStyle.WHOLE);
-            assertThat(result.outcome()).isEqualTo(Outcome.COMPLETED);
+            assertThat(result.outcome()).isEqualTo(RequestOutcome.COMPLETED);
             assertThat(result.attempts()).isEqualTo(3);
         }
         try (ScriptedDaemon daemon = new ScriptedDaemon(OVERLOADED, OVERLOADED_WITHOUT_RETRY)) {
             final RequestResult result = call(daemon, CallStyle.WHOLE);
-            assertThat(result.outcome()).isEqualTo(Outcome.REFUSED_NOT_RUN);
+            assertThat(result.outcome()).isEqualTo(RequestOutcome.REFUSED_NOT_RUN);
             assertThat(result.attempts()).isEqualTo(2);
             assertThat(result.errorCode()).isEqualTo("overloaded");
             assertThat(result.accepted()).isFalse();
@@ -139,7 +139,7 @@
         try (ScriptedDaemon daemon =
                 new ScriptedDaemon(
                         refusedWithTicket, ScriptedDaemon.ReceivedRequest::answerWhole)) {
-            assertThat(call(daemon, CallStyle.WHOLE).outcome()).isEqualTo(Outcome.COMPLETED);
+            assertThat(call(daemon, CallStyle.WHOLE).outcome()).isEqualTo(RequestOutcome.COMPLETED);
             assertThat(daemon.calls().get(1).header("X-Whinhead-Ticket")).isEqualTo("back");
         }
         final ScriptedDaemon.Script executedTwice = call -> call.write("{\"execution\":2}");
@@ -160,10 +160,10 @@
                 ScriptedDaemon toEngine = ScriptedDaemon.withAddress(engine.uri());
                 ScriptedDaemon toService = ScriptedDaemon.withAddress(service.uri())) {
             for (final CallStyle style : List.of(CallStyle.STREAMED, CallStyle.WHOLE)) {
-                assertThat(call(toEngine, style).outcome()).isEqualTo(Outcome.COMPLETED);
+                assertThat(call(toEngine, style).outcome()).isEqualTo(RequestOutcome.COMPLETED);
             }
             assertThat(call(toService, CallStyle.PLAIN_ONCE).outcome())
-                    .isEqualTo(Outcome.COMPLETED);
+                    .isEqualTo(RequestOutcome.COMPLETED);
             assertThat(context.witness().executions("request-1")).isEqualTo(1);
             assertThat(call(toService, CallStyle.PLAIN_ONCE).fault()).contains(AnswerFault.DOUBLED);
         }
@@ -173,7 +173,7 @@
             throws Exception {
         try (ScriptedDaemon daemon = new ScriptedDaemon(script)) {
             final RequestResult result = call(daemon, CallStyle.STREAMED);
-            assertThat(result.outcome()).isEqualTo(Outcome.WRONG);
+            assertThat(result.outcome()).isEqualTo(RequestOutcome.WRONG);
             return result.fault();
         }
     }
--- a/state/src/main/java/org/whinhead/state/writer/LogReader.java
+++ b/state/src/main/java/org/whinhead/state/writer/LogReader.java
@@ -14,7 +14,7 @@
 
     private final int mMaxRecords;
     private final Duration mMaxWait;
-    private final Backoff mBackoff;
+    private final WriteBackoff mBackoff;
     private long mNextOffset;
     private long mOldestAvailable;
     private boolean mInFlight;
@@ -27,7 +27,7 @@
      * @param maxWait the longest time that the log may wait for a record
      * @param backoff the delays after failed reads
      */
-    public LogReader(final int maxRecords, final Duration maxWait, final Backoff backoff) {
+    public LogReader(final int maxRecords, final Duration maxWait, final WriteBackoff backoff) {
         mMaxRecords = (int) Arguments.requireAtLeast(maxRecords, 1, "maxRecords");
         mMaxWait = Objects.requireNonNull(maxWait, "maxWait");
         mBackoff = Objects.requireNonNull(backoff, "backoff");
--- a/state/src/main/java/org/whinhead/state/writer/LogWriter.java
+++ b/state/src/main/java/org/whinhead/state/writer/LogWriter.java
@@ -28,7 +28,7 @@
 
     private final DaemonId mSelf;
     private final WriterLimits mLimits;
-    private final Backoff mBackoff;
+    private final WriteBackoff mBackoff;
     private final Deque<LogRecord> mQueue = new ArrayDeque<>();
     private List<LogRecord> mBatch = List.of();
     private Phase mPhase = Phase.READY;
@@ -44,7 +44,7 @@
      * @param limits the limits of the queue and of a batch
      * @param backoff the delays after failed appends
      */
-    public LogWriter(final DaemonId self, final WriterLimits limits, final Backoff backoff) {
+    public LogWriter(final DaemonId self, final WriterLimits limits, final WriteBackoff backoff) {
         mSelf = Objects.requireNonNull(self, "self");
         mLimits = Objects.requireNonNull(limits, "limits");
         mBackoff = Objects.requireNonNull(backoff, "backoff");
--- a/state/src/main/java/org/whinhead/state/writer/Backoff.java
+++ b/state/src/main/java/org/whinhead/state/writer/WriteBackoff.java
@@ -12,7 +12,7 @@
  * <p>Each delay is random between half of the step and the whole step, so that daemons do not retry
  * at the same time after an outage and exceed the log's rate limit.
  */
-public final class Backoff {
+public final class WriteBackoff {
 
     private static final int MAX_DOUBLINGS = 20;
 
@@ -28,7 +28,8 @@
      * @param longest the upper limit of the step
      * @param random the source of the jitter
      */
-    public Backoff(final Duration first, final Duration longest, final RandomGenerator random) {
+    public WriteBackoff(
+            final Duration first, final Duration longest, final RandomGenerator random) {
         mFirstStep = Arguments.requirePositive(first, "first");
         mLongestStep = Arguments.requirePositive(longest, "longest");
         mRandom = Objects.requireNonNull(random, "random");
--- a/state/src/test/java/org/whinhead/state/StreamClient.java
+++ b/state/src/test/java/org/whinhead/state/StreamClient.java
@@ -9,10 +9,10 @@
 import org.whinhead.api.model.DaemonId;
 import org.whinhead.state.record.LogEntry;
 import org.whinhead.state.record.LogRecord;
-import org.whinhead.state.writer.Backoff;
 import org.whinhead.state.writer.LogReader;
 import org.whinhead.state.writer.LogWriter;
 import org.whinhead.state.writer.ReadRequest;
+import org.whinhead.state.writer.WriteBackoff;
 import org.whinhead.state.writer.WriterLimits;
 
 /** One daemon's writer and reader, connected to a {@link FakeLog} stream. */
@@ -39,8 +39,8 @@
                 new LogWriter(
                         self,
                         new WriterLimits(8, 3),
-                        new Backoff(first, Duration.ofMillis(80), random));
-        mReader = new LogReader(4, Duration.ZERO, new Backoff(first, first, random));
+                        new WriteBackoff(first, Duration.ofMillis(80), random));
+        mReader = new LogReader(4, Duration.ZERO, new WriteBackoff(first, first, random));
     }
 
     public LogWriter writer() {
--- a/state/src/test/java/org/whinhead/state/writer/LogWriterTest.java
+++ b/state/src/test/java/org/whinhead/state/writer/LogWriterTest.java
@@ -20,7 +20,7 @@
             new LogWriter(
                     new DaemonId("w"),
                     new WriterLimits(2, 10),
-                    new Backoff(STEP, STEP.multipliedBy(8), new SplittableRandom(1)));
+                    new WriteBackoff(STEP, STEP.multipliedBy(8), new SplittableRandom(1)));
 
     // Guards against unbounded memory and early retries during a long log outage. The writer must
     // reject records at once when its queue is full and must wait for the delay that the log
