--- a/demo/src/main/java/org/whinhead/demo/DemoResult.java
+++ b/demo/src/main/java/org/whinhead/demo/DemoResult.java
@@ -44,7 +44,7 @@
 
     static DemoResult of(
             final DemoConfig config, final LoadPhases phases, final DeploymentStandIns standIns) {
-        final WorkCounter witness = standIns.context().witness();
+        final WorkCounter witness = standIns.context().workCounter();
         final Map<String, Double> cost = new TreeMap<>();
         standIns.cloud().cost().forEach((role, amount) -> cost.put(role.wireName(), amount));
         return new DemoResult(
--- a/demo/src/main/java/org/whinhead/demo/LocalDeployment.java
+++ b/demo/src/main/java/org/whinhead/demo/LocalDeployment.java
@@ -303,7 +303,7 @@
 
     /** Returns the number of times that the plain service ran the calls of an idempotency key. */
     public int executionCount(final String key) {
-        return mStandIns.witness().executions(key);
+        return mStandIns.workCounter().executions(key);
     }
 
     @Override
--- a/demo/src/test/java/org/whinhead/demo/LostDaemonsTest.java
+++ b/demo/src/test/java/org/whinhead/demo/LostDaemonsTest.java
@@ -59,7 +59,7 @@
                             request ->
                                     assertThat(
                                                     standIns.context()
-                                                            .witness()
+                                                            .workCounter()
                                                             .recomputedTokens(
                                                                     DemoResult.engineRequestId(
                                                                             request.request())))
--- a/demo/src/test/java/org/whinhead/demo/PeerDeployment.java
+++ b/demo/src/test/java/org/whinhead/demo/PeerDeployment.java
@@ -230,7 +230,7 @@
         if (answer.statusCode() != 200) {
             throw new IllegalStateException(answer.statusCode() + ": " + answer.body());
         }
-        return mContexts.get(0).witness().executions(key) > 0 ? 0 : 1;
+        return mContexts.get(0).workCounter().executions(key) > 0 ? 0 : 1;
     }
 
     private HttpResponse<String> get(final URI uri) throws Exception {
--- a/demo/src/test/java/org/whinhead/demo/SingleDaemonTest.java
+++ b/demo/src/test/java/org/whinhead/demo/SingleDaemonTest.java
@@ -142,7 +142,7 @@
         assertRefused(mDeployment.send(wrongKey), 401, "unknown-key");
         assertRefused(
                 mDeployment.send(mDeployment.request("/v2/chat").build()), 404, "unknown-path");
-        assertThat(mDeployment.standIns().witness().generatedTokens()).isZero();
+        assertThat(mDeployment.standIns().workCounter().generatedTokens()).isZero();
     }
 
     /**
@@ -203,16 +203,16 @@
                             .path("running")
                             .asInt();
         }
-        assertThat(mDeployment.standIns().witness().generatedTokens()).isLessThan(longAnswer);
+        assertThat(mDeployment.standIns().workCounter().generatedTokens()).isLessThan(longAnswer);
     }
 
     @Test
     void nonIdempotentCallIsRefusedWithoutClaims() throws Exception {
         final HttpResponse<String> answer = service("status", "key-1");
         assertThat(answer.statusCode()).isEqualTo(200);
-        assertThat(mDeployment.standIns().witness().executions("key-1")).isEqualTo(1);
+        assertThat(mDeployment.standIns().workCounter().executions("key-1")).isEqualTo(1);
         assertRefused(service("payments", "key-2"), 503, "claim-unavailable");
-        assertThat(mDeployment.standIns().witness().executions("key-2")).isZero();
+        assertThat(mDeployment.standIns().workCounter().executions("key-2")).isZero();
     }
 
     private HttpResponse<String> service(final String path, final String key) throws Exception {
--- a/standins/src/main/java/org/whinhead/standins/StandInContext.java
+++ b/standins/src/main/java/org/whinhead/standins/StandInContext.java
@@ -5,12 +5,12 @@
 import org.whinhead.standins.witness.WorkCounter;
 
 /**
- * What all stand-ins of one process share.
+ * The objects that all stand-ins of one process share.
  *
- * @param ticker the clock and the thread that drives them
- * @param witness what they saw
+ * @param ticker the clock and the thread that drive the stand-ins
+ * @param workCounter the counter of the work that the stand-ins did
  */
-public record StandInContext(Ticker ticker, WorkCounter witness) implements AutoCloseable {
+public record StandInContext(Ticker ticker, WorkCounter workCounter) implements AutoCloseable {
 
     /** Returns a context on the system's clock. */
     public static StandInContext start() {
--- a/standins/src/main/java/org/whinhead/standins/deployment/DeploymentStandIns.java
+++ b/standins/src/main/java/org/whinhead/standins/deployment/DeploymentStandIns.java
@@ -75,7 +75,7 @@
                         mServers,
                         context);
         mControl = new StandInServer(HOST, config.port(CONTROL_PORT_OFFSET));
-        mControl.route("GET", "/witness", call -> call.reply(200, context.witness().toJson()))
+        mControl.route("GET", "/witness", call -> call.reply(200, context.workCounter().toJson()))
                 .route("GET", "/addresses", call -> call.reply(200, addresses()))
                 .route("POST", "/faults", faults());
     }
--- a/standins/src/main/java/org/whinhead/standins/engine/EngineStandIn.java
+++ b/standins/src/main/java/org/whinhead/standins/engine/EngineStandIn.java
@@ -36,7 +36,7 @@
         mConfig = config;
         mContext = context;
         mServer = new StandInServer(config.host(), config.port());
-        mSimulation = new EngineSimulation(config, context.witness());
+        mSimulation = new EngineSimulation(config, context.workCounter());
         mOrders = new OrderHandler(config);
         routes();
         mRemoveTask = context.ticker().add(this::tick);
@@ -226,7 +226,7 @@
     }
 
     private void witness(final StandInCall call) {
-        final ObjectNode root = mContext.witness().toJson();
+        final ObjectNode root = mContext.workCounter().toJson();
         call.reply(200, root.put("staleOrders", mOrders.staleOrders()));
     }
 }
--- a/standins/src/main/java/org/whinhead/standins/service/ServiceStandIn.java
+++ b/standins/src/main/java/org/whinhead/standins/service/ServiceStandIn.java
@@ -21,9 +21,9 @@
         mConfig = config;
         mContext = context;
         mServer = new StandInServer(config.host(), config.port());
-        mSimulation = new ServiceSimulation(config, context.witness());
+        mSimulation = new ServiceSimulation(config, context.workCounter());
         mServer.route("POST", "/faults", faults())
-                .route("GET", "/witness", call -> call.reply(200, context.witness().toJson()))
+                .route("GET", "/witness", call -> call.reply(200, context.workCounter().toJson()))
                 .route("POST", "/*", this::run);
     }
 
@@ -112,7 +112,7 @@
                 .put("service", mConfig.name())
                 .put("path", call.path())
                 .put("idempotencyKey", key)
-                .put("execution", mContext.witness().executions(key))
+                .put("execution", mContext.workCounter().executions(key))
                 .put("received", new String(call.body(), StandardCharsets.UTF_8));
     }
 
--- a/standins/src/test/java/org/whinhead/standins/engine/EngineStandInTest.java
+++ b/standins/src/test/java/org/whinhead/standins/engine/EngineStandInTest.java
@@ -117,8 +117,8 @@
         final List<String> lines =
                 mClient.send(rest, BodyHandlers.ofLines()).body().collect(Collectors.toList());
         assertThat(text(lines)).isEqualTo(expected(0, 400));
-        assertThat(mContext.witness().generatedTokens()).isEqualTo(400);
-        assertThat(mContext.witness().recomputedTokens()).isZero();
+        assertThat(mContext.workCounter().generatedTokens()).isEqualTo(400);
+        assertThat(mContext.workCounter().recomputedTokens()).isZero();
         other.close();
     }
 
--- a/standins/src/test/java/org/whinhead/standins/load/caller/LoadClientTest.java
+++ b/standins/src/test/java/org/whinhead/standins/load/caller/LoadClientTest.java
@@ -164,7 +164,7 @@
             }
             assertThat(call(toService, CallStyle.PLAIN_ONCE).outcome())
                     .isEqualTo(RequestOutcome.COMPLETED);
-            assertThat(context.witness().executions("request-1")).isEqualTo(1);
+            assertThat(context.workCounter().executions("request-1")).isEqualTo(1);
             assertThat(call(toService, CallStyle.PLAIN_ONCE).fault()).contains(AnswerFault.DOUBLED);
         }
     }
--- a/standins/src/test/java/org/whinhead/standins/service/ServiceStandInTest.java
+++ b/standins/src/test/java/org/whinhead/standins/service/ServiceStandInTest.java
@@ -31,7 +31,7 @@
     void countsOnlyCallsThatRan() throws Exception {
         mService.plan(ServiceFault.REFUSE, 1);
         assertThat(file().statusCode()).isEqualTo(503);
-        assertThat(mContext.witness().executions("k1")).isZero();
+        assertThat(mContext.workCounter().executions("k1")).isZero();
         assertThat(file().body())
                 .isEqualTo(
                         "{\"service\":\"filing\",\"path\":\"/claims/new\","
@@ -39,7 +39,7 @@
                                 + "\"received\":\"claim\"}");
         mService.plan(ServiceFault.ERROR_AFTER_RUN, 1);
         assertThat(file().statusCode()).isEqualTo(500);
-        assertThat(mContext.witness().executions("k1")).isEqualTo(2);
+        assertThat(mContext.workCounter().executions("k1")).isEqualTo(2);
     }
 
     /**
@@ -50,7 +50,7 @@
     void countsCallWithConnectionClosedAfterRun() {
         mService.plan(ServiceFault.CUT_AFTER_RUN, 1);
         assertThatThrownBy(this::file).isInstanceOf(IOException.class);
-        assertThat(mContext.witness().executions("k1")).isEqualTo(1);
+        assertThat(mContext.workCounter().executions("k1")).isEqualTo(1);
     }
 
     private HttpResponse<String> file() throws IOException, InterruptedException {
