--- a/gateway/src/main/java/org/whinhead/gateway/caller/CallerResponse.java
+++ b/gateway/src/main/java/org/whinhead/gateway/caller/CallerResponse.java
@@ -18,7 +18,7 @@
      *
      * @param bytes the part, which this call releases
      * @return true if the caller reads fast enough; if false, {@link
-     *     CallerRequestHandler#callerCaughtUp} follows
+     *     CallerRequestHandler.ActiveRequest#callerCaughtUp} follows
      */
     boolean write(ByteBuf bytes);
 
