--- a/bench/src/main/java/org/whinhead/bench/engine/EngineModel.java
+++ b/bench/src/main/java/org/whinhead/bench/engine/EngineModel.java
@@ -22,7 +22,7 @@
     private final EngineSettings mSettings;
     private final Simulation mSimulation;
     private final EngineListener mListener;
-    private final PrefixCache mCache;
+    private final SimulatedPrefixCache mCache;
     private final List<Sequence> mBatch = new ArrayList<>();
     private final PriorityQueue<Waiting> mWaiting = new PriorityQueue<>();
     private long mArrivals;
@@ -49,7 +49,7 @@
         mSimulation = simulation;
         mListener = listener;
         mCache =
-                new PrefixCache(
+                new SimulatedPrefixCache(
                         settings.cacheBlocks(),
                         hash -> publishCacheEvent(CacheEvent.Kind.STORED, hash),
                         hash -> publishCacheEvent(CacheEvent.Kind.EVICTED, hash));
--- a/bench/src/main/java/org/whinhead/bench/engine/PrefixCache.java
+++ b/bench/src/main/java/org/whinhead/bench/engine/SimulatedPrefixCache.java
@@ -7,7 +7,7 @@
 import java.util.function.LongConsumer;
 
 /** Prefix cache of an engine; evicts the least recently used blocks above its capacity. */
-final class PrefixCache {
+final class SimulatedPrefixCache {
 
     private static final float LOAD_FACTOR = 0.75f;
 
@@ -16,7 +16,8 @@
     private final LongConsumer mStoredListener;
     private final LongConsumer mEvictedListener;
 
-    PrefixCache(final int capacity, final LongConsumer stored, final LongConsumer evicted) {
+    SimulatedPrefixCache(
+            final int capacity, final LongConsumer stored, final LongConsumer evicted) {
         mCapacity = capacity;
         mStoredListener = stored;
         mEvictedListener = evicted;
