--- a/report/src/main/java/org/whinhead/report/DaemonReportJson.java
+++ b/report/src/main/java/org/whinhead/report/DaemonReportJson.java
@@ -114,7 +114,7 @@
         final List<String> names = new ArrayList<>();
         columns.forEach(column -> names.add(column.asText()));
         if (!names.equals(COLUMNS)) {
-            throw new IllegalArgumentException("unexpected columns " + names);
+            throw new IllegalArgumentException("columns " + names);
         }
     }
 
