--- a/clients/src/main/java/org/whinhead/clients/http/HttpCall.java
+++ b/clients/src/main/java/org/whinhead/clients/http/HttpCall.java
@@ -97,7 +97,7 @@
         mTimer =
                 schedule(
                         mRequest.connectTimeout(),
-                        () -> fail(HttpFailure.CONNECT_FAILED, "connect timeout expired"));
+                        () -> fail(HttpFailure.CONNECT_FAILED, "no connection in time"));
         UndertowClient.getInstance()
                 .connect(
                         new ConnectCallback(), mRequest.base(), mThread, mBuffers, OptionMap.EMPTY);
@@ -123,7 +123,7 @@
         final long idle = System.nanoTime() - mLastActivityNanos;
         final long left = mRequest.silenceTimeout().toNanos() - idle;
         if (left <= 0 && !mPaused) {
-            fail(HttpFailure.SILENT, "no data received for " + mRequest.silenceTimeout());
+            fail(HttpFailure.SILENT, "nothing arrived for " + mRequest.silenceTimeout());
             return;
         }
         scheduleIdleCheck(left <= 0 ? mRequest.silenceTimeout() : Duration.ofNanos(left));
